--- a/crossmill/app.py
+++ b/crossmill/app.py
@@ -115,15 +115,15 @@
             settings.bind,
             self._handle,
             settings.server_sockets,
-            settings.idle_connection_s,
-            settings.kept_request_heads,
+            settings.idle_connection_timeout_s,
+            settings.max_cached_request_heads,
         )
         self.peer_server = Server(
             settings.peer_listen,
             self._handle_peer,
             settings.peer_sockets,
-            settings.idle_connection_s,
-            settings.kept_request_heads,
+            settings.idle_connection_timeout_s,
+            settings.max_cached_request_heads,
         )
 
         self._loops: list[Callable[[], Awaitable[None]]] = [
@@ -172,7 +172,7 @@
         """Loaded only once the controller has had time to take its shards: after an end of all
         controllers the workers' leases hang on how soon it serves."""
         await self.follower.ready.wait()
-        await curio.sleep(self.settings.hold_ttl_s)
+        await curio.sleep(self.settings.controller_lease_ttl_s)
         from .multihost.service import MultihostService
 
         service = MultihostService(
--- a/crossmill/cli.py
+++ b/crossmill/cli.py
@@ -127,8 +127,15 @@
 
 def _check(loaded: _LoadedSettings) -> None:
     settings, multihost, recovery = loaded
-    print(f"{settings.label}: {settings.nodes} controllers, {len(settings.teams)} teams")
-    _print_derived(settings, "hold_ttl_s", "renew_s", "worker_end_s", "writes_share", "cloud_pace")
+    print(f"{settings.label}: {settings.controller_count} controllers, {len(settings.teams)} teams")
+    _print_derived(
+        settings,
+        "controller_lease_ttl_s",
+        "lease_renewal_interval_s",
+        "worker_lease_expiry_s",
+        "state_write_rate",
+        "cloud_request_rate",
+    )
     if multihost is not None:
         print(f"multi-machine replicas on {multihost.listen.host}:{multihost.listen.port}")
         _print_derived(multihost, "heartbeat_s", "detection_s", "serving_lease_s", "agent_lease_s")
--- a/crossmill/cluster/cluster_state.py
+++ b/crossmill/cluster/cluster_state.py
@@ -23,24 +23,26 @@
         self.jobs: dict[str, Job] = {}
         self.graph = DependencyGraph(self.jobs)
         # jobs cancelled with one that they need, whose records do not say so yet
-        self.unrecorded: dict[int, dict[str, Job]] = {k: {} for k in range(settings.nodes)}
+        self.unrecorded: dict[int, dict[str, Job]] = {k: {} for k in range(settings.shard_count)}
         # unfinished jobs all of whose tasks are durably done
-        self.complete: dict[int, dict[str, Job]] = {k: {} for k in range(settings.nodes)}
+        self.complete: dict[int, dict[str, Job]] = {k: {} for k in range(settings.shard_count)}
         self.level: Level | None = None
         # the controllers that run a version of the next feature level, with their notes' versions
         self.upgraded: dict[str, int] = {}
-        self.layout = PlanLayout(settings.state_now.chunk_tasks)
+        self.layout = PlanLayout(settings.state_limits.chunk_tasks)
         # the legacy chunks there are, by job and name
         self.legacy_chunks: dict[tuple[str, str], Job] = {}
-        self.active: dict[int, dict[str, Job]] = {k: {} for k in range(settings.nodes)}
+        self.active: dict[int, dict[str, Job]] = {k: {} for k in range(settings.shard_count)}
         # ended jobs whose plans are not yet cleared away
-        self.ended: dict[int, dict[str, Job]] = {k: {} for k in range(settings.nodes)}
+        self.ended: dict[int, dict[str, Job]] = {k: {} for k in range(settings.shard_count)}
         # ended jobs with nothing left to clear, oldest first
-        self.over: dict[int, dict[str, Job]] = {k: {} for k in range(settings.nodes)}
+        self.over: dict[int, dict[str, Job]] = {k: {} for k in range(settings.shard_count)}
         # jobs of which only a plan is at hand
         self.unknown: dict[str, Job] = {}
         self.machines: dict[str, Machine] = {}
-        self.machines_of: dict[int, dict[str, Machine]] = {k: {} for k in range(settings.nodes)}
+        self.machines_of: dict[int, dict[str, Machine]] = {
+            k: {} for k in range(settings.shard_count)
+        }
         self.shards: dict[int, Shard] = {}
         self.nodes: dict[str, Any] = {}
         # how often each controller's key was written or went
@@ -97,7 +99,7 @@
     def limits(self) -> StateLimits:
         """The state service's limits to keep to now."""
         s = self._settings
-        return s.state_now if self.level is None else s.state_lowest
+        return s.state_limits if self.level is None else s.lowest_state_limits
 
     def write_load(self, shard: int) -> int:
         """How many records of running arrays the shard's owner keeps up to date."""
--- a/crossmill/cluster/deputies.py
+++ b/crossmill/cluster/deputies.py
@@ -89,7 +89,7 @@
         change shows them that promises of the process before this one are void."""
         sent, lease = self._clock.now(), self._announced_lease()
         if (
-            await self._sync(self._settings.renew_s)
+            await self._sync(self._settings.lease_renewal_interval_s)
             and lease is not None
             and lease == self._announced_lease()
         ):
@@ -107,7 +107,9 @@
         now, machine_id = self._clock.now(), machine.id
         if machine.zone != self._settings.zone or self._synced_at is None:
             return None
-        if now > self._synced_at + self._settings.deputy_s * (1 - self._settings.drift):
+        if now > self._synced_at + self._settings.partition_keepalive_s * (
+            1 - self._settings.clock_drift
+        ):
             return None
         if now < self._barred.get(machine_id, 0.0):
             return None
@@ -148,7 +150,9 @@
         now = self._clock.now()
         self._ending[job_id] = now
         if len(self._ending) > 1000:
-            over = now - 2 * (self._settings.deputy_s + self._settings.cancel_s)
+            over = now - 2 * (
+                self._settings.partition_keepalive_s + self._settings.cancellation_deadline_s
+            )
             self._ending = {j: at for j, at in self._ending.items() if at > over}
 
     def _bar(self, machines: Iterable[str]) -> list[float]:
@@ -156,7 +160,7 @@
         self._barred = {m: until for m, until in self._barred.items() if until > now}
         spans = []
         for machine in machines:
-            self._barred[machine] = now + self._settings.quiet_s
+            self._barred[machine] = now + self._settings.attestation_ttl_s
             # before our start the process before us may have answered it
             spans.append(now - max(self._started, self._answered.get(machine, 0.0)))
         return spans
@@ -179,12 +183,13 @@
             elif gone is not None:
                 # it knew nothing durable after its key was gone
                 answered_at = max(
-                    answered_at, gone + self._settings.deputy_s * (1 + self._settings.drift)
+                    answered_at,
+                    gone + self._settings.partition_keepalive_s * (1 + self._settings.clock_drift),
                 )
             else:
                 return None
             rests[key] = version
-        return rests if now - answered_at > self._settings.worker_end_s else None
+        return rests if now - answered_at > self._settings.worker_lease_expiry_s else None
 
     def _comings(self, label: str) -> tuple[int, int]:
         return self._cluster.node_changes.get(label, 0), self._cluster.mirror.readings
@@ -198,7 +203,7 @@
 
     def zone_lost(self, zone: str) -> bool:
         """Whether the zone has other controllers and none has answered for a lease."""
-        since = self._clock.now() - self._settings.lease_s
+        since = self._clock.now() - self._settings.worker_lease_s
         labels = self._of_zone.get(zone, ())
         return bool(labels) and all(self._heard.get(x, since) <= since for x in labels)
 
@@ -216,20 +221,24 @@
         that would not end in time by itself."""
         gone = self._gone_since(label)
         span = (
-            self._settings.deputy_s
-            + self._settings.worker_end_s
-            + self._settings.report_s
-            - self._settings.cancel_s
+            self._settings.partition_keepalive_s
+            + self._settings.worker_lease_expiry_s
+            + self._settings.heartbeat_interval_s
+            - self._settings.cancellation_deadline_s
+        )
+        return gone is not None and self._clock.now() > gone + span * (
+            1 + self._settings.clock_drift
         )
-        return gone is not None and self._clock.now() > gone + span * (1 + self._settings.drift)
 
     async def announce_end(self, job_id: str, zones: Iterable[str]) -> dict[str, int] | None:
         """Before a job is called withdrawn: every controller that may be cut off together with
         tasks of it must know, or they might be kept alive for too long. Returns what the write
         is to rest on: that each is still the process that was told."""
         if (
-            self._settings.deputy_s + self._settings.worker_end_s + self._settings.report_s
-            <= self._settings.cancel_s
+            self._settings.partition_keepalive_s
+            + self._settings.worker_lease_expiry_s
+            + self._settings.heartbeat_interval_s
+            <= self._settings.cancellation_deadline_s
         ):
             return {}
         zones = set(zones)
@@ -264,7 +273,7 @@
     async def _call(self, label: str, method: str, path: str, body: bytes = b"") -> bytes | None:
         try:
             status, data = await self._http[label].request(
-                method, path, body, self._settings.promise_s / 4
+                method, path, body, self._settings.lease_extension_grant_s / 4
             )
         except (Unreached, Unanswered) as exc:
             log.debug("peer not heard peer=%s error=%s", label, exc)
@@ -284,9 +293,9 @@
             log.info("odd answer peer=%s error=%s", label, exc)
             return
         now = self._clock.now()
-        until = sent + self._settings.quiet_s * (1 - self._settings.drift)
+        until = sent + self._settings.attestation_ttl_s * (1 - self._settings.clock_drift)
         for machine, span in zip(machines, spans, strict=False):
-            bound = now - span * (1 - self._settings.drift)
+            bound = now - span * (1 - self._settings.clock_drift)
             self._quiet[label, machine] = Word(bound, until, version)
 
     async def step(self) -> None:
@@ -317,4 +326,4 @@
         """Steps until the controller ends."""
         while True:
             await self.step()
-            await curio.sleep(self._settings.renew_s)
+            await curio.sleep(self._settings.lease_renewal_interval_s)
--- a/crossmill/cluster/feature_level.py
+++ b/crossmill/cluster/feature_level.py
@@ -49,7 +49,7 @@
         await self._follower.ready.wait()
         while self._cluster.level is None:
             await self.step()
-            await curio.sleep(self._settings.renew_s)
+            await curio.sleep(self._settings.lease_renewal_interval_s)
         log.info("feature level raised level=%d", self._cluster.level.number)
         await curio.Event().wait()
 
@@ -70,15 +70,15 @@
     async def _raise(self) -> None:
         level = Level(
             DEPENDENCIES,
-            self._settings.state_now.chunk_tasks,
-            self._settings.state_lowest.segment_tasks,
+            self._settings.state_limits.chunk_tasks,
+            self._settings.lowest_state_limits.segment_tasks,
         )
         conditions = {keys.feature(x): self._cluster.upgraded[x] for x in self._settings.labels}
         conditions[keys.LEVEL] = 0
         await self._commit(Txn(conditions, [Put(keys.LEVEL, encode_level(level))]))
 
     async def _commit(self, txn: Txn) -> None:
-        until = self._clock.now() + self._settings.hold_ttl_s
+        until = self._clock.now() + self._settings.controller_lease_ttl_s
         intent = Intent(txn, WriteRank.OWNERSHIP, until=until)
         if await self._writer.commit(intent) != WriteResult.OK:
-            await self._follower.sync(self._settings.renew_s)
+            await self._follower.sync(self._settings.lease_renewal_interval_s)
--- a/crossmill/cluster/keeper.py
+++ b/crossmill/cluster/keeper.py
@@ -18,9 +18,9 @@
     def __init__(self, client: StateClient, clock: Clock, settings: Settings) -> None:
         self._client = client
         self._clock = clock
-        self._ttl_s = settings.hold_ttl_s
-        self._renew_s = settings.renew_s
-        self._span_s = self._ttl_s * (1 - settings.drift)
+        self._ttl_s = settings.controller_lease_ttl_s
+        self._renew_s = settings.lease_renewal_interval_s
+        self._span_s = self._ttl_s * (1 - settings.clock_drift)
         self._until = 0.0
         self.lease: int | None = None
         # grows with every new lease: what was decided under an older one is void
--- a/crossmill/cluster/membership.py
+++ b/crossmill/cluster/membership.py
@@ -69,7 +69,7 @@
         while all that was durable not long ago is known. A lease that is renewed is no sign of
         that: a job may have been cancelled that no read has shown."""
         own = self.acting(shard)
-        is_current = self._follower.current_within(self._settings.hold_ttl_s)
+        is_current = self._follower.current_within(self._settings.controller_lease_ttl_s)
         return own if is_current else None
 
     def answering(self, shard: int) -> tuple[Owned, bool] | None:
@@ -80,7 +80,7 @@
         own = self.owned.get(shard)
         if own is None or not own.ready or own.epoch != self._keeper.epoch:
             return None
-        if not self._follower.current_within(self._settings.extension_s):
+        if not self._follower.current_within(self._settings.max_lease_extension_s):
             return None
         if self._keeper.authority():
             return own, self.commanding(shard) is not None
@@ -117,7 +117,9 @@
                 self._promises.renewed()
             if self._keeper.authority():
                 await self.step()
-            await curio.ignore_after(self._settings.renew_s / 4, self._keeper.changed.wait)
+            await curio.ignore_after(
+                self._settings.lease_renewal_interval_s / 4, self._keeper.changed.wait
+            )
             self._keeper.changed.clear()
 
     def _drop(self, shard: int, why: str) -> None:
@@ -148,10 +150,10 @@
         await self._announce()
         self.choice.look()
         self._writer.allot(write_share(self._settings, self._cluster))
-        missing = [k for k in range(self._settings.nodes) if k not in self._cluster.shards]
+        missing = [k for k in range(self._settings.shard_count) if k not in self._cluster.shards]
         if any(not self._promises.may_start(k) for k in missing):
             await self._promises.inquire()
-        for shard in range(self._settings.nodes):
+        for shard in range(self._settings.shard_count):
             if shard not in self.owned and self._may_take(shard):
                 await self._take(shard)
         await self._lead()
@@ -162,7 +164,7 @@
             if raised is not None and not self._drop_if_lost(shard, raised):
                 await self._take(shard, above)
         for shard, own in list(self.owned.items()):
-            if not own.ready and await self._follower.sync(self._settings.renew_s):
+            if not own.ready and await self._follower.sync(self._settings.lease_renewal_interval_s):
                 own.ready = True
                 log.info("shard ready shard=%d epoch=%d", shard, own.token)
         await self._hand_over()
@@ -207,10 +209,10 @@
         """Others' keys are taken in turn: the least loaded controller first."""
         now = self._clock.now()
         since = self._missing.setdefault(key, now)
-        wait = self.choice.rank() * self._settings.hold_ttl_s / 4
+        wait = self.choice.rank() * self._settings.controller_lease_ttl_s / 4
         if not self._cluster.shards:
             # nobody has started yet: leave each its own
-            wait += self._settings.hold_ttl_s
+            wait += self._settings.controller_lease_ttl_s
         return now - since >= wait
 
     def _may_take(self, shard: int) -> bool:
@@ -230,7 +232,7 @@
             return True
         if self.choice.is_reachable(home) and self._cluster.shards and not gives_way:
             self._missing.setdefault(key, self._clock.now())
-            return self._clock.now() - self._missing[key] > self._settings.hold_ttl_s
+            return self._clock.now() - self._missing[key] > self._settings.controller_lease_ttl_s
         return self._patient(key)
 
     async def _take(self, shard: int, above: int = 0) -> None:
@@ -261,7 +263,7 @@
             ],
         )
         if not await self._commit(txn):
-            await self._follower.sync(self._settings.renew_s)
+            await self._follower.sync(self._settings.lease_renewal_interval_s)
             return
         version = self._cluster.mirror.version(key)
         before = self.owned.get(shard)
@@ -297,14 +299,16 @@
             self._missing.pop(keys.LEADER, None)
             log.info("lead taken epoch=%d", epoch)
         else:
-            await self._follower.sync(self._settings.renew_s)
+            await self._follower.sync(self._settings.lease_renewal_interval_s)
 
     async def _hand_over(self) -> None:
         """A shard that another controller should own is let go of, one at a look: whoever comes
         first in rank takes it at once."""
         for shard, own in list(self.owned.items()):
             stood_s = self._clock.now() - own.acquired_at
-            if stood_s <= self._settings.lease_s or not self.choice.is_better_elsewhere(shard):
+            if stood_s <= self._settings.worker_lease_s or not self.choice.is_better_elsewhere(
+                shard
+            ):
                 continue
             self._drop(shard, "handed over")
             await self._commit(Txn({keys.shard(shard): own.version}, [], [keys.shard(shard)]))
--- a/crossmill/cluster/owner_choice.py
+++ b/crossmill/cluster/owner_choice.py
@@ -75,7 +75,7 @@
 
     def _lasts(self, since: dict[str, float], label: str) -> bool:
         begun = since.get(label)
-        return begun is not None and self._clock.now() - begun > self._settings.lease_s
+        return begun is not None and self._clock.now() - begun > self._settings.worker_lease_s
 
     def rank(self) -> int:
         """How many controllers come before this one in taking what has no owner: those that are
--- a/crossmill/cluster/promises.py
+++ b/crossmill/cluster/promises.py
@@ -74,7 +74,9 @@
             return Response(400)
         if mine & set(claim.shards):
             return Response(409)
-        until = self._clock.now() + self._settings.promise_s * (1 + self._settings.drift)
+        until = self._clock.now() + self._settings.lease_extension_grant_s * (
+            1 + self._settings.clock_drift
+        )
         for shard in claim.shards:
             self._given[shard] = until
         return Response(200, wire.promise_body(self._service.served_ago_s()))
@@ -86,7 +88,7 @@
     def may_start(self, shard: int) -> bool:
         """Whether a shard without an owner can't be under a promise this label has forgotten."""
         waited = self._clock.now() - self._started
-        if waited > self._settings.promise_s * (1 + 2 * self._settings.drift):
+        if waited > self._settings.lease_extension_grant_s * (1 + 2 * self._settings.clock_drift):
             return True
         return all(shard in self._free.get(label, ()) for label in self._http)
 
@@ -99,11 +101,11 @@
     async def _inquire_one(self, label: str) -> None:
         try:
             status, data = await self._http[label].request(
-                "GET", wire.ACTING_PATH, b"", self._settings.promise_s / 4
+                "GET", wire.ACTING_PATH, b"", self._settings.lease_extension_grant_s / 4
             )
             if status == 200:
                 acting = wire.parse_acting(data)
-                self._free[label] = set(range(self._settings.nodes)) - set(acting)
+                self._free[label] = set(range(self._settings.shard_count)) - set(acting)
         except (Unreached, Unanswered, Malformed) as exc:
             log.debug("peer not heard peer=%s error=%s", label, exc)
 
@@ -121,7 +123,7 @@
         """Whether every peer's promise, counted from when it was asked for, still holds. A job
         withdrawn by others meanwhile is not known here, so this ends well before cancel_s."""
         since, now = self._failing_since, self._clock.now()
-        if since is None or now - since > self._settings.extension_s:
+        if since is None or now - since > self._settings.max_lease_extension_s:
             return False
         return all(now < self._got.get(label, 0.0) for label in self._http)
 
@@ -130,7 +132,7 @@
         if self._failing_since is None:
             self._failing_since = self._clock.now()
         # once workers are no longer answered, a promise would only keep peers from taking over
-        over = self._clock.now() - self._failing_since > self._settings.extension_s
+        over = self._clock.now() - self._failing_since > self._settings.max_lease_extension_s
         if not shards or over or self.alone:
             return
         claim = wire.Claim(self._settings.label, tuple(shards))
@@ -142,14 +144,19 @@
         sent = self._clock.now()
         try:
             status, data = await self._http[label].request(
-                "POST", wire.PROMISE_PATH, wire.claim_body(claim), self._settings.promise_s / 4
+                "POST",
+                wire.PROMISE_PATH,
+                wire.claim_body(claim),
+                self._settings.lease_extension_grant_s / 4,
             )
             ago_s = wire.parse_promise(data) if status == 200 else None
         except (Unreached, Unanswered, Malformed) as exc:
             log.debug("no promise peer=%s error=%s", label, exc)
             return
         if status == 200:
-            self._got[label] = sent + self._settings.promise_s * (1 - self._settings.drift)
+            self._got[label] = sent + self._settings.lease_extension_grant_s * (
+                1 - self._settings.clock_drift
+            )
             self._compare(label, sent, ago_s)
         else:
             log.info("promise refused peer=%s status=%d", label, status)
@@ -161,7 +168,7 @@
         refused once more after that: the first to be served after an outage would look alike."""
         if ago_s is None or self._failing_since is None or self.alone:
             return
-        if sent - ago_s <= self._failing_since + self._settings.renew_s:
+        if sent - ago_s <= self._failing_since + self._settings.lease_renewal_interval_s:
             return
         if self._others_served_at is None:
             self._others_served_at = self._clock.now()
--- a/crossmill/cluster/reachability.py
+++ b/crossmill/cluster/reachability.py
@@ -22,7 +22,7 @@
         self._heard_at = clock.now()
         self._looks = 0
         self._deaf_since: float | None = None
-        self._patience_s = settings.deaf_s
+        self._patience_s = settings.unreachable_backoff_s
 
     def note(self) -> None:
         """A report came, whoever is to answer it."""
@@ -40,12 +40,15 @@
         if self._deaf_since is not None:
             # nobody may come to a controller without shards, so in time it tries again
             if self._heard_at > self._deaf_since:
-                self._deaf_since, self._patience_s = None, self._settings.deaf_s
+                self._deaf_since, self._patience_s = None, self._settings.unreachable_backoff_s
             elif now - self._deaf_since > self._patience_s:
                 self._deaf_since, self._patience_s = None, 2 * self._patience_s
                 self._heard_at = now
             return False
-        if now - self._heard_at <= self._settings.unheard_s or self._due(shards, now) < LOOKS:
+        if (
+            now - self._heard_at <= self._settings.next_heartbeat_within_s
+            or self._due(shards, now) < LOOKS
+        ):
             self._looks = 0
             return False
         self._looks += 1
@@ -59,6 +62,6 @@
         return sum(
             machine.up and not machine.retiring
             for shard, since in shards.items()
-            if now - since > self._settings.unheard_s
+            if now - since > self._settings.next_heartbeat_within_s
             for machine in self._cluster.machines_of[shard].values()
         )
--- a/crossmill/cluster/write_shares.py
+++ b/crossmill/cluster/write_shares.py
@@ -11,14 +11,14 @@
 def write_share(settings: Settings, cluster: ClusterState) -> float:
     """This controller's part, in changes a second."""
     weights = _weights(settings, cluster)
-    return settings.writes_of(weights[settings.label], sum(weights.values()), cluster.limits)
+    return settings.write_rate_for(weights[settings.label], sum(weights.values()), cluster.limits)
 
 
 def _weights(settings: Settings, cluster: ClusterState) -> dict[str, float]:
     weights = dict.fromkeys(cluster.nodes, 1.0)
     if settings.label not in weights:
         weights = dict.fromkeys(settings.labels, 1.0)
-    busy = settings.busy_shards
+    busy = settings.shards_with_teams
     loads = {shard: cluster.write_load(shard) for shard in busy}
     total_load = sum(loads.values())
     for index, shard in cluster.shards.items():
--- a/crossmill/fleet/boot_times.py
+++ b/crossmill/fleet/boot_times.py
@@ -73,7 +73,7 @@
         """Whether the machine, which is not up yet, counts as supply. Of those that are late
         together every other one does: the rest is replaced while it is missed."""
         age = self._age(machine, kind, wall)
-        if age <= max(self._settings.late_boot, LATE_MARGIN * self._slowest(kind)):
+        if age <= max(self._settings.boot_late_factor, LATE_MARGIN * self._slowest(kind)):
             return True
         late = self._late_together(machine, kind, wall)
         return len(late) >= SLOW_TOGETHER and late.index(machine.id) % 2 == 0
@@ -81,10 +81,10 @@
     def has_failed(self, machine: Machine, kind: MachineType, wall: float) -> bool:
         """Whether the machine will hardly come up any more, and is to be returned."""
         age = self._age(machine, kind, wall)
-        if age <= max(self._settings.boot_patience, FAILED_MARGIN * self._slowest(kind)):
+        if age <= max(self._settings.boot_failure_factor, FAILED_MARGIN * self._slowest(kind)):
             return False
         is_cloud_slow = len(self._late_together(machine, kind, wall)) >= SLOW_TOGETHER
-        return not is_cloud_slow or age > self._settings.slow_boot_patience
+        return not is_cloud_slow or age > self._settings.slow_boot_failure_factor
 
     @staticmethod
     def _age(machine: Machine, kind: MachineType, wall: float) -> float:
@@ -101,7 +101,7 @@
         newest = max((boot.rented for boot in boots), default=-inf)
         if machine.rented <= newest:
             return []
-        latest = wall - self._settings.late_boot * kind.boot_s
+        latest = wall - self._settings.boot_late_factor * kind.boot_s
         booting = self._booting.get(kind.name, {})
         late = sorted(name for name, rented in booting.items() if newest < rented < latest)
         return late if machine.id in late else []
--- a/crossmill/fleet/cloud.py
+++ b/crossmill/fleet/cloud.py
@@ -30,7 +30,7 @@
 
     def __init__(self, settings: Settings, clock: Clock, http: Http | None = None) -> None:
         self._http = http or Client(settings.cloud, max_sockets=4)
-        self._pacer = Pacer(clock, settings.cloud_pace, settings.cloud_pace)
+        self._pacer = Pacer(clock, settings.cloud_request_rate, settings.cloud_request_rate)
         self._timeout_s = max(4.0, 8 / settings.cloud_rps)
 
     async def _call(
--- a/crossmill/fleet/forecast.py
+++ b/crossmill/fleet/forecast.py
@@ -118,7 +118,7 @@
     def _gpu_shares(self) -> GpuShares:
         """What tasks on GPUs take, looked at now and then."""
         now = self._clock.now()
-        if now - self._shares_at > self._settings.lease_s:
+        if now - self._shares_at > self._settings.worker_lease_s:
             self._shares_at = now
             active = (job for jobs in self._cluster.active.values() for job in jobs.values())
             specs = [job.spec for job in active if job.spec is not None and job.spec.gpus > 0]
@@ -138,7 +138,7 @@
                 entry.work_s.append((job.submitted, job.spec.tasks * job.spec.estimate_s))
                 entry.spec = job.spec
         self._seen_order = newest
-        horizon = wall - self._settings.forecast_s
+        horizon = wall - self._settings.arrival_window_s
         for entry in self._arrivals.values():
             entry.times = [t for t in entry.times if t[0] >= horizon]
             entry.work_s = [t for t in entry.work_s if t[0] >= horizon]
@@ -158,7 +158,7 @@
             boot_s = min(k.boot_s for k in kinds)
             tasks = sum(n for _, n in entry.times)
             number = round(
-                tasks / self._settings.forecast_s * boot_s * self._settings.headroom + 0.5
+                tasks / self._settings.arrival_window_s * boot_s * self._settings.headroom + 0.5
             )
             if number > 0:
                 wants.append(Want(spec, number, Zones(spec, {}), inf, 0.0))
@@ -173,7 +173,9 @@
             if where != shard or spec is None or spec.kind == "service" or not spec.spot:
                 continue
             work_s = self.estimates.task_s(job_class, sum(work for _, work in entry.work_s))
-            number = round(work_s / self._settings.forecast_s * self._settings.array_base)
+            number = round(
+                work_s / self._settings.arrival_window_s * self._settings.spot_baseline_ratio
+            )
             if number > 0:
                 # any image may be asked for, and the cheapest place is kept
                 anyone = replace(spec, image="", image_gb=0.0, one_zone=False, tasks=number)
@@ -247,7 +249,7 @@
                 # do by the time the last task has to be there go to the jobs in their order.
                 # A slot is taken for the image's fetch as well, unless it is there by chance
                 turn_s = task_s + self._fetch_s(spec)
-                span_s = min(max(0.0, want.budget_s - turn_s), self._settings.forecast_s)
+                span_s = min(max(0.0, want.budget_s - turn_s), self._settings.arrival_window_s)
                 by_then = int(coming * span_s / turn_s)
                 want.covered = max(0, min(want.tasks, by_then - promised))
                 promised += want.covered
@@ -299,7 +301,7 @@
     def unmet(self, shard: int, wall: float) -> list[Want]:
         """What has waited a while and finds no room in the shard, machines that still boot and
         slots that come free counted in."""
-        old = wall - self._settings.give_every_s
+        old = wall - self._settings.machine_transfer_interval_s
         waiting = self._cluster.active[shard].values()
         if not any(j.ready_at < old and j.waiting_count() > 0 for j in waiting):
             return []
@@ -315,7 +317,7 @@
     def _quick(self, spec: JobSpec, room: Room) -> bool:
         """Whether the image is there as soon as the machine's next report."""
         kind = self._cluster.catalog[room.type]
-        return spec.image_gb < kind.fetch_gb_per_s * self._settings.report_s
+        return spec.image_gb < kind.fetch_gb_per_s * self._settings.heartbeat_interval_s
 
     def redundant(self, shard: int, machine: Machine, rooms: list[Room]) -> bool:
         """Whether all on this machine would fit where its images are, on machines in use or
@@ -341,7 +343,13 @@
             zones = self._cluster.zones_of(job)
             zones[machine.zone] -= moving[job.id]
             near = [r for r in rooms if spec.image in r.images or self._quick(spec, r)]
-            taken = assign(spec, moving[job.id], near, Zones(spec, zones), self._settings.together)
+            taken = assign(
+                spec,
+                moving[job.id],
+                near,
+                Zones(spec, zones),
+                self._settings.max_replica_share_per_machine,
+            )
             if sum(number for _, number in taken) < moving[job.id]:
                 return False
         outcome = demand(self._expected(shard, self._clock.wall()), rooms, [], self._limit)
--- a/crossmill/fleet/leader.py
+++ b/crossmill/fleet/leader.py
@@ -59,19 +59,22 @@
                 except CloudTrouble as exc:
                     # spending pauses; what runs goes on
                     log.info("cloud trouble error=%s", exc)
-                    await curio.sleep(self._settings.report_s)
-            await curio.sleep(self._settings.report_s / 2)
+                    await curio.sleep(self._settings.heartbeat_interval_s)
+            await curio.sleep(self._settings.heartbeat_interval_s / 2)
 
     async def _step(self) -> None:
         now = self._clock.now()
-        stale = self._catalog_at is None or now - self._catalog_at > 30 * self._settings.report_s
+        stale = (
+            self._catalog_at is None
+            or now - self._catalog_at > 30 * self._settings.heartbeat_interval_s
+        )
         if stale:
             await self._refresh_catalog()
         if self._membership.leading() is None:
             return
         await self._release()
         await self._rent()
-        if self._list_at is None or now - self._list_at >= self._settings.list_every_s:
+        if self._list_at is None or now - self._list_at >= self._settings.cloud_list_interval_s:
             self._list_at = now
             await self._look_at_list(await self._cloud.machines())
 
@@ -126,7 +129,7 @@
     # -- renting ---------------------------------------------------------------------
 
     async def _rent(self) -> None:
-        for shard in range(self._settings.nodes):
+        for shard in range(self._settings.shard_count):
             for need in list(self._forecast.look(shard).needs.values()):
                 if self._membership.leading() is None:
                     return
@@ -142,7 +145,9 @@
                 rented = await self._cloud.rent(name, *key, need.number, self._leads)
                 break
             except NoCapacity:
-                self._forecast.blocked[key] = self._clock.now() + self._settings.blocked_s
+                self._forecast.blocked[key] = (
+                    self._clock.now() + self._settings.no_capacity_backoff_s
+                )
                 log.info("no capacity type=%s zone=%s spot=%s", *key)
                 return
             except NotLeading:
@@ -151,7 +156,7 @@
                 # the same name again rents nothing twice; what comes late is adopted
                 if last:
                     raise
-                await curio.sleep(self._settings.report_s)
+                await curio.sleep(self._settings.heartbeat_interval_s)
         log.info(
             "machines rented shard=%d type=%s zone=%s spot=%s asked=%d got=%d first=%s",
             shard,
@@ -161,7 +166,7 @@
             rented[0] if rented else "",
         )
         if len(rented) < need.number:
-            self._forecast.blocked[key] = self._clock.now() + self._settings.blocked_s
+            self._forecast.blocked[key] = self._clock.now() + self._settings.no_capacity_backoff_s
         await self._record([(m, *key) for m in rented], [shard] * len(rented), asked_at)
 
     async def _record(
@@ -200,7 +205,7 @@
                     await self._retire(row.id, "failed")
                 continue
             if (
-                row.age_s > 3 * self._settings.list_lag_s + self._settings.lease_s
+                row.age_s > 3 * self._settings.list_lag_s + self._settings.worker_lease_s
                 and row.id not in self._gone
             ):
                 self._unlisted[row.id] = self._unlisted.get(row.id, 0) + 1
@@ -211,7 +216,7 @@
 
     async def _adopt(self, rows: list[Listed]) -> None:
         """Machines nobody expected are taken in; those not needed go the way of idle ones."""
-        needy = max(range(self._settings.nodes), key=lambda k: self._forecast.look(k).short)
+        needy = max(range(self._settings.shard_count), key=lambda k: self._forecast.look(k).short)
         for row in rows:
             log.info("machine adopted machine=%s shard=%d", row.id, needy)
             await self._record(
@@ -249,7 +254,7 @@
         log.info("machines released number=%d first=%s", len(going), going[0].id)
         now = self._clock.now()
         self._gone = {
-            m: at for m, at in self._gone.items() if now - at < 60 * self._settings.lease_s
+            m: at for m, at in self._gone.items() if now - at < 60 * self._settings.worker_lease_s
         }
         self._gone.update((m.id, now) for m in going)
         intents = [
--- a/crossmill/fleet/pipelines.py
+++ b/crossmill/fleet/pipelines.py
@@ -63,7 +63,9 @@
             plan = self._plan(members)
         stage = plan.stages[job.id]
         if stage.budget_end is None:
-            return QueuePlace(stage.priority, job.ready_at + self._settings.fixed_wait_s, False)
+            return QueuePlace(
+                stage.priority, job.ready_at + self._settings.default_queue_wait_s, False
+            )
         return QueuePlace(stage.priority, stage.budget_end, True)
 
     def priority(self, job: Job) -> int:
@@ -84,13 +86,19 @@
         """A stage past its budget is planned anew, at most once in a replanning interval."""
         end = plan.stages[job.id].budget_end
         now = self._clock.wall()
-        return end is not None and now > end and now - plan.planned_at > self._settings.replan_s
+        return (
+            end is not None
+            and now > end
+            and now - plan.planned_at > self._settings.replan_interval_s
+        )
 
     def _single(self, job: Job) -> QueuePlace:
         spec = job.spec
         assert spec is not None
         margin_s = self._estimates.margin_s(spec.job_class, spec.estimate_s)
-        end = budget_end(spec, job.submitted, job.ready_at, margin_s, self._settings.fixed_wait_s)
+        end = budget_end(
+            spec, job.submitted, job.ready_at, margin_s, self._settings.default_queue_wait_s
+        )
         return QueuePlace(PRIORITY[spec.priority], end, spec.deadline_s is not None)
 
     def _members(self, job: Job) -> dict[str, Job]:
@@ -113,7 +121,7 @@
         # durable times only, and for late stages the interval that has begun
         base = max(job.ready_at for job in members.values())
         wall = self._clock.wall()
-        last_interval = wall - wall % self._settings.replan_s
+        last_interval = wall - wall % self._settings.replan_interval_s
         stages = {name: self._stage(job) for name, job in members.items()}
         planned = plan_pipeline(stages, base)
         if any(p.budget_end is not None and wall > p.budget_end for p in planned.values()):
--- a/crossmill/jobs/cancellation.py
+++ b/crossmill/jobs/cancellation.py
@@ -110,11 +110,11 @@
         txn = Txn(conditions, [Put(keys.job(job_id), record)])
         intent = Intent(txn, WriteRank.URGENT, until=self._until())
         await self._writer.submit(intent)
-        outcome = await intent.future.wait(self._settings.accept_s)
+        outcome = await intent.future.wait(self._settings.submission_timeout_s)
         return bool(outcome == WriteResult.OK)
 
     def _until(self) -> float:
-        return self._clock.now() + self._settings.accept_s
+        return self._clock.now() + self._settings.submission_timeout_s
 
     def _zones(self, job: Job) -> set[str]:
         """Where tasks of the job are, or may be before its end is durable."""
--- a/crossmill/jobs/cleanup.py
+++ b/crossmill/jobs/cleanup.py
@@ -83,7 +83,11 @@
             job = self._cluster.jobs.get(job_id)
             if (job.shard if job is not None else 0) != shard:
                 continue
-            if job is None or job.end != ACTIVE or self._clock.wall() - at > self._settings.note_s:
+            if (
+                job is None
+                or job.end != ACTIVE
+                or self._clock.wall() - at > self._settings.cancellation_note_ttl_s
+            ):
                 key = keys.ending(job_id)
                 txns.append(Txn({key: version}, [], [key]))
         return txns
@@ -92,7 +96,7 @@
         """What has long been over leaves memory, watch and start, but is never forgotten. Each
         archiving raises a counter that accepting a job with dependencies rests on."""
         over = self._cluster.over[shard]
-        excess = len(over) - self._settings.ended_kept
+        excess = len(over) - self._settings.max_ended_jobs
         if excess <= 0:
             return []
         mirror = self._cluster.mirror
--- a/crossmill/jobs/failures.py
+++ b/crossmill/jobs/failures.py
@@ -67,8 +67,8 @@
         # a job that fails on several machines is itself at fault, and is tried ever more
         # rarely; it says nothing against the machines
         if len(entry.machines) >= SUSPECT_MACHINES or is_unknown:
-            wait_s = self._settings.report_s * 2 ** min(entry.failures, MOST_DOUBLINGS)
-            entry.not_before = self._clock.now() + min(wait_s, self._settings.backoff_most_s)
+            wait_s = self._settings.heartbeat_interval_s * 2 ** min(entry.failures, MOST_DOUBLINGS)
+            entry.not_before = self._clock.now() + min(wait_s, self._settings.max_retry_backoff_s)
         if len(entry.machines) < FAULTY_MACHINES or entry.succeeded:
             self._by_machine.setdefault(machine, set()).add(job.id)
         else:
--- a/crossmill/jobs/lookup.py
+++ b/crossmill/jobs/lookup.py
@@ -35,12 +35,12 @@
     def is_served(self) -> bool:
         """Whether the state service can be asked. In an outage users are refused at once:
         nobody's answer could be shown to be current."""
-        is_down = self._client.down_for_s() > self._settings.renew_s / 2
+        is_down = self._client.down_for_s() > self._settings.lease_renewal_interval_s / 2
         return self._follower.ready.is_set() and not is_down
 
     async def is_current(self) -> bool:
         """Whether the mirror holds all that anybody can have been told by now."""
-        return self.is_served() and await self._follower.sync(self._settings.accept_s)
+        return self.is_served() and await self._follower.sync(self._settings.submission_timeout_s)
 
     def final(self, job_id: str) -> Job | None:
         """The job, if it has ended for good."""
--- a/crossmill/jobs/machine_maintenance.py
+++ b/crossmill/jobs/machine_maintenance.py
@@ -59,7 +59,7 @@
         """Writes for machines that have come up or are to go. What is found out here changes with
         reports and boots, so rounds between two reports find little that is new."""
         now = self._clock.now()
-        if now - self._looked_at.get(shard, -inf) < self._settings.maintenance_s:
+        if now - self._looked_at.get(shard, -inf) < self._settings.maintenance_interval_s:
             return []
         self._looked_at[shard] = now
         intents = self._came_up(shard, own, machines)
@@ -68,9 +68,9 @@
         for machine in machines:
             # many silent at once is a cut or our own trouble, not the machines': in a zone that
             # is cut off its workers may be kept alive, and are worth waiting for
-            patience = self._settings.worker_end_s
+            patience = self._settings.worker_lease_expiry_s
             if machine.zone in cut:
-                patience += self._settings.deputy_s
+                patience += self._settings.partition_keepalive_s
             if machine.retiring or now - own.acquired_at < patience:
                 continue
             why = self._fault(machine, now, patience, spare)
@@ -111,11 +111,11 @@
             if machine.up:
                 view = self._reports.peek(machine.id)
                 up[machine.zone] += 1
-                if view is None or not view.fresh(now, self._settings.suspect_s):
+                if view is None or not view.fresh(now, self._settings.heartbeat_timeout_s):
                     silent[machine.zone] += 1
         for zone, number in silent.items():
             if 2 * number > up[zone] and (number > 1 or self._deputies.zone_lost(zone)):
-                self._silent_until[shard, zone] = now + self._settings.lease_s
+                self._silent_until[shard, zone] = now + self._settings.worker_lease_s
         return {z for (k, z), until in self._silent_until.items() if k == shard and now < until}
 
     def moves(self, shard: int, own: Owned, machines: list[Machine]) -> dict[str, Intent]:
@@ -141,12 +141,16 @@
     def _spare(self, shard: int, machines: list[Machine], now: float) -> set[str]:
         """Machines that neither waiting nor expected tasks would use; looked for only when
         some machine has been empty for long enough, and no more often than workers report."""
-        if now - self._spare_at.get(shard, 0.0) < self._settings.report_s:
+        if now - self._spare_at.get(shard, 0.0) < self._settings.heartbeat_interval_s:
             return set()
         for machine in machines:
             view = self._reports.peek(machine.id)
             since = view.idle_since if view is not None else None
-            if since is not None and now - since > self._settings.idle_s and not machine.retiring:
+            if (
+                since is not None
+                and now - since > self._settings.idle_machine_timeout_s
+                and not machine.retiring
+            ):
                 self._spare_at[shard] = now
                 return self._forecast.look(shard).spare
         return set()
@@ -175,6 +179,6 @@
             view.idle_since = now
         elif machine.id in self._preemption.draining:
             return "drained"
-        elif now - view.idle_since > self._settings.idle_s and machine.id in spare:
+        elif now - view.idle_since > self._settings.idle_machine_timeout_s and machine.id in spare:
             return "idle"
         return ""
--- a/crossmill/jobs/placement.py
+++ b/crossmill/jobs/placement.py
@@ -58,7 +58,7 @@
         return (
             view is not None
             and not machine.retiring
-            and view.fresh(own_now, self._settings.suspect_s)
+            and view.fresh(own_now, self._settings.heartbeat_timeout_s)
             and view.notice_at is None
             and not self._failures.is_faulty(machine.id)
             and machine.id not in self._preemption.draining
@@ -95,7 +95,7 @@
             start = next((i for i, job in enumerate(queue) if job.id == resume), 0)
             queue = queue[start:] + queue[:start]
         for job in queue:
-            if self._clock.now() - started > self._settings.round_budget_s:
+            if self._clock.now() - started > self._settings.scheduling_time_budget_s:
                 self._resume[shard] = job.id
                 self.is_unfinished = True
                 break
@@ -195,17 +195,27 @@
     ) -> list[tuple[Room, int]]:
         """Room that is free; but a class that must start soon rather gets the place of lesser
         work where its image is than a free one where it would wait for the image."""
-        prompt_s = self._settings.prompt_s(spec.job_class) if spec.kind == "service" else None
+        start_objective_s = (
+            self._settings.start_objective_s(spec.job_class) if spec.kind == "service" else None
+        )
         taken: list[tuple[Room, int]] = []
         # a claim that came to nothing is not repeated: then any room will do
         again = self._preemption.failed(job)
-        if prompt_s is not None and not again:
+        if start_objective_s is not None and not again:
             # room made for the job counts wherever it is, or it would stand empty until the
             # claim ends
             def near(room: Room) -> bool:
-                return room.delay_s(spec) < 0.75 * prompt_s or self._preemption.made_for(room, job)
+                return room.delay_s(spec) < 0.75 * start_objective_s or self._preemption.made_for(
+                    room, job
+                )
 
-            taken = assign(spec, wanted, list(filter(near, free)), zones, self._settings.together)
+            taken = assign(
+                spec,
+                wanted,
+                list(filter(near, free)),
+                zones,
+                self._settings.max_replica_share_per_machine,
+            )
             wanted -= sum(number for _, number in taken)
             if wanted and may_preempt:
                 if self._preemption.claimed(job):
@@ -215,7 +225,11 @@
                 )
                 self._stops.extend(stops)
                 wanted -= covered
-        more = assign(spec, wanted, free, zones, self._settings.together) if wanted else []
+        more = (
+            assign(spec, wanted, free, zones, self._settings.max_replica_share_per_machine)
+            if wanted
+            else []
+        )
         wanted -= sum(number for _, number in more)
         if wanted and may_preempt and not again:
             stops, _ = self._preemption.preempt(job, wanted, rooms, zones, used)
--- a/crossmill/jobs/preemption.py
+++ b/crossmill/jobs/preemption.py
@@ -56,7 +56,7 @@
     def failed(self, job: Job) -> bool:
         """Whether room was made for the job of late and it still waits."""
         since = self._clock.now() - self._claims.get(job.id, -inf)
-        return 0 <= since < self._settings.fixed_wait_s
+        return 0 <= since < self._settings.default_queue_wait_s
 
     def settle(self) -> None:
         """Claims end with their jobs' waiting, reservations also with their time."""
@@ -123,7 +123,7 @@
         if chosen:
             self._claims[job.id] = (
                 now
-                + 2 * self._settings.report_s
+                + 2 * self._settings.heartbeat_interval_s
                 + 2 * max((self._spec(row).save_s for row in chosen), default=0.0)
             )
             for machine in machines:
@@ -152,7 +152,11 @@
         spec = self._spec(row)
         lost = spec.save_s if 0 < spec.checkpoint_s < ran else ran
         # a start that is stopped this soon was in vain altogether
-        return lost + (self._settings.in_vain_s if ran < self._settings.in_vain_s else 0.0)
+        return lost + (
+            self._settings.min_useful_runtime_s
+            if ran < self._settings.min_useful_runtime_s
+            else 0.0
+        )
 
     def _stoppable_jobs(self, job: Job, used: Use) -> dict[str, str]:
         """The jobs whose tasks may be stopped for this one, each with the team from whose use
@@ -234,14 +238,14 @@
             if machine is None or machine.retiring or now > self.draining[machine_id]:
                 del self.draining[machine_id]
         if self.draining or now - max(own.acquired_at, self._drained_at.get(shard, 0.0)) < (
-            self._settings.drain_every_s
+            self._settings.drain_interval_s
         ):
             return
         self._drained_at[shard] = now
         machine = self._emptiest(shard, rooms())
         if machine is None:
             return
-        self.draining[machine.id] = now + 2 * self._settings.lease_s
+        self.draining[machine.id] = now + 2 * self._settings.worker_lease_s
         log.info("machine drained machine=%s tasks=%d", machine.id, len(machine.rows))
         for row in machine.rows.values():
             self._reports.request_stop(row, StopReason.DRAINED)
@@ -253,7 +257,11 @@
         for room in rooms:
             machine = self._cluster.machines[room.machine]
             kind = self._cluster.catalog.get(machine.type)
-            if kind is None or not machine.rows or len(machine.rows) > self._settings.drain_most:
+            if (
+                kind is None
+                or not machine.rows
+                or len(machine.rows) > self._settings.max_tasks_to_drain
+            ):
                 continue
             if all(self._settled(row) for row in machine.rows.values()):
                 by_gain.append((kind.price / len(machine.rows), machine))
@@ -270,4 +278,4 @@
         job = self._cluster.jobs.get(row.job)
         if since is None or job is None or job.spec is None or job.spec.kind != "service":
             return False
-        return self._clock.now() - since > self._settings.settled_s
+        return self._clock.now() - since > self._settings.replica_settle_time_s
--- a/crossmill/jobs/reassignment.py
+++ b/crossmill/jobs/reassignment.py
@@ -68,11 +68,11 @@
             machine = self._cluster.machines.get(machine_id)
             if machine is None or machine.shard == to or machine.retiring or now > until:
                 del self._going[machine_id]
-        if now - self._looked_at.get(shard, 0.0) < self._settings.give_every_s:
+        if now - self._looked_at.get(shard, 0.0) < self._settings.machine_transfer_interval_s:
             return
         self._looked_at[shard] = now
         wall = self._clock.wall()
-        for other in range(self._settings.nodes):
+        for other in range(self._settings.shard_count):
             if other == shard or other not in self._cluster.shards:
                 continue
             for want in self._forecast.unmet(other, wall):
@@ -86,23 +86,23 @@
             return
         # an idle machine is better moved than rented; running work is stopped only for
         # replicas, and only when the cloud has had its time
-        busy = want.spec.kind == "service" and wall - job.ready_at > self._settings.lease_s
+        busy = want.spec.kind == "service" and wall - job.ready_at > self._settings.worker_lease_s
         for stop in (False, True) if busy else (False,):
             mine = self._suiting(shard, want, stop)
             if not mine or any(
                 (-len(self._suiting(k, want, stop)), k) < (-len(mine), shard)
-                for k in range(self._settings.nodes)
+                for k in range(self._settings.shard_count)
                 if k not in (shard, other)
             ):
                 continue
             left = want.tasks
-            for machine in mine[: self._settings.give_most]:
+            for machine in mine[: self._settings.max_machines_per_transfer]:
                 if left <= 0:
                     break
                 if machine.id in self._going or not self._idle(machine, stop):
                     continue
                 left -= min(slots_on(want.spec, self._cluster.catalog[machine.type]), left)
-                self._going[machine.id] = (other, now + self._settings.lease_s)
+                self._going[machine.id] = (other, now + self._settings.worker_lease_s)
                 log.info(
                     "machine to be given machine=%s shard=%d for=%s tasks=%d",
                     machine.id,
@@ -114,18 +114,19 @@
                     self._reports.request_stop(row, StopReason.GIVEN)
                     yield row
             if left < want.tasks:
-                self._promised[job.id] = now + self._settings.lease_s
+                self._promised[job.id] = now + self._settings.worker_lease_s
                 return
 
     def _idle(self, machine: Machine, stop: bool) -> bool:
         view = self._reports.peek(machine.id)
-        if view is None or not view.fresh(self._clock.now(), self._settings.suspect_s):
+        if view is None or not view.fresh(self._clock.now(), self._settings.heartbeat_timeout_s):
             return False
         if view.notice_at is not None:
             return False
         since = view.idle_since
         return stop or (
-            since is not None and self._clock.now() - since > 2 * self._settings.report_s
+            since is not None
+            and self._clock.now() - since > 2 * self._settings.heartbeat_interval_s
         )
 
     def _suiting(self, shard: int, want: Want, stop: bool) -> list[Machine]:
--- a/crossmill/jobs/record_repair.py
+++ b/crossmill/jobs/record_repair.py
@@ -51,7 +51,7 @@
     async def run(self) -> None:
         """Works for ever."""
         while True:
-            await curio.sleep(self._settings.lease_s)
+            await curio.sleep(self._settings.worker_lease_s)
             try:
                 await self.step()
             except (Refused, OutcomeUnknown) as exc:
@@ -59,7 +59,7 @@
 
     async def step(self) -> None:
         """One look at all shards acted for."""
-        for shard in range(self._settings.nodes):
+        for shard in range(self._settings.shard_count):
             for job, need in list(self._missing(shard)):
                 own = self._membership.acting(shard)
                 if own is not None:
--- a/crossmill/jobs/rounds.py
+++ b/crossmill/jobs/rounds.py
@@ -96,14 +96,14 @@
         """Rounds for all shards that this controller acts for, when something has changed."""
         while True:
             if not self._placement.is_unfinished:
-                await curio.ignore_after(self._settings.report_s / 2, self.wake.wait)
+                await curio.ignore_after(self._settings.heartbeat_interval_s / 2, self.wake.wait)
             self._placement.is_unfinished = False
             self.wake.clear()
-            for shard in range(self._settings.nodes):
+            for shard in range(self._settings.shard_count):
                 own = self._membership.acting(shard)
                 if own is not None:
                     await self.round(shard, own)
-            await curio.sleep(self._settings.round_s)
+            await curio.sleep(self._settings.scheduling_interval_s)
 
     # -- one round -------------------------------------------------------------------
 
@@ -205,7 +205,7 @@
             job = self._cluster.jobs.get(key[0])
             if job is None or job.shard == shard or self._membership.acting(job.shard) is None:
                 del findings[key]
-        for entry in select(news, self._writer.writes_within(self._settings.report_s)):
+        for entry in select(news, self._writer.writes_within(self._settings.heartbeat_interval_s)):
             edit = edit_of(edits, entry.job, entry.name)
             for finding in entry.findings:
                 del findings[finding.row.job, finding.row.index]
--- a/crossmill/jobs/submission.py
+++ b/crossmill/jobs/submission.py
@@ -151,9 +151,9 @@
             return await self._refuse(spec.id, NEVER, "too long to be stored")
         txn = Txn({key: 0, keys.archived(spec.id): 0}, [Put(key, orjson.loads(encoded))])
         self._rest_on(dependencies, archivings, txn)
-        intent = Intent(txn, WriteRank.URGENT, until=now + self._settings.accept_s)
+        intent = Intent(txn, WriteRank.URGENT, until=now + self._settings.submission_timeout_s)
         await self._writer.submit(intent)
-        outcome = await intent.future.wait(self._settings.accept_s)
+        outcome = await intent.future.wait(self._settings.submission_timeout_s)
         if outcome == WriteResult.OK:
             log.info(
                 "job accepted job=%s class=%s team=%s tasks=%d needs=%d",
@@ -165,7 +165,10 @@
             )
             # others see the job as soon as it is durable, and may have told of its end before
             # a slow answer is here
-            is_slow = intent.outcome_unknown or self._clock.now() - now > self._settings.renew_s / 4
+            is_slow = (
+                intent.outcome_unknown
+                or self._clock.now() - now > self._settings.lease_renewal_interval_s / 4
+            )
             return await self._accepted(spec.id, is_slow)
         if outcome is None or not await self._lookup.is_current():
             return NOT_NOW
--- a/crossmill/multihost/api.py
+++ b/crossmill/multihost/api.py
@@ -79,7 +79,7 @@
         handler = self._route(request)
         if handler is None:
             return NO_SUCH_PATH
-        if not await self._follower.sync(self._settings.accept_s):
+        if not await self._follower.sync(self._settings.submission_timeout_s):
             return UNAVAILABLE
         return await handler()
 
@@ -224,12 +224,12 @@
             version = stored.version if stored is not None else 0
             if await self._write(Txn({key: version}, [Put(key, encode_set(after))])):
                 return Response(201 if stored is None else 200, orjson.dumps(encode_set(after)))
-            if not await self._follower.sync(self._settings.accept_s):
+            if not await self._follower.sync(self._settings.submission_timeout_s):
                 break
         return UNAVAILABLE
 
     async def _write(self, txn: Txn) -> bool:
-        until = self._clock.now() + self._settings.accept_s
+        until = self._clock.now() + self._settings.submission_timeout_s
         return (
             await self._writer.commit(Intent(txn, WriteRank.URGENT, until=until)) == WriteResult.OK
         )
--- a/crossmill/multihost/service.py
+++ b/crossmill/multihost/service.py
@@ -84,8 +84,8 @@
             multihost.listen,
             self.handle,
             settings.server_sockets,
-            settings.idle_connection_s,
-            settings.kept_request_heads,
+            settings.idle_connection_timeout_s,
+            settings.max_cached_request_heads,
         )
 
     @property
--- a/crossmill/multihost/settings.py
+++ b/crossmill/multihost/settings.py
@@ -99,8 +99,10 @@
     table = Table(data, "").table("multihost")
     offset = int(table.number("port_offset", 1))
     shard = int(table.number("pool_shard", 0, 0.0))
-    if shard >= settings.nodes:
-        raise BadSettings(f"multihost.pool_shard: below {settings.nodes}, the controllers' number")
+    if shard >= settings.controller_count:
+        raise BadSettings(
+            f"multihost.pool_shard: below {settings.controller_count}, the controllers' number"
+        )
     port = settings.peer_listen.port + offset
     if port >= 65536:
         raise BadSettings("multihost.port_offset: the port is past 65535")
@@ -110,7 +112,7 @@
     return MultihostSettings(
         listen=Endpoint(settings.peer_listen.host, port),
         pool_shard=shard,
-        heartbeat_s=table.number("heartbeat_s", 0.05, settings.report_s),
+        heartbeat_s=table.number("heartbeat_s", 0.05, settings.heartbeat_interval_s),
         idle_ratio=ratio,
     )
 
--- a/crossmill/net/server.py
+++ b/crossmill/net/server.py
@@ -53,7 +53,8 @@
 
 
 class Server:
-    """Serves one address. Connections on which no request was completed for `idle_s` are closed,
+    """Serves one address. Connections on which no request was completed for `idle_timeout_s`
+    are closed,
     by one task for all: a timer for each request costs more than many a request itself."""
 
     def __init__(
@@ -61,13 +62,13 @@
         endpoint: Endpoint,
         handler: Handler,
         max_sockets: int,
-        idle_s: float,
+        idle_timeout_s: float,
         kept_heads: int,
     ) -> None:
         self._endpoint = endpoint
         self._handler = handler
         self._max = max_sockets
-        self._idle_s = idle_s
+        self._idle_s = idle_timeout_s
         self._idle_checks = 0
         self._connections: dict[_Connection, curio.Task] = {}
         self._heads = RequestHeads(kept_heads)
--- a/crossmill/recovery/api.py
+++ b/crossmill/recovery/api.py
@@ -60,12 +60,14 @@
         return Response(404, error_body("no such path"))
 
     async def _is_current(self) -> bool:
-        return await self._follower.sync(self._settings.accept_s)
+        return await self._follower.sync(self._settings.submission_timeout_s)
 
     async def _show(self) -> Response:
         if not await self._is_current():
             return UNAVAILABLE
-        braked = [r for k in range(self._settings.nodes) if (r := self._braked(k)) is not None]
+        braked = [
+            r for k in range(self._settings.shard_count) if (r := self._braked(k)) is not None
+        ]
         return Response(
             200,
             overview_body(
@@ -102,7 +104,7 @@
             cluster_keys.shard(approval.shard): version(cluster_keys.shard(approval.shard)),
         }
         txn = Txn(conditions, [Put(keys.approval(approval.shard), encode_approval(stored))])
-        until = self._clock.now() + self._settings.accept_s
+        until = self._clock.now() + self._settings.submission_timeout_s
         result = await self._writer.commit(Intent(txn, WriteRank.URGENT, until=until))
         if result == WriteResult.EXPIRED:
             return UNAVAILABLE
--- a/crossmill/recovery/service.py
+++ b/crossmill/recovery/service.py
@@ -115,7 +115,11 @@
         lease is renewed for shards that were taken and of which no machine has reported yet."""
         while True:
             await self.step()
-            pause_s = self._recovery.read_s if self.recoveries() else self._settings.renew_s
+            pause_s = (
+                self._recovery.read_s
+                if self.recoveries()
+                else self._settings.lease_renewal_interval_s
+            )
             await curio.sleep(pause_s)
 
     async def step(self) -> None:
@@ -131,7 +135,7 @@
     async def _look(self, recovery: ShardRecovery, shard: int, own: Owned) -> None:
         if recovery.needs_read:
             sent = self._clock.now()
-            if await self._follower.sync(self._settings.renew_s):
+            if await self._follower.sync(self._settings.lease_renewal_interval_s):
                 recovery.read_at = sent
         self._take_approval(recovery)
         await self._note_brake(recovery, shard, own)
--- a/crossmill/recovery/settings.py
+++ b/crossmill/recovery/settings.py
@@ -44,8 +44,8 @@
     # whether all is let through, and only noted what would have been held back
     dry_run: bool
     nodes: int
-    report_s: float
-    lease_s: float
+    heartbeat_interval_s: float
+    worker_lease_s: float
 
     @property
     def shard_orders_per_s(self) -> float:
@@ -56,27 +56,27 @@
     @property
     def shard_burst(self) -> float:
         """Orders that a shard may give at once: what it may give in a report interval."""
-        return max(1.0, self.shard_orders_per_s * self.report_s)
+        return max(1.0, self.shard_orders_per_s * self.heartbeat_interval_s)
 
     @property
     def worker_orders_per_s(self) -> float:
         """How fast a worker's part is filled again."""
-        return self.orders_per_worker / self.lease_s
+        return self.orders_per_worker / self.worker_lease_s
 
     @property
     def observe_s(self) -> float:
         """A shard is observed for at most this long."""
-        return self.observe_reports * self.report_s
+        return self.observe_reports * self.heartbeat_interval_s
 
     @property
     def batch_s(self) -> float:
         """A batch that is not settled by then is given up, and the next is small again."""
-        return self.lease_s
+        return self.worker_lease_s
 
     @property
     def read_s(self) -> float:
         """How often the state service is read for attempts that it has not shown."""
-        return self.report_s / 2
+        return self.heartbeat_interval_s / 2
 
 
 def parse(data: dict[str, Any], settings: Settings) -> RecoverySettings:
@@ -89,18 +89,18 @@
         raise BadSettings("recovery.brake_share: a number from 0 to 1 is needed")
     return RecoverySettings(
         # what an order leads to is written: faster than that nothing is gained
-        orders_per_s=table.number("orders_per_s", 0.1, settings.state_lowest.write_rps),
+        orders_per_s=table.number("orders_per_s", 0.1, settings.lowest_state_limits.write_rps),
         orders_per_worker=table.number("orders_per_worker", 1, 8.0),
         observe_reports=table.number("observe_reports", 1, 2.0),
         brake_share=share,
         brake_least=int(table.number("brake_least", 1, 5.0)),
         first_batch=int(table.number("first_batch", 1, 1.0)),
-        approval_s=table.number("approval_s", 1, 60 * settings.lease_s),
+        approval_s=table.number("approval_s", 1, 60 * settings.worker_lease_s),
         kept_records=int(table.number("kept_records", 1, 8.0)),
         dry_run=table.flag("dry_run", False),
-        nodes=settings.nodes,
-        report_s=settings.report_s,
-        lease_s=settings.lease_s,
+        nodes=settings.controller_count,
+        heartbeat_interval_s=settings.heartbeat_interval_s,
+        worker_lease_s=settings.worker_lease_s,
     )
 
 
--- a/crossmill/settings/loader.py
+++ b/crossmill/settings/loader.py
@@ -32,17 +32,17 @@
         zones=params.texts("zones"),
         teams=tuple(_team(t) for t in params.tables("teams")),
         objectives=tuple(_objective(o) for o in params.tables("objectives")),
-        report_s=workers.number("report_s", 0.01),
-        lease_s=workers.number("lease_s", 0.1),
-        cancel_s=workers.number("cancel_s", 0.1),
-        state_now=now,
-        state_next=_limits(state.table("next"), now) if "next" in state.data else None,
+        heartbeat_interval_s=workers.number("report_s", 0.01),
+        worker_lease_s=workers.number("lease_s", 0.1),
+        cancellation_deadline_s=workers.number("cancel_s", 0.1),
+        state_limits=now,
+        next_state_limits=_limits(state.table("next"), now) if "next" in state.data else None,
         cloud_rps=cloud.number("rps", 0.01),
         list_lag_s=cloud.number("list_lag_s", 0),
         fd_limit=int(limits.number("fd_limit", 32)),
         ram_mb=limits.number("ram_mb", 1),
     )
-    if len(set(settings.labels)) != settings.nodes:
+    if len(set(settings.labels)) != settings.controller_count:
         raise BadSettings("members: labels must differ from one another and from label")
     return settings
 
--- a/crossmill/settings/model.py
+++ b/crossmill/settings/model.py
@@ -41,7 +41,7 @@
     times: float
 
 
-def deal_out(teams: tuple[Team, ...], shards: int) -> dict[str, int]:
+def assign_teams_to_shards(teams: tuple[Team, ...], shards: int) -> dict[str, int]:
     """Teams parted among controllers: a team's jobs are placed by one of them. Large guarantees
     are dealt out first, each to the shard that has least so far; a shard may get no team."""
     order = sorted(enumerate(teams), key=lambda entry: (-entry[1].gpus, -entry[1].cpus, entry[0]))
@@ -56,8 +56,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The checked settings of one controller, with all that is derived from them. `busy_shards` are
-    those that have a team; with fewer teams than controllers some have none."""
+    """The checked settings of one controller, with all that is derived from them.
+
+    `shards_with_teams` are those that have a team; with fewer teams than controllers some shards
+    have none."""
 
     label: str
     zone: str
@@ -69,30 +71,35 @@
     zones: tuple[str, ...]
     teams: tuple[Team, ...]
     objectives: tuple[Objective, ...]
-    report_s: float
-    lease_s: float
-    cancel_s: float
-    state_now: StateLimits
+    heartbeat_interval_s: float
+    worker_lease_s: float
+    cancellation_deadline_s: float
+    state_limits: StateLimits
     # what the state service will take from some moment after an upgrade; None: no change
-    state_next: StateLimits | None
+    next_state_limits: StateLimits | None
     cloud_rps: float
     list_lag_s: float
     fd_limit: int
     ram_mb: float
     # what follows from the teams: asked for each job's record and at each look at the write rate
     team_shards: dict[str, int] = field(init=False, repr=False, compare=False)
-    busy_shards: frozenset[int] = field(init=False, repr=False, compare=False)
+    shards_with_teams: frozenset[int] = field(init=False, repr=False, compare=False)
 
     def __post_init__(self) -> None:
-        shards = deal_out(self.teams, self.nodes)
+        shards = assign_teams_to_shards(self.teams, self.controller_count)
         object.__setattr__(self, "team_shards", shards)
-        object.__setattr__(self, "busy_shards", frozenset(shards.values()))
+        object.__setattr__(self, "shards_with_teams", frozenset(shards.values()))
 
     @property
-    def nodes(self) -> int:
-        """How many controllers there are; there are as many shards."""
+    def controller_count(self) -> int:
+        """How many controllers the deployment has."""
         return 1 + len(self.peers)
 
+    @property
+    def shard_count(self) -> int:
+        """How many shards there are: one for each controller."""
+        return self.controller_count
+
     @property
     def labels(self) -> tuple[str, ...]:
         """The labels of all controllers, in order."""
@@ -107,91 +114,102 @@
     # -- figures derived from the settings; ratios live here only --------------------
 
     @property
-    def hold_ttl_s(self) -> float:
+    def controller_lease_ttl_s(self) -> float:
         """A controller's lease: crash, takeover and the workers' move fit into lease_s."""
-        return self.lease_s * 0.32
+        return self.worker_lease_s * 0.32
 
     @property
-    def renew_s(self) -> float:
+    def lease_renewal_interval_s(self) -> float:
         """How often a controller renews its lease."""
-        return self.hold_ttl_s / 4
+        return self.controller_lease_ttl_s / 4
 
     @property
-    def promise_s(self) -> float:
+    def lease_extension_grant_s(self) -> float:
         """How long a peer's promise not to take a shard holds."""
-        return self.hold_ttl_s
+        return self.controller_lease_ttl_s
 
     @property
-    def extension_s(self) -> float:
+    def max_lease_extension_s(self) -> float:
         """How long workers are answered on promises alone: a withdrawal that is not heard of
         must still end its tasks in time, by the end of the workers' lease if need be."""
-        return max(0.0, 0.9 * self.cancel_s - self.worker_end_s - self.report_s)
+        return max(
+            0.0,
+            0.9 * self.cancellation_deadline_s
+            - self.worker_lease_expiry_s
+            - self.heartbeat_interval_s,
+        )
 
     @property
-    def deputy_s(self) -> float:
+    def partition_keepalive_s(self) -> float:
         """How long after it last knew all that was durable a controller in a zone that is cut
         off keeps the zone's workers alive."""
-        return 3 * self.lease_s
+        return 3 * self.worker_lease_s
 
     @property
-    def note_s(self) -> float:
+    def cancellation_note_ttl_s(self) -> float:
         """How long a job's note that it is to be withdrawn stands without being repeated."""
-        return 4 * self.lease_s
+        return 4 * self.worker_lease_s
 
     @property
-    def quiet_s(self) -> float:
+    def attestation_ttl_s(self) -> float:
         """How long a controller that was asked about a silent machine leaves it unanswered:
         until its lease must have ended, and a while for whoever asked to conclude it."""
-        return 1.5 * self.worker_end_s
+        return 1.5 * self.worker_lease_expiry_s
 
     @property
-    def drift(self) -> float:
+    def clock_drift(self) -> float:
         """Two steady clocks, each up to 0.05% off, doubled for safety."""
         return 0.002
 
     @property
-    def worker_end_s(self) -> float:
+    def worker_lease_expiry_s(self) -> float:
         """A worker unanswered for this long has ended its session."""
-        return self.lease_s * (1 + self.drift) + 0.02 * self.lease_s
+        return self.worker_lease_s * (1 + self.clock_drift) + 0.02 * self.worker_lease_s
 
     @property
-    def suspect_s(self) -> float:
+    def heartbeat_timeout_s(self) -> float:
         """A machine that has not reported for this long gets no new task."""
-        return 2.5 * self.report_s
+        return 2.5 * self.heartbeat_interval_s
 
     @property
-    def unheard_s(self) -> float:
+    def next_heartbeat_within_s(self) -> float:
         """Each worker's next report has come by then: report_s and a quarter, and some more."""
-        return 1.5 * self.report_s
+        return 1.5 * self.heartbeat_interval_s
 
     @property
-    def deaf_s(self) -> float:
+    def unreachable_backoff_s(self) -> float:
         """How long a controller that hears no worker leaves the shards to others."""
-        return 2 * self.lease_s
+        return 2 * self.worker_lease_s
 
     @property
-    def state_lowest(self) -> StateLimits:
+    def lowest_state_limits(self) -> StateLimits:
         """The state service's limits that hold both today and after they were lowered."""
-        return self.state_now if self.state_next is None else self.state_now.least(self.state_next)
+        return (
+            self.state_limits
+            if self.next_state_limits is None
+            else self.state_limits.least(self.next_state_limits)
+        )
 
     @property
-    def requests_share(self) -> float:
+    def state_request_rate(self) -> float:
         """A controller's part of the state service's requests, safe under either limit."""
-        return 0.9 * self.state_lowest.rps / self.nodes
+        return 0.9 * self.lowest_state_limits.rps / self.controller_count
 
-    def writes_of(self, weight: float, total: float, limits: StateLimits | None = None) -> float:
+    def write_rate_for(
+        self, weight: float, total: float, limits: StateLimits | None = None
+    ) -> float:
         """A controller's part of the changes a second that all of them together may make."""
-        return 0.92 * (limits or self.state_now).write_rps * weight / total
+        return 0.92 * (limits or self.state_limits).write_rps * weight / total
 
     @property
-    def writes_share(self) -> float:
+    def state_write_rate(self) -> float:
         """The part of each while nobody is known to have more to do."""
-        return self.writes_of(1, self.nodes)
+        return self.write_rate_for(1, self.controller_count)
 
     def shard_weight(self, part: float) -> float:
         """The weight that a shard with this part of all running work gives its owner, beside 1
         for being there: 2 on average over all shards with a team."""
-        return 0.5 + 1.5 * len(self.busy_shards) * part
+        return 0.5 + 1.5 * len(self.shards_with_teams) * part
 
     @property
     def leader_weight(self) -> float:
@@ -199,109 +217,109 @@
         return 2.0
 
     @property
-    def urgent_writes(self) -> float:
+    def urgent_write_burst(self) -> float:
         """Urgent changes that a controller may make ahead of its share: a pipeline is submitted
         as a burst to one controller, and the state service allows a second's worth at once."""
-        return self.state_lowest.write_rps / 5
+        return self.lowest_state_limits.write_rps / 5
 
     @property
-    def cloud_pace(self) -> float:
+    def cloud_request_rate(self) -> float:
         """Requests a second that the cloud is sent at most."""
         return 0.8 * self.cloud_rps
 
     @property
-    def list_every_s(self) -> float:
+    def cloud_list_interval_s(self) -> float:
         """How often the leader reads the cloud's list."""
         return max(self.list_lag_s / 2, 4 / self.cloud_rps)
 
     @property
-    def ended_kept(self) -> int:
+    def max_ended_jobs(self) -> int:
         """Ended jobs of a shard kept at hand; older ones are archived and read when asked for.
         With all controllers' shares, some 4 KB each, that is a tenth of the memory."""
-        return max(100, int(self.ram_mb * 0.1 * 1e6 / 4096 / self.nodes))
+        return max(100, int(self.ram_mb * 0.1 * 1e6 / 4096 / self.controller_count))
 
     @property
-    def kept_request_heads(self) -> int:
+    def max_cached_request_heads(self) -> int:
         """Request heads that a server keeps: 400 bytes each, a twenty-fifth of the memory."""
         return int(self.ram_mb * 0.04 * 1e6 / 400)
 
     @property
-    def kept_task_reports(self) -> int:
+    def max_cached_task_statuses(self) -> int:
         """Tasks of reports that are kept: at some 300 bytes each a twentieth of the memory."""
         return int(self.ram_mb * 0.05 * 1e6 / 300)
 
     @property
-    def idle_connection_s(self) -> float:
+    def idle_connection_timeout_s(self) -> float:
         """A connection on which no request was completed for this long is closed."""
-        return 6 * self.lease_s
+        return 6 * self.worker_lease_s
 
     @property
-    def fixed_wait_s(self) -> float:
+    def default_queue_wait_s(self) -> float:
         """Where a job without a deadline stands in the queue: arrival plus this."""
-        return 3 * self.lease_s
+        return 3 * self.worker_lease_s
 
     @property
-    def replan_s(self) -> float:
+    def replan_interval_s(self) -> float:
         """A pipeline with a late stage is split anew at most this often (DESIGN's ten seconds
         on its reference lease)."""
-        return self.lease_s
+        return self.worker_lease_s
 
     @property
-    def round_s(self) -> float:
+    def scheduling_interval_s(self) -> float:
         """Rounds of decisions start at least this far apart."""
-        return self.report_s / 12
+        return self.heartbeat_interval_s / 12
 
     @property
-    def maintenance_s(self) -> float:
+    def maintenance_interval_s(self) -> float:
         """How often a shard's machines are looked through for those to be given up."""
-        return self.report_s / 2
+        return self.heartbeat_interval_s / 2
 
     @property
-    def round_budget_s(self) -> float:
+    def scheduling_time_budget_s(self) -> float:
         """A round's time for decisions; the next goes on where it stopped."""
-        return self.report_s / 15
+        return self.heartbeat_interval_s / 15
 
     @property
-    def accept_s(self) -> float:
+    def submission_timeout_s(self) -> float:
         """A submission not durable by then is answered with 503."""
-        return self.hold_ttl_s / 3
+        return self.controller_lease_ttl_s / 3
 
     @property
-    def backoff_most_s(self) -> float:
+    def max_retry_backoff_s(self) -> float:
         """The longest wait before a job that fails everywhere is tried again."""
-        return 3 * self.lease_s
+        return 3 * self.worker_lease_s
 
     @property
-    def together(self) -> float:
+    def max_replica_share_per_machine(self) -> float:
         """The largest part of a service's replicas put on one machine while others have room."""
         return 0.5
 
     @property
-    def boot_patience(self) -> float:
+    def boot_failure_factor(self) -> float:
         """A machine not up after this many boot times is counted as never coming up, unless those
         before it took as long."""
         return 3.5
 
     @property
-    def late_boot(self) -> float:
+    def boot_late_factor(self) -> float:
         """After this many boot times a machine is no longer counted on, unless those before it
         took as long."""
         return 1.8
 
     @property
-    def slow_boot_patience(self) -> float:
+    def slow_boot_failure_factor(self) -> float:
         """The same while all machines of the type are late."""
-        return 2.5 * self.boot_patience
+        return 2.5 * self.boot_failure_factor
 
     @property
-    def idle_s(self) -> float:
+    def idle_machine_timeout_s(self) -> float:
         """An empty machine that nothing is expected for is returned after this long."""
-        return 2 * self.lease_s
+        return 2 * self.worker_lease_s
 
     @property
-    def forecast_s(self) -> float:
+    def arrival_window_s(self) -> float:
         """How far back arrivals are counted to expect the next ones."""
-        return 10 * self.lease_s
+        return 10 * self.worker_lease_s
 
     @property
     def headroom(self) -> float:
@@ -309,14 +327,14 @@
         return 1.0
 
     @property
-    def array_base(self) -> float:
+    def spot_baseline_ratio(self) -> float:
         """Spot room kept for arrays, in parts of what runs of them at a time on average."""
         return 1.25
 
     @property
-    def blocked_s(self) -> float:
+    def no_capacity_backoff_s(self) -> float:
         """A type and zone that was refused is left alone for this long."""
-        return self.lease_s
+        return self.worker_lease_s
 
     @property
     def peer_sockets(self) -> int:
@@ -324,31 +342,31 @@
         return max(8, int(self.fd_limit * 0.04))
 
     @property
-    def drain_every_s(self) -> float:
+    def drain_interval_s(self) -> float:
         """A shard empties at most one machine in this time."""
-        return self.lease_s / 2
+        return self.worker_lease_s / 2
 
     @property
-    def give_every_s(self) -> float:
+    def machine_transfer_interval_s(self) -> float:
         """How often a shard looks whether others lack what it could give."""
-        return self.lease_s / 4
+        return self.worker_lease_s / 4
 
     @property
-    def give_most(self) -> int:
+    def max_machines_per_transfer(self) -> int:
         """Machines given for one job at a time."""
         return 3
 
     @property
-    def drain_most(self) -> int:
+    def max_tasks_to_drain(self) -> int:
         """A machine with more tasks than this is not emptied: each move is a short outage."""
         return 16
 
     @property
-    def in_vain_s(self) -> float:
+    def min_useful_runtime_s(self) -> float:
         """A task stopped sooner after its start has not been of use."""
-        return 3 * self.lease_s
+        return 3 * self.worker_lease_s
 
-    def prompt_s(self, job_class: str) -> float | None:
+    def start_objective_s(self, job_class: str) -> float | None:
         """What the objectives say of how soon the class's tasks must start."""
         waits = [
             o.within_s for o in self.objectives if (o.kind, o.job_class) == ("wait", job_class)
@@ -356,9 +374,9 @@
         return min(waits, default=None)
 
     @property
-    def settled_s(self) -> float:
+    def replica_settle_time_s(self) -> float:
         """A replica is not moved sooner after its start."""
-        return 4 * self.lease_s
+        return 4 * self.worker_lease_s
 
     @property
     def direct_sockets(self) -> int:
--- a/crossmill/state/client.py
+++ b/crossmill/state/client.py
@@ -47,7 +47,7 @@
         # watches stay open; they must not take the sockets of short calls
         self._watch_http = http or Client(settings.state, max_sockets=2)
         self._clock = clock
-        self._timeout_s = settings.hold_ttl_s / 3
+        self._timeout_s = settings.controller_lease_ttl_s / 3
         self._bad = 0
         self._bad_since = 0.0
         self._served_at: float | None = None
--- a/crossmill/state/follower.py
+++ b/crossmill/state/follower.py
@@ -40,10 +40,10 @@
         self._clock = clock
         self._mirror = mirror
         self._prefix = prefix
-        self._watch_s = min(60.0, 4 * s.lease_s)
+        self._watch_s = min(60.0, 4 * s.worker_lease_s)
         # both loops together take at most half of this controller's share of requests
-        self._pause_s = 4 / s.requests_share
-        self._drift = s.drift
+        self._pause_s = 4 / s.state_request_rate
+        self._drift = s.clock_drift
         self._reading = curio.Lock()
         self._readings = 0
         self._waiting: list[Future] = []
--- a/crossmill/state/writer.py
+++ b/crossmill/state/writer.py
@@ -90,12 +90,12 @@
         self._limits = limits
         # set by the first refusal for size: from then on whatever limits are announced are kept
         self._lowest: StateLimits | None = None
-        self._announced = settings.state_lowest
-        share = settings.writes_share
+        self._announced = settings.lowest_state_limits
+        share = settings.state_write_rate
         self._pacer = Pacer(clock, share, max(share, 1.0))
         # users and leases do not wait for a share of the rate that others leave unused
-        self._overdraft = settings.urgent_writes
-        self._retry_s = settings.renew_s / 4
+        self._overdraft = settings.urgent_write_burst
+        self._retry_s = settings.lease_renewal_interval_s / 4
         self._queue: list[Intent] = []
         self._busy: set[str] = set()
         self._flying = 0
--- a/crossmill/workers/direct.py
+++ b/crossmill/workers/direct.py
@@ -88,7 +88,7 @@
         self._sending += 1
         try:
             status, data = await client.request(
-                "POST", COMMANDS_PATH, body, self._settings.report_s
+                "POST", COMMANDS_PATH, body, self._settings.heartbeat_interval_s
             )
         except Unreached as exc:
             log.debug("worker not reached machine=%s error=%s", machine_id, exc)
--- a/crossmill/workers/reports.py
+++ b/crossmill/workers/reports.py
@@ -48,7 +48,7 @@
         self._membership = membership
         self._deputies = deputies
         self._views: dict[str, View] = {}
-        self.read_task = cached_task_reader(settings.kept_task_reports)
+        self.read_task = cached_task_reader(settings.max_cached_task_statuses)
         self.findings = Findings(cluster)
         self.stopping: dict[Attempt, StopReason] = {}
         # starts sent straight to a worker and not answered, with the token they carried: they
@@ -320,7 +320,10 @@
         elif view.notice_at is not None and saves and spec is not None:
             # saved as late as is safe, so that the machine's last seconds count
             left = view.notice_at - self._clock.now()
-            if task.state == "running" and left < spec.save_s + 3 * self._settings.report_s:
+            if (
+                task.state == "running"
+                and left < spec.save_s + 3 * self._settings.heartbeat_interval_s
+            ):
                 orders.append(self.stop(row))
 
     def stop(self, row: Row) -> Command:
@@ -333,7 +336,10 @@
     def expire(self, machine: Machine, own: Owned) -> None:
         """A worker that nobody can have answered for a lease has killed its tasks."""
         view = self.view(machine, own)
-        if not machine.rows or self._clock.now() - view.lease_from <= self._settings.suspect_s:
+        if (
+            not machine.rows
+            or self._clock.now() - view.lease_from <= self._settings.heartbeat_timeout_s
+        ):
             return
         self._deputies.wonder(machine)
         rests = self._deputies.lease_over(machine, view.lease_from)
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -46,7 +46,7 @@
 )
 
 # what a job record may take under the settings' limits of today
-RECORD_BYTES = make_settings().state_now.record_bytes
+RECORD_BYTES = make_settings().state_limits.record_bytes
 
 
 class PeerLine:
@@ -161,7 +161,7 @@
     async def boot(self, waited: bool = True) -> None:
         """Started, and long enough ago to take shards that have no owner."""
         if waited:
-            self.clock.time += self.settings.promise_s * 1.1
+            self.clock.time += self.settings.lease_extension_grant_s * 1.1
         await curio.spawn(self.writer.run, daemon=True)
         await curio.spawn(self.follower.run_syncs, daemon=True)
         await self.keeper.step()
--- a/tests/judge.py
+++ b/tests/judge.py
@@ -50,7 +50,7 @@
         self._judge_order(key[0])
         for other in self._region.workers.values():
             task = other.tasks.get(key)
-            alive = other is not worker and other.answered + self._region.lease_s >= now
+            alive = other is not worker and other.answered + self._region.worker_lease_s >= now
             if alive and task is not None and task.state != "exited":
                 self.blame(f"ran_twice {key} {worker.machine} {other.machine}")
         if facts.cancelled is not None:
@@ -80,7 +80,7 @@
         """A job is not called queued or running long after one before it was cancelled."""
         for before in self._before(job):
             told = self.jobs[before].cancelled
-            late = told is not None and asked_at - told > self._region.cancel_s
+            late = told is not None and asked_at - told > self._region.cancellation_deadline_s
             if late and stage in ("queued", "running"):
                 self.blame(f"orphaned {job}: {stage}, {before} is cancelled")
 
@@ -88,7 +88,7 @@
         now, region = self._region.clock.now(), self._region
         used: dict[str, float] = {}
         for worker in region.workers.values():
-            if worker.gone or worker.answered + region.lease_s < now:
+            if worker.gone or worker.answered + region.worker_lease_s < now:
                 continue
             for (job, index), task in worker.tasks.items():
                 facts = self.jobs[job]
@@ -98,7 +98,10 @@
                     continue
                 team = facts.spec["crew"]
                 used[team] = used.get(team, 0.0) + facts.spec["cards"]
-                over = facts.cancelled is not None and now - facts.cancelled > region.cancel_s
+                over = (
+                    facts.cancelled is not None
+                    and now - facts.cancelled > region.cancellation_deadline_s
+                )
                 if over:
                     self.blame(f"ran_cancelled {job}/{index} {worker.machine}")
                 if facts.spec["yard"] not in (None, worker.zone):
@@ -123,7 +126,7 @@
         region, now = self._region, self._region.clock.now()
         planned = self._planned()
         for worker in region.workers.values():
-            if worker.gone or worker.answered + region.lease_s < now:
+            if worker.gone or worker.answered + region.worker_lease_s < now:
                 continue
             for (job, index), task in worker.tasks.items():
                 row = (job, index, task.attempt, worker.machine)
--- a/tests/measure_multihost.py
+++ b/tests/measure_multihost.py
@@ -180,7 +180,7 @@
         )
 
     kept = property(lambda _: 10 * LONGEST_S)
-    with mock.patch.object(Settings, "idle_s", kept):
+    with mock.patch.object(Settings, "idle_machine_timeout_s", kept):
         simulate(story)
     return result[0]
 
--- a/tests/simulated_worker.py
+++ b/tests/simulated_worker.py
@@ -81,7 +81,7 @@
 
     def _tick(self) -> None:
         now, judge = self.region.clock.now(), self.region.judge
-        if now - self.answered > self.region.lease_s:
+        if now - self.answered > self.region.worker_lease_s:
             self.session += 1
             self.tasks.clear()
             self.answered = now
@@ -100,7 +100,7 @@
             self._tick()
             while self.held:
                 self.command(self.held.pop(0))
-            wait_s = self.region.report_s
+            wait_s = self.region.heartbeat_interval_s
             label = labels[self.target]
             answer = await self._call(label)
             if answer is None or answer[0] != 200:
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -98,9 +98,9 @@
         await curio.spawn(self._judge_looks, daemon=True)
         for label in self.LABELS:
             await self.start(label)
-        self.report_s = self.nodes["node-0"].settings.report_s
-        self.lease_s = self.nodes["node-0"].settings.lease_s
-        self.cancel_s = self.nodes["node-0"].settings.cancel_s
+        self.heartbeat_interval_s = self.nodes["node-0"].settings.heartbeat_interval_s
+        self.worker_lease_s = self.nodes["node-0"].settings.worker_lease_s
+        self.cancellation_deadline_s = self.nodes["node-0"].settings.cancellation_deadline_s
         await self.until(lambda: len(self.owners()) == 3)
         for number in range(machines):
             await self.add_worker(f"n-{number}", zone)
@@ -123,7 +123,7 @@
         self._begun += 1
         unique = f"process-{self._begun}"
         node = Node(self.lines[label], self.clock, self.nodes, label, self.cloud, connect, unique)
-        node.follower._pause_s = 4 / node.settings.requests_share
+        node.follower._pause_s = 4 / node.settings.state_request_rate
         node.direct.connect = lambda endpoint: WorkerLink(
             next(w for w in self.workers.values() if 20000 + w.number == endpoint.port)
         )
@@ -302,7 +302,7 @@
         return [
             worker
             for worker in self.workers.values()
-            if worker.answered + self.lease_s >= now
+            if worker.answered + self.worker_lease_s >= now
             and any(k[0] == job and t.state == "running" for k, t in worker.tasks.items())
         ]
 
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -330,7 +330,7 @@
         await _submit(node, A)
         await _submit(node, B, A)
         state.put(keys.job(A), encode_end(DONE, make_spec(nameId=A), clock.wall(), RECORD_BYTES))
-        for number in range(node.settings.ended_kept + 5):
+        for number in range(node.settings.max_ended_jobs + 5):
             spec = make_spec(nameId=f"wk-{1000 + number:06d}")
             state.put(keys.job(spec.id), encode_end(DONE, spec, clock.wall(), RECORD_BYTES))
         await node.sync()
@@ -438,7 +438,7 @@
         await other.boot()
         # A ends; the other controller's watch is behind
         state.put(keys.job(A), encode_end(DONE, make_spec(nameId=A), clock.wall(), RECORD_BYTES))
-        for number in range(owner.settings.ended_kept + 5):
+        for number in range(owner.settings.max_ended_jobs + 5):
             spec = make_spec(nameId=f"wk-{1000 + number:06d}")
             state.put(keys.job(spec.id), encode_end(DONE, spec, clock.wall(), RECORD_BYTES))
         await owner.live()
--- a/tests/test_deputies.py
+++ b/tests/test_deputies.py
@@ -39,7 +39,7 @@
         self.owner = Node(self.state, self.clock, self.nodes, "node-1")
         await self.owner.boot()
         for _ in range(12):
-            self.clock.time += self.owner.settings.hold_ttl_s / 3
+            self.clock.time += self.owner.settings.controller_lease_ttl_s / 3
             await self.owner.live()
             await self.owner.membership.step()
         token = self.token = self.owner.token()
@@ -98,14 +98,14 @@
     async def story(it: Story) -> None:
         it.cut()
         await it.pass_time(4)
-        await it.pass_time(2 * it.s.lease_s, it.deputy)
+        await it.pass_time(2 * it.s.worker_lease_s, it.deputy)
         assert it.on_machine() == 1
         assert not it.owner.cluster.machines["n-0"].retiring
         # the cut ends: asked, the deputy says that it has answered just now
         it.mend()
-        await it.pass_time(0.9 * it.s.lease_s)
+        await it.pass_time(0.9 * it.s.worker_lease_s)
         assert it.on_machine() == 1
-        await it.pass_time(0.3 * it.s.lease_s)
+        await it.pass_time(0.3 * it.s.worker_lease_s)
         assert it.on_machine() == 0
 
     play_settled(story)
@@ -115,10 +115,10 @@
     async def story(it: Story) -> None:
         it.cut()
         it.state.end_lease(it.deputy.keeper.lease or 0)
-        await it.pass_time(it.s.deputy_s - 1, it.deputy)
+        await it.pass_time(it.s.partition_keepalive_s - 1, it.deputy)
         await it.pass_time(2)
         assert it.deputy.report("n-0", 1, 900, it.token, RUNNING).status == 421
-        await it.pass_time(it.s.lease_s - 3)
+        await it.pass_time(it.s.worker_lease_s - 3)
         assert it.on_machine() == 1
         await it.pass_time(6)
         assert it.on_machine() == 0
@@ -129,11 +129,11 @@
 def test_a_deputy_leaves_a_machine_whose_owner_asked() -> None:
     async def story(it: Story) -> None:
         # silent to its owner, who asks; then the zone is cut off
-        await it.pass_time(it.s.suspect_s + 1.5)
+        await it.pass_time(it.s.heartbeat_timeout_s + 1.5)
         it.cut()
         await it.pass_time(2)
         assert it.deputy.report("n-0", 1, 900, it.token, RUNNING).status == 421
-        await it.pass_time(it.s.worker_end_s)
+        await it.pass_time(it.s.worker_lease_expiry_s)
         assert it.on_machine() == 0
 
     play_settled(story)
@@ -179,7 +179,9 @@
         assert b"withdrawn" not in (await it.owner.ask("GET", path)).body
         # once the deputy must have stopped early enough, its word is no longer needed
         it.state.end_lease(it.deputy.keeper.lease or 0)
-        await it.pass_time(it.s.deputy_s + it.s.lease_s - it.s.cancel_s)
+        await it.pass_time(
+            it.s.partition_keepalive_s + it.s.worker_lease_s - it.s.cancellation_deadline_s
+        )
         assert (await it.owner.ask("POST", path + "/withdraw")).status == 503
         await it.pass_time(3)
         assert (await it.owner.ask("POST", path + "/withdraw")).status == 200
@@ -218,7 +220,7 @@
                 node.report(machine, 1, seq, node.token())
             await node.round()
             retiring = {m.id for m in node.cluster.machines.values() if m.retiring == "silent"}
-            if seq * 0.5 < node.settings.deputy_s + node.settings.lease_s:
+            if seq * 0.5 < node.settings.partition_keepalive_s + node.settings.worker_lease_s:
                 assert not retiring, seq
         assert retiring == {"s-0", "s-1", "s-2"}
 
@@ -248,13 +250,13 @@
             add_machine(state, clock, name, zone="south")
         node = Node(state, clock, nodes)
         await node.boot()
-        lease_s = node.settings.lease_s
+        worker_lease_s = node.settings.worker_lease_s
         for seq in range(1, 130):
             clock.time += 0.5
             await node.keeper.step()
             for number, name in enumerate(names):
                 # silent for two leases, each a little later than the one before
-                if not 0 < seq * 0.5 - 10 - 0.8 * number < 2 * lease_s:
+                if not 0 < seq * 0.5 - 10 - 0.8 * number < 2 * worker_lease_s:
                     node.report(name, 1, seq, node.token())
             await node.round()
         assert not any(m.retiring == "silent" for m in node.cluster.machines.values())
@@ -265,7 +267,7 @@
 def test_what_was_promised_by_a_process_that_has_ended_proves_nothing() -> None:
     async def story(it: Story) -> None:
         # not yet asked when it falls silent; then node-0 says that it has not answered
-        it.clock.time += it.s.suspect_s + 0.5
+        it.clock.time += it.s.heartbeat_timeout_s + 0.5
         await it.owner.keeper.step()
         await it.owner.round()
         await it.owner.deputies.step()
@@ -278,7 +280,7 @@
         await it.deputy.keeper.step()
         assert it.deputy.report("n-0", 1, 900, it.token, RUNNING).status == 200
         # the owner has not heard of it: what it concludes is written on the old key's version
-        it.clock.time += it.s.worker_end_s - it.s.suspect_s
+        it.clock.time += it.s.worker_lease_expiry_s - it.s.heartbeat_timeout_s
         await it.owner.keeper.step()
         machine, view = it.owner.cluster.machines["n-0"], it.owner.reports.peek("n-0")
         assert view and it.owner.deputies.lease_over(machine, view.answered_at)
@@ -311,7 +313,7 @@
     async def story(it: Story) -> None:
         it.cut()
         it.state.end_lease(it.deputy.keeper.lease or 0)
-        await it.pass_time(it.s.deputy_s + it.s.lease_s - 1)
+        await it.pass_time(it.s.partition_keepalive_s + it.s.worker_lease_s - 1)
         assert it.on_machine() == 1
         # while the owner stands still node-0 comes back, learns all, and goes again
         again = Node(it.state, it.clock, it.nodes, "node-0")
@@ -320,9 +322,9 @@
         again.cut = True
         it.state.end_lease(again.keeper.lease or 0)
         await it.owner.sync()
-        await it.pass_time(it.s.deputy_s)
+        await it.pass_time(it.s.partition_keepalive_s)
         assert it.on_machine() == 1
-        await it.pass_time(it.s.lease_s + 2)
+        await it.pass_time(it.s.worker_lease_s + 2)
         assert it.on_machine() == 0
 
     play_settled(story)
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -34,7 +34,7 @@
 
 async def _ran_cancelled(region: Region) -> None:
     await region.until(lambda: bool(region.running(JOB)))
-    region.judge.jobs[JOB].cancelled = region.clock.now() - region.cancel_s - 1
+    region.judge.jobs[JOB].cancelled = region.clock.now() - region.cancellation_deadline_s - 1
     region.judge.look()
 
 
@@ -45,7 +45,7 @@
 
 async def _called_queued_after_its_need_was_cancelled(region: Region) -> None:
     await region.submit("node-0", DEPENDENT, run_s=5.0, sacks=1, awaits=[JOB])
-    region.judge.jobs[JOB].cancelled = region.clock.now() - region.cancel_s - 1
+    region.judge.jobs[JOB].cancelled = region.clock.now() - region.cancellation_deadline_s - 1
     region.judge.told(DEPENDENT, _answer("queued"), region.clock.now())
 
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -56,7 +56,7 @@
     region.state.down = True
     await curio.sleep(4.0)
     region.refused.clear()
-    await curio.sleep(region.cancel_s * 1.4)
+    await curio.sleep(region.cancellation_deadline_s * 1.4)
     region.state.down = False
     await curio.sleep(10.0)
     assert told, "the story is about a cancellation that was confirmed"
@@ -105,7 +105,7 @@
         await curio.sleep(2.0)
         await region.show("node-1", "wk-000001")
         assert region.judge.jobs["wk-000001"].cancelled is not None
-        await curio.sleep(region.cancel_s * 1.5)
+        await curio.sleep(region.cancellation_deadline_s * 1.5)
         await asking.cancel()
         assert not region.running("wk-000001")
 
@@ -206,7 +206,7 @@
         await region.until(lambda: len(region.judge.jobs["wk-000002"].finished) == 2)
         worker = region.workers["n-0"]
         worker.hung = True
-        await curio.sleep(region.lease_s * 1.2)
+        await curio.sleep(region.worker_lease_s * 1.2)
         worker.hung = False
         await curio.sleep(4.0)
         old = [body for w in region.workers.values() for body in w.copies]
@@ -240,7 +240,7 @@
         for n in range(4):
             await region.submit("node-2", f"wk-40000{n}", sacks=4)
         await region.kill("node-0")
-        await curio.sleep(region.lease_s * 0.6)
+        await curio.sleep(region.worker_lease_s * 0.6)
         full[0].hung = full[1].deaf = full[2].mute = False
         await region.start("node-0")
         await region.until(lambda: len(region.judge.starts) == 32, 90.0)
@@ -256,13 +256,13 @@
         for n in range(12):
             await region.submit("node-1", f"wk-{500000 + n}", sacks=1)
         await region.until(lambda: len(region.judge.starts) >= 12)
-        await curio.sleep(region.lease_s)
+        await curio.sleep(region.worker_lease_s)
         changes = await curio.spawn(_change_hands, region)
         for n in range(12):
             assert await region.cancel_until_told("node-1", f"wk-{500000 + n}", 60.0)
             await curio.sleep(0.25)
         await changes.join()
-        await curio.sleep(region.lease_s * 2)
+        await curio.sleep(region.worker_lease_s * 2)
         assert not any(region.running(job) for job in region.judge.jobs)
 
     simulate(story)
@@ -327,7 +327,7 @@
         await region.submit("node-2", "wk-000002", run_s=4.0, sacks=6)
         await region.kill("node-0")
         await region.until(
-            lambda: len(region.judge.jobs["wk-000002"].finished) == 6, 4 * region.lease_s
+            lambda: len(region.judge.jobs["wk-000002"].finished) == 6, 4 * region.worker_lease_s
         )
         setattr(odd, trouble, False)
         await region.start("node-0")
@@ -409,7 +409,7 @@
         told = await region.cancel_until_told("node-1", "wk-000001", 60.0)
         assert told
         await region.look_everywhere("wk-000001")
-        await curio.sleep(region.cancel_s * 1.2)
+        await curio.sleep(region.cancellation_deadline_s * 1.2)
         region.mend()
         await curio.sleep(5.0)
         await region.look_everywhere("wk-000001")
@@ -431,12 +431,12 @@
         region.refused[region.owners()[0]] = every_request
         await curio.sleep(1.0)
         region.state.down = True
-        await curio.sleep(region.cancel_s * 1.2)
+        await curio.sleep(region.cancellation_deadline_s * 1.2)
         region.state.down = False
         region.slow_s = 0.0
         region.mend()
         await cancels.join()
-        await curio.sleep(region.lease_s * 2)
+        await curio.sleep(region.worker_lease_s * 2)
         for job in region.judge.jobs:
             await region.look_everywhere(job, 2)
 
@@ -522,7 +522,7 @@
         asks = await curio.spawn(region.cancel_until_told, "node-1", "wk-000001", 120.0)
         await curio.sleep(3.0)
         region.fate = lambda *_: None
-        await curio.sleep(region.lease_s * 2.2)
+        await curio.sleep(region.worker_lease_s * 2.2)
         region.mend()
         region.reaches = lambda worker, label: label in region.nodes
         region.workers["n-2"].hung = False
--- a/tests/test_multihost_decisions.py
+++ b/tests/test_multihost_decisions.py
@@ -434,7 +434,10 @@
 
 def test_the_deploy_file_is_good_and_time_spans_follow_from_the_heartbeat() -> None:
     settings = load(str(ROOT / "deploy" / "multihost.toml"), make_settings())
-    assert settings.listen.port == 8091 and settings.heartbeat_s == make_settings().report_s
+    assert (
+        settings.listen.port == 8091
+        and settings.heartbeat_s == make_settings().heartbeat_interval_s
+    )
     assert settings.detection_s < settings.serving_lease_s < settings.agent_lease_s
 
 
--- a/tests/test_multihost_service.py
+++ b/tests/test_multihost_service.py
@@ -251,7 +251,7 @@
             }
         ]
         for sequence in range(1, 40):
-            clock.time += node.settings.lease_s / 4
+            clock.time += node.settings.worker_lease_s / 4
             await node.keeper.step()
             await node.sync()
             await node.membership.step()
--- a/tests/test_on_call_troubles.py
+++ b/tests/test_on_call_troubles.py
@@ -171,7 +171,7 @@
         await region.start("node-1")
         # others' work is not held up
         await region.until(lambda: region.finished("wk-000100", 12), 90.0)
-        await curio.sleep(region.cancel_s)
+        await curio.sleep(region.cancellation_deadline_s)
         assert not any(job in broken for w in region.workers.values() for job, _ in w.tasks)
 
     simulate(story)
@@ -275,10 +275,10 @@
             await curio.sleep(max(0.0, region.still_until[label] - region.clock.now()))
             await traffic.join()
             # all shards go home within two leases; from then on nobody's view may be old
-            await curio.sleep(2 * region.lease_s)
+            await curio.sleep(2 * region.worker_lease_s)
             await region.until(
                 lambda: all(_agrees(region, worker) for worker in region.workers.values()),
-                2 * region.report_s,
+                2 * region.heartbeat_interval_s,
             )
         assert not any(region.running(job) for job in services[:3])
         assert all(len(region.running(job)) > 0 for job in services[3:])
--- a/tests/test_owner_choice.py
+++ b/tests/test_owner_choice.py
@@ -106,7 +106,7 @@
         await region.begin(machines=0)
         for number in range(36):
             await region.add_worker(f"n-{number}", shard=0)
-            await curio.sleep(region.report_s / 36)
+            await curio.sleep(region.heartbeat_interval_s / 36)
         await curio.sleep(15.0)
         await region.darken("node-1")
         await region.until(lambda: region.owners().get(0) != "node-0")
@@ -115,6 +115,6 @@
             await curio.sleep(0.1)
             oldest = min(worker.answered for worker in region.workers.values())
             unanswered_s = max(unanswered_s, region.clock.now() - oldest)
-        assert unanswered_s < 3 * region.report_s
+        assert unanswered_s < 3 * region.heartbeat_interval_s
 
     simulate(story)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -120,7 +120,7 @@
         await node.boot()
         forecast, jobs = node.forecast, node.cluster.jobs
         (priority, end), _ = forecast.queue_place(jobs[first])
-        assert priority == 3 and end == pytest.approx(at + node.settings.fixed_wait_s)
+        assert priority == 3 and end == pytest.approx(at + node.settings.default_queue_wait_s)
         final = make_spec(nameId=last, precedence="high", dueS=300.0, grindS=10.0)
         state.put(keys.job(last), encode_job(final, clock.wall(), (middle,)))
         await node.sync()
@@ -153,6 +153,6 @@
         node = Node(state, clock, nodes)
         await node.boot()
         ends = [node.forecast.queue_place(node.cluster.jobs[f"wk-00000{n}"])[0][1] for n in (2, 3)]
-        assert ends == pytest.approx([at + 50.0 + node.settings.fixed_wait_s, at + 300.0])
+        assert ends == pytest.approx([at + 50.0 + node.settings.default_queue_wait_s, at + 300.0])
 
     play(story)
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -157,7 +157,7 @@
 def test_no_job_is_passed_over_for_ever_by_newer_ones(large: dict[str, float | None]) -> None:
     """More comes than can be done, for minutes: the largest array and the job without a deadline
     still begin once their budgets end, since what comes later has a later end."""
-    slots, fixed_wait_s, number = 8, 45.0, 90
+    slots, default_queue_wait_s, number = 8, 45.0, 90
     waiting: list[tuple[tuple[int, float], str, int]] = []
     done_at: list[int] = []
     for second in range(250):
@@ -165,7 +165,7 @@
         if second == 10:
             arrivals.append(("large", make_spec(**large), number))
         for name, spec, tasks in arrivals:
-            end = budget_end(spec, float(second), float(second), 0.0, fixed_wait_s)
+            end = budget_end(spec, float(second), float(second), 0.0, default_queue_wait_s)
             waiting.append((place_in_queue(spec, end), name, tasks))
         waiting.sort()
         free = slots
@@ -179,7 +179,7 @@
                 waiting.insert(0, (place, name, tasks - done))
     assert len(done_at) == number
     # not before its turn either, and soon after its budget's end for all that was due before it
-    end = 10 + (large["dueS"] or fixed_wait_s)
+    end = 10 + (large["dueS"] or default_queue_wait_s)
     assert end - 30 < done_at[0] <= end + 30
 
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -154,7 +154,7 @@
         odd.tasks.update(tasks)
         await region.restart_all(1.0)
         assert await region.cancel_until_told("node-0", job, 30.0)
-        await curio.sleep(3 * region.report_s)
+        await curio.sleep(3 * region.heartbeat_interval_s)
         assert not any(key[0] == job and t.state == "running" for key, t in odd.tasks.items())
 
     simulate_recovery(story, recovery_settings(), expected=is_unplanned)
@@ -388,7 +388,7 @@
         await curio.sleep(20.0)
         assert region.running(job) and (await _overview(region))["braked"]
         assert await region.cancel_until_told("node-1", job, 30.0)
-        await curio.sleep(region.cancel_s + 1.0)
+        await curio.sleep(region.cancellation_deadline_s + 1.0)
         assert not region.running(job)
 
     simulate_recovery(story, recovery_settings(), expected=is_unplanned)
--- a/tests/test_safety.py
+++ b/tests/test_safety.py
@@ -68,12 +68,12 @@
 def test_late_copy_renews_no_belief_and_brings_no_order() -> None:
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _placed(state, clock, nodes)
-        clock.time += node.settings.suspect_s + 0.1
+        clock.time += node.settings.heartbeat_timeout_s + 0.1
         view = node.reports.peek("n-0")
         assert view is not None
         before = view.answered_at
         assert node.report("n-0", 1, 3, node.token()).commands == ()
-        assert not view.fresh(clock.now(), node.settings.suspect_s)
+        assert not view.fresh(clock.now(), node.settings.heartbeat_timeout_s)
         assert view.answered_at == before
 
     play(story)
@@ -91,7 +91,7 @@
             await node.round()
             held = [r.machine for r in node.cluster.jobs["wk-000001"].rows()]
             silent_s = 0.2 * seq
-            if silent_s <= node.settings.lease_s * 1.0005:
+            if silent_s <= node.settings.worker_lease_s * 1.0005:
                 assert held == ["n-0"], silent_s
         assert held == ["n-1"]
 
@@ -126,7 +126,7 @@
         ]
         for _ in range(3):
             await node.membership.step()
-            clock.time += node.settings.hold_ttl_s / 3
+            clock.time += node.settings.controller_lease_ttl_s / 3
             await node.keeper.step()
         clock.time += 1
         await node.keeper.step()
@@ -285,7 +285,7 @@
         add_job(state, clock, nameId="wk-000002")
         await node.sync()
         # every machine silent: the sixteen may all be running still
-        clock.time += node.settings.suspect_s
+        clock.time += node.settings.heartbeat_timeout_s
         for number in range(6):
             node.report(f"n-{number}", 1, 2, node.token())
         await node.round()
@@ -376,11 +376,13 @@
         state.end_lease(lease)
         other = Node(state, clock, nodes, "node-1")
         await other.boot()
-        clock.time += other.settings.promise_s * 1.1 + other.settings.hold_ttl_s * 2
+        clock.time += (
+            other.settings.lease_extension_grant_s * 1.1 + other.settings.controller_lease_ttl_s * 2
+        )
         await other.keeper.step()
         await other.keeper.step()
         await other.membership.step()
-        clock.time += other.settings.hold_ttl_s
+        clock.time += other.settings.controller_lease_ttl_s
         await other.keeper.step()
         await other.membership.step()
         assert 0 in other.membership.owned
@@ -403,9 +405,9 @@
         await node.live()
         state.down = True
         seq = 4
-        until = clock.now() + node.settings.extension_s - 1
+        until = clock.now() + node.settings.max_lease_extension_s - 1
         while clock.now() < until:
-            clock.time += node.settings.renew_s
+            clock.time += node.settings.lease_renewal_interval_s
             seq += 1
             await node.keeper.step()
             await node.promises.ask(sorted(node.membership.owned))
@@ -414,7 +416,7 @@
         # bound, the others do not take it even when its key has gone
         assert nodes["node-1"].promises.bound(0)
         nodes["node-2"].cut = True
-        clock.time += node.settings.promise_s
+        clock.time += node.settings.lease_extension_grant_s
         await node.promises.ask(sorted(node.membership.owned))
         assert node.report("n-0", 1, seq + 1, node.token(), running).status in (421, 503)
 
@@ -430,7 +432,7 @@
         for peer in peers:
             await peer.boot()
         for _ in range(8):
-            clock.time += node.settings.renew_s / 2
+            clock.time += node.settings.lease_renewal_interval_s / 2
             for peer in peers:
                 await peer.keeper.step()
             state.down = True
@@ -438,7 +440,7 @@
             state.down = False
             await node.promises.ask(sorted(node.membership.owned))
         assert node.promises.alone
-        clock.time += node.settings.promise_s * 1.1
+        clock.time += node.settings.lease_extension_grant_s * 1.1
         await node.promises.ask(sorted(node.membership.owned))
         assert not peers[0].promises.bound(0)
         assert not node.promises.extended()
@@ -454,13 +456,16 @@
             await peer.boot()
         state.down = True
         while not node.promises.alone and clock.now() < 2000:
-            clock.time += node.settings.renew_s
+            clock.time += node.settings.lease_renewal_interval_s
             for each in (node, *peers):
                 await each.keeper.step()
             await node.promises.ask(sorted(node.membership.owned))
             since = node.promises._failing_since
             assert since is not None
-            if clock.now() - since > node.settings.extension_s + node.settings.promise_s * 1.1:
+            if (
+                clock.now() - since
+                > node.settings.max_lease_extension_s + node.settings.lease_extension_grant_s * 1.1
+            ):
                 break
         assert not node.promises.alone
         # and once the workers are no longer answered, nobody is kept from taking over
@@ -479,7 +484,7 @@
             await peer.boot()
         state.down = True
         for _ in range(3):
-            clock.time += node.settings.renew_s
+            clock.time += node.settings.lease_renewal_interval_s
             for each in (node, *peers):
                 await each.keeper.step()
             await node.promises.ask(sorted(node.membership.owned))
@@ -506,7 +511,7 @@
         await other.boot(waited=False)
         assert 0 not in other.membership.owned
         assert not other.promises.may_start(0)
-        clock.time += other.settings.promise_s * 1.1
+        clock.time += other.settings.lease_extension_grant_s * 1.1
         assert other.promises.may_start(0)
 
     play(story)
@@ -519,7 +524,7 @@
         node = Node(state, clock, nodes)
         await node.boot()
         for _ in range(6):
-            clock.time += node.settings.hold_ttl_s / 2
+            clock.time += node.settings.controller_lease_ttl_s / 2
             await node.keeper.step()
             await node.membership.step()
         assert node.membership.leading() is not None
@@ -557,14 +562,14 @@
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _placed(state, clock, nodes)
         for _ in range(20):
-            clock.time += node.settings.lease_s / 20
+            clock.time += node.settings.worker_lease_s / 20
             await node.live()
         node.direct._answered("n-0", 200, beat("n-0", 2, 1, node.token()))
         machine = node.cluster.machines["n-0"]
         view = node.reports.peek("n-0")
         assert view is not None and view.session == 2
         # nothing is placed where no report comes from
-        assert not view.fresh(clock.now(), node.settings.suspect_s)
+        assert not view.fresh(clock.now(), node.settings.heartbeat_timeout_s)
         node.cluster.mirror.written(
             keys.plan("wk-000001", "0"),
             {"next": 3, "done": "0", "rows": [[0, 2, "n-0", 2]]},
@@ -572,10 +577,10 @@
         )
         own = node.membership.owned[0]
         node.reports.findings.clear()
-        clock.time += node.settings.lease_s * 0.9
+        clock.time += node.settings.worker_lease_s * 0.9
         node.reports.expire(machine, own)
         assert not node.reports.findings
-        clock.time += node.settings.lease_s * 0.2
+        clock.time += node.settings.worker_lease_s * 0.2
         node.reports.expire(machine, own)
         assert [f.why for f in node.reports.findings.values()] == ["lease over"]
 
@@ -622,7 +627,7 @@
         await node.boot()
         other = node.settings.shard_of_team("blue")
         for _ in range(12):
-            clock.time += node.settings.hold_ttl_s / 3
+            clock.time += node.settings.controller_lease_ttl_s / 3
             await node.live()
             await node.membership.step()
         assert other in node.membership.owned and other != 0
@@ -701,7 +706,7 @@
         await node.boot()
         other = node.settings.shard_of_team("blue")
         for _ in range(12):
-            clock.time += node.settings.hold_ttl_s / 3
+            clock.time += node.settings.controller_lease_ttl_s / 3
             await node.keeper.step()
             await node.membership.step()
         add_job(state, clock, crew="blue", sacks=1)
@@ -752,7 +757,7 @@
                 silent_at = clock.time
             elif 0 not in node.membership.owned and not given:
                 given = clock.time
-                assert given - silent_at < 2 * s.report_s + 1
+                assert given - silent_at < 2 * s.heartbeat_interval_s + 1
             if given and clock.time > given + 1.0:
                 assert state.keys[keys.shard(0)][0]["owner"] == "node-1"
                 break
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -108,7 +108,7 @@
         pages = [path for _, path in state.calls if path == "/keys"]
         assert len(pages) <= stored // 1000 + 1
         # each shard's key and the counter of tokens, this controller's own key and the leader's
-        assert state.puts <= 2 * node.settings.nodes + 2
+        assert state.puts <= 2 * node.settings.controller_count + 2
         assert sum(j.row_count() for j in node.cluster.jobs.values()) == MACHINES * EACH
         before = state.puts
         report_all(node, MACHINES)
@@ -124,7 +124,7 @@
         node = Node(state, clock, nodes, "node-1")
         await node.boot()
         for _ in range(12):
-            clock.time += node.settings.hold_ttl_s / 3
+            clock.time += node.settings.controller_lease_ttl_s / 3
             await node.keeper.step()
             await node.membership.step()
         report_all(node, MACHINES)
@@ -138,7 +138,7 @@
                 return 503, b""
 
         node.deputies._http["node-0"] = Line()
-        clock.time += node.settings.suspect_s + 0.1
+        clock.time += node.settings.heartbeat_timeout_s + 0.1
         await node.keeper.step()
         await node.round()
         await node.deputies.step()
@@ -236,8 +236,8 @@
     # would then drop what the next one needs
     machines, tasks = 4000, 10_000
     settings = make_settings()
-    heads = RequestHeads(settings.kept_request_heads)
-    read = cached_task_reader(settings.kept_task_reports)
+    heads = RequestHeads(settings.max_cached_request_heads)
+    read = cached_task_reader(settings.max_cached_task_statuses)
     counts: Counter[str] = Counter()
     _count(monkeypatch, counts, checks, "one_of")
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -33,8 +33,11 @@
     s = make_settings()
     # lease end, the state service's 100 ms, one renewal's length for the takeover itself, and
     # the worker's second to the next node and back
-    assert s.hold_ttl_s + 0.1 + 2 * s.renew_s + 2.0 < s.lease_s - s.report_s
-    assert s.worker_end_s > s.lease_s * 1.0005
+    assert (
+        s.controller_lease_ttl_s + 0.1 + 2 * s.lease_renewal_interval_s + 2.0
+        < s.worker_lease_s - s.heartbeat_interval_s
+    )
+    assert s.worker_lease_expiry_s > s.worker_lease_s * 1.0005
 
 
 def test_bad_file_ends_with_one_line(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
@@ -52,10 +55,13 @@
 
 
 def test_the_bound_on_answers_still_serves_where_cancel_s_is_little_more_than_two_leases() -> None:
-    """Reads come every renew_s; a bound within a controller's lease would end answers too soon."""
+    """Reads come at each lease renewal; a bound within a controller lease ends answers early."""
     table = settings_table()
     workers = table["settings"]["workers"]
     workers["cancel_s"] = 2.1 * workers["lease_s"]
     s = parse(table)
-    assert s.extension_s > 2 * s.hold_ttl_s
-    assert s.extension_s + s.worker_end_s + s.report_s <= s.cancel_s
+    assert s.max_lease_extension_s > 2 * s.controller_lease_ttl_s
+    assert (
+        s.max_lease_extension_s + s.worker_lease_expiry_s + s.heartbeat_interval_s
+        <= s.cancellation_deadline_s
+    )
--- a/tests/test_size_drawn.py
+++ b/tests/test_size_drawn.py
@@ -114,7 +114,7 @@
 
 def play_lot(seed_n: int, monkeypatch: pytest.MonkeyPatch) -> Region:
     """The scenario drawn from the seed."""
-    monkeypatch.setattr(Settings, "ended_kept", ENDED_KEPT)
+    monkeypatch.setattr(Settings, "max_ended_jobs", ENDED_KEPT)
     state = StateService(KEPT_CHANGES)
     state.page_items = PAGE_ITEMS
 
--- a/tests/test_unseen_changes.py
+++ b/tests/test_unseen_changes.py
@@ -52,7 +52,7 @@
     """The other controller hands the shard back."""
     state.delete(keys.shard(0))
     for _ in range(12):
-        clock.time += node.settings.renew_s / 2
+        clock.time += node.settings.lease_renewal_interval_s / 2
         await node.live()
         await node.membership.step()
         if node.membership.acting(0) is not None:
@@ -228,8 +228,10 @@
         node.worker.sent.clear()
         record = encode_end(CANCELLED, make_spec(nameId=JOB), clock.wall(), RECORD_BYTES)
         state.put(keys.job(JOB), record)
-        for _ in range(int(node.settings.cancel_s / node.settings.renew_s) + 1):
-            clock.time += node.settings.renew_s
+        for _ in range(
+            int(node.settings.cancellation_deadline_s / node.settings.lease_renewal_interval_s) + 1
+        ):
+            clock.time += node.settings.lease_renewal_interval_s
             await node.keeper.step()
         assert node.membership.acting(0) is not None
         await node.direct.send([row], [])
@@ -390,7 +392,7 @@
         state.put(keys.job(JOB), record)
         state.put(keys.plan(JOB, "0"), {"next": 2, "done": "0", "rows": [[0, 1, "n-0", 1]]})
         node = Node(state, clock, nodes)
-        for number in range(node.settings.ended_kept + 5):
+        for number in range(node.settings.max_ended_jobs + 5):
             spec = make_spec(nameId=f"wk-{1000 + number:06d}")
             state.put(keys.job(spec.id), encode_end(DONE, spec, clock.wall(), RECORD_BYTES))
         await node.boot()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -98,7 +98,7 @@
         await node.feature_level.step()
         assert keys.feature("node-0") in state.keys
         for _ in range(4):
-            clock.time += node.settings.hold_ttl_s / 3
+            clock.time += node.settings.controller_lease_ttl_s / 3
             await node.live()
             await node.membership.step()
         assert node.membership.leading() is not None
@@ -344,9 +344,9 @@
 def test_next_limits_are_checked_and_only_what_is_lower_counts() -> None:
     table = settings_table()
     del table["settings"]["state"]["next"]
-    assert parse(table).state_lowest == parse(table).state_now
+    assert parse(table).lowest_state_limits == parse(table).state_limits
     table["settings"]["state"]["next"] = {"value_kb": 64, "txn_ops": 6}
-    lowest = parse(table).state_lowest
+    lowest = parse(table).lowest_state_limits
     assert (lowest.value_bytes, lowest.txn_ops, lowest.write_rps) == (32 * 1024, 6, 60.0)
     for bad in ({"value_kb": 0}, {"txn_ops": -1}, {"write_rps": "fast"}, 7):
         table["settings"]["state"]["next"] = bad
@@ -358,7 +358,7 @@
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = Node(state, clock, nodes)
         await node.boot()
-        assert node.cluster.limits == node.settings.state_now
+        assert node.cluster.limits == node.settings.state_limits
         state.put(keys.LEVEL, encode_level(Level(1, 512, 32)))
         await node.sync()
         assert node.cluster.limits == StateLimits(100.0, 40.0, 2048, 6)
@@ -433,7 +433,7 @@
             await node.round()
         assert node.cluster.jobs[JOB].row_count() == 40
         assert state.too_large == 0
-        assert make_settings().state_lowest.conditions == 24
+        assert make_settings().lowest_state_limits.conditions == 24
 
     play(story)
 
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -146,12 +146,12 @@
         tasks = [on(r.job, r.index, r.attempt, "exited", "error") for r in rows]
         assert len(tasks) == 2
         node.report("n-0", 1, 3, node.token(), *tasks)
-        clock.time += node.settings.worker_end_s + 1
+        clock.time += node.settings.worker_lease_expiry_s + 1
         await node.keeper.step()
         node.report("n-0", 1, 4, node.token())
         await node.round()
         # its tasks are off the plan now; the next look through the machines gives it up
-        clock.time += node.settings.maintenance_s
+        clock.time += node.settings.maintenance_interval_s
         await node.round()
         assert node.cluster.machines["n-0"].retiring == "faulty"
 
@@ -211,11 +211,11 @@
         await node.sync()
         await node.membership.step()
         if shard not in node.membership.owned:
-            clock.time += node.settings.hold_ttl_s * 3
+            clock.time += node.settings.controller_lease_ttl_s * 3
             await node.keeper.step()
             await node.keeper.step()
             for _ in range(8):
-                clock.time += node.settings.hold_ttl_s / 2
+                clock.time += node.settings.controller_lease_ttl_s / 2
                 await node.keeper.step()
                 await node.membership.step()
         for number in range(40):
@@ -235,7 +235,7 @@
         seed(state, clock, machines=0)
         node = Node(state, clock, nodes)
         await node.boot()
-        kept = node.settings.ended_kept
+        kept = node.settings.max_ended_jobs
         for number in range(kept + 2):
             job = add_job(state, clock, nameId=f"wk-{number:06d}")
             state.put(keys.job(job), {**state.keys[keys.job(job)][0], "end": "cancelled"})
@@ -269,7 +269,7 @@
         await node.sync()
         needs = node.forecast.look(0).needs
         # 10 * 20 tasks of 10 s in the span that is looked back on
-        tasks = 10 * 20 * 10.0 / node.settings.forecast_s * node.settings.array_base
+        tasks = 10 * 20 * 10.0 / node.settings.arrival_window_s * node.settings.spot_baseline_ratio
         assert {need.source.spot for need in needs.values()} == {True}
         machines = sum(n.number for n in needs.values())
         assert machines == -(-round(tasks) // 4)
@@ -315,7 +315,7 @@
         running = [on("wk-000002", i, i + 1, "running") for i in range(4)]
         node.report(row.machine, 1, 2, node.token(), on("wk-000001", 0, 1, "running"))
         for seq in range(2, 60):
-            clock.time += node.settings.report_s / 2
+            clock.time += node.settings.heartbeat_interval_s / 2
             await node.live()
             node.report(other, 1, seq, node.token(), *running)
             await node.round()
@@ -356,7 +356,7 @@
     # guards against a job that is never called done: each chunk's write saw the other unfinished
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
-        size = make_settings().state_now.chunk_tasks
+        size = make_settings().state_limits.chunk_tasks
         job = add_job(state, clock, sacks=size + 1, cpus=0.01, cards=0.0, ramGb=0.01)
         almost = "f" * (size // 4 - 1) + "e"
         for name, index, done in (("0", 0, almost), ("1", size, "0")):
@@ -397,6 +397,6 @@
         assert node.writer._pacer.rate != even
         s = node.settings
         parts = [s.shard_weight(part) for part in (0.5, 0.25, 0.25)]
-        assert sum(parts) == pytest.approx(2 * len(s.busy_shards))
+        assert sum(parts) == pytest.approx(2 * len(s.shards_with_teams))
 
     play(story)
