--- a/crossmill/app.py
+++ b/crossmill/app.py
@@ -27,11 +27,11 @@
 from .net.server import Handler, Request, Response, Server
 from .settings import Settings
 from .state.client import StateClient
-from .state.follower import Follower
 from .state.mirror import Mirror
+from .state.watcher import StateWatcher
 from .state.writer import Writer
 from .wire import peers, users, workers
-from .wire.checks import Malformed, load_object
+from .wire.checks import MalformedMessageError, load_object
 from .workers.direct import Direct
 from .workers.reports import Reports
 
@@ -60,7 +60,7 @@
         client = StateClient(settings, clock)
         mirror = Mirror()
         self.cluster = ClusterState(mirror, settings)
-        self.follower = Follower(client, mirror, clock, ROOT, settings)
+        self.watcher = StateWatcher(client, mirror, clock, ROOT, settings)
         self.writer = Writer(client, mirror, clock, settings, lambda: self.cluster.limits)
         self.keeper = Keeper(client, clock, settings)
         shards = OwnedShards()
@@ -70,15 +70,15 @@
             clock,
             self.keeper,
             self.cluster,
-            self.follower,
+            self.watcher,
             self.writer,
             shards,
             self.promises,
         )
         self.feature_level = FeatureLevel(
-            settings, clock, self.cluster, self.follower, self.writer, self.membership
+            settings, clock, self.cluster, self.watcher, self.writer, self.membership
         )
-        self.deputies = Deputies(settings, clock, self.cluster, self.keeper, self.follower.sync)
+        self.deputies = Deputies(settings, clock, self.cluster, self.keeper, self.watcher.sync)
         self.reports = Reports(settings, clock, self.cluster, self.membership, self.deputies)
         self.forecast = DemandForecast(settings, clock, self.cluster)
         direct = Direct(settings, self.cluster, self.membership, self.reports)
@@ -94,7 +94,7 @@
             self.deputies,
         )
         direct.on_news = self.rounds.wake.set
-        self.follower.on_change = self.rounds.wake.set
+        self.watcher.on_change = self.rounds.wake.set
         self.leader = Leader(
             settings,
             clock,
@@ -106,7 +106,7 @@
             lambda: os.urandom(8).hex(),
         )
         self.jobs = JobApi(
-            settings, clock, self.cluster, self.follower, self.writer, client, self.deputies
+            settings, clock, self.cluster, self.watcher, self.writer, client, self.deputies
         )
         self.record_repair = RecordRepair(
             settings, clock, self.cluster, self.membership, client, self.writer
@@ -130,8 +130,8 @@
             self.server.run,
             self.peer_server.run,
             self.keeper.run,
-            self.follower.run,
-            self.follower.run_syncs,
+            self.watcher.run,
+            self.watcher.run_syncs,
             self.writer.run,
             self.membership.run,
             self.feature_level.run,
@@ -157,12 +157,12 @@
             clock,
             self.cluster,
             self.membership,
-            self.follower,
+            self.watcher,
             self.writer,
             self.forecast.priority_of,
         )
         api = RecoveryApi(
-            self.settings, recovery, clock, self.cluster, self.follower, self.writer, service
+            self.settings, recovery, clock, self.cluster, self.watcher, self.writer, service
         )
         self.reports.gate = service
         self._recovery_handler = api.handle
@@ -171,7 +171,7 @@
     async def _run_multihost(self, multihost: "MultihostSettings", clock: Clock) -> None:
         """Loaded only once the controller has had time to take its shards: after an end of all
         controllers the workers' leases hang on how soon it serves."""
-        await self.follower.ready.wait()
+        await self.watcher.ready.wait()
         await curio.sleep(self.settings.controller_lease_ttl_s)
         from .multihost.service import MultihostService
 
@@ -181,7 +181,7 @@
             clock,
             self.cluster,
             self.membership,
-            self.follower,
+            self.watcher,
             self.writer,
             os.urandom(8).hex(),
         )
@@ -205,7 +205,7 @@
             return await self.jobs.handle(request)
         if request.path == "/healthz":
             # users are sent elsewhere while this controller alone can't decide anything
-            ready = self.follower.ready.is_set() and bool(self.cluster.catalog)
+            ready = self.watcher.ready.is_set() and bool(self.cluster.catalog)
             ready = ready and not self.promises.alone
             return Response(200 if ready else 503)
         return Response(404, users.error_body("no such path"))
@@ -213,7 +213,7 @@
     async def _report(self, request: Request) -> Response:
         try:
             report = workers.parse_report(load_object(request.body), self.reports.read_task)
-        except Malformed as exc:
+        except MalformedMessageError as exc:
             return Response(400, users.error_body(str(exc)))
         before = len(self.reports.findings)
         answer = self.reports.handle(report)
--- a/crossmill/cli.py
+++ b/crossmill/cli.py
@@ -8,7 +8,7 @@
 
 from . import __version__
 from .lazy_imports import defer_unused
-from .settings import BadSettings, Settings, load
+from .settings import Settings, SettingsError, load
 
 if TYPE_CHECKING:
     from .multihost.settings import MultihostSettings
@@ -110,7 +110,7 @@
 
 
 def _load(args: argparse.Namespace) -> _LoadedSettings:
-    """All files that are named; raises BadSettings. A subsystem's modules are loaded only if its
+    """All files that are named; raises SettingsError. A subsystem's modules are loaded only if its
     file is."""
     settings = load(args.config)
     multihost, recovery = None, None
@@ -162,7 +162,7 @@
     """`serve` and `check`; with bad settings one line says why."""
     try:
         loaded = _load(args)
-    except BadSettings as exc:
+    except SettingsError as exc:
         print(f"crossmill: {exc}", file=sys.stderr)
         return BAD_USAGE
     if args.verb == "serve":
--- a/crossmill/client_command.py
+++ b/crossmill/client_command.py
@@ -7,7 +7,7 @@
 
 import curio
 
-from .net.client import Client, Unanswered, Unreached
+from .net.client import Client, ConnectionFailedError, NoResponseError
 from .settings import Endpoint
 
 BAD_USAGE = 2
@@ -66,7 +66,7 @@
         status, data = curio.run(
             client.request, request.method, request.path, request.body, timeout_s
         )
-    except (Unreached, Unanswered) as exc:
+    except (ConnectionFailedError, NoResponseError) as exc:
         print(f"crossmill: {exc}", file=sys.stderr)
         return FAILED
     print(data.decode("utf-8", "replace"))
--- a/crossmill/cluster/deputies.py
+++ b/crossmill/cluster/deputies.py
@@ -12,12 +12,12 @@
 
 import curio
 
-from ..net.client import Client, Http, Unanswered, Unreached
+from ..net.client import Client, ConnectionFailedError, Http, NoResponseError
 from ..net.clock import Clock
 from ..net.server import Request, Response
 from ..settings import Peer, Settings
 from ..wire import peers as wire
-from ..wire.checks import Malformed
+from ..wire.checks import MalformedMessageError
 from ..wire.workers import Command, Report
 from . import keys
 from .cluster_state import ClusterState
@@ -142,7 +142,7 @@
                 return Response(200, wire.quiet_body(self._bar(wire.parse_machines(request.body))))
             for job_id in wire.parse_ending(request.body):
                 self._note_ending(job_id)
-        except Malformed:
+        except MalformedMessageError:
             return Response(400)
         return Response(200)
 
@@ -275,7 +275,7 @@
             status, data = await self._http[label].request(
                 method, path, body, self._settings.lease_extension_grant_s / 4
             )
-        except (Unreached, Unanswered) as exc:
+        except (ConnectionFailedError, NoResponseError) as exc:
             log.debug("peer not heard peer=%s error=%s", label, exc)
             return None
         self._heard[label] = self._clock.now()
@@ -289,7 +289,7 @@
             return
         try:
             spans = wire.parse_quiet(data)
-        except Malformed as exc:
+        except MalformedMessageError as exc:
             log.info("odd answer peer=%s error=%s", label, exc)
             return
         now = self._clock.now()
--- a/crossmill/cluster/feature_level.py
+++ b/crossmill/cluster/feature_level.py
@@ -11,8 +11,8 @@
 
 from ..net.clock import Clock
 from ..settings import Settings
-from ..state.follower import Follower
-from ..state.writer import Intent, Writer, WriteRank, WriteResult
+from ..state.watcher import StateWatcher
+from ..state.writer import WriteIntent, Writer, WriteRank, WriteResult
 from ..wire.state import Put, Txn
 from . import keys
 from .cluster_state import ClusterState
@@ -33,20 +33,20 @@
         settings: Settings,
         clock: Clock,
         cluster: ClusterState,
-        follower: Follower,
+        watcher: StateWatcher,
         writer: Writer,
         membership: Membership,
     ) -> None:
         self._settings = settings
         self._clock = clock
         self._cluster = cluster
-        self._follower = follower
+        self._watcher = watcher
         self._writer = writer
         self._membership = membership
 
     async def run(self) -> None:
         """Works until the level is raised, then waits for ever."""
-        await self._follower.ready.wait()
+        await self._watcher.ready.wait()
         while self._cluster.level is None:
             await self.step()
             await curio.sleep(self._settings.lease_renewal_interval_s)
@@ -79,6 +79,6 @@
 
     async def _commit(self, txn: Txn) -> None:
         until = self._clock.now() + self._settings.controller_lease_ttl_s
-        intent = Intent(txn, WriteRank.OWNERSHIP, until=until)
+        intent = WriteIntent(txn, WriteRank.OWNERSHIP, until=until)
         if await self._writer.commit(intent) != WriteResult.OK:
-            await self._follower.sync(self._settings.lease_renewal_interval_s)
+            await self._watcher.sync(self._settings.lease_renewal_interval_s)
--- a/crossmill/cluster/keeper.py
+++ b/crossmill/cluster/keeper.py
@@ -6,7 +6,7 @@
 
 from ..net.clock import Clock
 from ..settings import Settings
-from ..state.client import NoLease, OutcomeUnknown, Refused, StateClient
+from ..state.client import LeaseExpiredError, OutcomeUnknownError, RequestRefusedError, StateClient
 
 log = logging.getLogger(__name__)
 
@@ -43,17 +43,17 @@
         sent = self._clock.now()
         try:
             if self.lease is None:
-                lease = await self._client.hold(self._ttl_s)
+                lease = await self._client.acquire_lease(self._ttl_s)
                 self.lease = lease
                 self.epoch += 1
                 self._until = sent + self._span_s
                 log.info("lease acquired lease=%d epoch=%d", lease, self.epoch)
                 await self.changed.set()
             else:
-                await self._client.renew(self.lease)
+                await self._client.renew_lease(self.lease)
                 self._until = sent + self._span_s
             self.failing = False
-        except NoLease:
+        except LeaseExpiredError:
             self.failing = False
             log.info("lease lost lease=%s epoch=%d", self.lease, self.epoch)
             self.lease = None
@@ -61,7 +61,7 @@
             self.epoch += 1
             await self.changed.set()
             return 0.0
-        except (Refused, OutcomeUnknown) as exc:
+        except (RequestRefusedError, OutcomeUnknownError) as exc:
             log.debug("lease not renewed error=%s", exc)
             if not self.failing:
                 self.failing = True
--- a/crossmill/cluster/membership.py
+++ b/crossmill/cluster/membership.py
@@ -7,8 +7,8 @@
 
 from ..net.clock import Clock
 from ..settings import Settings
-from ..state.follower import Follower
-from ..state.writer import Intent, Writer, WriteRank, WriteResult
+from ..state.watcher import StateWatcher
+from ..state.writer import WriteIntent, Writer, WriteRank, WriteResult
 from ..wire.state import Put, Txn
 from . import keys
 from .cluster_state import ClusterState
@@ -31,7 +31,7 @@
         clock: Clock,
         keeper: Keeper,
         cluster: ClusterState,
-        follower: Follower,
+        watcher: StateWatcher,
         writer: Writer,
         shards: OwnedShards,
         promises: Promises,
@@ -40,7 +40,7 @@
         self._clock = clock
         self._keeper = keeper
         self._cluster = cluster
-        self._follower = follower
+        self._watcher = watcher
         self._writer = writer
         self._promises = promises
         self.reachability = WorkerReachability(settings, clock, cluster)
@@ -69,7 +69,7 @@
         while all that was durable not long ago is known. A lease that is renewed is no sign of
         that: a job may have been cancelled that no read has shown."""
         own = self.acting(shard)
-        is_current = self._follower.current_within(self._settings.controller_lease_ttl_s)
+        is_current = self._watcher.is_current_within(self._settings.controller_lease_ttl_s)
         return own if is_current else None
 
     def answering(self, shard: int) -> tuple[Owned, bool] | None:
@@ -80,7 +80,7 @@
         own = self.owned.get(shard)
         if own is None or not own.ready or own.epoch != self._keeper.epoch:
             return None
-        if not self._follower.current_within(self._settings.max_lease_extension_s):
+        if not self._watcher.is_current_within(self._settings.max_lease_extension_s):
             return None
         if self._keeper.authority():
             return own, self.commanding(shard) is not None
@@ -109,7 +109,7 @@
 
     async def run(self) -> None:
         """Takes, keeps and hands back shards until the controller ends."""
-        await self._follower.ready.wait()
+        await self._watcher.ready.wait()
         while True:
             if self._keeper.failing:
                 await self._promises.ask(sorted(self.owned))
@@ -164,7 +164,7 @@
             if raised is not None and not self._drop_if_lost(shard, raised):
                 await self._take(shard, above)
         for shard, own in list(self.owned.items()):
-            if not own.ready and await self._follower.sync(self._settings.lease_renewal_interval_s):
+            if not own.ready and await self._watcher.sync(self._settings.lease_renewal_interval_s):
                 own.ready = True
                 log.info("shard ready shard=%d epoch=%d", shard, own.token)
         await self._hand_over()
@@ -202,7 +202,7 @@
 
     async def _commit(self, txn: Txn) -> bool:
         epoch = self._keeper.epoch
-        intent = Intent(txn, WriteRank.OWNERSHIP, holds=lambda: self._keeper.holds(epoch))
+        intent = WriteIntent(txn, WriteRank.OWNERSHIP, holds=lambda: self._keeper.holds(epoch))
         return await self._writer.commit(intent) == WriteResult.OK
 
     def _patient(self, key: str) -> bool:
@@ -263,7 +263,7 @@
             ],
         )
         if not await self._commit(txn):
-            await self._follower.sync(self._settings.lease_renewal_interval_s)
+            await self._watcher.sync(self._settings.lease_renewal_interval_s)
             return
         version = self._cluster.mirror.version(key)
         before = self.owned.get(shard)
@@ -299,7 +299,7 @@
             self._missing.pop(keys.LEADER, None)
             log.info("lead taken epoch=%d", epoch)
         else:
-            await self._follower.sync(self._settings.lease_renewal_interval_s)
+            await self._watcher.sync(self._settings.lease_renewal_interval_s)
 
     async def _hand_over(self) -> None:
         """A shard that another controller should own is let go of, one at a look: whoever comes
--- a/crossmill/cluster/promises.py
+++ b/crossmill/cluster/promises.py
@@ -12,12 +12,12 @@
 
 import curio
 
-from ..net.client import Client, Http, Unanswered, Unreached
+from ..net.client import Client, ConnectionFailedError, Http, NoResponseError
 from ..net.clock import Clock
 from ..net.server import Request, Response
 from ..settings import Peer, Settings
 from ..wire import peers as wire
-from ..wire.checks import Malformed
+from ..wire.checks import MalformedMessageError
 from .ownership import OwnedShards
 
 log = logging.getLogger(__name__)
@@ -70,7 +70,7 @@
             return Response(404)
         try:
             claim = wire.parse_claim(request.body)
-        except Malformed:
+        except MalformedMessageError:
             return Response(400)
         if mine & set(claim.shards):
             return Response(409)
@@ -106,7 +106,7 @@
             if status == 200:
                 acting = wire.parse_acting(data)
                 self._free[label] = set(range(self._settings.shard_count)) - set(acting)
-        except (Unreached, Unanswered, Malformed) as exc:
+        except (ConnectionFailedError, NoResponseError, MalformedMessageError) as exc:
             log.debug("peer not heard peer=%s error=%s", label, exc)
 
     # -- promises got ----------------------------------------------------------------
@@ -150,7 +150,7 @@
                 self._settings.lease_extension_grant_s / 4,
             )
             ago_s = wire.parse_promise(data) if status == 200 else None
-        except (Unreached, Unanswered, Malformed) as exc:
+        except (ConnectionFailedError, NoResponseError, MalformedMessageError) as exc:
             log.debug("no promise peer=%s error=%s", label, exc)
             return
         if status == 200:
--- a/crossmill/fleet/cloud.py
+++ b/crossmill/fleet/cloud.py
@@ -5,7 +5,7 @@
 import curio
 import orjson
 
-from ..net.client import Client, Http, Unanswered, Unreached
+from ..net.client import Client, ConnectionFailedError, Http, NoResponseError
 from ..net.clock import Clock
 from ..net.pacer import Pacer
 from ..settings import Settings
@@ -13,15 +13,15 @@
 from ..wire.checks import load_object
 
 
-class CloudTrouble(Exception):
-    """Refused, not reached or not answered; it may be carried out late."""
+class CloudError(Exception):
+    """RequestRefusedError, not reached or not answered; it may be carried out late."""
 
 
-class NotLeading(CloudTrouble):
+class NotLeaderError(CloudError):
     """The right to rent and return ended before the request could be sent."""
 
 
-class NoCapacity(Exception):
+class NoCapacityError(Exception):
     """None of this type, zone and kind is to be had now."""
 
 
@@ -45,15 +45,15 @@
         while not self._pacer.take():
             await curio.sleep(self._pacer.wait_s())
         if not holds():
-            raise NotLeading(f"{method} {path}: not sent")
+            raise NotLeaderError(f"{method} {path}: not sent")
         try:
             status, data = await self._http.request(method, path, body, self._timeout_s)
-        except (Unreached, Unanswered) as exc:
-            raise CloudTrouble(str(exc)) from exc
+        except (ConnectionFailedError, NoResponseError) as exc:
+            raise CloudError(str(exc)) from exc
         if status == 429:
             self._pacer.drain()
         if status != 200 and not (status == 503 and b"no capacity" in data):
-            raise CloudTrouble(f"{method} {path}: {status}")
+            raise CloudError(f"{method} {path}: {status}")
         return status, data
 
     async def catalog(self) -> dict[str, wire.MachineType]:
@@ -71,11 +71,11 @@
         holds: Callable[[], bool],
     ) -> list[str]:
         """Rents up to so many machines under a request name, if `holds` at the sending; raises
-        NoCapacity or CloudTrouble."""
+        NoCapacityError or CloudError."""
         body = wire.rent_body(request, type_name, zone, spot, min(number, wire.MAX_RENT))
         status, data = await self._call("POST", wire.MACHINES_PATH, body, holds)
         if status == 503:
-            raise NoCapacity
+            raise NoCapacityError
         return wire.parse_rented(load_object(data))
 
     async def release(self, machines: list[str], holds: Callable[[], bool]) -> None:
--- a/crossmill/fleet/leader.py
+++ b/crossmill/fleet/leader.py
@@ -12,10 +12,10 @@
 from ..net.clock import Clock
 from ..planning.demand import Need
 from ..settings import Settings
-from ..state.writer import Intent, Writer, WriteRank, WriteResult
+from ..state.writer import WriteIntent, Writer, WriteRank, WriteResult
 from ..wire.cloud import MAX_RELEASE, Listed
 from ..wire.state import Put, Txn
-from .cloud import Cloud, CloudTrouble, NoCapacity, NotLeading, stored_catalog
+from .cloud import Cloud, CloudError, NoCapacityError, NotLeaderError, stored_catalog
 from .forecast import DemandForecast
 
 log = logging.getLogger(__name__)
@@ -56,7 +56,7 @@
             if self._membership.leading() is not None or not self._cluster.catalog:
                 try:
                     await self._step()
-                except CloudTrouble as exc:
+                except CloudError as exc:
                     # spending pauses; what runs goes on
                     log.info("cloud trouble error=%s", exc)
                     await curio.sleep(self._settings.heartbeat_interval_s)
@@ -116,12 +116,12 @@
         if version is None or stored_catalog(catalog) == self._cluster.mirror.value(keys.CATALOG):
             return
         txn = Txn({keys.LEADER: version}, [Put(keys.CATALOG, stored_catalog(catalog))])
-        await self._commit([Intent(txn, WriteRank.BACKGROUND, holds=self._leads)])
+        await self._commit([WriteIntent(txn, WriteRank.BACKGROUND, holds=self._leads)])
 
     def _leads(self) -> bool:
         return self._membership.leading() is not None
 
-    async def _commit(self, intents: list[Intent]) -> int:
+    async def _commit(self, intents: list[WriteIntent]) -> int:
         for intent in intents:
             await self._writer.submit(intent)
         return sum([await i.future.wait() == WriteResult.OK for i in intents])
@@ -144,15 +144,15 @@
             try:
                 rented = await self._cloud.rent(name, *key, need.number, self._leads)
                 break
-            except NoCapacity:
+            except NoCapacityError:
                 self._forecast.blocked[key] = (
                     self._clock.now() + self._settings.no_capacity_backoff_s
                 )
                 log.info("no capacity type=%s zone=%s spot=%s", *key)
                 return
-            except NotLeading:
+            except NotLeaderError:
                 raise
-            except CloudTrouble:
+            except CloudError:
                 # the same name again rents nothing twice; what comes late is adopted
                 if last:
                     raise
@@ -188,7 +188,7 @@
                 "up": False,
             }
             txn = Txn({keys.LEADER: version, key: 0}, [Put(key, value)])
-            intents.append(Intent(txn, WriteRank.PLACEMENT, holds=self._leads))
+            intents.append(WriteIntent(txn, WriteRank.PLACEMENT, holds=self._leads))
         await self._commit(intents)
 
     # -- the list --------------------------------------------------------------------
@@ -237,7 +237,7 @@
             {keys.LEADER: version, key: machine.version},
             [Put(key, machine.encode(retiring=why))],
         )
-        await self._commit([Intent(txn, WriteRank.BACKGROUND, holds=self._leads)])
+        await self._commit([WriteIntent(txn, WriteRank.BACKGROUND, holds=self._leads)])
 
     # -- releasing -------------------------------------------------------------------
 
@@ -258,7 +258,7 @@
         }
         self._gone.update((m.id, now) for m in going)
         intents = [
-            Intent(
+            WriteIntent(
                 Txn(
                     {keys.LEADER: version, keys.machine(m.id): m.version}, [], [keys.machine(m.id)]
                 ),
--- a/crossmill/jobs/api.py
+++ b/crossmill/jobs/api.py
@@ -6,7 +6,7 @@
 from ..net.server import Request, Response
 from ..settings import Settings
 from ..state.client import StateClient
-from ..state.follower import Follower
+from ..state.watcher import StateWatcher
 from ..state.writer import Writer
 from ..wire import users as wire
 from .cancellation import CancellationHandler
@@ -26,12 +26,12 @@
         settings: Settings,
         clock: Clock,
         cluster: ClusterState,
-        follower: Follower,
+        watcher: StateWatcher,
         writer: Writer,
         client: StateClient,
         deputies: Deputies,
     ) -> None:
-        self._lookup = JobLookup(settings, cluster, follower, client)
+        self._lookup = JobLookup(settings, cluster, watcher, client)
         dependencies = DependencyCheck(cluster, cluster.mirror, client)
         self._submission = SubmissionHandler(
             settings, clock, cluster, writer, self._lookup, dependencies
--- a/crossmill/jobs/cancellation.py
+++ b/crossmill/jobs/cancellation.py
@@ -10,7 +10,7 @@
 from ..net.clock import Clock
 from ..net.server import Response
 from ..settings import Settings
-from ..state.writer import Intent, Writer, WriteRank, WriteResult
+from ..state.writer import WriteIntent, Writer, WriteRank, WriteResult
 from ..wire import users as wire
 from ..wire.state import Put, Txn
 from ..wire.users import JobSpec
@@ -102,13 +102,13 @@
         note = keys.ending(job_id)
         put = Put(note, {"at": self._clock.wall()})
         txn = Txn({keys.job(job_id): version, note: 0}, [put])
-        await self._writer.submit(Intent(txn, WriteRank.URGENT, until=self._until()))
+        await self._writer.submit(WriteIntent(txn, WriteRank.URGENT, until=self._until()))
 
     async def _commit(self, job_id: str, spec: JobSpec, conditions: dict[str, int]) -> bool:
         most_bytes = self._cluster.limits.record_bytes
         record = encode_end(CANCELLED, spec, self._clock.wall(), most_bytes)
         txn = Txn(conditions, [Put(keys.job(job_id), record)])
-        intent = Intent(txn, WriteRank.URGENT, until=self._until())
+        intent = WriteIntent(txn, WriteRank.URGENT, until=self._until())
         await self._writer.submit(intent)
         outcome = await intent.future.wait(self._settings.submission_timeout_s)
         return bool(outcome == WriteResult.OK)
--- a/crossmill/jobs/cleanup.py
+++ b/crossmill/jobs/cleanup.py
@@ -11,7 +11,7 @@
 from ..cluster.records import encode_archived, encode_end
 from ..net.clock import Clock
 from ..settings import Settings
-from ..state.writer import Intent, WriteRank
+from ..state.writer import WriteIntent, WriteRank
 from ..wire.state import Put, Txn
 from .shard_writes import shard_intent
 
@@ -27,7 +27,7 @@
         self._cluster = cluster
         self._membership = membership
 
-    def intents(self, shard: int, own: Owned) -> list[Intent]:
+    def intents(self, shard: int, own: Owned) -> list[WriteIntent]:
         """All that is due for the shard's ended jobs."""
         most = self._cluster.limits.txn_ops
         txns = [
--- a/crossmill/jobs/dependency_check.py
+++ b/crossmill/jobs/dependency_check.py
@@ -5,18 +5,18 @@
 from ..cluster import keys
 from ..cluster.cluster_state import ClusterState
 from ..cluster.model import CANCELLED, DONE, Job
-from ..state.client import OutcomeUnknown, Refused, StateClient
+from ..state.client import OutcomeUnknownError, RequestRefusedError, StateClient
 from ..state.mirror import Mirror
 
 # ends of archived jobs that are remembered; they never change
 REMEMBERED_ENDS = 1000
 
 
-class DependencyRefused(Exception):
+class DependencyRefusedError(Exception):
     """The submission can never be accepted; the text says why."""
 
 
-class DependencyUnknown(Exception):
+class DependencyUnknownError(Exception):
     """It can't be said now whether a job that is named was accepted."""
 
 
@@ -40,14 +40,15 @@
         self._archived_ends: dict[str, str] = {}
 
     async def resolve(self, job_id: str, needs: tuple[str, ...]) -> Dependencies:
-        """Raises DependencyRefused or DependencyUnknown when a job can't be waited for."""
+        """Raises DependencyRefusedError or DependencyUnknownError when a job can't be waited
+        for."""
         result = Dependencies()
         for need in needs:
             if need == job_id:
-                raise DependencyRefused("a job can't wait for itself")
+                raise DependencyRefusedError("a job can't wait for itself")
             job = self._at_hand(need) or await self._read(need)
             if job is not None and job.spec is not None and job.spec.kind == "service":
-                raise DependencyRefused(f"{need} is a service and is never done")
+                raise DependencyRefusedError(f"{need} is a service and is never done")
             end = job.end if job is not None else await self._archived_end(need)
             if end == CANCELLED:
                 result.is_cancelled = True
@@ -64,10 +65,10 @@
             return None
         try:
             row = await self._client.get(keys.job(need))
-        except (Refused, OutcomeUnknown) as exc:
-            raise DependencyUnknown(need) from exc
+        except (RequestRefusedError, OutcomeUnknownError) as exc:
+            raise DependencyUnknownError(need) from exc
         if row is not None:
-            self._mirror.learned(row)
+            self._mirror.merge_read(row)
         return self._at_hand(need)
 
     async def _archived_end(self, need: str) -> str:
@@ -76,10 +77,10 @@
             return end
         try:
             row = await self._client.get(keys.archived(need))
-        except (Refused, OutcomeUnknown) as exc:
-            raise DependencyUnknown(need) from exc
+        except (RequestRefusedError, OutcomeUnknownError) as exc:
+            raise DependencyUnknownError(need) from exc
         if row is None:
-            raise DependencyRefused(f"{need} was never accepted")
+            raise DependencyRefusedError(f"{need} was never accepted")
         if len(self._archived_ends) >= REMEMBERED_ENDS:
             self._archived_ends.pop(next(iter(self._archived_ends)))
         end = self._archived_ends[need] = str(row.value["end"])
--- a/crossmill/jobs/durable.py
+++ b/crossmill/jobs/durable.py
@@ -12,7 +12,7 @@
 from ..cluster.records import encode_chunk, encode_end
 from ..net.clock import Clock
 from ..settings.limits import OTHER_CONDITIONS
-from ..state.writer import Intent, WriteRank
+from ..state.writer import WriteIntent, WriteRank
 from ..wire.state import Put, Txn
 from ..wire.users import JobSpec
 from ..workers.findings import AttemptEnd, Finding
@@ -67,7 +67,7 @@
         self._cluster = cluster
         self._membership = membership
 
-    def intent(self, edit: Edit, shard: int, own: Owned) -> Intent | None:
+    def intent(self, edit: Edit, shard: int, own: Owned) -> WriteIntent | None:
         """The write of an edited plan; None if nothing is to be written."""
         job, spec = edit.job, edit.job.spec
         if not (edit.over or edit.starts) or not (job.is_known or job.is_over):
@@ -122,10 +122,10 @@
         most_bytes = self._cluster.limits.record_bytes
         return encode_end(DONE, spec, self._clock.wall(), most_bytes)
 
-    def finish(self, shard: int, own: Owned) -> list[Intent]:
+    def finish(self, shard: int, own: Owned) -> list[WriteIntent]:
         """Ends of jobs whose last chunks were finished side by side: the write of neither could
         rest on the other. What is done stays done, so only the job's record is a condition."""
-        intents: list[Intent] = []
+        intents: list[WriteIntent] = []
         for job in self._cluster.complete[shard].values():
             if job.spec is not None:
                 key = keys.job(job.id)
--- a/crossmill/jobs/lookup.py
+++ b/crossmill/jobs/lookup.py
@@ -5,8 +5,8 @@
 from ..cluster.model import Job
 from ..net.server import Response
 from ..settings import Settings
-from ..state.client import OutcomeUnknown, Refused, StateClient
-from ..state.follower import Follower
+from ..state.client import OutcomeUnknownError, RequestRefusedError, StateClient
+from ..state.watcher import StateWatcher
 from ..wire import users as wire
 
 RETRY_AFTER_S = 1
@@ -25,22 +25,22 @@
     """Reads jobs for the handlers of the users' interface."""
 
     def __init__(
-        self, settings: Settings, cluster: ClusterState, follower: Follower, client: StateClient
+        self, settings: Settings, cluster: ClusterState, watcher: StateWatcher, client: StateClient
     ) -> None:
         self._settings = settings
         self._cluster = cluster
-        self._follower = follower
+        self._watcher = watcher
         self._client = client
 
     def is_served(self) -> bool:
         """Whether the state service can be asked. In an outage users are refused at once:
         nobody's answer could be shown to be current."""
         is_down = self._client.down_for_s() > self._settings.lease_renewal_interval_s / 2
-        return self._follower.ready.is_set() and not is_down
+        return self._watcher.ready.is_set() and not is_down
 
     async def is_current(self) -> bool:
         """Whether the mirror holds all that anybody can have been told by now."""
-        return self.is_served() and await self._follower.sync(self._settings.submission_timeout_s)
+        return self.is_served() and await self._watcher.sync(self._settings.submission_timeout_s)
 
     def final(self, job_id: str) -> Job | None:
         """The job, if it has ended for good."""
@@ -69,7 +69,7 @@
         """A job that is not at hand: long over, or never accepted."""
         try:
             row = await self._client.get(keys.archived(job_id))
-        except (Refused, OutcomeUnknown):
+        except (RequestRefusedError, OutcomeUnknownError):
             return NOT_NOW
         if row is None:
             return NO_SUCH_JOB
--- a/crossmill/jobs/machine_maintenance.py
+++ b/crossmill/jobs/machine_maintenance.py
@@ -14,7 +14,7 @@
 from ..fleet.forecast import DemandForecast
 from ..net.clock import Clock
 from ..settings import Settings
-from ..state.writer import Intent, WriteRank
+from ..state.writer import WriteIntent, WriteRank
 from ..wire.state import Put, Txn
 from ..workers.reports import Reports
 from .failures import TaskFailures
@@ -55,7 +55,7 @@
         self._spare_at: dict[int, float] = {}
         self._silent_until: dict[tuple[int, str], float] = {}
 
-    def give_up(self, shard: int, own: Owned, machines: list[Machine]) -> list[Intent]:
+    def give_up(self, shard: int, own: Owned, machines: list[Machine]) -> list[WriteIntent]:
         """Writes for machines that have come up or are to go. What is found out here changes with
         reports and boots, so rounds between two reports find little that is new."""
         now = self._clock.now()
@@ -79,9 +79,9 @@
                 intents.append(self._intent(shard, own, machine, machine.encode(why, True)))
         return intents
 
-    def _came_up(self, shard: int, own: Owned, machines: list[Machine]) -> list[Intent]:
+    def _came_up(self, shard: int, own: Owned, machines: list[Machine]) -> list[WriteIntent]:
         """Writes for machines that have reported for the first time, with how long they booted."""
-        intents: list[Intent] = []
+        intents: list[WriteIntent] = []
         for machine in machines:
             view = self._reports.peek(machine.id)
             if machine.up or view is None or not view.trusted:
@@ -118,7 +118,7 @@
                 self._silent_until[shard, zone] = now + self._settings.worker_lease_s
         return {z for (k, z), until in self._silent_until.items() if k == shard and now < until}
 
-    def moves(self, shard: int, own: Owned, machines: list[Machine]) -> dict[str, Intent]:
+    def moves(self, shard: int, own: Owned, machines: list[Machine]) -> dict[str, WriteIntent]:
         """Empty machines go to the shard they are given to under a token drawn for them alone,
         so that nothing said by this shard's owner is obeyed afterwards. One at a time: each
         raises the counter that all tokens come from."""
@@ -133,7 +133,9 @@
                 return {machine.id: intent}
         return {}
 
-    def _intent(self, shard: int, own: Owned, machine: Machine, value: dict[str, Any]) -> Intent:
+    def _intent(
+        self, shard: int, own: Owned, machine: Machine, value: dict[str, Any]
+    ) -> WriteIntent:
         key = keys.machine(machine.id)
         txn = Txn({key: machine.version}, [Put(key, value)])
         return shard_intent(self._membership, shard, own, WriteRank.BACKGROUND, txn)
--- a/crossmill/jobs/plan_migration.py
+++ b/crossmill/jobs/plan_migration.py
@@ -15,7 +15,7 @@
 from ..cluster.model import ACTIVE, Chunk, Job
 from ..cluster.ownership import Owned
 from ..cluster.records import encode_chunk
-from ..state.writer import Intent, WriteRank
+from ..state.writer import WriteIntent, WriteRank
 from ..wire.state import Put, Txn
 from .shard_writes import shard_intent
 
@@ -46,9 +46,9 @@
         tasks = job.spec.tasks if job.spec is not None else where.end
         return min(where.end, tasks) - where.first > layout.segment_tasks
 
-    def steps(self, shard: int, own: Owned) -> list[Intent]:
+    def steps(self, shard: int, own: Owned) -> list[WriteIntent]:
         """The next transaction for each chunk of the shard that has to be moved."""
-        intents: list[Intent] = []
+        intents: list[WriteIntent] = []
         for (_, name), job in list(self._cluster.legacy_chunks.items()):
             if len(intents) >= self._cluster.limits.txn_ops:
                 break
@@ -57,7 +57,7 @@
                 intents.append(self._step(job, name, shard, own))
         return intents
 
-    def _step(self, job: Job, name: str, shard: int, own: Owned) -> Intent:
+    def _step(self, job: Job, name: str, shard: int, own: Owned) -> WriteIntent:
         legacy = job.chunks[name]
         legacy_key = keys.plan(job.id, name)
         changes = self._changes(job, self._cluster.layout.parse(name), legacy)
--- a/crossmill/jobs/record_repair.py
+++ b/crossmill/jobs/record_repair.py
@@ -19,7 +19,7 @@
 from ..cluster.records import encode_end, encode_job
 from ..net.clock import Clock
 from ..settings import Settings
-from ..state.client import OutcomeUnknown, Refused, StateClient
+from ..state.client import OutcomeUnknownError, RequestRefusedError, StateClient
 from ..state.writer import Writer, WriteRank
 from ..wire.state import Put, Txn
 from ..wire.users import JobSpec
@@ -54,7 +54,7 @@
             await curio.sleep(self._settings.worker_lease_s)
             try:
                 await self.step()
-            except (Refused, OutcomeUnknown) as exc:
+            except (RequestRefusedError, OutcomeUnknownError) as exc:
                 log.debug("archive not read error=%s", exc)
 
     async def step(self) -> None:
--- a/crossmill/jobs/rounds.py
+++ b/crossmill/jobs/rounds.py
@@ -16,7 +16,7 @@
 from ..fleet.forecast import DemandForecast
 from ..net.clock import Clock
 from ..settings import Settings
-from ..state.writer import Intent, Writer, WriteResult
+from ..state.writer import WriteIntent, Writer, WriteResult
 from ..workers.direct import Direct
 from ..workers.findings import AttemptEnd, Finding
 from ..workers.reports import Reports
@@ -66,7 +66,7 @@
         self._durable = Durable(clock, cluster, membership, self._migration)
         self._cleanup = Cleanup(settings, clock, cluster, membership)
         # by shard: the writes for ended jobs that are under way
-        self._cleaning: dict[int, list[Intent]] = {}
+        self._cleaning: dict[int, list[WriteIntent]] = {}
         self._maintenance = MachineMaintenance(
             settings,
             clock,
@@ -139,10 +139,10 @@
 
     def _plan_writes(
         self, shard: int, own: Owned, edits: Edits
-    ) -> tuple[list[Intent], dict[int, list[Row]]]:
+    ) -> tuple[list[WriteIntent], dict[int, list[Row]]]:
         """The writes of edited plans and finished jobs, and by write the starts that follow it."""
         starts: dict[int, list[Row]] = {}
-        intents: list[Intent] = []
+        intents: list[WriteIntent] = []
         for edit in edits.values():
             intent = self._durable.intent(edit, shard, own)
             if intent is not None:
@@ -152,7 +152,7 @@
         intents += self._migration.steps(shard, own)
         return intents, starts
 
-    async def _submit(self, intents: list[Intent], moves: dict[str, Intent]) -> None:
+    async def _submit(self, intents: list[WriteIntent], moves: dict[str, WriteIntent]) -> None:
         """Queues the writes, and waits for those that move machines: until its fate is known, a
         machine that moves is not answered."""
         self._reports.begin_moves(moves)
@@ -167,7 +167,7 @@
         finally:
             self._reports.end_moves(moves)
 
-    async def _follow_up(self, intents: list[Intent], starts: dict[int, list[Row]]) -> None:
+    async def _follow_up(self, intents: list[WriteIntent], starts: dict[int, list[Row]]) -> None:
         """Sends the starts of plans that are durable now, and logs the jobs that are done."""
         for intent in intents:
             if await intent.future.wait() != WriteResult.OK:
--- a/crossmill/jobs/shard_writes.py
+++ b/crossmill/jobs/shard_writes.py
@@ -5,13 +5,13 @@
 from ..cluster import keys
 from ..cluster.membership import Membership
 from ..cluster.ownership import Owned
-from ..state.writer import Intent, WriteRank
+from ..state.writer import WriteIntent, WriteRank
 from ..wire.state import Txn
 
 
 def shard_intent(
     membership: Membership, shard: int, own: Owned, rank: WriteRank, txn: Txn
-) -> Intent:
+) -> WriteIntent:
     """The transaction as an intent that also rests on the shard's key as this owner wrote it."""
     txn.conditions = {keys.shard(shard): own.version, **txn.conditions}
-    return Intent(txn, rank, holds=partial(membership.holds, shard, own.token))
+    return WriteIntent(txn, rank, holds=partial(membership.holds, shard, own.token))
--- a/crossmill/jobs/submission.py
+++ b/crossmill/jobs/submission.py
@@ -12,16 +12,16 @@
 from ..net.server import Request, Response
 from ..planning.demand import slots_on
 from ..settings import Settings
-from ..state.writer import Intent, Writer, WriteRank, WriteResult
+from ..state.writer import WriteIntent, Writer, WriteRank, WriteResult
 from ..wire import users as wire
-from ..wire.checks import Malformed, load_object
+from ..wire.checks import MalformedMessageError, load_object
 from ..wire.state import Put, Txn
 from ..wire.users import JobSpec, Submission
 from .dependency_check import (
     Dependencies,
     DependencyCheck,
-    DependencyRefused,
-    DependencyUnknown,
+    DependencyRefusedError,
+    DependencyUnknownError,
 )
 from .lookup import NOT_NOW, JobLookup, status_of
 
@@ -57,10 +57,10 @@
         """The answer to one submission."""
         try:
             if request.too_large:
-                raise Malformed("body over 64 KiB")
+                raise MalformedMessageError("body over 64 KiB")
             data = load_object(request.body)
             job_id = wire.parse_id(data)
-        except Malformed as exc:
+        except MalformedMessageError as exc:
             return Response(MALFORMED, wire.error_body(str(exc)))
         job = self._lookup.final(job_id)
         if job is not None:
@@ -69,7 +69,7 @@
             return await self._lookup.show(job_id)
         try:
             submission = wire.parse_submission(data)
-        except Malformed as exc:
+        except MalformedMessageError as exc:
             return await self._refuse(job_id, MALFORMED, str(exc))
         return await self._decide(submission)
 
@@ -104,9 +104,9 @@
             archivings = self._archivings()
             try:
                 dependencies = await self._dependencies.resolve(spec.id, needs)
-            except DependencyRefused as exc:
+            except DependencyRefusedError as exc:
                 return await self._refuse(spec.id, NEVER, str(exc))
-            except DependencyUnknown:
+            except DependencyUnknownError:
                 return NOT_NOW
             response = await self._accept(spec, dependencies, archivings)
             if response is not None:
@@ -151,7 +151,7 @@
             return await self._refuse(spec.id, NEVER, "too long to be stored")
         txn = Txn({key: 0, keys.archived(spec.id): 0}, [Put(key, orjson.loads(encoded))])
         self._rest_on(dependencies, archivings, txn)
-        intent = Intent(txn, WriteRank.URGENT, until=now + self._settings.submission_timeout_s)
+        intent = WriteIntent(txn, WriteRank.URGENT, until=now + self._settings.submission_timeout_s)
         await self._writer.submit(intent)
         outcome = await intent.future.wait(self._settings.submission_timeout_s)
         if outcome == WriteResult.OK:
--- a/crossmill/multihost/api.py
+++ b/crossmill/multihost/api.py
@@ -14,8 +14,8 @@
 from ..net.clock import Clock
 from ..net.server import Request, Response
 from ..settings import Settings
-from ..state.follower import Follower
-from ..state.writer import Intent, Writer, WriteRank, WriteResult
+from ..state.watcher import StateWatcher
+from ..state.writer import WriteIntent, Writer, WriteRank, WriteResult
 from ..wire import checks
 from ..wire.multihost import (
     BASE_PATH,
@@ -59,7 +59,7 @@
         clock: Clock,
         cluster: ClusterState,
         membership: Membership,
-        follower: Follower,
+        watcher: StateWatcher,
         writer: Writer,
         pool: PoolState,
         writes: PoolWriter,
@@ -69,7 +69,7 @@
         self._clock = clock
         self._cluster = cluster
         self._membership = membership
-        self._follower = follower
+        self._watcher = watcher
         self._writer = writer
         self._pool = pool
         self._writes = writes
@@ -79,7 +79,7 @@
         handler = self._route(request)
         if handler is None:
             return NO_SUCH_PATH
-        if not await self._follower.sync(self._settings.submission_timeout_s):
+        if not await self._watcher.sync(self._settings.submission_timeout_s):
             return UNAVAILABLE
         return await handler()
 
@@ -183,7 +183,7 @@
             data = checks.load_object(body)
             spec = parse_declaration(name, data, self._settings.zones)
             check_placeable(spec, self._pool.placeable())
-        except checks.Malformed as exc:
+        except checks.MalformedMessageError as exc:
             return Response(400, error_body(str(exc)))
         except InvalidDeclaration as exc:
             return Response(400, error_body(str(exc), exc.field))
@@ -224,14 +224,15 @@
             version = stored.version if stored is not None else 0
             if await self._write(Txn({key: version}, [Put(key, encode_set(after))])):
                 return Response(201 if stored is None else 200, orjson.dumps(encode_set(after)))
-            if not await self._follower.sync(self._settings.submission_timeout_s):
+            if not await self._watcher.sync(self._settings.submission_timeout_s):
                 break
         return UNAVAILABLE
 
     async def _write(self, txn: Txn) -> bool:
         until = self._clock.now() + self._settings.submission_timeout_s
         return (
-            await self._writer.commit(Intent(txn, WriteRank.URGENT, until=until)) == WriteResult.OK
+            await self._writer.commit(WriteIntent(txn, WriteRank.URGENT, until=until))
+            == WriteResult.OK
         )
 
     # -- by hand ---------------------------------------------------------------------
@@ -259,7 +260,7 @@
         try:
             data = checks.load_object(body) if body else {}
             reason = checks.optional_text(data, "reason") or "by an operator"
-        except checks.Malformed as exc:
+        except checks.MalformedMessageError as exc:
             return Response(400, error_body(str(exc), "reason"))
         return await self._set_draining(machine_id, reason)
 
--- a/crossmill/multihost/coordinator.py
+++ b/crossmill/multihost/coordinator.py
@@ -12,7 +12,7 @@
 from ..cluster.membership import Membership
 from ..cluster.ownership import Owned
 from ..net.clock import Clock
-from ..state.writer import Intent
+from ..state.writer import WriteIntent
 from .agents import Agents
 from .due_times import DueTimes
 from .failure_scores import FailureScores
@@ -207,7 +207,7 @@
                 r for r in reported if r is not None and r in self._pool.replicas
             }
 
-    def _look_at_machines(self, own: Owned, changed: Iterable[str]) -> list[Intent]:
+    def _look_at_machines(self, own: Owned, changed: Iterable[str]) -> list[WriteIntent]:
         """Machines that were returned are taken out of the pool, empty ones that are to leave it
         become ordinary again."""
         gone = [
@@ -240,7 +240,7 @@
         moment: Moment,
         replica: Replica,
         may_stop: bool,
-        intents: list[Intent],
+        intents: list[WriteIntent],
         to_clear: list[tuple[Replica, bool]],
     ) -> None:
         self.looks += 1
@@ -273,7 +273,7 @@
 
     def _transition(
         self, own: Owned, moment: Moment, replica: Replica, stored: ReplicaSet, decision: Decision
-    ) -> Intent:
+    ) -> WriteIntent:
         after = advanced(replica, PHASE_OF[decision.action], moment.wall, decision.reason)
         if decision.action is Action.REPAIR:
             recent = recent_restarts(replica, stored.spec, moment.wall)
@@ -337,7 +337,7 @@
     async def _preempt(
         self, own: Owned, victims: tuple[ReplicaId, ...], waiting: ReplicaId
     ) -> None:
-        intents: list[Intent] = []
+        intents: list[WriteIntent] = []
         for victim in victims:
             self._sets.mark_leaving(own, victim, f"{PREEMPTED} {waiting}", intents)
         await self._writes.submit(intents)
--- a/crossmill/multihost/declaration.py
+++ b/crossmill/multihost/declaration.py
@@ -29,7 +29,7 @@
         return default
     try:
         value = checks.amount(data, name)
-    except checks.Malformed as exc:
+    except checks.MalformedMessageError as exc:
         raise InvalidDeclaration(name, f"a number of at least {low:g} is needed") from exc
     if value < low:
         raise InvalidDeclaration(name, f"a number of at least {low:g} is needed")
@@ -41,7 +41,7 @@
         return default
     try:
         return checks.count(data, name, low, high)
-    except checks.Malformed as exc:
+    except checks.MalformedMessageError as exc:
         raise InvalidDeclaration(name, f"a whole number from {low} to {high} is needed") from exc
 
 
--- a/crossmill/multihost/registration.py
+++ b/crossmill/multihost/registration.py
@@ -8,7 +8,7 @@
 from ..cluster.ownership import Owned
 from ..jobs.shard_writes import shard_intent
 from ..net.clock import Clock
-from ..state.writer import Intent, Writer, WriteRank
+from ..state.writer import WriteIntent, Writer, WriteRank
 from ..wire.multihost import Heartbeat
 from ..wire.state import Put, Txn
 from . import keys
@@ -53,7 +53,7 @@
         for intent in intents:
             await intent.future.wait()
 
-    def _intent(self, own: Owned, beat: Heartbeat) -> Intent | None:
+    def _intent(self, own: Owned, beat: Heartbeat) -> WriteIntent | None:
         if beat.machine in self._pool.machines or not self._may_join(beat):
             return None
         offer = beat.offer
--- a/crossmill/multihost/service.py
+++ b/crossmill/multihost/service.py
@@ -7,9 +7,9 @@
 from ..net.clock import Clock
 from ..net.server import Request, Response, Server
 from ..settings import Settings
-from ..state.follower import Follower
+from ..state.watcher import StateWatcher
 from ..state.writer import Writer
-from ..wire.checks import Malformed
+from ..wire.checks import MalformedMessageError
 from ..wire.multihost import (
     HEARTBEAT_PATH,
     answer_body,
@@ -38,7 +38,7 @@
         clock: Clock,
         cluster: ClusterState,
         membership: Membership,
-        follower: Follower,
+        watcher: StateWatcher,
         writer: Writer,
         process: str,
     ) -> None:
@@ -75,7 +75,7 @@
             clock,
             cluster,
             membership,
-            follower,
+            watcher,
             writer,
             self.pool,
             self.writes,
@@ -106,7 +106,7 @@
     async def _heartbeat(self, request: Request) -> Response:
         try:
             beat = parse_heartbeat(request.body)
-        except Malformed as exc:
+        except MalformedMessageError as exc:
             return Response(400, error_body(str(exc)))
         reply = self.heartbeats.handle(beat)
         await self.coordinator.wake_if_news()
--- a/crossmill/multihost/set_rounds.py
+++ b/crossmill/multihost/set_rounds.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from ..cluster.ownership import Owned
-from ..state.writer import Intent
+from ..state.writer import WriteIntent
 from .agents import Agents
 from .lifecycle import Moment
 from .model import Replica, ReplicaId
@@ -29,7 +29,7 @@
         self._writes = writes
 
     def look(
-        self, own: Owned, moment: Moment, names: Iterable[str], intents: list[Intent]
+        self, own: Owned, moment: Moment, names: Iterable[str], intents: list[WriteIntent]
     ) -> set[ReplicaId]:
         """Adds the writes that the sets need to `intents`; returns the replicas that leave and that
         the disruption budget lets stop now."""
@@ -51,7 +51,7 @@
         return allowed
 
     def mark_leaving(
-        self, own: Owned, replica_id: ReplicaId, reason: str, intents: list[Intent]
+        self, own: Owned, replica_id: ReplicaId, reason: str, intents: list[WriteIntent]
     ) -> None:
         """Adds the write that marks a replica as leaving."""
         replica = self._pool.replicas[replica_id]
--- a/crossmill/multihost/settings.py
+++ b/crossmill/multihost/settings.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..settings import BadSettings, Endpoint, Settings
+from ..settings import Endpoint, Settings, SettingsError
 from ..settings.loader import read_toml
 from ..settings.table import Table
 
@@ -95,20 +95,20 @@
 
 
 def parse(data: dict[str, Any], settings: Settings) -> MultihostSettings:
-    """Reads the table; raises BadSettings with the name of the field that is wrong."""
+    """Reads the table; raises SettingsError with the name of the field that is wrong."""
     table = Table(data, "").table("multihost")
     offset = int(table.number("port_offset", 1))
     shard = int(table.number("pool_shard", 0, 0.0))
     if shard >= settings.controller_count:
-        raise BadSettings(
+        raise SettingsError(
             f"multihost.pool_shard: below {settings.controller_count}, the controllers' number"
         )
     port = settings.peer_listen.port + offset
     if port >= 65536:
-        raise BadSettings("multihost.port_offset: the port is past 65535")
+        raise SettingsError("multihost.port_offset: the port is past 65535")
     ratio = table.number("idle_ratio", 0, 0.25)
     if ratio > 1:
-        raise BadSettings("multihost.idle_ratio: a number from 0 to 1 is needed")
+        raise SettingsError("multihost.idle_ratio: a number from 0 to 1 is needed")
     return MultihostSettings(
         listen=Endpoint(settings.peer_listen.host, port),
         pool_shard=shard,
@@ -118,5 +118,5 @@
 
 
 def load(path: str, settings: Settings) -> MultihostSettings:
-    """Reads and checks the file; raises BadSettings."""
+    """Reads and checks the file; raises SettingsError."""
     return parse(read_toml(path), settings)
--- a/crossmill/multihost/writes.py
+++ b/crossmill/multihost/writes.py
@@ -11,7 +11,7 @@
 from ..cluster.membership import Membership
 from ..cluster.ownership import Owned
 from ..jobs.shard_writes import shard_intent
-from ..state.writer import Intent, Writer, WriteRank, WriteResult
+from ..state.writer import WriteIntent, Writer, WriteRank, WriteResult
 from ..wire.state import Put, Txn
 from . import keys
 from .model import Member, PhaseChange, PoolMachine, Replica, ReplicaId, ReplicaSet
@@ -58,14 +58,14 @@
         self._shard = pool_shard
         self.transactions = 0
 
-    def _intent(self, own: Owned, rank: WriteRank, txn: Txn) -> Intent:
+    def _intent(self, own: Owned, rank: WriteRank, txn: Txn) -> WriteIntent:
         self.transactions += 1
         return shard_intent(self._membership, self._shard, own, rank, txn)
 
     async def _commit(self, own: Owned, rank: WriteRank, txn: Txn) -> bool:
         return await self._writer.commit(self._intent(own, rank, txn)) == WriteResult.OK
 
-    async def submit(self, intents: Sequence[Intent]) -> list[bool]:
+    async def submit(self, intents: Sequence[WriteIntent]) -> list[bool]:
         """Sends all, then waits for all."""
         for intent in intents:
             await self._writer.submit(intent)
@@ -73,7 +73,7 @@
 
     # -- single records --------------------------------------------------------------
 
-    def transition(self, own: Owned, replica: Replica, after: Replica) -> Intent:
+    def transition(self, own: Owned, replica: Replica, after: Replica) -> WriteIntent:
         """A replica's record, changed. What ends service is urgent."""
         key = keys.replica(replica.id)
         rank = (
@@ -85,7 +85,7 @@
             own, rank, Txn({key: replica.version}, [Put(key, encode_replica(after))])
         )
 
-    def creation(self, own: Owned, stored: ReplicaSet, number: int, wall: float) -> Intent:
+    def creation(self, own: Owned, stored: ReplicaSet, number: int, wall: float) -> WriteIntent:
         """New replicas of a set, and its counter of their numbers. As many as one transaction
         takes; the rest follows."""
         number = min(number, self._writer.limits.txn_ops - 1)
@@ -101,19 +101,19 @@
             txn.puts.append(Put(key, encode_replica(replica)))
         return self._intent(own, WriteRank.PLACEMENT, txn)
 
-    def deletion_of_set(self, own: Owned, stored: ReplicaSet) -> Intent:
+    def deletion_of_set(self, own: Owned, stored: ReplicaSet) -> WriteIntent:
         """The record of a removed set without replicas."""
         key = keys.replica_set(stored.spec.name)
         return self._intent(own, WriteRank.PLACEMENT, Txn({key: stored.version}, [], [key]))
 
-    def deletion_of_machine(self, own: Owned, machine_id: str) -> Intent:
+    def deletion_of_machine(self, own: Owned, machine_id: str) -> WriteIntent:
         """The pool's record of a machine that was returned: its ordinary record is gone."""
         key = keys.machine(machine_id)
         version = self._pool.machines[machine_id].version
         conditions = {key: version, cluster_keys.machine(machine_id): 0}
         return self._intent(own, WriteRank.PLACEMENT, Txn(conditions, [], [key]))
 
-    def departure_of_machine(self, own: Owned, machine: PoolMachine) -> Intent:
+    def departure_of_machine(self, own: Owned, machine: PoolMachine) -> WriteIntent:
         """An empty machine leaves the pool: its ordinary record names its own type again. The
         pool's record stays until the machine is gone, so that its agent is not taken in anew."""
         key, ordinary = keys.machine(machine.id), cluster_keys.machine(machine.id)
--- a/crossmill/net/client.py
+++ b/crossmill/net/client.py
@@ -12,11 +12,11 @@
 END = h11.EndOfMessage()
 
 
-class Unreached(Exception):
+class ConnectionFailedError(Exception):
     """No connection was made: the request was certainly not executed."""
 
 
-class Unanswered(Exception):
+class NoResponseError(Exception):
     """No answer came: the request might have been executed, or might still be."""
 
 
@@ -26,7 +26,7 @@
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
-        """The status and body of the answer; raises Unreached or Unanswered."""
+        """The status and body of the answer; raises ConnectionFailedError or NoResponseError."""
         ...
 
 
@@ -48,16 +48,16 @@
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
-        """The status and body of the answer; raises Unreached or Unanswered."""
+        """The status and body of the answer; raises ConnectionFailedError or NoResponseError."""
         sent = [False]
         try:
             async with curio.timeout_after(timeout_s):
                 return await self._request(method, path, body, sent)
         except curio.TaskTimeout as exc:
-            error = Unanswered if sent[0] else Unreached
+            error = NoResponseError if sent[0] else ConnectionFailedError
             raise error(f"{self._host} {method} {path}: timed out") from exc
         except (OSError, h11.ProtocolError) as exc:
-            error = Unanswered if sent[0] else Unreached
+            error = NoResponseError if sent[0] else ConnectionFailedError
             raise error(f"{self._host} {method} {path}: {exc!r}") from exc
 
     async def _request(
--- a/crossmill/recovery/api.py
+++ b/crossmill/recovery/api.py
@@ -8,9 +8,9 @@
 from ..net.clock import Clock
 from ..net.server import Request, Response
 from ..settings import Settings
-from ..state.follower import Follower
-from ..state.writer import Intent, Writer, WriteRank, WriteResult
-from ..wire.checks import Malformed
+from ..state.watcher import StateWatcher
+from ..state.writer import WriteIntent, Writer, WriteRank, WriteResult
+from ..wire.checks import MalformedMessageError
 from ..wire.recovery import (
     APPROVE_PATH,
     RECOVERY_PATH,
@@ -39,7 +39,7 @@
         recovery: RecoverySettings,
         clock: Clock,
         cluster: ClusterState,
-        follower: Follower,
+        watcher: StateWatcher,
         writer: Writer,
         service: RecoveryService,
     ) -> None:
@@ -47,7 +47,7 @@
         self._recovery = recovery
         self._clock = clock
         self._cluster = cluster
-        self._follower = follower
+        self._watcher = watcher
         self._writer = writer
         self.service = service
 
@@ -60,7 +60,7 @@
         return Response(404, error_body("no such path"))
 
     async def _is_current(self) -> bool:
-        return await self._follower.sync(self._settings.submission_timeout_s)
+        return await self._watcher.sync(self._settings.submission_timeout_s)
 
     async def _show(self) -> Response:
         if not await self._is_current():
@@ -87,7 +87,7 @@
     async def _approve(self, request: Request) -> Response:
         try:
             approval = parse_approval(request.body)
-        except Malformed as exc:
+        except MalformedMessageError as exc:
             return Response(400, error_body(str(exc)))
         if not await self._is_current():
             return UNAVAILABLE
@@ -105,7 +105,7 @@
         }
         txn = Txn(conditions, [Put(keys.approval(approval.shard), encode_approval(stored))])
         until = self._clock.now() + self._settings.submission_timeout_s
-        result = await self._writer.commit(Intent(txn, WriteRank.URGENT, until=until))
+        result = await self._writer.commit(WriteIntent(txn, WriteRank.URGENT, until=until))
         if result == WriteResult.EXPIRED:
             return UNAVAILABLE
         return Response(200) if result == WriteResult.OK else NOT_BRAKED
--- a/crossmill/recovery/service.py
+++ b/crossmill/recovery/service.py
@@ -13,7 +13,7 @@
 from ..jobs.shard_writes import shard_intent
 from ..net.clock import Clock
 from ..settings import Settings
-from ..state.follower import Follower
+from ..state.watcher import StateWatcher
 from ..state.writer import Writer, WriteRank, WriteResult
 from ..wire.recovery import PhaseReport
 from ..wire.state import Put, Txn
@@ -37,7 +37,7 @@
         clock: Clock,
         cluster: ClusterState,
         membership: Membership,
-        follower: Follower,
+        watcher: StateWatcher,
         writer: Writer,
         priority: Callable[[str], int],
     ) -> None:
@@ -46,7 +46,7 @@
         self._clock = clock
         self._cluster = cluster
         self._membership = membership
-        self._follower = follower
+        self._watcher = watcher
         self._writer = writer
         self._priority = priority
         self._shards: dict[int, ShardRecovery] = {}
@@ -135,7 +135,7 @@
     async def _look(self, recovery: ShardRecovery, shard: int, own: Owned) -> None:
         if recovery.needs_read:
             sent = self._clock.now()
-            if await self._follower.sync(self._settings.lease_renewal_interval_s):
+            if await self._watcher.sync(self._settings.lease_renewal_interval_s):
                 recovery.read_at = sent
         self._take_approval(recovery)
         await self._note_brake(recovery, shard, own)
--- a/crossmill/recovery/settings.py
+++ b/crossmill/recovery/settings.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..settings import BadSettings, Settings
+from ..settings import Settings, SettingsError
 from ..settings.loader import read_toml
 from ..settings.table import Table
 
@@ -80,13 +80,13 @@
 
 
 def parse(data: dict[str, Any], settings: Settings) -> RecoverySettings:
-    """Reads the table; raises BadSettings with the name of the field that is wrong."""
+    """Reads the table; raises SettingsError with the name of the field that is wrong."""
     Table(data, "").expect_only("recovery")
     table = Table(data, "").table("recovery")
     table.expect_only(*FIELDS)
     share = table.number("brake_share", 0, 0.2)
     if share > 1:
-        raise BadSettings("recovery.brake_share: a number from 0 to 1 is needed")
+        raise SettingsError("recovery.brake_share: a number from 0 to 1 is needed")
     return RecoverySettings(
         # what an order leads to is written: faster than that nothing is gained
         orders_per_s=table.number("orders_per_s", 0.1, settings.lowest_state_limits.write_rps),
@@ -105,5 +105,5 @@
 
 
 def load(path: str, settings: Settings) -> RecoverySettings:
-    """Reads and checks the file; raises BadSettings."""
+    """Reads and checks the file; raises SettingsError."""
     return parse(read_toml(path), settings)
--- a/crossmill/settings/__init__.py
+++ b/crossmill/settings/__init__.py
@@ -3,14 +3,14 @@
 from .limits import StateLimits
 from .loader import load, parse
 from .model import Endpoint, Objective, Peer, Settings, Team
-from .table import BadSettings
+from .table import SettingsError
 
 __all__ = [
-    "BadSettings",
     "Endpoint",
     "Objective",
     "Peer",
     "Settings",
+    "SettingsError",
     "StateLimits",
     "Team",
     "load",
--- a/crossmill/settings/loader.py
+++ b/crossmill/settings/loader.py
@@ -5,13 +5,13 @@
 
 from .limits import StateLimits
 from .model import Objective, Peer, Settings, Team
-from .table import BadSettings, Table
+from .table import SettingsError, Table
 
 KIB = 1024
 
 
 def parse(data: dict[str, Any]) -> Settings:
-    """The settings from the file's table; raises BadSettings with the field's name."""
+    """The settings from the file's table; raises SettingsError with the field's name."""
     top = Table(data, "")
     params = top.table("settings")
     external = top.table("external")
@@ -43,7 +43,7 @@
         ram_mb=limits.number("ram_mb", 1),
     )
     if len(set(settings.labels)) != settings.controller_count:
-        raise BadSettings("members: labels must differ from one another and from label")
+        raise SettingsError("members: labels must differ from one another and from label")
     return settings
 
 
@@ -79,16 +79,16 @@
 
 
 def load(path: str) -> Settings:
-    """Reads and checks the settings file; raises BadSettings."""
+    """Reads and checks the settings file; raises SettingsError."""
     return parse(read_toml(path))
 
 
 def read_toml(path: str) -> dict[str, Any]:
-    """The file's table; raises BadSettings with the reason if it can't be read."""
+    """The file's table; raises SettingsError with the reason if it can't be read."""
     try:
         with open(path, "rb") as file:
             return tomllib.load(file)
     except OSError as exc:
-        raise BadSettings(f"{path}: {exc.strerror}") from exc
+        raise SettingsError(f"{path}: {exc.strerror}") from exc
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as exc:
-        raise BadSettings(f"{path}: not TOML: {exc}") from exc
+        raise SettingsError(f"{path}: not TOML: {exc}") from exc
--- a/crossmill/settings/table.py
+++ b/crossmill/settings/table.py
@@ -6,7 +6,7 @@
 from .model import Endpoint
 
 
-class BadSettings(ValueError):
+class SettingsError(ValueError):
     """The settings can't be used; the text names the field."""
 
 
@@ -15,7 +15,7 @@
 
     def __init__(self, data: Any, where: str) -> None:
         if not isinstance(data, dict):
-            raise BadSettings(f"{where or 'file'}: a table is needed")
+            raise SettingsError(f"{where or 'file'}: a table is needed")
         self.data = data
         self.where = where
 
@@ -30,14 +30,14 @@
         """A list of tables; none if the field is absent."""
         rows = self.data.get(field, [])
         if not isinstance(rows, list):
-            raise BadSettings(f"{self._name(field)}: a list of tables is needed")
+            raise SettingsError(f"{self._name(field)}: a list of tables is needed")
         return [Table(r, f"{self._name(field)}[{i}]") for i, r in enumerate(rows)]
 
     def text(self, field: str) -> str:
         """A non-empty string."""
         value = self.data.get(field)
         if not isinstance(value, str) or not value:
-            raise BadSettings(f"{self._name(field)}: a non-empty string is needed")
+            raise SettingsError(f"{self._name(field)}: a non-empty string is needed")
         return value
 
     def number(self, field: str, low: float, default: float | None = None) -> float:
@@ -45,14 +45,14 @@
         value = self.data.get(field, default)
         ok = isinstance(value, int | float) and not isinstance(value, bool)
         if not ok or not math.isfinite(value) or value < low:
-            raise BadSettings(f"{self._name(field)}: a number of at least {low:g} is needed")
+            raise SettingsError(f"{self._name(field)}: a number of at least {low:g} is needed")
         return float(value)
 
     def flag(self, field: str, default: bool) -> bool:
         """True or false."""
         value = self.data.get(field, default)
         if not isinstance(value, bool):
-            raise BadSettings(f"{self._name(field)}: true or false is needed")
+            raise SettingsError(f"{self._name(field)}: true or false is needed")
         return value
 
     def expect_only(self, *fields: str) -> None:
@@ -60,7 +60,7 @@
         is a mistake, and what it was to change would stay as it is."""
         for field in self.data:
             if field not in fields:
-                raise BadSettings(
+                raise SettingsError(
                     f"{self._name(field)}: not a field, those are {', '.join(fields)}"
                 )
 
@@ -68,12 +68,12 @@
         """An address in the form HOST:PORT."""
         host, _, port = self.text(field).rpartition(":")
         if not host or not port.isdigit() or not 0 < int(port) < 65536:
-            raise BadSettings(f"{self._name(field)}: HOST:PORT is needed")
+            raise SettingsError(f"{self._name(field)}: HOST:PORT is needed")
         return Endpoint(host, int(port))
 
     def texts(self, field: str) -> tuple[str, ...]:
         """A list of non-empty strings."""
         value = self.data.get(field)
         if not isinstance(value, list) or not all(isinstance(v, str) and v for v in value):
-            raise BadSettings(f"{self._name(field)}: a list of strings is needed")
+            raise SettingsError(f"{self._name(field)}: a list of strings is needed")
         return tuple(value)
--- a/crossmill/state/client.py
+++ b/crossmill/state/client.py
@@ -4,34 +4,34 @@
 
 import orjson
 
-from ..net.client import Client, Http, Unanswered, Unreached
+from ..net.client import Client, ConnectionFailedError, Http, NoResponseError
 from ..net.clock import Clock
 from ..settings import Settings
 from ..wire import state as wire
 
 
-class Refused(Exception):
+class RequestRefusedError(Exception):
     """Not executed: an outage, a rate limit, or no connection."""
 
 
-class OutcomeUnknown(Exception):
+class OutcomeUnknownError(Exception):
     """No answer: it might have been executed, or might still be."""
 
 
-class Compacted(Exception):
+class ChangesCompactedError(Exception):
     """The changes asked for are no longer kept; the keys must be read again."""
 
 
-class TooLarge(Exception):
+class TransactionTooLargeError(Exception):
     """Not executed, and never will be: beyond the state service's limits."""
 
 
-class NoLease(Exception):
+class LeaseExpiredError(Exception):
     """The lease has ended."""
 
 
 @dataclass(slots=True, eq=False)
-class Outcome:
+class TransactionResult:
     """A transaction's revision, and the keys whose conditions failed."""
 
     revision: int
@@ -39,7 +39,8 @@
 
 
 class StateClient:
-    """Calls one state service; raises Refused or OutcomeUnknown where no answer can be relied
+    """Calls one state service; raises RequestRefusedError or OutcomeUnknownError where no answer
+    can be relied
     on."""
 
     def __init__(self, settings: Settings, clock: Clock, http: Http | None = None) -> None:
@@ -81,33 +82,33 @@
         http = self._http if timeout_s is None else self._watch_http
         try:
             status, data = await http.request(method, path, body, timeout_s or self._timeout_s)
-        except Unreached as exc:
+        except ConnectionFailedError as exc:
             self._note(False)
-            raise Refused(str(exc)) from exc
-        except Unanswered as exc:
+            raise RequestRefusedError(str(exc)) from exc
+        except NoResponseError as exc:
             self._note(False)
-            raise OutcomeUnknown(str(exc)) from exc
+            raise OutcomeUnknownError(str(exc)) from exc
         if status in (429, 503):
             self._note(status == 429)
-            raise Refused(f"{method} {path}: {status}")
+            raise RequestRefusedError(f"{method} {path}: {status}")
         self._note(True)
         return status, data
 
-    async def get(self, key: str) -> wire.Row | None:
+    async def get(self, key: str) -> wire.KeyValue | None:
         """A key with its value and version; None if it does not exist."""
         status, data = await self._call("GET", wire.key_path(key))
-        return wire.parse_row(orjson.loads(data)) if status == 200 else None
+        return wire.parse_key_value(orjson.loads(data)) if status == 200 else None
 
-    async def read_all(self, prefix: str) -> tuple[list[wire.Row], int]:
+    async def read_all(self, prefix: str) -> tuple[list[wire.KeyValue], int]:
         """Every key under the prefix. The revision is the first page's: later pages may hold
         newer values, and the changes after it bring the rest up to date."""
-        rows: list[wire.Row] = []
+        rows: list[wire.KeyValue] = []
         revision = -1
         after = ""
         while True:
             status, data = await self._call("GET", wire.list_path(prefix, after))
             if status != 200:
-                raise Refused(f"list: {status}")
+                raise RequestRefusedError(f"list: {status}")
             page, more, rev = wire.parse_list(orjson.loads(data))
             rows.extend(page)
             revision = rev if revision < 0 else revision
@@ -115,39 +116,40 @@
                 return rows, revision
             after = page[-1].key
 
-    async def txn(self, txn: wire.Txn) -> Outcome:
-        """Sends a transaction; raises NoLease or TooLarge as well."""
+    async def txn(self, txn: wire.Txn) -> TransactionResult:
+        """Sends a transaction; raises LeaseExpiredError or TransactionTooLargeError as well."""
         status, data = await self._call("POST", wire.TXN_PATH, wire.txn_body(txn))
         if status in (200, 409):
-            return Outcome(*wire.parse_txn(status, orjson.loads(data)))
+            return TransactionResult(*wire.parse_txn(status, orjson.loads(data)))
         if status == 400 and b"lease" in data:
-            raise NoLease
+            raise LeaseExpiredError
         if status == 400:
-            raise TooLarge(f"txn: {data[:200]!r}")
-        raise Refused(f"txn: {status} {data[:200]!r}")
+            raise TransactionTooLargeError(f"txn: {data[:200]!r}")
+        raise RequestRefusedError(f"txn: {status} {data[:200]!r}")
 
     async def changes(self, prefix: str, after: int, wait_s: float) -> tuple[int, list[wire.Event]]:
-        """The changes after a revision, waited for; raises Compacted if they are no longer kept."""
+        """The changes after a revision, waited for; raises ChangesCompactedError if they are no
+        longer kept."""
         path = wire.changes_path(prefix, after, int(wait_s * 1000))
         timeout_s = wait_s + self._timeout_s if wait_s else None
         status, data = await self._call("GET", path, timeout_s=timeout_s)
         if status == 410:
-            raise Compacted
+            raise ChangesCompactedError
         if status != 200:
-            raise Refused(f"changes: {status}")
+            raise RequestRefusedError(f"changes: {status}")
         return wire.parse_changes(orjson.loads(data))
 
-    async def hold(self, ttl_s: float) -> int:
+    async def acquire_lease(self, ttl_s: float) -> int:
         """A new lease."""
-        status, data = await self._call("POST", wire.HOLDS_PATH, wire.hold_body(ttl_s))
+        status, data = await self._call("POST", wire.LEASES_PATH, wire.acquire_lease_body(ttl_s))
         if status != 200:
-            raise Refused(f"hold: {status}")
-        return wire.parse_hold(orjson.loads(data))
+            raise RequestRefusedError(f"hold: {status}")
+        return wire.parse_acquired_lease(orjson.loads(data))
 
-    async def renew(self, lease: int) -> None:
-        """Renews a lease; raises NoLease if it has ended."""
-        status, _ = await self._call("POST", wire.renew_path(lease))
+    async def renew_lease(self, lease: int) -> None:
+        """Renews a lease; raises LeaseExpiredError if it has ended."""
+        status, _ = await self._call("POST", wire.renew_lease_path(lease))
         if status == 404:
-            raise NoLease
+            raise LeaseExpiredError
         if status != 200:
-            raise Refused(f"renew: {status}")
+            raise RequestRefusedError(f"renew: {status}")
--- a/crossmill/state/mirror.py
+++ b/crossmill/state/mirror.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..wire.state import Event, Row
+from ..wire.state import Event, KeyValue
 
 
 @dataclass(slots=True, eq=False)
@@ -60,7 +60,7 @@
         self._entries[key] = Entry(value, version)
         self._tell(key, value, version)
 
-    def learned(self, row: Row) -> None:
+    def merge_read(self, row: KeyValue) -> None:
         """A key read by itself. The answer may be older than what has been seen since: a key of
         a revision already seen that is not here was deleted, and must not come back."""
         if row.version > self.revision:
@@ -87,7 +87,7 @@
             self.revision = revision
             self._gone = {k: v for k, v in self._gone.items() if v > revision}
 
-    def replace(self, revision: int, rows: list[Row]) -> None:
+    def replace(self, revision: int, rows: list[KeyValue]) -> None:
         """A full reading as of this revision (rows may be newer)."""
         self.readings += 1
         present = {row.key for row in rows}
--- a/crossmill/state/follower.py
+++ b/crossmill/state/watcher.py
@@ -8,14 +8,14 @@
 from ..net.clock import Clock
 from ..net.future import Future
 from ..settings import Settings
-from ..wire.state import Event, Row
-from .client import Compacted, OutcomeUnknown, Refused, StateClient
+from ..wire.state import Event, KeyValue
+from .client import ChangesCompactedError, OutcomeUnknownError, RequestRefusedError, StateClient
 from .mirror import Mirror
 
 log = logging.getLogger(__name__)
 
 
-def brought_up_to_date(rows: list[Row], events: list[Event]) -> list[Row]:
+def brought_up_to_date(rows: list[KeyValue], events: list[Event]) -> list[KeyValue]:
     """A reading's rows with the changes since its first page: later pages hold some already."""
     by_key = {row.key: row for row in rows}
     for event in events:
@@ -25,11 +25,11 @@
         if event.deleted:
             by_key.pop(event.key, None)
         else:
-            by_key[event.key] = Row(event.key, event.value, event.version)
+            by_key[event.key] = KeyValue(event.key, event.value, event.version)
     return list(by_key.values())
 
 
-class Follower:
+class StateWatcher:
     """A long watch brings changes soon; a sync is a watch that does not wait, and what it
     returns was current after it was sent: it serves all who asked before that."""
 
@@ -69,7 +69,7 @@
             try:
                 revision, events = await self._client.changes(self._prefix, first, 0.0)
                 break
-            except Compacted:
+            except ChangesCompactedError:
                 log.info("reading took too long, begun anew keys=%d revision=%d", len(rows), first)
         rows = brought_up_to_date(rows, events)
         self._mirror.replace(revision, rows)
@@ -88,7 +88,7 @@
     def _note_current(self, sent: float) -> None:
         self.current_at = max(sent, self.current_at or sent)
 
-    def current_within(self, span_s: float) -> bool:
+    def is_current_within(self, span_s: float) -> bool:
         """Whether all that was durable so long ago is known. A renewal that succeeds is no sign
         of it: the lease may stand where no read has come through for long."""
         at = self.current_at
@@ -103,7 +103,7 @@
             try:
                 revision, events = await self._client.changes(self._prefix, after, wait_s)
                 break
-            except Compacted:
+            except ChangesCompactedError:
                 # whoever waits for a sync may have asked after the reading was begun: only the
                 # changes asked for after it show all that was durable then
                 await self._reload(after)
@@ -120,7 +120,7 @@
             try:
                 await self._step(self._watch_s)
                 await curio.sleep(self._pause_s)
-            except (Refused, OutcomeUnknown) as exc:
+            except (RequestRefusedError, OutcomeUnknownError) as exc:
                 log.debug("watch failed error=%s", exc)
                 await curio.sleep(2 * self._pause_s)
 
@@ -134,7 +134,7 @@
             try:
                 await self._step(0.0)
                 current = True
-            except (Refused, OutcomeUnknown) as exc:
+            except (RequestRefusedError, OutcomeUnknownError) as exc:
                 log.debug("sync failed error=%s", exc)
                 current = False
             for future in waiting:
--- a/crossmill/state/writer.py
+++ b/crossmill/state/writer.py
@@ -13,7 +13,14 @@
 from ..net.pacer import Pacer
 from ..settings import Settings, StateLimits
 from ..wire.state import Txn
-from .client import NoLease, Outcome, OutcomeUnknown, Refused, StateClient, TooLarge
+from .client import (
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    RequestRefusedError,
+    StateClient,
+    TransactionResult,
+    TransactionTooLargeError,
+)
 from .mirror import Mirror
 
 log = logging.getLogger(__name__)
@@ -43,7 +50,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Intent:
+class WriteIntent:
     """Changes that stand or fall together. `holds` is asked right before each sending: None
     means not now, False never again."""
 
@@ -96,7 +103,7 @@
         # users and leases do not wait for a share of the rate that others leave unused
         self._overdraft = settings.urgent_write_burst
         self._retry_s = settings.lease_renewal_interval_s / 4
-        self._queue: list[Intent] = []
+        self._queue: list[WriteIntent] = []
         self._busy: set[str] = set()
         self._flying = 0
         self._wake = curio.Event()
@@ -119,13 +126,13 @@
         """How many intents wait."""
         return len(self._queue)
 
-    async def submit(self, intent: Intent) -> None:
+    async def submit(self, intent: WriteIntent) -> None:
         """Queues the intent; what becomes of it is told by its future."""
         self._queue.append(intent)
         self._queue.sort(key=lambda i: i.rank)
         await self._wake.set()
 
-    async def commit(self, intent: Intent) -> WriteResult:
+    async def commit(self, intent: WriteIntent) -> WriteResult:
         """Submits the intent and waits for what becomes of it."""
         await self.submit(intent)
         return WriteResult(await intent.future.wait())
@@ -145,11 +152,11 @@
                 await curio.ignore_after(nap_s, self._wake.wait)
             self._wake.clear()
 
-    async def _pick(self) -> tuple[list[Intent], float | None]:
+    async def _pick(self) -> tuple[list[WriteIntent], float | None]:
         """The next batch, or how long to wait for one (None: until something happens)."""
         if not self._queue or self._flying >= IN_FLIGHT:
             return [], None
-        batch: list[Intent] = []
+        batch: list[WriteIntent] = []
         keys: set[str] = set()
         conditions: dict[str, int] = {}
         ops = size = 0
@@ -199,7 +206,7 @@
                 self._queue.remove(intent)
         return batch, nap_s
 
-    async def _send(self, batch: list[Intent]) -> None:
+    async def _send(self, batch: list[WriteIntent]) -> None:
         try:
             await self._try(batch)
         finally:
@@ -208,7 +215,7 @@
                 self._busy -= intent.keys()
             await self._wake.set()
 
-    async def _try(self, batch: list[Intent]) -> None:
+    async def _try(self, batch: list[WriteIntent]) -> None:
         txn = Txn()
         for intent in batch:
             txn.conditions.update(intent.txn.conditions)
@@ -216,28 +223,28 @@
             txn.deletes.extend(intent.txn.deletes)
         try:
             outcome = await self._client.txn(txn)
-        except Refused as exc:
+        except RequestRefusedError as exc:
             log.debug("write refused error=%s", exc)
             if "429" in str(exc):
                 self._pacer.drain()
             await curio.sleep(self._retry_s)
             self._queue[:0] = batch
-        except OutcomeUnknown as exc:
+        except OutcomeUnknownError as exc:
             # the same conditions make a repeat harmless: one of the two does nothing
             log.info("write unanswered error=%s", exc)
             for intent in batch:
                 intent.outcome_unknown = True
             await curio.sleep(self._retry_s)
             self._queue[:0] = batch
-        except TooLarge as exc:
+        except TransactionTooLargeError as exc:
             await self._split(batch, exc)
-        except NoLease:
+        except LeaseExpiredError:
             for intent in batch:
                 await intent.future.settle(WriteResult.CONFLICT)
         else:
             await self._settle(batch, outcome)
 
-    async def _split(self, batch: list[Intent], exc: TooLarge) -> None:
+    async def _split(self, batch: list[WriteIntent], exc: TransactionTooLargeError) -> None:
         """The limits were lowered: what went together is tried apart, what is too large by
         itself is given back to be planned anew, and never repeated as it is."""
         self._lowest = self._announced
@@ -250,13 +257,13 @@
         log.error("write too large keys=%s error=%s", sorted(batch[0].keys())[:3], exc)
         await batch[0].future.settle(WriteResult.CONFLICT)
 
-    async def _settle(self, batch: list[Intent], outcome: Outcome) -> None:
+    async def _settle(self, batch: list[WriteIntent], outcome: TransactionResult) -> None:
         if not outcome.failed:
             for intent in batch:
                 await self._applied(intent, outcome.revision)
             return
         failed = set(outcome.failed)
-        again: list[Intent] = []
+        again: list[WriteIntent] = []
         for intent in batch:
             intent.failed = [k for k in intent.txn.conditions if k in failed]
             if not intent.failed:
@@ -267,14 +274,14 @@
                 await intent.future.settle(WriteResult.CONFLICT)
         self._queue[:0] = again
 
-    async def _applied(self, intent: Intent, revision: int) -> None:
+    async def _applied(self, intent: WriteIntent, revision: int) -> None:
         for put in intent.txn.puts:
             self._mirror.written(put.key, put.value, revision)
         for key in intent.txn.deletes:
             self._mirror.deleted(key, revision)
         await intent.future.settle(WriteResult.OK)
 
-    async def _was_applied(self, intent: Intent) -> bool:
+    async def _was_applied(self, intent: WriteIntent) -> bool:
         """After a lost answer the repeat's conditions fail when the first was executed: what
         stands in the store tells."""
         while True:
@@ -282,12 +289,12 @@
                 rows = [await self._client.get(p.key) for p in intent.txn.puts]
                 gone = [await self._client.get(k) for k in intent.txn.deletes]
                 break
-            except (Refused, OutcomeUnknown):
+            except (RequestRefusedError, OutcomeUnknownError):
                 await curio.sleep(self._retry_s)
         for row in rows:
             # others may have written on top; what is read here is newer than what was known
             if row is not None:
-                self._mirror.learned(row)
+                self._mirror.merge_read(row)
         if any(gone):
             return False
         for row, put in zip(rows, intent.txn.puts, strict=True):
--- a/crossmill/verbs.py
+++ b/crossmill/verbs.py
@@ -6,12 +6,13 @@
 import orjson
 
 from .client_command import BadUsage, ClientRequest, read_input, run_verb
-from .wire.checks import Malformed, load_object
+from .wire.checks import MalformedMessageError, load_object
 from .wire.users import JOBS_PATH, NEEDS, WITHDRAW
 
 
 def with_needs(body: bytes, needs: Sequence[str]) -> bytes:
-    """A submission that also waits for these jobs; raises Malformed if it is no JSON object."""
+    """A submission that also waits for these jobs; raises MalformedMessageError if it is no JSON
+    object."""
     if not needs:
         return body
     data = load_object(body)
@@ -24,7 +25,7 @@
     if args.verb == "submit":
         try:
             body = with_needs(read_input(args.file), args.after)
-        except Malformed as exc:
+        except MalformedMessageError as exc:
             raise BadUsage(f"{args.file}: {exc}") from exc
         return ClientRequest("POST", JOBS_PATH, body)
     if args.verb == "show":
--- a/crossmill/wire/cloud.py
+++ b/crossmill/wire/cloud.py
@@ -46,7 +46,7 @@
     """The machine types by name."""
     types = data.get("frames")
     if type(types) is not list:
-        raise checks.Malformed("frames: a list is needed")
+        raise checks.MalformedMessageError("frames: a list is needed")
     return {t["sku"]: _machine_type(t) for t in types if type(t) is dict}
 
 
--- a/crossmill/wire/multihost.py
+++ b/crossmill/wire/multihost.py
@@ -129,36 +129,36 @@
 def _check_version(data: dict[str, Any]) -> None:
     version = checks.count(data, "version")
     if version != PROTOCOL_VERSION:
-        raise checks.Malformed(f"version: {PROTOCOL_VERSION} is needed")
+        raise checks.MalformedMessageError(f"version: {PROTOCOL_VERSION} is needed")
 
 
 def _objects(data: dict[str, Any], name: str, most: int) -> list[dict[str, Any]]:
     rows = data.get(name)
     if type(rows) is not list or not all(type(r) is dict for r in rows):
-        raise checks.Malformed(f"{name}: a list of objects is needed")
+        raise checks.MalformedMessageError(f"{name}: a list of objects is needed")
     if len(rows) > most:
-        raise checks.Malformed(f"{name}: {most} at most")
+        raise checks.MalformedMessageError(f"{name}: {most} at most")
     return rows
 
 
 def _object(data: dict[str, Any], name: str) -> dict[str, Any]:
     value = data.get(name)
     if type(value) is not dict:
-        raise checks.Malformed(f"{name}: an object is needed")
+        raise checks.MalformedMessageError(f"{name}: an object is needed")
     return value
 
 
 def _texts(data: dict[str, Any], name: str) -> tuple[str, ...]:
     value = data.get(name, [])
     if type(value) is not list or not all(type(v) is str for v in value):
-        raise checks.Malformed(f"{name}: a list of strings is needed")
+        raise checks.MalformedMessageError(f"{name}: a list of strings is needed")
     return tuple(value)
 
 
 def _ranks(data: dict[str, Any], name: str) -> tuple[int, ...]:
     value = data.get(name, [])
     if type(value) is not list or not all(type(v) is int and v >= 0 for v in value):
-        raise checks.Malformed(f"{name}: a list of ranks is needed")
+        raise checks.MalformedMessageError(f"{name}: a list of ranks is needed")
     return tuple(value)
 
 
@@ -204,7 +204,7 @@
 
 
 def parse_heartbeat(body: bytes) -> Heartbeat:
-    """A heartbeat, checked; raises Malformed."""
+    """A heartbeat, checked; raises MalformedMessageError."""
     data = checks.load_object(body)
     _check_version(data)
     offer = _object(data, "offer")
@@ -252,7 +252,7 @@
     ops = {op.value: op.value for op in Op}
     resources = data.get("resources")
     if type(resources) is not list or len(resources) != 3:
-        raise checks.Malformed("resources: three amounts are needed")
+        raise checks.MalformedMessageError("resources: three amounts are needed")
     peers = tuple(
         PeerAddress(checks.count(p, "rank"), checks.text(p, "address"))
         for p in _objects(data, "peers", checks.U64)
@@ -271,12 +271,12 @@
 
 
 def parse_answer(body: bytes) -> HeartbeatAnswer:
-    """A controller's answer, checked; raises Malformed."""
+    """A controller's answer, checked; raises MalformedMessageError."""
     data = checks.load_object(body)
     _check_version(data)
     proof = _parse_proof(data)
     if proof is None:
-        raise checks.Malformed("proof: an object is needed")
+        raise checks.MalformedMessageError("proof: an object is needed")
     orders = tuple(_parse_order(o) for o in _objects(data, "orders", checks.U64))
     return HeartbeatAnswer(checks.count(data, "token"), proof, orders)
 
@@ -297,7 +297,7 @@
 
 
 def parse_ping(body: bytes) -> Ping:
-    """A ping, checked; raises Malformed."""
+    """A ping, checked; raises MalformedMessageError."""
     data = checks.load_object(body)
     _check_version(data)
     return Ping(
--- a/crossmill/wire/peers.py
+++ b/crossmill/wire/peers.py
@@ -22,7 +22,7 @@
 def _shards(data: dict[str, object]) -> tuple[int, ...]:
     shards = data.get("shards")
     if type(shards) is not list or not all(type(s) is int for s in shards):
-        raise checks.Malformed("shards: a list of numbers is needed")
+        raise checks.MalformedMessageError("shards: a list of numbers is needed")
     return tuple(shards)
 
 
@@ -60,7 +60,7 @@
 def _names(body: bytes, field: str) -> tuple[str, ...]:
     names = checks.load_object(body).get(field)
     if type(names) is not list or not all(type(n) is str for n in names):
-        raise checks.Malformed(f"{field}: a list of names is needed")
+        raise checks.MalformedMessageError(f"{field}: a list of names is needed")
     return tuple(names)
 
 
@@ -83,7 +83,7 @@
     """For how long each machine has certainly not been answered."""
     spans = checks.load_object(body).get("quietS")
     if type(spans) is not list or not all(type(s) in (int, float) and s >= 0 for s in spans):
-        raise checks.Malformed("quietS: a list of times is needed")
+        raise checks.MalformedMessageError("quietS: a list of times is needed")
     return [float(s) for s in spans]
 
 
--- a/crossmill/wire/recovery.py
+++ b/crossmill/wire/recovery.py
@@ -48,11 +48,11 @@
 
 
 def parse_approval(body: bytes) -> Approval:
-    """A request of an operator, checked; raises Malformed."""
+    """A request of an operator, checked; raises MalformedMessageError."""
     data = checks.load_object(body)
     shard = data.get("shard")
     if type(shard) is not int or shard < 0:
-        raise checks.Malformed("shard: a number is needed")
+        raise checks.MalformedMessageError("shard: a number is needed")
     return Approval(shard, checks.text(data, "digest"))
 
 
--- a/crossmill/wire/state.py
+++ b/crossmill/wire/state.py
@@ -8,7 +8,7 @@
 MAX_ROWS = 1000
 
 
-class Row(NamedTuple):
+class KeyValue(NamedTuple):
     """A key with its value and version."""
 
     key: str
@@ -67,9 +67,9 @@
     return f"/keys?prefix={prefix}{cursor}&limit={MAX_ROWS}"
 
 
-def parse_list(data: dict[str, Any]) -> tuple[list[Row], bool, int]:
+def parse_list(data: dict[str, Any]) -> tuple[list[KeyValue], bool, int]:
     """A page of keys, whether there is another, and the revision."""
-    rows = [Row(r["k"], r["data"], r["stamp"]) for r in data["rows"]]
+    rows = [KeyValue(r["k"], r["data"], r["stamp"]) for r in data["rows"]]
     return rows, data["hasNext"] is True, int(data["ledgerRev"])
 
 
@@ -78,9 +78,9 @@
     return f"/keys/{key}"
 
 
-def parse_row(data: dict[str, Any]) -> Row:
+def parse_key_value(data: dict[str, Any]) -> KeyValue:
     """One key with its value and version."""
-    return Row(data["k"], data["data"], data["stamp"])
+    return KeyValue(data["k"], data["data"], data["stamp"])
 
 
 def changes_path(prefix: str, after: int, wait_ms: int) -> str:
@@ -99,20 +99,20 @@
     return int(data["ledgerRev"]), events
 
 
-def hold_body(ttl_s: float) -> bytes:
+def acquire_lease_body(ttl_s: float) -> bytes:
     """A request for a lease."""
     return orjson.dumps({"ttlMs": int(ttl_s * 1000)})
 
 
-def parse_hold(data: dict[str, Any]) -> int:
+def parse_acquired_lease(data: dict[str, Any]) -> int:
     """The new lease."""
     return int(data["tenure"])
 
 
-HOLDS_PATH = "/holds"
+LEASES_PATH = "/holds"
 TXN_PATH = "/txn"
 
 
-def renew_path(lease: int) -> str:
+def renew_lease_path(lease: int) -> str:
     """The path that renews a lease."""
     return f"/holds/{lease}/renew"
--- a/crossmill/wire/users.py
+++ b/crossmill/wire/users.py
@@ -7,7 +7,7 @@
 import orjson
 
 from . import checks
-from .checks import Malformed
+from .checks import MalformedMessageError
 
 MAX_TASKS = 100_000
 JOB_ID = re.compile(r"wk-[0-9]{6,18}\Z")
@@ -58,7 +58,7 @@
 
 
 def parse_submission(data: dict[str, Any]) -> Submission:
-    """A submission, checked; raises Malformed."""
+    """A submission, checked; raises MalformedMessageError."""
     return Submission(parse_spec(data), _parse_needs(data))
 
 
@@ -67,18 +67,18 @@
     if needs is None:
         return ()
     if type(needs) is not list or not all(type(n) is str and is_job_id(n) for n in needs):
-        raise Malformed(f"{NEEDS}: a list of job ids or null is needed")
+        raise MalformedMessageError(f"{NEEDS}: a list of job ids or null is needed")
     return tuple(dict.fromkeys(needs))
 
 
 def parse_spec(data: dict[str, Any]) -> JobSpec:
-    """A job's fields, checked; raises Malformed."""
+    """A job's fields, checked; raises MalformedMessageError."""
     job_id = parse_id(data)
     types = data.get("frames")
     if types is not None and (
         type(types) is not list or not types or not all(type(t) is str and t for t in types)
     ):
-        raise Malformed("frames: a list of machine types or null is needed")
+        raise MalformedMessageError("frames: a list of machine types or null is needed")
     return JobSpec(
         id=job_id,
         job_class=checks.text(data, "grist"),
@@ -104,10 +104,10 @@
 
 
 def parse_id(data: dict[str, Any]) -> str:
-    """The job's id; raises Malformed."""
+    """The job's id; raises MalformedMessageError."""
     job_id = checks.text(data, "nameId")
     if not is_job_id(job_id):
-        raise Malformed("nameId: not in the form of a job id")
+        raise MalformedMessageError("nameId: not in the form of a job id")
     return job_id
 
 
--- a/crossmill/wire/workers.py
+++ b/crossmill/wire/workers.py
@@ -74,7 +74,7 @@
     data = {"sack": sack, "turn": turn, "stage": stage}
     job, _, index = checks.text(data, "sack").rpartition("/")
     if not job or not index.isdigit():
-        raise checks.Malformed("sack: not a task")
+        raise checks.MalformedMessageError("sack: not a task")
     state = checks.one_of(data, "stage", STATES)
     return TaskReport(
         job=job,
@@ -99,14 +99,14 @@
         ]
     except TypeError as exc:
         # a list or an object where a plain value belongs
-        raise checks.Malformed("sacks: a task's fields are plain values") from exc
+        raise checks.MalformedMessageError("sacks: a task's fields are plain values") from exc
 
 
 def parse_report(data: dict[str, Any], read: TaskReader = read_task) -> Report:
-    """A worker's report, checked; raises Malformed."""
+    """A worker's report, checked; raises MalformedMessageError."""
     tasks = data.get("sacks")
     if type(tasks) is not list or not all(type(t) is dict for t in tasks):
-        raise checks.Malformed("sacks: a list is needed")
+        raise checks.MalformedMessageError("sacks: a list is needed")
     return Report(
         machine=checks.text(data, "stone"),
         address=checks.text(data, "address"),
--- a/crossmill/workers/direct.py
+++ b/crossmill/workers/direct.py
@@ -11,9 +11,9 @@
 from ..cluster.cluster_state import ClusterState
 from ..cluster.membership import Membership
 from ..cluster.model import Row
-from ..net.client import Client, Http, Unanswered, Unreached
+from ..net.client import Client, ConnectionFailedError, Http, NoResponseError
 from ..settings import Endpoint, Settings
-from ..wire.checks import Malformed, load_object
+from ..wire.checks import MalformedMessageError, load_object
 from ..wire.workers import COMMANDS_PATH, MAX_ORDERS, Command, direct_body, parse_report
 from .reports import Reports
 
@@ -90,9 +90,9 @@
             status, data = await client.request(
                 "POST", COMMANDS_PATH, body, self._settings.heartbeat_interval_s
             )
-        except Unreached as exc:
+        except ConnectionFailedError as exc:
             log.debug("worker not reached machine=%s error=%s", machine_id, exc)
-        except Unanswered as exc:
+        except NoResponseError as exc:
             log.info("start in doubt machine=%s tasks=%d error=%s", machine_id, len(rows), exc)
             return
         else:
@@ -109,7 +109,7 @@
             return
         try:
             report = parse_report(load_object(data), self._reports.read_task)
-        except Malformed as exc:
+        except MalformedMessageError as exc:
             log.info("odd answer machine=%s error=%s", machine_id, exc)
             return
         self._reports.learn(report)
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -21,12 +21,12 @@
 from crossmill.jobs.api import JobApi
 from crossmill.jobs.record_repair import RecordRepair
 from crossmill.jobs.rounds import Rounds
-from crossmill.net.client import Http, Unreached
+from crossmill.net.client import ConnectionFailedError, Http
 from crossmill.net.server import Request, Response
 from crossmill.settings import Peer
 from crossmill.state.client import StateClient
-from crossmill.state.follower import Follower
 from crossmill.state.mirror import Mirror
+from crossmill.state.watcher import StateWatcher
 from crossmill.state.writer import Writer
 from crossmill.wire import peers
 from crossmill.wire.checks import load_object
@@ -61,7 +61,7 @@
     ) -> tuple[int, bytes]:
         node = self._nodes.get(self._label)
         if node is None or node.cut:
-            raise Unreached(self._label)
+            raise ConnectionFailedError(self._label)
         request = Request(method, path, body)
         asked = path in (peers.QUIET_PATH, peers.ENDING_PATH)
         response = (node.deputies if asked else node.promises).handle(request)
@@ -83,7 +83,7 @@
         if isinstance(self.answer, Exception):
             raise self.answer
         if self.answer is None:
-            raise Unreached("nobody")
+            raise ConnectionFailedError("nobody")
         return self.answer(data)
 
 
@@ -105,9 +105,9 @@
         self.client = StateClient(s, clock, state)
         self.mirror = Mirror()
         self.cluster = ClusterState(self.mirror, s)
-        self.follower = Follower(self.client, self.mirror, clock, keys.ROOT, s)
+        self.watcher = StateWatcher(self.client, self.mirror, clock, keys.ROOT, s)
         # the held clock does not move in it
-        self.follower._pause_s = 0.0
+        self.watcher._pause_s = 0.0
         self.writer = Writer(self.client, self.mirror, clock, s, lambda: self.cluster.limits)
         self.keeper = Keeper(self.client, clock, s)
 
@@ -117,12 +117,12 @@
         shards = OwnedShards()
         self.promises = Promises(s, clock, shards, self.client, line)
         self.membership = Membership(
-            s, clock, self.keeper, self.cluster, self.follower, self.writer, shards, self.promises
+            s, clock, self.keeper, self.cluster, self.watcher, self.writer, shards, self.promises
         )
         self.feature_level = FeatureLevel(
-            s, clock, self.cluster, self.follower, self.writer, self.membership
+            s, clock, self.cluster, self.watcher, self.writer, self.membership
         )
-        self.deputies = Deputies(s, clock, self.cluster, self.keeper, self.follower.sync, line)
+        self.deputies = Deputies(s, clock, self.cluster, self.keeper, self.watcher.sync, line)
         self.reports = Reports(s, clock, self.cluster, self.membership, self.deputies)
         self.forecast = DemandForecast(s, clock, self.cluster)
         self.worker = WorkerLine()
@@ -151,7 +151,7 @@
             lambda: unique,
         )
         self.jobs = JobApi(
-            s, clock, self.cluster, self.follower, self.writer, self.client, self.deputies
+            s, clock, self.cluster, self.watcher, self.writer, self.client, self.deputies
         )
 
         self.record_repair = RecordRepair(
@@ -163,19 +163,19 @@
         if waited:
             self.clock.time += self.settings.lease_extension_grant_s * 1.1
         await curio.spawn(self.writer.run, daemon=True)
-        await curio.spawn(self.follower.run_syncs, daemon=True)
+        await curio.spawn(self.watcher.run_syncs, daemon=True)
         await self.keeper.step()
-        await self.follower.load()
+        await self.watcher.load()
         await self.membership.step()
 
     async def live(self) -> None:
         """What a running controller does all the time: it renews its lease, and reads."""
         await self.keeper.step()
         if not self.keeper.failing:
-            await self.follower.sync(1.0)
+            await self.watcher.sync(1.0)
 
     async def sync(self) -> None:
-        assert await self.follower.sync(1.0)
+        assert await self.watcher.sync(1.0)
 
     async def round(self, shard: int = 0) -> None:
         own = self.membership.acting(shard)
--- a/tests/multihost_pool.py
+++ b/tests/multihost_pool.py
@@ -64,7 +64,7 @@
         clock,
         node.cluster,
         node.membership,
-        node.follower,
+        node.watcher,
         node.writer,
         "process",
     )
--- a/tests/multihost_region.py
+++ b/tests/multihost_region.py
@@ -208,7 +208,7 @@
             self.clock,
             node.cluster,
             node.membership,
-            node.follower,
+            node.watcher,
             node.writer,
             f"process-{self._processes}",
         )
--- a/tests/recovery_region.py
+++ b/tests/recovery_region.py
@@ -32,10 +32,10 @@
     """Gives a controller the package's parts, as the application does."""
     parts = node.settings, recovery, node.clock, node.cluster
     service = RecoveryService(
-        *parts, node.membership, node.follower, node.writer, node.forecast.priority_of
+        *parts, node.membership, node.watcher, node.writer, node.forecast.priority_of
     )
     node.reports.gate = service
-    return RecoveryApi(*parts, node.follower, node.writer, service)
+    return RecoveryApi(*parts, node.watcher, node.writer, service)
 
 
 class RecoveryRegion(Region):
--- a/tests/simulated_links.py
+++ b/tests/simulated_links.py
@@ -6,7 +6,7 @@
 import curio
 import orjson
 
-from crossmill.net.client import Unanswered, Unreached
+from crossmill.net.client import ConnectionFailedError, NoResponseError
 from crossmill.net.server import Request
 from crossmill.wire import peers
 
@@ -31,7 +31,7 @@
         await curio.sleep(HOP_S + region.slow_s)
         if self._label in region.lost:
             await curio.sleep(max(0.0, until - region.clock.now()))
-            raise Unanswered(path)
+            raise NoResponseError(path)
         refuses = region.refused.get(self._label)
         if region.state.down or (refuses is not None and refuses(method, path)):
             return 503, b"{}"
@@ -43,7 +43,7 @@
             else:
                 await curio.spawn(self._late, late_s, method, path, body, daemon=True)
             await curio.sleep(max(0.0, until - region.clock.now()))
-            raise Unanswered(path)
+            raise NoResponseError(path)
         if path.startswith("/changes"):
             return await self._watch(method, path, body)
         status, data = await region.state.request(method, path, body)
@@ -86,10 +86,10 @@
         await curio.sleep(HOP_S)
         node = region.nodes.get(self._label)
         if node is None or {self._source, self._label} & region.apart:
-            raise Unreached(self._label)
+            raise ConnectionFailedError(self._label)
         if region.stands_still(self._label):
             await curio.sleep(timeout_s)
-            raise Unanswered(path)
+            raise NoResponseError(path)
         asked = path in (peers.QUIET_PATH, peers.ENDING_PATH)
         handler = node.deputies if asked else node.promises
         response = handler.handle(Request(method, path, body))
--- a/tests/simulated_worker.py
+++ b/tests/simulated_worker.py
@@ -6,7 +6,7 @@
 import curio
 import orjson
 
-from crossmill.net.client import Unanswered
+from crossmill.net.client import NoResponseError
 from crossmill.wire.checks import load_object
 
 from .standins import beat
@@ -34,7 +34,7 @@
                 # carried out when the machine goes on, if token and session still match
                 worker.held.append(load_object(body))
             await curio.sleep(timeout_s)
-            raise Unanswered(path)
+            raise NoResponseError(path)
         return worker.command(load_object(body))
 
 
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -123,14 +123,14 @@
         self._begun += 1
         unique = f"process-{self._begun}"
         node = Node(self.lines[label], self.clock, self.nodes, label, self.cloud, connect, unique)
-        node.follower._pause_s = 4 / node.settings.state_request_rate
+        node.watcher._pause_s = 4 / node.settings.state_request_rate
         node.direct.connect = lambda endpoint: WorkerLink(
             next(w for w in self.workers.values() if 20000 + w.number == endpoint.port)
         )
         parts: list[Callable[[], Awaitable[None]]] = [
             node.keeper.run,
-            node.follower.run,
-            node.follower.run_syncs,
+            node.watcher.run,
+            node.watcher.run_syncs,
             node.writer.run,
             node.membership.run,
             node.feature_level.run,
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from crossmill.net.client import Unanswered, Unreached
+from crossmill.net.client import ConnectionFailedError, NoResponseError
 from crossmill.net.clock import Clock
 from crossmill.settings import Settings, StateLimits, parse
 from crossmill.wire.users import JobSpec, parse_spec
@@ -171,14 +171,14 @@
         if self.script.get(parts.path):
             action = self.script[parts.path].pop(0)
         if action == "drop":
-            raise Unanswered(path)
+            raise NoResponseError(path)
         if action == "refuse":
-            raise Unreached(path)
+            raise ConnectionFailedError(path)
         if self.down:
             return 503, b"{}"
         status, answer = self._serve(method, parts.path, parse_qs(parts.query), body)
         if action == "lose":
-            raise Unanswered(path)
+            raise NoResponseError(path)
         return status, orjson.dumps(answer)
 
     def _serve(
@@ -317,7 +317,7 @@
             self.requests[name] = [f"n-{first + i:06d}" for i in range(data["number"])]
             self.machines.update((m, data) for m in self.requests[name])
         if action == "lose":
-            raise Unanswered(path)
+            raise NoResponseError(path)
         return 200, orjson.dumps({"stones": self.requests[name]})
 
 
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -11,7 +11,7 @@
 from crossmill.cluster.records import encode_end, encode_job
 from crossmill.net.server import Response
 from crossmill.verbs import with_needs
-from crossmill.wire.checks import Malformed, load_object
+from crossmill.wire.checks import MalformedMessageError, load_object
 from crossmill.wire.users import parse_submission
 
 from .harness import RECORD_BYTES, Node, add_job, play, seed
@@ -57,7 +57,7 @@
     assert parse_submission(submission()).needs == ()
     assert parse_submission(submission(awaits=[B, C, B])).needs == (B, C)
     for bad in ("wk-000002", ["x"], [1], {"a": 1}, [None], [[B]]):
-        with pytest.raises(Malformed):
+        with pytest.raises(MalformedMessageError):
             parse_submission(submission(awaits=bad))
 
 
@@ -65,7 +65,7 @@
     body = with_needs(orjson.dumps(submission(awaits=[B])), [C])
     assert parse_submission(load_object(body)).needs == (B, C)
     assert with_needs(b"as it is", []) == b"as it is"
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessageError):
         with_needs(b"[]", [C])
 
 
--- a/tests/test_deputies.py
+++ b/tests/test_deputies.py
@@ -5,9 +5,9 @@
 from crossmill.cluster import keys
 from crossmill.cluster.model import CANCELLED
 from crossmill.cluster.records import encode_end
-from crossmill.net.client import Unreached
+from crossmill.net.client import ConnectionFailedError
 from crossmill.net.server import Request, Response
-from crossmill.state.writer import Intent, WriteResult
+from crossmill.state.writer import WriteIntent, WriteResult
 from crossmill.wire import peers
 from crossmill.wire.state import Put, Txn
 from crossmill.wire.workers import Command
@@ -23,7 +23,7 @@
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
-        raise Unreached(path)
+        raise ConnectionFailedError(path)
 
 
 class Story:
@@ -303,7 +303,7 @@
         await again.boot(waited=False)
         assert job.spec is not None
         put = Put("cm/j/wk-000001", encode_end(CANCELLED, job.spec, 0.0, RECORD_BYTES))
-        late = Intent(Txn({"cm/j/wk-000001": job.version, **rests}, [put]))
+        late = WriteIntent(Txn({"cm/j/wk-000001": job.version, **rests}, [put]))
         assert await it.owner.writer.commit(late) == WriteResult.CONFLICT
 
     play_settled(story)
--- a/tests/test_derivation.py
+++ b/tests/test_derivation.py
@@ -17,9 +17,9 @@
 from crossmill.cluster.model import ACTIVE, CANCELLED, DONE, Job
 from crossmill.cluster.records import encode_archived, encode_end, encode_job
 from crossmill.state.client import StateClient
-from crossmill.state.follower import Follower
 from crossmill.state.mirror import Mirror
-from crossmill.wire.state import Row
+from crossmill.state.watcher import StateWatcher
+from crossmill.wire.state import KeyValue
 
 from .harness import RECORD_BYTES
 from .standins import FakeClock, StateService, make_settings, make_spec
@@ -184,14 +184,14 @@
         state.put(keys.LEVEL, encode_level(Level(1, 512, SEGMENT)))
         client = StateClient(settings, clock, state)
 
-        async def fresh() -> tuple[Mirror, ClusterState, Follower]:
+        async def fresh() -> tuple[Mirror, ClusterState, StateWatcher]:
             mirror = Mirror()
             cluster = ClusterState(mirror, settings)
-            follower = Follower(client, mirror, clock, keys.ROOT, settings)
-            await follower.load()
-            return mirror, cluster, follower
+            watcher = StateWatcher(client, mirror, clock, keys.ROOT, settings)
+            await watcher.load()
+            return mirror, cluster, watcher
 
-        mirror, cluster, follower = await fresh()
+        mirror, cluster, watcher = await fresh()
         writers = Writers(state, lots)
         for _ in range(STEPS):
             before = state.revision
@@ -203,7 +203,7 @@
                 state.compact()
             if kind < 0.6:
                 continue
-            await follower._step(0.0)
+            await watcher._step(0.0)
             _, scratch, _ = await fresh()
             assert _derived(cluster) == _derived(scratch)
 
@@ -217,4 +217,4 @@
             if lots.random() < 0.5:
                 mirror.written(name, value, version)
             else:
-                mirror.learned(Row(name, value, version))
+                mirror.merge_read(KeyValue(name, value, version))
--- a/tests/test_multihost_decisions.py
+++ b/tests/test_multihost_decisions.py
@@ -49,8 +49,8 @@
 from crossmill.multihost.serving import ServingLeases, all_alive_at
 from crossmill.multihost.sets import PREEMPTED, plan_set
 from crossmill.multihost.settings import MultihostSettings, load, parse
-from crossmill.settings import BadSettings, Endpoint
-from crossmill.wire.checks import Malformed
+from crossmill.settings import Endpoint, SettingsError
+from crossmill.wire.checks import MalformedMessageError
 from crossmill.wire.multihost import (
     Heartbeat,
     HeartbeatAnswer,
@@ -392,7 +392,7 @@
 )
 def test_a_malformed_heartbeat_is_refused(field: str, value: Any) -> None:
     data = orjson.loads(heartbeat_body(BEAT)) | {field: value}
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessageError):
         parse_heartbeat(orjson.dumps(data))
 
 
@@ -428,7 +428,7 @@
 )
 def test_a_wrong_setting_is_named(field: str, value: Any) -> None:
     table = {"port_offset": 10, field: value}
-    with pytest.raises(BadSettings, match=field):
+    with pytest.raises(SettingsError, match=field):
         parse({"multihost": {k: v for k, v in table.items() if v is not None}}, make_settings())
 
 
--- a/tests/test_multihost_loopback.py
+++ b/tests/test_multihost_loopback.py
@@ -7,7 +7,7 @@
 import curio
 
 from crossmill.multihost.service import MultihostService
-from crossmill.net.client import Client, Unanswered, Unreached
+from crossmill.net.client import Client, ConnectionFailedError, NoResponseError
 from crossmill.net.server import Request, Response, Server
 from crossmill.settings import Endpoint
 from crossmill.wire.multihost import HEARTBEAT_PATH, PING_PATH
@@ -65,7 +65,7 @@
         client = self._clients.setdefault(endpoint, Client(endpoint, max_sockets=16))
         try:
             return await client.request("POST", path, body, FAST.answer_timeout_s)
-        except (Unreached, Unanswered):
+        except (ConnectionFailedError, NoResponseError):
             return None
 
     async def deliver_heartbeat(
--- a/tests/test_multihost_service.py
+++ b/tests/test_multihost_service.py
@@ -206,7 +206,7 @@
             clock,
             node.cluster,
             node.membership,
-            node.follower,
+            node.watcher,
             node.writer,
             "late",
         )
--- a/tests/test_recovery_decisions.py
+++ b/tests/test_recovery_decisions.py
@@ -25,8 +25,8 @@
 )
 from crossmill.recovery.differences import Difference, classify_machine_tasks
 from crossmill.recovery.phases import TRANSITIONS, IllegalTransition, Phase, check_transition
-from crossmill.settings import BadSettings
-from crossmill.wire.checks import Malformed
+from crossmill.settings import SettingsError
+from crossmill.wire.checks import MalformedMessageError
 from crossmill.wire.recovery import Approval, approval_body, parse_approval
 from crossmill.wire.workers import Command
 
@@ -274,7 +274,7 @@
     ],
 )
 def test_a_bad_field_is_named(field: str, value: object) -> None:
-    with pytest.raises(BadSettings, match=f"recovery.{field}"):
+    with pytest.raises(SettingsError, match=f"recovery.{field}"):
         recovery_settings(**{field: value})
 
 
@@ -285,7 +285,7 @@
 
 @pytest.mark.parametrize("body", [b"{}", b'{"shard":-1,"digest":"a"}', b'{"shard":0}', b"["])
 def test_a_bad_approval_is_refused(body: bytes) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessageError):
         parse_approval(body)
     approval = Approval(2, "ab")
     assert parse_approval(approval_body(approval)) == approval
--- a/tests/test_safety.py
+++ b/tests/test_safety.py
@@ -5,8 +5,8 @@
 
 from crossmill.cluster import keys
 from crossmill.cluster.model import Row
-from crossmill.net.client import Unanswered
-from crossmill.state.writer import Intent, WriteResult
+from crossmill.net.client import NoResponseError
+from crossmill.state.writer import WriteIntent, WriteResult
 from crossmill.wire.state import Put, Txn
 from crossmill.wire.workers import Command
 from crossmill.workers.findings import StopReason
@@ -150,7 +150,7 @@
         job = add_job(state, clock, sacks=1)
         node = Node(state, clock, nodes)
         await node.boot()
-        node.worker.answer = Unanswered("held back")
+        node.worker.answer = NoResponseError("held back")
         token = node.token()
         node.report("n-0", 1, 1, token)
         await node.round()
@@ -314,11 +314,11 @@
         node = Node(state, clock, nodes)
         await node.boot()
         state.script["/txn"] = ["lose"]
-        mine = Intent(Txn({"cm/x": 0}, [Put("cm/x", {"a": 1.0})]))
+        mine = WriteIntent(Txn({"cm/x": 0}, [Put("cm/x", {"a": 1.0})]))
         assert await node.writer.commit(mine) == WriteResult.OK
         assert state.calls.count(("GET", "/keys/cm/x")) == 1
         state.script["/txn"] = ["drop"]
-        other = Intent(Txn({"cm/y": 0}, [Put("cm/y", {"a": 1})]))
+        other = WriteIntent(Txn({"cm/y": 0}, [Put("cm/y", {"a": 1})]))
         state.put("cm/y", {"a": 2})
         assert await node.writer.commit(other) == WriteResult.CONFLICT
 
@@ -332,7 +332,7 @@
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = Node(state, clock, nodes)
         await node.boot()
-        mine = Intent(Txn({"cm/x": 0}, [Put("cm/x", {"a": 1})]))
+        mine = WriteIntent(Txn({"cm/x": 0}, [Put("cm/x", {"a": 1})]))
         state.script["/txn"] = ["lose"]
         await node.writer.submit(mine)
         while not state.keys.get("cm/x"):
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -17,7 +17,7 @@
 from crossmill.net.request_heads import RequestHeads
 from crossmill.planning.rooms import Room
 from crossmill.settings import Team
-from crossmill.state.writer import Intent, WriteRank, WriteResult
+from crossmill.state.writer import WriteIntent, WriteRank, WriteResult
 from crossmill.wire import checks
 from crossmill.wire.checks import load_object
 from crossmill.wire.state import Put, Txn
@@ -154,12 +154,12 @@
         await node.boot()
         clock.time += 2
         node.writer.allot(1.0)
-        intents = [Intent(Txn({}, [Put(f"cm/x/{n}", n)]), WriteRank.URGENT) for n in range(5)]
+        intents = [WriteIntent(Txn({}, [Put(f"cm/x/{n}", n)]), WriteRank.URGENT) for n in range(5)]
         for intent in intents:
             await node.writer.submit(intent)
         assert [await i.future.wait(1.0) for i in intents] == [WriteResult.OK] * 5
         # lesser writes wait until the debt is paid
-        late = Intent(Txn({}, [Put("cm/x/late", 0)]))
+        late = WriteIntent(Txn({}, [Put("cm/x/late", 0)]))
         await node.writer.submit(late)
         assert await late.future.wait(0.05) is None
 
@@ -189,7 +189,9 @@
         node.writer.allot(1.0)
         node.writer._pacer.spend(100.0)
         for number in range(3):
-            await node.writer.submit(Intent(Txn({}, [Put(f"cm/x/{number}", 0)]), WriteRank.URGENT))
+            await node.writer.submit(
+                WriteIntent(Txn({}, [Put(f"cm/x/{number}", 0)]), WriteRank.URGENT)
+            )
         own = node.membership.owned[0]
         key = keys.shard(0)
         task = await curio.spawn(node.membership._commit, Txn({key: own.version}, [], [key]))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -4,7 +4,7 @@
 import pytest
 
 from crossmill.cli import main
-from crossmill.settings import BadSettings, parse
+from crossmill.settings import SettingsError, parse
 
 from .standins import make_settings, settings_table
 
@@ -25,7 +25,7 @@
     ],
 )
 def test_bad_settings_name_the_field(change: dict[str, Any], field: str) -> None:
-    with pytest.raises(BadSettings, match=field.replace("[", r"\[")):
+    with pytest.raises(SettingsError, match=field.replace("[", r"\[")):
         parse(settings_table(**change))
 
 
--- a/tests/test_start_compiles_nothing.py
+++ b/tests/test_start_compiles_nothing.py
@@ -17,7 +17,7 @@
 import pytest
 import tomli_w
 
-from crossmill.net.client import Client, Unanswered, Unreached
+from crossmill.net.client import Client, ConnectionFailedError, NoResponseError
 from crossmill.settings import Endpoint
 from crossmill.wire.users import JOBS_PATH
 from crossmill.wire.workers import REPORT_PATH
@@ -129,7 +129,7 @@
         assert time.monotonic() < deadline, f"{path}: {status}"
         try:
             status, _ = await client.request(method, path, body, 2.0)
-        except (Unreached, Unanswered) as exc:
+        except (ConnectionFailedError, NoResponseError) as exc:
             status = repr(exc)
         await curio.sleep(RETRY_S)
 
--- a/tests/test_unseen_changes.py
+++ b/tests/test_unseen_changes.py
@@ -13,8 +13,8 @@
 from crossmill.cluster.model import CANCELLED, DONE
 from crossmill.cluster.records import encode_end
 from crossmill.state.client import StateClient
-from crossmill.state.follower import Follower
 from crossmill.state.mirror import Mirror
+from crossmill.state.watcher import StateWatcher
 from crossmill.wire.checks import load_object
 from crossmill.workers.findings import StopReason
 
@@ -164,11 +164,11 @@
         settings = make_settings()
         client = StateClient(settings, clock, _PageTurner(state, change))
         mirror = Mirror()
-        follower = Follower(client, mirror, clock, keys.ROOT, settings)
+        watcher = StateWatcher(client, mirror, clock, keys.ROOT, settings)
         if not is_first:
             mirror.revision = 0
-            follower.current_at = clock.now()
-        await follower.load()
+            watcher.current_at = clock.now()
+        await watcher.load()
         at_revision = {name: value for name, (value, _, _) in state.keys.items()}
         assert mirror.revision == state.revision
         assert {name: mirror.value(name) for name in at_revision} == at_revision
@@ -187,7 +187,7 @@
         state.put(keys.ROOT + "y", 1)
         state.compact()
         readings = node.mirror.readings
-        watch = await curio.spawn(node.follower._step, 0.0)
+        watch = await curio.spawn(node.watcher._step, 0.0)
         await node.sync()
         await watch.join()
         assert node.mirror.value(keys.ROOT + "y") == 1
@@ -205,7 +205,7 @@
         state.put(keys.ROOT + "x", 1)
         state.compact()
         for turns in range(30):
-            watch = await curio.spawn(node.follower._step, 0.0)
+            watch = await curio.spawn(node.watcher._step, 0.0)
             for _ in range(turns):
                 await curio.sleep(0)
             state.put(keys.ROOT + "x", 2 + turns)
@@ -351,7 +351,7 @@
         clock.time += 100
         await node.keeper.step()
         await curio.spawn(node.writer.run, daemon=True)
-        await node.follower.load()
+        await node.watcher.load()
 
         async def announced_meanwhile(timeout_s: float) -> bool:
             await node.membership._announce()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -10,8 +10,8 @@
 from crossmill.cluster.layout import PlanLayout
 from crossmill.cluster.level import Level, encode_level
 from crossmill.cluster.records import decode_job, encode_chunk, encode_end, encode_job
-from crossmill.settings import BadSettings, StateLimits, parse
-from crossmill.state.writer import Intent, WriteResult
+from crossmill.settings import SettingsError, StateLimits, parse
+from crossmill.state.writer import WriteIntent, WriteResult
 from crossmill.wire.state import Put, Txn
 
 from .harness import RECORD_BYTES, Node, add_job, add_machine, play, seed
@@ -350,7 +350,7 @@
     assert (lowest.value_bytes, lowest.txn_ops, lowest.write_rps) == (32 * 1024, 6, 60.0)
     for bad in ({"value_kb": 0}, {"txn_ops": -1}, {"write_rps": "fast"}, 7):
         table["settings"]["state"]["next"] = bad
-        with pytest.raises(BadSettings, match=r"settings\.state\.next"):
+        with pytest.raises(SettingsError, match=r"settings\.state\.next"):
             parse(table)
 
 
@@ -378,8 +378,8 @@
         # the pacer's bucket is full again
         clock.time += 2
         state.limits = StateLimits(100, 40, 2048, 2)
-        intents = [Intent(Txn({}, [Put(f"cm/x/{n}", n)])) for n in range(5)]
-        large = Intent(Txn({}, [Put("cm/x/large", "y" * 3000)]))
+        intents = [WriteIntent(Txn({}, [Put(f"cm/x/{n}", n)])) for n in range(5)]
+        large = WriteIntent(Txn({}, [Put("cm/x/large", "y" * 3000)]))
         for intent in (*intents, large):
             await node.writer.submit(intent)
         assert [await i.future.wait() for i in intents] == [WriteResult.OK] * 5
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from crossmill.wire.checks import Malformed, load_object
+from crossmill.wire.checks import MalformedMessageError, load_object
 from crossmill.wire.users import parse_submission
 from crossmill.wire.workers import (
     MAX_ORDERS,
@@ -39,7 +39,7 @@
     ],
 )
 def test_invalid_fields_are_malformed(change: dict[str, Any]) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessageError):
         parse_submission(submission(**change))
 
 
@@ -47,7 +47,7 @@
 def test_missing_fields_are_malformed(field: str) -> None:
     data = submission()
     del data[field]
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessageError):
         parse_submission(data)
 
 
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize("body", [b"", b"{", b"[]", b'"x"', b'{"cpus": NaN}', b"\xff{}"])
 def test_bodies_that_are_no_objects(body: bytes) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessageError):
         load_object(body)
 
 
@@ -92,5 +92,5 @@
     kept = parse_report(load_object(beat("n-0", 1, 1, 1, task)), read)
     again = parse_report(load_object(beat("n-0", 1, 2, 1, task)), read)
     assert again.tasks[0] is kept.tasks[0]
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessageError):
         parse_report(load_object(beat("n-0", 1, 3, 1, {**task, **change})), read)
