--- a/crossmill/cluster/cluster_state.py
+++ b/crossmill/cluster/cluster_state.py
@@ -10,7 +10,7 @@
 from .dependencies import DependencyGraph
 from .layout import ChunkRange, PlanLayout
 from .level import Level, decode_level
-from .model import ACTIVE, Chunk, Job, Machine, Row, Shard
+from .model import ACTIVE, Job, Machine, PlanChunk, PlannedAttempt, Shard
 from .records import decode_chunk, decode_job
 
 
@@ -51,7 +51,7 @@
         self.ending: dict[str, tuple[int, float]] = {}
         self.leader: str | None = None
         self.catalog: dict[str, MachineType] = {}
-        self._orphans: dict[str, dict[tuple[str, int], Row]] = {}
+        self._orphans: dict[str, dict[tuple[str, int], PlannedAttempt]] = {}
         mirror.listen(self._on_key)
 
     def _on_key(self, key: str, value: Any, version: int) -> None:
@@ -208,11 +208,11 @@
                 self.over[job.shard].setdefault(job.id, job)
 
     def _recount(self, job: Job, sign: int) -> None:
-        for row in job.rows():
-            self._use(job, row, sign)
+        for attempt in job.attempts():
+            self._use(job, attempt, sign)
 
-    def _use(self, job: Job, row: Row, sign: int) -> None:
-        machine = self.machines.get(row.machine)
+    def _use(self, job: Job, attempt: PlannedAttempt, sign: int) -> None:
+        machine = self.machines.get(attempt.machine)
         if machine is None or job.spec is None:
             return
         machine.changes += 1
@@ -234,8 +234,8 @@
             return
         used = {
             job.spec.image
-            for row in machine.rows.values()
-            if (job := self.jobs.get(row.job)) is not None and job.spec is not None
+            for attempt in machine.attempts.values()
+            if (job := self.jobs.get(attempt.job)) is not None and job.spec is not None
         }
         newest = next(reversed(machine.images))
         for image in list(machine.images):
@@ -277,52 +277,54 @@
             del job.staged[name]
             self._replace_chunk(job, name, chunk)
 
-    def _segments(self, chunks: dict[str, Chunk], legacy: ChunkRange) -> list[tuple[str, Chunk]]:
+    def _segments(
+        self, chunks: dict[str, PlanChunk], legacy: ChunkRange
+    ) -> list[tuple[str, PlanChunk]]:
         return [
             (name, chunk)
             for name, chunk in chunks.items()
             if name != legacy.name and legacy.first <= chunk.first < legacy.end
         ]
 
-    def _replace_chunk(self, job: Job, name: str, new: Chunk | None) -> None:
+    def _replace_chunk(self, job: Job, name: str, new: PlanChunk | None) -> None:
         old = job.chunks.get(name)
-        old_rows = old.rows if old else {}
-        new_rows = new.rows if new else {}
-        job.planned += len(new_rows) - len(old_rows)
+        old_attempts = old.attempts if old else {}
+        new_attempts = new.attempts if new else {}
+        job.planned += len(new_attempts) - len(old_attempts)
         job.finished += (new.done if new else 0).bit_count() - (old.done if old else 0).bit_count()
-        for task, row in old_rows.items():
-            if new_rows.get(task) != row:
-                self._use(job, row, -1)
-                self._place(row, False)
-        for task, row in new_rows.items():
-            if old_rows.get(task) != row:
-                self._place(row, True)
-                self._use(job, row, 1)
+        for task, attempt in old_attempts.items():
+            if new_attempts.get(task) != attempt:
+                self._use(job, attempt, -1)
+                self._place(attempt, False)
+        for task, attempt in new_attempts.items():
+            if old_attempts.get(task) != attempt:
+                self._place(attempt, True)
+                self._use(job, attempt, 1)
         if new is None:
             job.chunks.pop(name, None)
         else:
             job.chunks[name] = new
 
-    def _place(self, row: Row, on: bool) -> None:
-        machine = self.machines.get(row.machine)
-        rows = machine.rows if machine else self._orphans.setdefault(row.machine, {})
+    def _place(self, attempt: PlannedAttempt, on: bool) -> None:
+        machine = self.machines.get(attempt.machine)
+        attempts = machine.attempts if machine else self._orphans.setdefault(attempt.machine, {})
         if on:
-            rows[row.job, row.index] = row
+            attempts[attempt.job, attempt.index] = attempt
         else:
-            rows.pop((row.job, row.index), None)
-            if machine is None and not rows:
-                del self._orphans[row.machine]
+            attempts.pop((attempt.job, attempt.index), None)
+            if machine is None and not attempts:
+                del self._orphans[attempt.machine]
 
-    def orphans(self) -> Iterator[Row]:
+    def orphans(self) -> Iterator[PlannedAttempt]:
         """Rows whose machine's record is gone: it was released, with all that was on it."""
-        for rows in self._orphans.values():
-            yield from rows.values()
+        for attempts in self._orphans.values():
+            yield from attempts.values()
 
     def zones_of(self, job: Job) -> dict[str, int]:
         """Where the job's tasks are, those in doubt included."""
         zones: dict[str, int] = {}
-        for row in job.rows():
-            machine = self.machines.get(row.machine)
+        for attempt in job.attempts():
+            machine = self.machines.get(attempt.machine)
             if machine is not None:
                 zones[machine.zone] = zones.get(machine.zone, 0) + 1
         return zones
@@ -332,8 +334,8 @@
         if old is not None:
             self.machines_of[old.shard].pop(machine_id, None)
         if value is None:
-            if old is not None and old.rows:
-                self._orphans[machine_id] = old.rows
+            if old is not None and old.attempts:
+                self._orphans[machine_id] = old.attempts
             return
         machine = Machine(
             machine_id,
@@ -352,6 +354,6 @@
             machine.images = old.images
         self.machines[machine_id] = machine
         self.machines_of[machine.shard][machine_id] = machine
-        machine.rows = old.rows if old else self._orphans.pop(machine_id, {})
-        for row in machine.rows.values():
-            self._use(self._job(row.job), row, 1)
+        machine.attempts = old.attempts if old else self._orphans.pop(machine_id, {})
+        for attempt in machine.attempts.values():
+            self._use(self._job(attempt.job), attempt, 1)
--- a/crossmill/cluster/model.py
+++ b/crossmill/cluster/model.py
@@ -8,34 +8,41 @@
 
 ACTIVE, DONE, CANCELLED = "", "done", "cancelled"
 
-# a job, the index of a task, and the number of one of its attempts
-Attempt = tuple[str, int, int]
+
+class AttemptId(NamedTuple):
+    """What tells one attempt of a task from all others."""
+
+    job: str
+    task_index: int
+    number: int
 
 
 @dataclass(slots=True)
-class Row:
-    """A task planned onto a machine: perhaps there, until proved gone."""
+class PlannedAttempt:
+    """An attempt of a task that a durable plan puts on a machine.
+
+    It may or may not run there: it holds its place until it is proved to have ended."""
 
     job: str
     index: int
-    attempt: int
+    number: int
     machine: str
     session: int
 
     @property
-    def key(self) -> Attempt:
-        """What tells this attempt from all others."""
-        return self.job, self.index, self.attempt
+    def id(self) -> AttemptId:
+        """The attempt's identity."""
+        return AttemptId(self.job, self.index, self.number)
 
 
 @dataclass(slots=True)
-class Chunk:
+class PlanChunk:
     """A stretch of a job's tasks, `first` its lowest index: `done` is a bitmap of those that are
     done, `next` the next attempt number."""
 
     next: int = 1
     done: int = 0
-    rows: dict[int, Row] = field(default_factory=dict)
+    attempts: dict[int, PlannedAttempt] = field(default_factory=dict)
     version: int = 0
     first: int = 0
 
@@ -59,9 +66,9 @@
     unmet: set[str] = field(default_factory=set)
     # when the last job that it needs was done; the submission if it needs none
     ready_at: float = 0.0
-    chunks: dict[str, Chunk] = field(default_factory=dict)
+    chunks: dict[str, PlanChunk] = field(default_factory=dict)
     # copies of larger chunks in smaller ones, in force once the larger chunk is deleted
-    staged: dict[str, Chunk] = field(default_factory=dict)
+    staged: dict[str, PlanChunk] = field(default_factory=dict)
     # of all chunks, kept as they change: every round asks for them of every job
     finished: int = 0
     planned: int = 0
@@ -93,20 +100,20 @@
             return self.spec.tasks if self.spec else 0
         return self.finished
 
-    def row_count(self) -> int:
+    def planned_count(self) -> int:
         """How many tasks are planned onto machines."""
         return self.planned
 
-    def rows(self) -> Iterator[Row]:
+    def attempts(self) -> Iterator[PlannedAttempt]:
         """All planned tasks."""
         for chunk in self.chunks.values():
-            yield from chunk.rows.values()
+            yield from chunk.attempts.values()
 
     def waiting_count(self) -> int:
         """Tasks that wait for room; those of a job that waits for other jobs do not."""
         if self.spec is None or self.end != ACTIVE or self.unmet:
             return 0
-        return self.spec.tasks - self.done_count() - self.row_count()
+        return self.spec.tasks - self.done_count() - self.planned_count()
 
 
 @dataclass(slots=True, eq=False)
@@ -130,7 +137,7 @@
     cpus: float = 0.0
     gpus: float = 0.0
     memory_gb: float = 0.0
-    rows: dict[tuple[str, int], Row] = field(default_factory=dict)
+    attempts: dict[tuple[str, int], PlannedAttempt] = field(default_factory=dict)
     images: dict[str, float] = field(default_factory=dict)
     # raised with each change of what its tasks use and of its images
     changes: int = 0
--- a/crossmill/cluster/records.py
+++ b/crossmill/cluster/records.py
@@ -10,7 +10,7 @@
 import orjson
 
 from ..wire.users import JobSpec
-from .model import ACTIVE, Chunk, Job, Row
+from .model import ACTIVE, Job, PlanChunk, PlannedAttempt
 
 
 class JobRecord(NamedTuple):
@@ -107,13 +107,13 @@
     return {"end": job.end, "done": job.done_count()}
 
 
-def encode_chunk(chunk: Chunk) -> dict[str, Any]:
+def encode_chunk(chunk: PlanChunk) -> dict[str, Any]:
     """A chunk of a job's plan."""
-    rows = [[r.index, r.attempt, r.machine, r.session] for r in chunk.rows.values()]
+    rows = [[r.index, r.number, r.machine, r.session] for r in chunk.attempts.values()]
     return {"next": chunk.next, "done": f"{chunk.done:x}", "rows": rows}
 
 
-def decode_chunk(job_id: str, value: dict[str, Any], version: int, first: int) -> Chunk:
+def decode_chunk(job_id: str, value: dict[str, Any], version: int, first: int) -> PlanChunk:
     """A chunk whose lowest task is `first`."""
-    rows = {r[0]: Row(job_id, *r) for r in value["rows"]}
-    return Chunk(value["next"], int(value["done"], 16), rows, version, first)
+    rows = {r[0]: PlannedAttempt(job_id, *r) for r in value["rows"]}
+    return PlanChunk(value["next"], int(value["done"], 16), rows, version, first)
--- a/crossmill/fleet/forecast.py
+++ b/crossmill/fleet/forecast.py
@@ -109,7 +109,7 @@
         room.gpus -= machine.gpus
         room.memory_gb -= machine.memory_gb
         room.images = dict(machine.images)
-        room.used = bool(machine.rows)
+        room.used = bool(machine.attempts)
         room.narrow = self.narrow(machine.zone)
         shares = self._gpu_shares()
         room.typical, room.bound = shares.typical, shares.bound_to(room)
@@ -267,7 +267,7 @@
 
     def _coming_free(self, shard: int) -> int:
         return sum(
-            job.row_count()
+            job.planned_count()
             for job in self._cluster.active[shard].values()
             if job.spec is not None and job.spec.kind == "array"
         )
@@ -332,8 +332,8 @@
             if r.machine != machine.id and (r.used or r.price / r.size < own.price / own.size)
         ]
         moving: dict[str, int] = {}
-        for row in machine.rows.values():
-            moving[row.job] = moving.get(row.job, 0) + 1
+        for attempt in machine.attempts.values():
+            moving[attempt.job] = moving.get(attempt.job, 0) + 1
         jobs = [self._cluster.jobs[job_id] for job_id in moving]
         # in the order in which the round after the stops will place them
         for job in sorted(jobs, key=self.queue_place):
--- a/crossmill/fleet/leader.py
+++ b/crossmill/fleet/leader.py
@@ -86,7 +86,7 @@
             if kind is None:
                 continue
             entry = groups.setdefault((machine.shard, machine.type, machine.spot), [0.0] * 6)
-            empty, load = not machine.rows, machine.cpus / kind.cpus
+            empty, load = not machine.attempts, machine.cpus / kind.cpus
             shown: tuple[float, ...]
             shown = (1.0, float(not machine.up), float(empty), load, machine.gpus, kind.gpus)
             for i, value in enumerate(shown):
--- a/crossmill/fleet/room_cache.py
+++ b/crossmill/fleet/room_cache.py
@@ -54,7 +54,7 @@
             self._entries[machine.id] = _Entry(machine, machine.changes, kind, room)
             self._drop_gone()
             return room
-        entry.room.used = bool(machine.rows)
+        entry.room.used = bool(machine.attempts)
         return entry.room
 
     def _drop_gone(self) -> None:
--- a/crossmill/jobs/cancellation.py
+++ b/crossmill/jobs/cancellation.py
@@ -92,7 +92,7 @@
         return {
             keys.plan(job.id, name): chunk.version
             for name, chunk in job.chunks.items()
-            if chunk.rows
+            if chunk.attempts
         }
 
     async def _note(self, job_id: str, version: int) -> None:
@@ -119,7 +119,7 @@
     def _zones(self, job: Job) -> set[str]:
         """Where tasks of the job are, or may be before its end is durable."""
         zones = {zone for zone, number in self._cluster.zones_of(job).items() if number}
-        if any(row.machine not in self._cluster.machines for row in job.rows()):
+        if any(attempt.machine not in self._cluster.machines for attempt in job.attempts()):
             zones.update(self._settings.zones)
         if job.waiting_count() and job.spec is not None:
             zones.update((job.spec.zone,) if job.spec.zone else self._settings.zones)
--- a/crossmill/jobs/cleanup.py
+++ b/crossmill/jobs/cleanup.py
@@ -70,10 +70,10 @@
         for name, copy in job.staged.items():
             legacy = layout.legacy_of(copy.first).name
             copied.add(legacy)
-            if not job.chunks[legacy].rows:
+            if not job.chunks[legacy].attempts:
                 yield name, copy.version
         for name, chunk in job.chunks.items():
-            if not chunk.rows and name not in copied:
+            if not chunk.attempts and name not in copied:
                 yield name, chunk.version
 
     def _forget_notes(self, shard: int) -> list[Txn]:
--- a/crossmill/jobs/durable.py
+++ b/crossmill/jobs/durable.py
@@ -7,7 +7,7 @@
 from ..cluster.cluster_state import ClusterState
 from ..cluster.layout import ChunkRange
 from ..cluster.membership import Membership
-from ..cluster.model import DONE, Chunk, Job, Machine, Row
+from ..cluster.model import DONE, Job, Machine, PlanChunk, PlannedAttempt
 from ..cluster.ownership import Owned
 from ..cluster.records import encode_chunk, encode_end
 from ..net.clock import Clock
@@ -27,10 +27,10 @@
 
     job: Job
     chunk: str
-    base: Chunk | None
+    base: PlanChunk | None
     job_version: int
     over: list[Finding] = field(default_factory=list)
-    starts: list[Row] = field(default_factory=list)
+    starts: list[PlannedAttempt] = field(default_factory=list)
     # versions of the records of the machines that the starts are on
     machines: dict[str, int] = field(default_factory=dict)
 
@@ -39,9 +39,9 @@
         """An edit of the chunk as it is known now."""
         return cls(job, chunk, job.chunks.get(chunk), job.version)
 
-    def start(self, row: Row, machine: Machine) -> None:
+    def start(self, attempt: PlannedAttempt, machine: Machine) -> None:
         """Plans an attempt on the machine as it is known now."""
-        self.starts.append(row)
+        self.starts.append(attempt)
         self.machines[machine.id] = machine.version
 
 
@@ -77,7 +77,7 @@
             return None
         old = edit.base
         where = self._cluster.layout.parse(edit.chunk)
-        new = Chunk(old.next, old.done, dict(old.rows)) if old else Chunk()
+        new = PlanChunk(old.next, old.done, dict(old.attempts)) if old else PlanChunk()
         key = keys.plan(job.id, edit.chunk)
         txn = Txn({key: old.version if old else 0})
         if old is None:
@@ -88,9 +88,9 @@
             for machine_id, version in edit.machines.items():
                 txn.conditions[keys.machine(machine_id)] = version
         self._apply_findings(edit, where, own, new, txn)
-        for row in edit.starts:
-            new.rows[row.index] = row
-            new.next = row.attempt + 1
+        for attempt in edit.starts:
+            new.attempts[attempt.index] = attempt
+            new.next = attempt.number + 1
         txn.puts.append(Put(key, encode_chunk(new)))
         finished = False
         if spec is not None and job.is_active and spec.kind != "service":
@@ -102,19 +102,19 @@
         return shard_intent(self._membership, shard, own, rank, txn)
 
     def _apply_findings(
-        self, edit: Edit, where: ChunkRange, own: Owned, new: Chunk, txn: Txn
+        self, edit: Edit, where: ChunkRange, own: Owned, new: PlanChunk, txn: Txn
     ) -> None:
         """Frees the attempts that are over. A finding of another term, of another attempt, or
         whose proof has no room among the conditions frees nothing; it is found again."""
         most = self._cluster.limits.conditions - OTHER_CONDITIONS
         for finding in edit.over:
             rests = {**txn.conditions, **finding.rests}
-            index = finding.row.index
-            is_void = finding.term != own.term or new.rows.get(index) != finding.row
+            index = finding.attempt.index
+            is_void = finding.term != own.term or new.attempts.get(index) != finding.attempt
             if is_void or (finding.rests and len(rests) > most):
                 continue
             txn.conditions = rests
-            del new.rows[index]
+            del new.attempts[index]
             if finding.why == AttemptEnd.DONE:
                 new.done |= 1 << (index - where.first)
 
@@ -142,7 +142,7 @@
             return {keys.plan(job.id, legacy.name): 0}
         return {keys.LEVEL: 0}
 
-    def _all_done(self, job: Job, edit: Edit, new: Chunk) -> bool:
+    def _all_done(self, job: Job, edit: Edit, new: PlanChunk) -> bool:
         assert job.spec is not None
         done = new.done.bit_count()
         done += sum(c.done.bit_count() for n, c in job.chunks.items() if n != edit.chunk)
--- a/crossmill/jobs/failures.py
+++ b/crossmill/jobs/failures.py
@@ -54,7 +54,7 @@
     def record(self, job: Job, finding: Finding) -> None:
         """An attempt of the job is over."""
         entry = self._by_job.setdefault(job.id, JobFailures())
-        machine = finding.row.machine
+        machine = finding.attempt.machine
         if finding.why == AttemptEnd.DONE:
             entry.succeeded = True
             self._by_machine.pop(machine, None)
--- a/crossmill/jobs/guarantees.py
+++ b/crossmill/jobs/guarantees.py
@@ -23,7 +23,7 @@
         """What each team's tasks hold, those in doubt included."""
         used: Use = {}
         for job in (*self._cluster.active[shard].values(), *self._cluster.ended[shard].values()):
-            if job.spec is not None and (count := job.row_count()):
+            if job.spec is not None and (count := job.planned_count()):
                 entry = used.setdefault(job.spec.team, [0.0, 0.0])
                 entry[0] += count * job.spec.cpus
                 entry[1] += count * job.spec.gpus
--- a/crossmill/jobs/lookup.py
+++ b/crossmill/jobs/lookup.py
@@ -16,7 +16,7 @@
 
 def status_of(job: Job) -> bytes:
     """The job's state as every controller derives it from the same records."""
-    running = job.row_count()
+    running = job.planned_count()
     state = job.end or ("running" if running else "queued")
     return wire.status_body(job.id, state, job.done_count(), 0 if job.end else running)
 
--- a/crossmill/jobs/machine_maintenance.py
+++ b/crossmill/jobs/machine_maintenance.py
@@ -174,8 +174,8 @@
         if not view.fresh(now, patience):
             return "silent"
         if self._failures.is_faulty(machine.id):
-            return "faulty" if not machine.rows else ""
-        if machine.rows or view.tasks:
+            return "faulty" if not machine.attempts else ""
+        if machine.attempts or view.tasks:
             view.idle_since = None
         elif view.idle_since is None:
             view.idle_since = now
--- a/crossmill/jobs/outcome_batch.py
+++ b/crossmill/jobs/outcome_batch.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from ..cluster.cluster_state import ClusterState
-from ..cluster.model import ACTIVE, Chunk, Job
+from ..cluster.model import ACTIVE, Job, PlanChunk
 from ..workers.findings import AttemptEnd, Finding, Key
 
 
@@ -18,7 +18,7 @@
 
     job: Job
     name: str
-    chunk: Chunk
+    chunk: PlanChunk
     findings: list[Finding] = field(default_factory=list)
 
     @property
@@ -26,7 +26,7 @@
         """Whether a task has to be placed again, or the chunk's last tasks are over."""
         if self.job.end != ACTIVE:
             return False
-        is_last = len(self.findings) == len(self.chunk.rows)
+        is_last = len(self.findings) == len(self.chunk.attempts)
         return is_last or any(finding.why != AttemptEnd.DONE for finding in self.findings)
 
 
@@ -41,7 +41,7 @@
             continue
         name = cluster.layout.chunk_of(index, job.chunks).name
         chunk = job.chunks.get(name)
-        if chunk is not None and chunk.rows.get(index) == finding.row:
+        if chunk is not None and chunk.attempts.get(index) == finding.attempt:
             entry = news.setdefault((job_id, name), ChunkNews(job, name, chunk))
             entry.findings.append(finding)
     return list(news.values())
--- a/crossmill/jobs/placement.py
+++ b/crossmill/jobs/placement.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 from ..cluster.cluster_state import ClusterState
-from ..cluster.model import Job, Machine, Row
+from ..cluster.model import Job, Machine, PlannedAttempt
 from ..cluster.ownership import Owned
 from ..fleet.forecast import DemandForecast
 from ..net.clock import Clock
@@ -51,7 +51,7 @@
         self.is_unfinished = False
         # of this round: kinds of tasks for which no room is left; rooms only fill up meanwhile
         self._full: set[tuple[object, ...]] = set()
-        self._stops: list[Row] = []
+        self._stops: list[PlannedAttempt] = []
 
     def _usable(self, machine: Machine, own_now: float) -> bool:
         view = self._reports.peek(machine.id)
@@ -76,7 +76,9 @@
         ]
         return self._forecast.cached_rooms(self._room_cache, usable)
 
-    def place(self, shard: int, own: Owned, machines: list[Machine], edits: Edits) -> list[Row]:
+    def place(
+        self, shard: int, own: Owned, machines: list[Machine], edits: Edits
+    ) -> list[PlannedAttempt]:
         """Plans starts of the shard's waiting tasks into `edits`; returns the attempts to be
         stopped to make room, or to empty a machine."""
         self._stops = []
@@ -130,7 +132,7 @@
         if failures is not None and failures.not_before > self._clock.now():
             return
         if failures is not None and failures.is_suspect:
-            wanted = min(wanted, 1 - job.row_count())
+            wanted = min(wanted, 1 - job.planned_count())
         if wanted <= 0:
             return
         zones = Zones(spec, self._cluster.zones_of(job))
@@ -175,7 +177,7 @@
 
     def _whole(self, job: Job, spec: JobSpec, wanted: int, rooms: list[Room]) -> bool:
         """A gang's tasks wait for one another, so they are placed together or not at all."""
-        if job.row_count():
+        if job.planned_count():
             return False
         trial = [replace(room, images=dict(room.images)) for room in rooms]
         zones = Zones(spec, self._cluster.zones_of(job))
@@ -245,7 +247,7 @@
             chunk = job.chunks.get(where.name)
             for index in range(where.first, where.end):
                 if chunk is None or (
-                    index not in chunk.rows and not chunk.done >> (index - where.first) & 1
+                    index not in chunk.attempts and not chunk.done >> (index - where.first) & 1
                 ):
                     result.append(index)
             if len(result) >= layout.legacy_tasks:
@@ -270,7 +272,7 @@
             # a gang's tasks find one another by a common attempt number
             attempt += len(edit.starts)
         machine = self._cluster.machines[machine_id]
-        edit.start(Row(job.id, index, attempt, machine_id, view.session), machine)
+        edit.start(PlannedAttempt(job.id, index, attempt, machine_id, view.session), machine)
         cached = job.spec is not None and job.spec.image in machine.images
         log.info(
             "task placed job=%s task=%d attempt=%d machine=%s cached=%s",
--- a/crossmill/jobs/plan_migration.py
+++ b/crossmill/jobs/plan_migration.py
@@ -12,7 +12,7 @@
 from ..cluster.cluster_state import ClusterState
 from ..cluster.layout import ChunkRange
 from ..cluster.membership import Membership
-from ..cluster.model import ACTIVE, Chunk, Job
+from ..cluster.model import ACTIVE, Job, PlanChunk
 from ..cluster.ownership import Owned
 from ..cluster.records import encode_chunk
 from ..state.writer import WriteIntent, WriteRank
@@ -26,7 +26,7 @@
     """A copy to be written (or deleted, if it holds nothing) where `version` stands now."""
 
     name: str
-    copy: Chunk | None
+    copy: PlanChunk | None
     version: int
 
 
@@ -52,7 +52,7 @@
         for (_, name), job in list(self._cluster.legacy_chunks.items()):
             if len(intents) >= self._cluster.limits.txn_ops:
                 break
-            is_empty = job.end != ACTIVE and not job.chunks[name].rows
+            is_empty = job.end != ACTIVE and not job.chunks[name].attempts
             if job.shard == shard and not is_empty and self.is_due(job, name):
                 intents.append(self._step(job, name, shard, own))
         return intents
@@ -76,7 +76,7 @@
             log.info("plan moved into segments job=%s chunk=%s", job.id, name)
         return shard_intent(self._membership, shard, own, WriteRank.PLACEMENT, txn)
 
-    def _changes(self, job: Job, where: ChunkRange, legacy: Chunk) -> list[_Change]:
+    def _changes(self, job: Job, where: ChunkRange, legacy: PlanChunk) -> list[_Change]:
         """Where the copies differ from what they have to be."""
         wanted = self._copies(where, legacy, job.spec.tasks if job.spec is not None else where.end)
         changes: list[_Change] = []
@@ -91,17 +91,19 @@
                 changes.append(_Change(name, None, staged.version))
         return changes
 
-    def _copies(self, where: ChunkRange, legacy: Chunk, tasks: int) -> dict[str, Chunk]:
+    def _copies(self, where: ChunkRange, legacy: PlanChunk, tasks: int) -> dict[str, PlanChunk]:
         """The legacy chunk cut into segments. Each goes on counting attempts where the whole
         stands, so that no attempt number comes twice."""
         layout = self._cluster.layout
-        copies: dict[str, Chunk] = {}
+        copies: dict[str, PlanChunk] = {}
         index = where.first
         while index < min(where.end, tasks):
             segment = layout.segment_of(index)
             mask = (1 << (segment.end - segment.first)) - 1
             done = legacy.done >> (segment.first - where.first) & mask
-            rows = {i: r for i, r in legacy.rows.items() if segment.first <= i < segment.end}
-            copies[segment.name] = Chunk(legacy.next, done, rows, 0, segment.first)
+            attempts = {
+                i: r for i, r in legacy.attempts.items() if segment.first <= i < segment.end
+            }
+            copies[segment.name] = PlanChunk(legacy.next, done, attempts, 0, segment.first)
             index = segment.end
         return copies
--- a/crossmill/jobs/preemption.py
+++ b/crossmill/jobs/preemption.py
@@ -6,7 +6,7 @@
 from math import inf
 
 from ..cluster.cluster_state import ClusterState
-from ..cluster.model import Job, Machine, Row
+from ..cluster.model import Job, Machine, PlannedAttempt
 from ..cluster.ownership import Owned
 from ..fleet.forecast import DemandForecast
 from ..net.clock import Clock
@@ -86,7 +86,7 @@
 
     def preempt(
         self, job: Job, tasks: int, rooms: list[Room], zones: Zones, used: Use
-    ) -> tuple[list[Row], int]:
+    ) -> tuple[list[PlannedAttempt], int]:
         """Rows to be stopped so that up to this many tasks of the job find room, and how many
         tasks they make room for. `zones` counts what this round has placed already, and takes
         what room is made for."""
@@ -97,7 +97,7 @@
         if not stoppable:
             return [], 0
         beyond = {name: self._guarantees.beyond(name, used) for name in set(stoppable.values())}
-        best: list[tuple[int, bool, float, Room, list[Row]]] = []
+        best: list[tuple[int, bool, float, Room, list[PlannedAttempt]]] = []
         for room in rooms:
             if not allowed(spec, room.type, room.zone, room.spot):
                 continue
@@ -105,10 +105,10 @@
                 continue
             victims = self._victims(spec, room, stoppable)
             if victims is not None:
-                lost = sum(self._lost_s(row) for row in victims)
+                lost = sum(self._lost_s(attempt) for attempt in victims)
                 best.append((room.pins(spec), spec.image not in room.images, lost, room, victims))
         best.sort(key=lambda entry: entry[:3])
-        chosen: list[Row] = []
+        chosen: list[PlannedAttempt] = []
         machines: list[str] = []
         covered = 0
         for _, _, _, room, victims in best:
@@ -124,32 +124,32 @@
             self._claims[job.id] = (
                 now
                 + 2 * self._settings.heartbeat_interval_s
-                + 2 * max((self._spec(row).save_s for row in chosen), default=0.0)
+                + 2 * max((self._spec(attempt).save_s for attempt in chosen), default=0.0)
             )
             for machine in machines:
                 self._reserved[machine] = (job.id, self._claims[job.id])
-        for row in chosen:
+        for attempt in chosen:
             log.info(
                 "task preempted job=%s task=%d machine=%s for=%s",
-                row.job,
-                row.index,
-                row.machine,
+                attempt.job,
+                attempt.index,
+                attempt.machine,
                 job.id,
             )
-            self._reports.request_stop(row, StopReason.PREEMPTED)
+            self._reports.request_stop(attempt, StopReason.PREEMPTED)
         return chosen, covered
 
-    def _spec(self, row: Row) -> JobSpec:
-        spec = self._cluster.jobs[row.job].spec
+    def _spec(self, attempt: PlannedAttempt) -> JobSpec:
+        spec = self._cluster.jobs[attempt.job].spec
         assert spec is not None
         return spec
 
-    def _lost_s(self, row: Row) -> float:
+    def _lost_s(self, attempt: PlannedAttempt) -> float:
         """Run time that stopping this attempt throws away, counting its image anew."""
-        view = self._reports.peek(row.machine)
-        since = view.running_since.get((row.job, row.index)) if view is not None else None
+        view = self._reports.peek(attempt.machine)
+        since = view.running_since.get((attempt.job, attempt.index)) if view is not None else None
         ran = 0.0 if since is None else self._clock.now() - since
-        spec = self._spec(row)
+        spec = self._spec(attempt)
         lost = spec.save_s if 0 < spec.checkpoint_s < ran else ran
         # a start that is stopped this soon was in vain altogether
         return lost + (
@@ -188,48 +188,52 @@
         return result
 
     def _draw(
-        self, victims: list[Row], stoppable: dict[str, str], beyond: dict[str, float]
+        self, victims: list[PlannedAttempt], stoppable: dict[str, str], beyond: dict[str, float]
     ) -> bool:
         """Takes the victims' GPUs off what their teams use beyond their guarantees; false if
         a team would be left with less than its guarantee."""
         drawn: dict[str, float] = {}
-        for row in victims:
-            team = stoppable[row.job]
+        for attempt in victims:
+            team = stoppable[attempt.job]
             if team:
-                drawn[team] = drawn.get(team, 0.0) + self._spec(row).gpus
+                drawn[team] = drawn.get(team, 0.0) + self._spec(attempt).gpus
         if any(gpus > beyond[team] for team, gpus in drawn.items()):
             return False
         for team, gpus in drawn.items():
             beyond[team] -= gpus
         return True
 
-    def _victims(self, spec: JobSpec, room: Room, stoppable: dict[str, str]) -> list[Row] | None:
+    def _victims(
+        self, spec: JobSpec, room: Room, stoppable: dict[str, str]
+    ) -> list[PlannedAttempt] | None:
         """The rows whose end lets one task in, least work lost first; None if there are none."""
         machine = self._cluster.machines.get(room.machine)
         if machine is None:
             return None
-        rows = [
+        attempts = [
             r
-            for r in machine.rows.values()
+            for r in machine.attempts.values()
             if r.job in stoppable and not self._reports.is_stopping(r)
         ]
-        if not rows:
+        if not attempts:
             return None
-        rows.sort(key=self._lost_s)
+        attempts.sort(key=self._lost_s)
         cpus, gpus, memory = room.cpus, room.gpus, room.memory_gb
-        chosen: list[Row] = []
-        for row in rows:
-            victim = self._spec(row)
+        chosen: list[PlannedAttempt] = []
+        for attempt in attempts:
+            victim = self._spec(attempt)
             cpus, gpus = cpus + victim.cpus, gpus + victim.gpus
             memory += victim.memory_gb
-            chosen.append(row)
+            chosen.append(attempt)
             if cpus >= spec.cpus and gpus >= spec.gpus and memory >= spec.memory_gb:
                 return chosen
         return None
 
     # -- emptying machines -----------------------------------------------------------
 
-    def drain(self, shard: int, own: Owned, rooms: Callable[[], list[Room]]) -> Iterator[Row]:
+    def drain(
+        self, shard: int, own: Owned, rooms: Callable[[], list[Room]]
+    ) -> Iterator[PlannedAttempt]:
         """At most one machine at a time is emptied, when its replicas would stand within a
         moment on machines that are kept anyway."""
         now = self._clock.now()
@@ -246,10 +250,10 @@
         if machine is None:
             return
         self.draining[machine.id] = now + 2 * self._settings.worker_lease_s
-        log.info("machine drained machine=%s tasks=%d", machine.id, len(machine.rows))
-        for row in machine.rows.values():
-            self._reports.request_stop(row, StopReason.DRAINED)
-            yield row
+        log.info("machine drained machine=%s tasks=%d", machine.id, len(machine.attempts))
+        for attempt in machine.attempts.values():
+            self._reports.request_stop(attempt, StopReason.DRAINED)
+            yield attempt
 
     def _emptiest(self, shard: int, rooms: list[Room]) -> Machine | None:
         """The machine whose going saves most for each replica moved."""
@@ -259,23 +263,23 @@
             kind = self._cluster.catalog.get(machine.type)
             if (
                 kind is None
-                or not machine.rows
-                or len(machine.rows) > self._settings.max_tasks_to_drain
+                or not machine.attempts
+                or len(machine.attempts) > self._settings.max_tasks_to_drain
             ):
                 continue
-            if all(self._settled(row) for row in machine.rows.values()):
-                by_gain.append((kind.price / len(machine.rows), machine))
+            if all(self._settled(attempt) for attempt in machine.attempts.values()):
+                by_gain.append((kind.price / len(machine.attempts), machine))
         by_gain.sort(key=lambda entry: -entry[0])
         for _, machine in by_gain[:8]:
             if self._forecast.redundant(shard, machine, rooms):
                 return machine
         return None
 
-    def _settled(self, row: Row) -> bool:
+    def _settled(self, attempt: PlannedAttempt) -> bool:
         """A replica that has run for a while; one just begun would count as not started."""
-        view = self._reports.peek(row.machine)
-        since = view.running_since.get((row.job, row.index)) if view is not None else None
-        job = self._cluster.jobs.get(row.job)
+        view = self._reports.peek(attempt.machine)
+        since = view.running_since.get((attempt.job, attempt.index)) if view is not None else None
+        job = self._cluster.jobs.get(attempt.job)
         if since is None or job is None or job.spec is None or job.spec.kind != "service":
             return False
         return self._clock.now() - since > self._settings.replica_settle_time_s
--- a/crossmill/jobs/reassignment.py
+++ b/crossmill/jobs/reassignment.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 
 from ..cluster.cluster_state import ClusterState
-from ..cluster.model import Machine, Row
+from ..cluster.model import Machine, PlannedAttempt
 from ..fleet.forecast import DemandForecast
 from ..net.clock import Clock
 from ..planning.demand import Want, slots_on
@@ -44,7 +44,7 @@
         """The shard that the machine is to go to now: nothing is on it or may come to it."""
         entry = self._going.get(machine.id)
         view = self._reports.peek(machine.id)
-        if entry is None or view is None or machine.rows or view.tasks or machine.retiring:
+        if entry is None or view is None or machine.attempts or view.tasks or machine.retiring:
             return None
         return None if self._reports.unacknowledged.get(machine.id) else entry[0]
 
@@ -61,7 +61,7 @@
         """The machine has gone."""
         self._going.pop(machine_id, None)
 
-    def look(self, shard: int, machines: list[Machine]) -> Iterator[Row]:
+    def look(self, shard: int, machines: list[Machine]) -> Iterator[PlannedAttempt]:
         """Chooses machines to give; yields the attempts to be stopped for it."""
         now = self._clock.now()
         for machine_id, (to, until) in list(self._going.items()):
@@ -80,7 +80,7 @@
 
     def _give(
         self, shard: int, other: int, want: Want, machines: list[Machine], wall: float
-    ) -> Iterator[Row]:
+    ) -> Iterator[PlannedAttempt]:
         now, job = self._clock.now(), self._cluster.jobs[want.spec.id]
         if self._promised.get(job.id, 0.0) > now:
             return
@@ -108,11 +108,11 @@
                     machine.id,
                     other,
                     job.id,
-                    len(machine.rows),
+                    len(machine.attempts),
                 )
-                for row in machine.rows.values():
-                    self._reports.request_stop(row, StopReason.GIVEN)
-                    yield row
+                for attempt in machine.attempts.values():
+                    self._reports.request_stop(attempt, StopReason.GIVEN)
+                    yield attempt
             if left < want.tasks:
                 self._promised[job.id] = now + self._settings.worker_lease_s
                 return
@@ -138,17 +138,19 @@
             kind = self._cluster.catalog.get(machine.type)
             if kind is None or machine.retiring or not machine.up:
                 continue
-            if bool(machine.rows) is not stop or want.zones.open(machine.zone) <= 0:
+            if bool(machine.attempts) is not stop or want.zones.open(machine.zone) <= 0:
                 continue
             if not allowed(spec, machine.type, machine.zone, machine.spot):
                 continue
-            if slots_on(spec, kind) and all(self._lesser(want, r) for r in machine.rows.values()):
+            if slots_on(spec, kind) and all(
+                self._lesser(want, r) for r in machine.attempts.values()
+            ):
                 result.append(machine)
-        result.sort(key=lambda m: len(m.rows))
+        result.sort(key=lambda m: len(m.attempts))
         return result
 
-    def _lesser(self, want: Want, row: Row) -> bool:
-        job = self._cluster.jobs.get(row.job)
+    def _lesser(self, want: Want, attempt: PlannedAttempt) -> bool:
+        job = self._cluster.jobs.get(attempt.job)
         if job is None or job.spec is None or job.spec.kind == "service":
             return False
         return self._forecast.priority(job) > self._forecast.priority(
--- a/crossmill/jobs/record_repair.py
+++ b/crossmill/jobs/record_repair.py
@@ -82,8 +82,8 @@
 
     def _shard_of(self, job: Job) -> int:
         """The shard of the machines that the plan names; the first, if it names none."""
-        for row in job.rows():
-            machine = self._cluster.machines.get(row.machine)
+        for attempt in job.attempts():
+            machine = self._cluster.machines.get(attempt.machine)
             if machine is not None:
                 return machine.shard
         return 0
@@ -96,10 +96,12 @@
         if job.id not in self._cluster.unknown:
             return
         if archived is None:
-            log.error("plan without a job job=%s tasks=%d", job.id, job.row_count())
+            log.error("plan without a job job=%s tasks=%d", job.id, job.planned_count())
             return
         end = str(archived.value["end"])
-        log.warning("plan of an archived job job=%s tasks=%d end=%s", job.id, job.row_count(), end)
+        log.warning(
+            "plan of an archived job job=%s tasks=%d end=%s", job.id, job.planned_count(), end
+        )
         self._cluster.note_archived(job, end, shard)
 
     async def _mend_waiting(self, job: Job, need: str, shard: int, own: Owned) -> None:
--- a/crossmill/jobs/rounds.py
+++ b/crossmill/jobs/rounds.py
@@ -11,7 +11,7 @@
 from ..cluster.cluster_state import ClusterState
 from ..cluster.deputies import Deputies
 from ..cluster.membership import Membership
-from ..cluster.model import Job, Machine, Row
+from ..cluster.model import Job, Machine, PlannedAttempt
 from ..cluster.ownership import Owned
 from ..fleet.forecast import DemandForecast
 from ..net.clock import Clock
@@ -127,7 +127,9 @@
         await self._submit(intents, moves)
         await self._follow_up(intents, starts)
 
-    def _place(self, shard: int, own: Owned, machines: list[Machine], edits: Edits) -> list[Row]:
+    def _place(
+        self, shard: int, own: Owned, machines: list[Machine], edits: Edits
+    ) -> list[PlannedAttempt]:
         """Plans starts into `edits`; returns the attempts to be stopped. Machines to be given are
         chosen before tasks are placed: a start planned in the same round would follow its
         machine to a shard that knows nothing of the job."""
@@ -139,9 +141,9 @@
 
     def _plan_writes(
         self, shard: int, own: Owned, edits: Edits
-    ) -> tuple[list[WriteIntent], dict[int, list[Row]]]:
+    ) -> tuple[list[WriteIntent], dict[int, list[PlannedAttempt]]]:
         """The writes of edited plans and finished jobs, and by write the starts that follow it."""
-        starts: dict[int, list[Row]] = {}
+        starts: dict[int, list[PlannedAttempt]] = {}
         intents: list[WriteIntent] = []
         for edit in edits.values():
             intent = self._durable.intent(edit, shard, own)
@@ -167,7 +169,9 @@
         finally:
             self._reports.end_moves(moves)
 
-    async def _follow_up(self, intents: list[WriteIntent], starts: dict[int, list[Row]]) -> None:
+    async def _follow_up(
+        self, intents: list[WriteIntent], starts: dict[int, list[PlannedAttempt]]
+    ) -> None:
         """Sends the starts of plans that are durable now, and logs the jobs that are done."""
         for intent in intents:
             if await intent.future.wait() != WriteResult.OK:
@@ -190,17 +194,17 @@
     def _find_released(self, shard: int, own: Owned) -> None:
         """The machine's record goes only after its release was confirmed; the write of what
         follows rests on its absence."""
-        for row in list(self._cluster.orphans()):
-            job = self._cluster.jobs.get(row.job)
+        for attempt in list(self._cluster.orphans()):
+            job = self._cluster.jobs.get(attempt.job)
             if job is not None and job.shard == shard:
-                rests = {keys.machine(row.machine): 0}
-                finding = Finding(row, AttemptEnd.RELEASED, own.term, rests=rests)
+                rests = {keys.machine(attempt.machine): 0}
+                finding = Finding(attempt, AttemptEnd.RELEASED, own.term, rests=rests)
                 self._reports.findings.record(finding)
 
     def _gather(self, shard: int, own: Owned, edits: Edits) -> None:
         findings = self._reports.findings
         news = collect(self._cluster, findings, shard, own.term)
-        wanted = {(f.row.job, f.row.index) for entry in news for f in entry.findings}
+        wanted = {(f.attempt.job, f.attempt.index) for entry in news for f in entry.findings}
         for key in [key for key in findings if key not in wanted]:
             job = self._cluster.jobs.get(key[0])
             if job is None or job.shard == shard or self._membership.acting(job.shard) is None:
@@ -208,23 +212,23 @@
         for entry in select(news, self._writer.writes_within(self._settings.heartbeat_interval_s)):
             edit = edit_of(edits, entry.job, entry.name)
             for finding in entry.findings:
-                del findings[finding.row.job, finding.row.index]
+                del findings[finding.attempt.job, finding.attempt.index]
                 self._learn(entry.job, finding)
                 edit.over.append(finding)
 
     def _learn(self, job: Job, finding: Finding) -> None:
-        spec, row = job.spec, finding.row
+        spec, attempt = job.spec, finding.attempt
         log.info(
             "task over job=%s task=%d attempt=%d machine=%s why=%s",
             job.id,
-            row.index,
-            row.attempt,
-            row.machine,
+            attempt.index,
+            attempt.number,
+            attempt.machine,
             finding.why.replace(" ", "-"),
         )
         if spec is None:
             return
-        self._reports.forget_stop(row)
+        self._reports.forget_stop(attempt)
         self._failures.record(job, finding)
         if finding.why == AttemptEnd.DONE and finding.took_s is not None:
             self.estimates.saw(spec.job_class, spec.estimate_s, finding.took_s)
--- a/crossmill/multihost/registration.py
+++ b/crossmill/multihost/registration.py
@@ -78,7 +78,7 @@
         known = self._cluster.machines.get(beat.machine)
         if known is None:
             return True
-        if known.retiring or known.rows or known.shard != self._shard:
+        if known.retiring or known.attempts or known.shard != self._shard:
             log.debug("machine may not join yet machine=%s", beat.machine)
             return False
         return True
--- a/crossmill/recovery/differences.py
+++ b/crossmill/recovery/differences.py
@@ -56,15 +56,15 @@
 
 def stored_attempt(cluster: ClusterState, machine: Machine, key: TaskKey) -> StoredAttempt | None:
     """The attempt of the task that a durable plan holds, on this machine or on another."""
-    row = machine.rows.get(key)
-    if row is not None:
-        return StoredAttempt(row.attempt, row.session, here=True)
+    attempt = machine.attempts.get(key)
+    if attempt is not None:
+        return StoredAttempt(attempt.number, attempt.session, here=True)
     job = cluster.jobs.get(key[0])
     if job is None or not job.chunks:
         return None
     chunk = job.chunks.get(cluster.layout.chunk_of(key[1], job.chunks).name)
-    row = None if chunk is None else chunk.rows.get(key[1])
-    return None if row is None else StoredAttempt(row.attempt, row.session, here=False)
+    attempt = None if chunk is None else chunk.attempts.get(key[1])
+    return None if attempt is None else StoredAttempt(attempt.number, attempt.session, here=False)
 
 
 def classify_machine_tasks(
@@ -73,7 +73,7 @@
     """The class of each task that is planned onto the machine or that its newest report, which
     has to be trusted, speaks of."""
     classes: dict[TaskKey, TaskClass] = {}
-    for key in {*machine.rows, *view.tasks}:
+    for key in {*machine.attempts, *view.tasks}:
         task = view.tasks.get(key)
         reported = None if task is None else ReportedAttempt(task.attempt, task.state == "exited")
         stored = stored_attempt(cluster, machine, key)
@@ -90,6 +90,6 @@
     for key, task_class in classes.items():
         if TASK_RULES[task_class].action not in ORDERED:
             continue
-        attempt = view.tasks[key].attempt if key in view.tasks else machine.rows[key].attempt
+        attempt = view.tasks[key].attempt if key in view.tasks else machine.attempts[key].number
         found.append(Difference(machine.id, *key, attempt, task_class))
     return found
--- a/crossmill/recovery/open_differences.py
+++ b/crossmill/recovery/open_differences.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from collections.abc import Iterator
 
-from ..cluster.model import Attempt
+from ..cluster.model import AttemptId
 from .brake import Impact
 from .classification import Action, Proof, TaskClass
 from .differences import Difference, TaskKey
@@ -13,7 +13,7 @@
 # tasks that run though no plan holds them: they are not placed elsewhere meanwhile
 CLAIMING = frozenset({TaskClass.NEVER_STORED, TaskClass.OTHER_ATTEMPT})
 
-Found = dict[Attempt, Difference]
+Found = dict[AttemptId, Difference]
 
 
 class OpenDifferences:
@@ -24,7 +24,7 @@
         self.count = 0
         self._claims: Counter[TaskKey] = Counter()
         # by attempt that needs a fresh read: when it was first reported
-        self._seen_at: dict[Attempt, float] = {}
+        self._seen_at: dict[AttemptId, float] = {}
         # what the brake counts: differences that are open, or were settled by an order
         self._counted: set[Difference] = set()
         self._actions: Counter[Action] = Counter()
@@ -130,5 +130,5 @@
         return Impact(stops, restarts, releases, tasks_known, machines_known)
 
 
-def _attempt(difference: Difference) -> Attempt:
-    return difference.job, difference.index, difference.attempt
+def _attempt(difference: Difference) -> AttemptId:
+    return AttemptId(difference.job, difference.index, difference.attempt)
--- a/crossmill/recovery/shard_recovery.py
+++ b/crossmill/recovery/shard_recovery.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from ..cluster.cluster_state import ClusterState
-from ..cluster.model import Machine
+from ..cluster.model import AttemptId, Machine
 from ..cluster.ownership import Owned
 from ..net.clock import Clock
 from ..net.pacer import Pacer
@@ -172,7 +172,7 @@
 
     def _observe(self) -> None:
         machines = self._cluster.machines_of[self.shard].values()
-        expected = {m.id for m in machines if (m.up or m.rows) and not m.retiring}
+        expected = {m.id for m in machines if (m.up or m.attempts) and not m.retiring}
         self._unheard = expected - self._heard
         self.machines_known = len(machines)
         self._enter(Phase.OBSERVING)
@@ -185,7 +185,7 @@
         for machine in self._cluster.machines_of[self.shard].values():
             self.machine_classes[self._class_of(machine)] += 1
             if machine.id in self._unheard:
-                self.classes[TaskClass.SILENT] += len(machine.rows)
+                self.classes[TaskClass.SILENT] += len(machine.attempts)
 
     def _class_of(self, machine: Machine) -> MachineClass:
         contact = Contact.HEARD if machine.id in self._heard else Contact.SILENT
@@ -251,7 +251,7 @@
     def admits(self, machine: Machine, order: Command) -> bool:
         """Whether an order may be sent now. Whatever is not recovery's matter may."""
         job, _, index = order.task.rpartition("/")
-        difference = self._open.of(machine.id).get((job, int(index), order.attempt))
+        difference = self._open.of(machine.id).get(AttemptId(job, int(index), order.attempt))
         if difference is None:
             return True
         if difference.rule.urgency is not Urgency.FENCE and not self._is_due(difference):
--- a/crossmill/settings/table.py
+++ b/crossmill/settings/table.py
@@ -28,10 +28,10 @@
 
     def tables(self, field: str) -> list["Table"]:
         """A list of tables; none if the field is absent."""
-        rows = self.data.get(field, [])
-        if not isinstance(rows, list):
+        attempts = self.data.get(field, [])
+        if not isinstance(attempts, list):
             raise SettingsError(f"{self._name(field)}: a list of tables is needed")
-        return [Table(r, f"{self._name(field)}[{i}]") for i, r in enumerate(rows)]
+        return [Table(r, f"{self._name(field)}[{i}]") for i, r in enumerate(attempts)]
 
     def text(self, field: str) -> str:
         """A non-empty string."""
--- a/crossmill/workers/direct.py
+++ b/crossmill/workers/direct.py
@@ -10,7 +10,7 @@
 
 from ..cluster.cluster_state import ClusterState
 from ..cluster.membership import Membership
-from ..cluster.model import Row
+from ..cluster.model import PlannedAttempt
 from ..net.client import Client, ConnectionFailedError, Http, NoResponseError
 from ..settings import Endpoint, Settings
 from ..wire.checks import MalformedMessageError, load_object
@@ -47,44 +47,46 @@
             client = self._clients[address] = self.connect(Endpoint(host, int(port)))
         return client
 
-    async def send(self, starts: list[Row], stops: list[Row]) -> None:
+    async def send(self, starts: list[PlannedAttempt], stops: list[PlannedAttempt]) -> None:
         """Starts of durable plans, and stops; a stop that comes late ends an attempt that is
         to end anyway, and is in no doubt."""
-        by_machine: dict[str, tuple[list[Row], list[Row]]] = {}
-        for row in starts:
-            by_machine.setdefault(row.machine, ([], []))[0].append(row)
-        for row in stops:
-            by_machine.setdefault(row.machine, ([], []))[1].append(row)
+        by_machine: dict[str, tuple[list[PlannedAttempt], list[PlannedAttempt]]] = {}
+        for attempt in starts:
+            by_machine.setdefault(attempt.machine, ([], []))[0].append(attempt)
+        for attempt in stops:
+            by_machine.setdefault(attempt.machine, ([], []))[1].append(attempt)
         for machine_id, (some, others) in by_machine.items():
             if self._sending < self._settings.direct_sockets:
                 await curio.spawn(self._send, machine_id, some, others, daemon=True)
 
-    async def _send(self, machine_id: str, rows: list[Row], stops: list[Row]) -> None:
+    async def _send(
+        self, machine_id: str, attempts: list[PlannedAttempt], stops: list[PlannedAttempt]
+    ) -> None:
         machine, view = self._cluster.machines.get(machine_id), self._reports.peek(machine_id)
         if machine is None or view is None:
             return
         own = self._membership.commanding(machine.shard)
         client = self._client(view.address)
         # what was found to be over while its plan's write was settled must not begin now
-        rows = [
-            row
-            for row in rows
-            if row.session == view.session
-            and machine.rows.get((row.job, row.index)) == row
-            and self._reports.may_start(row, machine)
+        attempts = [
+            attempt
+            for attempt in attempts
+            if attempt.session == view.session
+            and machine.attempts.get((attempt.job, attempt.index)) == attempt
+            and self._reports.may_start(attempt, machine)
         ]
-        if own is None or client is None or not (rows or stops) or not view.trusted:
+        if own is None or client is None or not (attempts or stops) or not view.trusted:
             return
         commands = [self._reports.stop(r) for r in stops[:MAX_ORDERS]]
-        rows = rows[: MAX_ORDERS - len(commands)]
-        commands += [Command("start", f"{r.job}/{r.index}", r.attempt) for r in rows]
+        attempts = attempts[: MAX_ORDERS - len(commands)]
+        commands += [Command("start", f"{r.job}/{r.index}", r.number) for r in attempts]
         if self._reports.is_leaving(machine_id):
             return
         token = self._reports.token(machine, own)
         body = direct_body(token, view.session, commands)
         unacknowledged = self._reports.unacknowledged.setdefault(machine_id, {})
-        for row in rows:
-            unacknowledged[row.key] = token
+        for attempt in attempts:
+            unacknowledged[attempt.id] = token
         self._sending += 1
         try:
             status, data = await client.request(
@@ -93,7 +95,7 @@
         except ConnectionFailedError as exc:
             log.debug("worker not reached machine=%s error=%s", machine_id, exc)
         except NoResponseError as exc:
-            log.info("start in doubt machine=%s tasks=%d error=%s", machine_id, len(rows), exc)
+            log.info("start in doubt machine=%s tasks=%d error=%s", machine_id, len(attempts), exc)
             return
         else:
             self._answered(machine_id, status, data)
@@ -101,8 +103,8 @@
                 await self.on_news()
         finally:
             self._sending -= 1
-        for row in rows:
-            unacknowledged.pop(row.key, None)
+        for attempt in attempts:
+            unacknowledged.pop(attempt.id, None)
 
     def _answered(self, machine_id: str, status: int, data: bytes) -> None:
         if status not in (200, 409):
--- a/crossmill/workers/findings.py
+++ b/crossmill/workers/findings.py
@@ -8,7 +8,7 @@
 from enum import StrEnum
 
 from ..cluster.cluster_state import ClusterState
-from ..cluster.model import Attempt, Row
+from ..cluster.model import AttemptId, PlannedAttempt
 
 Key = tuple[str, int]
 
@@ -51,7 +51,7 @@
 class Finding:
     """An attempt that is over, with what it means for the plan."""
 
-    row: Row
+    attempt: PlannedAttempt
     why: AttemptEnd
     # the owner's term (see `Owned.term`): later ones must prove it anew
     term: int
@@ -68,23 +68,23 @@
         self._cluster = cluster
         # until their rows are durably gone no start of them may be sent again, whatever becomes
         # of the reason for which they were to end
-        self._concluded: set[Attempt] = set()
+        self._concluded: set[AttemptId] = set()
         self._concluded_most = CONCLUDED_LEAST
 
     def record(self, finding: Finding) -> None:
         """Takes a finding in; the first of a task stands, unless its term is over."""
-        row = finding.row
-        key = (row.job, row.index)
+        attempt = finding.attempt
+        key = (attempt.job, attempt.index)
         known = self.get(key)
         if known is None or known.term != finding.term:
             self[key] = finding
-        self._concluded.add(row.key)
+        self._concluded.add(attempt.id)
         if len(self._concluded) > self._concluded_most:
             self._trim()
 
-    def is_concluded(self, row: Row) -> bool:
+    def is_concluded(self, attempt: PlannedAttempt) -> bool:
         """Whether the attempt was found to be over, so that no start of it may be sent."""
-        return row.key in self._concluded
+        return attempt.id in self._concluded
 
     def end_term(self, shard: int) -> None:
         """The right to act for the shard has ended, and with it all that was concluded."""
@@ -98,6 +98,6 @@
         return job is None or not job.is_known or job.shard == shard
 
     def _trim(self) -> None:
-        rows = (r for m in self._cluster.machines.values() for r in m.rows.values())
-        self._concluded &= {row.key for row in rows}
+        attempts = (r for m in self._cluster.machines.values() for r in m.attempts.values())
+        self._concluded &= {attempt.id for attempt in attempts}
         self._concluded_most = 2 * len(self._concluded) + CONCLUDED_LEAST
--- a/crossmill/workers/reports.py
+++ b/crossmill/workers/reports.py
@@ -10,7 +10,7 @@
 from ..cluster.cluster_state import ClusterState
 from ..cluster.deputies import Deputies
 from ..cluster.membership import Membership
-from ..cluster.model import Attempt, Machine, Row
+from ..cluster.model import AttemptId, Machine, PlannedAttempt
 from ..cluster.ownership import Owned
 from ..net.clock import Clock
 from ..settings import Settings
@@ -50,10 +50,10 @@
         self._views: dict[str, View] = {}
         self.read_task = cached_task_reader(settings.max_cached_task_statuses)
         self.findings = Findings(cluster)
-        self.stopping: dict[Attempt, StopReason] = {}
+        self.stopping: dict[AttemptId, StopReason] = {}
         # starts sent straight to a worker and not answered, with the token they carried: they
         # may still be executed until the worker has seen a higher token or begun a new session
-        self.unacknowledged: dict[str, dict[Attempt, int]] = {}
+        self.unacknowledged: dict[str, dict[AttemptId, int]] = {}
         # machines whose move to another shard is being written: whoever gets one counts on
         # nobody else answering it, so it is not answered from before the write is sent
         self._leaving: set[str] = set()
@@ -147,8 +147,8 @@
     def _count_unplanned(self, machine: Machine, orders: list[Command]) -> None:
         for order in orders:
             job, _, index = order.task.rpartition("/")
-            row = machine.rows.get((job, int(index)))
-            if order.op != "stop" or (row is not None and row.attempt == order.attempt):
+            attempt = machine.attempts.get((job, int(index)))
+            if order.op != "stop" or (attempt is not None and attempt.number == order.attempt):
                 continue
             self.unplanned += 1
             log.info(
@@ -186,17 +186,17 @@
         """The fate of these machines' moves is known."""
         self._leaving.difference_update(machine_ids)
 
-    def request_stop(self, row: Row, reason: StopReason) -> None:
+    def request_stop(self, attempt: PlannedAttempt, reason: StopReason) -> None:
         """The attempt is to be stopped; the answers to its worker's reports say so from now on."""
-        self.stopping[row.key] = reason
+        self.stopping[attempt.id] = reason
 
-    def is_stopping(self, row: Row) -> bool:
+    def is_stopping(self, attempt: PlannedAttempt) -> bool:
         """Whether the attempt is to be stopped, to make room or to drain its machine."""
-        return row.key in self.stopping
+        return attempt.id in self.stopping
 
-    def forget_stop(self, row: Row) -> None:
+    def forget_stop(self, attempt: PlannedAttempt) -> None:
         """The attempt is over."""
-        self.stopping.pop(row.key, None)
+        self.stopping.pop(attempt.id, None)
 
     def learn(self, report: Report) -> None:
         """The answer to a direct command: a report, but one that renews no lease."""
@@ -222,7 +222,7 @@
 
     def _may_still_begin(self, machine: Machine, job: str, index: int, attempt: int) -> bool:
         """True, and a higher token asked for, while a start of the attempt can still arrive."""
-        if (job, index, attempt) not in self.unacknowledged.get(machine.id, {}):
+        if AttemptId(job, index, attempt) not in self.unacknowledged.get(machine.id, {}):
             return False
         self._membership.raise_token(machine.shard)
         return True
@@ -234,14 +234,17 @@
         way wait to be written."""
         orders: list[Command] = []
         for key, task in view.tasks.items():
-            row = machine.rows.get(key)
-            if row is not None and (row.attempt, row.session) == (task.attempt, view.session):
-                self._on_planned(row, task, view, own, orders)
+            attempt = machine.attempts.get(key)
+            if attempt is not None and (attempt.number, attempt.session) == (
+                task.attempt,
+                view.session,
+            ):
+                self._on_planned(attempt, task, view, own, orders)
             else:
                 self._on_unplanned(machine, task, orders)
-        for key, row in machine.rows.items():
-            if key not in view.tasks or view.tasks[key].attempt != row.attempt:
-                self._on_absent(machine, row, view, own, orders, direct)
+        for key, attempt in machine.attempts.items():
+            if key not in view.tasks or view.tasks[key].attempt != attempt.number:
+                self._on_absent(machine, attempt, view, own, orders, direct)
         return orders
 
     def _on_unplanned(self, machine: Machine, task: TaskReport, orders: list[Command]) -> None:
@@ -256,67 +259,77 @@
     def _on_absent(
         self,
         machine: Machine,
-        row: Row,
+        attempt: PlannedAttempt,
         view: View,
         own: Owned,
         orders: list[Command],
         direct: bool,
     ) -> None:
         """The worker does not have this planned attempt."""
-        if row.session < view.session:
-            self.unacknowledged.get(machine.id, {}).pop(row.key, None)
-            self.findings.record(Finding(row, AttemptEnd.SESSION_OVER, own.term))
+        if attempt.session < view.session:
+            self.unacknowledged.get(machine.id, {}).pop(attempt.id, None)
+            self.findings.record(Finding(attempt, AttemptEnd.SESSION_OVER, own.term))
             return
-        if (row.job, row.index) in view.tasks or row.session != view.session:
+        if (attempt.job, attempt.index) in view.tasks or attempt.session != view.session:
             return
-        if not self._is_known(row):
+        if not self._is_known(attempt):
             # a record read late, or a contradiction: nothing begins, and nothing is over
             return
-        if self.may_start(row, machine):
-            orders.append(Command("start", f"{row.job}/{row.index}", row.attempt))
+        if self.may_start(attempt, machine):
+            orders.append(Command("start", f"{attempt.job}/{attempt.index}", attempt.number))
             return
-        if self._may_still_begin(machine, row.job, row.index, row.attempt) or direct:
+        if self._may_still_begin(machine, attempt.job, attempt.index, attempt.number) or direct:
             # an answer to a direct command was made while the answer to the last report, which
             # may hold the start, was still on its way
             return
         # a newer report without it: no start sent before can still arrive
-        self.findings.record(Finding(row, AttemptEnd.NOT_STARTED, own.term))
+        self.findings.record(Finding(attempt, AttemptEnd.NOT_STARTED, own.term))
 
-    def _is_known(self, row: Row) -> bool:
-        job = self._cluster.jobs.get(row.job)
+    def _is_known(self, attempt: PlannedAttempt) -> bool:
+        job = self._cluster.jobs.get(attempt.job)
         if job is not None and (job.is_known or job.is_over):
             return True
-        log.debug("row without a job job=%s task=%d machine=%s", row.job, row.index, row.machine)
+        log.debug(
+            "row without a job job=%s task=%d machine=%s",
+            attempt.job,
+            attempt.index,
+            attempt.machine,
+        )
         return False
 
-    def may_start(self, row: Row, machine: Machine) -> bool:
+    def may_start(self, attempt: PlannedAttempt, machine: Machine) -> bool:
         """Whether a start of the attempt may still be sent."""
-        return not self.findings.is_concluded(row) and not self._unwanted(row, machine)
+        return not self.findings.is_concluded(attempt) and not self._unwanted(attempt, machine)
 
-    def _unwanted(self, row: Row, machine: Machine) -> bool:
-        job = self._cluster.jobs.get(row.job)
+    def _unwanted(self, attempt: PlannedAttempt, machine: Machine) -> bool:
+        job = self._cluster.jobs.get(attempt.job)
         if job is None or not job.is_active or machine.retiring:
             return True
-        return self.is_stopping(row)
+        return self.is_stopping(attempt)
 
     def _on_planned(
-        self, row: Row, task: TaskReport, view: View, own: Owned, orders: list[Command]
+        self,
+        attempt: PlannedAttempt,
+        task: TaskReport,
+        view: View,
+        own: Owned,
+        orders: list[Command],
     ) -> None:
-        key = (row.job, row.index)
+        key = (attempt.job, attempt.index)
         if task.state == "exited":
             since = view.running_since.get(key)
             took = None if since is None else self._clock.now() - since
-            self.findings.record(Finding(row, AttemptEnd(task.why), own.term, took))
+            self.findings.record(Finding(attempt, AttemptEnd(task.why), own.term, took))
             return
-        job = self._cluster.jobs.get(row.job)
+        job = self._cluster.jobs.get(attempt.job)
         if job is None or job.is_over:
-            orders.append(Command("stop", f"{row.job}/{row.index}", row.attempt, 0.0))
+            orders.append(Command("stop", f"{attempt.job}/{attempt.index}", attempt.number, 0.0))
             return
         spec = job.spec
         saves = spec is not None and spec.checkpoint_s > 0
-        if self.is_stopping(row):
+        if self.is_stopping(attempt):
             if task.state != "saving":
-                orders.append(self.stop(row))
+                orders.append(self.stop(attempt))
         elif view.notice_at is not None and saves and spec is not None:
             # saved as late as is safe, so that the machine's last seconds count
             left = view.notice_at - self._clock.now()
@@ -324,27 +337,27 @@
                 task.state == "running"
                 and left < spec.save_s + 3 * self._settings.heartbeat_interval_s
             ):
-                orders.append(self.stop(row))
+                orders.append(self.stop(attempt))
 
-    def stop(self, row: Row) -> Command:
+    def stop(self, attempt: PlannedAttempt) -> Command:
         """The command that stops a planned attempt, with time to save if it can."""
-        job = self._cluster.jobs.get(row.job)
+        job = self._cluster.jobs.get(attempt.job)
         saves = job is not None and job.spec is not None and job.spec.checkpoint_s > 0
         grace = job.spec.save_s * 2 if job is not None and job.spec is not None and saves else 0.0
-        return Command("stop", f"{row.job}/{row.index}", row.attempt, grace)
+        return Command("stop", f"{attempt.job}/{attempt.index}", attempt.number, grace)
 
     def expire(self, machine: Machine, own: Owned) -> None:
         """A worker that nobody can have answered for a lease has killed its tasks."""
         view = self.view(machine, own)
         if (
-            not machine.rows
+            not machine.attempts
             or self._clock.now() - view.lease_from <= self._settings.heartbeat_timeout_s
         ):
             return
         self._deputies.wonder(machine)
         rests = self._deputies.lease_over(machine, view.lease_from)
         if rests is not None:
-            for row in machine.rows.values():
-                if row.session <= view.session or not view.trusted:
-                    finding = Finding(row, AttemptEnd.LEASE_OVER, own.term, rests=rests)
+            for attempt in machine.attempts.values():
+                if attempt.session <= view.session or not view.trusted:
+                    finding = Finding(attempt, AttemptEnd.LEASE_OVER, own.term, rests=rests)
                     self.findings.record(finding)
--- a/tests/full_fleet.py
+++ b/tests/full_fleet.py
@@ -1,7 +1,7 @@
 """A fleet on which every GPU runs a task, for what is counted or profiled at size."""
 
 from crossmill.cluster import keys
-from crossmill.cluster.model import Chunk, Row
+from crossmill.cluster.model import PlanChunk, PlannedAttempt
 from crossmill.cluster.records import encode_chunk
 
 from .harness import Node, add_job, add_machine, seed
@@ -20,8 +20,11 @@
         # the highest priority, so that nothing may be stopped for anybody
         name = f"wk-{job:06d}"
         add_job(state, clock, nameId=name, sacks=JOB_TASKS, grist="batch", precedence="production")
-        rows = {i: Row(name, i, i + 1, f"n-{job * EACH + i // EACH}", 1) for i in range(JOB_TASKS)}
-        state.put(keys.plan(name, "0"), encode_chunk(Chunk(JOB_TASKS + 1, 0, rows)))
+        rows = {
+            i: PlannedAttempt(name, i, i + 1, f"n-{job * EACH + i // EACH}", 1)
+            for i in range(JOB_TASKS)
+        }
+        state.put(keys.plan(name, "0"), encode_chunk(PlanChunk(JOB_TASKS + 1, 0, rows)))
 
 
 def report_all(node: Node, machines: int, seq: int = 1) -> None:
--- a/tests/measure_recovery.py
+++ b/tests/measure_recovery.py
@@ -17,7 +17,7 @@
 import orjson
 
 from crossmill.cluster import keys
-from crossmill.cluster.model import Chunk, Row
+from crossmill.cluster.model import PlanChunk, PlannedAttempt
 from crossmill.cluster.records import encode_chunk, encode_job
 from crossmill.wire.users import parse_spec
 
@@ -94,13 +94,13 @@
     region.judge.jobs[job].accepted = region.clock.now()
     rows = {}
     for index, worker in enumerate(workers):
-        rows[index] = Row(job, index, 1, worker.machine, worker.session)
+        rows[index] = PlannedAttempt(job, index, 1, worker.machine, worker.session)
     layout = region.nodes["node-0"].cluster.layout
-    by_chunk: dict[str, dict[int, Row]] = {}
+    by_chunk: dict[str, dict[int, PlannedAttempt]] = {}
     for index, row in rows.items():
         by_chunk.setdefault(layout.chunk_of(index, ()).name, {})[index] = row
     for name, chunk_rows in by_chunk.items():
-        region.state.put(keys.plan(job, name), encode_chunk(Chunk(2, 0, chunk_rows)))
+        region.state.put(keys.plan(job, name), encode_chunk(PlanChunk(2, 0, chunk_rows)))
     record = encode_job(spec, region.clock.wall())
     region.state.put(keys.job(job), orjson.loads(orjson.dumps(record)))
 
--- a/tests/test_deputies.py
+++ b/tests/test_deputies.py
@@ -79,7 +79,7 @@
         self.nodes["node-0"].cut = self.nodes["node-1"].cut = False
 
     def on_machine(self) -> int:
-        return len(self.owner.cluster.machines["n-0"].rows)
+        return len(self.owner.cluster.machines["n-0"].attempts)
 
 
 def play_settled(story: Callable[[Story], Awaitable[None]]) -> None:
--- a/tests/test_derivation.py
+++ b/tests/test_derivation.py
@@ -159,19 +159,19 @@
             job.planned,
             job.shard,
             job.waiting_count(),
-            sorted((row.index, row.attempt, row.machine) for row in job.rows()),
+            sorted((attempt.index, attempt.number, attempt.machine) for attempt in job.attempts()),
         )
         for job in cluster.jobs.values()
     }
     machines = {
-        m.id: (m.shard, round(m.cpus, 6), round(m.gpus, 6), sorted(m.rows))
+        m.id: (m.shard, round(m.cpus, 6), round(m.gpus, 6), sorted(m.attempts))
         for m in cluster.machines.values()
     }
     indexes = {
         name: {shard: sorted(found) for shard, found in getattr(cluster, name).items()}
         for name in ("active", "ended", "over", "unrecorded", "complete", "machines_of")
     }
-    orphans = sorted((row.job, row.index) for row in cluster.orphans())
+    orphans = sorted((attempt.job, attempt.index) for attempt in cluster.orphans())
     return {"jobs": jobs, "machines": machines, "orphans": orphans, **indexes}
 
 
--- a/tests/test_multihost_service.py
+++ b/tests/test_multihost_service.py
@@ -262,8 +262,8 @@
             await node.round()
             if node.membership.leading() is not None:
                 await node.leader._step()
-        assert not node.cluster.machines["m-0"].rows
-        assert len(node.cluster.machines["n-0"].rows) > 0
+        assert not node.cluster.machines["m-0"].attempts
+        assert len(node.cluster.machines["n-0"].attempts) > 0
         # that its ordinary worker reports is noted, and nothing else
         assert state.keys[cluster_keys.machine("m-0")][0] == record | {"up": True}
         assert {k: v for k, v in state.keys.items() if k.startswith(keys.PREFIX)} == stored
@@ -284,7 +284,7 @@
         await node.round()
         await node.sync()
         own = node.membership.commanding(0)
-        assert own is not None and node.cluster.machines["n-0"].rows
+        assert own is not None and node.cluster.machines["n-0"].attempts
         for machine in ("n-0", "n-1", "n-2"):
             service.heartbeats.handle(heartbeat_of(node, 0, 1)._replace(machine=machine))
         await service.coordinator.round(own)
--- a/tests/test_on_call_troubles.py
+++ b/tests/test_on_call_troubles.py
@@ -9,7 +9,7 @@
 
 from crossmill.cluster.cluster_state import ClusterState
 from crossmill.cluster.keeper import Keeper
-from crossmill.cluster.model import Job, Row
+from crossmill.cluster.model import Job, PlannedAttempt
 from crossmill.jobs.failures import TaskFailures
 from crossmill.planning.demand import Need
 from crossmill.state.mirror import Mirror
@@ -185,7 +185,9 @@
 
     def fail(machine: str) -> None:
         for job in jobs:
-            failures.record(job, Finding(Row(job.id, 0, 1, machine, 1), AttemptEnd.ERROR, 1))
+            failures.record(
+                job, Finding(PlannedAttempt(job.id, 0, 1, machine, 1), AttemptEnd.ERROR, 1)
+            )
 
     fail("n-0")
     assert failures.is_faulty("n-0")
--- a/tests/test_recovery_decisions.py
+++ b/tests/test_recovery_decisions.py
@@ -6,7 +6,7 @@
 import pytest
 
 from crossmill.cluster import keys
-from crossmill.cluster.model import CANCELLED, Chunk, Row
+from crossmill.cluster.model import CANCELLED, PlanChunk, PlannedAttempt
 from crossmill.cluster.records import encode_chunk, encode_end
 from crossmill.recovery.batches import Batches, batches_of
 from crossmill.recovery.brake import Impact, digest_of, is_mass_action
@@ -130,14 +130,14 @@
 JOBS = {"wk-000001": ACTIVE, "wk-000002": OVER, "wk-000003": UNKNOWN}
 
 
-def _draw(lots: random.Random) -> tuple[dict[str, list[Row]], list[dict[str, Any]]]:
+def _draw(lots: random.Random) -> tuple[dict[str, list[PlannedAttempt]], list[dict[str, Any]]]:
     """Plans and a report of n-0, drawn at random."""
-    plans: dict[str, list[Row]] = {}
+    plans: dict[str, list[PlannedAttempt]] = {}
     reported = []
     for job in JOBS:
         for index in range(TASKS):
             if lots.random() < 0.7:
-                row = Row(
+                row = PlannedAttempt(
                     job,
                     index,
                     lots.randint(1, 3),
@@ -153,7 +153,10 @@
 
 
 async def _ordinary(
-    state: StateService, clock: FakeClock, plans: dict[str, list[Row]], reported: list[Any]
+    state: StateService,
+    clock: FakeClock,
+    plans: dict[str, list[PlannedAttempt]],
+    reported: list[Any],
 ) -> tuple[Node, list[Command]]:
     """What the ordinary path orders after the machine's first trusted report."""
     seed(state, clock, machines=2)
@@ -162,7 +165,7 @@
     value = encode_end(CANCELLED, spec, clock.wall(), RECORD_BYTES)
     state.put(keys.job("wk-000002"), value)
     for job, rows in plans.items():
-        chunk = Chunk(4, 0, {row.index: row for row in rows})
+        chunk = PlanChunk(4, 0, {row.index: row for row in rows})
         state.put(keys.plan(job, "0"), encode_chunk(chunk))
     node = Node(state, clock, {})
     await node.boot()
@@ -193,13 +196,13 @@
         for key, task_class in classes.items():
             action = TASK_RULES[task_class].action
             task = view.tasks.get(key)
-            attempt = machine.rows[key].attempt if task is None else task.attempt
+            attempt = machine.attempts[key].number if task is None else task.attempt
             if action in OPS:
                 expected[f"{key[0]}/{key[1]}", attempt] = OPS[action]
-            row = machine.rows.get(key)
+            row = machine.attempts.get(key)
             concluded = row is not None and node.reports.findings.is_concluded(row)
             # beside another attempt of it, a row of an earlier session is over as well
-            session_over = row is not None and row.session < SESSION and row.attempt != attempt
+            session_over = row is not None and row.session < SESSION and row.number != attempt
             assert concluded == (action is Action.CONCLUDE or session_over), (drawn, key)
         assert ordered == expected, drawn
 
--- a/tests/test_safety.py
+++ b/tests/test_safety.py
@@ -4,7 +4,7 @@
 import orjson
 
 from crossmill.cluster import keys
-from crossmill.cluster.model import Row
+from crossmill.cluster.model import AttemptId, PlannedAttempt
 from crossmill.net.client import NoResponseError
 from crossmill.state.writer import WriteIntent, WriteResult
 from crossmill.wire.state import Put, Txn
@@ -60,7 +60,7 @@
         assert answer.commands == () and answer.token == again.token()
         assert not again.reports.findings
         await again.round()
-        assert len(again.cluster.machines["n-0"].rows) == 1
+        assert len(again.cluster.machines["n-0"].attempts) == 1
 
     play(story)
 
@@ -89,7 +89,7 @@
             await node.keeper.step()
             node.report("n-1", 1, seq, node.token())
             await node.round()
-            held = [r.machine for r in node.cluster.jobs["wk-000001"].rows()]
+            held = [r.machine for r in node.cluster.jobs["wk-000001"].attempts()]
             silent_s = 0.2 * seq
             if silent_s <= node.settings.worker_lease_s * 1.0005:
                 assert held == ["n-0"], silent_s
@@ -104,8 +104,8 @@
         node.report("n-0", 2, 1, node.token())
         await node.round()
         await node.round()
-        rows = list(node.cluster.jobs["wk-000001"].rows())
-        assert [(r.attempt, r.session) for r in rows] == [(2, 2)]
+        rows = list(node.cluster.jobs["wk-000001"].attempts())
+        assert [(r.number, r.session) for r in rows] == [(2, 2)]
 
     play(story)
 
@@ -135,11 +135,11 @@
         await node.leader._look_at_list(await node.leader._cloud.machines())
         await node.round()
         assert node.cluster.machines["n-0"].retiring == "failed"
-        assert node.cluster.jobs["wk-000001"].row_count() == 1
+        assert node.cluster.jobs["wk-000001"].planned_count() == 1
         await node.leader._release()
         assert node.cloud.released == ["n-0"]
         await node.round()
-        assert node.cluster.jobs["wk-000001"].row_count() == 0
+        assert node.cluster.jobs["wk-000001"].planned_count() == 0
 
     play(story)
 
@@ -162,16 +162,16 @@
         await node.sync()
         node.report("n-0", 1, 2, token)
         await node.round()
-        assert node.cluster.jobs[job].row_count() == 1
+        assert node.cluster.jobs[job].planned_count() == 1
         await node.membership.step()
         higher = node.token()
         assert higher > token
         node.report("n-0", 1, 3, token)
         await node.round()
-        assert node.cluster.jobs[job].row_count() == 1
+        assert node.cluster.jobs[job].planned_count() == 1
         node.report("n-0", 1, 4, higher)
         await node.round()
-        assert node.cluster.jobs[job].row_count() == 0
+        assert node.cluster.jobs[job].planned_count() == 0
 
     play(story)
 
@@ -199,7 +199,7 @@
         # another controller's write that this mirror has not seen yet
         state.put(keys.job(job), {**state.keys[keys.job(job)][0], "end": "cancelled"})
         await node.round()
-        assert node.cluster.jobs[job].row_count() == 0
+        assert node.cluster.jobs[job].planned_count() == 0
         assert keys.plan(job, "0") not in state.keys
 
     play(story)
@@ -289,8 +289,8 @@
         for number in range(6):
             node.report(f"n-{number}", 1, 2, node.token())
         await node.round()
-        assert node.cluster.jobs["wk-000001"].row_count() == 16
-        assert node.cluster.jobs["wk-000002"].row_count() == 0
+        assert node.cluster.jobs["wk-000001"].planned_count() == 16
+        assert node.cluster.jobs["wk-000002"].planned_count() == 0
 
     play(story)
 
@@ -358,7 +358,7 @@
         node.report("n-0", 1, 2, token)
         await node.round()
         assert node.report("n-0", 1, 3, token).commands[0].op == "start"
-        node.reports.stopping["wk-000001", 0, 1] = StopReason.PREEMPTED
+        node.reports.stopping[AttemptId("wk-000001", 0, 1)] = StopReason.PREEMPTED
         node.direct._answered("n-0", 200, beat("n-0", 1, 4, token))
         assert not node.reports.findings
         # a report is sent only when the answer to the one before has come or is given up
@@ -600,11 +600,11 @@
         node.report("n-0", 1, 1, 0)
         node.report("n-0", 1, 2, token)
         node.worker.answer = lambda data: (200, beat("n-0", 1, 90, token))
-        row = Row("wk-000001", 0, 1, "n-0", 1)
+        row = PlannedAttempt("wk-000001", 0, 1, "n-0", 1)
         plan = {"next": 2, "done": "0", "rows": [[0, 1, "n-0", 1]]}
         state.put(keys.plan("wk-000001", "0"), plan)
         await node.sync()
-        node.reports.stopping["wk-000001", 0, 1] = StopReason.PREEMPTED
+        node.reports.stopping[AttemptId("wk-000001", 0, 1)] = StopReason.PREEMPTED
         node.report("n-0", 1, 3, token)
         assert [f.why for f in node.reports.findings.values()] == ["not started"]
         # its end is being written, and the reason for it has gone
@@ -649,7 +649,7 @@
         answer = node.report("n-0", 1, 50, old)
         assert (answer.token, answer.commands) == (machine.token, ())
         await node.round(other)
-        assert not machine.rows
+        assert not machine.attempts
         node.report("n-0", 1, 51, machine.token)
         await node.round(other)
         commands = node.report("n-0", 1, 52, machine.token).commands
@@ -687,11 +687,11 @@
         machine = node.cluster.machines["n-0"]
         giving._going["n-0"] = (1, clock.now() + 9)
         assert giving.target(machine) is None
-        machine.rows.clear()
+        machine.attempts.clear()
         assert giving.target(machine) is None, "the worker still reports a task"
         node.report("n-0", 1, 5, node.token())
         assert giving.target(machine) == 1
-        node.reports.unacknowledged["n-0"] = {("wk-000001", 0, 1): node.token()}
+        node.reports.unacknowledged["n-0"] = {AttemptId("wk-000001", 0, 1): node.token()}
         assert giving.target(machine) is None, "a start sent to it may still arrive"
 
     play(story)
@@ -726,7 +726,7 @@
             machine = node.cluster.machines["n-0"]
             if machine.shard == other:
                 break
-        assert machine.shard == other and not machine.rows
+        assert machine.shard == other and not machine.attempts
 
     play(story)
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -10,7 +10,7 @@
 import pytest
 
 from crossmill.cluster import keys
-from crossmill.cluster.model import Chunk, Job, Row
+from crossmill.cluster.model import Job, PlanChunk, PlannedAttempt
 from crossmill.cluster.records import encode_chunk
 from crossmill.fleet.forecast import DemandForecast
 from crossmill.jobs.outcome_batch import ChunkNews, select
@@ -109,7 +109,7 @@
         assert len(pages) <= stored // 1000 + 1
         # each shard's key and the counter of tokens, this controller's own key and the leader's
         assert state.puts <= 2 * node.settings.controller_count + 2
-        assert sum(j.row_count() for j in node.cluster.jobs.values()) == MACHINES * EACH
+        assert sum(j.planned_count() for j in node.cluster.jobs.values()) == MACHINES * EACH
         before = state.puts
         report_all(node, MACHINES)
         await node.round()
@@ -168,10 +168,10 @@
 
 def test_a_round_writes_no_more_chunks_than_the_rate_takes_and_urgent_ones_first() -> None:
     # guards against rounds of many seconds: the next stage of a pipeline waits for each
-    def news(number: int, rows: int, why: str = "done") -> ChunkNews:
-        row = Row(f"wk-{number:06d}", 0, 1, "n-0", 1)
-        chunk = Chunk(2, 0, {i: row for i in range(rows)})
-        return ChunkNews(Job(row.job), "0", chunk, [Finding(row, AttemptEnd(why), term=1)])
+    def news(number: int, attempts: int, why: str = "done") -> ChunkNews:
+        attempt = PlannedAttempt(f"wk-{number:06d}", 0, 1, "n-0", 1)
+        chunk = PlanChunk(2, 0, {i: attempt for i in range(attempts)})
+        return ChunkNews(Job(attempt.job), "0", chunk, [Finding(attempt, AttemptEnd(why), term=1)])
 
     many = [news(number, 9) for number in range(20)]
     last, failed = news(90, 1), news(91, 9, "error")
@@ -221,8 +221,8 @@
         await node.round()
         assert counts["room"] == 0
         # one task of one job ends: its machine alone is looked at anew
-        rows = {i: Row("wk-000000", i, i + 1, f"n-{i // EACH}", 1) for i in range(1, 16)}
-        state.put(keys.plan("wk-000000", "0"), encode_chunk(Chunk(17, 1, rows)))
+        rows = {i: PlannedAttempt("wk-000000", i, i + 1, f"n-{i // EACH}", 1) for i in range(1, 16)}
+        state.put(keys.plan("wk-000000", "0"), encode_chunk(PlanChunk(17, 1, rows)))
         await node.sync()
         await node.round()
         # of what is planned onto it in that round the next one learns
--- a/tests/test_unseen_changes.py
+++ b/tests/test_unseen_changes.py
@@ -10,7 +10,7 @@
 
 from crossmill.cluster import keys
 from crossmill.cluster.level import Level, encode_level
-from crossmill.cluster.model import CANCELLED, DONE
+from crossmill.cluster.model import CANCELLED, DONE, AttemptId
 from crossmill.cluster.records import encode_end
 from crossmill.state.client import StateClient
 from crossmill.state.mirror import Mirror
@@ -93,7 +93,7 @@
         answer = node.report("n-0", 1, 4, node.token())
         assert answer.status == 200
         assert [c.op for c in answer.commands] == []
-        assert not node.cluster.machines["n-0"].rows
+        assert not node.cluster.machines["n-0"].attempts
         assert node.cluster.machines["n-0"].gpus == 0
         assert JOB not in node.cluster.jobs
 
@@ -105,7 +105,7 @@
     # owner started the task; with the shard back, the old finding removed the running task's row
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _node_with_a_row(state, clock, nodes)
-        node.reports.stopping[JOB, 0, 1] = StopReason.DRAINED
+        node.reports.stopping[AttemptId(JOB, 0, 1)] = StopReason.DRAINED
         node.report("n-0", 1, 3, node.token())
         assert [f.why for f in node.reports.findings.values()] == ["not started"]
         # before it can be written, the shard changes hands and the next owner starts the task
@@ -223,7 +223,7 @@
     # was sent long after another controller had confirmed the cancellation
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _node_with_a_row(state, clock, nodes)
-        row = node.cluster.machines["n-0"].rows[JOB, 0]
+        row = node.cluster.machines["n-0"].attempts[JOB, 0]
         await _let_others_run()
         node.worker.sent.clear()
         record = encode_end(CANCELLED, make_spec(nameId=JOB), clock.wall(), RECORD_BYTES)
@@ -437,6 +437,6 @@
             await node.round()
         assert (plan not in state.keys) is is_archived
         assert (JOB not in node.cluster.jobs) is is_archived
-        assert len(node.cluster.machines["n-0"].rows) == (0 if is_archived else 2)
+        assert len(node.cluster.machines["n-0"].attempts) == (0 if is_archived else 2)
 
     play(story)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -260,7 +260,7 @@
             await node.round()
             assert _stored_rows(state) == planned
             job = node.cluster.jobs[JOB]
-            assert sorted(r.index for r in job.rows()) == planned
+            assert sorted(r.index for r in job.attempts()) == planned
             assert job.waiting_count() == 0 and job.done_count() == 2
         assert keys.plan(JOB, "0") not in state.keys
         assert not node.cluster.jobs[JOB].staged
@@ -313,7 +313,7 @@
             clock.time += 0.5
             await node.live()
             await node.round()
-            assert node.cluster.jobs[JOB].row_count() == 0
+            assert node.cluster.jobs[JOB].planned_count() == 0
         assert not [k for k in state.keys if k.startswith(keys.PLAN)]
 
     play(story)
@@ -431,7 +431,7 @@
             for number in range(40):
                 node.report(f"n-{number}", 1, turn + 1, node.token())
             await node.round()
-        assert node.cluster.jobs[JOB].row_count() == 40
+        assert node.cluster.jobs[JOB].planned_count() == 40
         assert state.too_large == 0
         assert make_settings().lowest_state_limits.conditions == 24
 
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -48,13 +48,13 @@
         node.report("n-0", 1, 4, node.token(), *left, gone)
         await node.round()
         await node.round()
-        assert node.cluster.jobs["wk-000001"].row_count() == 3
+        assert node.cluster.jobs["wk-000001"].planned_count() == 3
         index = int(stopped[1].rpartition("/")[2])
         gone = on("wk-000001", index, index + 1, "exited", "halted")
         node.report("n-0", 1, 5, node.token(), *left[:-1], gone)
         await node.round()
         await node.round()
-        assert node.cluster.jobs["wk-000002"].row_count() == 1
+        assert node.cluster.jobs["wk-000002"].planned_count() == 1
 
     play(story)
 
@@ -76,7 +76,7 @@
         node.report("n-0", 1, 3, node.token(), *left, gone)
         await node.round()
         await node.round()
-        assert node.cluster.jobs["wk-000002"].row_count() == 1
+        assert node.cluster.jobs["wk-000002"].planned_count() == 1
 
     play(story)
 
@@ -92,7 +92,7 @@
         add_job(state, clock, nameId="wk-000002", sacks=1, **replica)
         await node.sync()
         await node.round()
-        assert len(node.cluster.machines["n-0"].rows) == 3
+        assert len(node.cluster.machines["n-0"].attempts) == 3
         add_machine(state, clock, "n-1", zone="south")
         add_job(state, clock, nameId="wk-000003", sacks=2, spread=True, **replica)
         await node.sync()
@@ -125,8 +125,8 @@
             await node.keeper.step()
             for number in range(4):
                 machine = f"n-{number}"
-                rows = node.cluster.machines[machine].rows.values()
-                tasks = [on(r.job, r.index, r.attempt, "exited", "error") for r in rows]
+                rows = node.cluster.machines[machine].attempts.values()
+                tasks = [on(r.job, r.index, r.number, "exited", "error") for r in rows]
                 starts += len(tasks)
                 node.report(machine, 1, seq, node.token(), *tasks)
             await node.round()
@@ -142,8 +142,8 @@
         add_job(state, clock, nameId="wk-000002", sacks=1)
         await node.sync()
         await node.round()
-        rows = node.cluster.machines["n-0"].rows.values()
-        tasks = [on(r.job, r.index, r.attempt, "exited", "error") for r in rows]
+        rows = node.cluster.machines["n-0"].attempts.values()
+        tasks = [on(r.job, r.index, r.number, "exited", "error") for r in rows]
         assert len(tasks) == 2
         node.report("n-0", 1, 3, node.token(), *tasks)
         clock.time += node.settings.worker_lease_expiry_s + 1
@@ -173,7 +173,7 @@
         await node.sync()
         node.report("n-0", 1, 99, node.token())
         await node.round()
-        assert node.cluster.jobs["wk-000001"].row_count() == 0
+        assert node.cluster.jobs["wk-000001"].planned_count() == 0
 
     play(story)
 
@@ -193,7 +193,7 @@
         add_job(state, clock, nameId="wk-000002", sacks=1)
         await node.sync()
         await node.round()
-        assert node.cluster.jobs["wk-000002"].row_count() == 0
+        assert node.cluster.jobs["wk-000002"].planned_count() == 0
 
     play(story)
 
@@ -222,7 +222,7 @@
             node.report(f"n-{number}", 1, 1, node.token(shard))
         for _ in range(4):
             await node.round(shard)
-        assert node.cluster.jobs["wk-000001"].row_count() > 1000
+        assert node.cluster.jobs["wk-000001"].planned_count() > 1000
         for key, (value, _, _) in state.keys.items():
             if key.startswith(keys.PLAN):
                 assert len(orjson.dumps(value)) < 32 * 1024
@@ -283,7 +283,7 @@
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready(state, clock, nodes, 1, sacks=3)
         making = node.rounds._preemption
-        rows = list(node.cluster.jobs["wk-000001"].rows())
+        rows = list(node.cluster.jobs["wk-000001"].attempts())
         beyond = {"red": 2.0}
         assert not making._draw(rows, {"wk-000001": "red"}, beyond)
         assert making._draw(rows[:2], {"wk-000001": "red"}, beyond)
@@ -306,14 +306,14 @@
             state, clock, nodes, 2, cut="service", precedence="production", sacks=1, cards=4.0,
             grindS=0.0, dueS=None,
         )  # fmt: skip
-        (row,) = node.cluster.jobs["wk-000001"].rows()
-        other = "n-1" if row.machine == "n-0" else "n-0"
+        (attempt,) = node.cluster.jobs["wk-000001"].attempts()
+        other = "n-1" if attempt.machine == "n-0" else "n-0"
         add_job(state, clock, nameId="wk-000002", sacks=4)
         await node.sync()
         await node.round()
-        assert len(node.cluster.machines[other].rows) == 4
+        assert len(node.cluster.machines[other].attempts) == 4
         running = [on("wk-000002", i, i + 1, "running") for i in range(4)]
-        node.report(row.machine, 1, 2, node.token(), on("wk-000001", 0, 1, "running"))
+        node.report(attempt.machine, 1, 2, node.token(), on("wk-000001", 0, 1, "running"))
         for seq in range(2, 60):
             clock.time += node.settings.heartbeat_interval_s / 2
             await node.live()
@@ -330,7 +330,7 @@
 
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready(state, clock, nodes, 3, sacks=12)
-        assert node.cluster.jobs["wk-000001"].row_count() == 12
+        assert node.cluster.jobs["wk-000001"].planned_count() == 12
         asked: list[str] = []
         short = node.forecast.short
 
