--- /dev/null
+++ b/tests/test_behavior_trace.py
@@ -0,0 +1,98 @@
+"""The behaviour trace itself: it repeats, sees a planted change and finds its first difference."""
+
+from collections import Counter
+from pathlib import Path
+
+import pytest
+
+from .behavior_trace import (
+    Entry,
+    TraceKey,
+    TraceRecorder,
+    compare,
+    digest,
+    first_difference,
+    play_quick,
+)
+from .trace_adapter import CONTROLLERS, changed_placement
+
+SEED = 1
+
+Lines = dict[str, list[str]]
+
+
+def _take() -> Lines:
+    recorder = TraceRecorder()
+    play_quick(recorder, Counter(), SEED)
+    return {label: recorder.lines(label) for label in CONTROLLERS}
+
+
+def _digests(lines: Lines) -> dict[str, Entry]:
+    return {label: Entry(digest(rows), len(rows)) for label, rows in lines.items()}
+
+
+def _store(top: Path, lines: Lines) -> Path:
+    top.mkdir()
+    for label, rows in lines.items():
+        (top / f"{TraceKey('quick', SEED, label)}.txt").write_text("\n".join(rows) + "\n")
+    return top
+
+
+@pytest.fixture(scope="module")
+def lines() -> Lines:
+    return _take()
+
+
+@pytest.fixture(scope="module")
+def changed_lines() -> Lines:
+    with changed_placement():
+        return _take()
+
+
+def test_the_trace_has_every_seam(lines: Lines) -> None:
+    fields = [line.split("\t") for rows in lines.values() for line in rows]
+    seams = {(field[1], field[2].partition(":")[0]) for field in fields}
+    assert seams >= {
+        ("sent", "state"),
+        ("sent", "peer"),
+        ("sent", "worker"),
+        ("received", "peer"),
+        ("received", "heartbeat"),
+        ("received", "user"),
+    }
+
+
+def test_two_runs_of_a_seed_agree(lines: Lines) -> None:
+    assert _take() == lines
+
+
+def test_a_changed_decision_changes_the_digest(lines: Lines, changed_lines: Lines) -> None:
+    differences = list(compare(_digests(lines), _digests(changed_lines)))
+    assert differences
+    assert not list(compare(_digests(lines), _digests(lines)))
+
+
+def test_a_trace_that_is_not_stored_is_a_difference(lines: Lines) -> None:
+    assert len(list(compare({}, _digests(lines)))) == len(CONTROLLERS)
+
+
+def test_the_first_difference_is_found(tmp_path: Path, lines: Lines, changed_lines: Lines) -> None:
+    before = _store(tmp_path / "before", lines)
+    after = _store(tmp_path / "after", changed_lines)
+    difference = first_difference(before, after)
+    assert difference is not None
+    label = difference.file.removeprefix(f"quick-{SEED}-").removesuffix(".txt")
+    index = difference.line - 1
+    assert lines[label][:index] == changed_lines[label][:index]
+    assert difference.before == lines[label][index] != changed_lines[label][index]
+    # the planted change is in what is placed, which the owner stores first
+    assert difference.before.split("\t")[1:5] == ["sent", "state", "POST", "/txn"]
+    assert first_difference(before, before) is None
+
+
+def test_a_trace_that_ended_earlier_differs_there(tmp_path: Path, lines: Lines) -> None:
+    shorter = {label: rows[:-1] for label, rows in lines.items()}
+    difference = first_difference(
+        _store(tmp_path / "whole", lines), _store(tmp_path / "part", shorter)
+    )
+    assert difference is not None and difference.after is None
