--- a/tests/trace_adapter.py
+++ b/tests/trace_adapter.py
@@ -17,7 +17,7 @@
 
 from crossmill.cluster import keys
 from crossmill.jobs import placement
-from crossmill.net.client import Http, Unanswered, Unreached
+from crossmill.net.client import ConnectionFailedError, Http, NoResponseError
 from crossmill.net.server import Request, Response
 from crossmill.planning.rooms import Room, assign
 from crossmill.wire.recovery import APPROVE_PATH, RECOVERY_PATH, Approval, approval_body
@@ -133,10 +133,10 @@
         message = self._log.open(self._controller, SENT, self._counterpart, request)
         try:
             status, answer = await self._link.request(method, path, body, timeout_s)
-        except Unreached:
+        except ConnectionFailedError:
             self._log.close(message, 0, NOT_REACHED)
             raise
-        except Unanswered:
+        except NoResponseError:
             self._log.close(message, 0, NO_ANSWER)
             raise
         self._log.close(message, status, answer)
@@ -196,9 +196,9 @@
     def _count_preemptions(self, node: Node) -> None:
         request_stop = node.reports.request_stop
 
-        def counted(row: Any, reason: StopReason) -> Any:
+        def counted(row: Any, reason: StopReason) -> None:
             self.log.counts[f"stops intended, {reason.name.lower()}"] += 1
-            return request_stop(row, reason)
+            request_stop(row, reason)
 
         node.reports.request_stop = counted  # type: ignore[method-assign]
 
