--- a/crossmill/fleet/room_cache.py
+++ b/crossmill/fleet/capacity_cache.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from ..cluster.model import Machine
-from ..planning.rooms import Room
+from ..planning.free_capacity import FreeCapacity
 from ..wire.cloud import MachineType
 
 # so many more rooms than machines are kept before those of machines that have gone are dropped
@@ -22,22 +22,22 @@
     machine: Machine
     changes: int
     kind: MachineType
-    room: Room
+    capacity: FreeCapacity
 
     def is_valid(self, machine: Machine, kind: MachineType) -> bool:
         return (
             self.machine is machine
             and self.changes == machine.changes
             and self.kind is kind
-            and not self.room.taken
+            and not self.capacity.taken
         )
 
 
-class RoomCache:
+class CapacityCache:
     """The rooms of machines, by machine."""
 
     def __init__(
-        self, machines: dict[str, Machine], build: Callable[[Machine, MachineType], Room]
+        self, machines: dict[str, Machine], build: Callable[[Machine, MachineType], FreeCapacity]
     ) -> None:
         self._machines = machines
         self._build = build
@@ -46,16 +46,16 @@
     def __len__(self) -> int:
         return len(self._entries)
 
-    def room(self, machine: Machine, kind: MachineType) -> Room:
+    def capacity(self, machine: Machine, kind: MachineType) -> FreeCapacity:
         """What is free on the machine now."""
         entry = self._entries.get(machine.id)
         if entry is None or not entry.is_valid(machine, kind):
-            room = self._build(machine, kind)
-            self._entries[machine.id] = _Entry(machine, machine.changes, kind, room)
+            capacity = self._build(machine, kind)
+            self._entries[machine.id] = _Entry(machine, machine.changes, kind, capacity)
             self._drop_gone()
-            return room
-        entry.room.used = bool(machine.attempts)
-        return entry.room
+            return capacity
+        entry.capacity.used = bool(machine.attempts)
+        return entry.capacity
 
     def _drop_gone(self) -> None:
         if len(self._entries) <= len(self._machines) + SPARE_ENTRIES:
--- a/crossmill/fleet/forecast.py
+++ b/crossmill/fleet/forecast.py
@@ -8,17 +8,24 @@
 from ..cluster.cluster_state import ClusterState
 from ..cluster.model import Job, Machine
 from ..net.clock import Clock
-from ..planning.demand import Outcome, Source, Want, demand, room_of, slots_on
+from ..planning.demand import (
+    CapacityPlan,
+    MachineSource,
+    TaskDemand,
+    empty_capacity,
+    plan_capacity,
+    slots_on,
+)
 from ..planning.estimates import Estimates
-from ..planning.gpu_shares import GpuShares, gpu_shares
+from ..planning.free_capacity import FreeCapacity, ZoneAllowance, assign_tasks, is_allowed
+from ..planning.gpu_footprints import GpuFootprints, gpu_footprints
 from ..planning.queue import PRIORITY
-from ..planning.rooms import Room, Zones, allowed, assign
 from ..settings import Settings
 from ..wire.cloud import MachineType
 from ..wire.users import JobSpec
 from .boot_times import BootTimes
+from .capacity_cache import CapacityCache
 from .pipelines import PipelineBudgets
-from .room_cache import RoomCache
 
 
 @dataclass(slots=True, eq=False)
@@ -45,10 +52,10 @@
         self._seen_order = 0
         self._catalog: object = None
         self._narrow: dict[str, bool] = {}
-        self._sources: list[Source] = []
-        self._shares = GpuShares(None, {})
+        self._sources: list[MachineSource] = []
+        self._shares = GpuFootprints(None, {})
         self._shares_at = -inf
-        self._room_cache = self.new_cache()
+        self._capacity_cache = self.new_cache()
 
     def _counted_on(self, machine: Machine, wall: float) -> MachineType | None:
         """The machine's type, if it is there or may be expected."""
@@ -60,7 +67,7 @@
             return None
         return kind
 
-    def narrow(self, zone: str) -> bool:
+    def has_few_types(self, zone: str) -> bool:
         """Whether the zone offers fewer of the types than another does, so that replicas that
         are spread find least there."""
         self._note_catalog()
@@ -81,41 +88,41 @@
         self._narrow = {zone: number < most for zone, number in offered.items()}
         # ties between zones go to the one that offers more
         self._sources = [
-            Source(kind, zone, spot)
+            MachineSource(kind, zone, spot)
             for kind in catalog.values()
             for zone in sorted(kind.zones, key=lambda z: self._narrow[z])
             for spot in (False, True)
         ]
 
-    def new_cache(self) -> RoomCache:
+    def new_cache(self) -> CapacityCache:
         """A cache of rooms, for one that looks at the fleet again and again."""
-        return RoomCache(self._cluster.machines, self.room)
+        return CapacityCache(self._cluster.machines, self.free_capacity)
 
-    def cached_rooms(
-        self, cache: RoomCache, machines: Iterable[tuple[Machine, MachineType]]
-    ) -> list[Room]:
+    def cached_capacities(
+        self, cache: CapacityCache, machines: Iterable[tuple[Machine, MachineType]]
+    ) -> list[FreeCapacity]:
         """What the plan leaves free on the machines, for use until the cache's next look."""
         self._note_catalog()
-        shares = self._gpu_shares()
-        rooms = [cache.room(machine, kind) for machine, kind in machines]
-        for room in rooms:
-            room.typical, room.bound = shares.typical, shares.bound_to(room)
-        return rooms
+        shares = self._gpu_footprints()
+        capacities = [cache.capacity(machine, kind) for machine, kind in machines]
+        for capacity in capacities:
+            capacity.typical, capacity.bound = shares.typical, shares.bound_to(capacity)
+        return capacities
 
-    def room(self, machine: Machine, kind: MachineType) -> Room:
+    def free_capacity(self, machine: Machine, kind: MachineType) -> FreeCapacity:
         """What the plan leaves free on a machine."""
-        room = room_of(machine.id, kind, machine.zone, machine.spot)
-        room.cpus -= machine.cpus
-        room.gpus -= machine.gpus
-        room.memory_gb -= machine.memory_gb
-        room.images = dict(machine.images)
-        room.used = bool(machine.attempts)
-        room.narrow = self.narrow(machine.zone)
-        shares = self._gpu_shares()
-        room.typical, room.bound = shares.typical, shares.bound_to(room)
-        return room
-
-    def _gpu_shares(self) -> GpuShares:
+        capacity = empty_capacity(machine.id, kind, machine.zone, machine.spot)
+        capacity.cpus -= machine.cpus
+        capacity.gpus -= machine.gpus
+        capacity.memory_gb -= machine.memory_gb
+        capacity.images = dict(machine.images)
+        capacity.used = bool(machine.attempts)
+        capacity.narrow = self.has_few_types(machine.zone)
+        shares = self._gpu_footprints()
+        capacity.typical, capacity.bound = shares.typical, shares.bound_to(capacity)
+        return capacity
+
+    def _gpu_footprints(self) -> GpuFootprints:
         """What tasks on GPUs take, looked at now and then."""
         now = self._clock.now()
         if now - self._shares_at > self._settings.worker_lease_s:
@@ -123,7 +130,7 @@
             active = (job for jobs in self._cluster.active.values() for job in jobs.values())
             specs = [job.spec for job in active if job.spec is not None and job.spec.gpus > 0]
             if specs:
-                self._shares = gpu_shares(specs, self._cluster.catalog.values())
+                self._shares = gpu_footprints(specs, self._cluster.catalog.values())
         return self._shares
 
     def _note_arrivals(self, wall: float) -> None:
@@ -143,9 +150,9 @@
             entry.times = [t for t in entry.times if t[0] >= horizon]
             entry.work_s = [t for t in entry.work_s if t[0] >= horizon]
 
-    def _expected(self, shard: int, wall: float) -> list[Want]:
+    def _expected(self, shard: int, wall: float) -> list[TaskDemand]:
         """Replicas likely to come while a machine boots, for which room is kept."""
-        wants: list[Want] = []
+        demands: list[TaskDemand] = []
         for (where, _), entry in self._arrivals.items():
             spec = entry.spec
             if where != shard or spec is None or spec.kind != "service":
@@ -161,13 +168,13 @@
                 tasks / self._settings.arrival_window_s * boot_s * self._settings.headroom + 0.5
             )
             if number > 0:
-                wants.append(Want(spec, number, Zones(spec, {}), inf, 0.0))
-        return wants
+                demands.append(TaskDemand(spec, number, ZoneAllowance(spec, {}), inf, 0.0))
+        return demands
 
-    def _ahead(self, shard: int) -> list[Want]:
+    def _ahead(self, shard: int) -> list[TaskDemand]:
         """Arrays' tasks that run at a time on average. Arrays that find no room can't wait for
         a cheap machine's boot, so a base of spot machines is rented ahead and kept."""
-        wants: list[Want] = []
+        demands: list[TaskDemand] = []
         for (where, job_class), entry in self._arrivals.items():
             spec = entry.spec
             if where != shard or spec is None or spec.kind == "service" or not spec.spot:
@@ -179,25 +186,25 @@
             if number > 0:
                 # any image may be asked for, and the cheapest place is kept
                 anyone = replace(spec, image="", image_gb=0.0, one_zone=False, tasks=number)
-                zones = Zones(anyone, {})
-                wants.append(Want(anyone, number, zones, inf, 0.0, spot_only=True))
-        return wants
+                zones = ZoneAllowance(anyone, {})
+                demands.append(TaskDemand(anyone, number, zones, inf, 0.0, spot_only=True))
+        return demands
 
-    def _base(self, shard: int, wall: float, outcome: Outcome) -> None:
+    def _base(self, shard: int, wall: float, capacity_plan: CapacityPlan) -> None:
         """Adds what the base of spot machines needs, each machine counted as if empty."""
-        wants = self._ahead(shard)
-        if not wants:
+        demands = self._ahead(shard)
+        if not demands:
             return
-        rooms = [
-            room_of(m.id, kind, m.zone, True)
+        capacities = [
+            empty_capacity(m.id, kind, m.zone, True)
             for m in self._cluster.machines_of[shard].values()
             if m.spot and (kind := self._counted_on(m, wall)) is not None
         ]
-        base = demand(wants, rooms, self.sources(), self._limit)
+        base = plan_capacity(demands, capacities, self.sources(), self._limit)
         kept = {m.id for m in self._cluster.machines_of[shard].values() if m.spot}
-        outcome.spare -= kept - base.spare
-        for key, need in base.needs.items():
-            known = outcome.needs.setdefault(key, need)
+        capacity_plan.spare_machines -= kept - base.spare_machines
+        for key, need in base.machine_requests.items():
+            known = capacity_plan.machine_requests.setdefault(key, need)
             known.number = max(known.number, need.number)
 
     def queue_place(self, job: Job) -> tuple[tuple[int, float], int]:
@@ -224,17 +231,17 @@
         jobs.sort(key=self.queue_place)
         return jobs
 
-    def short(self, spec: JobSpec) -> bool:
+    def is_out_of_capacity(self, spec: JobSpec) -> bool:
         """Whether the cloud has nothing at present that the job may use."""
         return not any(
             self._limit(source) > 0
             for source in self.sources()
-            if allowed(spec, source.type.name, source.zone, source.spot)
+            if is_allowed(spec, source.type.name, source.zone, source.spot)
             and slots_on(spec, source.type) > 0
         )
 
-    def _wants(self, shard: int, wall: float) -> list[Want]:
-        wants: list[Want] = []
+    def _waiting_demands(self, shard: int, wall: float) -> list[TaskDemand]:
+        demands: list[TaskDemand] = []
         coming, promised = self._coming_free(shard), 0
         for job in self.waiting(shard):
             spec, place = job.spec, self._pipelines.place(job)
@@ -243,18 +250,20 @@
             task_s = self.estimates.task_s(spec.job_class, spec.estimate_s)
             # the fixed wait is a place in the queue; without a deadline no option is too slow
             budget_s = place.budget_end - wall if place.has_deadline else inf
-            want = Want(spec, job.waiting_count(), Zones(spec, zones), budget_s, task_s)
+            demand = TaskDemand(
+                spec, job.waiting_count(), ZoneAllowance(spec, zones), budget_s, task_s
+            )
             if spec.kind == "array" and task_s > 0:
                 # slots of running arrays come free one after the other, and again; those that
                 # do by the time the last task has to be there go to the jobs in their order.
                 # A slot is taken for the image's fetch as well, unless it is there by chance
                 turn_s = task_s + self._fetch_s(spec)
-                span_s = min(max(0.0, want.budget_s - turn_s), self._settings.arrival_window_s)
+                span_s = min(max(0.0, demand.budget_s - turn_s), self._settings.arrival_window_s)
                 by_then = int(coming * span_s / turn_s)
-                want.covered = max(0, min(want.tasks, by_then - promised))
-                promised += want.covered
-            wants.append(want)
-        return wants
+                demand.covered = max(0, min(demand.tasks, by_then - promised))
+                promised += demand.covered
+            demands.append(demand)
+        return demands
 
     def _fetch_s(self, spec: JobSpec) -> float:
         """How long the image takes where it is fetched soonest."""
@@ -272,63 +281,65 @@
             if job.spec is not None and job.spec.kind == "array"
         )
 
-    def sources(self) -> list[Source]:
+    def sources(self) -> list[MachineSource]:
         """All types, zones and kinds of machines that can be rented."""
         self._note_catalog()
         return self._sources
 
-    def _limit(self, source: Source) -> int:
+    def _limit(self, source: MachineSource) -> int:
         key = (source.type.name, source.zone, source.spot)
         return 0 if self.blocked.get(key, 0.0) > self._clock.now() else 50
 
-    def _rooms(self, shard: int, wall: float) -> list[Room]:
+    def _capacities(self, shard: int, wall: float) -> list[FreeCapacity]:
         machines = [
             (machine, kind)
             for machine in self._cluster.machines_of[shard].values()
             if (kind := self._counted_on(machine, wall)) is not None
         ]
-        return self.cached_rooms(self._room_cache, machines)
+        return self.cached_capacities(self._capacity_cache, machines)
 
-    def look(self, shard: int) -> Outcome:
+    def plan(self, shard: int) -> CapacityPlan:
         """What a shard needs, and which of its machines it can spare."""
         wall = self._clock.wall()
         self._note_arrivals(wall)
-        wants = self._wants(shard, wall) + self._expected(shard, wall)
-        outcome = demand(wants, self._rooms(shard, wall), self.sources(), self._limit)
-        self._base(shard, wall, outcome)
-        return outcome
+        demands = self._waiting_demands(shard, wall) + self._expected(shard, wall)
+        capacity_plan = plan_capacity(
+            demands, self._capacities(shard, wall), self.sources(), self._limit
+        )
+        self._base(shard, wall, capacity_plan)
+        return capacity_plan
 
-    def unmet(self, shard: int, wall: float) -> list[Want]:
+    def unplaced_demands(self, shard: int, wall: float) -> list[TaskDemand]:
         """What has waited a while and finds no room in the shard, machines that still boot and
         slots that come free counted in."""
         old = wall - self._settings.machine_transfer_interval_s
         waiting = self._cluster.active[shard].values()
         if not any(j.ready_at < old and j.waiting_count() > 0 for j in waiting):
             return []
-        rooms = self._rooms(shard, wall)
-        result: list[Want] = []
-        for want in self._wants(shard, wall):
-            taken = assign(want.spec, want.tasks, rooms, want.zones)
-            left = want.tasks - sum(number for _, number in taken) - want.covered
-            if left > 0 and self._cluster.jobs[want.spec.id].ready_at < old:
-                result.append(replace(want, tasks=left, covered=0))
+        capacities = self._capacities(shard, wall)
+        result: list[TaskDemand] = []
+        for demand in self._waiting_demands(shard, wall):
+            taken = assign_tasks(demand.spec, demand.tasks, capacities, demand.zones)
+            left = demand.tasks - sum(number for _, number in taken) - demand.covered
+            if left > 0 and self._cluster.jobs[demand.spec.id].ready_at < old:
+                result.append(replace(demand, tasks=left, covered=0))
         return result
 
-    def _quick(self, spec: JobSpec, room: Room) -> bool:
+    def _quick(self, spec: JobSpec, capacity: FreeCapacity) -> bool:
         """Whether the image is there as soon as the machine's next report."""
-        kind = self._cluster.catalog[room.type]
+        kind = self._cluster.catalog[capacity.type]
         return spec.image_gb < kind.fetch_gb_per_s * self._settings.heartbeat_interval_s
 
-    def redundant(self, shard: int, machine: Machine, rooms: list[Room]) -> bool:
+    def is_redundant(self, shard: int, machine: Machine, capacities: list[FreeCapacity]) -> bool:
         """Whether all on this machine would fit where its images are, on machines in use or
         cheaper, with room left for what is expected."""
         kind = self._cluster.catalog.get(machine.type)
         if kind is None:
             return False
-        own = room_of(machine.id, kind, machine.zone, machine.spot)
-        rooms = [
+        own = empty_capacity(machine.id, kind, machine.zone, machine.spot)
+        capacities = [
             replace(r, images=dict(r.images))
-            for r in rooms
+            for r in capacities
             if r.machine != machine.id and (r.used or r.price / r.size < own.price / own.size)
         ]
         moving: dict[str, int] = {}
@@ -342,15 +353,17 @@
                 return False
             zones = self._cluster.zones_of(job)
             zones[machine.zone] -= moving[job.id]
-            near = [r for r in rooms if spec.image in r.images or self._quick(spec, r)]
-            taken = assign(
+            near = [r for r in capacities if spec.image in r.images or self._quick(spec, r)]
+            taken = assign_tasks(
                 spec,
                 moving[job.id],
                 near,
-                Zones(spec, zones),
+                ZoneAllowance(spec, zones),
                 self._settings.max_replica_share_per_machine,
             )
             if sum(number for _, number in taken) < moving[job.id]:
                 return False
-        outcome = demand(self._expected(shard, self._clock.wall()), rooms, [], self._limit)
-        return outcome.short == 0
+        capacity_plan = plan_capacity(
+            self._expected(shard, self._clock.wall()), capacities, [], self._limit
+        )
+        return capacity_plan.unplaced_tasks == 0
--- a/crossmill/fleet/leader.py
+++ b/crossmill/fleet/leader.py
@@ -10,7 +10,7 @@
 from ..cluster.cluster_state import ClusterState
 from ..cluster.membership import Membership
 from ..net.clock import Clock
-from ..planning.demand import Need
+from ..planning.demand import MachineRequest
 from ..settings import Settings
 from ..state.writer import WriteIntent, Writer, WriteRank, WriteResult
 from ..wire.cloud import MAX_RELEASE, Listed
@@ -130,12 +130,12 @@
 
     async def _rent(self) -> None:
         for shard in range(self._settings.shard_count):
-            for need in list(self._forecast.look(shard).needs.values()):
+            for need in list(self._forecast.plan(shard).machine_requests.values()):
                 if self._membership.leading() is None:
                     return
                 await self._rent_one(shard, need)
 
-    async def _rent_one(self, shard: int, need: Need) -> None:
+    async def _rent_one(self, shard: int, need: MachineRequest) -> None:
         source = need.source
         name = next(self._names)
         key = (source.type.name, source.zone, source.spot)
@@ -216,7 +216,9 @@
 
     async def _adopt(self, rows: list[Listed]) -> None:
         """Machines nobody expected are taken in; those not needed go the way of idle ones."""
-        needy = max(range(self._settings.shard_count), key=lambda k: self._forecast.look(k).short)
+        needy = max(
+            range(self._settings.shard_count), key=lambda k: self._forecast.plan(k).unplaced_tasks
+        )
         for row in rows:
             log.info("machine adopted machine=%s shard=%d", row.id, needy)
             await self._record(
--- a/crossmill/fleet/pipelines.py
+++ b/crossmill/fleet/pipelines.py
@@ -13,7 +13,7 @@
 from ..planning.estimates import Estimates
 from ..planning.pipelines import PipelineStage, StagePlan, plan_pipeline
 from ..planning.queue import PRIORITY, budget_end
-from ..planning.split import Option
+from ..planning.split import MachineOption
 from ..settings import Settings
 from ..wire.users import JobSpec
 
@@ -145,14 +145,14 @@
             deadline,
         )
 
-    def _options(self, spec: JobSpec) -> tuple[Option, ...]:
+    def _options(self, spec: JobSpec) -> tuple[MachineOption, ...]:
         """The machine types that the stage may use: the image's fetch and one task's run."""
         estimate_s = spec.estimate_s if spec.kind == "array" else REPLICA_S
         task_s = max(self._estimates.task_s(spec.job_class, estimate_s), 1e-3)
-        options: list[Option] = []
+        options: list[MachineOption] = []
         for kind in self._cluster.catalog.values():
             slots = slots_on(spec, kind)
             if slots and (spec.types is None or kind.name in spec.types):
                 finish_s = spec.image_gb / kind.fetch_gb_per_s + task_s
-                options.append(Option(kind.name, kind.price, slots / task_s, finish_s))
-        return tuple(options) or (Option(UNKNOWN_TYPE, 1.0, 1.0 / task_s, task_s),)
+                options.append(MachineOption(kind.name, kind.price, slots / task_s, finish_s))
+        return tuple(options) or (MachineOption(UNKNOWN_TYPE, 1.0, 1.0 / task_s, task_s),)
--- a/crossmill/jobs/machine_maintenance.py
+++ b/crossmill/jobs/machine_maintenance.py
@@ -102,7 +102,7 @@
         return intents
 
     def _silent_zones(self, shard: int, machines: list[Machine], now: float) -> set[str]:
-        """Zones of which most machines that have been up are not heard, or were not until a
+        """ZoneAllowance of which most machines that have been up are not heard, or were not until a
         moment ago: they fall silent and come back one by one, and none should be given up for
         being the first or the last."""
         up: Counter[str] = Counter()
@@ -154,7 +154,7 @@
                 and not machine.retiring
             ):
                 self._spare_at[shard] = now
-                return self._forecast.look(shard).spare
+                return self._forecast.plan(shard).spare_machines
         return set()
 
     def _fault(self, machine: Machine, now: float, patience: float, spare: set[str]) -> str:
--- a/crossmill/jobs/placement.py
+++ b/crossmill/jobs/placement.py
@@ -8,7 +8,7 @@
 from ..cluster.ownership import Owned
 from ..fleet.forecast import DemandForecast
 from ..net.clock import Clock
-from ..planning.rooms import Room, Zones, allowed, assign
+from ..planning.free_capacity import FreeCapacity, ZoneAllowance, assign_tasks, is_allowed
 from ..settings import Settings
 from ..wire.users import JobSpec
 from ..workers.reports import Reports
@@ -45,7 +45,7 @@
         self._preemption = preemption
         self._reassignment = reassignment
         self._failures = failures
-        self._room_cache = forecast.new_cache()
+        self._capacity_cache = forecast.new_cache()
         self._resume: dict[int, str] = {}
         # set when a round ran out of time, cleared by whoever begins the next
         self.is_unfinished = False
@@ -66,7 +66,7 @@
             and not self._reports.is_leaving(machine.id)
         )
 
-    def _rooms(self, machines: list[Machine]) -> list[Room]:
+    def _capacities(self, machines: list[Machine]) -> list[FreeCapacity]:
         now = self._clock.now()
         usable = [
             (machine, kind)
@@ -74,7 +74,7 @@
             if (kind := self._cluster.catalog.get(machine.type)) is not None
             and self._usable(machine, now)
         ]
-        return self._forecast.cached_rooms(self._room_cache, usable)
+        return self._forecast.cached_capacities(self._capacity_cache, usable)
 
     def place(
         self, shard: int, own: Owned, machines: list[Machine], edits: Edits
@@ -87,9 +87,9 @@
         self._full.clear()
         queue = self._forecast.waiting(shard)
         if not queue:
-            return list(self._preemption.drain(shard, own, lambda: self._rooms(machines)))
+            return list(self._preemption.drain(shard, own, lambda: self._capacities(machines)))
         started = self._clock.now()
-        rooms = self._rooms(machines)
+        capacities = self._capacities(machines)
         used = self._guarantees.use(shard)
         # a round that ran out of time goes on where it stopped
         resume = self._resume.pop(shard, None)
@@ -101,7 +101,7 @@
                 self._resume[shard] = job.id
                 self.is_unfinished = True
                 break
-            self._place_job(job, rooms, used, edits)
+            self._place_job(job, capacities, used, edits)
         return self._stops
 
     def _within_limit(self, spec: JobSpec, used: Use) -> int:
@@ -121,7 +121,7 @@
     def _place_job(
         self,
         job: Job,
-        rooms: list[Room],
+        capacities: list[FreeCapacity],
         used: Use,
         edits: Edits,
     ) -> None:
@@ -135,9 +135,9 @@
             wanted = min(wanted, 1 - job.planned_count())
         if wanted <= 0:
             return
-        zones = Zones(spec, self._cluster.zones_of(job))
+        zones = ZoneAllowance(spec, self._cluster.zones_of(job))
         bad = failures.machines if failures is not None else set()
-        free = self._free(spec, rooms)
+        free = self._free(spec, capacities)
         free = [r for r in free if r.machine not in bad and self._preemption.open_to(r, job)]
         if spec.kind == "gang" and not self._whole(job, spec, wanted, free):
             return
@@ -146,72 +146,75 @@
         # for each task anew they would stop one another's work over and over
         blameless = failures is None or (spec.kind == "service" and failures.failures == 0)
         if blameless and self._preemption.could(job, used):
-            rooms = [r for r in rooms if r.machine not in bad and self._preemption.open_to(r, job)]
+            capacities = [
+                r for r in capacities if r.machine not in bad and self._preemption.open_to(r, job)
+            ]
         else:
-            blameless, rooms = False, free
+            blameless, capacities = False, free
             if not free:
                 return
-        taken = self._find_rooms(job, spec, wanted, free, rooms, zones, used, blameless)
+        taken = self._find_capacity(job, spec, wanted, free, capacities, zones, used, blameless)
         if not taken:
             return
-        slots = [room.machine for room, number in taken for _ in range(number)]
+        slots = [capacity.machine for capacity, number in taken for _ in range(number)]
         for index, machine_id in zip(self._unclaimed(job), slots, strict=False):
             self._start(job, index, machine_id, edits)
         used[spec.team][0] += len(slots) * spec.cpus
         used[spec.team][1] += len(slots) * spec.gpus
 
-    def _free(self, spec: JobSpec, rooms: list[Room]) -> list[Room]:
+    def _free(self, spec: JobSpec, capacities: list[FreeCapacity]) -> list[FreeCapacity]:
         """Rooms where at least one such task fits. Most jobs that wait are like others that
         wait, and most rooms are full: it is asked once for all that are alike."""
         kind = (spec.cpus, spec.gpus, spec.memory_gb, spec.types, spec.zone, spec.spot)
         if kind in self._full:
             return []
         free = [
-            room
-            for room in rooms
-            if room.fits(spec) and allowed(spec, room.type, room.zone, room.spot)
+            capacity
+            for capacity in capacities
+            if capacity.fits(spec) and is_allowed(spec, capacity.type, capacity.zone, capacity.spot)
         ]
         if not free:
             self._full.add(kind)
         return free
 
-    def _whole(self, job: Job, spec: JobSpec, wanted: int, rooms: list[Room]) -> bool:
+    def _whole(self, job: Job, spec: JobSpec, wanted: int, capacities: list[FreeCapacity]) -> bool:
         """A gang's tasks wait for one another, so they are placed together or not at all."""
         if job.planned_count():
             return False
-        trial = [replace(room, images=dict(room.images)) for room in rooms]
-        zones = Zones(spec, self._cluster.zones_of(job))
-        found = sum(n for _, n in assign(spec, wanted, trial, zones))
+        trial = [replace(capacity, images=dict(capacity.images)) for capacity in capacities]
+        zones = ZoneAllowance(spec, self._cluster.zones_of(job))
+        found = sum(n for _, n in assign_tasks(spec, wanted, trial, zones))
         return found == job.waiting_count()
 
-    def _find_rooms(
+    def _find_capacity(
         self,
         job: Job,
         spec: JobSpec,
         wanted: int,
-        free: list[Room],
-        rooms: list[Room],
-        zones: Zones,
+        free: list[FreeCapacity],
+        capacities: list[FreeCapacity],
+        zones: ZoneAllowance,
         used: Use,
         may_preempt: bool,
-    ) -> list[tuple[Room, int]]:
-        """Room that is free; but a class that must start soon rather gets the place of lesser
+    ) -> list[tuple[FreeCapacity, int]]:
+        """FreeCapacity that is free; but a class that must start soon rather gets the place of
+        lesser
         work where its image is than a free one where it would wait for the image."""
         start_objective_s = (
             self._settings.start_objective_s(spec.job_class) if spec.kind == "service" else None
         )
-        taken: list[tuple[Room, int]] = []
+        taken: list[tuple[FreeCapacity, int]] = []
         # a claim that came to nothing is not repeated: then any room will do
         again = self._preemption.failed(job)
         if start_objective_s is not None and not again:
             # room made for the job counts wherever it is, or it would stand empty until the
             # claim ends
-            def near(room: Room) -> bool:
-                return room.delay_s(spec) < 0.75 * start_objective_s or self._preemption.made_for(
-                    room, job
-                )
+            def near(capacity: FreeCapacity) -> bool:
+                return capacity.delay_s(
+                    spec
+                ) < 0.75 * start_objective_s or self._preemption.made_for(capacity, job)
 
-            taken = assign(
+            taken = assign_tasks(
                 spec,
                 wanted,
                 list(filter(near, free)),
@@ -223,18 +226,18 @@
                 if self._preemption.claimed(job):
                     return taken
                 stops, covered = self._preemption.preempt(
-                    job, wanted, list(filter(near, rooms)), zones, used
+                    job, wanted, list(filter(near, capacities)), zones, used
                 )
                 self._stops.extend(stops)
                 wanted -= covered
         more = (
-            assign(spec, wanted, free, zones, self._settings.max_replica_share_per_machine)
+            assign_tasks(spec, wanted, free, zones, self._settings.max_replica_share_per_machine)
             if wanted
             else []
         )
         wanted -= sum(number for _, number in more)
         if wanted and may_preempt and not again:
-            stops, _ = self._preemption.preempt(job, wanted, rooms, zones, used)
+            stops, _ = self._preemption.preempt(job, wanted, capacities, zones, used)
             self._stops.extend(stops)
         return taken + more
 
--- a/crossmill/jobs/preemption.py
+++ b/crossmill/jobs/preemption.py
@@ -10,7 +10,7 @@
 from ..cluster.ownership import Owned
 from ..fleet.forecast import DemandForecast
 from ..net.clock import Clock
-from ..planning.rooms import Room, Zones, allowed
+from ..planning.free_capacity import FreeCapacity, ZoneAllowance, is_allowed
 from ..settings import Settings
 from ..wire.users import JobSpec
 from ..workers.findings import StopReason
@@ -70,14 +70,14 @@
             if job_id not in self._claims or now > until:
                 del self._reserved[machine]
 
-    def open_to(self, room: Room, job: Job) -> bool:
+    def open_to(self, capacity: FreeCapacity, job: Job) -> bool:
         """Whether the room is not reserved for another job."""
-        holder = self._reserved.get(room.machine)
+        holder = self._reserved.get(capacity.machine)
         return holder is None or holder[0] == job.id
 
-    def made_for(self, room: Room, job: Job) -> bool:
+    def made_for(self, capacity: FreeCapacity, job: Job) -> bool:
         """Whether the room was made for this job."""
-        holder = self._reserved.get(room.machine)
+        holder = self._reserved.get(capacity.machine)
         return holder is not None and holder[0] == job.id
 
     def could(self, job: Job, used: Use) -> bool:
@@ -85,7 +85,7 @@
         return self.claimed(job) or bool(self._stoppable_jobs(job, used))
 
     def preempt(
-        self, job: Job, tasks: int, rooms: list[Room], zones: Zones, used: Use
+        self, job: Job, tasks: int, capacities: list[FreeCapacity], zones: ZoneAllowance, used: Use
     ) -> tuple[list[PlannedAttempt], int]:
         """Rows to be stopped so that up to this many tasks of the job find room, and how many
         tasks they make room for. `zones` counts what this round has placed already, and takes
@@ -97,29 +97,37 @@
         if not stoppable:
             return [], 0
         beyond = {name: self._guarantees.beyond(name, used) for name in set(stoppable.values())}
-        best: list[tuple[int, bool, float, Room, list[PlannedAttempt]]] = []
-        for room in rooms:
-            if not allowed(spec, room.type, room.zone, room.spot):
+        best: list[tuple[int, bool, float, FreeCapacity, list[PlannedAttempt]]] = []
+        for capacity in capacities:
+            if not is_allowed(spec, capacity.type, capacity.zone, capacity.spot):
                 continue
-            if not self.open_to(room, job):
+            if not self.open_to(capacity, job):
                 continue
-            victims = self._victims(spec, room, stoppable)
+            victims = self._victims(spec, capacity, stoppable)
             if victims is not None:
                 lost = sum(self._lost_s(attempt) for attempt in victims)
-                best.append((room.pins(spec), spec.image not in room.images, lost, room, victims))
+                best.append(
+                    (
+                        capacity.contention_cost(spec),
+                        spec.image not in capacity.images,
+                        lost,
+                        capacity,
+                        victims,
+                    )
+                )
         best.sort(key=lambda entry: entry[:3])
         chosen: list[PlannedAttempt] = []
         machines: list[str] = []
         covered = 0
-        for _, _, _, room, victims in best:
+        for _, _, _, capacity, victims in best:
             if covered >= tasks:
                 break
-            if zones.open(room.zone) <= 0 or not self._draw(victims, stoppable, beyond):
+            if zones.open(capacity.zone) <= 0 or not self._draw(victims, stoppable, beyond):
                 continue
-            zones.take(room.zone, 1)
+            zones.take(capacity.zone, 1)
             covered += 1
             chosen.extend(victims)
-            machines.append(room.machine)
+            machines.append(capacity.machine)
         if chosen:
             self._claims[job.id] = (
                 now
@@ -166,7 +174,7 @@
         spec = job.spec
         assert spec is not None
         # a replica stopped costs as much as one started late, while machines can be had
-        replicas = spec.kind == "service" and self._forecast.short(spec)
+        replicas = spec.kind == "service" and self._forecast.is_out_of_capacity(spec)
         within = self._guarantees.speaks_for(job)
         rank = self._forecast.priority(job)
         key = (job.shard, rank, spec.team if within else "", replicas)
@@ -204,10 +212,10 @@
         return True
 
     def _victims(
-        self, spec: JobSpec, room: Room, stoppable: dict[str, str]
+        self, spec: JobSpec, capacity: FreeCapacity, stoppable: dict[str, str]
     ) -> list[PlannedAttempt] | None:
         """The rows whose end lets one task in, least work lost first; None if there are none."""
-        machine = self._cluster.machines.get(room.machine)
+        machine = self._cluster.machines.get(capacity.machine)
         if machine is None:
             return None
         attempts = [
@@ -218,7 +226,7 @@
         if not attempts:
             return None
         attempts.sort(key=self._lost_s)
-        cpus, gpus, memory = room.cpus, room.gpus, room.memory_gb
+        cpus, gpus, memory = capacity.cpus, capacity.gpus, capacity.memory_gb
         chosen: list[PlannedAttempt] = []
         for attempt in attempts:
             victim = self._spec(attempt)
@@ -232,7 +240,7 @@
     # -- emptying machines -----------------------------------------------------------
 
     def drain(
-        self, shard: int, own: Owned, rooms: Callable[[], list[Room]]
+        self, shard: int, own: Owned, capacities: Callable[[], list[FreeCapacity]]
     ) -> Iterator[PlannedAttempt]:
         """At most one machine at a time is emptied, when its replicas would stand within a
         moment on machines that are kept anyway."""
@@ -246,7 +254,7 @@
         ):
             return
         self._drained_at[shard] = now
-        machine = self._emptiest(shard, rooms())
+        machine = self._emptiest(shard, capacities())
         if machine is None:
             return
         self.draining[machine.id] = now + 2 * self._settings.worker_lease_s
@@ -255,11 +263,11 @@
             self._reports.request_stop(attempt, StopReason.DRAINED)
             yield attempt
 
-    def _emptiest(self, shard: int, rooms: list[Room]) -> Machine | None:
+    def _emptiest(self, shard: int, capacities: list[FreeCapacity]) -> Machine | None:
         """The machine whose going saves most for each replica moved."""
         by_gain: list[tuple[float, Machine]] = []
-        for room in rooms:
-            machine = self._cluster.machines[room.machine]
+        for capacity in capacities:
+            machine = self._cluster.machines[capacity.machine]
             kind = self._cluster.catalog.get(machine.type)
             if (
                 kind is None
@@ -271,7 +279,7 @@
                 by_gain.append((kind.price / len(machine.attempts), machine))
         by_gain.sort(key=lambda entry: -entry[0])
         for _, machine in by_gain[:8]:
-            if self._forecast.redundant(shard, machine, rooms):
+            if self._forecast.is_redundant(shard, machine, capacities):
                 return machine
         return None
 
--- a/crossmill/jobs/reassignment.py
+++ b/crossmill/jobs/reassignment.py
@@ -10,8 +10,8 @@
 from ..cluster.model import Machine, PlannedAttempt
 from ..fleet.forecast import DemandForecast
 from ..net.clock import Clock
-from ..planning.demand import Want, slots_on
-from ..planning.rooms import allowed
+from ..planning.demand import TaskDemand, slots_on
+from ..planning.free_capacity import is_allowed
 from ..settings import Settings
 from ..workers.findings import StopReason
 from ..workers.reports import Reports
@@ -75,33 +75,33 @@
         for other in range(self._settings.shard_count):
             if other == shard or other not in self._cluster.shards:
                 continue
-            for want in self._forecast.unmet(other, wall):
-                yield from self._give(shard, other, want, machines, wall)
+            for demand in self._forecast.unplaced_demands(other, wall):
+                yield from self._give(shard, other, demand, machines, wall)
 
     def _give(
-        self, shard: int, other: int, want: Want, machines: list[Machine], wall: float
+        self, shard: int, other: int, demand: TaskDemand, machines: list[Machine], wall: float
     ) -> Iterator[PlannedAttempt]:
-        now, job = self._clock.now(), self._cluster.jobs[want.spec.id]
+        now, job = self._clock.now(), self._cluster.jobs[demand.spec.id]
         if self._promised.get(job.id, 0.0) > now:
             return
         # an idle machine is better moved than rented; running work is stopped only for
         # replicas, and only when the cloud has had its time
-        busy = want.spec.kind == "service" and wall - job.ready_at > self._settings.worker_lease_s
+        busy = demand.spec.kind == "service" and wall - job.ready_at > self._settings.worker_lease_s
         for stop in (False, True) if busy else (False,):
-            mine = self._suiting(shard, want, stop)
+            mine = self._suiting(shard, demand, stop)
             if not mine or any(
-                (-len(self._suiting(k, want, stop)), k) < (-len(mine), shard)
+                (-len(self._suiting(k, demand, stop)), k) < (-len(mine), shard)
                 for k in range(self._settings.shard_count)
                 if k not in (shard, other)
             ):
                 continue
-            left = want.tasks
+            left = demand.tasks
             for machine in mine[: self._settings.max_machines_per_transfer]:
                 if left <= 0:
                     break
                 if machine.id in self._going or not self._idle(machine, stop):
                     continue
-                left -= min(slots_on(want.spec, self._cluster.catalog[machine.type]), left)
+                left -= min(slots_on(demand.spec, self._cluster.catalog[machine.type]), left)
                 self._going[machine.id] = (other, now + self._settings.worker_lease_s)
                 log.info(
                     "machine to be given machine=%s shard=%d for=%s tasks=%d",
@@ -113,7 +113,7 @@
                 for attempt in machine.attempts.values():
                     self._reports.request_stop(attempt, StopReason.GIVEN)
                     yield attempt
-            if left < want.tasks:
+            if left < demand.tasks:
                 self._promised[job.id] = now + self._settings.worker_lease_s
                 return
 
@@ -129,30 +129,30 @@
             and self._clock.now() - since > 2 * self._settings.heartbeat_interval_s
         )
 
-    def _suiting(self, shard: int, want: Want, stop: bool) -> list[Machine]:
+    def _suiting(self, shard: int, demand: TaskDemand, stop: bool) -> list[Machine]:
         """Machines of the shard that could serve: empty ones, or such as only run lesser work
         that is done again elsewhere; those with the least of it first."""
-        spec = want.spec
+        spec = demand.spec
         result = []
         for machine in self._cluster.machines_of[shard].values():
             kind = self._cluster.catalog.get(machine.type)
             if kind is None or machine.retiring or not machine.up:
                 continue
-            if bool(machine.attempts) is not stop or want.zones.open(machine.zone) <= 0:
+            if bool(machine.attempts) is not stop or demand.zones.open(machine.zone) <= 0:
                 continue
-            if not allowed(spec, machine.type, machine.zone, machine.spot):
+            if not is_allowed(spec, machine.type, machine.zone, machine.spot):
                 continue
             if slots_on(spec, kind) and all(
-                self._lesser(want, r) for r in machine.attempts.values()
+                self._lesser(demand, r) for r in machine.attempts.values()
             ):
                 result.append(machine)
         result.sort(key=lambda m: len(m.attempts))
         return result
 
-    def _lesser(self, want: Want, attempt: PlannedAttempt) -> bool:
+    def _lesser(self, demand: TaskDemand, attempt: PlannedAttempt) -> bool:
         job = self._cluster.jobs.get(attempt.job)
         if job is None or job.spec is None or job.spec.kind == "service":
             return False
         return self._forecast.priority(job) > self._forecast.priority(
-            self._cluster.jobs[want.spec.id]
+            self._cluster.jobs[demand.spec.id]
         )
--- a/crossmill/planning/fill.py
+++ b/crossmill/planning/fill.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 
-class Offer(NamedTuple):
+class MachineOffer(NamedTuple):
     """A machine type as a stage sees it: how long until it can run, tasks side by side, and
     how many machines there may be."""
 
@@ -27,7 +27,9 @@
         return self.slots / (self.price * max(self.task_s, 1e-9))
 
 
-def fill(tasks: int, offers: Sequence[Offer], budget_s: float) -> list[tuple[Offer, int]]:
+def fill(
+    tasks: int, offers: Sequence[MachineOffer], budget_s: float
+) -> list[tuple[MachineOffer, int]]:
     """Whole machines of the best throughput per price first; the next offers that still meet
     the budget take what is left; when none meets it, the soonest takes all."""
     order = sorted((o for o in offers if o.slots > 0 and o.limit > 0), key=lambda o: -o.value())
@@ -35,7 +37,7 @@
     late = not meeting
     if late:
         meeting = sorted(order, key=lambda o: (o.setup_s + o.task_s, -o.value()))
-    plan: list[tuple[Offer, int]] = []
+    plan: list[tuple[MachineOffer, int]] = []
     left = tasks
     for position, offer in enumerate(meeting):
         each = offer.slots * (1 if late else offer.rounds(budget_s))
--- a/crossmill/planning/rooms.py
+++ b/crossmill/planning/free_capacity.py
@@ -26,7 +26,7 @@
     return count
 
 
-class Share(NamedTuple):
+class TaskFootprint(NamedTuple):
     """What a typical task that uses GPUs takes of its machine."""
 
     cpus: float
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Room:
+class FreeCapacity:
     """What is free on a machine; `price` is its type's, whole, and `slots` tells how many
     tasks like the one given fit on an empty one."""
 
@@ -62,13 +62,13 @@
     slots: Callable[[JobSpec], int] = lambda spec: 1
     images: dict[str, float] = field(default_factory=dict)
     used: bool = False
-    typical: Share | None = None
+    typical: TaskFootprint | None = None
     # what a task takes that fits on this type alone; None if there is no such class
-    bound: Share | None = None
+    bound: TaskFootprint | None = None
     # whether a task was planned into it
     taken: bool = False
 
-    def harmless(self, spec: JobSpec) -> int:
+    def fits_beside_gpu_tasks(self, spec: JobSpec) -> int:
         """How many tasks without GPUs fit beside the GPU tasks that the machine still has room
         for. Filled up with small tasks, its GPUs would be paid for and serve nobody."""
         if not self.accelerated or spec.gpus > 0:
@@ -76,12 +76,12 @@
         shares = (share for share in (self.typical, self.bound) if share is not None)
         return min((self._beside(share, spec) for share in shares), default=MAX_TASKS)
 
-    def _beside(self, share: Share, spec: JobSpec) -> int:
+    def _beside(self, share: TaskFootprint, spec: JobSpec) -> int:
         slots = share.fits(self.cpus, self.gpus, self.memory_gb)
         cpus, memory_gb = self.cpus - slots * share.cpus, self.memory_gb - slots * share.memory_gb
         return tasks_fitting(spec, cpus, 0.0, memory_gb)
 
-    def pins(self, spec: JobSpec) -> int:
+    def contention_cost(self, spec: JobSpec) -> int:
         """How far a task would hold what others need: without GPUs, it would keep a GPU machine
         rented when all else on it has ended, and on the only type that some class fits on it
         would take that class's place."""
@@ -108,7 +108,7 @@
         self.images[spec.image] = spec.image_gb
 
 
-def allowed(spec: JobSpec, type_name: str, zone: str, spot: bool) -> bool:
+def is_allowed(spec: JobSpec, type_name: str, zone: str, spot: bool) -> bool:
     """Whether the job may run on this type, in this zone, on this kind of machine."""
     if spot and not spec.spot:
         return False
@@ -117,7 +117,7 @@
     return spec.zone is None or spec.zone == zone
 
 
-class Zones:
+class ZoneAllowance:
     """How many of a job's tasks may yet go to a zone, given where the others are."""
 
     def __init__(self, spec: JobSpec, placed: dict[str, int]) -> None:
@@ -138,22 +138,23 @@
         self._placed[zone] = self._placed.get(zone, 0) + tasks
 
 
-def assign(
+def assign_tasks(
     spec: JobSpec,
     tasks: int,
-    rooms: list[Room],
-    zones: Zones,
+    capacities: list[FreeCapacity],
+    zones: ZoneAllowance,
     together: float = 1.0,
-    harmless_only: bool = False,
-) -> list[tuple[Room, int]]:
+    only_beside_gpu_tasks: bool = False,
+) -> list[tuple[FreeCapacity, int]]:
     """Machines for up to this many tasks. Cheapest room for the task first (throughput per
     price), machines that have the image, or fetch it sooner, before the others, full ones before
     empty ones. Services are dealt out, at most `together` of a job's tasks on one machine,
     so that one loss hurts little, as long as there is other room."""
     fitting = [
-        (room, count)
-        for room in rooms
-        if (count := room.fits(spec)) > 0 and allowed(spec, room.type, room.zone, room.spot)
+        (capacity, count)
+        for capacity in capacities
+        if (count := capacity.fits(spec)) > 0
+        and is_allowed(spec, capacity.type, capacity.zone, capacity.spot)
     ]
     if spec.one_zone and not any(zones.open(r.zone) == 0 for r, _ in fitting):
         best = max({r.zone for r, _ in fitting}, default="", key=lambda z: _fit(fitting, z))
@@ -161,42 +162,44 @@
 
     prices: dict[str, float] = {}
 
-    def rank(entry: tuple[Room, int]) -> tuple[int, bool, float, bool, float, float]:
-        room, _ = entry
-        delay_s = round(room.delay_s(spec))
-        price = prices.get(room.type)
+    def rank(entry: tuple[FreeCapacity, int]) -> tuple[int, bool, float, bool, float, float]:
+        capacity, _ = entry
+        delay_s = round(capacity.delay_s(spec))
+        price = prices.get(capacity.type)
         if price is None:
-            price = prices[room.type] = room.price_for(spec)
-        share = max(spec.gpus and room.gpus / room.size, spec.cpus and room.cpus / room.size)
+            price = prices[capacity.type] = capacity.price_for(spec)
+        share = max(
+            spec.gpus and capacity.gpus / capacity.size, spec.cpus and capacity.cpus / capacity.size
+        )
         # a zone that offers fewer types is kept for the replicas that must go there
-        pins = room.pins(spec)
+        pins = capacity.contention_cost(spec)
         if spec.kind == "service":
-            return (pins, room.narrow, delay_s, not room.used, price, share)
+            return (pins, capacity.narrow, delay_s, not capacity.used, price, share)
         # spot room can't serve those who may not use it, so the others go there first
-        return (pins, room.narrow, delay_s, not room.spot, price, share)
+        return (pins, capacity.narrow, delay_s, not capacity.spot, price, share)
 
     fitting.sort(key=rank)
-    result: list[tuple[Room, int]] = []
+    result: list[tuple[FreeCapacity, int]] = []
     left = tasks
     cap = max(1, int(spec.tasks * together + 0.999)) if spec.kind == "service" else tasks
     limits = (cap, tasks) if cap < tasks else (tasks,)
     # tasks without GPUs first go where they take no GPU task's place
-    passes = (True,) if harmless_only else (True, False) if spec.gpus == 0 else (False,)
+    passes = (True,) if only_beside_gpu_tasks else (True, False) if spec.gpus == 0 else (False,)
     for gentle in passes:
         for limit in limits:
-            for room, _ in fitting:
-                number = min(room.fits(spec), left, limit, max(0, zones.open(room.zone)))
+            for capacity, _ in fitting:
+                number = min(capacity.fits(spec), left, limit, max(0, zones.open(capacity.zone)))
                 if gentle and number > 0:
-                    number = min(number, room.harmless(spec))
+                    number = min(number, capacity.fits_beside_gpu_tasks(spec))
                 if number > 0:
-                    room.take(spec, number)
-                    zones.take(room.zone, number)
-                    result.append((room, number))
+                    capacity.take(spec, number)
+                    zones.take(capacity.zone, number)
+                    result.append((capacity, number))
                     left -= number
                 if left <= 0:
                     return result
     return result
 
 
-def _fit(fitting: list[tuple[Room, int]], zone: str) -> int:
-    return sum(count for room, count in fitting if room.zone == zone)
+def _fit(fitting: list[tuple[FreeCapacity, int]], zone: str) -> int:
+    return sum(count for capacity, count in fitting if capacity.zone == zone)
--- a/crossmill/planning/gpu_shares.py
+++ b/crossmill/planning/gpu_footprints.py
@@ -6,30 +6,30 @@
 from ..wire.cloud import MachineType
 from ..wire.users import JobSpec
 from .demand import slots_on
-from .rooms import Room, Share
+from .free_capacity import FreeCapacity, TaskFootprint
 
 
 class _Bound(NamedTuple):
     """The share of a class that fits on one type alone, and whether it may use spot machines."""
 
-    share: Share
+    share: TaskFootprint
     spot: bool
 
 
-class GpuShares(NamedTuple):
+class GpuFootprints(NamedTuple):
     """The share of a task of the class with the most tasks; and by type that of the class with the
     most tasks among those that fit on this type alone, if that does not hold for all classes."""
 
-    typical: Share | None
+    typical: TaskFootprint | None
     bound: dict[str, _Bound]
 
-    def bound_to(self, room: Room) -> Share | None:
+    def bound_to(self, capacity: FreeCapacity) -> TaskFootprint | None:
         """The share of the class that has only such machines."""
-        bound = self.bound.get(room.type)
-        return None if bound is None or (room.spot and not bound.spot) else bound.share
+        bound = self.bound.get(capacity.type)
+        return None if bound is None or (capacity.spot and not bound.spot) else bound.share
 
 
-def gpu_shares(specs: Iterable[JobSpec], catalog: Collection[MachineType]) -> GpuShares:
+def gpu_footprints(specs: Iterable[JobSpec], catalog: Collection[MachineType]) -> GpuFootprints:
     """The shares of the classes of these jobs, all of which use GPUs."""
     tasks: dict[str, int] = {}
     newest: dict[str, JobSpec] = {}
@@ -45,11 +45,11 @@
             if len(types[name]) == 1:
                 spec = newest[name]
                 bound.setdefault(types[name][0], _Bound(_share(spec), spec.spot))
-    return GpuShares(_share(newest[most]), bound)
+    return GpuFootprints(_share(newest[most]), bound)
 
 
-def _share(spec: JobSpec) -> Share:
-    return Share(spec.cpus, spec.gpus, spec.memory_gb)
+def _share(spec: JobSpec) -> TaskFootprint:
+    return TaskFootprint(spec.cpus, spec.gpus, spec.memory_gb)
 
 
 def _types_of(spec: JobSpec, catalog: Collection[MachineType]) -> list[str]:
--- a/crossmill/planning/pipelines.py
+++ b/crossmill/planning/pipelines.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
 
-from .split import Option, Stage, split
+from .split import MachineOption, Stage, split
 
 
 class PipelineStage(NamedTuple):
@@ -16,7 +16,7 @@
     id: str
     priority: int
     tasks: int
-    options: tuple[Option, ...]
+    options: tuple[MachineOption, ...]
     margin_s: float
     needs: tuple[str, ...] = ()
     deadline: float | None = None
--- a/crossmill/planning/split.py
+++ b/crossmill/planning/split.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 
-class Option(NamedTuple):
+class MachineOption(NamedTuple):
     """`throughput` is tasks per second of one whole machine, `finish_s` the stage's estimated
     finish on this option, `price` the weight of the type (spot: its steady type's)."""
 
@@ -31,14 +31,14 @@
     """A stage's tasks, its options, and the positions of the stages before it."""
 
     tasks: float
-    options: tuple[Option, ...]
+    options: tuple[MachineOption, ...]
     after: tuple[int, ...] = ()
 
 
-class Share(NamedTuple):
+class StageBudget(NamedTuple):
     """The option chosen for a stage, and its part of the deadline."""
 
-    option: Option
+    option: MachineOption
     budget_s: float
 
 
@@ -47,10 +47,10 @@
 
     gain: float
     stage: int
-    option: Option
+    option: MachineOption
 
 
-def _path_ends(stages: Sequence[Stage], chosen: Sequence[Option]) -> list[float]:
+def _path_ends(stages: Sequence[Stage], chosen: Sequence[MachineOption]) -> list[float]:
     """Longest path up to and with each stage; stages stand after those they need."""
     ends: list[float] = []
     for stage, option in zip(stages, chosen, strict=True):
@@ -58,7 +58,7 @@
     return ends
 
 
-def _path_through(stages: Sequence[Stage], chosen: Sequence[Option]) -> list[float]:
+def _path_through(stages: Sequence[Stage], chosen: Sequence[MachineOption]) -> list[float]:
     """The longest path through each stage."""
     ends = _path_ends(stages, chosen)
     tails = [0.0] * len(stages)
@@ -69,7 +69,7 @@
     return [e + t for e, t in zip(ends, tails, strict=True)]
 
 
-def _switches(stage: Stage, index: int, old: Option, slack_s: float) -> Iterator[_Switch]:
+def _switches(stage: Stage, index: int, old: MachineOption, slack_s: float) -> Iterator[_Switch]:
     """The cheaper options that add no more than the slack of the paths through the stage."""
     cost = old.cost(stage.tasks)
     for new in stage.options:
@@ -81,7 +81,7 @@
         yield _Switch(saved / added if added > 0 else inf, index, new)
 
 
-def _choose(stages: Sequence[Stage], deadline_s: float) -> list[Option]:
+def _choose(stages: Sequence[Stage], deadline_s: float) -> list[MachineOption]:
     """Every stage's option. A switch lengthens only the paths through its stage, so that one
     pass over the edges serves all candidates of a step."""
     chosen = [min(s.options, key=lambda o: (o.finish_s, -o.price)) for s in stages]
@@ -101,11 +101,11 @@
         chosen[best.stage] = best.option
 
 
-def split(stages: Sequence[Stage], deadline_s: float) -> list[Share]:
+def split(stages: Sequence[Stage], deadline_s: float) -> list[StageBudget]:
     """Each stage's option and budget, stages given after those they need."""
     chosen = _choose(stages, deadline_s)
     paths = _path_through(stages, chosen)
     return [
-        Share(option, option.finish_s / path * deadline_s if path > 0 else deadline_s)
+        StageBudget(option, option.finish_s / path * deadline_s if path > 0 else deadline_s)
         for option, path in zip(chosen, paths, strict=True)
     ]
--- a/crossmill/recovery/releases.py
+++ b/crossmill/recovery/releases.py
@@ -9,7 +9,7 @@
         self._done: set[str] = set()
         self._approved: set[str] = set()
 
-    def want(self, machine_id: str) -> bool:
+    def demand(self, machine_id: str) -> bool:
         """The machine is to be given up; whether that was let through before."""
         self._wanted.add(machine_id)
         return machine_id in self._done
--- a/crossmill/recovery/shard_recovery.py
+++ b/crossmill/recovery/shard_recovery.py
@@ -294,7 +294,7 @@
             return False
         if not MACHINE_RULES[self._class_of(machine)].is_braked:
             return True
-        if self._releases.want(machine.id):
+        if self._releases.demand(machine.id):
             return True
         if self.is_braked or not self._pace.take():
             return False
--- a/crossmill/settings/model.py
+++ b/crossmill/settings/model.py
@@ -323,7 +323,8 @@
 
     @property
     def headroom(self) -> float:
-        """Room kept for expected tasks, in parts of those expected while a machine boots."""
+        """FreeCapacity kept for expected tasks, in parts of those expected while a machine
+        boots."""
         return 1.0
 
     @property
--- a/tests/profile_controller.py
+++ b/tests/profile_controller.py
@@ -114,7 +114,7 @@
     await _profiled("round with a burst waiting", node.round, REPEATS)
 
     async def look() -> None:
-        node.forecast.look(0)
+        node.forecast.plan(0)
 
     await _profiled("forecast of a shard", look, REPEATS)
 
--- a/tests/test_room_cache.py
+++ b/tests/test_capacity_cache.py
@@ -9,10 +9,10 @@
 from crossmill.cluster import keys
 from crossmill.cluster.cluster_state import ClusterState
 from crossmill.cluster.records import encode_job
+from crossmill.fleet.capacity_cache import SPARE_ENTRIES
 from crossmill.fleet.cloud import stored_catalog
 from crossmill.fleet.forecast import DemandForecast
-from crossmill.fleet.room_cache import SPARE_ENTRIES
-from crossmill.planning.rooms import Room, Zones, assign
+from crossmill.planning.free_capacity import FreeCapacity, ZoneAllowance, assign_tasks
 from crossmill.state.mirror import Mirror
 from crossmill.wire.cloud import MachineType, parse_catalog
 from crossmill.wire.state import Event
@@ -22,9 +22,9 @@
 MACHINES, JOBS = 6, 5
 
 
-def _facts(room: Room) -> dict[str, Any]:
+def _facts(capacity: FreeCapacity) -> dict[str, Any]:
     skipped = {"slots", "taken"}
-    return {f.name: getattr(room, f.name) for f in fields(room) if f.name not in skipped}
+    return {f.name: getattr(capacity, f.name) for f in fields(capacity) if f.name not in skipped}
 
 
 class _Story:
@@ -76,10 +76,10 @@
     def _plan_tasks(self) -> None:
         """What a round does with the rooms that it gets."""
         spec = make_spec(nameId="wk-999999", sacks=3)
-        assign(spec, 2, self.rooms(), Zones(spec, {}))
+        assign_tasks(spec, 2, self.capacities(), ZoneAllowance(spec, {}))
 
-    def rooms(self) -> list[Room]:
-        return self.forecast.cached_rooms(self.cache, self._machines())
+    def capacities(self) -> list[FreeCapacity]:
+        return self.forecast.cached_capacities(self.cache, self._machines())
 
     def _machines(self) -> list[tuple[Any, MachineType]]:
         catalog = self.cluster.catalog
@@ -88,8 +88,8 @@
     def step(self) -> None:
         changes = (self._change_machine, self._change_job, self._change_plan, self._plan_tasks)
         self.lots.choice(changes)()
-        fresh = [self.forecast.room(machine, kind) for machine, kind in self._machines()]
-        assert [_facts(r) for r in self.rooms()] == [_facts(r) for r in fresh]
+        fresh = [self.forecast.free_capacity(machine, kind) for machine, kind in self._machines()]
+        assert [_facts(r) for r in self.capacities()] == [_facts(r) for r in fresh]
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -105,9 +105,9 @@
     value = {"type": "g4", "zone": "north", "spot": False, "shard": 0, "at": 0.0}
     value.update(retiring="", up=True)
     story.put(keys.machine("n-kept"), value)
-    kept = story.rooms()[0]
+    kept = story.capacities()[0]
     for number in range(2 * SPARE_ENTRIES):
         story.put(keys.machine(f"n-{number}"), value)
-        assert story.rooms()[0] is kept
+        assert story.capacities()[0] is kept
         story.put(keys.machine(f"n-{number}"), None)
     assert len(story.cache) <= SPARE_ENTRIES + 1
--- a/tests/test_on_call_troubles.py
+++ b/tests/test_on_call_troubles.py
@@ -11,7 +11,7 @@
 from crossmill.cluster.keeper import Keeper
 from crossmill.cluster.model import Job, PlannedAttempt
 from crossmill.jobs.failures import TaskFailures
-from crossmill.planning.demand import Need
+from crossmill.planning.demand import MachineRequest
 from crossmill.state.mirror import Mirror
 from crossmill.workers.findings import AttemptEnd, Finding
 
@@ -228,7 +228,7 @@
         node = Node(state, clock, nodes)
         await node.boot()
         leader = node.leader
-        need = Need(node.forecast.sources()[0], 2)
+        need = MachineRequest(node.forecast.sources()[0], 2)
         leader._cloud._pacer.drain()
         begun = leader._rent_one(0, need) if step == "rent" else leader._release()
         task = await curio.spawn(begun, daemon=True)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -5,13 +5,13 @@
 from crossmill.cluster import keys
 from crossmill.cluster.records import encode_end, encode_job
 from crossmill.planning.pipelines import PipelineStage, plan_pipeline, topological_order
-from crossmill.planning.split import Option, Stage, _path_ends, split
+from crossmill.planning.split import MachineOption, Stage, _path_ends, split
 
 from .harness import RECORD_BYTES, Node, play, seed
 from .standins import FakeClock, StateService, make_spec
 
 Nodes = dict[str, Node]
-FAST, SLOW = Option("fast", 2.0, 1.0, 10.0), Option("slow", 1.0, 1.0, 20.0)
+FAST, SLOW = MachineOption("fast", 2.0, 1.0, 10.0), MachineOption("slow", 1.0, 1.0, 20.0)
 
 
 def _stage(
@@ -55,10 +55,10 @@
 
 def test_split_takes_the_same_switches_as_trying_each_on_all_paths() -> None:
     options = (
-        Option("a", 4.0, 1.0, 5.0),
-        Option("b", 2.0, 1.0, 9.0),
-        Option("c", 1.0, 1.0, 21.0),
-        Option("d", 3.0, 1.0, 6.0),
+        MachineOption("a", 4.0, 1.0, 5.0),
+        MachineOption("b", 2.0, 1.0, 9.0),
+        MachineOption("c", 1.0, 1.0, 21.0),
+        MachineOption("d", 3.0, 1.0, 6.0),
     )
     stages = [
         Stage(3, options),
@@ -69,7 +69,7 @@
     for deadline_s in range(10, 90, 3):
         chosen = [min(s.options, key=lambda o: (o.finish_s, -o.price)) for s in stages]
         while True:
-            best: tuple[float, int, Option] | None = None
+            best: tuple[float, int, MachineOption] | None = None
             for index, stage in enumerate(stages):
                 for new in stage.options:
                     old = chosen[index]
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -3,13 +3,18 @@
 import pytest
 
 from crossmill.fleet.cloud import stored_catalog
-from crossmill.planning.demand import Source, Want, demand, room_of
+from crossmill.planning.demand import MachineSource, TaskDemand, empty_capacity, plan_capacity
 from crossmill.planning.estimates import Estimates
-from crossmill.planning.fill import Offer, fill
-from crossmill.planning.gpu_shares import gpu_shares
+from crossmill.planning.fill import MachineOffer, fill
+from crossmill.planning.free_capacity import (
+    FreeCapacity,
+    TaskFootprint,
+    ZoneAllowance,
+    assign_tasks,
+)
+from crossmill.planning.gpu_footprints import gpu_footprints
 from crossmill.planning.queue import budget_end, place_in_queue
-from crossmill.planning.rooms import Room, Share, Zones, assign
-from crossmill.planning.split import Option, Stage, split
+from crossmill.planning.split import MachineOption, Stage, split
 from crossmill.wire.cloud import MachineType, parse_catalog
 
 from .standins import CATALOG, make_settings, make_spec
@@ -17,9 +22,9 @@
 KINDS = parse_catalog(CATALOG)
 
 
-def _options(name: str, finishes: list[float], rates: list[float]) -> tuple[Option, ...]:
+def _options(name: str, finishes: list[float], rates: list[float]) -> tuple[MachineOption, ...]:
     pairs = zip(finishes, rates, strict=True)
-    return tuple(Option(f"{name}/{i}", 1.0, t, f) for i, (f, t) in enumerate(pairs))
+    return tuple(MachineOption(f"{name}/{i}", 1.0, t, f) for i, (f, t) in enumerate(pairs))
 
 
 def test_split_prefers_efficiency_over_throughput() -> None:
@@ -53,9 +58,9 @@
 def test_fill_takes_whole_machines_of_the_best_value_first() -> None:
     # T = 285 of section II as tasks: machines of 100, 80 and 50 a unit of time at one price
     offers = [
-        Offer("big", 1.0, 100, 0.0, 1.0, 9),
-        Offer("mid", 0.85, 80, 0.0, 1.0, 9),
-        Offer("small", 0.6, 50, 0.0, 1.0, 9),
+        MachineOffer("big", 1.0, 100, 0.0, 1.0, 9),
+        MachineOffer("mid", 0.85, 80, 0.0, 1.0, 9),
+        MachineOffer("small", 0.6, 50, 0.0, 1.0, 9),
     ]
     plan = fill(285, offers, 1.0)
     # the rest of 85 on a third big one costs 1.0; two middle ones would cost 1.7
@@ -64,7 +69,7 @@
     # a rest that a smaller one takes goes there
     assert [(o.name, n) for o, n in fill(240, offers, 1.0)] == [("big", 2), ("small", 1)]
     # one that can't meet the budget is left out; if none can, the soonest takes all
-    slow = Offer("slow", 0.1, 100, 5.0, 1.0, 9)
+    slow = MachineOffer("slow", 0.1, 100, 5.0, 1.0, 9)
     assert all(o.name != "slow" for o, _ in fill(100, [*offers, slow], 2.0))
     assert [o.name for o, _ in fill(10, [slow], 2.0)] == ["slow"]
 
@@ -91,44 +96,55 @@
 
 def test_assign_keeps_spread_and_prefers_the_image() -> None:
     spec = make_spec(cut="service", sacks=5, spread=True, cards=1.0)
-    rooms = [room_of(m, KINDS["g4"], z, False) for m, z in (("a", "north"), ("b", "south"))]
-    taken = assign(spec, 5, rooms, Zones(spec, {}))
-    by_zone = {room.zone: 0 for room in rooms}
-    for room, number in taken:
-        by_zone[room.zone] += number
+    capacities = [
+        empty_capacity(m, KINDS["g4"], z, False) for m, z in (("a", "north"), ("b", "south"))
+    ]
+    taken = assign_tasks(spec, 5, capacities, ZoneAllowance(spec, {}))
+    by_zone = {capacity.zone: 0 for capacity in capacities}
+    for capacity, number in taken:
+        by_zone[capacity.zone] += number
     assert sorted(by_zone.values()) == [2, 3]
     one = make_spec(sacks=1)
-    rooms = [room_of(m, KINDS["g4"], "north", False) for m in ("a", "b")]
-    rooms[1].images["img-1"] = 10.0
-    assert [r.machine for r, _ in assign(one, 1, rooms, Zones(one, {}))] == ["b"]
-    spot = [room_of("s", KINDS["g4"], "north", True)]
-    assert assign(one, 1, spot, Zones(one, {})) == []
+    capacities = [empty_capacity(m, KINDS["g4"], "north", False) for m in ("a", "b")]
+    capacities[1].images["img-1"] = 10.0
+    assert [r.machine for r, _ in assign_tasks(one, 1, capacities, ZoneAllowance(one, {}))] == ["b"]
+    spot = [empty_capacity("s", KINDS["g4"], "north", True)]
+    assert assign_tasks(one, 1, spot, ZoneAllowance(one, {})) == []
     bound = make_spec(yard="south")
-    assert assign(bound, 1, rooms, Zones(bound, {})) == []
+    assert assign_tasks(bound, 1, capacities, ZoneAllowance(bound, {})) == []
 
 
 def test_one_zone_is_kept() -> None:
     spec = make_spec(sacks=6, oneZone=True)
-    rooms = [room_of(f"m{i}", KINDS["g4"], z, False) for i, z in enumerate(["north", "south"] * 2)]
-    zones = {room.zone for room, _ in assign(spec, 6, rooms, Zones(spec, {}))}
+    capacities = [
+        empty_capacity(f"m{i}", KINDS["g4"], z, False) for i, z in enumerate(["north", "south"] * 2)
+    ]
+    zones = {
+        capacity.zone for capacity, _ in assign_tasks(spec, 6, capacities, ZoneAllowance(spec, {}))
+    }
     assert len(zones) == 1
-    assert assign(spec, 1, rooms, Zones(spec, {"south": 1}))[0][0].zone == "south"
+    assert (
+        assign_tasks(spec, 1, capacities, ZoneAllowance(spec, {"south": 1}))[0][0].zone == "south"
+    )
 
 
 def test_demand_asks_for_machines_only_beyond_what_there_is() -> None:
     spec = make_spec(sacks=6, dueS=None)
-    sources = [Source(KINDS["g4"], "north", False)]
+    sources = [MachineSource(KINDS["g4"], "north", False)]
 
-    def want() -> Want:
-        return Want(spec, 6, Zones(spec, {}), float("inf"), 40.0)
+    def want() -> TaskDemand:
+        return TaskDemand(spec, 6, ZoneAllowance(spec, {}), float("inf"), 40.0)
 
-    outcome = demand([want()], [], sources, lambda s: 50)
-    assert [need.number for need in outcome.needs.values()] == [2]
-    rooms = [room_of("a", KINDS["g4"], "north", False), room_of("b", KINDS["g4"], "north", False)]
-    spare = room_of("c", KINDS["g4"], "north", False)
-    outcome = demand([want()], [*rooms, spare], sources, lambda s: 50)
-    assert outcome.needs == {} and len(outcome.spare) == 1
-    assert demand([want()], [], sources, lambda s: 0).short == 6
+    outcome = plan_capacity([want()], [], sources, lambda s: 50)
+    assert [need.number for need in outcome.machine_requests.values()] == [2]
+    capacities = [
+        empty_capacity("a", KINDS["g4"], "north", False),
+        empty_capacity("b", KINDS["g4"], "north", False),
+    ]
+    spare = empty_capacity("c", KINDS["g4"], "north", False)
+    outcome = plan_capacity([want()], [*capacities, spare], sources, lambda s: 50)
+    assert outcome.machine_requests == {} and len(outcome.spare_machines) == 1
+    assert plan_capacity([want()], [], sources, lambda s: 0).unplaced_tasks == 6
 
 
 def test_teams_are_parted_by_guarantee() -> None:
@@ -141,15 +157,15 @@
 def test_tasks_without_gpus_leave_room_beside_gpus_for_tasks_that_use_them() -> None:
     """They filled GPU machines up, and the GPUs served nobody while more were rented."""
     small = make_spec(cut="service", sacks=12, cards=0.0, cpus=4.0, ramGb=2.0)
-    rooms = [
-        Room(name, "g4", "north", False, 32, 4, 256, 12.0, 4, accelerated=True,
-             typical=Share(5.0, 1.0, 35.0))
+    capacities = [
+        FreeCapacity(name, "g4", "north", False, 32, 4, 256, 12.0, 4, accelerated=True,
+             typical=TaskFootprint(5.0, 1.0, 35.0))
         for name in ("a", "b")
     ]  # fmt: skip
-    taken = assign(small, 6, rooms, Zones(small, {}))
+    taken = assign_tasks(small, 6, capacities, ZoneAllowance(small, {}))
     # 32 CPUs less 4 GPU tasks' 20 leave room for three on each
-    assert [(room.machine, number) for room, number in taken] == [("a", 3), ("b", 3)]
-    more = assign(small, 6, rooms, Zones(small, {}))
+    assert [(capacity.machine, number) for capacity, number in taken] == [("a", 3), ("b", 3)]
+    more = assign_tasks(small, 6, capacities, ZoneAllowance(small, {}))
     assert sum(number for _, number in more) == 6
 
 
@@ -183,9 +199,9 @@
     assert end - 30 < done_at[0] <= end + 30
 
 
-def _room(machine: str, kind: str, bound: Share | None = None) -> Room:
-    share = Share(5.0, 1.0, 35.0)
-    return Room(
+def _room(machine: str, kind: str, bound: TaskFootprint | None = None) -> FreeCapacity:
+    share = TaskFootprint(5.0, 1.0, 35.0)
+    return FreeCapacity(
         machine, kind, "north", False, 64, 8, 512, 15.0, 8, accelerated=True, typical=share,
         bound=bound,
     )  # fmt: skip
@@ -195,10 +211,10 @@
     """Production replicas waited for room that equal ones without GPUs had taken, while the type
     that these could have used as well had room."""
     small = make_spec(cut="service", sacks=40, cards=0.0, cpus=4.0, ramGb=2.0)
-    rooms = [_room("large", "g8", Share(22.0, 4.0, 150.0)), _room("other", "g4")]
+    capacities = [_room("large", "g8", TaskFootprint(22.0, 4.0, 150.0)), _room("other", "g4")]
     taken: dict[str, int] = {}
-    for room, number in assign(small, 20, rooms, Zones(small, {})):
-        taken[room.machine] = taken.get(room.machine, 0) + number
+    for capacity, number in assign_tasks(small, 20, capacities, ZoneAllowance(small, {})):
+        taken[capacity.machine] = taken.get(capacity.machine, 0) + number
     # beside two of the bound class on the one, and filled up on the other
     assert taken == {"large": 5, "other": 15}
 
@@ -207,21 +223,27 @@
     wide = make_spec(grist="train", sacks=50, cpus=4.0, cards=1.0, ramGb=16.0)
     tall = make_spec(grist="chat", sacks=2, cpus=8.0, cards=4.0, ramGb=200.0)
     lesser = KINDS["g4"]._replace(name="g2", memory_gb=64.0)
-    shares = gpu_shares([wide, tall, tall], [KINDS["g4"], lesser])
-    assert shares.typical == Share(4.0, 1.0, 16.0)
-    assert shares.bound_to(room_of("a", KINDS["g4"], "north", False)) == Share(8.0, 4.0, 200.0)
+    shares = gpu_footprints([wide, tall, tall], [KINDS["g4"], lesser])
+    assert shares.typical == TaskFootprint(4.0, 1.0, 16.0)
+    assert shares.bound_to(empty_capacity("a", KINDS["g4"], "north", False)) == TaskFootprint(
+        8.0, 4.0, 200.0
+    )
     # neither on spot machines, which the class may not use, nor on another type
-    assert shares.bound_to(room_of("a", KINDS["g4"], "north", True)) is None
+    assert shares.bound_to(empty_capacity("a", KINDS["g4"], "north", True)) is None
     # where a class fits on one type, as all others do, nothing is bound
-    assert gpu_shares([wide, tall], [KINDS["g4"]]).bound == {}
+    assert gpu_footprints([wide, tall], [KINDS["g4"]]).bound == {}
 
 
 def test_a_task_without_gpus_pins_a_gpu_machine_and_more_so_the_only_type_of_a_class() -> None:
     small, large = make_spec(cards=0.0), make_spec(cards=1.0)
-    plain, gpus = (room_of("n", kind, "north", False) for kind in _kinds("c16", "g4"))
-    assert (plain.pins(small), gpus.pins(small), gpus.pins(large)) == (0, 1, 0)
-    gpus.bound = Share(8.0, 2.0, 40.0)
-    assert (gpus.pins(small), gpus.pins(large)) == (2, 0)
+    plain, gpus = (empty_capacity("n", kind, "north", False) for kind in _kinds("c16", "g4"))
+    assert (
+        plain.contention_cost(small),
+        gpus.contention_cost(small),
+        gpus.contention_cost(large),
+    ) == (0, 1, 0)
+    gpus.bound = TaskFootprint(8.0, 2.0, 40.0)
+    assert (gpus.contention_cost(small), gpus.contention_cost(large)) == (2, 0)
 
 
 def _kinds(*names: str) -> list[MachineType]:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -15,7 +15,7 @@
 from crossmill.fleet.forecast import DemandForecast
 from crossmill.jobs.outcome_batch import ChunkNews, select
 from crossmill.net.request_heads import RequestHeads
-from crossmill.planning.rooms import Room
+from crossmill.planning.free_capacity import FreeCapacity
 from crossmill.settings import Team
 from crossmill.state.writer import WriteIntent, WriteRank, WriteResult
 from crossmill.wire import checks
@@ -66,7 +66,7 @@
         await node.boot()
         report_all(node, MACHINES)
         counts: Counter[str] = Counter()
-        _count(monkeypatch, counts, Room, "fits")
+        _count(monkeypatch, counts, FreeCapacity, "fits")
         _count(monkeypatch, counts, Job, "done_count")
         await node.round()
         jobs = MACHINES * EACH // 16 + 300
@@ -211,22 +211,22 @@
         full_fleet(state, clock, machines)
         add_job(state, clock, nameId="wk-900000", grist="batch")
         counts: Counter[str] = Counter()
-        _count(monkeypatch, counts, DemandForecast, "room")
+        _count(monkeypatch, counts, DemandForecast, "free_capacity")
         node = Node(state, clock, nodes)
         await node.boot()
         report_all(node, machines)
         await node.round()
-        assert counts["room"] == machines
+        assert counts["free_capacity"] == machines
         counts.clear()
         await node.round()
-        assert counts["room"] == 0
+        assert counts["free_capacity"] == 0
         # one task of one job ends: its machine alone is looked at anew
         rows = {i: PlannedAttempt("wk-000000", i, i + 1, f"n-{i // EACH}", 1) for i in range(1, 16)}
         state.put(keys.plan("wk-000000", "0"), encode_chunk(PlanChunk(17, 1, rows)))
         await node.sync()
         await node.round()
         # of what is planned onto it in that round the next one learns
-        assert counts["room"] == 1
+        assert counts["free_capacity"] == 1
 
     play(story)
 
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -263,11 +263,11 @@
         for number in range(2, 11):
             add_job(state, clock, nameId=f"wk-{number:06d}", sacks=20, loaners=True, grindS=10.0)
         await node.sync()
-        node.forecast.look(0)
+        node.forecast.plan(0)
         for job_id in list(node.cluster.jobs):
             state.put(keys.job(job_id), {**state.keys[keys.job(job_id)][0], "end": "done"})
         await node.sync()
-        needs = node.forecast.look(0).needs
+        needs = node.forecast.plan(0).machine_requests
         # 10 * 20 tasks of 10 s in the span that is looked back on
         tasks = 10 * 20 * 10.0 / node.settings.arrival_window_s * node.settings.spot_baseline_ratio
         assert {need.source.spot for need in needs.values()} == {True}
@@ -332,13 +332,13 @@
         node = await _ready(state, clock, nodes, 3, sacks=12)
         assert node.cluster.jobs["wk-000001"].planned_count() == 12
         asked: list[str] = []
-        short = node.forecast.short
+        short = node.forecast.is_out_of_capacity
 
         def counting(spec: JobSpec) -> bool:
             asked.append(spec.id)
             return short(spec)
 
-        node.forecast.short = counting  # type: ignore[method-assign]
+        node.forecast.is_out_of_capacity = counting  # type: ignore[method-assign]
         add_job(
             state, clock, nameId="wk-000002", cut="service", precedence="production",
             sacks=1, grindS=0.0, dueS=None,
--- a/tests/trace_adapter.py
+++ b/tests/trace_adapter.py
@@ -16,10 +16,11 @@
 from curio.sched import SchedBarrier
 
 from crossmill.cluster import keys
+from crossmill.cluster.model import PlannedAttempt
 from crossmill.jobs import placement
 from crossmill.net.client import ConnectionFailedError, Http, NoResponseError
 from crossmill.net.server import Request, Response
-from crossmill.planning.rooms import Room, assign
+from crossmill.planning.free_capacity import FreeCapacity, assign_tasks
 from crossmill.wire.recovery import APPROVE_PATH, RECOVERY_PATH, Approval, approval_body
 from crossmill.wire.users import JobSpec
 from crossmill.workers.findings import StopReason
@@ -196,9 +197,9 @@
     def _count_preemptions(self, node: Node) -> None:
         request_stop = node.reports.request_stop
 
-        def counted(row: Any, reason: StopReason) -> None:
+        def counted(attempt: PlannedAttempt, reason: StopReason) -> None:
             self.log.counts[f"stops intended, {reason.name.lower()}"] += 1
-            request_stop(row, reason)
+            request_stop(attempt, reason)
 
         node.reports.request_stop = counted  # type: ignore[method-assign]
 
@@ -645,8 +646,10 @@
 def changed_placement() -> Iterator[None]:
     """Plant a change of one decision: the first machine that has room is passed over."""
 
-    def changed_assign(spec: JobSpec, tasks: int, rooms: list[Room], *rest: Any) -> Any:
-        return assign(spec, tasks, rooms[1:] or rooms, *rest)
+    def changed_assign(
+        spec: JobSpec, tasks: int, capacities: list[FreeCapacity], *rest: Any
+    ) -> Any:
+        return assign_tasks(spec, tasks, capacities[1:] or capacities, *rest)
 
-    with _replaced(placement, "assign", changed_assign):
+    with _replaced(placement, "assign_tasks", changed_assign):
         yield
