--- a/crossmill/app.py
+++ b/crossmill/app.py
@@ -10,13 +10,13 @@
 import curio
 
 from .cluster.cluster_state import ClusterState
+from .cluster.controller_lease import ControllerLease
 from .cluster.deputies import Deputies
 from .cluster.feature_level import FeatureLevel
-from .cluster.keeper import Keeper
 from .cluster.keys import ROOT
+from .cluster.lease_extensions import LeaseExtensions
 from .cluster.membership import Membership
 from .cluster.ownership import OwnedShards
-from .cluster.promises import Promises
 from .fleet.cloud import Cloud
 from .fleet.forecast import DemandForecast
 from .fleet.leader import Leader
@@ -62,23 +62,25 @@
         self.cluster = ClusterState(mirror, settings)
         self.watcher = StateWatcher(client, mirror, clock, ROOT, settings)
         self.writer = Writer(client, mirror, clock, settings, lambda: self.cluster.limits)
-        self.keeper = Keeper(client, clock, settings)
+        self.controller_lease = ControllerLease(client, clock, settings)
         shards = OwnedShards()
-        self.promises = Promises(settings, clock, shards, client)
+        self.lease_extensions = LeaseExtensions(settings, clock, shards, client)
         self.membership = Membership(
             settings,
             clock,
-            self.keeper,
+            self.controller_lease,
             self.cluster,
             self.watcher,
             self.writer,
             shards,
-            self.promises,
+            self.lease_extensions,
         )
         self.feature_level = FeatureLevel(
             settings, clock, self.cluster, self.watcher, self.writer, self.membership
         )
-        self.deputies = Deputies(settings, clock, self.cluster, self.keeper, self.watcher.sync)
+        self.deputies = Deputies(
+            settings, clock, self.cluster, self.controller_lease, self.watcher.sync
+        )
         self.reports = Reports(settings, clock, self.cluster, self.membership, self.deputies)
         self.forecast = DemandForecast(settings, clock, self.cluster)
         direct = Direct(settings, self.cluster, self.membership, self.reports)
@@ -129,7 +131,7 @@
         self._loops: list[Callable[[], Awaitable[None]]] = [
             self.server.run,
             self.peer_server.run,
-            self.keeper.run,
+            self.controller_lease.run,
             self.watcher.run,
             self.watcher.run_syncs,
             self.writer.run,
@@ -194,7 +196,7 @@
             return self.deputies.handle(request)
         if self._recovery_handler is not None and request.path.startswith(RECOVERY_PATH):
             return await self._recovery_handler(request)
-        return self.promises.handle(request)
+        return self.lease_extensions.handle(request)
 
     async def _handle(self, request: Request) -> Response:
         if request.path == workers.REPORT_PATH:
@@ -206,7 +208,7 @@
         if request.path == "/healthz":
             # users are sent elsewhere while this controller alone can't decide anything
             ready = self.watcher.ready.is_set() and bool(self.cluster.catalog)
-            ready = ready and not self.promises.alone
+            ready = ready and not self.lease_extensions.is_only_one_refused
             return Response(200 if ready else 503)
         return Response(404, users.error_body("no such path"))
 
--- a/crossmill/cli.py
+++ b/crossmill/cli.py
@@ -176,7 +176,7 @@
     from .bytecode import CacheNotWritten, fill
 
     try:
-        print(f"bytecode of {fill()} modules in {sys.pycache_prefix or 'their own folders'}")
+        print(f"bytecode of {fill()} modules in {sys.pycache_prefix or 'their ownership folders'}")
     except CacheNotWritten as exc:
         print(f"crossmill: bytecode was not written: {exc}", file=sys.stderr)
         return FAILED
--- a/crossmill/cluster/keeper.py
+++ b/crossmill/cluster/controller_lease.py
@@ -11,7 +11,7 @@
 log = logging.getLogger(__name__)
 
 
-class Keeper:
+class ControllerLease:
     """Authority is counted from when the last renewal that succeeded was *sent*, less drift:
     the service counts from when it got it, so it never ends the lease before we stop."""
 
@@ -22,49 +22,49 @@
         self._renew_s = settings.lease_renewal_interval_s
         self._span_s = self._ttl_s * (1 - settings.clock_drift)
         self._until = 0.0
-        self.lease: int | None = None
+        self.lease_id: int | None = None
         # grows with every new lease: what was decided under an older one is void
         self.epoch = 0
         self.changed = curio.Event()
-        self.failing = False
+        self.is_failing = False
 
-    def authority(self) -> bool:
+    def is_held(self) -> bool:
         """Whether the lease certainly stands at this moment."""
-        return self.lease is not None and self._clock.now() < self._until
+        return self.lease_id is not None and self._clock.now() < self._until
 
-    def holds(self, epoch: int) -> bool | None:
+    def write_authority(self, epoch: int) -> bool | None:
         """For a write decided under this epoch: yes, not now, never again."""
-        if epoch != self.epoch or self.lease is None:
+        if epoch != self.epoch or self.lease_id is None:
             return False
-        return True if self.authority() else None
+        return True if self.is_held() else None
 
     async def step(self) -> float:
         """One renewal or acquisition; the time until the next."""
         sent = self._clock.now()
         try:
-            if self.lease is None:
+            if self.lease_id is None:
                 lease = await self._client.acquire_lease(self._ttl_s)
-                self.lease = lease
+                self.lease_id = lease
                 self.epoch += 1
                 self._until = sent + self._span_s
                 log.info("lease acquired lease=%d epoch=%d", lease, self.epoch)
                 await self.changed.set()
             else:
-                await self._client.renew_lease(self.lease)
+                await self._client.renew_lease(self.lease_id)
                 self._until = sent + self._span_s
-            self.failing = False
+            self.is_failing = False
         except LeaseExpiredError:
-            self.failing = False
-            log.info("lease lost lease=%s epoch=%d", self.lease, self.epoch)
-            self.lease = None
+            self.is_failing = False
+            log.info("lease lost lease=%s epoch=%d", self.lease_id, self.epoch)
+            self.lease_id = None
             self._until = 0.0
             self.epoch += 1
             await self.changed.set()
             return 0.0
         except (RequestRefusedError, OutcomeUnknownError) as exc:
             log.debug("lease not renewed error=%s", exc)
-            if not self.failing:
-                self.failing = True
+            if not self.is_failing:
+                self.is_failing = True
                 await self.changed.set()
             return self._renew_s / 4
         return max(0.0, self._renew_s - (self._clock.now() - sent))
--- a/crossmill/cluster/deputies.py
+++ b/crossmill/cluster/deputies.py
@@ -21,7 +21,7 @@
 from ..wire.workers import Command, Report
 from . import keys
 from .cluster_state import ClusterState
-from .keeper import Keeper
+from .controller_lease import ControllerLease
 from .model import ACTIVE, Machine
 
 log = logging.getLogger(__name__)
@@ -45,14 +45,14 @@
         settings: Settings,
         clock: Clock,
         cluster: ClusterState,
-        keeper: Keeper,
+        controller_lease: ControllerLease,
         sync: Callable[[float], Awaitable[bool]],
         connect: Callable[[Peer], Http] = lambda peer: Client(peer.endpoint, max_sockets=2),
     ) -> None:
         self._settings = settings
         self._clock = clock
         self._cluster = cluster
-        self._keeper = keeper
+        self._controller_lease = controller_lease
         self._http = {peer.label: connect(peer) for peer in settings.peers}
         self._of_zone: dict[str, list[str]] = {}
         for peer in settings.peers:
@@ -80,8 +80,12 @@
     def _announced_lease(self) -> int | None:
         """The lease under which our key stands in the state service, if we have authority."""
         mine = self._cluster.nodes.get(self._settings.label)
-        announced = mine is not None and mine["lease"] == self._keeper.lease
-        return self._keeper.lease if announced and self._keeper.authority() else None
+        announced = mine is not None and mine["lease"] == self._controller_lease.lease_id
+        return (
+            self._controller_lease.lease_id
+            if announced and self._controller_lease.is_held()
+            else None
+        )
 
     async def _note_durable(self) -> None:
         """Reads all that is durable. It counts while our key stands in the state service, as it
@@ -98,7 +102,7 @@
     def _cut_off(self) -> bool:
         """Neither the state service nor any controller of another zone has answered."""
         since = self._failing_since
-        if not self._keeper.failing or since is None or not self._elsewhere:
+        if not self._controller_lease.is_failing or since is None or not self._elsewhere:
             return False
         return all(self._heard.get(label, -1.0) < since for label in self._elsewhere)
 
@@ -117,7 +121,7 @@
         # a token we don't know: somebody else acts for the machine, and it can be reached
         if report.token > max(machine.token, shard.token if shard is not None else 0):
             return None
-        if self._failing_since is None and self._keeper.failing:
+        if self._failing_since is None and self._controller_lease.is_failing:
             self._failing_since = now
             # who answers is not asked for nothing: until then this looks like a cut
         if not self._cut_off():
@@ -307,7 +311,7 @@
                 self._absent[label] = now, self._comings(label)
         self._quiet = {k: v for k, v in self._quiet.items() if v.until > now}
         async with curio.TaskGroup() as group:
-            if self._keeper.failing:
+            if self._controller_lease.is_failing:
                 if self._failing_since is None:
                     self._failing_since = now
                 for label in self._elsewhere:
@@ -319,7 +323,7 @@
                 machines = [m for m, z in asked.items() if z == zone]
                 for label in labels if machines else ():
                     await group.spawn(self._ask, label, machines)
-        if not self._keeper.failing:
+        if not self._controller_lease.is_failing:
             await self._note_durable()
 
     async def run(self) -> None:
--- a/crossmill/cluster/feature_level.py
+++ b/crossmill/cluster/feature_level.py
@@ -60,7 +60,7 @@
         if self._settings.label not in self._cluster.upgraded:
             await self._note()
         missing = [label for label in self._settings.labels if label not in self._cluster.upgraded]
-        if not missing and self._membership.leading() is not None:
+        if not missing and self._membership.leadership_version() is not None:
             await self._raise()
 
     async def _note(self) -> None:
--- a/crossmill/cluster/promises.py
+++ b/crossmill/cluster/lease_extensions.py
@@ -33,7 +33,7 @@
         """When it was last refused, or got no answer."""
 
 
-class Promises:
+class LeaseExtensions:
     """Grants and asks for extensions of a controller's right to answer while the state service
     is out."""
 
@@ -49,21 +49,21 @@
         self._clock = clock
         self._http = {peer.label: connect(peer) for peer in settings.peers}
         self._started = clock.now()
-        self._given: dict[int, float] = {}
-        self._got: dict[str, float] = {}
-        self._free: dict[str, set[int]] = {}
+        self._granted_until: dict[int, float] = {}
+        self._grants_until: dict[str, float] = {}
+        self._unclaimed_by_peer: dict[str, set[int]] = {}
         self._failing_since: float | None = None
         self._shards = shards
         self._service = service
         self._others_served_at: float | None = None
-        self.alone = False
+        self.is_only_one_refused = False
 
     # -- promises given --------------------------------------------------------------
 
     def handle(self, request: Request) -> Response:
         """Answers a peer's request for a promise, or for the shards that this controller acts
         for."""
-        mine = self._shards.claimed()
+        mine = self._shards.owned_or_acquiring()
         if request.path == wire.ACTING_PATH and request.method == "GET":
             return Response(200, wire.acting_body(sorted(mine)))
         if request.path != wire.PROMISE_PATH or request.method != "POST":
@@ -78,69 +78,71 @@
             1 + self._settings.clock_drift
         )
         for shard in claim.shards:
-            self._given[shard] = until
+            self._granted_until[shard] = until
         return Response(200, wire.promise_body(self._service.served_ago_s()))
 
-    def bound(self, shard: int) -> bool:
+    def is_granted_to_peer(self, shard: int) -> bool:
         """Whether a promise forbids taking this shard now."""
-        return self._clock.now() < self._given.get(shard, 0.0)
+        return self._clock.now() < self._granted_until.get(shard, 0.0)
 
-    def may_start(self, shard: int) -> bool:
+    def may_acquire_unowned(self, shard: int) -> bool:
         """Whether a shard without an owner can't be under a promise this label has forgotten."""
         waited = self._clock.now() - self._started
         if waited > self._settings.lease_extension_grant_s * (1 + 2 * self._settings.clock_drift):
             return True
-        return all(shard in self._free.get(label, ()) for label in self._http)
+        return all(shard in self._unclaimed_by_peer.get(label, ()) for label in self._http)
 
-    async def inquire(self) -> None:
+    async def query_peers(self) -> None:
         """Ask the peers once, soon after the start, what they act for."""
         async with curio.TaskGroup() as group:
             for label in self._http:
-                await group.spawn(self._inquire_one, label)
+                await group.spawn(self._query_peer, label)
 
-    async def _inquire_one(self, label: str) -> None:
+    async def _query_peer(self, label: str) -> None:
         try:
             status, data = await self._http[label].request(
                 "GET", wire.ACTING_PATH, b"", self._settings.lease_extension_grant_s / 4
             )
             if status == 200:
                 acting = wire.parse_acting(data)
-                self._free[label] = set(range(self._settings.shard_count)) - set(acting)
+                self._unclaimed_by_peer[label] = set(range(self._settings.shard_count)) - set(
+                    acting
+                )
         except (ConnectionFailedError, NoResponseError, MalformedMessageError) as exc:
             log.debug("peer not heard peer=%s error=%s", label, exc)
 
     # -- promises got ----------------------------------------------------------------
 
-    def renewed(self) -> None:
+    def reset(self) -> None:
         """The lease stands again: promises are no longer leaned on."""
         if self._failing_since is not None:
             self._failing_since = None
             self._others_served_at = None
-            self.alone = False
-            self._got.clear()
+            self.is_only_one_refused = False
+            self._grants_until.clear()
 
-    def extended(self) -> bool:
+    def is_extended(self) -> bool:
         """Whether every peer's promise, counted from when it was asked for, still holds. A job
         withdrawn by others meanwhile is not known here, so this ends well before cancel_s."""
         since, now = self._failing_since, self._clock.now()
         if since is None or now - since > self._settings.max_lease_extension_s:
             return False
-        return all(now < self._got.get(label, 0.0) for label in self._http)
+        return all(now < self._grants_until.get(label, 0.0) for label in self._http)
 
-    async def ask(self, shards: list[int]) -> None:
+    async def request_grants(self, shards: list[int]) -> None:
         """Asks all peers not to take these shards for a while."""
         if self._failing_since is None:
             self._failing_since = self._clock.now()
         # once workers are no longer answered, a promise would only keep peers from taking over
         over = self._clock.now() - self._failing_since > self._settings.max_lease_extension_s
-        if not shards or over or self.alone:
+        if not shards or over or self.is_only_one_refused:
             return
         claim = wire.Claim(self._settings.label, tuple(shards))
         async with curio.TaskGroup() as group:
             for label in self._http:
-                await group.spawn(self._ask_one, label, claim)
+                await group.spawn(self._request_grant, label, claim)
 
-    async def _ask_one(self, label: str, claim: wire.Claim) -> None:
+    async def _request_grant(self, label: str, claim: wire.Claim) -> None:
         sent = self._clock.now()
         try:
             status, data = await self._http[label].request(
@@ -154,19 +156,19 @@
             log.debug("no promise peer=%s error=%s", label, exc)
             return
         if status == 200:
-            self._got[label] = sent + self._settings.lease_extension_grant_s * (
+            self._grants_until[label] = sent + self._settings.lease_extension_grant_s * (
                 1 - self._settings.clock_drift
             )
-            self._compare(label, sent, ago_s)
+            self._detect_isolation(label, sent, ago_s)
         else:
             log.info("promise refused peer=%s status=%d", label, status)
-            self._got.pop(label, None)
+            self._grants_until.pop(label, None)
 
-    def _compare(self, label: str, sent: float, ago_s: float | None) -> None:
+    def _detect_isolation(self, label: str, sent: float, ago_s: float | None) -> None:
         """In an outage nobody has been served since it began; a peer that was, and clearly
         later than we were first refused, shows that the trouble is ours alone. Only if we are
         refused once more after that: the first to be served after an outage would look alike."""
-        if ago_s is None or self._failing_since is None or self.alone:
+        if ago_s is None or self._failing_since is None or self.is_only_one_refused:
             return
         if sent - ago_s <= self._failing_since + self._settings.lease_renewal_interval_s:
             return
@@ -174,4 +176,4 @@
             self._others_served_at = self._clock.now()
         elif self._service.refused_at() > self._others_served_at:
             log.info("state service refuses us alone peer=%s", label)
-            self.alone = True
+            self.is_only_one_refused = True
--- a/crossmill/cluster/membership.py
+++ b/crossmill/cluster/membership.py
@@ -12,10 +12,10 @@
 from ..wire.state import Put, Txn
 from . import keys
 from .cluster_state import ClusterState
-from .keeper import Keeper
-from .owner_choice import OwnerChoice
-from .ownership import Owned, OwnedShards
-from .promises import Promises
+from .controller_lease import ControllerLease
+from .lease_extensions import LeaseExtensions
+from .owner_selection import OwnerSelection
+from .ownership import OwnedShards, ShardOwnership
 from .reachability import WorkerReachability
 from .write_shares import write_share
 
@@ -29,27 +29,27 @@
         self,
         settings: Settings,
         clock: Clock,
-        keeper: Keeper,
+        controller_lease: ControllerLease,
         cluster: ClusterState,
         watcher: StateWatcher,
         writer: Writer,
         shards: OwnedShards,
-        promises: Promises,
+        lease_extensions: LeaseExtensions,
     ) -> None:
         self._settings = settings
         self._clock = clock
-        self._keeper = keeper
+        self._controller_lease = controller_lease
         self._cluster = cluster
         self._watcher = watcher
         self._writer = writer
-        self._promises = promises
+        self._lease_extensions = lease_extensions
         self.reachability = WorkerReachability(settings, clock, cluster)
-        self.choice = OwnerChoice(settings, clock, cluster)
+        self.owner_selection = OwnerSelection(settings, clock, cluster)
         self._seen = 0
         self._started = clock.now()
         self._missing: dict[str, float] = {}
         self._shards = shards
-        self.owned = shards.owned
+        self.ownerships = shards.ownerships
         self._leads: tuple[int, int] | None = None
         # by shard: a token that a worker has seen and that the next has to be above
         self._raise: dict[int, int] = {}
@@ -57,49 +57,57 @@
 
     # -- what others ask -------------------------------------------------------------
 
-    def acting(self, shard: int) -> Owned | None:
+    def active_ownership(self, shard: int) -> ShardOwnership | None:
         """The shard, if this controller may act for it right now."""
-        own = self.owned.get(shard)
-        if own is None or not own.ready or own.epoch != self._keeper.epoch:
+        ownership = self.ownerships.get(shard)
+        if (
+            ownership is None
+            or not ownership.ready
+            or ownership.epoch != self._controller_lease.epoch
+        ):
             return None
-        return own if self._keeper.authority() else None
+        return ownership if self._controller_lease.is_held() else None
 
-    def commanding(self, shard: int) -> Owned | None:
+    def command_ownership(self, shard: int) -> ShardOwnership | None:
         """The shard, if tasks may be started and stopped at will: with full authority, and only
         while all that was durable not long ago is known. A lease that is renewed is no sign of
         that: a job may have been cancelled that no read has shown."""
-        own = self.acting(shard)
+        ownership = self.active_ownership(shard)
         is_current = self._watcher.is_current_within(self._settings.controller_lease_ttl_s)
-        return own if is_current else None
+        return ownership if is_current else None
 
-    def answering(self, shard: int) -> tuple[Owned, bool] | None:
+    def heartbeat_authority(self, shard: int) -> tuple[ShardOwnership, bool] | None:
         """The shard, if its workers may be answered, and whether by full authority; without
         it they are only kept alive. Whatever the right to answer rests on, it ends so soon
         after the last read that showed all that was durable that a cancellation confirmed
         right after that read is kept by the workers' own leases."""
-        own = self.owned.get(shard)
-        if own is None or not own.ready or own.epoch != self._keeper.epoch:
+        ownership = self.ownerships.get(shard)
+        if (
+            ownership is None
+            or not ownership.ready
+            or ownership.epoch != self._controller_lease.epoch
+        ):
             return None
         if not self._watcher.is_current_within(self._settings.max_lease_extension_s):
             return None
-        if self._keeper.authority():
-            return own, self.commanding(shard) is not None
-        return (own, False) if self._promises.extended() else None
+        if self._controller_lease.is_held():
+            return ownership, self.command_ownership(shard) is not None
+        return (ownership, False) if self._lease_extensions.is_extended() else None
 
-    def holds(self, shard: int, token: int) -> bool | None:
+    def write_authority(self, shard: int, token: int) -> bool | None:
         """For a write decided under this token of the shard: yes, not now, never again."""
-        own = self.owned.get(shard)
-        if own is None or own.token != token:
+        ownership = self.ownerships.get(shard)
+        if ownership is None or ownership.token != token:
             return False
-        return self._keeper.holds(own.epoch)
+        return self._controller_lease.write_authority(ownership.epoch)
 
-    def leading(self) -> int | None:
+    def leadership_version(self) -> int | None:
         """The version of the leader's key, while it is ours."""
-        if self._leads is None or self._leads[0] != self._keeper.epoch:
+        if self._leads is None or self._leads[0] != self._controller_lease.epoch:
             return None
-        return self._leads[1] if self._keeper.authority() else None
+        return self._leads[1] if self._controller_lease.is_held() else None
 
-    def raise_token(self, shard: int, above: int = 0) -> None:
+    def request_higher_token(self, shard: int, above: int = 0) -> None:
         """A worker has seen a higher token than ours, or may still get a start under ours: only a
         fresh one will be obeyed. Where the state service came back older, the counter may stand far
         below `above`."""
@@ -111,31 +119,31 @@
         """Takes, keeps and hands back shards until the controller ends."""
         await self._watcher.ready.wait()
         while True:
-            if self._keeper.failing:
-                await self._promises.ask(sorted(self.owned))
+            if self._controller_lease.is_failing:
+                await self._lease_extensions.request_grants(sorted(self.ownerships))
             else:
-                self._promises.renewed()
-            if self._keeper.authority():
+                self._lease_extensions.reset()
+            if self._controller_lease.is_held():
                 await self.step()
             await curio.ignore_after(
-                self._settings.lease_renewal_interval_s / 4, self._keeper.changed.wait
+                self._settings.lease_renewal_interval_s / 4, self._controller_lease.changed.wait
             )
-            self._keeper.changed.clear()
+            self._controller_lease.changed.clear()
 
     def _drop(self, shard: int, why: str) -> None:
-        own = self.owned.pop(shard)
-        log.info("shard lost shard=%d epoch=%d why=%s", shard, own.token, why)
+        ownership = self.ownerships.pop(shard)
+        log.info("shard lost shard=%d epoch=%d why=%s", shard, ownership.token, why)
         for listener in self.on_lost:
             listener(shard)
 
-    def _drop_if_lost(self, shard: int, own: Owned) -> bool:
+    def _drop_if_lost(self, shard: int, ownership: ShardOwnership) -> bool:
         """Whether the shard is no longer ours by what is known."""
         known = self._cluster.shards.get(shard)
-        if own.epoch != self._keeper.epoch:
+        if ownership.epoch != self._controller_lease.epoch:
             self._drop(shard, "lease ended")
         elif known is None:
             self._drop(shard, "key gone")
-        elif known.version > own.version:
+        elif known.version > ownership.version:
             self._drop(shard, f"taken by {known.owner}")
         else:
             return False
@@ -143,36 +151,40 @@
 
     async def step(self) -> None:
         """One look at the shards: those lost are dropped, those without an owner taken."""
-        for shard, own in list(self.owned.items()):
-            self._drop_if_lost(shard, own)
-        if self.reachability.look({k: own.acquired_at for k, own in self.owned.items()}):
+        for shard, ownership in list(self.ownerships.items()):
+            self._drop_if_lost(shard, ownership)
+        if self.reachability.should_release(
+            {k: ownership.acquired_at for k, ownership in self.ownerships.items()}
+        ):
             await self._give_away()
         await self._announce()
-        self.choice.look()
+        self.owner_selection.observe()
         self._writer.allot(write_share(self._settings, self._cluster))
         missing = [k for k in range(self._settings.shard_count) if k not in self._cluster.shards]
-        if any(not self._promises.may_start(k) for k in missing):
-            await self._promises.inquire()
+        if any(not self._lease_extensions.may_acquire_unowned(k) for k in missing):
+            await self._lease_extensions.query_peers()
         for shard in range(self._settings.shard_count):
-            if shard not in self.owned and self._may_take(shard):
+            if shard not in self.ownerships and self._may_take(shard):
                 await self._take(shard)
         await self._lead()
         for shard, above in list(self._raise.items()):
             self._raise.pop(shard, None)
-            raised = self.owned.get(shard)
+            raised = self.ownerships.get(shard)
             # others may have taken it since the look above: then this would be a new ownership
             if raised is not None and not self._drop_if_lost(shard, raised):
                 await self._take(shard, above)
-        for shard, own in list(self.owned.items()):
-            if not own.ready and await self._watcher.sync(self._settings.lease_renewal_interval_s):
-                own.ready = True
-                log.info("shard ready shard=%d epoch=%d", shard, own.token)
+        for shard, ownership in list(self.ownerships.items()):
+            if not ownership.ready and await self._watcher.sync(
+                self._settings.lease_renewal_interval_s
+            ):
+                ownership.ready = True
+                log.info("shard ready shard=%d epoch=%d", shard, ownership.token)
         await self._hand_over()
 
     async def _announce(self) -> None:
         key = keys.node(self._settings.label)
         mine = self._cluster.nodes.get(self._settings.label)
-        lease, deaf = self._keeper.lease, self.reachability.deaf
+        lease, deaf = self._controller_lease.lease_id, self.reachability.is_unreachable
         # whoever asks that a job be withdrawn may not reach us: this shows that we know of it
         # (an own note may be newer than what has been read)
         read = self._cluster.mirror.revision
@@ -188,7 +200,7 @@
     async def _give_away(self) -> None:
         """Workers that can't reach us are sent to us by all others until somebody else acts
         for them; once nobody answers them their leases end."""
-        shards = dict(self.owned)
+        shards = dict(self.ownerships)
         if all(
             label == self._settings.label or n.get("deaf")
             for label, n in self._cluster.nodes.items()
@@ -196,20 +208,22 @@
             return
         log.info("no worker heard, shards given away number=%d", len(shards))
         await self._announce()
-        for shard, own in shards.items():
+        for shard, ownership in shards.items():
             self._drop(shard, "no worker heard")
-            await self._commit(Txn({keys.shard(shard): own.version}, [], [keys.shard(shard)]))
+            await self._commit(Txn({keys.shard(shard): ownership.version}, [], [keys.shard(shard)]))
 
     async def _commit(self, txn: Txn) -> bool:
-        epoch = self._keeper.epoch
-        intent = WriteIntent(txn, WriteRank.OWNERSHIP, holds=lambda: self._keeper.holds(epoch))
+        epoch = self._controller_lease.epoch
+        intent = WriteIntent(
+            txn, WriteRank.OWNERSHIP, holds=lambda: self._controller_lease.write_authority(epoch)
+        )
         return await self._writer.commit(intent) == WriteResult.OK
 
     def _patient(self, key: str) -> bool:
         """Others' keys are taken in turn: the least loaded controller first."""
         now = self._clock.now()
         since = self._missing.setdefault(key, now)
-        wait = self.choice.rank() * self._settings.controller_lease_ttl_s / 4
+        wait = self.owner_selection.rank() * self._settings.controller_lease_ttl_s / 4
         if not self._cluster.shards:
             # nobody has started yet: leave each its own
             wait += self._settings.controller_lease_ttl_s
@@ -221,26 +235,31 @@
         if known is not None:
             self._missing.pop(key, None)
             # the process of an older incarnation under our label has ended: its place is ours
-            return known.owner == self._settings.label and not self._promises.bound(shard)
-        if self._promises.bound(shard) or not self._promises.may_start(shard):
+            return (
+                known.owner == self._settings.label
+                and not self._lease_extensions.is_granted_to_peer(shard)
+            )
+        if self._lease_extensions.is_granted_to_peer(
+            shard
+        ) or not self._lease_extensions.may_acquire_unowned(shard):
             return False
-        home = self.choice.home(shard)
-        if self.choice.is_deaf(self._settings.label):
+        home = self.owner_selection.preferred_owner(shard)
+        if self.owner_selection.is_unreachable_by_workers(self._settings.label):
             return False
-        gives_way = self.choice.gives_way(home)
+        gives_way = self.owner_selection.should_yield(home)
         if home == self._settings.label and not gives_way:
             return True
-        if self.choice.is_reachable(home) and self._cluster.shards and not gives_way:
+        if self.owner_selection.is_reachable(home) and self._cluster.shards and not gives_way:
             self._missing.setdefault(key, self._clock.now())
             return self._clock.now() - self._missing[key] > self._settings.controller_lease_ttl_s
         return self._patient(key)
 
     async def _take(self, shard: int, above: int = 0) -> None:
-        self._shards.taking.add(shard)
+        self._shards.acquiring.add(shard)
         try:
             await self._take_one(shard, above)
         finally:
-            self._shards.taking.discard(shard)
+            self._shards.acquiring.discard(shard)
 
     def next_token(self, above: int = 0) -> tuple[int, int]:
         """The next token, above this one, and the counter's version that a write of it rests on."""
@@ -250,7 +269,7 @@
     async def _take_one(self, shard: int, above: int) -> None:
         known = self._cluster.shards.get(shard)
         token, counted = self.next_token(above)
-        lease, epoch = self._keeper.lease, self._keeper.epoch
+        lease, epoch = self._controller_lease.lease_id, self._controller_lease.epoch
         key = keys.shard(shard)
         txn = Txn(
             {
@@ -266,20 +285,20 @@
             await self._watcher.sync(self._settings.lease_renewal_interval_s)
             return
         version = self._cluster.mirror.version(key)
-        before = self.owned.get(shard)
-        self.owned[shard] = Owned(token, version, self._clock.now(), epoch, token)
+        before = self.ownerships.get(shard)
+        self.ownerships[shard] = ShardOwnership(token, version, self._clock.now(), epoch, token)
         if before is not None and before.epoch == epoch:
             # a raised token of a shard that stayed ours: nobody else wrote in between
-            self.owned[shard].acquired_at = before.acquired_at
-            self.owned[shard].ready = before.ready
-            self.owned[shard].term = before.term
+            self.ownerships[shard].acquired_at = before.acquired_at
+            self.ownerships[shard].ready = before.ready
+            self.ownerships[shard].term = before.term
         self._missing.pop(key, None)
         log.info("shard taken shard=%d epoch=%d", shard, token)
 
     async def _lead(self) -> None:
         known = self._cluster.leader
         version = self._cluster.mirror.version(keys.LEADER)
-        if self._leads is not None and self._leads == (self._keeper.epoch, version):
+        if self._leads is not None and self._leads == (self._controller_lease.epoch, version):
             return
         if self._leads is not None:
             log.info("lead lost")
@@ -291,9 +310,9 @@
             return
         txn = Txn(
             {keys.LEADER: version},
-            [Put(keys.LEADER, {"owner": self._settings.label}, self._keeper.lease)],
+            [Put(keys.LEADER, {"owner": self._settings.label}, self._controller_lease.lease_id)],
         )
-        epoch = self._keeper.epoch
+        epoch = self._controller_lease.epoch
         if await self._commit(txn):
             self._leads = (epoch, self._cluster.mirror.version(keys.LEADER))
             self._missing.pop(keys.LEADER, None)
@@ -304,12 +323,13 @@
     async def _hand_over(self) -> None:
         """A shard that another controller should own is let go of, one at a look: whoever comes
         first in rank takes it at once."""
-        for shard, own in list(self.owned.items()):
-            stood_s = self._clock.now() - own.acquired_at
-            if stood_s <= self._settings.worker_lease_s or not self.choice.is_better_elsewhere(
-                shard
+        for shard, ownership in list(self.ownerships.items()):
+            stood_s = self._clock.now() - ownership.acquired_at
+            if (
+                stood_s <= self._settings.worker_lease_s
+                or not self.owner_selection.is_better_elsewhere(shard)
             ):
                 continue
             self._drop(shard, "handed over")
-            await self._commit(Txn({keys.shard(shard): own.version}, [], [keys.shard(shard)]))
+            await self._commit(Txn({keys.shard(shard): ownership.version}, [], [keys.shard(shard)]))
             return
--- a/crossmill/cluster/owner_choice.py
+++ b/crossmill/cluster/owner_selection.py
@@ -11,7 +11,7 @@
 from .cluster_state import ClusterState
 
 
-class OwnerChoice:
+class OwnerSelection:
     """Who should own a shard, from the controllers' keys in the state service and from how long
     each of them has been there or been missing, as seen by this process."""
 
@@ -23,7 +23,7 @@
         self._present_since: dict[str, float] = {}
         self._absent_since: dict[str, float] = {}
 
-    def look(self) -> None:
+    def observe(self) -> None:
         """Notes which controllers are there; called at each look at the shards."""
         now = self._clock.now()
         for label in self._labels:
@@ -33,11 +33,11 @@
             ended.pop(label, None)
             noted.setdefault(label, now)
 
-    def home(self, shard: int) -> str:
+    def preferred_owner(self, shard: int) -> str:
         """The controller that owns the shard when all are well."""
         return self._labels[shard % len(self._labels)]
 
-    def is_deaf(self, label: str) -> bool:
+    def is_unreachable_by_workers(self, label: str) -> bool:
         """Whether the controller says that no worker reaches it; said by all, it says nothing."""
         nodes = self._cluster.nodes
         return bool(
@@ -48,7 +48,7 @@
 
     def is_reachable(self, label: str) -> bool:
         """Whether the controller's lease stands, and workers reach it."""
-        return label in self._cluster.nodes and not self.is_deaf(label)
+        return label in self._cluster.nodes and not self.is_unreachable_by_workers(label)
 
     def is_steady(self, label: str) -> bool:
         """Whether the controller has been there for a worker's lease."""
@@ -59,7 +59,7 @@
         is only begun again is not missing for so long."""
         return self._lasts(self._absent_since, self._settings.next_controller(label))
 
-    def detour(self) -> str | None:
+    def reachable_alternative(self) -> str | None:
         """Where a worker whose owner is not known is sent: None if the controller that it tries
         next by itself is there, else the first one after it that is. Left to itself it waits
         for a request's time at each that is missing, and with two of them in a row its lease ends
@@ -80,7 +80,9 @@
     def rank(self) -> int:
         """How many controllers come before this one in taking what has no owner: those that are
         not exposed first, then those with fewer shards."""
-        load = {label: 0 for label in self._cluster.nodes if not self.is_deaf(label)}
+        load = {
+            label: 0 for label in self._cluster.nodes if not self.is_unreachable_by_workers(label)
+        }
         load.setdefault(self._settings.label, 0)
         for shard in self._cluster.shards.values():
             if shard.owner in load:
@@ -88,7 +90,7 @@
         order = sorted(load, key=lambda label: (self.is_exposed(label), load[label], label))
         return order.index(self._settings.label)
 
-    def gives_way(self, label: str) -> bool:
+    def should_yield(self, label: str) -> bool:
         """Whether the controller is exposed and another one is there for good that is not."""
         return self.is_exposed(label) and any(
             other != label and self.is_steady(other) and not self.is_exposed(other)
@@ -97,7 +99,7 @@
 
     def is_better_elsewhere(self, shard: int) -> bool:
         """Whether this controller, which owns the shard, should hand it to another."""
-        home, mine = self.home(shard), self._settings.label
-        if self.gives_way(mine):
+        home, mine = self.preferred_owner(shard), self._settings.label
+        if self.should_yield(mine):
             return True
-        return home != mine and self.is_steady(home) and not self.gives_way(home)
+        return home != mine and self.is_steady(home) and not self.should_yield(home)
--- a/crossmill/cluster/ownership.py
+++ b/crossmill/cluster/ownership.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Owned:
+class ShardOwnership:
     """A shard this incarnation acts for. `ready` once all earlier owners' writes are known.
     `term` is the token under which this ownership began: it stays when the token is raised, and
     whatever was concluded under another term is void."""
@@ -21,10 +21,10 @@
 class OwnedShards:
     """The shards owned, and those that are being taken right now."""
 
-    owned: dict[int, Owned] = field(default_factory=dict)
-    taking: set[int] = field(default_factory=set)
+    ownerships: dict[int, ShardOwnership] = field(default_factory=dict)
+    acquiring: set[int] = field(default_factory=set)
 
-    def claimed(self) -> set[int]:
+    def owned_or_acquiring(self) -> set[int]:
         """The shards that this controller acts for, or may be about to: a transaction under way
         can't be called back."""
-        return {*self.owned, *self.taking}
+        return {*self.ownerships, *self.acquiring}
--- a/crossmill/cluster/reachability.py
+++ b/crossmill/cluster/reachability.py
@@ -24,17 +24,17 @@
         self._deaf_since: float | None = None
         self._patience_s = settings.unreachable_backoff_s
 
-    def note(self) -> None:
+    def record_heartbeat(self) -> None:
         """A report came, whoever is to answer it."""
         self._heard_at = self._clock.now()
         self._looks = 0
 
     @property
-    def deaf(self) -> bool:
+    def is_unreachable(self) -> bool:
         """Whether no report has come for so long that the shards were given up."""
         return self._deaf_since is not None
 
-    def look(self, shards: dict[int, float]) -> bool:
+    def should_release(self, shards: dict[int, float]) -> bool:
         """Whether to give up these shards, held since then; called now and then."""
         now = self._clock.now()
         if self._deaf_since is not None:
--- a/crossmill/fleet/leader.py
+++ b/crossmill/fleet/leader.py
@@ -53,7 +53,7 @@
     async def run(self) -> None:
         """Steps until the controller ends; trouble with the cloud only pauses it."""
         while True:
-            if self._membership.leading() is not None or not self._cluster.catalog:
+            if self._membership.leadership_version() is not None or not self._cluster.catalog:
                 try:
                     await self._step()
                 except CloudError as exc:
@@ -70,7 +70,7 @@
         )
         if stale:
             await self._refresh_catalog()
-        if self._membership.leading() is None:
+        if self._membership.leadership_version() is None:
             return
         await self._release()
         await self._rent()
@@ -112,14 +112,14 @@
         self._catalog_at = self._clock.now()
         if not self._cluster.catalog:
             self._cluster.catalog = catalog
-        version = self._membership.leading()
+        version = self._membership.leadership_version()
         if version is None or stored_catalog(catalog) == self._cluster.mirror.value(keys.CATALOG):
             return
         txn = Txn({keys.LEADER: version}, [Put(keys.CATALOG, stored_catalog(catalog))])
         await self._commit([WriteIntent(txn, WriteRank.BACKGROUND, holds=self._leads)])
 
     def _leads(self) -> bool:
-        return self._membership.leading() is not None
+        return self._membership.leadership_version() is not None
 
     async def _commit(self, intents: list[WriteIntent]) -> int:
         for intent in intents:
@@ -131,7 +131,7 @@
     async def _rent(self) -> None:
         for shard in range(self._settings.shard_count):
             for need in list(self._forecast.plan(shard).machine_requests.values()):
-                if self._membership.leading() is None:
+                if self._membership.leadership_version() is None:
                     return
                 await self._rent_one(shard, need)
 
@@ -172,7 +172,7 @@
     async def _record(
         self, machines: list[tuple[str, str, str, bool]], shards: list[int], at: float
     ) -> None:
-        version = self._membership.leading()
+        version = self._membership.leadership_version()
         if version is None:
             return
         intents = []
@@ -230,7 +230,10 @@
                 await self._retire(row.id, "failed")
 
     async def _retire(self, machine_id: str, why: str) -> None:
-        machine, version = self._cluster.machines.get(machine_id), self._membership.leading()
+        machine, version = (
+            self._cluster.machines.get(machine_id),
+            self._membership.leadership_version(),
+        )
         if machine is None or version is None:
             return
         log.info("machine given up machine=%s why=%s", machine_id, why)
@@ -250,7 +253,7 @@
         if not going:
             return
         await self._cloud.release([m.id for m in going], self._leads)
-        version = self._membership.leading()
+        version = self._membership.leadership_version()
         if version is None:
             return
         log.info("machines released number=%d first=%s", len(going), going[0].id)
--- a/crossmill/jobs/cleanup.py
+++ b/crossmill/jobs/cleanup.py
@@ -7,7 +7,7 @@
 from ..cluster.cluster_state import ClusterState
 from ..cluster.membership import Membership
 from ..cluster.model import ACTIVE, CANCELLED, Job
-from ..cluster.ownership import Owned
+from ..cluster.ownership import ShardOwnership
 from ..cluster.records import encode_archived, encode_end
 from ..net.clock import Clock
 from ..settings import Settings
@@ -27,7 +27,7 @@
         self._cluster = cluster
         self._membership = membership
 
-    def intents(self, shard: int, own: Owned) -> list[WriteIntent]:
+    def intents(self, shard: int, ownership: ShardOwnership) -> list[WriteIntent]:
         """All that is due for the shard's ended jobs."""
         most = self._cluster.limits.txn_ops
         txns = [
@@ -37,7 +37,8 @@
             *self._archive(shard),
         ]
         return [
-            shard_intent(self._membership, shard, own, WriteRank.BACKGROUND, txn) for txn in txns
+            shard_intent(self._membership, shard, ownership, WriteRank.BACKGROUND, txn)
+            for txn in txns
         ]
 
     def _record_cancelled(self, shard: int) -> list[Txn]:
--- a/crossmill/jobs/durable.py
+++ b/crossmill/jobs/durable.py
@@ -8,7 +8,7 @@
 from ..cluster.layout import ChunkRange
 from ..cluster.membership import Membership
 from ..cluster.model import DONE, Job, Machine, PlanChunk, PlannedAttempt
-from ..cluster.ownership import Owned
+from ..cluster.ownership import ShardOwnership
 from ..cluster.records import encode_chunk, encode_end
 from ..net.clock import Clock
 from ..settings.limits import OTHER_CONDITIONS
@@ -67,7 +67,7 @@
         self._cluster = cluster
         self._membership = membership
 
-    def intent(self, edit: Edit, shard: int, own: Owned) -> WriteIntent | None:
+    def intent(self, edit: Edit, shard: int, ownership: ShardOwnership) -> WriteIntent | None:
         """The write of an edited plan; None if nothing is to be written."""
         job, spec = edit.job, edit.job.spec
         if not (edit.over or edit.starts) or not (job.is_known or job.is_over):
@@ -87,7 +87,7 @@
             txn.conditions[keys.job(job.id)] = edit.job_version
             for machine_id, version in edit.machines.items():
                 txn.conditions[keys.machine(machine_id)] = version
-        self._apply_findings(edit, where, own, new, txn)
+        self._apply_findings(edit, where, ownership, new, txn)
         for attempt in edit.starts:
             new.attempts[attempt.index] = attempt
             new.next = attempt.number + 1
@@ -99,10 +99,10 @@
             txn.conditions[keys.job(job.id)] = edit.job_version
             txn.puts.append(Put(keys.job(job.id), self._done(spec)))
         rank = WriteRank.PLACEMENT if edit.starts or finished else WriteRank.OUTCOME
-        return shard_intent(self._membership, shard, own, rank, txn)
+        return shard_intent(self._membership, shard, ownership, rank, txn)
 
     def _apply_findings(
-        self, edit: Edit, where: ChunkRange, own: Owned, new: PlanChunk, txn: Txn
+        self, edit: Edit, where: ChunkRange, ownership: ShardOwnership, new: PlanChunk, txn: Txn
     ) -> None:
         """Frees the attempts that are over. A finding of another term, of another attempt, or
         whose proof has no room among the conditions frees nothing; it is found again."""
@@ -110,7 +110,7 @@
         for finding in edit.over:
             rests = {**txn.conditions, **finding.rests}
             index = finding.attempt.index
-            is_void = finding.term != own.term or new.attempts.get(index) != finding.attempt
+            is_void = finding.term != ownership.term or new.attempts.get(index) != finding.attempt
             if is_void or (finding.rests and len(rests) > most):
                 continue
             txn.conditions = rests
@@ -122,7 +122,7 @@
         most_bytes = self._cluster.limits.record_bytes
         return encode_end(DONE, spec, self._clock.wall(), most_bytes)
 
-    def finish(self, shard: int, own: Owned) -> list[WriteIntent]:
+    def finish(self, shard: int, ownership: ShardOwnership) -> list[WriteIntent]:
         """Ends of jobs whose last chunks were finished side by side: the write of neither could
         rest on the other. What is done stays done, so only the job's record is a condition."""
         intents: list[WriteIntent] = []
@@ -131,7 +131,9 @@
                 key = keys.job(job.id)
                 put = Put(key, self._done(job.spec))
                 txn = Txn({key: job.version}, [put])
-                intents.append(shard_intent(self._membership, shard, own, WriteRank.PLACEMENT, txn))
+                intents.append(
+                    shard_intent(self._membership, shard, ownership, WriteRank.PLACEMENT, txn)
+                )
         return intents
 
     def _layout_conditions(self, job: Job, where: ChunkRange) -> dict[str, int]:
--- a/crossmill/jobs/machine_maintenance.py
+++ b/crossmill/jobs/machine_maintenance.py
@@ -10,7 +10,7 @@
 from ..cluster.deputies import Deputies
 from ..cluster.membership import Membership
 from ..cluster.model import Machine
-from ..cluster.ownership import Owned
+from ..cluster.ownership import ShardOwnership
 from ..fleet.forecast import DemandForecast
 from ..net.clock import Clock
 from ..settings import Settings
@@ -55,14 +55,16 @@
         self._spare_at: dict[int, float] = {}
         self._silent_until: dict[tuple[int, str], float] = {}
 
-    def give_up(self, shard: int, own: Owned, machines: list[Machine]) -> list[WriteIntent]:
+    def give_up(
+        self, shard: int, ownership: ShardOwnership, machines: list[Machine]
+    ) -> list[WriteIntent]:
         """Writes for machines that have come up or are to go. What is found out here changes with
         reports and boots, so rounds between two reports find little that is new."""
         now = self._clock.now()
         if now - self._looked_at.get(shard, -inf) < self._settings.maintenance_interval_s:
             return []
         self._looked_at[shard] = now
-        intents = self._came_up(shard, own, machines)
+        intents = self._came_up(shard, ownership, machines)
         cut = self._silent_zones(shard, machines, now)
         spare = self._spare(shard, machines, now)
         for machine in machines:
@@ -71,15 +73,17 @@
             patience = self._settings.worker_lease_expiry_s
             if machine.zone in cut:
                 patience += self._settings.partition_keepalive_s
-            if machine.retiring or now - own.acquired_at < patience:
+            if machine.retiring or now - ownership.acquired_at < patience:
                 continue
             why = self._fault(machine, now, patience, spare)
             if why and (self._reports.gate is None or self._reports.gate.may_give_up(machine, why)):
                 log.info("machine given up machine=%s why=%s", machine.id, why)
-                intents.append(self._intent(shard, own, machine, machine.encode(why, True)))
+                intents.append(self._intent(shard, ownership, machine, machine.encode(why, True)))
         return intents
 
-    def _came_up(self, shard: int, own: Owned, machines: list[Machine]) -> list[WriteIntent]:
+    def _came_up(
+        self, shard: int, ownership: ShardOwnership, machines: list[Machine]
+    ) -> list[WriteIntent]:
         """Writes for machines that have reported for the first time, with how long they booted."""
         intents: list[WriteIntent] = []
         for machine in machines:
@@ -98,7 +102,7 @@
                 boot_s,
             )
             value = machine.encode(up=True, boot_s=boot_s)
-            intents.append(self._intent(shard, own, machine, value))
+            intents.append(self._intent(shard, ownership, machine, value))
         return intents
 
     def _silent_zones(self, shard: int, machines: list[Machine], now: float) -> set[str]:
@@ -118,7 +122,9 @@
                 self._silent_until[shard, zone] = now + self._settings.worker_lease_s
         return {z for (k, z), until in self._silent_until.items() if k == shard and now < until}
 
-    def moves(self, shard: int, own: Owned, machines: list[Machine]) -> dict[str, WriteIntent]:
+    def moves(
+        self, shard: int, ownership: ShardOwnership, machines: list[Machine]
+    ) -> dict[str, WriteIntent]:
         """Empty machines go to the shard they are given to under a token drawn for them alone,
         so that nothing said by this shard's owner is obeyed afterwards. One at a time: each
         raises the counter that all tokens come from."""
@@ -127,18 +133,18 @@
             if target is not None:
                 token, version = self._membership.next_token()
                 value = machine.encode(moved=(target, token))
-                intent = self._intent(shard, own, machine, value)
+                intent = self._intent(shard, ownership, machine, value)
                 intent.txn.conditions[keys.TOKEN] = version
                 intent.txn.puts.append(Put(keys.TOKEN, {"n": token}))
                 return {machine.id: intent}
         return {}
 
     def _intent(
-        self, shard: int, own: Owned, machine: Machine, value: dict[str, Any]
+        self, shard: int, ownership: ShardOwnership, machine: Machine, value: dict[str, Any]
     ) -> WriteIntent:
         key = keys.machine(machine.id)
         txn = Txn({key: machine.version}, [Put(key, value)])
-        return shard_intent(self._membership, shard, own, WriteRank.BACKGROUND, txn)
+        return shard_intent(self._membership, shard, ownership, WriteRank.BACKGROUND, txn)
 
     def _spare(self, shard: int, machines: list[Machine], now: float) -> set[str]:
         """Machines that neither waiting nor expected tasks would use; looked for only when
--- a/crossmill/jobs/placement.py
+++ b/crossmill/jobs/placement.py
@@ -5,7 +5,7 @@
 
 from ..cluster.cluster_state import ClusterState
 from ..cluster.model import Job, Machine, PlannedAttempt
-from ..cluster.ownership import Owned
+from ..cluster.ownership import ShardOwnership
 from ..fleet.forecast import DemandForecast
 from ..net.clock import Clock
 from ..planning.free_capacity import FreeCapacity, ZoneAllowance, assign_tasks, is_allowed
@@ -77,7 +77,7 @@
         return self._forecast.cached_capacities(self._capacity_cache, usable)
 
     def place(
-        self, shard: int, own: Owned, machines: list[Machine], edits: Edits
+        self, shard: int, ownership: ShardOwnership, machines: list[Machine], edits: Edits
     ) -> list[PlannedAttempt]:
         """Plans starts of the shard's waiting tasks into `edits`; returns the attempts to be
         stopped to make room, or to empty a machine."""
@@ -87,7 +87,9 @@
         self._full.clear()
         queue = self._forecast.waiting(shard)
         if not queue:
-            return list(self._preemption.drain(shard, own, lambda: self._capacities(machines)))
+            return list(
+                self._preemption.drain(shard, ownership, lambda: self._capacities(machines))
+            )
         started = self._clock.now()
         capacities = self._capacities(machines)
         used = self._guarantees.use(shard)
--- a/crossmill/jobs/plan_migration.py
+++ b/crossmill/jobs/plan_migration.py
@@ -13,7 +13,7 @@
 from ..cluster.layout import ChunkRange
 from ..cluster.membership import Membership
 from ..cluster.model import ACTIVE, Job, PlanChunk
-from ..cluster.ownership import Owned
+from ..cluster.ownership import ShardOwnership
 from ..cluster.records import encode_chunk
 from ..state.writer import WriteIntent, WriteRank
 from ..wire.state import Put, Txn
@@ -46,7 +46,7 @@
         tasks = job.spec.tasks if job.spec is not None else where.end
         return min(where.end, tasks) - where.first > layout.segment_tasks
 
-    def steps(self, shard: int, own: Owned) -> list[WriteIntent]:
+    def steps(self, shard: int, ownership: ShardOwnership) -> list[WriteIntent]:
         """The next transaction for each chunk of the shard that has to be moved."""
         intents: list[WriteIntent] = []
         for (_, name), job in list(self._cluster.legacy_chunks.items()):
@@ -54,10 +54,10 @@
                 break
             is_empty = job.end != ACTIVE and not job.chunks[name].attempts
             if job.shard == shard and not is_empty and self.is_due(job, name):
-                intents.append(self._step(job, name, shard, own))
+                intents.append(self._step(job, name, shard, ownership))
         return intents
 
-    def _step(self, job: Job, name: str, shard: int, own: Owned) -> WriteIntent:
+    def _step(self, job: Job, name: str, shard: int, ownership: ShardOwnership) -> WriteIntent:
         legacy = job.chunks[name]
         legacy_key = keys.plan(job.id, name)
         changes = self._changes(job, self._cluster.layout.parse(name), legacy)
@@ -74,7 +74,7 @@
         if is_last:
             txn.deletes.append(legacy_key)
             log.info("plan moved into segments job=%s chunk=%s", job.id, name)
-        return shard_intent(self._membership, shard, own, WriteRank.PLACEMENT, txn)
+        return shard_intent(self._membership, shard, ownership, WriteRank.PLACEMENT, txn)
 
     def _changes(self, job: Job, where: ChunkRange, legacy: PlanChunk) -> list[_Change]:
         """Where the copies differ from what they have to be."""
--- a/crossmill/jobs/preemption.py
+++ b/crossmill/jobs/preemption.py
@@ -7,7 +7,7 @@
 
 from ..cluster.cluster_state import ClusterState
 from ..cluster.model import Job, Machine, PlannedAttempt
-from ..cluster.ownership import Owned
+from ..cluster.ownership import ShardOwnership
 from ..fleet.forecast import DemandForecast
 from ..net.clock import Clock
 from ..planning.free_capacity import FreeCapacity, ZoneAllowance, is_allowed
@@ -240,7 +240,7 @@
     # -- emptying machines -----------------------------------------------------------
 
     def drain(
-        self, shard: int, own: Owned, capacities: Callable[[], list[FreeCapacity]]
+        self, shard: int, ownership: ShardOwnership, capacities: Callable[[], list[FreeCapacity]]
     ) -> Iterator[PlannedAttempt]:
         """At most one machine at a time is emptied, when its replicas would stand within a
         moment on machines that are kept anyway."""
@@ -249,7 +249,7 @@
             machine = self._cluster.machines.get(machine_id)
             if machine is None or machine.retiring or now > self.draining[machine_id]:
                 del self.draining[machine_id]
-        if self.draining or now - max(own.acquired_at, self._drained_at.get(shard, 0.0)) < (
+        if self.draining or now - max(ownership.acquired_at, self._drained_at.get(shard, 0.0)) < (
             self._settings.drain_interval_s
         ):
             return
--- a/crossmill/jobs/record_repair.py
+++ b/crossmill/jobs/record_repair.py
@@ -15,7 +15,7 @@
 from ..cluster.cluster_state import ClusterState
 from ..cluster.membership import Membership
 from ..cluster.model import CANCELLED, DONE, Job
-from ..cluster.ownership import Owned
+from ..cluster.ownership import ShardOwnership
 from ..cluster.records import encode_end, encode_job
 from ..net.clock import Clock
 from ..settings import Settings
@@ -61,12 +61,12 @@
         """One look at all shards acted for."""
         for shard in range(self._settings.shard_count):
             for job, need in list(self._missing(shard)):
-                own = self._membership.acting(shard)
-                if own is not None:
-                    await self._mend_waiting(job, need, shard, own)
+                ownership = self._membership.active_ownership(shard)
+                if ownership is not None:
+                    await self._mend_waiting(job, need, shard, ownership)
         for job in list(self._cluster.unknown.values()):
             shard = self._shard_of(job)
-            if not job.is_over and self._membership.acting(shard) is not None:
+            if not job.is_over and self._membership.active_ownership(shard) is not None:
                 await self._mend_unknown(job, shard)
 
     def _missing(self, shard: int) -> Iterator[tuple[Job, str]]:
@@ -104,7 +104,9 @@
         )
         self._cluster.note_archived(job, end, shard)
 
-    async def _mend_waiting(self, job: Job, need: str, shard: int, own: Owned) -> None:
+    async def _mend_waiting(
+        self, job: Job, need: str, shard: int, ownership: ShardOwnership
+    ) -> None:
         version = job.version
         if await self._client.get(keys.job(need)) is not None:
             # accepted a moment ago: the watch will show it
@@ -121,7 +123,7 @@
         key = keys.job(job.id)
         txn = Txn({key: version, keys.job(need): 0}, [Put(key, record)])
         await self._writer.commit(
-            shard_intent(self._membership, shard, own, WriteRank.BACKGROUND, txn)
+            shard_intent(self._membership, shard, ownership, WriteRank.BACKGROUND, txn)
         )
 
     def _record(self, job: Job, spec: JobSpec, need: str, end: str) -> dict[str, object] | None:
--- a/crossmill/jobs/rounds.py
+++ b/crossmill/jobs/rounds.py
@@ -12,7 +12,7 @@
 from ..cluster.deputies import Deputies
 from ..cluster.membership import Membership
 from ..cluster.model import Job, Machine, PlannedAttempt
-from ..cluster.ownership import Owned
+from ..cluster.ownership import ShardOwnership
 from ..fleet.forecast import DemandForecast
 from ..net.clock import Clock
 from ..settings import Settings
@@ -100,35 +100,35 @@
             self._placement.is_unfinished = False
             self.wake.clear()
             for shard in range(self._settings.shard_count):
-                own = self._membership.acting(shard)
-                if own is not None:
-                    await self.round(shard, own)
+                ownership = self._membership.active_ownership(shard)
+                if ownership is not None:
+                    await self.round(shard, ownership)
             await curio.sleep(self._settings.scheduling_interval_s)
 
     # -- one round -------------------------------------------------------------------
 
-    async def round(self, shard: int, own: Owned) -> None:
+    async def round(self, shard: int, ownership: ShardOwnership) -> None:
         """One round for a shard: findings, placing, upkeep, and the writes that follow."""
         edits: Edits = {}
         machines = list(self._cluster.machines_of[shard].values())
         for machine in machines:
-            self._reports.expire(machine, own)
-        self._find_released(shard, own)
-        self._gather(shard, own, edits)
-        stops = self._place(shard, own, machines, edits)
+            self._reports.expire(machine, ownership)
+        self._find_released(shard, ownership)
+        self._gather(shard, ownership, edits)
+        stops = self._place(shard, ownership, machines, edits)
         if stops:
             await self._direct.send([], stops)
-        intents, starts = self._plan_writes(shard, own, edits)
-        if await self._clean_up(shard, own):
+        intents, starts = self._plan_writes(shard, ownership, edits)
+        if await self._clean_up(shard, ownership):
             self._failures.forget_ended(shard)
-        intents += self._maintenance.give_up(shard, own, machines)
-        moves = self._maintenance.moves(shard, own, machines)
+        intents += self._maintenance.give_up(shard, ownership, machines)
+        moves = self._maintenance.moves(shard, ownership, machines)
         intents += moves.values()
         await self._submit(intents, moves)
         await self._follow_up(intents, starts)
 
     def _place(
-        self, shard: int, own: Owned, machines: list[Machine], edits: Edits
+        self, shard: int, ownership: ShardOwnership, machines: list[Machine], edits: Edits
     ) -> list[PlannedAttempt]:
         """Plans starts into `edits`; returns the attempts to be stopped. Machines to be given are
         chosen before tasks are placed: a start planned in the same round would follow its
@@ -137,21 +137,21 @@
         if gate is not None and not gate.may_place(shard):
             return []
         stops = list(self._reassignment.look(shard, machines))
-        return stops + self._placement.place(shard, own, machines, edits)
+        return stops + self._placement.place(shard, ownership, machines, edits)
 
     def _plan_writes(
-        self, shard: int, own: Owned, edits: Edits
+        self, shard: int, ownership: ShardOwnership, edits: Edits
     ) -> tuple[list[WriteIntent], dict[int, list[PlannedAttempt]]]:
         """The writes of edited plans and finished jobs, and by write the starts that follow it."""
         starts: dict[int, list[PlannedAttempt]] = {}
         intents: list[WriteIntent] = []
         for edit in edits.values():
-            intent = self._durable.intent(edit, shard, own)
+            intent = self._durable.intent(edit, shard, ownership)
             if intent is not None:
                 intents.append(intent)
                 starts[id(intent)] = edit.starts
-        intents += self._durable.finish(shard, own)
-        intents += self._migration.steps(shard, own)
+        intents += self._durable.finish(shard, ownership)
+        intents += self._migration.steps(shard, ownership)
         return intents, starts
 
     async def _submit(self, intents: list[WriteIntent], moves: dict[str, WriteIntent]) -> None:
@@ -181,33 +181,37 @@
                 if put.key.startswith(keys.JOB):
                     log.info("job done job=%s", put.key[len(keys.JOB) :])
 
-    async def _clean_up(self, shard: int, own: Owned) -> bool:
+    async def _clean_up(self, shard: int, ownership: ShardOwnership) -> bool:
         """Sends what is due for ended jobs, once all that was sent before is settled. No round
         waits for it. Returns whether there was anything."""
         if not all(intent.future.settled for intent in self._cleaning.get(shard, ())):
             return False
-        intents = self._cleaning[shard] = self._cleanup.intents(shard, own)
+        intents = self._cleaning[shard] = self._cleanup.intents(shard, ownership)
         for intent in intents:
             await self._writer.submit(intent)
         return bool(intents)
 
-    def _find_released(self, shard: int, own: Owned) -> None:
+    def _find_released(self, shard: int, ownership: ShardOwnership) -> None:
         """The machine's record goes only after its release was confirmed; the write of what
         follows rests on its absence."""
         for attempt in list(self._cluster.orphans()):
             job = self._cluster.jobs.get(attempt.job)
             if job is not None and job.shard == shard:
                 rests = {keys.machine(attempt.machine): 0}
-                finding = Finding(attempt, AttemptEnd.RELEASED, own.term, rests=rests)
+                finding = Finding(attempt, AttemptEnd.RELEASED, ownership.term, rests=rests)
                 self._reports.findings.record(finding)
 
-    def _gather(self, shard: int, own: Owned, edits: Edits) -> None:
+    def _gather(self, shard: int, ownership: ShardOwnership, edits: Edits) -> None:
         findings = self._reports.findings
-        news = collect(self._cluster, findings, shard, own.term)
+        news = collect(self._cluster, findings, shard, ownership.term)
         wanted = {(f.attempt.job, f.attempt.index) for entry in news for f in entry.findings}
         for key in [key for key in findings if key not in wanted]:
             job = self._cluster.jobs.get(key[0])
-            if job is None or job.shard == shard or self._membership.acting(job.shard) is None:
+            if (
+                job is None
+                or job.shard == shard
+                or self._membership.active_ownership(job.shard) is None
+            ):
                 del findings[key]
         for entry in select(news, self._writer.writes_within(self._settings.heartbeat_interval_s)):
             edit = edit_of(edits, entry.job, entry.name)
--- a/crossmill/jobs/shard_writes.py
+++ b/crossmill/jobs/shard_writes.py
@@ -4,14 +4,14 @@
 
 from ..cluster import keys
 from ..cluster.membership import Membership
-from ..cluster.ownership import Owned
+from ..cluster.ownership import ShardOwnership
 from ..state.writer import WriteIntent, WriteRank
 from ..wire.state import Txn
 
 
 def shard_intent(
-    membership: Membership, shard: int, own: Owned, rank: WriteRank, txn: Txn
+    membership: Membership, shard: int, ownership: ShardOwnership, rank: WriteRank, txn: Txn
 ) -> WriteIntent:
     """The transaction as an intent that also rests on the shard's key as this owner wrote it."""
-    txn.conditions = {keys.shard(shard): own.version, **txn.conditions}
-    return WriteIntent(txn, rank, holds=partial(membership.holds, shard, own.token))
+    txn.conditions = {keys.shard(shard): ownership.version, **txn.conditions}
+    return WriteIntent(txn, rank, holds=partial(membership.write_authority, shard, ownership.token))
--- a/crossmill/multihost/api.py
+++ b/crossmill/multihost/api.py
@@ -239,8 +239,8 @@
 
     async def _restart(self, replica_id: ReplicaId) -> Response:
         shard = self._multihost.pool_shard
-        own = self._membership.commanding(shard)
-        if own is None:
+        ownership = self._membership.command_ownership(shard)
+        if ownership is None:
             known = self._cluster.shards.get(shard)
             return Response(421, redirect_body(known.owner if known is not None else None))
         replica = self._pool.replicas.get(replica_id)
@@ -252,7 +252,7 @@
         after = advanced(replica, after_phase, self._clock.wall(), RESTARTED)
         if after_phase is Phase.PENDING:
             after.restarts = ()
-        if not all(await self._writes.submit([self._writes.transition(own, replica, after)])):
+        if not all(await self._writes.submit([self._writes.transition(ownership, replica, after)])):
             return UNAVAILABLE
         return Response(200, orjson.dumps(self._describe(self._pool.replicas[replica_id])))
 
--- a/crossmill/multihost/coordinator.py
+++ b/crossmill/multihost/coordinator.py
@@ -10,7 +10,7 @@
 import curio
 
 from ..cluster.membership import Membership
-from ..cluster.ownership import Owned
+from ..cluster.ownership import ShardOwnership
 from ..net.clock import Clock
 from ..state.writer import WriteIntent
 from .agents import Agents
@@ -99,11 +99,11 @@
     async def run(self) -> None:
         """Rounds, as soon as something has changed and whenever something is due."""
         while True:
-            own = self._membership.commanding(self._settings.pool_shard)
-            if own is not None:
-                await self.round(own)
+            ownership = self._membership.command_ownership(self._settings.pool_shard)
+            if ownership is not None:
+                await self.round(ownership)
             await curio.sleep(self._settings.heartbeat_s / 20)
-            if own is None or not self._pool.changes:
+            if ownership is None or not self._pool.changes:
                 await curio.ignore_after(self._nap_s(), self._wake.wait)
             self._wake.clear()
 
@@ -132,10 +132,10 @@
         self._silent.clear()
         self._suspects.clear()
 
-    def _begin_term(self, own: Owned) -> None:
+    def _begin_term(self, ownership: ShardOwnership) -> None:
         """The first round of an ownership looks at everything. What agents have said and were
         granted since it began stays: all of it was dropped when the one before ended."""
-        self._term = own.term
+        self._term = ownership.term
         self._pool.changes.replicas |= set(self._pool.replicas)
         self._pool.changes.sets |= set(self._pool.sets) | set(self._pool.replicas_of)
         self._pool.changes.machines |= set(self._pool.machines)
@@ -146,36 +146,36 @@
             len(self._pool.replicas),
         )
 
-    def moment(self, own: Owned) -> Moment:
+    def moment(self, ownership: ShardOwnership) -> Moment:
         """Now, as decisions see it."""
-        return Moment(self._clock.now(), self._clock.wall(), own.acquired_at)
+        return Moment(self._clock.now(), self._clock.wall(), ownership.acquired_at)
 
     # -- one round -------------------------------------------------------------------
 
-    async def round(self, own: Owned) -> None:
+    async def round(self, ownership: ShardOwnership) -> None:
         """Takes every replica that has changed or is due a step further."""
-        if self._term != own.term:
-            self._begin_term(own)
-        moment = self.moment(own)
-        await self._registration.admit(own)
+        if self._term != ownership.term:
+            self._begin_term(ownership)
+        moment = self.moment(ownership)
+        await self._registration.admit(ownership)
         self._notice_silence(moment)
         self._notice_machines()
         changes = self._pool.take_changes()
         replicas = changes.replicas | self._due.take(moment.now)
         sets = changes.sets
-        intents = self._look_at_machines(own, changes.machines)
+        intents = self._look_at_machines(ownership, changes.machines)
         sets |= {r.set_name for r in replicas} | self._scheduler.waiting_sets()
-        allowed = self._sets.look(own, moment, sets, intents)
+        allowed = self._sets.look(ownership, moment, sets, intents)
         to_clear: list[tuple[Replica, bool]] = []
         # what one replica of a set has come to may let another one be stopped
         for replica_id in sorted(replicas | allowed):
             replica = self._pool.replicas.get(replica_id)
             if replica is not None:
-                self._step(own, moment, replica, replica_id in allowed, intents, to_clear)
+                self._step(ownership, moment, replica, replica_id in allowed, intents, to_clear)
         await self._writes.submit(intents)
         for replica, record_too in to_clear:
-            await self._writes.clear(own, replica, record_too)
-        await self._place(own, moment)
+            await self._writes.clear(ownership, replica, record_too)
+        await self._place(ownership, moment)
 
     def _notice_silence(self, moment: Moment) -> None:
         """Machines that have just been silent for too long: their replicas are looked at."""
@@ -207,7 +207,9 @@
                 r for r in reported if r is not None and r in self._pool.replicas
             }
 
-    def _look_at_machines(self, own: Owned, changed: Iterable[str]) -> list[WriteIntent]:
+    def _look_at_machines(
+        self, ownership: ShardOwnership, changed: Iterable[str]
+    ) -> list[WriteIntent]:
         """Machines that were returned are taken out of the pool, empty ones that are to leave it
         become ordinary again."""
         gone = [
@@ -217,12 +219,12 @@
             self._agents.forget(machine_id)
             self._silent.discard(machine_id)
             log.info("machine left the pool machine=%s", machine_id)
-        intents = [self._writes.deletion_of_machine(own, m) for m in gone]
+        intents = [self._writes.deletion_of_machine(ownership, m) for m in gone]
         for machine_id in set(changed) - set(gone):
             machine = self._pool.machines.get(machine_id)
             if machine is not None and self._may_leave(machine):
                 log.info("machine leaves the pool empty machine=%s", machine_id)
-                intents.append(self._writes.departure_of_machine(own, machine))
+                intents.append(self._writes.departure_of_machine(ownership, machine))
         return intents
 
     def _may_leave(self, machine: PoolMachine) -> bool:
@@ -236,7 +238,7 @@
 
     def _step(
         self,
-        own: Owned,
+        ownership: ShardOwnership,
         moment: Moment,
         replica: Replica,
         may_stop: bool,
@@ -269,10 +271,15 @@
                 self._suspects.pop(replica.id, None)
                 to_clear.append((replica, True))
             case _:
-                intents.append(self._transition(own, moment, replica, stored, decision))
+                intents.append(self._transition(ownership, moment, replica, stored, decision))
 
     def _transition(
-        self, own: Owned, moment: Moment, replica: Replica, stored: ReplicaSet, decision: Decision
+        self,
+        ownership: ShardOwnership,
+        moment: Moment,
+        replica: Replica,
+        stored: ReplicaSet,
+        decision: Decision,
     ) -> WriteIntent:
         after = advanced(replica, PHASE_OF[decision.action], moment.wall, decision.reason)
         if decision.action is Action.REPAIR:
@@ -293,17 +300,17 @@
             after.generation,
             decision.reason,
         )
-        return self._writes.transition(own, replica, after)
+        return self._writes.transition(ownership, replica, after)
 
     # -- placing ---------------------------------------------------------------------
 
-    async def _place(self, own: Owned, moment: Moment) -> None:
+    async def _place(self, ownership: ShardOwnership, moment: Moment) -> None:
         """Reserves machines for those that wait, one replica after another in the total order."""
         for choice in self._scheduler.choose(moment, self._suspects):
-            if self._term != own.term:
+            if self._term != ownership.term:
                 return
             if choice.victims:
-                await self._preempt(own, choice.victims, choice.replica_id)
+                await self._preempt(ownership, choice.victims, choice.replica_id)
             if choice.placement is None:
                 continue
             replica = self._pool.replicas.get(choice.replica_id)
@@ -312,7 +319,7 @@
             if self._must_wait_for_another(replica):
                 continue
             placed = await self._writes.reserve(
-                own, replica, choice.placement, moment.wall, choice.reason
+                ownership, replica, choice.placement, moment.wall, choice.reason
             )
             if placed:
                 self._scheduler.remove(choice.replica_id)
@@ -335,9 +342,9 @@
         return takes_steps and self._scheduler.has_open_reservation()
 
     async def _preempt(
-        self, own: Owned, victims: tuple[ReplicaId, ...], waiting: ReplicaId
+        self, ownership: ShardOwnership, victims: tuple[ReplicaId, ...], waiting: ReplicaId
     ) -> None:
         intents: list[WriteIntent] = []
         for victim in victims:
-            self._sets.mark_leaving(own, victim, f"{PREEMPTED} {waiting}", intents)
+            self._sets.mark_leaving(ownership, victim, f"{PREEMPTED} {waiting}", intents)
         await self._writes.submit(intents)
--- a/crossmill/multihost/heartbeats.py
+++ b/crossmill/multihost/heartbeats.py
@@ -67,13 +67,13 @@
     def handle(self, beat: Heartbeat) -> Reply:
         """The answer to a heartbeat."""
         shard = self._settings.pool_shard
-        standing = self._membership.answering(shard)
+        standing = self._membership.heartbeat_authority(shard)
         if standing is None:
             return Reply(421, owner=self._owner_of(shard))
-        own, may_order = standing
-        if beat.token > own.token:
+        ownership, may_order = standing
+        if beat.token > ownership.token:
             # the agent would drop an answer of ours
-            self._membership.raise_token(shard)
+            self._membership.request_higher_token(shard)
             return Reply(503)
         now = self._clock.now()
         if beat.machine not in self._pool.machines:
@@ -84,7 +84,7 @@
         had_notice = known is not None and known.notice_at is not None
         if self._pool.machines[beat.machine].has_left:
             return Reply(410)
-        freshness = self._agents.note(beat, own.token, now)
+        freshness = self._agents.note(beat, ownership.token, now)
         orders: list[Order] = []
         if freshness is Freshness.NEW:
             view = self._agents.get(beat.machine)
@@ -100,7 +100,7 @@
             if order.op is Op.START:
                 self._agents.note_start(beat.machine, order.replica, sent_at)
         proof = Proof(self._agents.process, sent_at)
-        return Reply(200, HeartbeatAnswer(own.token, proof, tuple(orders)))
+        return Reply(200, HeartbeatAnswer(ownership.token, proof, tuple(orders)))
 
     # -- what is reported ------------------------------------------------------------
 
--- a/crossmill/multihost/registration.py
+++ b/crossmill/multihost/registration.py
@@ -5,7 +5,7 @@
 from ..cluster import keys as cluster_keys
 from ..cluster.cluster_state import ClusterState
 from ..cluster.membership import Membership
-from ..cluster.ownership import Owned
+from ..cluster.ownership import ShardOwnership
 from ..jobs.shard_writes import shard_intent
 from ..net.clock import Clock
 from ..state.writer import WriteIntent, Writer, WriteRank
@@ -42,18 +42,20 @@
         self._heartbeats = heartbeats
         self._shard = pool_shard
 
-    async def admit(self, own: Owned) -> None:
+    async def admit(self, ownership: ShardOwnership) -> None:
         """Records all machines that have asked since the last round."""
         if not self._heartbeats.joining:
             return
         joining, self._heartbeats.joining = self._heartbeats.joining, {}
-        intents = [i for beat in joining.values() if (i := self._intent(own, beat)) is not None]
+        intents = [
+            i for beat in joining.values() if (i := self._intent(ownership, beat)) is not None
+        ]
         for intent in intents:
             await self._writer.submit(intent)
         for intent in intents:
             await intent.future.wait()
 
-    def _intent(self, own: Owned, beat: Heartbeat) -> WriteIntent | None:
+    def _intent(self, ownership: ShardOwnership, beat: Heartbeat) -> WriteIntent | None:
         if beat.machine in self._pool.machines or not self._may_join(beat):
             return None
         offer = beat.offer
@@ -72,7 +74,7 @@
             record = reservation_record(offer.type, offer.zone, offer.spot, self._shard, rented)
             txn.puts.append(Put(ordinary, record))
         log.info("machine joins the pool machine=%s zone=%s", beat.machine, offer.zone)
-        return shard_intent(self._membership, self._shard, own, WriteRank.PLACEMENT, txn)
+        return shard_intent(self._membership, self._shard, ownership, WriteRank.PLACEMENT, txn)
 
     def _may_join(self, beat: Heartbeat) -> bool:
         known = self._cluster.machines.get(beat.machine)
--- a/crossmill/multihost/scheduling.py
+++ b/crossmill/multihost/scheduling.py
@@ -143,9 +143,9 @@
         kept = self._kept(replica, suspects or frozenset(), state)
         excluded = self._excluded(replica, suspects or frozenset()) | state.earmarked
         in_zone = self._in_zone(replica)
-        own = {m.machine for m in replica.all_members()}
+        ownership = {m.machine for m in replica.all_members()}
         candidates = [
-            c._replace(free=c.free.plus(spec.resources)) if c.machine in own else c
+            c._replace(free=c.free.plus(spec.resources)) if c.machine in ownership else c
             for c in state.candidates.values()
         ]
         placement = choose(spec, kept, candidates, in_zone, excluded)
@@ -154,7 +154,7 @@
             placement = choose(spec, kept, candidates, in_zone, state.earmarked)
         if placement is not None:
             entry.in_vain_since = None
-            self._take(spec, placement, own, state)
+            self._take(spec, placement, ownership, state)
             reason = "repaired" if replica.phase is Phase.REPAIRING else "placed"
             return Choice(replica_id, reason, placement)
         if entry.in_vain_since is None:
@@ -229,11 +229,13 @@
         return in_zone
 
     @staticmethod
-    def _take(spec: ReplicaSetSpec, placement: Placement, own: set[str], state: _Pass) -> None:
+    def _take(
+        spec: ReplicaSetSpec, placement: Placement, ownership: set[str], state: _Pass
+    ) -> None:
         """What the placement takes is no longer free in this pass. Where the replica stood before,
         its room is counted as its own already."""
         for _, machine, _ in placement.places:
-            if machine not in own:
+            if machine not in ownership:
                 candidate = state.candidates[machine]
                 room = candidate.free.minus(spec.resources)
                 state.candidates[machine] = candidate._replace(free=room)
--- a/crossmill/multihost/set_rounds.py
+++ b/crossmill/multihost/set_rounds.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from ..cluster.ownership import Owned
+from ..cluster.ownership import ShardOwnership
 from ..state.writer import WriteIntent
 from .agents import Agents
 from .lifecycle import Moment
@@ -29,7 +29,11 @@
         self._writes = writes
 
     def look(
-        self, own: Owned, moment: Moment, names: Iterable[str], intents: list[WriteIntent]
+        self,
+        ownership: ShardOwnership,
+        moment: Moment,
+        names: Iterable[str],
+        intents: list[WriteIntent],
     ) -> set[ReplicaId]:
         """Adds the writes that the sets need to `intents`; returns the replicas that leave and that
         the disruption budget lets stop now."""
@@ -43,20 +47,26 @@
             plan = plan_set(stored, replicas, self._evacuated(replicas.values()), in_vain)
             allowed |= plan.may_stop
             for replica_id, reason in plan.leaving.items():
-                self.mark_leaving(own, replica_id, reason, intents)
+                self.mark_leaving(ownership, replica_id, reason, intents)
             if plan.create:
-                intents.append(self._writes.creation(own, stored, plan.create, moment.wall))
+                intents.append(self._writes.creation(ownership, stored, plan.create, moment.wall))
             if plan.is_over:
-                intents.append(self._writes.deletion_of_set(own, stored))
+                intents.append(self._writes.deletion_of_set(ownership, stored))
         return allowed
 
     def mark_leaving(
-        self, own: Owned, replica_id: ReplicaId, reason: str, intents: list[WriteIntent]
+        self,
+        ownership: ShardOwnership,
+        replica_id: ReplicaId,
+        reason: str,
+        intents: list[WriteIntent],
     ) -> None:
         """Adds the write that marks a replica as leaving."""
         replica = self._pool.replicas[replica_id]
         log.info("replica leaves replica=%s reason=%s", replica_id, reason)
-        intents.append(self._writes.transition(own, replica, replace(replica, leaving=reason)))
+        intents.append(
+            self._writes.transition(ownership, replica, replace(replica, leaving=reason))
+        )
 
     def _evacuated(self, replicas: Iterable[Replica]) -> dict[ReplicaId, str]:
         """Replicas with a member on a machine that is to be emptied or will be taken away."""
--- a/crossmill/multihost/writes.py
+++ b/crossmill/multihost/writes.py
@@ -9,7 +9,7 @@
 
 from ..cluster import keys as cluster_keys
 from ..cluster.membership import Membership
-from ..cluster.ownership import Owned
+from ..cluster.ownership import ShardOwnership
 from ..jobs.shard_writes import shard_intent
 from ..state.writer import WriteIntent, Writer, WriteRank, WriteResult
 from ..wire.state import Put, Txn
@@ -58,12 +58,12 @@
         self._shard = pool_shard
         self.transactions = 0
 
-    def _intent(self, own: Owned, rank: WriteRank, txn: Txn) -> WriteIntent:
+    def _intent(self, ownership: ShardOwnership, rank: WriteRank, txn: Txn) -> WriteIntent:
         self.transactions += 1
-        return shard_intent(self._membership, self._shard, own, rank, txn)
+        return shard_intent(self._membership, self._shard, ownership, rank, txn)
 
-    async def _commit(self, own: Owned, rank: WriteRank, txn: Txn) -> bool:
-        return await self._writer.commit(self._intent(own, rank, txn)) == WriteResult.OK
+    async def _commit(self, ownership: ShardOwnership, rank: WriteRank, txn: Txn) -> bool:
+        return await self._writer.commit(self._intent(ownership, rank, txn)) == WriteResult.OK
 
     async def submit(self, intents: Sequence[WriteIntent]) -> list[bool]:
         """Sends all, then waits for all."""
@@ -73,7 +73,9 @@
 
     # -- single records --------------------------------------------------------------
 
-    def transition(self, own: Owned, replica: Replica, after: Replica) -> WriteIntent:
+    def transition(
+        self, ownership: ShardOwnership, replica: Replica, after: Replica
+    ) -> WriteIntent:
         """A replica's record, changed. What ends service is urgent."""
         key = keys.replica(replica.id)
         rank = (
@@ -82,10 +84,12 @@
             else WriteRank.URGENT
         )
         return self._intent(
-            own, rank, Txn({key: replica.version}, [Put(key, encode_replica(after))])
+            ownership, rank, Txn({key: replica.version}, [Put(key, encode_replica(after))])
         )
 
-    def creation(self, own: Owned, stored: ReplicaSet, number: int, wall: float) -> WriteIntent:
+    def creation(
+        self, ownership: ShardOwnership, stored: ReplicaSet, number: int, wall: float
+    ) -> WriteIntent:
         """New replicas of a set, and its counter of their numbers. As many as one transaction
         takes; the rest follows."""
         number = min(number, self._writer.limits.txn_ops - 1)
@@ -99,21 +103,21 @@
             key = keys.replica(replica_id)
             txn.conditions[key] = 0
             txn.puts.append(Put(key, encode_replica(replica)))
-        return self._intent(own, WriteRank.PLACEMENT, txn)
+        return self._intent(ownership, WriteRank.PLACEMENT, txn)
 
-    def deletion_of_set(self, own: Owned, stored: ReplicaSet) -> WriteIntent:
+    def deletion_of_set(self, ownership: ShardOwnership, stored: ReplicaSet) -> WriteIntent:
         """The record of a removed set without replicas."""
         key = keys.replica_set(stored.spec.name)
-        return self._intent(own, WriteRank.PLACEMENT, Txn({key: stored.version}, [], [key]))
+        return self._intent(ownership, WriteRank.PLACEMENT, Txn({key: stored.version}, [], [key]))
 
-    def deletion_of_machine(self, own: Owned, machine_id: str) -> WriteIntent:
+    def deletion_of_machine(self, ownership: ShardOwnership, machine_id: str) -> WriteIntent:
         """The pool's record of a machine that was returned: its ordinary record is gone."""
         key = keys.machine(machine_id)
         version = self._pool.machines[machine_id].version
         conditions = {key: version, cluster_keys.machine(machine_id): 0}
-        return self._intent(own, WriteRank.PLACEMENT, Txn(conditions, [], [key]))
+        return self._intent(ownership, WriteRank.PLACEMENT, Txn(conditions, [], [key]))
 
-    def departure_of_machine(self, own: Owned, machine: PoolMachine) -> WriteIntent:
+    def departure_of_machine(self, ownership: ShardOwnership, machine: PoolMachine) -> WriteIntent:
         """An empty machine leaves the pool: its ordinary record names its own type again. The
         pool's record stays until the machine is gone, so that its agent is not taken in anew."""
         key, ordinary = keys.machine(machine.id), cluster_keys.machine(machine.id)
@@ -121,9 +125,9 @@
         record = returned_record(self._pool.mirror.value(ordinary))
         txn = Txn({key: machine.version, ordinary: self._pool.record_version(machine.id)})
         txn.puts += [Put(key, value), Put(ordinary, record)]
-        return self._intent(own, WriteRank.PLACEMENT, txn)
+        return self._intent(ownership, WriteRank.PLACEMENT, txn)
 
-    async def clear(self, own: Owned, replica: Replica, record_too: bool) -> bool:
+    async def clear(self, ownership: ShardOwnership, replica: Replica, record_too: bool) -> bool:
         """Deletes the members' records, and at last the replica's own if it is to go."""
         most = max(1, self._writer.limits.txn_ops - 1)
         chunks = sorted(replica.chunks)
@@ -135,12 +139,12 @@
                 txn.deletes.append(key)
             if record_too and first + most >= len(chunks):
                 txn.deletes.append(keys.replica(replica.id))
-            if not await self._commit(own, WriteRank.PLACEMENT, txn):
+            if not await self._commit(ownership, WriteRank.PLACEMENT, txn):
                 return False
         if record_too and not chunks:
             key = keys.replica(replica.id)
             return await self._commit(
-                own, WriteRank.PLACEMENT, Txn({key: replica.version}, [], [key])
+                ownership, WriteRank.PLACEMENT, Txn({key: replica.version}, [], [key])
             )
         return True
 
@@ -173,7 +177,12 @@
         return txn
 
     async def reserve(
-        self, own: Owned, replica: Replica, placement: Placement, wall: float, reason: str
+        self,
+        ownership: ShardOwnership,
+        replica: Replica,
+        placement: Placement,
+        wall: float,
+        reason: str,
     ) -> bool:
         """Reserves all machines and begins the start. In one transaction if it takes them all;
         else in steps under a durable intent (the phase), which this owner or the next goes on
@@ -181,8 +190,8 @@
         members = self._members(replica, placement)
         chunks = self._split(replica, members)
         if len(chunks) == 1 and replica.chunk_count <= 1:
-            return await self._reserve_at_once(own, replica, chunks[0], wall, reason)
-        return await self._reserve_in_steps(own, replica, chunks, wall, reason)
+            return await self._reserve_at_once(ownership, replica, chunks[0], wall, reason)
+        return await self._reserve_in_steps(ownership, replica, chunks, wall, reason)
 
     @staticmethod
     def _members(replica: Replica, placement: Placement) -> list[Member]:
@@ -196,7 +205,7 @@
 
     async def _reserve_at_once(
         self,
-        own: Owned,
+        ownership: ShardOwnership,
         replica: Replica,
         members: tuple[Member, ...],
         wall: float,
@@ -206,11 +215,11 @@
         after.chunk_count = 1
         txn = self._reservation(replica, 0, after.generation, members)
         txn.puts.append(Put(keys.replica(replica.id), encode_replica(after)))
-        return await self._commit(own, WriteRank.PLACEMENT, txn)
+        return await self._commit(ownership, WriteRank.PLACEMENT, txn)
 
     async def _reserve_in_steps(
         self,
-        own: Owned,
+        ownership: ShardOwnership,
         replica: Replica,
         chunks: list[tuple[Member, ...]],
         wall: float,
@@ -219,7 +228,7 @@
         if replica.phase is Phase.PENDING:
             after = advanced(replica, Phase.RESERVING, wall, reason)
             after.chunk_count = len(chunks)
-            if not all(await self.submit([self.transition(own, replica, after)])):
+            if not all(await self.submit([self.transition(ownership, replica, after)])):
                 return False
             replica = self._pool.replicas[replica.id]
         for number, members in enumerate(chunks):
@@ -228,7 +237,7 @@
             if done and known is not None and known.members == members:
                 continue
             txn = self._reservation(replica, number, replica.generation, members)
-            if not await self._commit(own, WriteRank.PLACEMENT, txn):
+            if not await self._commit(ownership, WriteRank.PLACEMENT, txn):
                 return False
         replica = self._pool.replicas[replica.id]
         after = advanced(replica, Phase.STARTING, wall, reason)
@@ -237,4 +246,4 @@
         txn = Txn({key: replica.version}, [Put(key, encode_replica(after))])
         for number in [n for n in replica.chunks if n >= len(chunks)]:
             txn.deletes.append(keys.members(replica.id, number))
-        return await self._commit(own, WriteRank.PLACEMENT, txn)
+        return await self._commit(ownership, WriteRank.PLACEMENT, txn)
--- a/crossmill/recovery/service.py
+++ b/crossmill/recovery/service.py
@@ -9,7 +9,7 @@
 from ..cluster.cluster_state import ClusterState
 from ..cluster.membership import Membership
 from ..cluster.model import Machine
-from ..cluster.ownership import Owned
+from ..cluster.ownership import ShardOwnership
 from ..jobs.shard_writes import shard_intent
 from ..net.clock import Clock
 from ..settings import Settings
@@ -63,10 +63,10 @@
     # -- the gate --------------------------------------------------------------------
 
     def screen(
-        self, machine: Machine, view: View, own: Owned, orders: list[Command]
+        self, machine: Machine, view: View, ownership: ShardOwnership, orders: list[Command]
     ) -> list[Command]:
         """Which of the orders that answer a report may be sent now."""
-        recovery = self._recovery_of(machine.shard, own)
+        recovery = self._recovery_of(machine.shard, ownership)
         recovery.note(machine, view)
         if not orders:
             return orders
@@ -97,15 +97,15 @@
             recovery.let_through[RELEASE] += 1
         return self._recovery.dry_run
 
-    def _recovery_of(self, shard: int, own: Owned) -> ShardRecovery:
+    def _recovery_of(self, shard: int, ownership: ShardOwnership) -> ShardRecovery:
         recovery = self._shards.get(shard)
-        if recovery is None or recovery.term != own.term:
+        if recovery is None or recovery.term != ownership.term:
             recovery = ShardRecovery(
-                shard, own, self._recovery, self._clock, self._cluster, self._priority
+                shard, ownership, self._recovery, self._clock, self._cluster, self._priority
             )
             self._shards[shard] = recovery
             self._recorded.discard(shard)
-            recovery.advance(own)
+            recovery.advance(ownership)
         return recovery
 
     # -- the loop --------------------------------------------------------------------
@@ -124,24 +124,24 @@
 
     async def step(self) -> None:
         """One look at all shards that this controller owns."""
-        for shard, own in list(self._membership.owned.items()):
-            recovery = self._recovery_of(shard, own)
+        for shard, ownership in list(self._membership.ownerships.items()):
+            recovery = self._recovery_of(shard, ownership)
             is_done = recovery.is_over and shard in self._recorded
-            if is_done or self._membership.acting(shard) is None:
+            if is_done or self._membership.active_ownership(shard) is None:
                 continue
-            recovery.advance(own)
-            await self._look(recovery, shard, own)
+            recovery.advance(ownership)
+            await self._look(recovery, shard, ownership)
 
-    async def _look(self, recovery: ShardRecovery, shard: int, own: Owned) -> None:
+    async def _look(self, recovery: ShardRecovery, shard: int, ownership: ShardOwnership) -> None:
         if recovery.needs_read:
             sent = self._clock.now()
             if await self._watcher.sync(self._settings.lease_renewal_interval_s):
                 recovery.read_at = sent
         self._take_approval(recovery)
-        await self._note_brake(recovery, shard, own)
+        await self._note_brake(recovery, shard, ownership)
         if recovery.is_settled and shard not in self._recorded:
             self._recorded.add(shard)
-            await self._write_record(recovery, shard, own)
+            await self._write_record(recovery, shard, ownership)
 
     def _take_approval(self, recovery: ShardRecovery) -> None:
         if not recovery.is_braked or self._recovery.dry_run:
@@ -155,7 +155,9 @@
         ):
             recovery.approve()
 
-    async def _note_brake(self, recovery: ShardRecovery, shard: int, own: Owned) -> None:
+    async def _note_brake(
+        self, recovery: ShardRecovery, shard: int, ownership: ShardOwnership
+    ) -> None:
         """What the brake holds back is durable, so that an operator can ask any controller."""
         key = keys.braked(shard)
         stored = self._cluster.mirror.value(key)
@@ -166,32 +168,34 @@
             return
         version = self._cluster.mirror.version(key)
         if wanted is None:
-            log.info("recovery brake off shard=%d epoch=%d", shard, own.term)
+            log.info("recovery brake off shard=%d epoch=%d", shard, ownership.term)
             txn = Txn({key: version}, [], [key, *self._stale_approval(shard)])
         else:
             log.warning(
                 "recovery braked shard=%d epoch=%d digest=%s stops=%d restarts=%d releases=%d "
                 "tasks=%d machines=%d",
                 shard,
-                own.term,
+                ownership.term,
                 wanted["digest"],
                 *recovery.impact(),
             )
             txn = Txn({key: version}, [Put(key, wanted)])
-        await self._commit(shard, own, txn)
+        await self._commit(shard, ownership, txn)
 
     def _stale_approval(self, shard: int) -> list[str]:
         key = keys.approval(shard)
         return [key] if self._cluster.mirror.value(key) is not None else []
 
-    async def _write_record(self, recovery: ShardRecovery, shard: int, own: Owned) -> None:
+    async def _write_record(
+        self, recovery: ShardRecovery, shard: int, ownership: ShardOwnership
+    ) -> None:
         controller, wall = self._settings.label, self._clock.wall()
         record = encode_record(recovery, controller, wall, self._recovery.dry_run)
         log.info(
             "recovery over shard=%d epoch=%d after_s=%.2f machines=%d tasks=%d orders=%d "
             "dry_run=%s let_through=%d",
             shard,
-            own.term,
+            ownership.term,
             self._clock.now() - recovery.begun_at,
             recovery.machines_known,
             recovery.tasks_known,
@@ -200,21 +204,21 @@
             recovery.let_through.total(),
         )
         surplus = self.records.surplus(shard, self._recovery.kept_records - 1)
-        txn = Txn({}, [Put(keys.record(shard, own.term), record)], surplus)
-        await self._commit(shard, own, txn)
+        txn = Txn({}, [Put(keys.record(shard, ownership.term), record)], surplus)
+        await self._commit(shard, ownership, txn)
 
-    async def _commit(self, shard: int, own: Owned, txn: Txn) -> bool:
-        intent = shard_intent(self._membership, shard, own, WriteRank.BACKGROUND, txn)
+    async def _commit(self, shard: int, ownership: ShardOwnership, txn: Txn) -> bool:
+        intent = shard_intent(self._membership, shard, ownership, WriteRank.BACKGROUND, txn)
         return await self._writer.commit(intent) == WriteResult.OK
 
     def is_steady(self, shard: int) -> bool:
         """Whether this controller acts for the shard, and its recovery is over."""
-        own = self._membership.acting(shard)
+        ownership = self._membership.active_ownership(shard)
         recovery = self._shards.get(shard)
         return (
-            own is not None
+            ownership is not None
             and recovery is not None
-            and recovery.term == own.term
+            and recovery.term == ownership.term
             and recovery.is_over
             and shard in self._recorded
         )
--- a/crossmill/recovery/shard_recovery.py
+++ b/crossmill/recovery/shard_recovery.py
@@ -6,7 +6,7 @@
 
 from ..cluster.cluster_state import ClusterState
 from ..cluster.model import AttemptId, Machine
-from ..cluster.ownership import Owned
+from ..cluster.ownership import ShardOwnership
 from ..net.clock import Clock
 from ..net.pacer import Pacer
 from ..wire.workers import Command
@@ -43,14 +43,14 @@
     def __init__(
         self,
         shard: int,
-        own: Owned,
+        ownership: ShardOwnership,
         settings: RecoverySettings,
         clock: Clock,
         cluster: ClusterState,
         priority: Callable[[str], int],
     ) -> None:
         self.shard = shard
-        self.term = own.term
+        self.term = ownership.term
         self.phase = Phase.LOADING
         self.begun_at = clock.now()
         self.spent_s: dict[Phase, float] = {}
@@ -139,10 +139,10 @@
 
     # -- phases ----------------------------------------------------------------------
 
-    def advance(self, own: Owned) -> None:
+    def advance(self, ownership: ShardOwnership) -> None:
         """One look: the phases that are over are left."""
         self._forget_gone()
-        if self.phase is Phase.LOADING and own.ready:
+        if self.phase is Phase.LOADING and ownership.ready:
             self._observe()
         if self.phase is Phase.OBSERVING and self._is_observed():
             self._enter(Phase.CLASSIFYING)
--- a/crossmill/workers/direct.py
+++ b/crossmill/workers/direct.py
@@ -65,7 +65,7 @@
         machine, view = self._cluster.machines.get(machine_id), self._reports.peek(machine_id)
         if machine is None or view is None:
             return
-        own = self._membership.commanding(machine.shard)
+        ownership = self._membership.command_ownership(machine.shard)
         client = self._client(view.address)
         # what was found to be over while its plan's write was settled must not begin now
         attempts = [
@@ -75,14 +75,14 @@
             and machine.attempts.get((attempt.job, attempt.index)) == attempt
             and self._reports.may_start(attempt, machine)
         ]
-        if own is None or client is None or not (attempts or stops) or not view.trusted:
+        if ownership is None or client is None or not (attempts or stops) or not view.trusted:
             return
         commands = [self._reports.stop(r) for r in stops[:MAX_ORDERS]]
         attempts = attempts[: MAX_ORDERS - len(commands)]
         commands += [Command("start", f"{r.job}/{r.index}", r.number) for r in attempts]
         if self._reports.is_leaving(machine_id):
             return
-        token = self._reports.token(machine, own)
+        token = self._reports.token(machine, ownership)
         body = direct_body(token, view.session, commands)
         unacknowledged = self._reports.unacknowledged.setdefault(machine_id, {})
         for attempt in attempts:
--- a/crossmill/workers/findings.py
+++ b/crossmill/workers/findings.py
@@ -53,7 +53,7 @@
 
     attempt: PlannedAttempt
     why: AttemptEnd
-    # the owner's term (see `Owned.term`): later ones must prove it anew
+    # the owner's term (see `ShardOwnership.term`): later ones must prove it anew
     term: int
     took_s: float | None = None
     # versions of keys that this is true under
--- a/crossmill/workers/order_gate.py
+++ b/crossmill/workers/order_gate.py
@@ -3,7 +3,7 @@
 from typing import Protocol
 
 from ..cluster.model import Machine
-from ..cluster.ownership import Owned
+from ..cluster.ownership import ShardOwnership
 from ..wire.workers import Command
 from .views import View
 
@@ -13,7 +13,7 @@
     through."""
 
     def screen(
-        self, machine: Machine, view: View, own: Owned, orders: list[Command]
+        self, machine: Machine, view: View, ownership: ShardOwnership, orders: list[Command]
     ) -> list[Command]:
         """Which of the orders that answer a report may be sent now; the others follow from
         comparing anew."""
--- a/crossmill/workers/reports.py
+++ b/crossmill/workers/reports.py
@@ -11,7 +11,7 @@
 from ..cluster.deputies import Deputies
 from ..cluster.membership import Membership
 from ..cluster.model import AttemptId, Machine, PlannedAttempt
-from ..cluster.ownership import Owned
+from ..cluster.ownership import ShardOwnership
 from ..net.clock import Clock
 from ..settings import Settings
 from ..wire.workers import MAX_ORDERS, Command, Report, TaskReport, cached_task_reader
@@ -77,7 +77,7 @@
             if job is None or job.shard == shard:
                 del self.stopping[attempt]
 
-    def view(self, machine: Machine, own: Owned) -> View:
+    def view(self, machine: Machine, ownership: ShardOwnership) -> View:
         """Before the first answer of ours an earlier owner may have answered, at the latest
         when we took over, and no worker was ours before we knew its machine. One that was
         given away and came back is begun anew."""
@@ -93,11 +93,11 @@
 
     def handle(self, report: Report) -> Answer:
         """How a report is answered."""
-        self._membership.reachability.note()
+        self._membership.reachability.record_heartbeat()
         machine = self._cluster.machines.get(report.machine)
         if machine is None:
             return self._elsewhere()
-        standing = self._membership.answering(machine.shard)
+        standing = self._membership.heartbeat_authority(machine.shard)
         if self.is_leaving(machine.id):
             return self._elsewhere()
         if standing is None:
@@ -111,14 +111,14 @@
             known = self._cluster.shards.get(machine.shard)
             elsewhere = known is not None and known.owner != self._settings.label
             return self._elsewhere(known.owner if known and elsewhere else None)
-        own, entitled = standing
-        token = self.token(machine, own)
+        ownership, entitled = standing
+        token = self.token(machine, ownership)
         if report.token > token:
             # the worker would drop our answer, and its lease would run out meanwhile
-            self._membership.raise_token(machine.shard, report.token)
-            detour = self._membership.choice.detour()
+            self._membership.request_higher_token(machine.shard, report.token)
+            detour = self._membership.owner_selection.reachable_alternative()
             return Answer(503) if detour is None else Answer(421, redirect=detour)
-        view = self.view(machine, own)
+        view = self.view(machine, ownership)
         verdict = view.beat(report, token, self._clock.now())
         if verdict is Verdict.STALE:
             return Answer(200, token)
@@ -127,13 +127,13 @@
         if verdict is Verdict.GREETED:
             return Answer(200, token)
         self._acknowledge(machine.id, report)
-        orders = self._orders(machine, view, own)
+        orders = self._orders(machine, view, ownership)
         if not entitled:
             # only kept alive; nothing is begun meanwhile, and nothing ended but what is over
             # for good: to end that is right whoever says it, and whenever
             orders = [c for c in orders if c.op == "stop" and self._job_ended(c.task)]
         if self.gate is not None:
-            orders = self.gate.screen(machine, view, own, orders)
+            orders = self.gate.screen(machine, view, ownership, orders)
         # cut only now: what is held back must not keep what is urgent out of the answer
         orders = orders[:MAX_ORDERS]
         self._count_unplanned(machine, orders)
@@ -142,7 +142,9 @@
     def _elsewhere(self, owner: str | None = None) -> Answer:
         """The worker is sent to its machine's owner; where none is known it goes round the
         controllers by itself, past those that are missing."""
-        return Answer(421, redirect=owner or self._membership.choice.detour())
+        return Answer(
+            421, redirect=owner or self._membership.owner_selection.reachable_alternative()
+        )
 
     def _count_unplanned(self, machine: Machine, orders: list[Command]) -> None:
         for order in orders:
@@ -165,9 +167,9 @@
         return job is not None and job.is_over
 
     @staticmethod
-    def token(machine: Machine, own: Owned) -> int:
+    def token(machine: Machine, ownership: ShardOwnership) -> int:
         """The token under which its shard's owner speaks to the machine."""
-        return max(own.token, machine.token)
+        return max(ownership.token, machine.token)
 
     def moved(self, machine_id: str) -> None:
         """The machine is another shard's: what was believed of it ends."""
@@ -201,15 +203,17 @@
     def learn(self, report: Report) -> None:
         """The answer to a direct command: a report, but one that renews no lease."""
         machine = self._cluster.machines.get(report.machine)
-        own = self._membership.acting(machine.shard) if machine is not None else None
-        if machine is None or own is None:
+        ownership = (
+            self._membership.active_ownership(machine.shard) if machine is not None else None
+        )
+        if machine is None or ownership is None:
             return
-        view = self.view(machine, own)
+        view = self.view(machine, ownership)
         if self.is_leaving(machine.id):
             return
-        if view.take(report, self.token(machine, own), self._clock.now()):
+        if view.take(report, self.token(machine, ownership), self._clock.now()):
             self._acknowledge(machine.id, report)
-            self._orders(machine, view, own, direct=True)
+            self._orders(machine, view, ownership, direct=True)
 
     def _acknowledge(self, machine_id: str, report: Report) -> None:
         unacknowledged = self.unacknowledged.get(machine_id)
@@ -224,11 +228,11 @@
         """True, and a higher token asked for, while a start of the attempt can still arrive."""
         if AttemptId(job, index, attempt) not in self.unacknowledged.get(machine.id, {}):
             return False
-        self._membership.raise_token(machine.shard)
+        self._membership.request_higher_token(machine.shard)
         return True
 
     def _orders(
-        self, machine: Machine, view: View, own: Owned, direct: bool = False
+        self, machine: Machine, view: View, ownership: ShardOwnership, direct: bool = False
     ) -> list[Command]:
         """What the worker has to do for its tasks to be those of the plan. Findings made on the
         way wait to be written."""
@@ -239,12 +243,12 @@
                 task.attempt,
                 view.session,
             ):
-                self._on_planned(attempt, task, view, own, orders)
+                self._on_planned(attempt, task, view, ownership, orders)
             else:
                 self._on_unplanned(machine, task, orders)
         for key, attempt in machine.attempts.items():
             if key not in view.tasks or view.tasks[key].attempt != attempt.number:
-                self._on_absent(machine, attempt, view, own, orders, direct)
+                self._on_absent(machine, attempt, view, ownership, orders, direct)
         return orders
 
     def _on_unplanned(self, machine: Machine, task: TaskReport, orders: list[Command]) -> None:
@@ -261,14 +265,14 @@
         machine: Machine,
         attempt: PlannedAttempt,
         view: View,
-        own: Owned,
+        ownership: ShardOwnership,
         orders: list[Command],
         direct: bool,
     ) -> None:
         """The worker does not have this planned attempt."""
         if attempt.session < view.session:
             self.unacknowledged.get(machine.id, {}).pop(attempt.id, None)
-            self.findings.record(Finding(attempt, AttemptEnd.SESSION_OVER, own.term))
+            self.findings.record(Finding(attempt, AttemptEnd.SESSION_OVER, ownership.term))
             return
         if (attempt.job, attempt.index) in view.tasks or attempt.session != view.session:
             return
@@ -283,7 +287,7 @@
             # may hold the start, was still on its way
             return
         # a newer report without it: no start sent before can still arrive
-        self.findings.record(Finding(attempt, AttemptEnd.NOT_STARTED, own.term))
+        self.findings.record(Finding(attempt, AttemptEnd.NOT_STARTED, ownership.term))
 
     def _is_known(self, attempt: PlannedAttempt) -> bool:
         job = self._cluster.jobs.get(attempt.job)
@@ -312,14 +316,14 @@
         attempt: PlannedAttempt,
         task: TaskReport,
         view: View,
-        own: Owned,
+        ownership: ShardOwnership,
         orders: list[Command],
     ) -> None:
         key = (attempt.job, attempt.index)
         if task.state == "exited":
             since = view.running_since.get(key)
             took = None if since is None else self._clock.now() - since
-            self.findings.record(Finding(attempt, AttemptEnd(task.why), own.term, took))
+            self.findings.record(Finding(attempt, AttemptEnd(task.why), ownership.term, took))
             return
         job = self._cluster.jobs.get(attempt.job)
         if job is None or job.is_over:
@@ -346,9 +350,9 @@
         grace = job.spec.save_s * 2 if job is not None and job.spec is not None and saves else 0.0
         return Command("stop", f"{attempt.job}/{attempt.index}", attempt.number, grace)
 
-    def expire(self, machine: Machine, own: Owned) -> None:
+    def expire(self, machine: Machine, ownership: ShardOwnership) -> None:
         """A worker that nobody can have answered for a lease has killed its tasks."""
-        view = self.view(machine, own)
+        view = self.view(machine, ownership)
         if (
             not machine.attempts
             or self._clock.now() - view.lease_from <= self._settings.heartbeat_timeout_s
@@ -359,5 +363,5 @@
         if rests is not None:
             for attempt in machine.attempts.values():
                 if attempt.session <= view.session or not view.trusted:
-                    finding = Finding(attempt, AttemptEnd.LEASE_OVER, own.term, rests=rests)
+                    finding = Finding(attempt, AttemptEnd.LEASE_OVER, ownership.term, rests=rests)
                     self.findings.record(finding)
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -8,12 +8,12 @@
 
 from crossmill.cluster import keys
 from crossmill.cluster.cluster_state import ClusterState
+from crossmill.cluster.controller_lease import ControllerLease
 from crossmill.cluster.deputies import Deputies
 from crossmill.cluster.feature_level import FeatureLevel
-from crossmill.cluster.keeper import Keeper
+from crossmill.cluster.lease_extensions import LeaseExtensions
 from crossmill.cluster.membership import Membership
 from crossmill.cluster.ownership import OwnedShards
-from crossmill.cluster.promises import Promises
 from crossmill.cluster.records import encode_job
 from crossmill.fleet.cloud import Cloud, stored_catalog
 from crossmill.fleet.forecast import DemandForecast
@@ -64,7 +64,7 @@
             raise ConnectionFailedError(self._label)
         request = Request(method, path, body)
         asked = path in (peers.QUIET_PATH, peers.ENDING_PATH)
-        response = (node.deputies if asked else node.promises).handle(request)
+        response = (node.deputies if asked else node.lease_extensions).handle(request)
         return response.status, response.body
 
 
@@ -109,20 +109,29 @@
         # the held clock does not move in it
         self.watcher._pause_s = 0.0
         self.writer = Writer(self.client, self.mirror, clock, s, lambda: self.cluster.limits)
-        self.keeper = Keeper(self.client, clock, s)
+        self.controller_lease = ControllerLease(self.client, clock, s)
 
         def line(peer: Peer) -> Http:
             return connect(peer) if connect is not None else PeerLine(nodes, peer.label)
 
         shards = OwnedShards()
-        self.promises = Promises(s, clock, shards, self.client, line)
+        self.lease_extensions = LeaseExtensions(s, clock, shards, self.client, line)
         self.membership = Membership(
-            s, clock, self.keeper, self.cluster, self.watcher, self.writer, shards, self.promises
+            s,
+            clock,
+            self.controller_lease,
+            self.cluster,
+            self.watcher,
+            self.writer,
+            shards,
+            self.lease_extensions,
         )
         self.feature_level = FeatureLevel(
             s, clock, self.cluster, self.watcher, self.writer, self.membership
         )
-        self.deputies = Deputies(s, clock, self.cluster, self.keeper, self.watcher.sync, line)
+        self.deputies = Deputies(
+            s, clock, self.cluster, self.controller_lease, self.watcher.sync, line
+        )
         self.reports = Reports(s, clock, self.cluster, self.membership, self.deputies)
         self.forecast = DemandForecast(s, clock, self.cluster)
         self.worker = WorkerLine()
@@ -164,29 +173,29 @@
             self.clock.time += self.settings.lease_extension_grant_s * 1.1
         await curio.spawn(self.writer.run, daemon=True)
         await curio.spawn(self.watcher.run_syncs, daemon=True)
-        await self.keeper.step()
+        await self.controller_lease.step()
         await self.watcher.load()
         await self.membership.step()
 
     async def live(self) -> None:
         """What a running controller does all the time: it renews its lease, and reads."""
-        await self.keeper.step()
-        if not self.keeper.failing:
+        await self.controller_lease.step()
+        if not self.controller_lease.is_failing:
             await self.watcher.sync(1.0)
 
     async def sync(self) -> None:
         assert await self.watcher.sync(1.0)
 
     async def round(self, shard: int = 0) -> None:
-        own = self.membership.acting(shard)
-        assert own is not None
-        await self.rounds.round(shard, own)
+        ownership = self.membership.active_ownership(shard)
+        assert ownership is not None
+        await self.rounds.round(shard, ownership)
         # rounds do not wait for these
         for intent in self.rounds._cleaning.get(shard, ()):
             await intent.future.wait()
 
     def token(self, shard: int = 0) -> int:
-        return self.membership.owned[shard].token
+        return self.membership.ownerships[shard].token
 
     def report(self, machine: str, session: int, seq: int, token: int, *tasks: Any) -> Answer:
         body = load_object(beat(machine, session, seq, token, *tasks))
--- a/tests/measure_multihost.py
+++ b/tests/measure_multihost.py
@@ -245,7 +245,7 @@
 
         add_ready_pairs(state, clock, machines // 2)
         node, service = await booted_pool(state, clock, nodes, machines)
-        own = node.membership.commanding(SETTINGS.pool_shard)
+        own = node.membership.command_ownership(SETTINGS.pool_shard)
         assert own is not None
         all_beat(node, service, machines, 1)
         await service.coordinator.round(own)
--- a/tests/simulated_links.py
+++ b/tests/simulated_links.py
@@ -91,7 +91,7 @@
             await curio.sleep(timeout_s)
             raise NoResponseError(path)
         asked = path in (peers.QUIET_PATH, peers.ENDING_PATH)
-        handler = node.deputies if asked else node.promises
+        handler = node.deputies if asked else node.lease_extensions
         response = handler.handle(Request(method, path, body))
         await curio.sleep(HOP_S)
         return response.status, response.body
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -128,7 +128,7 @@
             next(w for w in self.workers.values() if 20000 + w.number == endpoint.port)
         )
         parts: list[Callable[[], Awaitable[None]]] = [
-            node.keeper.run,
+            node.controller_lease.run,
             node.watcher.run,
             node.watcher.run_syncs,
             node.writer.run,
--- a/tests/test_deputies.py
+++ b/tests/test_deputies.py
@@ -57,7 +57,7 @@
         while self.clock.time < end:
             self.clock.time += 0.5
             for node in (self.owner, self.deputy):
-                await node.keeper.step()
+                await node.controller_lease.step()
                 await node.deputies.step()
             if to is not None:
                 self.seq += 1
@@ -114,7 +114,7 @@
 def test_a_deputy_stops_long_before_its_going_counts_as_proof() -> None:
     async def story(it: Story) -> None:
         it.cut()
-        it.state.end_lease(it.deputy.keeper.lease or 0)
+        it.state.end_lease(it.deputy.controller_lease.lease_id or 0)
         await it.pass_time(it.s.partition_keepalive_s - 1, it.deputy)
         await it.pass_time(2)
         assert it.deputy.report("n-0", 1, 900, it.token, RUNNING).status == 421
@@ -148,15 +148,15 @@
         await it.deputy.deputies._note_durable()
         assert it.deputy.deputies._synced_at is None
         it.cut()
-        await it.deputy.keeper.step()
+        await it.deputy.controller_lease.step()
         assert it.deputy.report("n-0", 1, 900, it.token, RUNNING).status == 421
         it.mend()
-        it.deputy.cluster.nodes["node-0"] = {"lease": it.deputy.keeper.lease}
-        await it.deputy.keeper.step()
+        it.deputy.cluster.nodes["node-0"] = {"lease": it.deputy.controller_lease.lease_id}
+        await it.deputy.controller_lease.step()
         await it.settle()
         it.cut()
         it.nodes["node-1"].cut = False
-        await it.deputy.keeper.step()
+        await it.deputy.controller_lease.step()
         await it.deputy.deputies.step()
         answer = it.deputy.report("n-0", 1, 901, it.token, RUNNING)
         assert (answer.status, answer.redirect) == (421, "node-1")
@@ -178,7 +178,7 @@
         assert (answer.status, answer.retry_after_s) == (503, 1)
         assert b"withdrawn" not in (await it.owner.ask("GET", path)).body
         # once the deputy must have stopped early enough, its word is no longer needed
-        it.state.end_lease(it.deputy.keeper.lease or 0)
+        it.state.end_lease(it.deputy.controller_lease.lease_id or 0)
         await it.pass_time(
             it.s.partition_keepalive_s + it.s.worker_lease_s - it.s.cancellation_deadline_s
         )
@@ -196,7 +196,7 @@
         # the deputy's mirror never got it: only what it was told counts
         assert it.deputy.cluster.jobs["wk-000001"].end == ""
         it.cut()
-        await it.deputy.keeper.step()
+        await it.deputy.controller_lease.step()
         orders = it.deputy.report("n-0", 1, 900, it.token, RUNNING).commands
         assert orders == (Command("stop", "wk-000001/0", 1, 0.0),)
 
@@ -215,7 +215,7 @@
         up = ["n-0", "n-1", "n-2"]
         for seq in range(1, 140):
             clock.time += 0.5
-            await node.keeper.step()
+            await node.controller_lease.step()
             for machine in up:
                 node.report(machine, 1, seq, node.token())
             await node.round()
@@ -232,7 +232,7 @@
         node = Node(state, clock, nodes)
         for path in (peers.QUIET_PATH, peers.ENDING_PATH):
             for body in (b"", b"[]", b'{"machines":3,"jobs":[4]}', b"\xff"):
-                line = node.promises._http["node-1"]
+                line = node.lease_extensions._http["node-1"]
                 nodes["node-1"] = node
                 assert (await line.request("POST", path, body))[0] == 400
 
@@ -253,7 +253,7 @@
         worker_lease_s = node.settings.worker_lease_s
         for seq in range(1, 130):
             clock.time += 0.5
-            await node.keeper.step()
+            await node.controller_lease.step()
             for number, name in enumerate(names):
                 # silent for two leases, each a little later than the one before
                 if not 0 < seq * 0.5 - 10 - 0.8 * number < 2 * worker_lease_s:
@@ -268,7 +268,7 @@
     async def story(it: Story) -> None:
         # not yet asked when it falls silent; then node-0 says that it has not answered
         it.clock.time += it.s.heartbeat_timeout_s + 0.5
-        await it.owner.keeper.step()
+        await it.owner.controller_lease.step()
         await it.owner.round()
         await it.owner.deputies.step()
         assert it.owner.deputies._quiet
@@ -277,11 +277,11 @@
         await it.deputy.boot(waited=False)
         await it.deputy.deputies.step()
         it.cut()
-        await it.deputy.keeper.step()
+        await it.deputy.controller_lease.step()
         assert it.deputy.report("n-0", 1, 900, it.token, RUNNING).status == 200
         # the owner has not heard of it: what it concludes is written on the old key's version
         it.clock.time += it.s.worker_lease_expiry_s - it.s.heartbeat_timeout_s
-        await it.owner.keeper.step()
+        await it.owner.controller_lease.step()
         machine, view = it.owner.cluster.machines["n-0"], it.owner.reports.peek("n-0")
         assert view and it.owner.deputies.lease_over(machine, view.answered_at)
         await it.owner.round()
@@ -312,7 +312,7 @@
 def test_an_absence_is_counted_anew_when_a_controller_came_back_and_went_unseen() -> None:
     async def story(it: Story) -> None:
         it.cut()
-        it.state.end_lease(it.deputy.keeper.lease or 0)
+        it.state.end_lease(it.deputy.controller_lease.lease_id or 0)
         await it.pass_time(it.s.partition_keepalive_s + it.s.worker_lease_s - 1)
         assert it.on_machine() == 1
         # while the owner stands still node-0 comes back, learns all, and goes again
@@ -320,7 +320,7 @@
         await again.boot(waited=False)
         await again.deputies.step()
         again.cut = True
-        it.state.end_lease(again.keeper.lease or 0)
+        it.state.end_lease(again.controller_lease.lease_id or 0)
         await it.owner.sync()
         await it.pass_time(it.s.partition_keepalive_s)
         assert it.on_machine() == 1
@@ -344,7 +344,7 @@
         await it.deputy.deputies.step()
         assert (await it.owner.ask("POST", path)).status == 200
         it.cut()
-        await it.deputy.keeper.step()
+        await it.deputy.controller_lease.step()
         orders = it.deputy.report("n-0", 1, 900, it.token, RUNNING).commands
         assert [c.op for c in orders] == ["stop"]
         # the note goes with the next round
@@ -385,23 +385,26 @@
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         it = Story(state, clock, nodes)
         await it.begin()
-        own = it.owner
+        ownership = it.owner
         add_machine(it.state, it.clock, "s-0", zone="south")
-        await own.live()
-        await own.deputies.step()
-        own.report("s-0", 1, 1, 0)
-        own.report("s-0", 1, 2, it.token)
-        view = own.reports.peek("s-0")
+        await ownership.live()
+        await ownership.deputies.step()
+        ownership.report("s-0", 1, 1, 0)
+        ownership.report("s-0", 1, 2, it.token)
+        view = ownership.reports.peek("s-0")
         assert view is not None
         it.cut()
         state.down = True
         for seq in range(3, 50):
             clock.time += 0.5
-            await own.keeper.step()
-            await own.deputies.step()
-            own.report("s-0", 1, seq, it.token)
-        assert own.membership.answering(own.cluster.machines["s-0"].shard) is None
-        assert own.report("s-0", 1, 50, it.token).status == 200, "kept alive as a deputy"
+            await ownership.controller_lease.step()
+            await ownership.deputies.step()
+            ownership.report("s-0", 1, seq, it.token)
+        assert (
+            ownership.membership.heartbeat_authority(ownership.cluster.machines["s-0"].shard)
+            is None
+        )
+        assert ownership.report("s-0", 1, 50, it.token).status == 200, "kept alive as a deputy"
         assert view.answered_at == clock.now()
 
     play(story)
--- a/tests/test_multihost_service.py
+++ b/tests/test_multihost_service.py
@@ -145,9 +145,9 @@
 
         async def round_looks() -> int:
             before = service.coordinator.looks
-            own = node.membership.commanding(SETTINGS.pool_shard)
-            assert own is not None
-            await service.coordinator.round(own)
+            ownership = node.membership.command_ownership(SETTINGS.pool_shard)
+            assert ownership is not None
+            await service.coordinator.round(ownership)
             return service.coordinator.looks - before
 
         all_beat(node, service, machines, 1)
@@ -187,10 +187,10 @@
         for seen in (0, 0, 0, 1, 1, 1):
             clock.time += 2.0
             await node.live()
-            own = node.membership.commanding(SETTINGS.pool_shard)
-            assert own is not None
-            await service.coordinator.round(own)
-            await service.coordinator.round(own)
+            ownership = node.membership.command_ownership(SETTINGS.pool_shard)
+            assert ownership is not None
+            await service.coordinator.round(ownership)
+            await service.coordinator.round(ownership)
             assert lines() == seen
 
     play(story)
@@ -252,7 +252,7 @@
         ]
         for sequence in range(1, 40):
             clock.time += node.settings.worker_lease_s / 4
-            await node.keeper.step()
+            await node.controller_lease.step()
             await node.sync()
             await node.membership.step()
             node.report("n-0", 1, sequence, node.token())
@@ -260,7 +260,7 @@
             answer = node.report("m-0", 1, sequence, node.token())
             assert answer.commands == ()
             await node.round()
-            if node.membership.leading() is not None:
+            if node.membership.leadership_version() is not None:
                 await node.leader._step()
         assert not node.cluster.machines["m-0"].attempts
         assert len(node.cluster.machines["n-0"].attempts) > 0
@@ -283,11 +283,11 @@
         node.report("n-0", 1, 2, token)
         await node.round()
         await node.sync()
-        own = node.membership.commanding(0)
-        assert own is not None and node.cluster.machines["n-0"].attempts
+        ownership = node.membership.command_ownership(0)
+        assert ownership is not None and node.cluster.machines["n-0"].attempts
         for machine in ("n-0", "n-1", "n-2"):
             service.heartbeats.handle(heartbeat_of(node, 0, 1)._replace(machine=machine))
-        await service.coordinator.round(own)
+        await service.coordinator.round(ownership)
         # the busy one stays; the empty one and the unknown one are taken in
         assert sorted(service.pool.machines) == ["n-1", "n-2"]
         assert state.keys[cluster_keys.machine("n-1")][0]["type"] == "multihost/g4"
--- a/tests/test_on_call_troubles.py
+++ b/tests/test_on_call_troubles.py
@@ -8,7 +8,7 @@
 import pytest
 
 from crossmill.cluster.cluster_state import ClusterState
-from crossmill.cluster.keeper import Keeper
+from crossmill.cluster.controller_lease import ControllerLease
 from crossmill.cluster.model import Job, PlannedAttempt
 from crossmill.jobs.failures import TaskFailures
 from crossmill.planning.demand import MachineRequest
@@ -42,7 +42,7 @@
         await region.until(lambda: all(region.running(job) for job in jobs))
         await curio.sleep(seed_s)
         frozen = region.nodes["node-1"]
-        held = set(frozen.membership.owned)
+        held = set(frozen.membership.ownerships)
         region.still_until["node-1"] = region.clock.now() + freeze_s
         for job in jobs[:5]:
             assert await region.cancel_until_told("node-2", job, 20.0)
@@ -50,9 +50,9 @@
         left_s = region.still_until["node-1"] - region.clock.now()
         await curio.sleep(max(0.0, left_s - 0.001))
         if region.stands_still("node-1"):
-            assert all(frozen.membership.acting(shard) is None for shard in held)
-            assert all(frozen.membership.answering(shard) is None for shard in held)
-            assert frozen.membership.leading() is None
+            assert all(frozen.membership.active_ownership(shard) is None for shard in held)
+            assert all(frozen.membership.heartbeat_authority(shard) is None for shard in held)
+            assert frozen.membership.leadership_version() is None
         for n, job in enumerate(f"wk-{n:06d}" for n in range(20, 26)):
             crew = ("red", "blue", "green")[n % 3]
             await region.submit("node-2", job, 5.0, crew=crew, sacks=2)
@@ -70,7 +70,7 @@
 
 
 def test_rights_that_outlast_a_freeze_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Keeper, "authority", lambda self: self.lease is not None)
+    monkeypatch.setattr(ControllerLease, "is_held", lambda self: self.lease_id is not None)
     with pytest.raises(AssertionError):
         simulate(_freeze(25.0, 0.0))
 
@@ -245,7 +245,7 @@
     """Whether some controller acts for the machine and believes what is on it."""
     for node in region.nodes.values():
         machine = node.cluster.machines.get(worker.machine)
-        if machine is None or node.membership.acting(machine.shard) is None:
+        if machine is None or node.membership.active_ownership(machine.shard) is None:
             continue
         view = node.reports.peek(worker.machine)
         if view is not None and view.trusted and set(view.tasks) == set(worker.tasks):
--- a/tests/test_owner_choice.py
+++ b/tests/test_owner_selection.py
@@ -4,7 +4,7 @@
 import pytest
 
 from crossmill.cluster.cluster_state import ClusterState
-from crossmill.cluster.owner_choice import OwnerChoice
+from crossmill.cluster.owner_selection import OwnerSelection
 from crossmill.state.mirror import Mirror
 
 from .simulation import Region, simulate
@@ -19,14 +19,14 @@
     def __init__(self, label: str) -> None:
         self.clock, settings = FakeClock(), make_settings(label)
         self.cluster = ClusterState(Mirror(), settings)
-        self.choice = OwnerChoice(settings, self.clock, self.cluster)
+        self.owner_selection = OwnerSelection(settings, self.clock, self.cluster)
 
-    def pass_with(self, *present: str, for_s: float = 11.0) -> OwnerChoice:
+    def pass_with(self, *present: str, for_s: float = 11.0) -> OwnerSelection:
         self.cluster.nodes = {label: {} for label in present}
-        self.choice.look()
+        self.owner_selection.observe()
         self.clock.time += for_s
-        self.choice.look()
-        return self.choice
+        self.owner_selection.observe()
+        return self.owner_selection
 
 
 def test_the_next_controller_is_counted_as_numbers_are() -> None:
@@ -37,7 +37,7 @@
 def test_with_all_there_each_home_owns_its_shard() -> None:
     for number, label in enumerate(NEXT):
         choice = Choice(label).pass_with(*NEXT)
-        assert not any(choice.gives_way(other) for other in NEXT)
+        assert not any(choice.should_yield(other) for other in NEXT)
         assert not choice.is_better_elsewhere(number)
         assert choice.is_better_elsewhere((number + 1) % 3)
 
@@ -53,7 +53,7 @@
 
 def test_a_controller_that_is_only_begun_again_is_not_missing() -> None:
     choice = Choice("node-1").pass_with("node-0", "node-1", for_s=9.0)
-    assert not choice.gives_way("node-1")
+    assert not choice.should_yield("node-1")
 
 
 def test_the_only_controller_left_gives_way_to_nobody() -> None:
@@ -89,12 +89,12 @@
 
 
 def test_a_worker_without_an_owner_is_sent_past_controllers_that_are_missing() -> None:
-    assert Choice("node-0").pass_with("node-0", "node-2").detour() == "node-2"
-    assert Choice("node-0").pass_with(*NEXT).detour() is None
-    assert Choice("node-0").pass_with("node-0").detour() is None
+    assert Choice("node-0").pass_with("node-0", "node-2").reachable_alternative() == "node-2"
+    assert Choice("node-0").pass_with(*NEXT).reachable_alternative() is None
+    assert Choice("node-0").pass_with("node-0").reachable_alternative() is None
     deaf = Choice("node-0")
     deaf.cluster.nodes = {"node-0": {}, "node-1": {"deaf": True}, "node-2": {}}
-    assert deaf.choice.detour() == "node-2"
+    assert deaf.owner_selection.reachable_alternative() == "node-2"
 
 
 def test_workers_are_answered_soon_after_a_hand_over_past_a_missing_controller() -> None:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -737,7 +737,7 @@
         await region.until(
             lambda: len(region.owners()) == 3
             and all(
-                region.nodes[label].membership.acting(shard)
+                region.nodes[label].membership.active_ownership(shard)
                 for shard, label in region.owners().items()
             )
         )
--- a/tests/test_safety.py
+++ b/tests/test_safety.py
@@ -86,7 +86,7 @@
         await node.sync()
         for seq in range(1, 60):
             clock.time += 0.2
-            await node.keeper.step()
+            await node.controller_lease.step()
             node.report("n-1", 1, seq, node.token())
             await node.round()
             held = [r.machine for r in node.cluster.jobs["wk-000001"].attempts()]
@@ -127,11 +127,11 @@
         for _ in range(3):
             await node.membership.step()
             clock.time += node.settings.controller_lease_ttl_s / 3
-            await node.keeper.step()
+            await node.controller_lease.step()
         clock.time += 1
-        await node.keeper.step()
+        await node.controller_lease.step()
         await node.membership.step()
-        assert node.membership.leading() is not None
+        assert node.membership.leadership_version() is not None
         await node.leader._look_at_list(await node.leader._cloud.machines())
         await node.round()
         assert node.cluster.machines["n-0"].retiring == "failed"
@@ -371,7 +371,7 @@
 def test_a_stale_owners_write_does_nothing() -> None:
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _placed(state, clock, nodes)
-        lease = node.keeper.lease
+        lease = node.controller_lease.lease_id
         assert lease is not None
         state.end_lease(lease)
         other = Node(state, clock, nodes, "node-1")
@@ -379,15 +379,15 @@
         clock.time += (
             other.settings.lease_extension_grant_s * 1.1 + other.settings.controller_lease_ttl_s * 2
         )
-        await other.keeper.step()
-        await other.keeper.step()
+        await other.controller_lease.step()
+        await other.controller_lease.step()
         await other.membership.step()
         clock.time += other.settings.controller_lease_ttl_s
-        await other.keeper.step()
+        await other.controller_lease.step()
         await other.membership.step()
-        assert 0 in other.membership.owned
+        assert 0 in other.membership.ownerships
         assert other.token() > node.token()
-        assert node.membership.acting(0) is None
+        assert node.membership.active_ownership(0) is None
         before = dict(state.keys)
         add_job(state, clock, nameId="wk-000003")
         assert node.report("n-0", 1, 9, node.token()).status == 421
@@ -409,15 +409,15 @@
         while clock.now() < until:
             clock.time += node.settings.lease_renewal_interval_s
             seq += 1
-            await node.keeper.step()
-            await node.promises.ask(sorted(node.membership.owned))
+            await node.controller_lease.step()
+            await node.lease_extensions.request_grants(sorted(node.membership.ownerships))
             answer = node.report("n-0", 1, seq, node.token(), running)
             assert answer.status == 200
         # bound, the others do not take it even when its key has gone
-        assert nodes["node-1"].promises.bound(0)
+        assert nodes["node-1"].lease_extensions.is_granted_to_peer(0)
         nodes["node-2"].cut = True
         clock.time += node.settings.lease_extension_grant_s
-        await node.promises.ask(sorted(node.membership.owned))
+        await node.lease_extensions.request_grants(sorted(node.membership.ownerships))
         assert node.report("n-0", 1, seq + 1, node.token(), running).status in (421, 503)
 
     play(story)
@@ -434,16 +434,16 @@
         for _ in range(8):
             clock.time += node.settings.lease_renewal_interval_s / 2
             for peer in peers:
-                await peer.keeper.step()
+                await peer.controller_lease.step()
             state.down = True
-            await node.keeper.step()
+            await node.controller_lease.step()
             state.down = False
-            await node.promises.ask(sorted(node.membership.owned))
-        assert node.promises.alone
+            await node.lease_extensions.request_grants(sorted(node.membership.ownerships))
+        assert node.lease_extensions.is_only_one_refused
         clock.time += node.settings.lease_extension_grant_s * 1.1
-        await node.promises.ask(sorted(node.membership.owned))
-        assert not peers[0].promises.bound(0)
-        assert not node.promises.extended()
+        await node.lease_extensions.request_grants(sorted(node.membership.ownerships))
+        assert not peers[0].lease_extensions.is_granted_to_peer(0)
+        assert not node.lease_extensions.is_extended()
 
     play(story)
 
@@ -455,21 +455,21 @@
         for peer in peers:
             await peer.boot()
         state.down = True
-        while not node.promises.alone and clock.now() < 2000:
+        while not node.lease_extensions.is_only_one_refused and clock.now() < 2000:
             clock.time += node.settings.lease_renewal_interval_s
             for each in (node, *peers):
-                await each.keeper.step()
-            await node.promises.ask(sorted(node.membership.owned))
-            since = node.promises._failing_since
+                await each.controller_lease.step()
+            await node.lease_extensions.request_grants(sorted(node.membership.ownerships))
+            since = node.lease_extensions._failing_since
             assert since is not None
             if (
                 clock.now() - since
                 > node.settings.max_lease_extension_s + node.settings.lease_extension_grant_s * 1.1
             ):
                 break
-        assert not node.promises.alone
+        assert not node.lease_extensions.is_only_one_refused
         # and once the workers are no longer answered, nobody is kept from taking over
-        assert not peers[0].promises.bound(0)
+        assert not peers[0].lease_extensions.is_granted_to_peer(0)
 
     play(story)
 
@@ -486,14 +486,14 @@
         for _ in range(3):
             clock.time += node.settings.lease_renewal_interval_s
             for each in (node, *peers):
-                await each.keeper.step()
-            await node.promises.ask(sorted(node.membership.owned))
+                await each.controller_lease.step()
+            await node.lease_extensions.request_grants(sorted(node.membership.ownerships))
         state.down = False
-        await peers[0].keeper.step()
+        await peers[0].controller_lease.step()
         clock.time += 0.1
-        await node.promises.ask(sorted(node.membership.owned))
-        await node.promises.ask(sorted(node.membership.owned))
-        assert not node.promises.alone
+        await node.lease_extensions.request_grants(sorted(node.membership.ownerships))
+        await node.lease_extensions.request_grants(sorted(node.membership.ownerships))
+        assert not node.lease_extensions.is_only_one_refused
 
     play(story)
 
@@ -502,17 +502,17 @@
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         first = Node(state, clock, nodes, "node-0")
         await first.boot()
-        lease = first.keeper.lease
+        lease = first.controller_lease.lease_id
         assert lease is not None
         state.end_lease(lease)
         # node-0 acts on promises while its key is gone; node-1 has just started anew
         other = Node(state, clock, nodes, "node-1")
         first.cut = True
         await other.boot(waited=False)
-        assert 0 not in other.membership.owned
-        assert not other.promises.may_start(0)
+        assert 0 not in other.membership.ownerships
+        assert not other.lease_extensions.may_acquire_unowned(0)
         clock.time += other.settings.lease_extension_grant_s * 1.1
-        assert other.promises.may_start(0)
+        assert other.lease_extensions.may_acquire_unowned(0)
 
     play(story)
 
@@ -525,9 +525,9 @@
         await node.boot()
         for _ in range(6):
             clock.time += node.settings.controller_lease_ttl_s / 2
-            await node.keeper.step()
+            await node.controller_lease.step()
             await node.membership.step()
-        assert node.membership.leading() is not None
+        assert node.membership.leadership_version() is not None
         node.cloud.script = ["lose"]
         await node.leader._rent()
         assert len(node.cloud.requests) == 1
@@ -575,13 +575,13 @@
             {"next": 3, "done": "0", "rows": [[0, 2, "n-0", 2]]},
             state.revision + 1,
         )
-        own = node.membership.owned[0]
+        ownership = node.membership.ownerships[0]
         node.reports.findings.clear()
         clock.time += node.settings.worker_lease_s * 0.9
-        node.reports.expire(machine, own)
+        node.reports.expire(machine, ownership)
         assert not node.reports.findings
         clock.time += node.settings.worker_lease_s * 0.2
-        node.reports.expire(machine, own)
+        node.reports.expire(machine, ownership)
         assert [f.why for f in node.reports.findings.values()] == ["lease over"]
 
     play(story)
@@ -630,7 +630,7 @@
             clock.time += node.settings.controller_lease_ttl_s / 3
             await node.live()
             await node.membership.step()
-        assert other in node.membership.owned and other != 0
+        assert other in node.membership.ownerships and other != 0
         # shard 0 has an idle machine; the job waits in the other shard, and no cloud is there
         add_job(state, clock, crew="blue", sacks=1)
         await node.sync()
@@ -707,13 +707,13 @@
         other = node.settings.shard_of_team("blue")
         for _ in range(12):
             clock.time += node.settings.controller_lease_ttl_s / 3
-            await node.keeper.step()
+            await node.controller_lease.step()
             await node.membership.step()
         add_job(state, clock, crew="blue", sacks=1)
         await node.sync()
         for seq in range(1, 30):
             clock.time += 0.4
-            await node.keeper.step()
+            await node.controller_lease.step()
             if seq == 8:
                 # all is ready for the machine to be given; now its own shard gets a task too
                 node.rounds._reassignment._looked_at[0] = 0.0
@@ -745,17 +745,17 @@
         for tick in range(1, 200):
             clock.time += 0.25
             for each in (node, other):
-                await each.keeper.step()
+                await each.controller_lease.step()
                 await each.sync()
                 await each.membership.step()
             if tick < 40:
-                token = node.token() if 0 in node.membership.owned else 0
+                token = node.token() if 0 in node.membership.ownerships else 0
                 for number in range(4):
                     node.report(f"n-{number}", 1, tick, token)
             if tick < 40:
-                assert 0 in node.membership.owned
+                assert 0 in node.membership.ownerships
                 silent_at = clock.time
-            elif 0 not in node.membership.owned and not given:
+            elif 0 not in node.membership.ownerships and not given:
                 given = clock.time
                 assert given - silent_at < 2 * s.heartbeat_interval_s + 1
             if given and clock.time > given + 1.0:
@@ -766,11 +766,11 @@
         for tick in range(200, 300):
             clock.time += 0.25
             for each in (node, other):
-                await each.keeper.step()
+                await each.controller_lease.step()
                 await each.sync()
                 await each.membership.step()
             node.report("n-0", 1, tick, 1)
             other.report("n-0", 1, tick, 1)
-        assert 0 in node.membership.owned
+        assert 0 in node.membership.ownerships
 
     play(story)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -125,7 +125,7 @@
         await node.boot()
         for _ in range(12):
             clock.time += node.settings.controller_lease_ttl_s / 3
-            await node.keeper.step()
+            await node.controller_lease.step()
             await node.membership.step()
         report_all(node, MACHINES)
         asked: list[int] = []
@@ -139,7 +139,7 @@
 
         node.deputies._http["node-0"] = Line()
         clock.time += node.settings.heartbeat_timeout_s + 0.1
-        await node.keeper.step()
+        await node.controller_lease.step()
         await node.round()
         await node.deputies.step()
         assert len(asked) == 1 and asked[0] < 64 * 1024
@@ -192,9 +192,9 @@
             await node.writer.submit(
                 WriteIntent(Txn({}, [Put(f"cm/x/{number}", 0)]), WriteRank.URGENT)
             )
-        own = node.membership.owned[0]
+        ownership = node.membership.ownerships[0]
         key = keys.shard(0)
-        task = await curio.spawn(node.membership._commit, Txn({key: own.version}, [], [key]))
+        task = await curio.spawn(node.membership._commit, Txn({key: ownership.version}, [], [key]))
         await curio.sleep(0)
         assert next(iter(node.writer._queue)).txn.deletes == [key]
         await task.cancel()
--- a/tests/test_unseen_changes.py
+++ b/tests/test_unseen_changes.py
@@ -55,7 +55,7 @@
         clock.time += node.settings.lease_renewal_interval_s / 2
         await node.live()
         await node.membership.step()
-        if node.membership.acting(0) is not None:
+        if node.membership.active_ownership(0) is not None:
             return
     raise AssertionError("shard 0 was not taken again")
 
@@ -87,7 +87,7 @@
             state.compact()
         await node.sync()
         await node.membership.step()
-        assert 0 not in node.membership.owned
+        assert 0 not in node.membership.ownerships
         await _regain_shard(state, clock, node)
         node.report("n-0", 1, 3, 0)
         answer = node.report("n-0", 1, 4, node.token())
@@ -232,8 +232,8 @@
             int(node.settings.cancellation_deadline_s / node.settings.lease_renewal_interval_s) + 1
         ):
             clock.time += node.settings.lease_renewal_interval_s
-            await node.keeper.step()
-        assert node.membership.acting(0) is not None
+            await node.controller_lease.step()
+        assert node.membership.active_ownership(0) is not None
         await node.direct.send([row], [])
         await _let_others_run()
         assert not node.worker.sent
@@ -332,7 +332,7 @@
         await node.jobs._cancellation._note(JOB, node.cluster.jobs[JOB].version)
         await _let_others_run()
         assert node.cluster.ending[JOB][0] > unread
-        await node.keeper.step()
+        await node.controller_lease.step()
         await node.membership.step()
         assert state.keys[keys.node("node-0")][0]["seen"] < unread
         await node.sync()
@@ -349,7 +349,7 @@
         seed(state, clock, machines=1)
         node = Node(state, clock, nodes)
         clock.time += 100
-        await node.keeper.step()
+        await node.controller_lease.step()
         await curio.spawn(node.writer.run, daemon=True)
         await node.watcher.load()
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -101,7 +101,7 @@
             clock.time += node.settings.controller_lease_ttl_s / 3
             await node.live()
             await node.membership.step()
-        assert node.membership.leading() is not None
+        assert node.membership.leadership_version() is not None
         await node.feature_level.step()
         assert (keys.LEVEL in state.keys) is (len(upgraded) == 2)
         # a job that waits for others is only accepted after that
@@ -385,7 +385,7 @@
         assert [await i.future.wait() for i in intents] == [WriteResult.OK] * 5
         assert await large.future.wait() == WriteResult.CONFLICT
         assert state.too_large <= 3
-        assert node.membership.acting(0) is not None
+        assert node.membership.active_ownership(0) is not None
 
     play(story)
 
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -122,7 +122,7 @@
         starts = 0
         for seq in range(2, 240):
             clock.time += 0.5
-            await node.keeper.step()
+            await node.controller_lease.step()
             for number in range(4):
                 machine = f"n-{number}"
                 rows = node.cluster.machines[machine].attempts.values()
@@ -147,7 +147,7 @@
         assert len(tasks) == 2
         node.report("n-0", 1, 3, node.token(), *tasks)
         clock.time += node.settings.worker_lease_expiry_s + 1
-        await node.keeper.step()
+        await node.controller_lease.step()
         node.report("n-0", 1, 4, node.token())
         await node.round()
         # its tasks are off the plan now; the next look through the machines gives it up
@@ -187,8 +187,8 @@
         assert view is not None
         for left, stops in ((20.0, 0), (5.0, 1)):
             view.notice_at = clock.now() + left
-            own = node.membership.owned[0]
-            orders = node.reports._orders(node.cluster.machines["n-0"], view, own)
+            ownership = node.membership.ownerships[0]
+            orders = node.reports._orders(node.cluster.machines["n-0"], view, ownership)
             assert [c.op for c in orders].count("stop") == stops
         add_job(state, clock, nameId="wk-000002", sacks=1)
         await node.sync()
@@ -210,13 +210,13 @@
         add_job(state, clock, crew="blue", sacks=2000, cpus=0.5, cards=0.1, ramGb=1.0)
         await node.sync()
         await node.membership.step()
-        if shard not in node.membership.owned:
+        if shard not in node.membership.ownerships:
             clock.time += node.settings.controller_lease_ttl_s * 3
-            await node.keeper.step()
-            await node.keeper.step()
+            await node.controller_lease.step()
+            await node.controller_lease.step()
             for _ in range(8):
                 clock.time += node.settings.controller_lease_ttl_s / 2
-                await node.keeper.step()
+                await node.controller_lease.step()
                 await node.membership.step()
         for number in range(40):
             node.report(f"n-{number}", 1, 1, node.token(shard))
@@ -384,7 +384,7 @@
         node = Node(state, clock, nodes)
         await node.boot()
         await node.membership.step()
-        assert set(node.membership.owned) == {node.settings.shard_of_team("red")}
+        assert set(node.membership.ownerships) == {node.settings.shard_of_team("red")}
         even = node.writer._pacer.rate
         add_job(state, clock, nameId="wk-000001", crew=team)
         # neither replicas nor jobs that wait have outcomes to write
