--- a/crossmill/app.py
+++ b/crossmill/app.py
@@ -33,7 +33,7 @@
 from .wire import peers, users, workers
 from .wire.checks import MalformedMessageError, load_object
 from .workers.direct import Direct
-from .workers.reports import Reports
+from .workers.heartbeat_handler import HeartbeatHandler
 
 if TYPE_CHECKING:
     from .multihost.settings import MultihostSettings
@@ -81,15 +81,17 @@
         self.deputies = Deputies(
             settings, clock, self.cluster, self.controller_lease, self.watcher.sync
         )
-        self.reports = Reports(settings, clock, self.cluster, self.membership, self.deputies)
+        self.heartbeats = HeartbeatHandler(
+            settings, clock, self.cluster, self.membership, self.deputies
+        )
         self.forecast = DemandForecast(settings, clock, self.cluster)
-        direct = Direct(settings, self.cluster, self.membership, self.reports)
+        direct = Direct(settings, self.cluster, self.membership, self.heartbeats)
         self.rounds = Rounds(
             settings,
             clock,
             self.cluster,
             self.membership,
-            self.reports,
+            self.heartbeats,
             self.writer,
             self.forecast,
             direct,
@@ -166,7 +168,7 @@
         api = RecoveryApi(
             self.settings, recovery, clock, self.cluster, self.watcher, self.writer, service
         )
-        self.reports.gate = service
+        self.heartbeats.gate = service
         self._recovery_handler = api.handle
         self._loops.append(service.run)
 
@@ -199,7 +201,7 @@
         return self.lease_extensions.handle(request)
 
     async def _handle(self, request: Request) -> Response:
-        if request.path == workers.REPORT_PATH:
+        if request.path == workers.HEARTBEAT_PATH:
             if request.method != "POST":
                 return Response(405)
             return await self._report(request)
@@ -214,12 +216,14 @@
 
     async def _report(self, request: Request) -> Response:
         try:
-            report = workers.parse_report(load_object(request.body), self.reports.read_task)
+            heartbeat = workers.parse_heartbeat(
+                load_object(request.body), self.heartbeats.read_task_status
+            )
         except MalformedMessageError as exc:
             return Response(400, users.error_body(str(exc)))
-        before = len(self.reports.findings)
-        answer = self.reports.handle(report)
-        if len(self.reports.findings) > before:
+        before = len(self.heartbeats.outcomes)
+        answer = self.heartbeats.handle(heartbeat)
+        if len(self.heartbeats.outcomes) > before:
             await self.rounds.wake.set()
         if answer.status == 200:
             return Response(200, workers.answer_body(answer.token, list(answer.commands)))
--- a/crossmill/cluster/deputies.py
+++ b/crossmill/cluster/deputies.py
@@ -18,7 +18,7 @@
 from ..settings import Peer, Settings
 from ..wire import peers as wire
 from ..wire.checks import MalformedMessageError
-from ..wire.workers import Command, Report
+from ..wire.workers import Command, WorkerHeartbeat
 from . import keys
 from .cluster_state import ClusterState
 from .controller_lease import ControllerLease
@@ -106,7 +106,7 @@
             return False
         return all(self._heard.get(label, -1.0) < since for label in self._elsewhere)
 
-    def keep_alive(self, machine: Machine, report: Report) -> list[Command] | None:
+    def keep_alive(self, machine: Machine, heartbeat: WorkerHeartbeat) -> list[Command] | None:
         """The orders with which a machine is kept alive, or None if it may not be."""
         now, machine_id = self._clock.now(), machine.id
         if machine.zone != self._settings.zone or self._synced_at is None:
@@ -119,7 +119,7 @@
             return None
         shard = self._cluster.shards.get(machine.shard)
         # a token we don't know: somebody else acts for the machine, and it can be reached
-        if report.token > max(machine.token, shard.token if shard is not None else 0):
+        if heartbeat.token > max(machine.token, shard.token if shard is not None else 0):
             return None
         if self._failing_since is None and self._controller_lease.is_failing:
             self._failing_since = now
@@ -129,7 +129,7 @@
         self._answered[machine_id] = now
         return [
             Command("stop", f"{task.job}/{task.index}", task.attempt, 0.0)
-            for task in report.tasks
+            for task in heartbeat.tasks
             if task.state != "exited" and self._ended(task.job)
         ]
 
@@ -176,7 +176,7 @@
         rests on. A promise is a process's; the next one announces itself before it is a deputy,
         so what is concluded is written on the condition that none has."""
         now = self._clock.now()
-        rests: dict[str, int] = {}
+        preconditions: dict[str, int] = {}
         for label in self._of_zone.get(machine.zone, ()):
             key = keys.node(label)
             version = self._cluster.mirror.version(key)
@@ -192,8 +192,8 @@
                 )
             else:
                 return None
-            rests[key] = version
-        return rests if now - answered_at > self._settings.worker_lease_expiry_s else None
+            preconditions[key] = version
+        return preconditions if now - answered_at > self._settings.worker_lease_expiry_s else None
 
     def _comings(self, label: str) -> tuple[int, int]:
         return self._cluster.node_changes.get(label, 0), self._cluster.mirror.readings
@@ -250,7 +250,7 @@
             # cut off before the answer to the write comes, nothing else would tell this process
             self._note_ending(job_id)
         labels = [label for zone in zones for label in self._of_zone.get(zone, ())]
-        rests: dict[str, int] = {}
+        preconditions: dict[str, int] = {}
         known: set[str] = set()
         noted, _ = self._cluster.ending.get(job_id, (0, 0.0))
 
@@ -260,17 +260,17 @@
             body = wire.ending_body(job_id)
             answer = await self._call(label, "POST", wire.ENDING_PATH, body)
             if answer is not None or self.known_ending(label):
-                rests[key] = version
+                preconditions[key] = version
                 known.add(label)
             elif noted and self._cluster.nodes.get(label, {}).get("seen", 0) >= noted:
                 # it has read the note, as any process that follows it will
-                rests[keys.ending(job_id)] = noted
+                preconditions[keys.ending(job_id)] = noted
                 known.add(label)
 
         async with curio.TaskGroup() as group:
             for label in labels:
                 await group.spawn(tell, label)
-        return rests if len(known) == len(labels) else None
+        return preconditions if len(known) == len(labels) else None
 
     # -- the loop --------------------------------------------------------------------
 
--- a/crossmill/jobs/cancellation.py
+++ b/crossmill/jobs/cancellation.py
@@ -59,15 +59,15 @@
                 continue
             # an end that comes while others are told has to undo the write
             version = job.version
-            rests = await self._rests(job)
-            if rests is None:
+            preconditions = await self._preconditions(job)
+            if preconditions is None:
                 return NOT_NOW
-            if await self._commit(job.id, job.spec, {keys.job(job.id): version, **rests}):
+            if await self._commit(job.id, job.spec, {keys.job(job.id): version, **preconditions}):
                 log.info("job cancelled job=%s", job_id)
                 return Response(200, wire.status_body(job_id, CANCELLED))
         return NOT_NOW
 
-    async def _rests(self, job: Job) -> dict[str, int] | None:
+    async def _preconditions(self, job: Job) -> dict[str, int] | None:
         """What the cancellation is to rest on; None if it can't be confirmed yet."""
         waits_for = next(self._cluster.graph.unfinished_needs(job), None)
         if waits_for is not None:
@@ -78,14 +78,14 @@
         if len(plan) > self._cluster.limits.machines_per_txn:
             zones.update(self._settings.zones)
         version = job.version
-        rests = await self._deputies.announce_end(job.id, zones)
-        if rests is None:
+        preconditions = await self._deputies.announce_end(job.id, zones)
+        if preconditions is None:
             await self._note(job.id, version)
             return None
         if not zones.issuperset(self._settings.zones):
             # those of other zones were not told: no task may have moved there meanwhile
-            rests |= plan
-        return rests
+            preconditions |= plan
+        return preconditions
 
     def _versions_with_tasks(self, job: Job) -> dict[str, int]:
         """The chunks that hold tasks on machines. Where none waits, the others are done."""
--- a/crossmill/jobs/durable.py
+++ b/crossmill/jobs/durable.py
@@ -15,7 +15,7 @@
 from ..state.writer import WriteIntent, WriteRank
 from ..wire.state import Put, Txn
 from ..wire.users import JobSpec
-from ..workers.findings import AttemptEnd, Finding
+from ..workers.attempt_outcomes import AttemptOutcome, EndReason
 from .plan_migration import PlanMigration
 from .shard_writes import shard_intent
 
@@ -29,7 +29,7 @@
     chunk: str
     base: PlanChunk | None
     job_version: int
-    over: list[Finding] = field(default_factory=list)
+    over: list[AttemptOutcome] = field(default_factory=list)
     starts: list[PlannedAttempt] = field(default_factory=list)
     # versions of the records of the machines that the starts are on
     machines: dict[str, int] = field(default_factory=dict)
@@ -107,15 +107,15 @@
         """Frees the attempts that are over. A finding of another term, of another attempt, or
         whose proof has no room among the conditions frees nothing; it is found again."""
         most = self._cluster.limits.conditions - OTHER_CONDITIONS
-        for finding in edit.over:
-            rests = {**txn.conditions, **finding.rests}
-            index = finding.attempt.index
-            is_void = finding.term != ownership.term or new.attempts.get(index) != finding.attempt
-            if is_void or (finding.rests and len(rests) > most):
+        for outcome in edit.over:
+            preconditions = {**txn.conditions, **outcome.preconditions}
+            index = outcome.attempt.index
+            is_void = outcome.term != ownership.term or new.attempts.get(index) != outcome.attempt
+            if is_void or (outcome.preconditions and len(preconditions) > most):
                 continue
-            txn.conditions = rests
+            txn.conditions = preconditions
             del new.attempts[index]
-            if finding.why == AttemptEnd.DONE:
+            if outcome.reason == EndReason.DONE:
                 new.done |= 1 << (index - where.first)
 
     def _done(self, spec: JobSpec) -> dict[str, Any]:
--- a/crossmill/jobs/failures.py
+++ b/crossmill/jobs/failures.py
@@ -6,7 +6,7 @@
 from ..cluster.model import Job
 from ..net.clock import Clock
 from ..settings import Settings
-from ..workers.findings import AttemptEnd, Finding
+from ..workers.attempt_outcomes import AttemptOutcome, EndReason
 
 # failing on so many machines, a job itself is at fault, or at least suspected
 SUSPECT_MACHINES = 2
@@ -51,15 +51,15 @@
         """Whether several jobs failed on the machine."""
         return len(self._by_machine.get(machine_id, ())) >= FAULTY_JOBS
 
-    def record(self, job: Job, finding: Finding) -> None:
+    def record(self, job: Job, outcome: AttemptOutcome) -> None:
         """An attempt of the job is over."""
         entry = self._by_job.setdefault(job.id, JobFailures())
-        machine = finding.attempt.machine
-        if finding.why == AttemptEnd.DONE:
+        machine = outcome.attempt.machine
+        if outcome.reason == EndReason.DONE:
             entry.succeeded = True
             self._by_machine.pop(machine, None)
-        elif finding.why in (AttemptEnd.ERROR, AttemptEnd.UNKNOWN):
-            self._failed(job, entry, machine, finding.why == AttemptEnd.UNKNOWN)
+        elif outcome.reason in (EndReason.ERROR, EndReason.UNKNOWN):
+            self._failed(job, entry, machine, outcome.reason == EndReason.UNKNOWN)
 
     def _failed(self, job: Job, entry: JobFailures, machine: str, is_unknown: bool) -> None:
         entry.failures += 1
--- a/crossmill/jobs/machine_maintenance.py
+++ b/crossmill/jobs/machine_maintenance.py
@@ -16,7 +16,7 @@
 from ..settings import Settings
 from ..state.writer import WriteIntent, WriteRank
 from ..wire.state import Put, Txn
-from ..workers.reports import Reports
+from ..workers.heartbeat_handler import HeartbeatHandler
 from .failures import TaskFailures
 from .preemption import Preemption
 from .reassignment import Reassignment
@@ -34,7 +34,7 @@
         clock: Clock,
         cluster: ClusterState,
         membership: Membership,
-        reports: Reports,
+        heartbeats: HeartbeatHandler,
         forecast: DemandForecast,
         deputies: Deputies,
         preemption: Preemption,
@@ -45,7 +45,7 @@
         self._clock = clock
         self._cluster = cluster
         self._membership = membership
-        self._reports = reports
+        self._heartbeats = heartbeats
         self._forecast = forecast
         self._deputies = deputies
         self._preemption = preemption
@@ -76,7 +76,9 @@
             if machine.retiring or now - ownership.acquired_at < patience:
                 continue
             why = self._fault(machine, now, patience, spare)
-            if why and (self._reports.gate is None or self._reports.gate.may_give_up(machine, why)):
+            if why and (
+                self._heartbeats.gate is None or self._heartbeats.gate.may_give_up(machine, why)
+            ):
                 log.info("machine given up machine=%s why=%s", machine.id, why)
                 intents.append(self._intent(shard, ownership, machine, machine.encode(why, True)))
         return intents
@@ -87,7 +89,7 @@
         """Writes for machines that have reported for the first time, with how long they booted."""
         intents: list[WriteIntent] = []
         for machine in machines:
-            view = self._reports.peek(machine.id)
+            view = self._heartbeats.find_view(machine.id)
             if machine.up or view is None or not view.trusted:
                 continue
             # a type that no catalogue has is not an ordinary machine's: nothing is learned of it
@@ -113,9 +115,9 @@
         silent: Counter[str] = Counter()
         for machine in machines:
             if machine.up:
-                view = self._reports.peek(machine.id)
+                view = self._heartbeats.find_view(machine.id)
                 up[machine.zone] += 1
-                if view is None or not view.fresh(now, self._settings.heartbeat_timeout_s):
+                if view is None or not view.is_fresh(now, self._settings.heartbeat_timeout_s):
                     silent[machine.zone] += 1
         for zone, number in silent.items():
             if 2 * number > up[zone] and (number > 1 or self._deputies.zone_lost(zone)):
@@ -152,7 +154,7 @@
         if now - self._spare_at.get(shard, 0.0) < self._settings.heartbeat_interval_s:
             return set()
         for machine in machines:
-            view = self._reports.peek(machine.id)
+            view = self._heartbeats.find_view(machine.id)
             since = view.idle_since if view is not None else None
             if (
                 since is not None
@@ -164,7 +166,7 @@
         return set()
 
     def _fault(self, machine: Machine, now: float, patience: float, spare: set[str]) -> str:
-        view = self._reports.peek(machine.id)
+        view = self._heartbeats.find_view(machine.id)
         kind = self._cluster.catalog.get(machine.type)
         if view is None or kind is None:
             return ""
@@ -177,7 +179,7 @@
                 return "silent"
             has_failed = self._forecast.boot_times.has_failed(machine, kind, self._clock.wall())
             return "never-up" if has_failed else ""
-        if not view.fresh(now, patience):
+        if not view.is_fresh(now, patience):
             return "silent"
         if self._failures.is_faulty(machine.id):
             return "faulty" if not machine.attempts else ""
--- a/crossmill/jobs/outcome_batch.py
+++ b/crossmill/jobs/outcome_batch.py
@@ -9,7 +9,7 @@
 
 from ..cluster.cluster_state import ClusterState
 from ..cluster.model import ACTIVE, Job, PlanChunk
-from ..workers.findings import AttemptEnd, Finding, Key
+from ..workers.attempt_outcomes import AttemptOutcome, EndReason, Key
 
 
 @dataclass(slots=True, eq=False)
@@ -19,31 +19,31 @@
     job: Job
     name: str
     chunk: PlanChunk
-    findings: list[Finding] = field(default_factory=list)
+    outcomes: list[AttemptOutcome] = field(default_factory=list)
 
     @property
     def is_urgent(self) -> bool:
         """Whether a task has to be placed again, or the chunk's last tasks are over."""
         if self.job.end != ACTIVE:
             return False
-        is_last = len(self.findings) == len(self.chunk.attempts)
-        return is_last or any(finding.why != AttemptEnd.DONE for finding in self.findings)
+        is_last = len(self.outcomes) == len(self.chunk.attempts)
+        return is_last or any(outcome.reason != EndReason.DONE for outcome in self.outcomes)
 
 
 def collect(
-    cluster: ClusterState, findings: Mapping[Key, Finding], shard: int, term: int
+    cluster: ClusterState, outcomes: Mapping[Key, AttemptOutcome], shard: int, term: int
 ) -> list[ChunkNews]:
     """The news of the shard's chunks found in the owner's present term, oldest first."""
     news: dict[tuple[str, str], ChunkNews] = {}
-    for (job_id, index), finding in findings.items():
+    for (job_id, index), outcome in outcomes.items():
         job = cluster.jobs.get(job_id)
-        if job is None or job.shard != shard or finding.term != term:
+        if job is None or job.shard != shard or outcome.term != term:
             continue
         name = cluster.layout.chunk_of(index, job.chunks).name
         chunk = job.chunks.get(name)
-        if chunk is not None and chunk.attempts.get(index) == finding.attempt:
+        if chunk is not None and chunk.attempts.get(index) == outcome.attempt:
             entry = news.setdefault((job_id, name), ChunkNews(job, name, chunk))
-            entry.findings.append(finding)
+            entry.outcomes.append(outcome)
     return list(news.values())
 
 
--- a/crossmill/jobs/placement.py
+++ b/crossmill/jobs/placement.py
@@ -11,7 +11,7 @@
 from ..planning.free_capacity import FreeCapacity, ZoneAllowance, assign_tasks, is_allowed
 from ..settings import Settings
 from ..wire.users import JobSpec
-from ..workers.reports import Reports
+from ..workers.heartbeat_handler import HeartbeatHandler
 from .durable import Edits, edit_of
 from .failures import TaskFailures
 from .guarantees import Guarantees, Use
@@ -29,7 +29,7 @@
         settings: Settings,
         clock: Clock,
         cluster: ClusterState,
-        reports: Reports,
+        heartbeats: HeartbeatHandler,
         forecast: DemandForecast,
         guarantees: Guarantees,
         preemption: Preemption,
@@ -39,7 +39,7 @@
         self._settings = settings
         self._clock = clock
         self._cluster = cluster
-        self._reports = reports
+        self._heartbeats = heartbeats
         self._forecast = forecast
         self._guarantees = guarantees
         self._preemption = preemption
@@ -54,16 +54,16 @@
         self._stops: list[PlannedAttempt] = []
 
     def _usable(self, machine: Machine, own_now: float) -> bool:
-        view = self._reports.peek(machine.id)
+        view = self._heartbeats.find_view(machine.id)
         return (
             view is not None
             and not machine.retiring
-            and view.fresh(own_now, self._settings.heartbeat_timeout_s)
+            and view.is_fresh(own_now, self._settings.heartbeat_timeout_s)
             and view.notice_at is None
             and not self._failures.is_faulty(machine.id)
             and machine.id not in self._preemption.draining
             and not self._reassignment.is_going(machine.id)
-            and not self._reports.is_leaving(machine.id)
+            and not self._heartbeats.is_transferring(machine.id)
         )
 
     def _capacities(self, machines: list[Machine]) -> list[FreeCapacity]:
@@ -261,12 +261,12 @@
 
     def _unclaimed(self, job: Job) -> list[int]:
         """Those of the waiting tasks that no worker runs without a plan."""
-        gate = self._reports.gate
+        gate = self._heartbeats.gate
         waiting = self._waiting(job)
         return waiting if gate is None else [i for i in waiting if not gate.is_claimed(job.id, i)]
 
     def _start(self, job: Job, index: int, machine_id: str, edits: Edits) -> None:
-        view = self._reports.peek(machine_id)
+        view = self._heartbeats.find_view(machine_id)
         name = self._cluster.layout.chunk_of(index, job.chunks).name
         edit = edit_of(edits, job, name)
         most = self._cluster.limits.machines_per_txn
--- a/crossmill/jobs/preemption.py
+++ b/crossmill/jobs/preemption.py
@@ -13,8 +13,8 @@
 from ..planning.free_capacity import FreeCapacity, ZoneAllowance, is_allowed
 from ..settings import Settings
 from ..wire.users import JobSpec
-from ..workers.findings import StopReason
-from ..workers.reports import Reports
+from ..workers.attempt_outcomes import StopReason
+from ..workers.heartbeat_handler import HeartbeatHandler
 from .guarantees import Guarantees, Use
 
 log = logging.getLogger(__name__)
@@ -28,14 +28,14 @@
         settings: Settings,
         clock: Clock,
         cluster: ClusterState,
-        reports: Reports,
+        heartbeats: HeartbeatHandler,
         forecast: DemandForecast,
         guarantees: Guarantees,
     ) -> None:
         self._settings = settings
         self._clock = clock
         self._cluster = cluster
-        self._reports = reports
+        self._heartbeats = heartbeats
         self._forecast = forecast
         self._guarantees = guarantees
         # jobs for which room is being made, until when it is waited for
@@ -144,7 +144,7 @@
                 attempt.machine,
                 job.id,
             )
-            self._reports.request_stop(attempt, StopReason.PREEMPTED)
+            self._heartbeats.request_stop(attempt, StopReason.PREEMPTED)
         return chosen, covered
 
     def _spec(self, attempt: PlannedAttempt) -> JobSpec:
@@ -154,7 +154,7 @@
 
     def _lost_s(self, attempt: PlannedAttempt) -> float:
         """Run time that stopping this attempt throws away, counting its image anew."""
-        view = self._reports.peek(attempt.machine)
+        view = self._heartbeats.find_view(attempt.machine)
         since = view.running_since.get((attempt.job, attempt.index)) if view is not None else None
         ran = 0.0 if since is None else self._clock.now() - since
         spec = self._spec(attempt)
@@ -221,7 +221,7 @@
         attempts = [
             r
             for r in machine.attempts.values()
-            if r.job in stoppable and not self._reports.is_stopping(r)
+            if r.job in stoppable and not self._heartbeats.is_stopping(r)
         ]
         if not attempts:
             return None
@@ -260,7 +260,7 @@
         self.draining[machine.id] = now + 2 * self._settings.worker_lease_s
         log.info("machine drained machine=%s tasks=%d", machine.id, len(machine.attempts))
         for attempt in machine.attempts.values():
-            self._reports.request_stop(attempt, StopReason.DRAINED)
+            self._heartbeats.request_stop(attempt, StopReason.DRAINED)
             yield attempt
 
     def _emptiest(self, shard: int, capacities: list[FreeCapacity]) -> Machine | None:
@@ -285,7 +285,7 @@
 
     def _settled(self, attempt: PlannedAttempt) -> bool:
         """A replica that has run for a while; one just begun would count as not started."""
-        view = self._reports.peek(attempt.machine)
+        view = self._heartbeats.find_view(attempt.machine)
         since = view.running_since.get((attempt.job, attempt.index)) if view is not None else None
         job = self._cluster.jobs.get(attempt.job)
         if since is None or job is None or job.spec is None or job.spec.kind != "service":
--- a/crossmill/jobs/reassignment.py
+++ b/crossmill/jobs/reassignment.py
@@ -13,8 +13,8 @@
 from ..planning.demand import TaskDemand, slots_on
 from ..planning.free_capacity import is_allowed
 from ..settings import Settings
-from ..workers.findings import StopReason
-from ..workers.reports import Reports
+from ..workers.attempt_outcomes import StopReason
+from ..workers.heartbeat_handler import HeartbeatHandler
 
 log = logging.getLogger(__name__)
 
@@ -27,13 +27,13 @@
         settings: Settings,
         clock: Clock,
         cluster: ClusterState,
-        reports: Reports,
+        heartbeats: HeartbeatHandler,
         forecast: DemandForecast,
     ) -> None:
         self._settings = settings
         self._clock = clock
         self._cluster = cluster
-        self._reports = reports
+        self._heartbeats = heartbeats
         self._forecast = forecast
         # machines that go to another shard once they are empty, and until when that is tried
         self._going: dict[str, tuple[int, float]] = {}
@@ -43,10 +43,10 @@
     def target(self, machine: Machine) -> int | None:
         """The shard that the machine is to go to now: nothing is on it or may come to it."""
         entry = self._going.get(machine.id)
-        view = self._reports.peek(machine.id)
+        view = self._heartbeats.find_view(machine.id)
         if entry is None or view is None or machine.attempts or view.tasks or machine.retiring:
             return None
-        return None if self._reports.unacknowledged.get(machine.id) else entry[0]
+        return None if self._heartbeats.unacknowledged.get(machine.id) else entry[0]
 
     def is_going(self, machine_id: str) -> bool:
         """Whether the machine goes to another shard once it is empty."""
@@ -111,15 +111,15 @@
                     len(machine.attempts),
                 )
                 for attempt in machine.attempts.values():
-                    self._reports.request_stop(attempt, StopReason.GIVEN)
+                    self._heartbeats.request_stop(attempt, StopReason.GIVEN)
                     yield attempt
             if left < demand.tasks:
                 self._promised[job.id] = now + self._settings.worker_lease_s
                 return
 
     def _idle(self, machine: Machine, stop: bool) -> bool:
-        view = self._reports.peek(machine.id)
-        if view is None or not view.fresh(self._clock.now(), self._settings.heartbeat_timeout_s):
+        view = self._heartbeats.find_view(machine.id)
+        if view is None or not view.is_fresh(self._clock.now(), self._settings.heartbeat_timeout_s):
             return False
         if view.notice_at is not None:
             return False
--- a/crossmill/jobs/rounds.py
+++ b/crossmill/jobs/rounds.py
@@ -17,9 +17,9 @@
 from ..net.clock import Clock
 from ..settings import Settings
 from ..state.writer import WriteIntent, Writer, WriteResult
+from ..workers.attempt_outcomes import AttemptOutcome, EndReason
 from ..workers.direct import Direct
-from ..workers.findings import AttemptEnd, Finding
-from ..workers.reports import Reports
+from ..workers.heartbeat_handler import HeartbeatHandler
 from .cleanup import Cleanup
 from .durable import Durable, Edits, edit_of
 from .failures import TaskFailures
@@ -43,7 +43,7 @@
         clock: Clock,
         cluster: ClusterState,
         membership: Membership,
-        reports: Reports,
+        heartbeats: HeartbeatHandler,
         writer: Writer,
         forecast: DemandForecast,
         direct: Direct,
@@ -53,15 +53,17 @@
         self._clock = clock
         self._cluster = cluster
         self._membership = membership
-        self._reports = reports
+        self._heartbeats = heartbeats
         self._writer = writer
         self._forecast = forecast
         self._direct = direct
         self.estimates = forecast.estimates
         self._failures = TaskFailures(settings, clock, cluster)
         self._guarantees = Guarantees(settings, cluster)
-        self._preemption = Preemption(settings, clock, cluster, reports, forecast, self._guarantees)
-        self._reassignment = Reassignment(settings, clock, cluster, reports, forecast)
+        self._preemption = Preemption(
+            settings, clock, cluster, heartbeats, forecast, self._guarantees
+        )
+        self._reassignment = Reassignment(settings, clock, cluster, heartbeats, forecast)
         self._migration = PlanMigration(cluster, membership)
         self._durable = Durable(clock, cluster, membership, self._migration)
         self._cleanup = Cleanup(settings, clock, cluster, membership)
@@ -72,7 +74,7 @@
             clock,
             cluster,
             membership,
-            reports,
+            heartbeats,
             forecast,
             deputies,
             self._preemption,
@@ -83,7 +85,7 @@
             settings,
             clock,
             cluster,
-            reports,
+            heartbeats,
             forecast,
             self._guarantees,
             self._preemption,
@@ -112,7 +114,7 @@
         edits: Edits = {}
         machines = list(self._cluster.machines_of[shard].values())
         for machine in machines:
-            self._reports.expire(machine, ownership)
+            self._heartbeats.expire_lease(machine, ownership)
         self._find_released(shard, ownership)
         self._gather(shard, ownership, edits)
         stops = self._place(shard, ownership, machines, edits)
@@ -133,7 +135,7 @@
         """Plans starts into `edits`; returns the attempts to be stopped. Machines to be given are
         chosen before tasks are placed: a start planned in the same round would follow its
         machine to a shard that knows nothing of the job."""
-        gate = self._reports.gate
+        gate = self._heartbeats.gate
         if gate is not None and not gate.may_place(shard):
             return []
         stops = list(self._reassignment.look(shard, machines))
@@ -157,17 +159,17 @@
     async def _submit(self, intents: list[WriteIntent], moves: dict[str, WriteIntent]) -> None:
         """Queues the writes, and waits for those that move machines: until its fate is known, a
         machine that moves is not answered."""
-        self._reports.begin_moves(moves)
+        self._heartbeats.begin_transfers(moves)
         try:
             for intent in intents:
                 await self._writer.submit(intent)
             for machine_id, intent in moves.items():
                 if await intent.future.wait() == WriteResult.OK:
-                    self._reports.moved(machine_id)
+                    self._heartbeats.forget_machine(machine_id)
                     self._reassignment.note_given(machine_id)
                     log.info("machine given machine=%s", machine_id)
         finally:
-            self._reports.end_moves(moves)
+            self._heartbeats.end_transfers(moves)
 
     async def _follow_up(
         self, intents: list[WriteIntent], starts: dict[int, list[PlannedAttempt]]
@@ -197,42 +199,44 @@
         for attempt in list(self._cluster.orphans()):
             job = self._cluster.jobs.get(attempt.job)
             if job is not None and job.shard == shard:
-                rests = {keys.machine(attempt.machine): 0}
-                finding = Finding(attempt, AttemptEnd.RELEASED, ownership.term, rests=rests)
-                self._reports.findings.record(finding)
+                preconditions = {keys.machine(attempt.machine): 0}
+                outcome = AttemptOutcome(
+                    attempt, EndReason.RELEASED, ownership.term, preconditions=preconditions
+                )
+                self._heartbeats.outcomes.record(outcome)
 
     def _gather(self, shard: int, ownership: ShardOwnership, edits: Edits) -> None:
-        findings = self._reports.findings
-        news = collect(self._cluster, findings, shard, ownership.term)
-        wanted = {(f.attempt.job, f.attempt.index) for entry in news for f in entry.findings}
-        for key in [key for key in findings if key not in wanted]:
+        outcomes = self._heartbeats.outcomes
+        news = collect(self._cluster, outcomes, shard, ownership.term)
+        wanted = {(f.attempt.job, f.attempt.index) for entry in news for f in entry.outcomes}
+        for key in [key for key in outcomes if key not in wanted]:
             job = self._cluster.jobs.get(key[0])
             if (
                 job is None
                 or job.shard == shard
                 or self._membership.active_ownership(job.shard) is None
             ):
-                del findings[key]
+                del outcomes[key]
         for entry in select(news, self._writer.writes_within(self._settings.heartbeat_interval_s)):
             edit = edit_of(edits, entry.job, entry.name)
-            for finding in entry.findings:
-                del findings[finding.attempt.job, finding.attempt.index]
-                self._learn(entry.job, finding)
-                edit.over.append(finding)
+            for outcome in entry.outcomes:
+                del outcomes[outcome.attempt.job, outcome.attempt.index]
+                self._learn(entry.job, outcome)
+                edit.over.append(outcome)
 
-    def _learn(self, job: Job, finding: Finding) -> None:
-        spec, attempt = job.spec, finding.attempt
+    def _learn(self, job: Job, outcome: AttemptOutcome) -> None:
+        spec, attempt = job.spec, outcome.attempt
         log.info(
             "task over job=%s task=%d attempt=%d machine=%s why=%s",
             job.id,
             attempt.index,
             attempt.number,
             attempt.machine,
-            finding.why.replace(" ", "-"),
+            outcome.reason.replace(" ", "-"),
         )
         if spec is None:
             return
-        self._reports.forget_stop(attempt)
-        self._failures.record(job, finding)
-        if finding.why == AttemptEnd.DONE and finding.took_s is not None:
-            self.estimates.saw(spec.job_class, spec.estimate_s, finding.took_s)
+        self._heartbeats.forget_stop(attempt)
+        self._failures.record(job, outcome)
+        if outcome.reason == EndReason.DONE and outcome.run_s is not None:
+            self.estimates.saw(spec.job_class, spec.estimate_s, outcome.run_s)
--- a/crossmill/multihost/agents.py
+++ b/crossmill/multihost/agents.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from ..wire.multihost import Heartbeat, MemberReport
+from ..wire.multihost import AgentHeartbeat, MemberReport
 
 
 class Freshness(Enum):
@@ -26,7 +26,7 @@
     """A machine as its newest believed heartbeat shows it."""
 
     machine: str
-    heard_at: float = 0.0
+    last_heartbeat_at: float = 0.0
     # the machine was alive at this moment: an answer sent then has arrived there
     alive_at: float | None = None
     session: int = 0
@@ -89,16 +89,16 @@
         """The views of machines not heard since the moment, oldest first; looks no further than
         the first that was."""
         for view in self._views.values():
-            if view.heard_at >= moment:
+            if view.last_heartbeat_at >= moment:
                 return
             yield view
 
-    def note(self, beat: Heartbeat, token: int, now: float) -> Freshness:
+    def note(self, beat: AgentHeartbeat, token: int, now: float) -> Freshness:
         """Takes a heartbeat in. It is believed if it returns a proof of this process, made under
         the owner's token, and is the newest of its agent."""
         view = self._views.get(beat.machine)
         if view is None:
-            view = self._views[beat.machine] = AgentView(beat.machine, heard_at=now)
+            view = self._views[beat.machine] = AgentView(beat.machine, last_heartbeat_at=now)
         if (beat.session, beat.sequence) <= (view.session, view.sequence):
             return Freshness.STALE
         proof = beat.proof
@@ -109,7 +109,7 @@
         if is_newer:
             # a heartbeat that was long under way shows only that the machine lived then
             view.alive_at = proof.sent
-            view.heard_at = now
+            view.last_heartbeat_at = now
             self._views.move_to_end(beat.machine)
             view.start_sent_at = {
                 replica: at for replica, at in view.start_sent_at.items() if at > proof.sent
--- a/crossmill/multihost/heartbeats.py
+++ b/crossmill/multihost/heartbeats.py
@@ -10,8 +10,8 @@
 from ..cluster.membership import Membership
 from ..net.clock import Clock
 from ..wire.multihost import (
-    Heartbeat,
-    HeartbeatAnswer,
+    AgentHeartbeat,
+    AgentHeartbeatResponse,
     MemberReport,
     MemberState,
     Op,
@@ -35,11 +35,11 @@
     """How a heartbeat is answered: with orders, or with a status and the pool's owner."""
 
     status: int
-    answer: HeartbeatAnswer | None = None
+    answer: AgentHeartbeatResponse | None = None
     owner: str | None = None
 
 
-class HeartbeatHandler:
+class AgentHeartbeatHandler:
     """Speaks to the agents for the controller that owns the pool."""
 
     def __init__(
@@ -60,11 +60,11 @@
         self._leases = leases
         self._owner_of = owner_of
         # machines whose agents ask to join the pool
-        self.joining: dict[str, Heartbeat] = {}
+        self.joining: dict[str, AgentHeartbeat] = {}
         # reports that contradict the plan, since the start
         self.rejected = 0
 
-    def handle(self, beat: Heartbeat) -> Reply:
+    def handle(self, beat: AgentHeartbeat) -> Reply:
         """The answer to a heartbeat."""
         shard = self._settings.pool_shard
         standing = self._membership.heartbeat_authority(shard)
@@ -100,11 +100,11 @@
             if order.op is Op.START:
                 self._agents.note_start(beat.machine, order.replica, sent_at)
         proof = Proof(self._agents.process, sent_at)
-        return Reply(200, HeartbeatAnswer(ownership.token, proof, tuple(orders)))
+        return Reply(200, AgentHeartbeatResponse(ownership.token, proof, tuple(orders)))
 
     # -- what is reported ------------------------------------------------------------
 
-    def _compare(self, beat: Heartbeat, view: AgentView) -> None:
+    def _compare(self, beat: AgentHeartbeat, view: AgentView) -> None:
         """Takes over what the agent says of its members; what can't be true is left out."""
         members: dict[str, MemberReport] = {}
         view.rejected = 0
@@ -164,7 +164,7 @@
                 wanted[str(replica_id)] = (replica, member)
         return wanted
 
-    def _orders(self, beat: Heartbeat, view: AgentView) -> list[Order]:
+    def _orders(self, beat: AgentHeartbeat, view: AgentView) -> list[Order]:
         wanted = self._wanted(beat.machine)
         orders: list[Order] = []
         for report in beat.members:
--- a/crossmill/multihost/lifecycle.py
+++ b/crossmill/multihost/lifecycle.py
@@ -86,7 +86,7 @@
     of owner the agents first have to find the new one."""
     if view is None or not view.is_trusted:
         return moment.now - moment.owned_since > first_contact_s(settings)
-    return moment.now - view.heard_at > settings.detection_s
+    return moment.now - view.last_heartbeat_at > settings.detection_s
 
 
 def member_status(
--- a/crossmill/multihost/registration.py
+++ b/crossmill/multihost/registration.py
@@ -9,10 +9,10 @@
 from ..jobs.shard_writes import shard_intent
 from ..net.clock import Clock
 from ..state.writer import WriteIntent, Writer, WriteRank
-from ..wire.multihost import Heartbeat
+from ..wire.multihost import AgentHeartbeat
 from ..wire.state import Put, Txn
 from . import keys
-from .heartbeats import HeartbeatHandler
+from .heartbeats import AgentHeartbeatHandler
 from .model import PoolMachine, Resources
 from .pool import PoolState, is_reserved_type
 from .records import encode_machine, reservation_record
@@ -31,7 +31,7 @@
         membership: Membership,
         writer: Writer,
         pool: PoolState,
-        heartbeats: HeartbeatHandler,
+        heartbeats: AgentHeartbeatHandler,
         pool_shard: int,
     ) -> None:
         self._clock = clock
@@ -55,7 +55,7 @@
         for intent in intents:
             await intent.future.wait()
 
-    def _intent(self, ownership: ShardOwnership, beat: Heartbeat) -> WriteIntent | None:
+    def _intent(self, ownership: ShardOwnership, beat: AgentHeartbeat) -> WriteIntent | None:
         if beat.machine in self._pool.machines or not self._may_join(beat):
             return None
         offer = beat.offer
@@ -76,7 +76,7 @@
         log.info("machine joins the pool machine=%s zone=%s", beat.machine, offer.zone)
         return shard_intent(self._membership, self._shard, ownership, WriteRank.PLACEMENT, txn)
 
-    def _may_join(self, beat: Heartbeat) -> bool:
+    def _may_join(self, beat: AgentHeartbeat) -> bool:
         known = self._cluster.machines.get(beat.machine)
         if known is None:
             return True
--- a/crossmill/multihost/service.py
+++ b/crossmill/multihost/service.py
@@ -14,13 +14,13 @@
     HEARTBEAT_PATH,
     answer_body,
     error_body,
-    parse_heartbeat,
+    parse_agent_heartbeat,
     redirect_body,
 )
 from .agents import Agents
 from .api import OPERATOR_PATHS, OperatorApi
 from .coordinator import Coordinator
-from .heartbeats import HeartbeatHandler
+from .heartbeats import AgentHeartbeatHandler
 from .pool import PoolState
 from .registration import Registration
 from .serving import ServingLeases
@@ -53,7 +53,7 @@
             known = cluster.shards.get(index)
             return None if known is None or known.owner == settings.label else known.owner
 
-        self.heartbeats = HeartbeatHandler(
+        self.heartbeats = AgentHeartbeatHandler(
             multihost, clock, membership, self.pool, self.agents, self.leases, owner_of
         )
         registration = Registration(
@@ -105,7 +105,7 @@
 
     async def _heartbeat(self, request: Request) -> Response:
         try:
-            beat = parse_heartbeat(request.body)
+            beat = parse_agent_heartbeat(request.body)
         except MalformedMessageError as exc:
             return Response(400, error_body(str(exc)))
         reply = self.heartbeats.handle(beat)
--- a/crossmill/multihost/situations.py
+++ b/crossmill/multihost/situations.py
@@ -94,7 +94,7 @@
             if view is not None and view.is_trusted:
                 if view.has_none_of(str(replica.id)):
                     continue
-                last = max(last, view.heard_at)
+                last = max(last, view.last_heartbeat_at)
             if moment.now - last <= self._settings.agent_lease_s * AGENT_LEASE_MARGIN:
                 return False
         return True
--- a/crossmill/recovery/differences.py
+++ b/crossmill/recovery/differences.py
@@ -4,7 +4,7 @@
 
 from ..cluster.cluster_state import ClusterState
 from ..cluster.model import Job, Machine
-from ..workers.views import View
+from ..workers.views import WorkerView
 from .classification import (
     TASK_RULES,
     Action,
@@ -68,7 +68,7 @@
 
 
 def classify_machine_tasks(
-    cluster: ClusterState, machine: Machine, view: View
+    cluster: ClusterState, machine: Machine, view: WorkerView
 ) -> dict[TaskKey, TaskClass]:
     """The class of each task that is planned onto the machine or that its newest report, which
     has to be trusted, speaks of."""
@@ -83,7 +83,7 @@
 
 
 def differences(
-    machine: Machine, view: View, classes: dict[TaskKey, TaskClass]
+    machine: Machine, view: WorkerView, classes: dict[TaskKey, TaskClass]
 ) -> list[Difference]:
     """Those of the tasks that an order is needed for."""
     found = []
--- a/crossmill/recovery/service.py
+++ b/crossmill/recovery/service.py
@@ -18,7 +18,7 @@
 from ..wire.recovery import PhaseReport
 from ..wire.state import Put, Txn
 from ..wire.workers import Command
-from ..workers.views import View
+from ..workers.views import WorkerView
 from . import keys
 from .records import RecordIndex, StoredNotes, encode_braked, encode_record
 from .settings import RecoverySettings
@@ -63,7 +63,7 @@
     # -- the gate --------------------------------------------------------------------
 
     def screen(
-        self, machine: Machine, view: View, ownership: ShardOwnership, orders: list[Command]
+        self, machine: Machine, view: WorkerView, ownership: ShardOwnership, orders: list[Command]
     ) -> list[Command]:
         """Which of the orders that answer a report may be sent now."""
         recovery = self._recovery_of(machine.shard, ownership)
--- a/crossmill/recovery/shard_recovery.py
+++ b/crossmill/recovery/shard_recovery.py
@@ -10,7 +10,7 @@
 from ..net.clock import Clock
 from ..net.pacer import Pacer
 from ..wire.workers import Command
-from ..workers.views import View
+from ..workers.views import WorkerView
 from .batches import Batches, batches_of
 from .brake import Impact, digest_of, is_mass_action
 from .classification import (
@@ -233,7 +233,7 @@
 
     # -- reports and orders ----------------------------------------------------------
 
-    def note(self, machine: Machine, view: View) -> None:
+    def note(self, machine: Machine, view: WorkerView) -> None:
         """A trusted report. A machine's first says what differs; later ones, what still does."""
         if machine.id in self._heard:
             if self._open.of(machine.id):
--- a/crossmill/wire/multihost.py
+++ b/crossmill/wire/multihost.py
@@ -73,7 +73,7 @@
     fetch_gb_per_s: float
 
 
-class Heartbeat(NamedTuple):
+class AgentHeartbeat(NamedTuple):
     """An agent's report. The larger (session, sequence) is the newer one."""
 
     machine: str
@@ -110,7 +110,7 @@
     lease_s: float = 0.0
 
 
-class HeartbeatAnswer(NamedTuple):
+class AgentHeartbeatResponse(NamedTuple):
     """A controller's answer to a heartbeat."""
 
     token: int
@@ -184,7 +184,7 @@
     )
 
 
-def heartbeat_body(beat: Heartbeat) -> bytes:
+def heartbeat_body(beat: AgentHeartbeat) -> bytes:
     """A heartbeat as it is sent."""
     return orjson.dumps(
         {
@@ -203,12 +203,12 @@
     )
 
 
-def parse_heartbeat(body: bytes) -> Heartbeat:
+def parse_agent_heartbeat(body: bytes) -> AgentHeartbeat:
     """A heartbeat, checked; raises MalformedMessageError."""
     data = checks.load_object(body)
     _check_version(data)
     offer = _object(data, "offer")
-    return Heartbeat(
+    return AgentHeartbeat(
         machine=checks.text(data, "machine"),
         address=checks.text(data, "address"),
         offer=Offer(
@@ -236,7 +236,7 @@
     return data
 
 
-def answer_body(answer: HeartbeatAnswer) -> bytes:
+def answer_body(answer: AgentHeartbeatResponse) -> bytes:
     """A controller's answer as it is sent."""
     return orjson.dumps(
         {
@@ -270,7 +270,7 @@
     )
 
 
-def parse_answer(body: bytes) -> HeartbeatAnswer:
+def parse_answer(body: bytes) -> AgentHeartbeatResponse:
     """A controller's answer, checked; raises MalformedMessageError."""
     data = checks.load_object(body)
     _check_version(data)
@@ -278,7 +278,7 @@
     if proof is None:
         raise checks.MalformedMessageError("proof: an object is needed")
     orders = tuple(_parse_order(o) for o in _objects(data, "orders", checks.U64))
-    return HeartbeatAnswer(checks.count(data, "token"), proof, orders)
+    return AgentHeartbeatResponse(checks.count(data, "token"), proof, orders)
 
 
 def redirect_body(owner: str | None) -> bytes:
--- a/crossmill/wire/workers.py
+++ b/crossmill/wire/workers.py
@@ -1,4 +1,4 @@
-"""Reports of workers and the commands that answer them."""
+"""HeartbeatHandler of workers and the commands that answer them."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 from . import checks
 
-REPORT_PATH = "/agent/beat"
+HEARTBEAT_PATH = "/agent/beat"
 # an order takes at most 128 bytes, and a line or body at most 64 KiB
 MAX_ORDERS = 64 * 1024 // 128 - 8
 COMMANDS_PATH = "/commands"
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TaskReport:
+class TaskStatus:
     """One task in a worker's report."""
 
     job: str
@@ -41,7 +41,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Report:
+class WorkerHeartbeat:
     """A worker's report: its machine, its session and all its tasks."""
 
     machine: str
@@ -53,7 +53,7 @@
     seq: int
     token: int
     notice_s: float | None
-    tasks: list[TaskReport]
+    tasks: list[TaskStatus]
 
 
 class Command(NamedTuple):
@@ -66,17 +66,17 @@
 
 
 # reads one task of a report from its fields on the wire
-TaskReader = Callable[[Any, Any, Any, Any, Any], TaskReport]
+TaskStatusReader = Callable[[Any, Any, Any, Any, Any], TaskStatus]
 
 
-def read_task(sack: Any, turn: Any, stage: Any, cause: Any, kept: Any) -> TaskReport:
+def read_task_status(sack: Any, turn: Any, stage: Any, cause: Any, kept: Any) -> TaskStatus:
     """A task as reported, checked."""
     data = {"sack": sack, "turn": turn, "stage": stage}
     job, _, index = checks.text(data, "sack").rpartition("/")
     if not job or not index.isdigit():
         raise checks.MalformedMessageError("sack: not a task")
     state = checks.one_of(data, "stage", STATES)
-    return TaskReport(
+    return TaskStatus(
         job=job,
         index=int(index),
         attempt=checks.count(data, "turn"),
@@ -86,12 +86,12 @@
     )
 
 
-def cached_task_reader(most: int) -> TaskReader:
+def cached_task_status_reader(most: int) -> TaskStatusReader:
     """A reader that keeps up to so many tasks: nearly all are as in the report before."""
-    return lru_cache(maxsize=most, typed=True)(read_task)
+    return lru_cache(maxsize=most, typed=True)(read_task_status)
 
 
-def _tasks(tasks: list[dict[str, Any]], read: TaskReader) -> list[TaskReport]:
+def _tasks(tasks: list[dict[str, Any]], read: TaskStatusReader) -> list[TaskStatus]:
     try:
         return [
             read(t.get("sack"), t.get("turn"), t.get("stage"), t.get("cause"), t.get("kept"))
@@ -102,12 +102,14 @@
         raise checks.MalformedMessageError("sacks: a task's fields are plain values") from exc
 
 
-def parse_report(data: dict[str, Any], read: TaskReader = read_task) -> Report:
+def parse_heartbeat(
+    data: dict[str, Any], read: TaskStatusReader = read_task_status
+) -> WorkerHeartbeat:
     """A worker's report, checked; raises MalformedMessageError."""
     tasks = data.get("sacks")
     if type(tasks) is not list or not all(type(t) is dict for t in tasks):
         raise checks.MalformedMessageError("sacks: a list is needed")
-    return Report(
+    return WorkerHeartbeat(
         machine=checks.text(data, "stone"),
         address=checks.text(data, "address"),
         type=checks.text(data, "frame"),
--- a/crossmill/workers/findings.py
+++ b/crossmill/workers/attempt_outcomes.py
@@ -16,7 +16,7 @@
 CONCLUDED_LEAST = 1000
 
 
-class AttemptEnd(StrEnum):
+class EndReason(StrEnum):
     """Why an attempt is over: what its worker reports of it, or what proves it gone."""
 
     DONE = "done"
@@ -48,19 +48,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Finding:
+class AttemptOutcome:
     """An attempt that is over, with what it means for the plan."""
 
     attempt: PlannedAttempt
-    why: AttemptEnd
+    reason: EndReason
     # the owner's term (see `ShardOwnership.term`): later ones must prove it anew
     term: int
-    took_s: float | None = None
+    run_s: float | None = None
     # versions of keys that this is true under
-    rests: dict[str, int] = field(default_factory=dict)
+    preconditions: dict[str, int] = field(default_factory=dict)
 
 
-class Findings(dict[Key, Finding]):
+class AttemptOutcomes(dict[Key, AttemptOutcome]):
     """The findings that wait to be written, by task; and all attempts concluded to be over."""
 
     def __init__(self, cluster: ClusterState) -> None:
@@ -71,13 +71,13 @@
         self._concluded: set[AttemptId] = set()
         self._concluded_most = CONCLUDED_LEAST
 
-    def record(self, finding: Finding) -> None:
+    def record(self, outcome: AttemptOutcome) -> None:
         """Takes a finding in; the first of a task stands, unless its term is over."""
-        attempt = finding.attempt
+        attempt = outcome.attempt
         key = (attempt.job, attempt.index)
         known = self.get(key)
-        if known is None or known.term != finding.term:
-            self[key] = finding
+        if known is None or known.term != outcome.term:
+            self[key] = outcome
         self._concluded.add(attempt.id)
         if len(self._concluded) > self._concluded_most:
             self._trim()
--- a/crossmill/workers/direct.py
+++ b/crossmill/workers/direct.py
@@ -1,7 +1,7 @@
 """Starts sent straight to workers, so that they need not wait for the next report.
 
 Such a command may be executed late, as long as token and session match. While one is not
-answered its attempt is in doubt: see `Reports.unacknowledged`."""
+answered its attempt is in doubt: see `HeartbeatHandler.unacknowledged`."""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -14,8 +14,8 @@
 from ..net.client import Client, ConnectionFailedError, Http, NoResponseError
 from ..settings import Endpoint, Settings
 from ..wire.checks import MalformedMessageError, load_object
-from ..wire.workers import COMMANDS_PATH, MAX_ORDERS, Command, direct_body, parse_report
-from .reports import Reports
+from ..wire.workers import COMMANDS_PATH, MAX_ORDERS, Command, direct_body, parse_heartbeat
+from .heartbeat_handler import HeartbeatHandler
 
 log = logging.getLogger(__name__)
 
@@ -24,12 +24,16 @@
     """Sends commands to workers' own addresses."""
 
     def __init__(
-        self, settings: Settings, cluster: ClusterState, membership: Membership, reports: Reports
+        self,
+        settings: Settings,
+        cluster: ClusterState,
+        membership: Membership,
+        heartbeats: HeartbeatHandler,
     ) -> None:
         self._settings = settings
         self._cluster = cluster
         self._membership = membership
-        self._reports = reports
+        self._heartbeats = heartbeats
         self._clients: dict[str, Http] = {}
         self._sending = 0
         self.connect: Callable[[Endpoint], Http] = lambda endpoint: Client(endpoint, max_sockets=1)
@@ -62,7 +66,10 @@
     async def _send(
         self, machine_id: str, attempts: list[PlannedAttempt], stops: list[PlannedAttempt]
     ) -> None:
-        machine, view = self._cluster.machines.get(machine_id), self._reports.peek(machine_id)
+        machine, view = (
+            self._cluster.machines.get(machine_id),
+            self._heartbeats.find_view(machine_id),
+        )
         if machine is None or view is None:
             return
         ownership = self._membership.command_ownership(machine.shard)
@@ -73,18 +80,18 @@
             for attempt in attempts
             if attempt.session == view.session
             and machine.attempts.get((attempt.job, attempt.index)) == attempt
-            and self._reports.may_start(attempt, machine)
+            and self._heartbeats.may_start(attempt, machine)
         ]
         if ownership is None or client is None or not (attempts or stops) or not view.trusted:
             return
-        commands = [self._reports.stop(r) for r in stops[:MAX_ORDERS]]
+        commands = [self._heartbeats.stop_command(r) for r in stops[:MAX_ORDERS]]
         attempts = attempts[: MAX_ORDERS - len(commands)]
         commands += [Command("start", f"{r.job}/{r.index}", r.number) for r in attempts]
-        if self._reports.is_leaving(machine_id):
+        if self._heartbeats.is_transferring(machine_id):
             return
-        token = self._reports.token(machine, ownership)
+        token = self._heartbeats.token(machine, ownership)
         body = direct_body(token, view.session, commands)
-        unacknowledged = self._reports.unacknowledged.setdefault(machine_id, {})
+        unacknowledged = self._heartbeats.unacknowledged.setdefault(machine_id, {})
         for attempt in attempts:
             unacknowledged[attempt.id] = token
         self._sending += 1
@@ -110,8 +117,8 @@
         if status not in (200, 409):
             return
         try:
-            report = parse_report(load_object(data), self._reports.read_task)
+            heartbeat = parse_heartbeat(load_object(data), self._heartbeats.read_task_status)
         except MalformedMessageError as exc:
             log.info("odd answer machine=%s error=%s", machine_id, exc)
             return
-        self._reports.learn(report)
+        self._heartbeats.apply_command_response(heartbeat)
--- a/crossmill/workers/reports.py
+++ b/crossmill/workers/heartbeat_handler.py
@@ -1,4 +1,4 @@
-"""Reports of workers: who answers them, and with which orders.
+"""HeartbeatHandler of workers: who answers them, and with which orders.
 
 Orders come from comparing the newest report with the durable plan, so they need no memory and
 can be repeated. Only responses carry them: the worker drops a response that comes late."""
@@ -14,15 +14,21 @@
 from ..cluster.ownership import ShardOwnership
 from ..net.clock import Clock
 from ..settings import Settings
-from ..wire.workers import MAX_ORDERS, Command, Report, TaskReport, cached_task_reader
-from .findings import AttemptEnd, Finding, Findings, StopReason
+from ..wire.workers import (
+    MAX_ORDERS,
+    Command,
+    TaskStatus,
+    WorkerHeartbeat,
+    cached_task_status_reader,
+)
+from .attempt_outcomes import AttemptOutcome, AttemptOutcomes, EndReason, StopReason
 from .order_gate import OrderGate
-from .views import Verdict, View
+from .views import HeartbeatVerdict, WorkerView
 
 log = logging.getLogger(__name__)
 
 
-class Answer(NamedTuple):
+class HeartbeatResponse(NamedTuple):
     """How a report is answered."""
 
     status: int
@@ -31,7 +37,7 @@
     redirect: str | None = None
 
 
-class Reports:
+class HeartbeatHandler:
     """The views of all machines of the shards this controller acts for."""
 
     def __init__(
@@ -47,18 +53,18 @@
         self._cluster = cluster
         self._membership = membership
         self._deputies = deputies
-        self._views: dict[str, View] = {}
-        self.read_task = cached_task_reader(settings.max_cached_task_statuses)
-        self.findings = Findings(cluster)
-        self.stopping: dict[AttemptId, StopReason] = {}
+        self._views: dict[str, WorkerView] = {}
+        self.read_task_status = cached_task_status_reader(settings.max_cached_task_statuses)
+        self.outcomes = AttemptOutcomes(cluster)
+        self.stop_requests: dict[AttemptId, StopReason] = {}
         # starts sent straight to a worker and not answered, with the token they carried: they
         # may still be executed until the worker has seen a higher token or begun a new session
         self.unacknowledged: dict[str, dict[AttemptId, int]] = {}
         # machines whose move to another shard is being written: whoever gets one counts on
         # nobody else answering it, so it is not answered from before the write is sent
-        self._leaving: set[str] = set()
+        self._transferring: set[str] = set()
         # reports of running tasks that no plan holds: each is stopped
-        self.unplanned = 0
+        self.unplanned_stops = 0
         # holds back orders, placements and returns while a shard recovers; None: nothing is held
         self.gate: OrderGate | None = None
         membership.on_lost.append(self._forget)
@@ -71,62 +77,66 @@
                 del self._views[machine_id]
                 # whoever acts next has a higher token, and believes only those who saw it
                 self.unacknowledged.pop(machine_id, None)
-        self.findings.end_term(shard)
-        for attempt in list(self.stopping):
+        self.outcomes.end_term(shard)
+        for attempt in list(self.stop_requests):
             job = self._cluster.jobs.get(attempt[0])
             if job is None or job.shard == shard:
-                del self.stopping[attempt]
+                del self.stop_requests[attempt]
 
-    def view(self, machine: Machine, ownership: ShardOwnership) -> View:
+    def view_of(self, machine: Machine, ownership: ShardOwnership) -> WorkerView:
         """Before the first answer of ours an earlier owner may have answered, at the latest
         when we took over, and no worker was ours before we knew its machine. One that was
         given away and came back is begun anew."""
         view = self._views.get(machine.id)
         if view is None or view.move != machine.token:
-            view = View(machine.id, self._clock.now(), move=machine.token)
+            view = WorkerView(machine.id, self._clock.now(), move=machine.token)
             self._views[machine.id] = view
         return view
 
-    def peek(self, machine_id: str) -> View | None:
+    def find_view(self, machine_id: str) -> WorkerView | None:
         """What is known of the machine, if anything."""
         return self._views.get(machine_id)
 
-    def handle(self, report: Report) -> Answer:
+    def handle(self, heartbeat: WorkerHeartbeat) -> HeartbeatResponse:
         """How a report is answered."""
         self._membership.reachability.record_heartbeat()
-        machine = self._cluster.machines.get(report.machine)
+        machine = self._cluster.machines.get(heartbeat.machine)
         if machine is None:
             return self._elsewhere()
         standing = self._membership.heartbeat_authority(machine.shard)
-        if self.is_leaving(machine.id):
+        if self.is_transferring(machine.id):
             return self._elsewhere()
         if standing is None:
-            kept = self._deputies.keep_alive(machine, report)
+            kept = self._deputies.keep_alive(machine, heartbeat)
             if kept is not None:
                 # an owner that answers as its zone's deputy may act by the same lease again
                 # once the trouble is over: this answer renewed the worker's lease all the same
                 if (view := self._views.get(machine.id)) is not None:
                     view.answered_at = self._clock.now()
-                return Answer(200, report.token, tuple(kept[:MAX_ORDERS]))
+                return HeartbeatResponse(200, heartbeat.token, tuple(kept[:MAX_ORDERS]))
             known = self._cluster.shards.get(machine.shard)
             elsewhere = known is not None and known.owner != self._settings.label
             return self._elsewhere(known.owner if known and elsewhere else None)
         ownership, entitled = standing
         token = self.token(machine, ownership)
-        if report.token > token:
+        if heartbeat.token > token:
             # the worker would drop our answer, and its lease would run out meanwhile
-            self._membership.request_higher_token(machine.shard, report.token)
+            self._membership.request_higher_token(machine.shard, heartbeat.token)
             detour = self._membership.owner_selection.reachable_alternative()
-            return Answer(503) if detour is None else Answer(421, redirect=detour)
-        view = self.view(machine, ownership)
-        verdict = view.beat(report, token, self._clock.now())
-        if verdict is Verdict.STALE:
-            return Answer(200, token)
+            return (
+                HeartbeatResponse(503)
+                if detour is None
+                else HeartbeatResponse(421, redirect=detour)
+            )
+        view = self.view_of(machine, ownership)
+        verdict = view.apply_heartbeat(heartbeat, token, self._clock.now())
+        if verdict is HeartbeatVerdict.STALE:
+            return HeartbeatResponse(200, token)
         view.answered_at = self._clock.now()
         view.answered = True
-        if verdict is Verdict.GREETED:
-            return Answer(200, token)
-        self._acknowledge(machine.id, report)
+        if verdict is HeartbeatVerdict.UNCONFIRMED_TOKEN:
+            return HeartbeatResponse(200, token)
+        self._acknowledge(machine.id, heartbeat)
         orders = self._orders(machine, view, ownership)
         if not entitled:
             # only kept alive; nothing is begun meanwhile, and nothing ended but what is over
@@ -137,12 +147,12 @@
         # cut only now: what is held back must not keep what is urgent out of the answer
         orders = orders[:MAX_ORDERS]
         self._count_unplanned(machine, orders)
-        return Answer(200, token, tuple(orders))
+        return HeartbeatResponse(200, token, tuple(orders))
 
-    def _elsewhere(self, owner: str | None = None) -> Answer:
+    def _elsewhere(self, owner: str | None = None) -> HeartbeatResponse:
         """The worker is sent to its machine's owner; where none is known it goes round the
         controllers by itself, past those that are missing."""
-        return Answer(
+        return HeartbeatResponse(
             421, redirect=owner or self._membership.owner_selection.reachable_alternative()
         )
 
@@ -152,14 +162,14 @@
             attempt = machine.attempts.get((job, int(index)))
             if order.op != "stop" or (attempt is not None and attempt.number == order.attempt):
                 continue
-            self.unplanned += 1
+            self.unplanned_stops += 1
             log.info(
                 "unplanned task stopped job=%s task=%s attempt=%d machine=%s total=%d",
                 job,
                 index,
                 order.attempt,
                 machine.id,
-                self.unplanned,
+                self.unplanned_stops,
             )
 
     def _job_ended(self, task: str) -> bool:
@@ -171,55 +181,55 @@
         """The token under which its shard's owner speaks to the machine."""
         return max(ownership.token, machine.token)
 
-    def moved(self, machine_id: str) -> None:
+    def forget_machine(self, machine_id: str) -> None:
         """The machine is another shard's: what was believed of it ends."""
         self._views.pop(machine_id, None)
         self.unacknowledged.pop(machine_id, None)
 
-    def is_leaving(self, machine_id: str) -> bool:
+    def is_transferring(self, machine_id: str) -> bool:
         """Whether the machine's move to another shard is being written."""
-        return machine_id in self._leaving
+        return machine_id in self._transferring
 
-    def begin_moves(self, machine_ids: Collection[str]) -> None:
+    def begin_transfers(self, machine_ids: Collection[str]) -> None:
         """These machines are not answered until their moves' fate is known."""
-        self._leaving.update(machine_ids)
+        self._transferring.update(machine_ids)
 
-    def end_moves(self, machine_ids: Collection[str]) -> None:
+    def end_transfers(self, machine_ids: Collection[str]) -> None:
         """The fate of these machines' moves is known."""
-        self._leaving.difference_update(machine_ids)
+        self._transferring.difference_update(machine_ids)
 
     def request_stop(self, attempt: PlannedAttempt, reason: StopReason) -> None:
         """The attempt is to be stopped; the answers to its worker's reports say so from now on."""
-        self.stopping[attempt.id] = reason
+        self.stop_requests[attempt.id] = reason
 
     def is_stopping(self, attempt: PlannedAttempt) -> bool:
         """Whether the attempt is to be stopped, to make room or to drain its machine."""
-        return attempt.id in self.stopping
+        return attempt.id in self.stop_requests
 
     def forget_stop(self, attempt: PlannedAttempt) -> None:
         """The attempt is over."""
-        self.stopping.pop(attempt.id, None)
+        self.stop_requests.pop(attempt.id, None)
 
-    def learn(self, report: Report) -> None:
+    def apply_command_response(self, heartbeat: WorkerHeartbeat) -> None:
         """The answer to a direct command: a report, but one that renews no lease."""
-        machine = self._cluster.machines.get(report.machine)
+        machine = self._cluster.machines.get(heartbeat.machine)
         ownership = (
             self._membership.active_ownership(machine.shard) if machine is not None else None
         )
         if machine is None or ownership is None:
             return
-        view = self.view(machine, ownership)
-        if self.is_leaving(machine.id):
+        view = self.view_of(machine, ownership)
+        if self.is_transferring(machine.id):
             return
-        if view.take(report, self.token(machine, ownership), self._clock.now()):
-            self._acknowledge(machine.id, report)
+        if view.apply_status(heartbeat, self.token(machine, ownership), self._clock.now()):
+            self._acknowledge(machine.id, heartbeat)
             self._orders(machine, view, ownership, direct=True)
 
-    def _acknowledge(self, machine_id: str, report: Report) -> None:
+    def _acknowledge(self, machine_id: str, heartbeat: WorkerHeartbeat) -> None:
         unacknowledged = self.unacknowledged.get(machine_id)
         if unacknowledged:
             for attempt, token in list(unacknowledged.items()):
-                if report.token > token:
+                if heartbeat.token > token:
                     del unacknowledged[attempt]
         if not unacknowledged:
             self.unacknowledged.pop(machine_id, None)
@@ -232,9 +242,10 @@
         return True
 
     def _orders(
-        self, machine: Machine, view: View, ownership: ShardOwnership, direct: bool = False
+        self, machine: Machine, view: WorkerView, ownership: ShardOwnership, direct: bool = False
     ) -> list[Command]:
-        """What the worker has to do for its tasks to be those of the plan. Findings made on the
+        """What the worker has to do for its tasks to be those of the plan. AttemptOutcomes made on
+        the
         way wait to be written."""
         orders: list[Command] = []
         for key, task in view.tasks.items():
@@ -251,7 +262,7 @@
                 self._on_absent(machine, attempt, view, ownership, orders, direct)
         return orders
 
-    def _on_unplanned(self, machine: Machine, task: TaskReport, orders: list[Command]) -> None:
+    def _on_unplanned(self, machine: Machine, task: TaskStatus, orders: list[Command]) -> None:
         """The plan does not hold this attempt: its outcome is durable, or it must not be here."""
         name = f"{task.job}/{task.index}"
         if task.state != "exited":
@@ -264,7 +275,7 @@
         self,
         machine: Machine,
         attempt: PlannedAttempt,
-        view: View,
+        view: WorkerView,
         ownership: ShardOwnership,
         orders: list[Command],
         direct: bool,
@@ -272,7 +283,7 @@
         """The worker does not have this planned attempt."""
         if attempt.session < view.session:
             self.unacknowledged.get(machine.id, {}).pop(attempt.id, None)
-            self.findings.record(Finding(attempt, AttemptEnd.SESSION_OVER, ownership.term))
+            self.outcomes.record(AttemptOutcome(attempt, EndReason.SESSION_OVER, ownership.term))
             return
         if (attempt.job, attempt.index) in view.tasks or attempt.session != view.session:
             return
@@ -287,7 +298,7 @@
             # may hold the start, was still on its way
             return
         # a newer report without it: no start sent before can still arrive
-        self.findings.record(Finding(attempt, AttemptEnd.NOT_STARTED, ownership.term))
+        self.outcomes.record(AttemptOutcome(attempt, EndReason.NOT_STARTED, ownership.term))
 
     def _is_known(self, attempt: PlannedAttempt) -> bool:
         job = self._cluster.jobs.get(attempt.job)
@@ -303,7 +314,7 @@
 
     def may_start(self, attempt: PlannedAttempt, machine: Machine) -> bool:
         """Whether a start of the attempt may still be sent."""
-        return not self.findings.is_concluded(attempt) and not self._unwanted(attempt, machine)
+        return not self.outcomes.is_concluded(attempt) and not self._unwanted(attempt, machine)
 
     def _unwanted(self, attempt: PlannedAttempt, machine: Machine) -> bool:
         job = self._cluster.jobs.get(attempt.job)
@@ -314,8 +325,8 @@
     def _on_planned(
         self,
         attempt: PlannedAttempt,
-        task: TaskReport,
-        view: View,
+        task: TaskStatus,
+        view: WorkerView,
         ownership: ShardOwnership,
         orders: list[Command],
     ) -> None:
@@ -323,7 +334,7 @@
         if task.state == "exited":
             since = view.running_since.get(key)
             took = None if since is None else self._clock.now() - since
-            self.findings.record(Finding(attempt, AttemptEnd(task.why), ownership.term, took))
+            self.outcomes.record(AttemptOutcome(attempt, EndReason(task.why), ownership.term, took))
             return
         job = self._cluster.jobs.get(attempt.job)
         if job is None or job.is_over:
@@ -333,7 +344,7 @@
         saves = spec is not None and spec.checkpoint_s > 0
         if self.is_stopping(attempt):
             if task.state != "saving":
-                orders.append(self.stop(attempt))
+                orders.append(self.stop_command(attempt))
         elif view.notice_at is not None and saves and spec is not None:
             # saved as late as is safe, so that the machine's last seconds count
             left = view.notice_at - self._clock.now()
@@ -341,27 +352,29 @@
                 task.state == "running"
                 and left < spec.save_s + 3 * self._settings.heartbeat_interval_s
             ):
-                orders.append(self.stop(attempt))
+                orders.append(self.stop_command(attempt))
 
-    def stop(self, attempt: PlannedAttempt) -> Command:
+    def stop_command(self, attempt: PlannedAttempt) -> Command:
         """The command that stops a planned attempt, with time to save if it can."""
         job = self._cluster.jobs.get(attempt.job)
         saves = job is not None and job.spec is not None and job.spec.checkpoint_s > 0
         grace = job.spec.save_s * 2 if job is not None and job.spec is not None and saves else 0.0
         return Command("stop", f"{attempt.job}/{attempt.index}", attempt.number, grace)
 
-    def expire(self, machine: Machine, ownership: ShardOwnership) -> None:
+    def expire_lease(self, machine: Machine, ownership: ShardOwnership) -> None:
         """A worker that nobody can have answered for a lease has killed its tasks."""
-        view = self.view(machine, ownership)
+        view = self.view_of(machine, ownership)
         if (
             not machine.attempts
-            or self._clock.now() - view.lease_from <= self._settings.heartbeat_timeout_s
+            or self._clock.now() - view.lease_renewed_at <= self._settings.heartbeat_timeout_s
         ):
             return
         self._deputies.wonder(machine)
-        rests = self._deputies.lease_over(machine, view.lease_from)
-        if rests is not None:
+        preconditions = self._deputies.lease_over(machine, view.lease_renewed_at)
+        if preconditions is not None:
             for attempt in machine.attempts.values():
                 if attempt.session <= view.session or not view.trusted:
-                    finding = Finding(attempt, AttemptEnd.LEASE_OVER, ownership.term, rests=rests)
-                    self.findings.record(finding)
+                    outcome = AttemptOutcome(
+                        attempt, EndReason.LEASE_OVER, ownership.term, preconditions=preconditions
+                    )
+                    self.outcomes.record(outcome)
--- a/crossmill/workers/order_gate.py
+++ b/crossmill/workers/order_gate.py
@@ -5,7 +5,7 @@
 from ..cluster.model import Machine
 from ..cluster.ownership import ShardOwnership
 from ..wire.workers import Command
-from .views import View
+from .views import WorkerView
 
 
 class OrderGate(Protocol):
@@ -13,7 +13,7 @@
     through."""
 
     def screen(
-        self, machine: Machine, view: View, ownership: ShardOwnership, orders: list[Command]
+        self, machine: Machine, view: WorkerView, ownership: ShardOwnership, orders: list[Command]
     ) -> list[Command]:
         """Which of the orders that answer a report may be sent now; the others follow from
         comparing anew."""
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -31,9 +31,9 @@
 from crossmill.wire import peers
 from crossmill.wire.checks import load_object
 from crossmill.wire.cloud import parse_catalog
-from crossmill.wire.workers import parse_report
+from crossmill.wire.workers import parse_heartbeat
 from crossmill.workers.direct import Direct
-from crossmill.workers.reports import Answer, Reports
+from crossmill.workers.heartbeat_handler import HeartbeatHandler, HeartbeatResponse
 
 from .standins import (
     CATALOG,
@@ -132,17 +132,17 @@
         self.deputies = Deputies(
             s, clock, self.cluster, self.controller_lease, self.watcher.sync, line
         )
-        self.reports = Reports(s, clock, self.cluster, self.membership, self.deputies)
+        self.heartbeats = HeartbeatHandler(s, clock, self.cluster, self.membership, self.deputies)
         self.forecast = DemandForecast(s, clock, self.cluster)
         self.worker = WorkerLine()
-        self.direct = Direct(s, self.cluster, self.membership, self.reports)
+        self.direct = Direct(s, self.cluster, self.membership, self.heartbeats)
         self.direct.connect = lambda endpoint: self.worker
         self.rounds = Rounds(
             s,
             clock,
             self.cluster,
             self.membership,
-            self.reports,
+            self.heartbeats,
             self.writer,
             self.forecast,
             self.direct,
@@ -197,10 +197,12 @@
     def token(self, shard: int = 0) -> int:
         return self.membership.ownerships[shard].token
 
-    def report(self, machine: str, session: int, seq: int, token: int, *tasks: Any) -> Answer:
+    def report(
+        self, machine: str, session: int, seq: int, token: int, *tasks: Any
+    ) -> HeartbeatResponse:
         body = load_object(beat(machine, session, seq, token, *tasks))
-        report = parse_report(body, self.reports.read_task)
-        return self.reports.handle(report)
+        report = parse_heartbeat(body, self.heartbeats.read_task_status)
+        return self.heartbeats.handle(report)
 
     async def ask(self, method: str, path: str, body: bytes = b"") -> Response:
         return await self.jobs.handle(Request(method, path, body))
--- a/tests/multihost_agents.py
+++ b/tests/multihost_agents.py
@@ -9,8 +9,8 @@
 from crossmill.net.server import Request
 from crossmill.wire.multihost import (
     HEARTBEAT_PATH,
-    Heartbeat,
-    HeartbeatAnswer,
+    AgentHeartbeat,
+    AgentHeartbeatResponse,
     MemberReport,
     MemberState,
     Offer,
@@ -140,7 +140,7 @@
             self.members.clear()
             self.proof, self.answered_at = None, self.now()
 
-    def obey(self, answer: HeartbeatAnswer, sent: float) -> None:
+    def obey(self, answer: AgentHeartbeatResponse, sent: float) -> None:
         """Carries out an answer's orders."""
         for order in answer.orders:
             self.orders.append((self.region.clock.now(), order))
@@ -186,14 +186,14 @@
 
     # -- talking ---------------------------------------------------------------------
 
-    def heartbeat(self) -> Heartbeat:
+    def heartbeat(self) -> AgentHeartbeat:
         """The next heartbeat."""
         self.sequence += 1
         truth = [
             MemberReport(r, m.rank, m.generation, self.state(m), self._unreachable(m))
             for r, m in self.members.items()
         ]
-        return Heartbeat(
+        return AgentHeartbeat(
             self.machine,
             self.address,
             Offer("g4", self.zone, False, *self.capacity, self.fetch_gb_per_s),
--- a/tests/multihost_pool.py
+++ b/tests/multihost_pool.py
@@ -20,7 +20,7 @@
     reservation_record,
 )
 from crossmill.multihost.service import MultihostService
-from crossmill.wire.multihost import Heartbeat, MemberReport, MemberState, Offer, Proof
+from crossmill.wire.multihost import AgentHeartbeat, MemberReport, MemberState, Offer, Proof
 
 from .harness import Node, seed
 from .multihost_region import SETTINGS
@@ -72,9 +72,9 @@
     return node, service
 
 
-def heartbeat_of(node: Node, machine: int, sequence: int, *members: MemberReport) -> Heartbeat:
+def heartbeat_of(node: Node, machine: int, sequence: int, *members: MemberReport) -> AgentHeartbeat:
     proof = Proof("process", node.clock.now())
     offer = Offer("g4", "north", False, 32.0, 4.0, 256.0, 1.0)
     token = node.token(SETTINGS.pool_shard)
     name, address = f"m-{machine}", f"127.0.0.1:{30000 + machine}"
-    return Heartbeat(name, address, offer, 1, sequence, token, proof, None, (), members)
+    return AgentHeartbeat(name, address, offer, 1, sequence, token, proof, None, (), members)
--- a/tests/recovery_region.py
+++ b/tests/recovery_region.py
@@ -34,7 +34,7 @@
     service = RecoveryService(
         *parts, node.membership, node.watcher, node.writer, node.forecast.priority_of
     )
-    node.reports.gate = service
+    node.heartbeats.gate = service
     return RecoveryApi(*parts, node.watcher, node.writer, service)
 
 
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -11,7 +11,7 @@
 from crossmill.cluster import keys
 from crossmill.settings import Peer
 from crossmill.wire.checks import load_object
-from crossmill.wire.workers import answer_body, parse_report
+from crossmill.wire.workers import answer_body, parse_heartbeat
 
 from .harness import Node, seed
 from .judge import JobFacts, Judge
@@ -233,7 +233,7 @@
 
     def deliver(self, body: bytes, label: str) -> tuple[int, bytes]:
         """A report reaches a controller, as its own handler would answer it."""
-        answer = self.nodes[label].reports.handle(parse_report(load_object(body)))
+        answer = self.nodes[label].heartbeats.handle(parse_heartbeat(load_object(body)))
         if answer.status == 200:
             return 200, answer_body(answer.token, list(answer.commands))
         return answer.status, orjson.dumps({"foreman": answer.redirect} if answer.redirect else {})
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -265,10 +265,10 @@
         await _submit(node, B, A)
         job = node.cluster.jobs[B]
         handler = node.jobs._cancellation
-        rests = await handler._rests(job)
-        assert rests == {keys.job(A): node.cluster.jobs[A].version}
+        preconditions = await handler._preconditions(job)
+        assert preconditions == {keys.job(A): node.cluster.jobs[A].version}
         state.put(keys.job(A), encode_end(DONE, make_spec(nameId=A), clock.wall(), RECORD_BYTES))
-        conditions = {keys.job(B): job.version, **rests}
+        conditions = {keys.job(B): job.version, **preconditions}
         assert not await handler._commit(B, make_spec(nameId=B), conditions)
         assert await _stage(node, B) == "queued"
 
--- a/tests/test_deputies.py
+++ b/tests/test_deputies.py
@@ -282,7 +282,7 @@
         # the owner has not heard of it: what it concludes is written on the old key's version
         it.clock.time += it.s.worker_lease_expiry_s - it.s.heartbeat_timeout_s
         await it.owner.controller_lease.step()
-        machine, view = it.owner.cluster.machines["n-0"], it.owner.reports.peek("n-0")
+        machine, view = it.owner.cluster.machines["n-0"], it.owner.heartbeats.find_view("n-0")
         assert view and it.owner.deputies.lease_over(machine, view.answered_at)
         await it.owner.round()
         assert it.on_machine() == 1
@@ -296,14 +296,14 @@
 def test_a_withdrawal_rests_on_the_processes_that_were_told() -> None:
     async def story(it: Story) -> None:
         job = it.owner.cluster.jobs["wk-000001"]
-        rests = await it.owner.deputies.announce_end(job.id, ["north"])
-        assert rests == {"cm/n/node-0": it.state.keys["cm/n/node-0"][1]}
+        preconditions = await it.owner.deputies.announce_end(job.id, ["north"])
+        assert preconditions == {"cm/n/node-0": it.state.keys["cm/n/node-0"][1]}
         # node-0 ends, and the process that follows does not know of the withdrawal
         again = Node(it.state, it.clock, it.nodes, "node-0")
         await again.boot(waited=False)
         assert job.spec is not None
         put = Put("cm/j/wk-000001", encode_end(CANCELLED, job.spec, 0.0, RECORD_BYTES))
-        late = WriteIntent(Txn({"cm/j/wk-000001": job.version, **rests}, [put]))
+        late = WriteIntent(Txn({"cm/j/wk-000001": job.version, **preconditions}, [put]))
         assert await it.owner.writer.commit(late) == WriteResult.CONFLICT
 
     play_settled(story)
@@ -391,7 +391,7 @@
         await ownership.deputies.step()
         ownership.report("s-0", 1, 1, 0)
         ownership.report("s-0", 1, 2, it.token)
-        view = ownership.reports.peek("s-0")
+        view = ownership.heartbeats.find_view("s-0")
         assert view is not None
         it.cut()
         state.down = True
--- a/tests/test_multihost_decisions.py
+++ b/tests/test_multihost_decisions.py
@@ -52,8 +52,8 @@
 from crossmill.settings import Endpoint, SettingsError
 from crossmill.wire.checks import MalformedMessageError
 from crossmill.wire.multihost import (
-    Heartbeat,
-    HeartbeatAnswer,
+    AgentHeartbeat,
+    AgentHeartbeatResponse,
     MemberReport,
     MemberState,
     Offer,
@@ -63,8 +63,8 @@
     Proof,
     answer_body,
     heartbeat_body,
+    parse_agent_heartbeat,
     parse_answer,
-    parse_heartbeat,
 )
 
 from .standins import make_settings
@@ -327,7 +327,7 @@
 
 # -- heartbeats ----------------------------------------------------------------------
 
-BEAT = Heartbeat(
+BEAT = AgentHeartbeat(
     "m-1",
     "127.0.0.1:9",
     Offer("g4", "north", False, 32.0, 4.0, 256.0, 1.0),
@@ -362,14 +362,14 @@
 
 
 def test_messages_come_through_as_they_were_sent_and_unknown_fields_are_ignored() -> None:
-    assert parse_heartbeat(heartbeat_body(BEAT)) == BEAT
+    assert parse_agent_heartbeat(heartbeat_body(BEAT)) == BEAT
     order = Order(
         Op.START, "chat/0", 1, 3, "weights", 2.0, (1.0, 2.0, 3.0), (PeerAddress(0, "a:1"),), 5.0
     )
-    answer = HeartbeatAnswer(41, Proof("here", 1.5), (order,))
+    answer = AgentHeartbeatResponse(41, Proof("here", 1.5), (order,))
     assert parse_answer(answer_body(answer)) == answer
     wider = orjson.loads(heartbeat_body(BEAT)) | {"later": 1}
-    assert parse_heartbeat(orjson.dumps(wider)) == BEAT
+    assert parse_agent_heartbeat(orjson.dumps(wider)) == BEAT
 
 
 @pytest.mark.parametrize(
@@ -393,7 +393,7 @@
 def test_a_malformed_heartbeat_is_refused(field: str, value: Any) -> None:
     data = orjson.loads(heartbeat_body(BEAT)) | {field: value}
     with pytest.raises(MalformedMessageError):
-        parse_heartbeat(orjson.dumps(data))
+        parse_agent_heartbeat(orjson.dumps(data))
 
 
 # -- records and settings ------------------------------------------------------------
--- a/tests/test_multihost_failures.py
+++ b/tests/test_multihost_failures.py
@@ -9,7 +9,7 @@
 import pytest
 
 from crossmill.cluster import keys as cluster_keys
-from crossmill.wire.multihost import HeartbeatAnswer, MemberReport, MemberState, Op, Proof
+from crossmill.wire.multihost import AgentHeartbeatResponse, MemberReport, MemberState, Op, Proof
 
 from .multihost_agents import Agent
 from .multihost_region import SETTINGS, MultihostRegion, simulate_multihost
@@ -174,7 +174,7 @@
         generation = region.generation("chat/0")
         assert generation > start.generation
         # the old order reaches the machine past all its guards, the old report the owner
-        agent.obey(HeartbeatAnswer(agent.token, Proof("late", 0.0), (start,)), agent.now())
+        agent.obey(AgentHeartbeatResponse(agent.token, Proof("late", 0.0), (start,)), agent.now())
         await region.deliver_heartbeat(agent, region.owner(), old_copy)
         await curio.sleep(20.0)
         assert region.generation("chat/0") == generation
--- a/tests/test_multihost_random.py
+++ b/tests/test_multihost_random.py
@@ -10,7 +10,7 @@
 from crossmill.multihost import agents, keys, serving
 from crossmill.multihost.model import ReplicaSetSpec
 from crossmill.multihost.settings import MultihostSettings
-from crossmill.wire.multihost import Heartbeat, Op, Order
+from crossmill.wire.multihost import AgentHeartbeat, Op, Order
 
 from .multihost_region import SETTINGS, MultihostRegion, simulate_multihost
 from .multihost_troubles import Troubles
@@ -144,11 +144,11 @@
     """The mutation of controllers: the receipt of a heartbeat taken for proof of life."""
     real = agents.Agents.note
 
-    def mutated(self: agents.Agents, beat: Heartbeat, token: int, now: float) -> Any:
+    def mutated(self: agents.Agents, beat: AgentHeartbeat, token: int, now: float) -> Any:
         result = real(self, beat, token, now)
         view = self.get(beat.machine)
         if view is not None and view.alive_at is not None:
-            view.alive_at = view.heard_at = now
+            view.alive_at = view.last_heartbeat_at = now
         return result
 
     async def story(region: MultihostRegion) -> None:
@@ -173,7 +173,7 @@
     assert not simulate_multihost(story, judged=False).judge.broken
 
 
-def _deliver_past_death(region: MultihostRegion, beat: Heartbeat) -> None:
+def _deliver_past_death(region: MultihostRegion, beat: AgentHeartbeat) -> None:
     """A heartbeat sent before its machine died arrives after it."""
     for service in region.services.values():
         service.heartbeats.handle(beat)
--- a/tests/test_on_call_troubles.py
+++ b/tests/test_on_call_troubles.py
@@ -13,7 +13,7 @@
 from crossmill.jobs.failures import TaskFailures
 from crossmill.planning.demand import MachineRequest
 from crossmill.state.mirror import Mirror
-from crossmill.workers.findings import AttemptEnd, Finding
+from crossmill.workers.attempt_outcomes import AttemptOutcome, EndReason
 
 from .harness import Node, add_machine, play, seed
 from .scenario_steps import all_over_but_services
@@ -186,7 +186,7 @@
     def fail(machine: str) -> None:
         for job in jobs:
             failures.record(
-                job, Finding(PlannedAttempt(job.id, 0, 1, machine, 1), AttemptEnd.ERROR, 1)
+                job, AttemptOutcome(PlannedAttempt(job.id, 0, 1, machine, 1), EndReason.ERROR, 1)
             )
 
     fail("n-0")
@@ -247,7 +247,7 @@
         machine = node.cluster.machines.get(worker.machine)
         if machine is None or node.membership.active_ownership(machine.shard) is None:
             continue
-        view = node.reports.peek(worker.machine)
+        view = node.heartbeats.find_view(worker.machine)
         if view is not None and view.trusted and set(view.tasks) == set(worker.tasks):
             return True
     return False
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -18,8 +18,8 @@
 from crossmill.recovery.settings import RecoverySettings
 from crossmill.recovery.shard_recovery import ShardRecovery
 from crossmill.wire.recovery import APPROVE_PATH, RECOVERY_PATH, Approval, approval_body
-from crossmill.wire.workers import MAX_ORDERS, Report
-from crossmill.workers.views import Verdict, View
+from crossmill.wire.workers import MAX_ORDERS, WorkerHeartbeat
+from crossmill.workers.views import HeartbeatVerdict, WorkerView
 
 from .recovery_region import (
     RecoveryRegion,
@@ -724,7 +724,7 @@
 
 
 def _late_copies_come_first() -> None:
-    """Reports of before the restart reach the new owners ahead of the workers' own."""
+    """HeartbeatHandler of before the restart reach the new owners ahead of the workers' own."""
 
     async def story(region: RecoveryRegion) -> None:
         await _busy_region(region)
@@ -763,11 +763,13 @@
 def test_a_report_from_before_the_restart_that_is_believed_is_caught(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    def believe(view: View, report: Report, token: int, now: float) -> Verdict:
-        view.last_beat, view.heard_at = (report.session, report.seq), now
-        view.take(replace(report, token=token), token, now)
-        return Verdict.TRUSTED
-
-    monkeypatch.setattr(View, "beat", believe)
+    def believe(
+        view: WorkerView, report: WorkerHeartbeat, token: int, now: float
+    ) -> HeartbeatVerdict:
+        view.last_beat, view.last_heartbeat_at = (report.session, report.seq), now
+        view.apply_status(replace(report, token=token), token, now)
+        return HeartbeatVerdict.ACCEPTED
+
+    monkeypatch.setattr(WorkerView, "apply_heartbeat", believe)
     with pytest.raises(AssertionError):
         _late_copies_come_first()
--- a/tests/test_recovery_decisions.py
+++ b/tests/test_recovery_decisions.py
@@ -188,7 +188,7 @@
 
     async def story(state: StateService, clock: FakeClock, nodes: dict[str, Node]) -> None:
         node, commands = await _ordinary(state, clock, plans, reported)
-        machine, view = node.cluster.machines["n-0"], node.reports.peek("n-0")
+        machine, view = node.cluster.machines["n-0"], node.heartbeats.find_view("n-0")
         assert view is not None
         classes = classify_machine_tasks(node.cluster, machine, view)
         ordered = {(c.task, c.attempt): c.op for c in commands}
@@ -200,7 +200,7 @@
             if action in OPS:
                 expected[f"{key[0]}/{key[1]}", attempt] = OPS[action]
             row = machine.attempts.get(key)
-            concluded = row is not None and node.reports.findings.is_concluded(row)
+            concluded = row is not None and node.heartbeats.outcomes.is_concluded(row)
             # beside another attempt of it, a row of an earlier session is over as well
             session_over = row is not None and row.session < SESSION and row.number != attempt
             assert concluded == (action is Action.CONCLUDE or session_over), (drawn, key)
--- a/tests/test_recovery_service.py
+++ b/tests/test_recovery_service.py
@@ -67,7 +67,7 @@
 
 def test_with_the_file_reports_are_screened_from_the_start() -> None:
     app = App(make_settings(), FakeClock(), recovery=recovery_settings())
-    assert isinstance(app.reports.gate, RecoveryService)
+    assert isinstance(app.heartbeats.gate, RecoveryService)
 
 
 def test_with_the_file_a_start_loads_nothing_that_can_wait() -> None:
--- a/tests/test_safety.py
+++ b/tests/test_safety.py
@@ -9,7 +9,7 @@
 from crossmill.state.writer import WriteIntent, WriteResult
 from crossmill.wire.state import Put, Txn
 from crossmill.wire.workers import Command
-from crossmill.workers.findings import StopReason
+from crossmill.workers.attempt_outcomes import StopReason
 
 from .harness import Node, add_job, add_machine, play, seed
 from .standins import FakeClock, StateService, beat, on, submission
@@ -58,7 +58,7 @@
         assert again.token() > node.token()
         answer = again.report("n-0", 1, 2, node.token())
         assert answer.commands == () and answer.token == again.token()
-        assert not again.reports.findings
+        assert not again.heartbeats.outcomes
         await again.round()
         assert len(again.cluster.machines["n-0"].attempts) == 1
 
@@ -69,11 +69,11 @@
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _placed(state, clock, nodes)
         clock.time += node.settings.heartbeat_timeout_s + 0.1
-        view = node.reports.peek("n-0")
+        view = node.heartbeats.find_view("n-0")
         assert view is not None
         before = view.answered_at
         assert node.report("n-0", 1, 3, node.token()).commands == ()
-        assert not view.fresh(clock.now(), node.settings.heartbeat_timeout_s)
+        assert not view.is_fresh(clock.now(), node.settings.heartbeat_timeout_s)
         assert view.answered_at == before
 
     play(story)
@@ -358,12 +358,12 @@
         node.report("n-0", 1, 2, token)
         await node.round()
         assert node.report("n-0", 1, 3, token).commands[0].op == "start"
-        node.reports.stopping[AttemptId("wk-000001", 0, 1)] = StopReason.PREEMPTED
+        node.heartbeats.stop_requests[AttemptId("wk-000001", 0, 1)] = StopReason.PREEMPTED
         node.direct._answered("n-0", 200, beat("n-0", 1, 4, token))
-        assert not node.reports.findings
+        assert not node.heartbeats.outcomes
         # a report is sent only when the answer to the one before has come or is given up
         node.report("n-0", 1, 5, token)
-        assert [f.why for f in node.reports.findings.values()] == ["not started"]
+        assert [outcome.reason for outcome in node.heartbeats.outcomes.values()] == ["not started"]
 
     play(story)
 
@@ -541,7 +541,7 @@
 def test_direct_answers_do_not_renew_the_lease_bound() -> None:
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _placed(state, clock, nodes)
-        view = node.reports.peek("n-0")
+        view = node.heartbeats.find_view("n-0")
         assert view is not None
         before = view.answered_at
         clock.time += 3
@@ -566,23 +566,23 @@
             await node.live()
         node.direct._answered("n-0", 200, beat("n-0", 2, 1, node.token()))
         machine = node.cluster.machines["n-0"]
-        view = node.reports.peek("n-0")
+        view = node.heartbeats.find_view("n-0")
         assert view is not None and view.session == 2
         # nothing is placed where no report comes from
-        assert not view.fresh(clock.now(), node.settings.heartbeat_timeout_s)
+        assert not view.is_fresh(clock.now(), node.settings.heartbeat_timeout_s)
         node.cluster.mirror.written(
             keys.plan("wk-000001", "0"),
             {"next": 3, "done": "0", "rows": [[0, 2, "n-0", 2]]},
             state.revision + 1,
         )
         ownership = node.membership.ownerships[0]
-        node.reports.findings.clear()
+        node.heartbeats.outcomes.clear()
         clock.time += node.settings.worker_lease_s * 0.9
-        node.reports.expire(machine, ownership)
-        assert not node.reports.findings
+        node.heartbeats.expire_lease(machine, ownership)
+        assert not node.heartbeats.outcomes
         clock.time += node.settings.worker_lease_s * 0.2
-        node.reports.expire(machine, ownership)
-        assert [f.why for f in node.reports.findings.values()] == ["lease over"]
+        node.heartbeats.expire_lease(machine, ownership)
+        assert [outcome.reason for outcome in node.heartbeats.outcomes.values()] == ["lease over"]
 
     play(story)
 
@@ -604,18 +604,18 @@
         plan = {"next": 2, "done": "0", "rows": [[0, 1, "n-0", 1]]}
         state.put(keys.plan("wk-000001", "0"), plan)
         await node.sync()
-        node.reports.stopping[AttemptId("wk-000001", 0, 1)] = StopReason.PREEMPTED
+        node.heartbeats.stop_requests[AttemptId("wk-000001", 0, 1)] = StopReason.PREEMPTED
         node.report("n-0", 1, 3, token)
-        assert [f.why for f in node.reports.findings.values()] == ["not started"]
+        assert [outcome.reason for outcome in node.heartbeats.outcomes.values()] == ["not started"]
         # its end is being written, and the reason for it has gone
-        node.reports.findings.clear()
-        node.reports.stopping.clear()
+        node.heartbeats.outcomes.clear()
+        node.heartbeats.stop_requests.clear()
         await node.direct.send([row], [])
         await curio.sleep(0.01)
         assert not node.worker.sent
         assert not node.report("n-0", 1, 4, token).commands
         # should the write come to nothing, it is found once more
-        assert [f.why for f in node.reports.findings.values()] == ["not started"]
+        assert [outcome.reason for outcome in node.heartbeats.outcomes.values()] == ["not started"]
 
     play(story)
 
@@ -675,7 +675,7 @@
         await task.join()
         assert node.cluster.machines["n-0"].shard == 1
         # an older view must not be believed again if the machine comes back
-        assert node.reports.peek("n-0") is None
+        assert node.heartbeats.find_view("n-0") is None
 
     play(story)
 
@@ -691,7 +691,7 @@
         assert giving.target(machine) is None, "the worker still reports a task"
         node.report("n-0", 1, 5, node.token())
         assert giving.target(machine) == 1
-        node.reports.unacknowledged["n-0"] = {AttemptId("wk-000001", 0, 1): node.token()}
+        node.heartbeats.unacknowledged["n-0"] = {AttemptId("wk-000001", 0, 1): node.token()}
         assert giving.target(machine) is None, "a start sent to it may still arrive"
 
     play(story)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,8 +21,8 @@
 from crossmill.wire import checks
 from crossmill.wire.checks import load_object
 from crossmill.wire.state import Put, Txn
-from crossmill.wire.workers import cached_task_reader, parse_report
-from crossmill.workers.findings import AttemptEnd, Finding
+from crossmill.wire.workers import cached_task_status_reader, parse_heartbeat
+from crossmill.workers.attempt_outcomes import AttemptOutcome, EndReason
 
 from . import harness
 from .full_fleet import EACH, full_fleet, report_all
@@ -171,7 +171,9 @@
     def news(number: int, attempts: int, why: str = "done") -> ChunkNews:
         attempt = PlannedAttempt(f"wk-{number:06d}", 0, 1, "n-0", 1)
         chunk = PlanChunk(2, 0, {i: attempt for i in range(attempts)})
-        return ChunkNews(Job(attempt.job), "0", chunk, [Finding(attempt, AttemptEnd(why), term=1)])
+        return ChunkNews(
+            Job(attempt.job), "0", chunk, [AttemptOutcome(attempt, EndReason(why), term=1)]
+        )
 
     many = [news(number, 9) for number in range(20)]
     last, failed = news(90, 1), news(91, 9, "error")
@@ -239,7 +241,7 @@
     machines, tasks = 4000, 10_000
     settings = make_settings()
     heads = RequestHeads(settings.max_cached_request_heads)
-    read = cached_task_reader(settings.max_cached_task_statuses)
+    read = cached_task_status_reader(settings.max_cached_task_statuses)
     counts: Counter[str] = Counter()
     _count(monkeypatch, counts, checks, "one_of")
 
@@ -256,7 +258,7 @@
         if heads.match(data) is None:
             counts["parsed"] += 1
             heads.note(data, request)
-        parse_report(load_object(body), read)
+        parse_heartbeat(load_object(body), read)
 
     def mine(machine: int) -> range:
         return range(machine * tasks // machines, (machine + 1) * tasks // machines)
--- a/tests/test_start_compiles_nothing.py
+++ b/tests/test_start_compiles_nothing.py
@@ -20,7 +20,7 @@
 from crossmill.net.client import Client, ConnectionFailedError, NoResponseError
 from crossmill.settings import Endpoint
 from crossmill.wire.users import JOBS_PATH
-from crossmill.wire.workers import REPORT_PATH
+from crossmill.wire.workers import HEARTBEAT_PATH
 
 from .harness import seed
 from .loopback import free_ports, serving
@@ -115,7 +115,7 @@
         job = submission()
         for method, path, body, wanted in (
             ("GET", "/healthz", b"", 200),
-            ("POST", REPORT_PATH, beat("n-0", 1, 1, 0), 200),
+            ("POST", HEARTBEAT_PATH, beat("n-0", 1, 1, 0), 200),
             ("POST", JOBS_PATH, orjson.dumps(job), 201),
             ("GET", f"{JOBS_PATH}/{job['nameId']}", b"", 200),
         ):
--- a/tests/test_unseen_changes.py
+++ b/tests/test_unseen_changes.py
@@ -16,7 +16,7 @@
 from crossmill.state.mirror import Mirror
 from crossmill.state.watcher import StateWatcher
 from crossmill.wire.checks import load_object
-from crossmill.workers.findings import StopReason
+from crossmill.workers.attempt_outcomes import StopReason
 
 from .harness import RECORD_BYTES, Node, add_job, play, seed
 from .standins import FakeClock, StateService, make_settings, make_spec, on
@@ -105,9 +105,9 @@
     # owner started the task; with the shard back, the old finding removed the running task's row
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _node_with_a_row(state, clock, nodes)
-        node.reports.stopping[AttemptId(JOB, 0, 1)] = StopReason.DRAINED
+        node.heartbeats.stop_requests[AttemptId(JOB, 0, 1)] = StopReason.DRAINED
         node.report("n-0", 1, 3, node.token())
-        assert [f.why for f in node.reports.findings.values()] == ["not started"]
+        assert [outcome.reason for outcome in node.heartbeats.outcomes.values()] == ["not started"]
         # before it can be written, the shard changes hands and the next owner starts the task
         await _lose_shard(state, node)
         await node.sync()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,9 +8,9 @@
     MAX_ORDERS,
     Command,
     answer_body,
-    cached_task_reader,
+    cached_task_status_reader,
     direct_body,
-    parse_report,
+    parse_heartbeat,
 )
 
 from .standins import beat, on, submission
@@ -66,7 +66,9 @@
 
 
 def test_report_and_orders_keep_wire_spellings_out() -> None:
-    report = parse_report(load_object(beat("n-1", 2, 7, 41, on("wk-1", 3, 2, "exited", "halted"))))
+    report = parse_heartbeat(
+        load_object(beat("n-1", 2, 7, 41, on("wk-1", 3, 2, "exited", "halted")))
+    )
     task = report.tasks[0]
     assert (task.job, task.index, task.attempt, task.why) == ("wk-1", 3, 2, "stopped")
     assert load_object(answer_body(41, [Command("forget", "wk-1/3", 2)])) == {
@@ -88,9 +90,9 @@
 def test_a_kept_task_report_stands_for_no_other(change: dict[str, Any]) -> None:
     # guards against a table of kept reports taking true, or 1.0, for the 1 that it holds
     task = on("wk-000001", 0, 1, "running")
-    read = cached_task_reader(8)
-    kept = parse_report(load_object(beat("n-0", 1, 1, 1, task)), read)
-    again = parse_report(load_object(beat("n-0", 1, 2, 1, task)), read)
+    read = cached_task_status_reader(8)
+    kept = parse_heartbeat(load_object(beat("n-0", 1, 1, 1, task)), read)
+    again = parse_heartbeat(load_object(beat("n-0", 1, 2, 1, task)), read)
     assert again.tasks[0] is kept.tasks[0]
     with pytest.raises(MalformedMessageError):
-        parse_report(load_object(beat("n-0", 1, 3, 1, {**task, **change})), read)
+        parse_heartbeat(load_object(beat("n-0", 1, 3, 1, {**task, **change})), read)
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -37,7 +37,7 @@
         )  # fmt: skip
         await node.sync()
         await node.round()
-        assert len(node.reports.stopping) == 2
+        assert len(node.heartbeats.stop_requests) == 2
         orders = node.report("n-0", 1, 3, node.token(), *running).commands
         stopped = [c.task for c in orders if c.op == "stop"]
         assert len(stopped) == 2
@@ -70,7 +70,7 @@
         )  # fmt: skip
         await node.sync()
         await node.round()
-        (attempt,) = node.reports.stopping
+        (attempt,) = node.heartbeats.stop_requests
         gone = on(attempt[0], attempt[1], attempt[2], "exited", "halted")
         left = [r for r in running if r["turn"] != attempt[2]]
         node.report("n-0", 1, 3, node.token(), *left, gone)
@@ -98,7 +98,7 @@
         await node.sync()
         node.report("n-1", 1, 1, node.token())
         await node.round()
-        assert not node.reports.stopping
+        assert not node.heartbeats.stop_requests
         zones = node.cluster.zones_of(node.cluster.jobs["wk-000003"])
         assert zones == {"north": 1, "south": 1}
 
@@ -111,7 +111,7 @@
         add_job(state, clock, nameId="wk-000002", sacks=1)
         await node.sync()
         await node.round()
-        assert not node.reports.stopping
+        assert not node.heartbeats.stop_requests
 
     play(story)
 
@@ -183,12 +183,12 @@
         node = await _ready(state, clock, nodes, 1, sacks=1, baggingS=10.0, sealS=3.0)
         running = on("wk-000001", 0, 1, "running")
         node.report("n-0", 1, 2, node.token(), running)
-        view = node.reports.peek("n-0")
+        view = node.heartbeats.find_view("n-0")
         assert view is not None
         for left, stops in ((20.0, 0), (5.0, 1)):
             view.notice_at = clock.now() + left
             ownership = node.membership.ownerships[0]
-            orders = node.reports._orders(node.cluster.machines["n-0"], view, ownership)
+            orders = node.heartbeats._orders(node.cluster.machines["n-0"], view, ownership)
             assert [c.op for c in orders].count("stop") == stops
         add_job(state, clock, nameId="wk-000002", sacks=1)
         await node.sync()
@@ -319,7 +319,7 @@
             await node.live()
             node.report(other, 1, seq, node.token(), *running)
             await node.round()
-        assert len(node.reports.stopping) == 4
+        assert len(node.heartbeats.stop_requests) == 4
 
     play(story)
 
@@ -345,7 +345,7 @@
         )  # fmt: skip
         await node.sync()
         await node.round()
-        assert len(node.reports.stopping) == 1
+        assert len(node.heartbeats.stop_requests) == 1
         # once where its image is, at most once more anywhere
         assert 1 <= len(asked) <= 2
 
--- a/tests/trace_adapter.py
+++ b/tests/trace_adapter.py
@@ -23,7 +23,7 @@
 from crossmill.planning.free_capacity import FreeCapacity, assign_tasks
 from crossmill.wire.recovery import APPROVE_PATH, RECOVERY_PATH, Approval, approval_body
 from crossmill.wire.users import JobSpec
-from crossmill.workers.findings import StopReason
+from crossmill.workers.attempt_outcomes import StopReason
 
 from . import simulation
 from .harness import Node
@@ -195,13 +195,13 @@
         node.direct.connect = recorded
 
     def _count_preemptions(self, node: Node) -> None:
-        request_stop = node.reports.request_stop
+        request_stop = node.heartbeats.request_stop
 
         def counted(attempt: PlannedAttempt, reason: StopReason) -> None:
             self.log.counts[f"stops intended, {reason.name.lower()}"] += 1
             request_stop(attempt, reason)
 
-        node.reports.request_stop = counted  # type: ignore[method-assign]
+        node.heartbeats.request_stop = counted  # type: ignore[method-assign]
 
     def _record_handler(self, handler: Any, counterpart: str, label: str) -> None:
         handle: Callable[[Request], Response] = handler.handle
