--- a/crossmill/app.py
+++ b/crossmill/app.py
@@ -19,10 +19,10 @@
 from .cluster.ownership import OwnedShards
 from .fleet.cloud import Cloud
 from .fleet.forecast import DemandForecast
-from .fleet.leader import Leader
+from .fleet.provisioner import FleetProvisioner
 from .jobs.api import JobApi
 from .jobs.record_repair import RecordRepair
-from .jobs.rounds import Rounds
+from .jobs.scheduling_loop import SchedulingLoop
 from .net.clock import Clock
 from .net.server import Handler, Request, Response, Server
 from .settings import Settings
@@ -32,7 +32,7 @@
 from .state.writer import Writer
 from .wire import peers, users, workers
 from .wire.checks import MalformedMessageError, load_object
-from .workers.direct import Direct
+from .workers.command_sender import CommandSender
 from .workers.heartbeat_handler import HeartbeatHandler
 
 if TYPE_CHECKING:
@@ -85,8 +85,8 @@
             settings, clock, self.cluster, self.membership, self.deputies
         )
         self.forecast = DemandForecast(settings, clock, self.cluster)
-        direct = Direct(settings, self.cluster, self.membership, self.heartbeats)
-        self.rounds = Rounds(
+        command_sender = CommandSender(settings, self.cluster, self.membership, self.heartbeats)
+        self.scheduling_loop = SchedulingLoop(
             settings,
             clock,
             self.cluster,
@@ -94,12 +94,12 @@
             self.heartbeats,
             self.writer,
             self.forecast,
-            direct,
+            command_sender,
             self.deputies,
         )
-        direct.on_news = self.rounds.wake.set
-        self.watcher.on_change = self.rounds.wake.set
-        self.leader = Leader(
+        command_sender.on_response = self.scheduling_loop.wake.set
+        self.watcher.on_change = self.scheduling_loop.wake.set
+        self.provisioner = FleetProvisioner(
             settings,
             clock,
             self.cluster,
@@ -140,9 +140,9 @@
             self.membership.run,
             self.feature_level.run,
             self.deputies.run,
-            self.rounds.run,
+            self.scheduling_loop.run,
             self.record_repair.run,
-            self.leader.run,
+            self.provisioner.run,
         ]
         if multihost is not None:
             self._loops.append(partial(self._run_multihost, multihost, clock))
@@ -224,7 +224,7 @@
         before = len(self.heartbeats.outcomes)
         answer = self.heartbeats.handle(heartbeat)
         if len(self.heartbeats.outcomes) > before:
-            await self.rounds.wake.set()
+            await self.scheduling_loop.wake.set()
         if answer.status == 200:
             return Response(200, workers.answer_body(answer.token, list(answer.commands)))
         return Response(answer.status, workers.redirect_body(answer.redirect))
--- a/crossmill/fleet/leader.py
+++ b/crossmill/fleet/provisioner.py
@@ -21,7 +21,7 @@
 log = logging.getLogger(__name__)
 
 
-class Leader:
+class FleetProvisioner:
     """Rents, adopts and returns machines while this controller leads."""
 
     def __init__(
--- a/crossmill/jobs/machine_maintenance.py
+++ b/crossmill/jobs/machine_maintenance.py
@@ -18,8 +18,8 @@
 from ..wire.state import Put, Txn
 from ..workers.heartbeat_handler import HeartbeatHandler
 from .failures import TaskFailures
+from .machine_transfer import MachineTransfer
 from .preemption import Preemption
-from .reassignment import Reassignment
 from .shard_writes import shard_intent
 
 log = logging.getLogger(__name__)
@@ -38,7 +38,7 @@
         forecast: DemandForecast,
         deputies: Deputies,
         preemption: Preemption,
-        reassignment: Reassignment,
+        machine_transfer: MachineTransfer,
         failures: TaskFailures,
     ) -> None:
         self._settings = settings
@@ -49,13 +49,13 @@
         self._forecast = forecast
         self._deputies = deputies
         self._preemption = preemption
-        self._reassignment = reassignment
+        self._machine_transfer = machine_transfer
         self._failures = failures
         self._looked_at: dict[int, float] = {}
         self._spare_at: dict[int, float] = {}
         self._silent_until: dict[tuple[int, str], float] = {}
 
-    def give_up(
+    def maintenance_writes(
         self, shard: int, ownership: ShardOwnership, machines: list[Machine]
     ) -> list[WriteIntent]:
         """Writes for machines that have come up or are to go. What is found out here changes with
@@ -124,14 +124,14 @@
                 self._silent_until[shard, zone] = now + self._settings.worker_lease_s
         return {z for (k, z), until in self._silent_until.items() if k == shard and now < until}
 
-    def moves(
+    def transfer_writes(
         self, shard: int, ownership: ShardOwnership, machines: list[Machine]
     ) -> dict[str, WriteIntent]:
         """Empty machines go to the shard they are given to under a token drawn for them alone,
         so that nothing said by this shard's owner is obeyed afterwards. One at a time: each
         raises the counter that all tokens come from."""
-        for machine in machines if self._reassignment.has_any else ():
-            target = self._reassignment.target(machine)
+        for machine in machines if self._machine_transfer.has_any else ():
+            target = self._machine_transfer.target(machine)
             if target is not None:
                 token, version = self._membership.next_token()
                 value = machine.encode(moved=(target, token))
--- a/crossmill/jobs/reassignment.py
+++ b/crossmill/jobs/machine_transfer.py
@@ -19,7 +19,7 @@
 log = logging.getLogger(__name__)
 
 
-class Reassignment:
+class MachineTransfer:
     """Chooses machines that are given to a shard whose jobs find no room."""
 
     def __init__(
@@ -36,38 +36,38 @@
         self._heartbeats = heartbeats
         self._forecast = forecast
         # machines that go to another shard once they are empty, and until when that is tried
-        self._going: dict[str, tuple[int, float]] = {}
-        self._promised: dict[str, float] = {}
+        self._leaving: dict[str, tuple[int, float]] = {}
+        self._pending_until: dict[str, float] = {}
         self._looked_at: dict[int, float] = {}
 
     def target(self, machine: Machine) -> int | None:
         """The shard that the machine is to go to now: nothing is on it or may come to it."""
-        entry = self._going.get(machine.id)
+        entry = self._leaving.get(machine.id)
         view = self._heartbeats.find_view(machine.id)
         if entry is None or view is None or machine.attempts or view.tasks or machine.retiring:
             return None
         return None if self._heartbeats.unacknowledged.get(machine.id) else entry[0]
 
-    def is_going(self, machine_id: str) -> bool:
+    def is_leaving(self, machine_id: str) -> bool:
         """Whether the machine goes to another shard once it is empty."""
-        return machine_id in self._going
+        return machine_id in self._leaving
 
     @property
     def has_any(self) -> bool:
         """Whether any machine is to go to another shard."""
-        return bool(self._going)
+        return bool(self._leaving)
 
-    def note_given(self, machine_id: str) -> None:
+    def forget_transferred(self, machine_id: str) -> None:
         """The machine has gone."""
-        self._going.pop(machine_id, None)
+        self._leaving.pop(machine_id, None)
 
-    def look(self, shard: int, machines: list[Machine]) -> Iterator[PlannedAttempt]:
+    def choose_machines(self, shard: int, machines: list[Machine]) -> Iterator[PlannedAttempt]:
         """Chooses machines to give; yields the attempts to be stopped for it."""
         now = self._clock.now()
-        for machine_id, (to, until) in list(self._going.items()):
+        for machine_id, (to, until) in list(self._leaving.items()):
             machine = self._cluster.machines.get(machine_id)
             if machine is None or machine.shard == to or machine.retiring or now > until:
-                del self._going[machine_id]
+                del self._leaving[machine_id]
         if now - self._looked_at.get(shard, 0.0) < self._settings.machine_transfer_interval_s:
             return
         self._looked_at[shard] = now
@@ -82,7 +82,7 @@
         self, shard: int, other: int, demand: TaskDemand, machines: list[Machine], wall: float
     ) -> Iterator[PlannedAttempt]:
         now, job = self._clock.now(), self._cluster.jobs[demand.spec.id]
-        if self._promised.get(job.id, 0.0) > now:
+        if self._pending_until.get(job.id, 0.0) > now:
             return
         # an idle machine is better moved than rented; running work is stopped only for
         # replicas, and only when the cloud has had its time
@@ -99,10 +99,10 @@
             for machine in mine[: self._settings.max_machines_per_transfer]:
                 if left <= 0:
                     break
-                if machine.id in self._going or not self._idle(machine, stop):
+                if machine.id in self._leaving or not self._idle(machine, stop):
                     continue
                 left -= min(slots_on(demand.spec, self._cluster.catalog[machine.type]), left)
-                self._going[machine.id] = (other, now + self._settings.worker_lease_s)
+                self._leaving[machine.id] = (other, now + self._settings.worker_lease_s)
                 log.info(
                     "machine to be given machine=%s shard=%d for=%s tasks=%d",
                     machine.id,
@@ -111,10 +111,10 @@
                     len(machine.attempts),
                 )
                 for attempt in machine.attempts.values():
-                    self._heartbeats.request_stop(attempt, StopReason.GIVEN)
+                    self._heartbeats.request_stop(attempt, StopReason.TRANSFERRED)
                     yield attempt
             if left < demand.tasks:
-                self._promised[job.id] = now + self._settings.worker_lease_s
+                self._pending_until[job.id] = now + self._settings.worker_lease_s
                 return
 
     def _idle(self, machine: Machine, stop: bool) -> bool:
--- a/crossmill/jobs/placement.py
+++ b/crossmill/jobs/placement.py
@@ -12,16 +12,16 @@
 from ..settings import Settings
 from ..wire.users import JobSpec
 from ..workers.heartbeat_handler import HeartbeatHandler
-from .durable import Edits, edit_of
 from .failures import TaskFailures
-from .guarantees import Guarantees, Use
+from .machine_transfer import MachineTransfer
+from .plan_writer import PlanEdits, edit_of
 from .preemption import Preemption
-from .reassignment import Reassignment
+from .team_quotas import ResourceUsage, TeamQuotas
 
 log = logging.getLogger(__name__)
 
 
-class Placement:
+class TaskPlacement:
     """One round's placing, within its time budget; the next goes on where it stopped."""
 
     def __init__(
@@ -31,9 +31,9 @@
         cluster: ClusterState,
         heartbeats: HeartbeatHandler,
         forecast: DemandForecast,
-        guarantees: Guarantees,
+        quotas: TeamQuotas,
         preemption: Preemption,
-        reassignment: Reassignment,
+        machine_transfer: MachineTransfer,
         failures: TaskFailures,
     ) -> None:
         self._settings = settings
@@ -41,9 +41,9 @@
         self._cluster = cluster
         self._heartbeats = heartbeats
         self._forecast = forecast
-        self._guarantees = guarantees
+        self._quotas = quotas
         self._preemption = preemption
-        self._reassignment = reassignment
+        self._machine_transfer = machine_transfer
         self._failures = failures
         self._capacity_cache = forecast.new_cache()
         self._resume: dict[int, str] = {}
@@ -62,7 +62,7 @@
             and view.notice_at is None
             and not self._failures.is_faulty(machine.id)
             and machine.id not in self._preemption.draining
-            and not self._reassignment.is_going(machine.id)
+            and not self._machine_transfer.is_leaving(machine.id)
             and not self._heartbeats.is_transferring(machine.id)
         )
 
@@ -77,13 +77,13 @@
         return self._forecast.cached_capacities(self._capacity_cache, usable)
 
     def place(
-        self, shard: int, ownership: ShardOwnership, machines: list[Machine], edits: Edits
+        self, shard: int, ownership: ShardOwnership, machines: list[Machine], edits: PlanEdits
     ) -> list[PlannedAttempt]:
         """Plans starts of the shard's waiting tasks into `edits`; returns the attempts to be
         stopped to make room, or to empty a machine."""
         self._stops = []
-        self._preemption.settle()
-        self._guarantees.begin(shard)
+        self._preemption.drop_expired_claims()
+        self._quotas.start_round(shard)
         self._full.clear()
         queue = self._forecast.waiting(shard)
         if not queue:
@@ -92,7 +92,7 @@
             )
         started = self._clock.now()
         capacities = self._capacities(machines)
-        used = self._guarantees.use(shard)
+        usage = self._quotas.usage(shard)
         # a round that ran out of time goes on where it stopped
         resume = self._resume.pop(shard, None)
         if resume is not None:
@@ -103,12 +103,12 @@
                 self._resume[shard] = job.id
                 self.is_unfinished = True
                 break
-            self._place_job(job, capacities, used, edits)
+            self._place_job(job, capacities, usage, edits)
         return self._stops
 
-    def _within_limit(self, spec: JobSpec, used: Use) -> int:
+    def _within_limit(self, spec: JobSpec, usage: ResourceUsage) -> int:
         team = self._settings.team(spec.team)
-        now = used.setdefault(spec.team, [0.0, 0.0])
+        now = usage.setdefault(spec.team, [0.0, 0.0])
         count = spec.tasks
         if team is None:
             return 0
@@ -124,13 +124,13 @@
         self,
         job: Job,
         capacities: list[FreeCapacity],
-        used: Use,
-        edits: Edits,
+        usage: ResourceUsage,
+        edits: PlanEdits,
     ) -> None:
         spec = job.spec
         assert spec is not None
         failures = self._failures.of(job.id)
-        wanted = min(job.waiting_count(), self._within_limit(spec, used))
+        wanted = min(job.waiting_count(), self._within_limit(spec, usage))
         if failures is not None and failures.not_before > self._clock.now():
             return
         if failures is not None and failures.is_suspect:
@@ -140,29 +140,33 @@
         zones = ZoneAllowance(spec, self._cluster.zones_of(job))
         bad = failures.machines if failures is not None else set()
         free = self._free(spec, capacities)
-        free = [r for r in free if r.machine not in bad and self._preemption.open_to(r, job)]
+        free = [
+            r for r in free if r.machine not in bad and self._preemption.is_available_to(r, job)
+        ]
         if spec.kind == "gang" and not self._whole(job, spec, wanted, free):
             return
         # a replica that ended with its machine says nothing against the job: only failures of
         # its own keep it from taking others' room. Arrays take it once, for their guarantee:
         # for each task anew they would stop one another's work over and over
         blameless = failures is None or (spec.kind == "service" and failures.failures == 0)
-        if blameless and self._preemption.could(job, used):
+        if blameless and self._preemption.can_preempt_for(job, usage):
             capacities = [
-                r for r in capacities if r.machine not in bad and self._preemption.open_to(r, job)
+                r
+                for r in capacities
+                if r.machine not in bad and self._preemption.is_available_to(r, job)
             ]
         else:
             blameless, capacities = False, free
             if not free:
                 return
-        taken = self._find_capacity(job, spec, wanted, free, capacities, zones, used, blameless)
+        taken = self._find_capacity(job, spec, wanted, free, capacities, zones, usage, blameless)
         if not taken:
             return
         slots = [capacity.machine for capacity, number in taken for _ in range(number)]
         for index, machine_id in zip(self._unclaimed(job), slots, strict=False):
             self._start(job, index, machine_id, edits)
-        used[spec.team][0] += len(slots) * spec.cpus
-        used[spec.team][1] += len(slots) * spec.gpus
+        usage[spec.team][0] += len(slots) * spec.cpus
+        usage[spec.team][1] += len(slots) * spec.gpus
 
     def _free(self, spec: JobSpec, capacities: list[FreeCapacity]) -> list[FreeCapacity]:
         """Rooms where at least one such task fits. Most jobs that wait are like others that
@@ -196,7 +200,7 @@
         free: list[FreeCapacity],
         capacities: list[FreeCapacity],
         zones: ZoneAllowance,
-        used: Use,
+        usage: ResourceUsage,
         may_preempt: bool,
     ) -> list[tuple[FreeCapacity, int]]:
         """FreeCapacity that is free; but a class that must start soon rather gets the place of
@@ -207,14 +211,14 @@
         )
         taken: list[tuple[FreeCapacity, int]] = []
         # a claim that came to nothing is not repeated: then any room will do
-        again = self._preemption.failed(job)
+        again = self._preemption.has_failed_claim(job)
         if start_objective_s is not None and not again:
             # room made for the job counts wherever it is, or it would stand empty until the
             # claim ends
             def near(capacity: FreeCapacity) -> bool:
                 return capacity.delay_s(
                     spec
-                ) < 0.75 * start_objective_s or self._preemption.made_for(capacity, job)
+                ) < 0.75 * start_objective_s or self._preemption.is_reserved_for(capacity, job)
 
             taken = assign_tasks(
                 spec,
@@ -225,10 +229,10 @@
             )
             wanted -= sum(number for _, number in taken)
             if wanted and may_preempt:
-                if self._preemption.claimed(job):
+                if self._preemption.has_claim(job):
                     return taken
                 stops, covered = self._preemption.preempt(
-                    job, wanted, list(filter(near, capacities)), zones, used
+                    job, wanted, list(filter(near, capacities)), zones, usage
                 )
                 self._stops.extend(stops)
                 wanted -= covered
@@ -239,7 +243,7 @@
         )
         wanted -= sum(number for _, number in more)
         if wanted and may_preempt and not again:
-            stops, _ = self._preemption.preempt(job, wanted, capacities, zones, used)
+            stops, _ = self._preemption.preempt(job, wanted, capacities, zones, usage)
             self._stops.extend(stops)
         return taken + more
 
@@ -265,7 +269,7 @@
         waiting = self._waiting(job)
         return waiting if gate is None else [i for i in waiting if not gate.is_claimed(job.id, i)]
 
-    def _start(self, job: Job, index: int, machine_id: str, edits: Edits) -> None:
+    def _start(self, job: Job, index: int, machine_id: str, edits: PlanEdits) -> None:
         view = self._heartbeats.find_view(machine_id)
         name = self._cluster.layout.chunk_of(index, job.chunks).name
         edit = edit_of(edits, job, name)
--- a/crossmill/jobs/durable.py
+++ b/crossmill/jobs/plan_writer.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Edit:
+class PlanEdit:
     """What a round changes in one chunk of a job's plan, with the versions of what it was decided
     on: the write fails if any of them has changed since."""
 
@@ -35,7 +35,7 @@
     machines: dict[str, int] = field(default_factory=dict)
 
     @classmethod
-    def begin(cls, job: Job, chunk: str) -> "Edit":
+    def begin(cls, job: Job, chunk: str) -> "PlanEdit":
         """An edit of the chunk as it is known now."""
         return cls(job, chunk, job.chunks.get(chunk), job.version)
 
@@ -45,18 +45,18 @@
         self.machines[machine.id] = machine.version
 
 
-Edits = dict[tuple[str, str], Edit]
+PlanEdits = dict[tuple[str, str], PlanEdit]
 
 
-def edit_of(edits: Edits, job: Job, chunk: str) -> Edit:
+def edit_of(edits: PlanEdits, job: Job, chunk: str) -> PlanEdit:
     """The round's edit of the chunk, begun if there is none."""
     edit = edits.get((job.id, chunk))
     if edit is None:
-        edit = edits[job.id, chunk] = Edit.begin(job, chunk)
+        edit = edits[job.id, chunk] = PlanEdit.begin(job, chunk)
     return edit
 
 
-class Durable:
+class PlanWriter:
     """Turns a round's edits into write intents."""
 
     def __init__(
@@ -67,7 +67,7 @@
         self._cluster = cluster
         self._membership = membership
 
-    def intent(self, edit: Edit, shard: int, ownership: ShardOwnership) -> WriteIntent | None:
+    def intent(self, edit: PlanEdit, shard: int, ownership: ShardOwnership) -> WriteIntent | None:
         """The write of an edited plan; None if nothing is to be written."""
         job, spec = edit.job, edit.job.spec
         if not (edit.over or edit.starts) or not (job.is_known or job.is_over):
@@ -102,7 +102,7 @@
         return shard_intent(self._membership, shard, ownership, rank, txn)
 
     def _apply_findings(
-        self, edit: Edit, where: ChunkRange, ownership: ShardOwnership, new: PlanChunk, txn: Txn
+        self, edit: PlanEdit, where: ChunkRange, ownership: ShardOwnership, new: PlanChunk, txn: Txn
     ) -> None:
         """Frees the attempts that are over. A finding of another term, of another attempt, or
         whose proof has no room among the conditions frees nothing; it is found again."""
@@ -144,7 +144,7 @@
             return {keys.plan(job.id, legacy.name): 0}
         return {keys.LEVEL: 0}
 
-    def _all_done(self, job: Job, edit: Edit, new: PlanChunk) -> bool:
+    def _all_done(self, job: Job, edit: PlanEdit, new: PlanChunk) -> bool:
         assert job.spec is not None
         done = new.done.bit_count()
         done += sum(c.done.bit_count() for n, c in job.chunks.items() if n != edit.chunk)
--- a/crossmill/jobs/preemption.py
+++ b/crossmill/jobs/preemption.py
@@ -15,7 +15,7 @@
 from ..wire.users import JobSpec
 from ..workers.attempt_outcomes import StopReason
 from ..workers.heartbeat_handler import HeartbeatHandler
-from .guarantees import Guarantees, Use
+from .team_quotas import ResourceUsage, TeamQuotas
 
 log = logging.getLogger(__name__)
 
@@ -30,14 +30,14 @@
         cluster: ClusterState,
         heartbeats: HeartbeatHandler,
         forecast: DemandForecast,
-        guarantees: Guarantees,
+        quotas: TeamQuotas,
     ) -> None:
         self._settings = settings
         self._clock = clock
         self._cluster = cluster
         self._heartbeats = heartbeats
         self._forecast = forecast
-        self._guarantees = guarantees
+        self._quotas = quotas
         # jobs for which room is being made, until when it is waited for
         self._claims: dict[str, float] = {}
         # what is freed piece by piece would go to small tasks before the large one fits
@@ -49,16 +49,16 @@
 
     # -- preemption ------------------------------------------------------------------
 
-    def claimed(self, job: Job) -> bool:
+    def has_claim(self, job: Job) -> bool:
         """Whether room is being made for the job."""
         return self._claims.get(job.id, 0.0) > self._clock.now()
 
-    def failed(self, job: Job) -> bool:
+    def has_failed_claim(self, job: Job) -> bool:
         """Whether room was made for the job of late and it still waits."""
         since = self._clock.now() - self._claims.get(job.id, -inf)
         return 0 <= since < self._settings.default_queue_wait_s
 
-    def settle(self) -> None:
+    def drop_expired_claims(self) -> None:
         """Claims end with their jobs' waiting, reservations also with their time."""
         now = self._clock.now()
         self._stoppable.clear()
@@ -70,38 +70,45 @@
             if job_id not in self._claims or now > until:
                 del self._reserved[machine]
 
-    def open_to(self, capacity: FreeCapacity, job: Job) -> bool:
+    def is_available_to(self, capacity: FreeCapacity, job: Job) -> bool:
         """Whether the room is not reserved for another job."""
         holder = self._reserved.get(capacity.machine)
         return holder is None or holder[0] == job.id
 
-    def made_for(self, capacity: FreeCapacity, job: Job) -> bool:
+    def is_reserved_for(self, capacity: FreeCapacity, job: Job) -> bool:
         """Whether the room was made for this job."""
         holder = self._reserved.get(capacity.machine)
         return holder is not None and holder[0] == job.id
 
-    def could(self, job: Job, used: Use) -> bool:
+    def can_preempt_for(self, job: Job, usage: ResourceUsage) -> bool:
         """Whether room is being made for the job, or there is work that may be stopped for it."""
-        return self.claimed(job) or bool(self._stoppable_jobs(job, used))
+        return self.has_claim(job) or bool(self._stoppable_jobs(job, usage))
 
     def preempt(
-        self, job: Job, tasks: int, capacities: list[FreeCapacity], zones: ZoneAllowance, used: Use
+        self,
+        job: Job,
+        tasks: int,
+        capacities: list[FreeCapacity],
+        zones: ZoneAllowance,
+        usage: ResourceUsage,
     ) -> tuple[list[PlannedAttempt], int]:
         """Rows to be stopped so that up to this many tasks of the job find room, and how many
         tasks they make room for. `zones` counts what this round has placed already, and takes
         what room is made for."""
         spec, now = job.spec, self._clock.now()
-        if spec is None or self.claimed(job):
+        if spec is None or self.has_claim(job):
             return [], 0
-        stoppable = self._stoppable_jobs(job, used)
+        stoppable = self._stoppable_jobs(job, usage)
         if not stoppable:
             return [], 0
-        beyond = {name: self._guarantees.beyond(name, used) for name in set(stoppable.values())}
+        beyond = {
+            name: self._quotas.gpus_over_quota(name, usage) for name in set(stoppable.values())
+        }
         best: list[tuple[int, bool, float, FreeCapacity, list[PlannedAttempt]]] = []
         for capacity in capacities:
             if not is_allowed(spec, capacity.type, capacity.zone, capacity.spot):
                 continue
-            if not self.open_to(capacity, job):
+            if not self.is_available_to(capacity, job):
                 continue
             victims = self._victims(spec, capacity, stoppable)
             if victims is not None:
@@ -166,7 +173,7 @@
             else 0.0
         )
 
-    def _stoppable_jobs(self, job: Job, used: Use) -> dict[str, str]:
+    def _stoppable_jobs(self, job: Job, usage: ResourceUsage) -> dict[str, str]:
         """The jobs whose tasks may be stopped for this one, each with the team from whose use
         beyond its guarantee that is drawn ("" for lesser work). Asked once for jobs that are
         alike, not for each task on each machine: that took two thirds of a controller's time on
@@ -175,7 +182,7 @@
         assert spec is not None
         # a replica stopped costs as much as one started late, while machines can be had
         replicas = spec.kind == "service" and self._forecast.is_out_of_capacity(spec)
-        within = self._guarantees.speaks_for(job)
+        within = self._quotas.is_within_quota(job)
         rank = self._forecast.priority(job)
         key = (job.shard, rank, spec.team if within else "", replicas)
         if key in self._stoppable:
@@ -190,7 +197,7 @@
             elif (
                 within
                 and victim.team != spec.team
-                and self._guarantees.beyond(victim.team, used) > 0
+                and self._quotas.gpus_over_quota(victim.team, usage) > 0
             ):
                 result[other.id] = victim.team
         return result
--- a/crossmill/jobs/rounds.py
+++ b/crossmill/jobs/scheduling_loop.py
@@ -1,4 +1,4 @@
-"""Rounds of decisions for the shards this controller acts for.
+"""SchedulingLoop of decisions for the shards this controller acts for.
 
 A round turns findings into plan changes, places waiting tasks, and makes both durable in
 transactions that carry the stamps of all they rest on. Starts are sent only from durable plans."""
@@ -18,23 +18,23 @@
 from ..settings import Settings
 from ..state.writer import WriteIntent, Writer, WriteResult
 from ..workers.attempt_outcomes import AttemptOutcome, EndReason
-from ..workers.direct import Direct
+from ..workers.command_sender import CommandSender
 from ..workers.heartbeat_handler import HeartbeatHandler
 from .cleanup import Cleanup
-from .durable import Durable, Edits, edit_of
 from .failures import TaskFailures
-from .guarantees import Guarantees
 from .machine_maintenance import MachineMaintenance
+from .machine_transfer import MachineTransfer
 from .outcome_batch import collect, select
-from .placement import Placement
+from .placement import TaskPlacement
 from .plan_migration import PlanMigration
+from .plan_writer import PlanEdits, PlanWriter, edit_of
 from .preemption import Preemption
-from .reassignment import Reassignment
+from .team_quotas import TeamQuotas
 
 log = logging.getLogger(__name__)
 
 
-class Rounds:
+class SchedulingLoop:
     """Runs rounds for each shard, and carries out what they decide."""
 
     def __init__(
@@ -46,7 +46,7 @@
         heartbeats: HeartbeatHandler,
         writer: Writer,
         forecast: DemandForecast,
-        direct: Direct,
+        command_sender: CommandSender,
         deputies: Deputies,
     ) -> None:
         self._settings = settings
@@ -56,16 +56,14 @@
         self._heartbeats = heartbeats
         self._writer = writer
         self._forecast = forecast
-        self._direct = direct
+        self._command_sender = command_sender
         self.estimates = forecast.estimates
         self._failures = TaskFailures(settings, clock, cluster)
-        self._guarantees = Guarantees(settings, cluster)
-        self._preemption = Preemption(
-            settings, clock, cluster, heartbeats, forecast, self._guarantees
-        )
-        self._reassignment = Reassignment(settings, clock, cluster, heartbeats, forecast)
+        self._quotas = TeamQuotas(settings, cluster)
+        self._preemption = Preemption(settings, clock, cluster, heartbeats, forecast, self._quotas)
+        self._machine_transfer = MachineTransfer(settings, clock, cluster, heartbeats, forecast)
         self._migration = PlanMigration(cluster, membership)
-        self._durable = Durable(clock, cluster, membership, self._migration)
+        self._plan_writer = PlanWriter(clock, cluster, membership, self._migration)
         self._cleanup = Cleanup(settings, clock, cluster, membership)
         # by shard: the writes for ended jobs that are under way
         self._cleaning: dict[int, list[WriteIntent]] = {}
@@ -78,24 +76,25 @@
             forecast,
             deputies,
             self._preemption,
-            self._reassignment,
+            self._machine_transfer,
             self._failures,
         )
-        self._placement = Placement(
+        self._placement = TaskPlacement(
             settings,
             clock,
             cluster,
             heartbeats,
             forecast,
-            self._guarantees,
+            self._quotas,
             self._preemption,
-            self._reassignment,
+            self._machine_transfer,
             self._failures,
         )
         self.wake = curio.Event()
 
     async def run(self) -> None:
-        """Rounds for all shards that this controller acts for, when something has changed."""
+        """SchedulingLoop for all shards that this controller acts for, when something has
+        changed."""
         while True:
             if not self._placement.is_unfinished:
                 await curio.ignore_after(self._settings.heartbeat_interval_s / 2, self.wake.wait)
@@ -104,14 +103,14 @@
             for shard in range(self._settings.shard_count):
                 ownership = self._membership.active_ownership(shard)
                 if ownership is not None:
-                    await self.round(shard, ownership)
+                    await self.run_round(shard, ownership)
             await curio.sleep(self._settings.scheduling_interval_s)
 
     # -- one round -------------------------------------------------------------------
 
-    async def round(self, shard: int, ownership: ShardOwnership) -> None:
+    async def run_round(self, shard: int, ownership: ShardOwnership) -> None:
         """One round for a shard: findings, placing, upkeep, and the writes that follow."""
-        edits: Edits = {}
+        edits: PlanEdits = {}
         machines = list(self._cluster.machines_of[shard].values())
         for machine in machines:
             self._heartbeats.expire_lease(machine, ownership)
@@ -119,18 +118,18 @@
         self._gather(shard, ownership, edits)
         stops = self._place(shard, ownership, machines, edits)
         if stops:
-            await self._direct.send([], stops)
+            await self._command_sender.send([], stops)
         intents, starts = self._plan_writes(shard, ownership, edits)
         if await self._clean_up(shard, ownership):
             self._failures.forget_ended(shard)
-        intents += self._maintenance.give_up(shard, ownership, machines)
-        moves = self._maintenance.moves(shard, ownership, machines)
+        intents += self._maintenance.maintenance_writes(shard, ownership, machines)
+        moves = self._maintenance.transfer_writes(shard, ownership, machines)
         intents += moves.values()
         await self._submit(intents, moves)
         await self._follow_up(intents, starts)
 
     def _place(
-        self, shard: int, ownership: ShardOwnership, machines: list[Machine], edits: Edits
+        self, shard: int, ownership: ShardOwnership, machines: list[Machine], edits: PlanEdits
     ) -> list[PlannedAttempt]:
         """Plans starts into `edits`; returns the attempts to be stopped. Machines to be given are
         chosen before tasks are placed: a start planned in the same round would follow its
@@ -138,21 +137,21 @@
         gate = self._heartbeats.gate
         if gate is not None and not gate.may_place(shard):
             return []
-        stops = list(self._reassignment.look(shard, machines))
+        stops = list(self._machine_transfer.choose_machines(shard, machines))
         return stops + self._placement.place(shard, ownership, machines, edits)
 
     def _plan_writes(
-        self, shard: int, ownership: ShardOwnership, edits: Edits
+        self, shard: int, ownership: ShardOwnership, edits: PlanEdits
     ) -> tuple[list[WriteIntent], dict[int, list[PlannedAttempt]]]:
         """The writes of edited plans and finished jobs, and by write the starts that follow it."""
         starts: dict[int, list[PlannedAttempt]] = {}
         intents: list[WriteIntent] = []
         for edit in edits.values():
-            intent = self._durable.intent(edit, shard, ownership)
+            intent = self._plan_writer.intent(edit, shard, ownership)
             if intent is not None:
                 intents.append(intent)
                 starts[id(intent)] = edit.starts
-        intents += self._durable.finish(shard, ownership)
+        intents += self._plan_writer.finish(shard, ownership)
         intents += self._migration.steps(shard, ownership)
         return intents, starts
 
@@ -166,7 +165,7 @@
             for machine_id, intent in moves.items():
                 if await intent.future.wait() == WriteResult.OK:
                     self._heartbeats.forget_machine(machine_id)
-                    self._reassignment.note_given(machine_id)
+                    self._machine_transfer.forget_transferred(machine_id)
                     log.info("machine given machine=%s", machine_id)
         finally:
             self._heartbeats.end_transfers(moves)
@@ -178,7 +177,7 @@
         for intent in intents:
             if await intent.future.wait() != WriteResult.OK:
                 continue
-            await self._direct.send(starts.get(id(intent), []), [])
+            await self._command_sender.send(starts.get(id(intent), []), [])
             for put in intent.txn.puts:
                 if put.key.startswith(keys.JOB):
                     log.info("job done job=%s", put.key[len(keys.JOB) :])
@@ -205,7 +204,7 @@
                 )
                 self._heartbeats.outcomes.record(outcome)
 
-    def _gather(self, shard: int, ownership: ShardOwnership, edits: Edits) -> None:
+    def _gather(self, shard: int, ownership: ShardOwnership, edits: PlanEdits) -> None:
         outcomes = self._heartbeats.outcomes
         news = collect(self._cluster, outcomes, shard, ownership.term)
         wanted = {(f.attempt.job, f.attempt.index) for entry in news for f in entry.outcomes}
--- a/crossmill/jobs/guarantees.py
+++ b/crossmill/jobs/team_quotas.py
@@ -8,10 +8,10 @@
 from ..settings import Settings
 
 # CPUs and GPUs by team
-Use = dict[str, list[float]]
+ResourceUsage = dict[str, list[float]]
 
 
-class Guarantees:
+class TeamQuotas:
     """Which jobs are within their team's guarantee, and what others use beyond theirs."""
 
     def __init__(self, settings: Settings, cluster: ClusterState) -> None:
@@ -19,27 +19,27 @@
         self._cluster = cluster
         self._within: dict[int, set[str]] = {}
 
-    def use(self, shard: int) -> Use:
+    def usage(self, shard: int) -> ResourceUsage:
         """What each team's tasks hold, those in doubt included."""
-        used: Use = {}
+        usage: ResourceUsage = {}
         for job in (*self._cluster.active[shard].values(), *self._cluster.ended[shard].values()):
             if job.spec is not None and (count := job.planned_count()):
-                entry = used.setdefault(job.spec.team, [0.0, 0.0])
+                entry = usage.setdefault(job.spec.team, [0.0, 0.0])
                 entry[0] += count * job.spec.cpus
                 entry[1] += count * job.spec.gpus
-        return used
+        return usage
 
-    def beyond(self, team_name: str, used: Use) -> float:
+    def gpus_over_quota(self, team_name: str, usage: ResourceUsage) -> float:
         """GPUs that the team uses beyond its guarantee."""
         team = self._settings.team(team_name)
-        _, gpus = used.get(team_name, [0.0, 0.0])
+        _, gpus = usage.get(team_name, [0.0, 0.0])
         return gpus - team.gpus if team is not None and team.gpus > 0 else 0.0
 
-    def begin(self, shard: int) -> None:
+    def start_round(self, shard: int) -> None:
         """A new round: which jobs a guarantee speaks for is worked out anew, once for all."""
         self._within.pop(shard, None)
 
-    def speaks_for(self, job: Job) -> bool:
+    def is_within_quota(self, job: Job) -> bool:
         """Whether the job fits into its team's guarantee together with the team's earlier ones:
         only then does the guarantee speak for it."""
         if job.shard not in self._within:
--- a/crossmill/multihost/placement.py
+++ b/crossmill/multihost/placement.py
@@ -36,7 +36,7 @@
     session: int
 
 
-class Placement(NamedTuple):
+class ReplicaPlacement(NamedTuple):
     """Machines for all members of a replica."""
 
     places: tuple[Place, ...]
@@ -61,7 +61,7 @@
     candidates: Iterable[Candidate],
     in_zone: Mapping[str, int],
     excluded: Collection[str] = (),
-) -> Placement | None:
+) -> ReplicaPlacement | None:
     """Machines for every rank, or None. `kept` names the machines of ranks that may stay; their
     room is counted as free for them in `candidates`. `in_zone` counts the set's other replicas by
     zone; a machine that is excluded takes no new member."""
@@ -72,7 +72,7 @@
     if not spec.one_zone:
         everywhere = [c for group in by_zone.values() for c in group]
         return _fill(spec, kept, everywhere, excluded)
-    best: tuple[tuple[float, float, int, str], Placement] | None = None
+    best: tuple[tuple[float, float, int, str], ReplicaPlacement] | None = None
     for zone, group in by_zone.items():
         if spec.spread and in_zone.get(zone, 0) >= zone_limit(spec):
             continue
@@ -92,7 +92,7 @@
     kept: Mapping[int, str],
     candidates: list[Candidate],
     excluded: Collection[str],
-) -> Placement | None:
+) -> ReplicaPlacement | None:
     here = {c.machine: c for c in candidates}
     staying = {rank: here[m] for rank, m in kept.items() if m in here}
     taken = {c.machine for c in staying.values()}
@@ -109,7 +109,7 @@
     chosen = {**staying, **dict(zip(missing, free, strict=False))}
     places = tuple(Place(rank, c.machine, c.session) for rank, c in sorted(chosen.items()))
     ready_s = max((c.load_s(spec) for c in chosen.values()), default=0.0)
-    return Placement(places, ready_s, len(staying))
+    return ReplicaPlacement(places, ready_s, len(staying))
 
 
 class Waiting(NamedTuple):
--- a/crossmill/multihost/scheduling.py
+++ b/crossmill/multihost/scheduling.py
@@ -12,7 +12,7 @@
 from .lifecycle import Moment, is_silent
 from .model import Member, PoolMachine, Replica, ReplicaId, ReplicaSetSpec
 from .phases import PLACING_PHASES, Phase
-from .placement import Candidate, Placement, Victim, Waiting, choose, choose_victims, earmark
+from .placement import Candidate, ReplicaPlacement, Victim, Waiting, choose, choose_victims, earmark
 from .pool import PoolState
 from .settings import MultihostSettings
 
@@ -23,7 +23,7 @@
 
     replica_id: ReplicaId
     reason: str
-    placement: Placement | None = None
+    placement: ReplicaPlacement | None = None
     victims: tuple[ReplicaId, ...] = ()
 
 
@@ -230,7 +230,7 @@
 
     @staticmethod
     def _take(
-        spec: ReplicaSetSpec, placement: Placement, ownership: set[str], state: _Pass
+        spec: ReplicaSetSpec, placement: ReplicaPlacement, ownership: set[str], state: _Pass
     ) -> None:
         """What the placement takes is no longer free in this pass. Where the replica stood before,
         its room is counted as its own already."""
--- a/crossmill/multihost/writes.py
+++ b/crossmill/multihost/writes.py
@@ -16,7 +16,7 @@
 from . import keys
 from .model import Member, PhaseChange, PoolMachine, Replica, ReplicaId, ReplicaSet
 from .phases import Phase, next_generation
-from .placement import Placement
+from .placement import ReplicaPlacement
 from .pool import PoolState
 from .records import (
     HISTORY_LENGTH,
@@ -180,7 +180,7 @@
         self,
         ownership: ShardOwnership,
         replica: Replica,
-        placement: Placement,
+        placement: ReplicaPlacement,
         wall: float,
         reason: str,
     ) -> bool:
@@ -194,7 +194,7 @@
         return await self._reserve_in_steps(ownership, replica, chunks, wall, reason)
 
     @staticmethod
-    def _members(replica: Replica, placement: Placement) -> list[Member]:
+    def _members(replica: Replica, placement: ReplicaPlacement) -> list[Member]:
         before = {m.rank: m for m in replica.all_members()}
         members = []
         for rank, machine, session in placement.places:
--- a/crossmill/settings/model.py
+++ b/crossmill/settings/model.py
@@ -266,7 +266,7 @@
 
     @property
     def scheduling_interval_s(self) -> float:
-        """Rounds of decisions start at least this far apart."""
+        """SchedulingLoop of decisions start at least this far apart."""
         return self.heartbeat_interval_s / 12
 
     @property
@@ -380,7 +380,7 @@
         return 4 * self.worker_lease_s
 
     @property
-    def direct_sockets(self) -> int:
+    def command_sockets(self) -> int:
         """Connections kept to workers for starts."""
         return int(self.fd_limit * 0.12)
 
--- a/crossmill/wire/workers.py
+++ b/crossmill/wire/workers.py
@@ -142,7 +142,7 @@
     return orjson.dumps({"warrant": token, "orders": [_order(c) for c in commands]})
 
 
-def direct_body(token: int, session: int, commands: list[Command]) -> bytes:
+def commands_body(token: int, session: int, commands: list[Command]) -> bytes:
     """Commands sent straight to a worker."""
     return orjson.dumps(
         {"warrant": token, "shift": session, "orders": [_order(c) for c in commands]}
--- a/crossmill/workers/attempt_outcomes.py
+++ b/crossmill/workers/attempt_outcomes.py
@@ -44,7 +44,7 @@
     PREEMPTED = "preempted"
     DRAINED = "drained"
     # its machine goes to another shard
-    GIVEN = "given"
+    TRANSFERRED = "given"
 
 
 @dataclass(frozen=True, slots=True)
--- a/crossmill/workers/direct.py
+++ b/crossmill/workers/command_sender.py
@@ -14,13 +14,13 @@
 from ..net.client import Client, ConnectionFailedError, Http, NoResponseError
 from ..settings import Endpoint, Settings
 from ..wire.checks import MalformedMessageError, load_object
-from ..wire.workers import COMMANDS_PATH, MAX_ORDERS, Command, direct_body, parse_heartbeat
+from ..wire.workers import COMMANDS_PATH, MAX_ORDERS, Command, commands_body, parse_heartbeat
 from .heartbeat_handler import HeartbeatHandler
 
 log = logging.getLogger(__name__)
 
 
-class Direct:
+class CommandSender:
     """Sends commands to workers' own addresses."""
 
     def __init__(
@@ -37,7 +37,7 @@
         self._clients: dict[str, Http] = {}
         self._sending = 0
         self.connect: Callable[[Endpoint], Http] = lambda endpoint: Client(endpoint, max_sockets=1)
-        self.on_news: Callable[[], Awaitable[None]] | None = None
+        self.on_response: Callable[[], Awaitable[None]] | None = None
 
     def _client(self, address: str) -> Http | None:
         client = self._clients.get(address)
@@ -45,7 +45,7 @@
             host, _, port = address.rpartition(":")
             if not host or not port.isdigit():
                 return None
-            if len(self._clients) >= self._settings.direct_sockets:
+            if len(self._clients) >= self._settings.command_sockets:
                 # the oldest goes; its worker is heard through its reports all the same
                 self._clients.pop(next(iter(self._clients)))
             client = self._clients[address] = self.connect(Endpoint(host, int(port)))
@@ -60,7 +60,7 @@
         for attempt in stops:
             by_machine.setdefault(attempt.machine, ([], []))[1].append(attempt)
         for machine_id, (some, others) in by_machine.items():
-            if self._sending < self._settings.direct_sockets:
+            if self._sending < self._settings.command_sockets:
                 await curio.spawn(self._send, machine_id, some, others, daemon=True)
 
     async def _send(
@@ -90,7 +90,7 @@
         if self._heartbeats.is_transferring(machine_id):
             return
         token = self._heartbeats.token(machine, ownership)
-        body = direct_body(token, view.session, commands)
+        body = commands_body(token, view.session, commands)
         unacknowledged = self._heartbeats.unacknowledged.setdefault(machine_id, {})
         for attempt in attempts:
             unacknowledged[attempt.id] = token
@@ -106,8 +106,8 @@
             return
         else:
             self._answered(machine_id, status, data)
-            if self.on_news is not None:
-                await self.on_news()
+            if self.on_response is not None:
+                await self.on_response()
         finally:
             self._sending -= 1
         for attempt in attempts:
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -17,10 +17,10 @@
 from crossmill.cluster.records import encode_job
 from crossmill.fleet.cloud import Cloud, stored_catalog
 from crossmill.fleet.forecast import DemandForecast
-from crossmill.fleet.leader import Leader
+from crossmill.fleet.provisioner import FleetProvisioner
 from crossmill.jobs.api import JobApi
 from crossmill.jobs.record_repair import RecordRepair
-from crossmill.jobs.rounds import Rounds
+from crossmill.jobs.scheduling_loop import SchedulingLoop
 from crossmill.net.client import ConnectionFailedError, Http
 from crossmill.net.server import Request, Response
 from crossmill.settings import Peer
@@ -32,7 +32,7 @@
 from crossmill.wire.checks import load_object
 from crossmill.wire.cloud import parse_catalog
 from crossmill.wire.workers import parse_heartbeat
-from crossmill.workers.direct import Direct
+from crossmill.workers.command_sender import CommandSender
 from crossmill.workers.heartbeat_handler import HeartbeatHandler, HeartbeatResponse
 
 from .standins import (
@@ -135,9 +135,9 @@
         self.heartbeats = HeartbeatHandler(s, clock, self.cluster, self.membership, self.deputies)
         self.forecast = DemandForecast(s, clock, self.cluster)
         self.worker = WorkerLine()
-        self.direct = Direct(s, self.cluster, self.membership, self.heartbeats)
-        self.direct.connect = lambda endpoint: self.worker
-        self.rounds = Rounds(
+        self.command_sender = CommandSender(s, self.cluster, self.membership, self.heartbeats)
+        self.command_sender.connect = lambda endpoint: self.worker
+        self.scheduling_loop = SchedulingLoop(
             s,
             clock,
             self.cluster,
@@ -145,11 +145,11 @@
             self.heartbeats,
             self.writer,
             self.forecast,
-            self.direct,
+            self.command_sender,
             self.deputies,
         )
         self.cloud = cloud or CloudService()
-        self.leader = Leader(
+        self.provisioner = FleetProvisioner(
             s,
             clock,
             self.cluster,
@@ -189,9 +189,9 @@
     async def round(self, shard: int = 0) -> None:
         ownership = self.membership.active_ownership(shard)
         assert ownership is not None
-        await self.rounds.round(shard, ownership)
+        await self.scheduling_loop.run_round(shard, ownership)
         # rounds do not wait for these
-        for intent in self.rounds._cleaning.get(shard, ()):
+        for intent in self.scheduling_loop._cleaning.get(shard, ()):
             await intent.future.wait()
 
     def token(self, shard: int = 0) -> int:
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -124,7 +124,7 @@
         unique = f"process-{self._begun}"
         node = Node(self.lines[label], self.clock, self.nodes, label, self.cloud, connect, unique)
         node.watcher._pause_s = 4 / node.settings.state_request_rate
-        node.direct.connect = lambda endpoint: WorkerLink(
+        node.command_sender.connect = lambda endpoint: WorkerLink(
             next(w for w in self.workers.values() if 20000 + w.number == endpoint.port)
         )
         parts: list[Callable[[], Awaitable[None]]] = [
@@ -135,12 +135,12 @@
             node.membership.run,
             node.feature_level.run,
             node.deputies.run,
-            node.rounds.run,
+            node.scheduling_loop.run,
             node.record_repair.run,
             *self.more_parts(node),
         ]
         if self._leads:
-            parts.append(node.leader.run)
+            parts.append(node.provisioner.run)
         self._tasks[label] = [
             await curio.spawn(self._run_part, label, p, daemon=True) for p in parts
         ]
@@ -164,7 +164,7 @@
         """The leaders' loops run too, and the cloud's machines are up a second after renting."""
         self._leads = True
         for label, node in self.nodes.items():
-            self._tasks[label].append(await curio.spawn(node.leader.run, daemon=True))
+            self._tasks[label].append(await curio.spawn(node.provisioner.run, daemon=True))
         await curio.spawn(self._cloud_runs, daemon=True)
 
     async def _cloud_runs(self) -> None:
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -99,9 +99,9 @@
         await _submit(node, B, A, sacks=4, cards=1.0)
         await _submit(node, C, sacks=3, cards=1.0)
         job = node.cluster.jobs[C]
-        node.rounds._guarantees.begin(0)
+        node.scheduling_loop._quotas.start_round(0)
         # red is guaranteed four GPUs: one and three fit, the four that wait do not count
-        assert node.rounds._guarantees.speaks_for(job)
+        assert node.scheduling_loop._quotas.is_within_quota(job)
         assert [j.id for j in node.forecast.waiting(0)] == [A, C]
 
     play(story)
--- a/tests/test_on_call_troubles.py
+++ b/tests/test_on_call_troubles.py
@@ -227,7 +227,7 @@
         add_machine(state, clock, "n-9", retiring="idle")
         node = Node(state, clock, nodes)
         await node.boot()
-        leader = node.leader
+        leader = node.provisioner
         need = MachineRequest(node.forecast.sources()[0], 2)
         leader._cloud._pacer.drain()
         begun = leader._rent_one(0, need) if step == "rent" else leader._release()
--- a/tests/test_recovery_service.py
+++ b/tests/test_recovery_service.py
@@ -56,7 +56,7 @@
 import crossmill.cli, crossmill.app
 from tests.standins import FakeClock, make_settings
 app = crossmill.app.App(make_settings(), FakeClock())
-assert app.reports.gate is None
+assert app.heartbeats.gate is None
 print(*(name for name in sys.modules if "recovery" in name))
 """
     command = [sys.executable, "-c", script]
--- a/tests/test_safety.py
+++ b/tests/test_safety.py
@@ -132,11 +132,11 @@
         await node.controller_lease.step()
         await node.membership.step()
         assert node.membership.leadership_version() is not None
-        await node.leader._look_at_list(await node.leader._cloud.machines())
+        await node.provisioner._look_at_list(await node.provisioner._cloud.machines())
         await node.round()
         assert node.cluster.machines["n-0"].retiring == "failed"
         assert node.cluster.jobs["wk-000001"].planned_count() == 1
-        await node.leader._release()
+        await node.provisioner._release()
         assert node.cloud.released == ["n-0"]
         await node.round()
         assert node.cluster.jobs["wk-000001"].planned_count() == 0
@@ -359,7 +359,7 @@
         await node.round()
         assert node.report("n-0", 1, 3, token).commands[0].op == "start"
         node.heartbeats.stop_requests[AttemptId("wk-000001", 0, 1)] = StopReason.PREEMPTED
-        node.direct._answered("n-0", 200, beat("n-0", 1, 4, token))
+        node.command_sender._answered("n-0", 200, beat("n-0", 1, 4, token))
         assert not node.heartbeats.outcomes
         # a report is sent only when the answer to the one before has come or is given up
         node.report("n-0", 1, 5, token)
@@ -529,10 +529,10 @@
             await node.membership.step()
         assert node.membership.leadership_version() is not None
         node.cloud.script = ["lose"]
-        await node.leader._rent()
+        await node.provisioner._rent()
         assert len(node.cloud.requests) == 1
         assert len(node.cluster.machines) == 1
-        await node.leader._rent()
+        await node.provisioner._rent()
         assert len(node.cloud.requests) == 1
 
     play(story)
@@ -546,7 +546,7 @@
         before = view.answered_at
         clock.time += 3
         data = orjson.loads(beat("n-0", 1, 9, node.token(), on("wk-000001", 0, 1, "running")))
-        node.direct._answered("n-0", 200, orjson.dumps(data))
+        node.command_sender._answered("n-0", 200, orjson.dumps(data))
         assert view.seq == 9 and view.answered_at == before
         # the report that was under way meanwhile is older, but its answer does renew
         node.report("n-0", 1, 8, node.token(), on("wk-000001", 0, 1, "running"))
@@ -564,7 +564,7 @@
         for _ in range(20):
             clock.time += node.settings.worker_lease_s / 20
             await node.live()
-        node.direct._answered("n-0", 200, beat("n-0", 2, 1, node.token()))
+        node.command_sender._answered("n-0", 200, beat("n-0", 2, 1, node.token()))
         machine = node.cluster.machines["n-0"]
         view = node.heartbeats.find_view("n-0")
         assert view is not None and view.session == 2
@@ -610,7 +610,7 @@
         # its end is being written, and the reason for it has gone
         node.heartbeats.outcomes.clear()
         node.heartbeats.stop_requests.clear()
-        await node.direct.send([row], [])
+        await node.command_sender.send([row], [])
         await curio.sleep(0.01)
         assert not node.worker.sent
         assert not node.report("n-0", 1, 4, token).commands
@@ -667,7 +667,7 @@
         await node.boot()
         node.report("n-0", 1, 1, node.token())
         await node.round()
-        node.rounds._reassignment._going["n-0"] = (1, clock.now() + 9)
+        node.scheduling_loop._machine_transfer._leaving["n-0"] = (1, clock.now() + 9)
         state.script["/txn"] = ["refuse"] * 2
         task = await curio.spawn(node.round)
         await curio.sleep(0)
@@ -683,9 +683,9 @@
 def test_a_machine_with_anything_on_it_or_on_its_way_is_not_given() -> None:
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _placed(state, clock, nodes)
-        giving = node.rounds._reassignment
+        giving = node.scheduling_loop._machine_transfer
         machine = node.cluster.machines["n-0"]
-        giving._going["n-0"] = (1, clock.now() + 9)
+        giving._leaving["n-0"] = (1, clock.now() + 9)
         assert giving.target(machine) is None
         machine.attempts.clear()
         assert giving.target(machine) is None, "the worker still reports a task"
@@ -716,12 +716,12 @@
             await node.controller_lease.step()
             if seq == 8:
                 # all is ready for the machine to be given; now its own shard gets a task too
-                node.rounds._reassignment._looked_at[0] = 0.0
+                node.scheduling_loop._machine_transfer._looked_at[0] = 0.0
                 add_job(state, clock, nameId="wk-000002", sacks=1)
                 await node.sync()
             node.report("n-0", 1, seq, node.token())
             if 1 < seq < 8:
-                node.rounds._reassignment._looked_at[0] = clock.now()
+                node.scheduling_loop._machine_transfer._looked_at[0] = clock.now()
             await node.round()
             machine = node.cluster.machines["n-0"]
             if machine.shard == other:
--- a/tests/test_unseen_changes.py
+++ b/tests/test_unseen_changes.py
@@ -234,7 +234,7 @@
             clock.time += node.settings.lease_renewal_interval_s
             await node.controller_lease.step()
         assert node.membership.active_ownership(0) is not None
-        await node.direct.send([row], [])
+        await node.command_sender.send([row], [])
         await _let_others_run()
         assert not node.worker.sent
 
@@ -252,7 +252,7 @@
         node.report("n-0", 1, 2, node.token())
         add_job(state, clock, nameId=JOB, sacks=1)
         await node.sync()
-        place, send = node.rounds._placement.place, node.direct.send
+        place, send = node.scheduling_loop._placement.place, node.command_sender.send
 
         def place_and_stop(*args: object) -> list[object]:
             place(*args)  # type: ignore[arg-type]
@@ -267,8 +267,8 @@
                 return
             await send(starts, stops)  # type: ignore[arg-type]
 
-        node.rounds._placement.place = place_and_stop  # type: ignore
-        node.direct.send = send_slowly  # type: ignore
+        node.scheduling_loop._placement.place = place_and_stop  # type: ignore
+        node.command_sender.send = send_slowly  # type: ignore
         await node.round()
         assert keys.plan(JOB, "0") not in state.keys
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -205,7 +205,7 @@
         job = node.cluster.jobs[JOB]
         assert job.chunks["1"].first == 1024
         assert node.cluster.layout.chunk_of(1030, job.chunks).name == "1"
-        waiting = node.rounds._placement._waiting(job)
+        waiting = node.scheduling_loop._placement._waiting(job)
         assert 1024 not in waiting and 1025 not in waiting
 
     play(story)
@@ -307,7 +307,9 @@
         state.put(keys.plan(JOB, "0"), {"next": 401, "done": "5", "rows": []})
         await node.sync()
         # the chunk that they were copied from goes last, or its deletion would wake them
-        clearable = [name for name, _ in node.rounds._cleanup._clearable(node.cluster.jobs[JOB])]
+        clearable = [
+            name for name, _ in node.scheduling_loop._cleanup._clearable(node.cluster.jobs[JOB])
+        ]
         assert clearable and "0" not in clearable
         for _ in range(20):
             clock.time += 0.5
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,7 +9,7 @@
     Command,
     answer_body,
     cached_task_status_reader,
-    direct_body,
+    commands_body,
     parse_heartbeat,
 )
 
@@ -81,7 +81,7 @@
     """Answers to a worker may have no line over 64 KiB."""
     longest = Command("stop", "wk-" + "9" * 18 + "/99999", 2**64 - 1, 123456.789)
     assert len(answer_body(2**64 - 1, [longest] * MAX_ORDERS)) < 64 * 1024
-    assert len(direct_body(2**64 - 1, 2**64 - 1, [longest] * MAX_ORDERS)) < 64 * 1024
+    assert len(commands_body(2**64 - 1, 2**64 - 1, [longest] * MAX_ORDERS)) < 64 * 1024
 
 
 @pytest.mark.parametrize(
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -282,7 +282,7 @@
 
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready(state, clock, nodes, 1, sacks=3)
-        making = node.rounds._preemption
+        making = node.scheduling_loop._preemption
         rows = list(node.cluster.jobs["wk-000001"].attempts())
         beyond = {"red": 2.0}
         assert not making._draw(rows, {"wk-000001": "red"}, beyond)
@@ -292,8 +292,8 @@
         # red is guaranteed 4 GPUs: a job of 3 fits, one of 2 behind it does not
         job = add_job(state, clock, nameId="wk-000002", sacks=2)
         await node.sync()
-        assert node.rounds._guarantees.speaks_for(node.cluster.jobs["wk-000001"])
-        assert not node.rounds._guarantees.speaks_for(node.cluster.jobs[job])
+        assert node.scheduling_loop._quotas.is_within_quota(node.cluster.jobs["wk-000001"])
+        assert not node.scheduling_loop._quotas.is_within_quota(node.cluster.jobs[job])
 
     play(story)
 
--- a/tests/trace_adapter.py
+++ b/tests/trace_adapter.py
@@ -187,12 +187,12 @@
         return parts
 
     def _record_direct_commands(self, node: Node, label: str) -> None:
-        connect = node.direct.connect
+        connect = node.command_sender.connect
 
         def recorded(endpoint: Any) -> Http:
             return _RecordedLink(connect(endpoint), self.log, label, f"worker:{endpoint.port}")
 
-        node.direct.connect = recorded
+        node.command_sender.connect = recorded
 
     def _count_preemptions(self, node: Node) -> None:
         request_stop = node.heartbeats.request_stop
