--- a/crossmill/cluster/deputies.py
+++ b/crossmill/cluster/deputies.py
@@ -22,7 +22,7 @@
 from . import keys
 from .cluster_state import ClusterState
 from .controller_lease import ControllerLease
-from .model import ACTIVE, Machine
+from .model import ACTIVE, CancellationNote, Machine
 
 log = logging.getLogger(__name__)
 
@@ -79,8 +79,8 @@
 
     def _announced_lease(self) -> int | None:
         """The lease under which our key stands in the state service, if we have authority."""
-        mine = self._cluster.nodes.get(self._settings.label)
-        announced = mine is not None and mine["lease"] == self._controller_lease.lease_id
+        mine = self._cluster.controllers.get(self._settings.label)
+        announced = mine is not None and mine.lease_id == self._controller_lease.lease_id
         return (
             self._controller_lease.lease_id
             if announced and self._controller_lease.is_held()
@@ -117,7 +117,7 @@
             return None
         if now < self._barred.get(machine_id, 0.0):
             return None
-        shard = self._cluster.shards.get(machine.shard)
+        shard = self._cluster.shard_owners.get(machine.shard)
         # a token we don't know: somebody else acts for the machine, and it can be reached
         if heartbeat.token > max(machine.token, shard.token if shard is not None else 0):
             return None
@@ -135,7 +135,7 @@
 
     def _ended(self, job_id: str) -> bool:
         job = self._cluster.jobs.get(job_id)
-        if job_id in self._ending or job_id in self._cluster.ending:
+        if job_id in self._ending or job_id in self._cluster.cancellation_notes:
             return True
         return job is not None and job.end != ACTIVE
 
@@ -178,7 +178,7 @@
         now = self._clock.now()
         preconditions: dict[str, int] = {}
         for label in self._of_zone.get(machine.zone, ()):
-            key = keys.node(label)
+            key = keys.controller(label)
             version = self._cluster.mirror.version(key)
             word = self._quiet.get((label, machine.id))
             gone = self._gone_since(label)
@@ -196,13 +196,13 @@
         return preconditions if now - answered_at > self._settings.worker_lease_expiry_s else None
 
     def _comings(self, label: str) -> tuple[int, int]:
-        return self._cluster.node_changes.get(label, 0), self._cluster.mirror.readings
+        return self._cluster.controllers.key_changes.get(label, 0), self._cluster.mirror.readings
 
     def _gone_since(self, label: str) -> float | None:
         """Since when for certain a controller has had no key: a stall of ours may have hidden
         that it came back, learnt of what was durable then, and went again."""
         since, comings = self._absent.get(label, (0.0, (-1, -1)))
-        known = label not in self._cluster.nodes and comings == self._comings(label)
+        known = label not in self._cluster.controllers and comings == self._comings(label)
         return since if known else None
 
     def zone_lost(self, zone: str) -> bool:
@@ -216,7 +216,7 @@
         now = self._clock.now()
         for label in self._of_zone.get(machine.zone, ()):
             word = self._quiet.get((label, machine.id))
-            version = self._cluster.mirror.version(keys.node(label))
+            version = self._cluster.mirror.version(keys.controller(label))
             if word is None or now >= word.until or word.version != version:
                 self._asked[machine.id] = machine.zone
 
@@ -252,19 +252,19 @@
         labels = [label for zone in zones for label in self._of_zone.get(zone, ())]
         preconditions: dict[str, int] = {}
         known: set[str] = set()
-        noted, _ = self._cluster.ending.get(job_id, (0, 0.0))
+        note = self._cluster.cancellation_notes.get(job_id)
 
         async def tell(label: str) -> None:
-            key = keys.node(label)
+            key = keys.controller(label)
             version = self._cluster.mirror.version(key)
             body = wire.ending_body(job_id)
             answer = await self._call(label, "POST", wire.ENDING_PATH, body)
             if answer is not None or self.known_ending(label):
                 preconditions[key] = version
                 known.add(label)
-            elif noted and self._cluster.nodes.get(label, {}).get("seen", 0) >= noted:
+            elif note is not None and self._has_read(label, note):
                 # it has read the note, as any process that follows it will
-                preconditions[keys.ending(job_id)] = noted
+                preconditions[keys.cancellation_note(job_id)] = note.version
                 known.add(label)
 
         async with curio.TaskGroup() as group:
@@ -272,6 +272,10 @@
                 await group.spawn(tell, label)
         return preconditions if len(known) == len(labels) else None
 
+    def _has_read(self, label: str, note: CancellationNote) -> bool:
+        record = self._cluster.controllers.get(label)
+        return record is not None and record.seen_note >= note.version
+
     # -- the loop --------------------------------------------------------------------
 
     async def _call(self, label: str, method: str, path: str, body: bytes = b"") -> bytes | None:
@@ -287,7 +291,7 @@
 
     async def _ask(self, label: str, machines: list[str]) -> None:
         sent = self._clock.now()
-        version = self._cluster.mirror.version(keys.node(label))
+        version = self._cluster.mirror.version(keys.controller(label))
         data = await self._call(label, "POST", wire.QUIET_PATH, wire.machines_body(machines))
         if data is None:
             return
--- a/crossmill/cluster/feature_level.py
+++ b/crossmill/cluster/feature_level.py
@@ -57,9 +57,13 @@
         """One look; whatever fails is tried again at the next."""
         if self._cluster.level is not None:
             return
-        if self._settings.label not in self._cluster.upgraded:
+        if self._settings.label not in self._cluster.controllers.at_next_level:
             await self._note()
-        missing = [label for label in self._settings.labels if label not in self._cluster.upgraded]
+        missing = [
+            label
+            for label in self._settings.labels
+            if label not in self._cluster.controllers.at_next_level
+        ]
         if not missing and self._membership.leadership_version() is not None:
             await self._raise()
 
@@ -73,7 +77,10 @@
             self._settings.state_limits.chunk_tasks,
             self._settings.lowest_state_limits.segment_tasks,
         )
-        conditions = {keys.feature(x): self._cluster.upgraded[x] for x in self._settings.labels}
+        conditions = {
+            keys.feature(x): self._cluster.controllers.at_next_level[x]
+            for x in self._settings.labels
+        }
         conditions[keys.LEVEL] = 0
         await self._commit(Txn(conditions, [Put(keys.LEVEL, encode_level(level))]))
 
--- /dev/null
+++ b/crossmill/cluster/job_index.py
@@ -0,0 +1,126 @@
+"""The jobs that the stored records and plans speak of, and the sets that others look through."""
+
+from collections.abc import Iterable
+
+from ..settings import Settings
+from .dependencies import DependencyGraph
+from .model import ACTIVE, Job
+from .records import JobRecord
+
+# jobs by id, in the order in which they came
+Jobs = dict[str, Job]
+
+
+class JobIndex(dict[str, Job]):
+    """Every job that a record or a plan is known of, by id; sets of them by shard.
+
+    Only `ClusterState` changes it, as keys of the state service change."""
+
+    def __init__(self, settings: Settings) -> None:
+        super().__init__()
+        self._settings = settings
+        self.graph = DependencyGraph(self)
+        # neither done nor cancelled
+        self.active = self._by_shard()
+        # unfinished jobs all of whose tasks are durably done
+        self.all_tasks_done = self._by_shard()
+        # jobs cancelled with one that they depend on, whose records do not say so yet
+        self.unrecorded_cancellations = self._by_shard()
+        # ended jobs whose plans are not yet deleted
+        self.ended = self._by_shard()
+        # ended jobs with no plan left, oldest first
+        self.archivable = self._by_shard()
+        # jobs of which only a plan is known
+        self.without_record: Jobs = {}
+
+    def _by_shard(self) -> dict[int, Jobs]:
+        return {shard: {} for shard in range(self._settings.shard_count)}
+
+    def get_or_add(self, job_id: str) -> Job:
+        """The job; added without a record if nothing is known of it."""
+        return self.setdefault(job_id, Job(job_id))
+
+    def apply_record(self, job: Job, record: JobRecord, version: int) -> bool:
+        """Takes the job's record in. Returns whether it is the first."""
+        job.version, job.recorded, job.ended_at = version, record.end, record.ended_at
+        is_new = job.spec is None
+        if is_new:
+            self.without_record.pop(job.id, None)
+            job.spec = record.spec
+            job.submitted = record.submitted
+            job.needs = record.needs
+            job.order = version
+            job.shard = self._settings.shard_of_team(job.spec.team)
+        return is_new
+
+    def apply_end(self, job: Job, record: JobRecord, is_new: bool) -> None:
+        """Derives what the record means for the job and for those that depend on it."""
+        if record.end != ACTIVE:
+            job.end = record.end
+            self.unrecorded_cancellations[job.shard].pop(job.id, None)
+        cancelled = self.graph.add(job) if is_new else []
+        if not is_new and record.end == ACTIVE and record.needs != job.needs:
+            self.graph.reduce(job, record.needs)
+        if record.end != ACTIVE:
+            cancelled += self.graph.ended(job)
+        self.update_sets(job)
+        self._add_cancelled(cancelled)
+
+    def _add_cancelled(self, cancelled: Iterable[Job]) -> None:
+        for job in cancelled:
+            self.unrecorded_cancellations[job.shard][job.id] = job
+            self.update_sets(job)
+
+    def remove_record(self, job: Job) -> None:
+        """The job's record was deleted. What is left of a plan stays under its id."""
+        self.graph.remove(job)
+        for jobs in (
+            self.active,
+            self.ended,
+            self.archivable,
+            self.unrecorded_cancellations,
+            self.all_tasks_done,
+        ):
+            jobs[job.shard].pop(job.id, None)
+
+    def keep_plan_only(self, job: Job) -> Job:
+        """A job without a record that has the plan of one whose record was deleted."""
+        plan_only = Job(
+            job.id,
+            chunks=job.chunks,
+            staged=job.staged,
+            finished=job.finished,
+            planned=job.planned,
+        )
+        self[job.id] = plan_only
+        self.without_record[job.id] = plan_only
+        return plan_only
+
+    def drop_if_empty(self, job: Job) -> None:
+        """Forgets a job without a record once no plan of it is known."""
+        if job.is_known or job.chunks or job.staged:
+            return
+        self.pop(job.id, None)
+        self.without_record.pop(job.id, None)
+        if job.is_over:
+            self.ended[job.shard].pop(job.id, None)
+            self.archivable[job.shard].pop(job.id, None)
+
+    def update_sets(self, job: Job) -> None:
+        """Puts the job into the sets that its state belongs to."""
+        if not job.is_known and not job.is_over:
+            return
+        self.all_tasks_done[job.shard].pop(job.id, None)
+        if job.end == ACTIVE:
+            self.active[job.shard][job.id] = job
+            if job.spec and job.spec.kind != "service" and job.finished == job.spec.tasks:
+                self.all_tasks_done[job.shard][job.id] = job
+            return
+        self.active[job.shard].pop(job.id, None)
+        if job.chunks or job.staged:
+            self.ended[job.shard][job.id] = job
+            # when all keys are read again, a record comes before its plan
+            self.archivable[job.shard].pop(job.id, None)
+        else:
+            self.ended[job.shard].pop(job.id, None)
+            self.archivable[job.shard].setdefault(job.id, job)
--- a/crossmill/cluster/keys.py
+++ b/crossmill/cluster/keys.py
@@ -5,9 +5,11 @@
 PLAN = ROOT + "p/"
 MACHINE = ROOT + "m/"
 SHARD = ROOT + "s/"
-NODE = ROOT + "n/"
+CONTROLLER = ROOT + "n/"
 # jobs that are to be withdrawn as soon as all who must know do
-ENDING = ROOT + "w/"
+CANCELLATION_NOTE = ROOT + "w/"
+# the prefixes above and FEATURE: ROOT, a letter and a slash
+PREFIX_LENGTH = len(JOB)
 LEADER = ROOT + "leader"
 TOKEN = ROOT + "token"
 CATALOG = ROOT + "catalog"
@@ -25,9 +27,9 @@
     return JOB + job_id
 
 
-def ending(job_id: str) -> str:
+def cancellation_note(job_id: str) -> str:
     """The note that a job is to be cancelled."""
-    return ENDING + job_id
+    return CANCELLATION_NOTE + job_id
 
 
 def archived(job_id: str) -> str:
@@ -50,9 +52,9 @@
     return f"{SHARD}{index}"
 
 
-def node(label: str) -> str:
+def controller(label: str) -> str:
     """A controller that lives."""
-    return NODE + label
+    return CONTROLLER + label
 
 
 def feature(label: str) -> str:
--- /dev/null
+++ b/crossmill/cluster/machine_index.py
@@ -0,0 +1,127 @@
+"""The machines that records speak of, with the attempts planned onto them and what these use."""
+
+from collections.abc import Callable, Iterator
+from typing import Any
+
+from ..settings import Settings
+from ..wire.cloud import MachineType
+from .job_index import JobIndex
+from .model import Job, Machine, PlannedAttempt
+from .records import decode_machine
+
+# attempts of a machine, by job and task
+Attempts = dict[tuple[str, int], PlannedAttempt]
+
+
+class MachineIndex(dict[str, Machine]):
+    """Every machine with a record, by id and by shard.
+
+    Only `ClusterState` changes it, as keys of the state service change. A machine's usage always
+    equals the sum of the attempts planned onto it."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        jobs: JobIndex,
+        machine_type: Callable[[str], MachineType | None],
+    ) -> None:
+        super().__init__()
+        self._jobs = jobs
+        self._machine_type = machine_type
+        self.by_shard: dict[int, dict[str, Machine]] = {
+            shard: {} for shard in range(settings.shard_count)
+        }
+        # attempts on machines that have no record, by machine
+        self._orphaned: dict[str, Attempts] = {}
+
+    def apply(self, machine_id: str, value: Any, version: int) -> None:
+        """Takes a machine's record in; None: it was deleted."""
+        old = self.pop(machine_id, None)
+        if old is not None:
+            self.by_shard[old.shard].pop(machine_id, None)
+        if value is None:
+            if old is not None and old.attempts:
+                self._orphaned[machine_id] = old.attempts
+            return
+        machine = decode_machine(machine_id, value, version)
+        if old is not None:
+            machine.images = old.images
+        self[machine_id] = machine
+        self.by_shard[machine.shard][machine_id] = machine
+        machine.attempts = old.attempts if old else self._orphaned.pop(machine_id, {})
+        for attempt in machine.attempts.values():
+            self.add_usage(self._jobs.get_or_add(attempt.job), attempt, 1)
+
+    def add_attempt(self, attempt: PlannedAttempt) -> None:
+        """The attempt is planned onto its machine, which may have no record."""
+        self._attempts_on(attempt.machine)[attempt.job, attempt.index] = attempt
+
+    def remove_attempt(self, attempt: PlannedAttempt) -> None:
+        """No plan holds the attempt any more."""
+        attempts = self._attempts_on(attempt.machine)
+        attempts.pop((attempt.job, attempt.index), None)
+        if attempt.machine not in self and not attempts:
+            del self._orphaned[attempt.machine]
+
+    def _attempts_on(self, machine_id: str) -> Attempts:
+        machine = self.get(machine_id)
+        return machine.attempts if machine else self._orphaned.setdefault(machine_id, {})
+
+    def orphaned_attempts(self) -> Iterator[PlannedAttempt]:
+        """Attempts whose machine's record was deleted: it was released, with all that ran on it."""
+        for attempts in self._orphaned.values():
+            yield from attempts.values()
+
+    def add_job_usage(self, job: Job, sign: int) -> None:
+        """Adds (1) or takes away (-1) what all of the job's attempts use."""
+        for attempt in job.attempts():
+            self.add_usage(job, attempt, sign)
+
+    def add_usage(self, job: Job, attempt: PlannedAttempt, sign: int) -> None:
+        """Adds (1) or takes away (-1) what the attempt uses of its machine, if both are known."""
+        machine = self.get(attempt.machine)
+        if machine is None or job.spec is None:
+            return
+        machine.changes += 1
+        machine.cpus += sign * job.spec.cpus
+        machine.gpus += sign * job.spec.gpus
+        machine.memory_gb += sign * job.spec.memory_gb
+        machine.images.pop(job.spec.image, None)
+        machine.images[job.spec.image] = job.spec.image_gb
+        self._evict_images(machine)
+
+    def _evict_images(self, machine: Machine) -> None:
+        """Forgets the least recently used images beyond the size of the machine's cache.
+
+        To count on an image that has been evicted would cost its fetch when a replica is moved
+        to the machine."""
+        machine_type = self._machine_type(machine.type)
+        if machine_type is None:
+            return
+        size = sum(machine.images.values())
+        if size <= machine_type.cache_gb:
+            return
+        used = self._images_in_use(machine)
+        newest = next(reversed(machine.images))
+        for image in list(machine.images):
+            if size <= machine_type.cache_gb:
+                break
+            if image not in used and image != newest:
+                size -= machine.images.pop(image)
+
+    def _images_in_use(self, machine: Machine) -> set[str]:
+        return {
+            job.spec.image
+            for attempt in machine.attempts.values()
+            if (job := self._jobs.get(attempt.job)) is not None and job.spec is not None
+        }
+
+    def task_counts_by_zone(self, job: Job) -> dict[str, int]:
+        """How many attempts of the job are planned in each zone, those that may have ended
+        included."""
+        counts: dict[str, int] = {}
+        for attempt in job.attempts():
+            machine = self.get(attempt.machine)
+            if machine is not None:
+                counts[machine.zone] = counts.get(machine.zone, 0) + 1
+        return counts
--- a/crossmill/cluster/membership.py
+++ b/crossmill/cluster/membership.py
@@ -14,9 +14,11 @@
 from .cluster_state import ClusterState
 from .controller_lease import ControllerLease
 from .lease_extensions import LeaseExtensions
+from .model import ControllerRecord
 from .owner_selection import OwnerSelection
 from .ownership import OwnedShards, ShardOwnership
 from .reachability import WorkerReachability
+from .records import encode_controller
 from .write_shares import write_share
 
 log = logging.getLogger(__name__)
@@ -138,7 +140,7 @@
 
     def _drop_if_lost(self, shard: int, ownership: ShardOwnership) -> bool:
         """Whether the shard is no longer ours by what is known."""
-        known = self._cluster.shards.get(shard)
+        known = self._cluster.shard_owners.get(shard)
         if ownership.epoch != self._controller_lease.epoch:
             self._drop(shard, "lease ended")
         elif known is None:
@@ -160,7 +162,9 @@
         await self._announce()
         self.owner_selection.observe()
         self._writer.allot(write_share(self._settings, self._cluster))
-        missing = [k for k in range(self._settings.shard_count) if k not in self._cluster.shards]
+        missing = [
+            k for k in range(self._settings.shard_count) if k not in self._cluster.shard_owners
+        ]
         if any(not self._lease_extensions.may_acquire_unowned(k) for k in missing):
             await self._lease_extensions.query_peers()
         for shard in range(self._settings.shard_count):
@@ -182,19 +186,19 @@
         await self._hand_over()
 
     async def _announce(self) -> None:
-        key = keys.node(self._settings.label)
-        mine = self._cluster.nodes.get(self._settings.label)
+        key = keys.controller(self._settings.label)
+        mine = self._cluster.controllers.get(self._settings.label)
         lease, deaf = self._controller_lease.lease_id, self.reachability.is_unreachable
         # whoever asks that a job be withdrawn may not reach us: this shows that we know of it
         # (an own note may be newer than what has been read)
         read = self._cluster.mirror.revision
-        notes = (version for version, _ in self._cluster.ending.values())
+        notes = (note.version for note in self._cluster.cancellation_notes.values())
         self._seen = max((self._seen, *(version for version in notes if version <= read)))
-        value = {"lease": lease, "deaf": deaf, "seen": self._seen}
-        if lease is None or mine == value:
+        record = ControllerRecord(lease, deaf, self._seen)
+        if lease is None or mine == record:
             return
         # an older incarnation's key is replaced, whatever its lease
-        txn = Txn({}, [Put(key, value, lease)])
+        txn = Txn({}, [Put(key, encode_controller(record), lease)])
         await self._commit(txn)
 
     async def _give_away(self) -> None:
@@ -202,8 +206,8 @@
         for them; once nobody answers them their leases end."""
         shards = dict(self.ownerships)
         if all(
-            label == self._settings.label or n.get("deaf")
-            for label, n in self._cluster.nodes.items()
+            label == self._settings.label or record.is_unreachable_by_workers
+            for label, record in self._cluster.controllers.items()
         ):
             return
         log.info("no worker heard, shards given away number=%d", len(shards))
@@ -224,13 +228,13 @@
         now = self._clock.now()
         since = self._missing.setdefault(key, now)
         wait = self.owner_selection.rank() * self._settings.controller_lease_ttl_s / 4
-        if not self._cluster.shards:
+        if not self._cluster.shard_owners:
             # nobody has started yet: leave each its own
             wait += self._settings.controller_lease_ttl_s
         return now - since >= wait
 
     def _may_take(self, shard: int) -> bool:
-        known = self._cluster.shards.get(shard)
+        known = self._cluster.shard_owners.get(shard)
         key = keys.shard(shard)
         if known is not None:
             self._missing.pop(key, None)
@@ -249,7 +253,7 @@
         gives_way = self.owner_selection.should_yield(home)
         if home == self._settings.label and not gives_way:
             return True
-        if self.owner_selection.is_reachable(home) and self._cluster.shards and not gives_way:
+        if self.owner_selection.is_reachable(home) and self._cluster.shard_owners and not gives_way:
             self._missing.setdefault(key, self._clock.now())
             return self._clock.now() - self._missing[key] > self._settings.controller_lease_ttl_s
         return self._patient(key)
@@ -267,7 +271,7 @@
         return max(int(counter["n"]), above) + 1, self._cluster.mirror.version(keys.TOKEN)
 
     async def _take_one(self, shard: int, above: int) -> None:
-        known = self._cluster.shards.get(shard)
+        known = self._cluster.shard_owners.get(shard)
         token, counted = self.next_token(above)
         lease, epoch = self._controller_lease.lease_id, self._controller_lease.epoch
         key = keys.shard(shard)
@@ -296,7 +300,7 @@
         log.info("shard taken shard=%d epoch=%d", shard, token)
 
     async def _lead(self) -> None:
-        known = self._cluster.leader
+        known = self._cluster.controllers.leader
         version = self._cluster.mirror.version(keys.LEADER)
         if self._leads is not None and self._leads == (self._controller_lease.epoch, version):
             return
--- a/crossmill/cluster/model.py
+++ b/crossmill/cluster/model.py
@@ -166,9 +166,27 @@
         return record
 
 
-class Shard(NamedTuple):
-    """Who acts for a shard, and under which token."""
+class OwnershipRecord(NamedTuple):
+    """Which controller owns a shard, and under which fencing token."""
 
     owner: str
     token: int
     version: int
+
+
+class ControllerRecord(NamedTuple):
+    """What a controller says of itself under its lease.
+
+    `seen_note` is the version of the newest cancellation note that it has read."""
+
+    lease_id: int | None
+    is_unreachable_by_workers: bool = False
+    seen_note: int = 0
+
+
+class CancellationNote(NamedTuple):
+    """The note that a job is to be cancelled: its key's version, and when it was written (wall
+    clock)."""
+
+    version: int
+    written_at: float
--- a/crossmill/cluster/owner_selection.py
+++ b/crossmill/cluster/owner_selection.py
@@ -39,16 +39,15 @@
 
     def is_unreachable_by_workers(self, label: str) -> bool:
         """Whether the controller says that no worker reaches it; said by all, it says nothing."""
-        nodes = self._cluster.nodes
-        return bool(
-            label in nodes
-            and nodes[label].get("deaf")
-            and not all(node.get("deaf") for node in nodes.values())
-        )
+        controllers = self._cluster.controllers
+        record = controllers.get(label)
+        if record is None or not record.is_unreachable_by_workers:
+            return False
+        return not all(other.is_unreachable_by_workers for other in controllers.values())
 
     def is_reachable(self, label: str) -> bool:
         """Whether the controller's lease stands, and workers reach it."""
-        return label in self._cluster.nodes and not self.is_unreachable_by_workers(label)
+        return label in self._cluster.controllers and not self.is_unreachable_by_workers(label)
 
     def is_steady(self, label: str) -> bool:
         """Whether the controller has been there for a worker's lease."""
@@ -81,10 +80,12 @@
         """How many controllers come before this one in taking what has no owner: those that are
         not exposed first, then those with fewer shards."""
         load = {
-            label: 0 for label in self._cluster.nodes if not self.is_unreachable_by_workers(label)
+            label: 0
+            for label in self._cluster.controllers
+            if not self.is_unreachable_by_workers(label)
         }
         load.setdefault(self._settings.label, 0)
-        for shard in self._cluster.shards.values():
+        for shard in self._cluster.shard_owners.values():
             if shard.owner in load:
                 load[shard.owner] += 1
         order = sorted(load, key=lambda label: (self.is_exposed(label), load[label], label))
--- /dev/null
+++ b/crossmill/cluster/plan_index.py
@@ -0,0 +1,98 @@
+"""The stored plans: chunks in force, copies that are staged, and the layout of chunks."""
+
+from typing import Any
+
+from .job_index import JobIndex
+from .layout import ChunkRange, PlanLayout
+from .machine_index import MachineIndex
+from .model import Job, PlanChunk
+from .records import decode_chunk
+
+
+class PlanIndex:
+    """Which chunks of each job's plan are in force.
+
+    A stretch of tasks is held by a legacy chunk or by segments, never by both: while the legacy
+    chunk exists, segments are staged copies of it (cluster/layout.py). The chunks are kept in
+    their jobs; `MachineIndex` has the attempts of those in force."""
+
+    def __init__(self, layout: PlanLayout, jobs: JobIndex, machines: MachineIndex) -> None:
+        self.layout = layout
+        self._jobs = jobs
+        self._machines = machines
+        # the legacy chunks that exist, by job and name
+        self.legacy_chunks: dict[tuple[str, str], Job] = {}
+
+    def apply(self, job_id: str, name: str, value: Any, version: int) -> None:
+        """Takes a chunk in; None: it was deleted."""
+        if value is None and job_id not in self._jobs:
+            return
+        job = self._jobs.get_or_add(job_id)
+        where = self.layout.parse(name)
+        chunk = None if value is None else decode_chunk(job_id, value, version, where.first)
+        if where.is_segment and self.layout.legacy_of(where.first).name in job.chunks:
+            self._stage(job, name, chunk)
+        else:
+            self._replace_chunk(job, name, chunk)
+            if not where.is_segment:
+                self._switch_layout(job, where, chunk is not None)
+        if not job.is_known:
+            self._jobs.without_record[job_id] = job
+        self._jobs.update_sets(job)
+        self._jobs.drop_if_empty(job)
+
+    def move_plan(self, old: Job, new: Job) -> None:
+        """The plan of one job object belongs to another from now on."""
+        for name in old.chunks:
+            if (old.id, name) in self.legacy_chunks:
+                self.legacy_chunks[old.id, name] = new
+
+    def _stage(self, job: Job, name: str, chunk: PlanChunk | None) -> None:
+        """A copy is in force only once the legacy chunk that it was made from is deleted."""
+        job.staged.pop(name, None)
+        if chunk is not None:
+            job.staged[name] = chunk
+
+    def _switch_layout(self, job: Job, legacy: ChunkRange, is_present: bool) -> None:
+        """Puts segments in force exactly where no legacy chunk is."""
+        if is_present:
+            self.legacy_chunks[job.id, legacy.name] = job
+            for name, chunk in _segments_of(job.chunks, legacy):
+                self._replace_chunk(job, name, None)
+                job.staged[name] = chunk
+            return
+        self.legacy_chunks.pop((job.id, legacy.name), None)
+        for name, chunk in _segments_of(job.staged, legacy):
+            del job.staged[name]
+            self._replace_chunk(job, name, chunk)
+
+    def _replace_chunk(self, job: Job, name: str, new: PlanChunk | None) -> None:
+        old = job.chunks.get(name)
+        old_attempts = old.attempts if old else {}
+        new_attempts = new.attempts if new else {}
+        job.planned += len(new_attempts) - len(old_attempts)
+        job.finished += _done_count(new) - _done_count(old)
+        for task, attempt in old_attempts.items():
+            if new_attempts.get(task) != attempt:
+                self._machines.add_usage(job, attempt, -1)
+                self._machines.remove_attempt(attempt)
+        for task, attempt in new_attempts.items():
+            if old_attempts.get(task) != attempt:
+                self._machines.add_attempt(attempt)
+                self._machines.add_usage(job, attempt, 1)
+        if new is None:
+            job.chunks.pop(name, None)
+        else:
+            job.chunks[name] = new
+
+
+def _done_count(chunk: PlanChunk | None) -> int:
+    return chunk.done.bit_count() if chunk else 0
+
+
+def _segments_of(chunks: dict[str, PlanChunk], legacy: ChunkRange) -> list[tuple[str, PlanChunk]]:
+    return [
+        (name, chunk)
+        for name, chunk in chunks.items()
+        if name != legacy.name and legacy.first <= chunk.first < legacy.end
+    ]
--- a/crossmill/cluster/reachability.py
+++ b/crossmill/cluster/reachability.py
@@ -63,5 +63,5 @@
             machine.up and not machine.retiring
             for shard, since in shards.items()
             if now - since > self._settings.next_heartbeat_within_s
-            for machine in self._cluster.machines_of[shard].values()
+            for machine in self._cluster.machines.by_shard[shard].values()
         )
--- a/crossmill/cluster/records.py
+++ b/crossmill/cluster/records.py
@@ -9,8 +9,9 @@
 
 import orjson
 
+from ..wire.cloud import MachineType
 from ..wire.users import JobSpec
-from .model import ACTIVE, Job, PlanChunk, PlannedAttempt
+from .model import ACTIVE, ControllerRecord, Job, Machine, PlanChunk, PlannedAttempt
 
 
 class JobRecord(NamedTuple):
@@ -117,3 +118,40 @@
     """A chunk whose lowest task is `first`."""
     rows = {r[0]: PlannedAttempt(job_id, *r) for r in value["rows"]}
     return PlanChunk(value["next"], int(value["done"], 16), rows, version, first)
+
+
+def decode_machine(machine_id: str, value: dict[str, Any], version: int) -> Machine:
+    """A machine's record in any version's format."""
+    return Machine(
+        machine_id,
+        value["type"],
+        value["zone"],
+        value["spot"],
+        value["shard"],
+        value["at"],
+        value["retiring"],
+        value["up"],
+        value.get("token", 0),
+        version,
+        value.get("boot_s"),
+    )
+
+
+def encode_controller(record: ControllerRecord) -> dict[str, Any]:
+    """What a controller says of itself."""
+    return {
+        "lease": record.lease_id,
+        "deaf": record.is_unreachable_by_workers,
+        "seen": record.seen_note,
+    }
+
+
+def decode_controller(value: dict[str, Any]) -> ControllerRecord:
+    """A controller's record in any version's format."""
+    return ControllerRecord(value["lease"], bool(value.get("deaf")), value.get("seen", 0))
+
+
+def decode_catalog(value: list[dict[str, Any]]) -> dict[str, MachineType]:
+    """The stored catalog of machine types, by name."""
+    types = (MachineType(**{**entry, "zones": tuple(entry["zones"])}) for entry in value)
+    return {machine_type.name: machine_type for machine_type in types}
--- a/crossmill/cluster/write_shares.py
+++ b/crossmill/cluster/write_shares.py
@@ -15,16 +15,16 @@
 
 
 def _weights(settings: Settings, cluster: ClusterState) -> dict[str, float]:
-    weights = dict.fromkeys(cluster.nodes, 1.0)
+    weights = dict.fromkeys(cluster.controllers, 1.0)
     if settings.label not in weights:
         weights = dict.fromkeys(settings.labels, 1.0)
     busy = settings.shards_with_teams
     loads = {shard: cluster.write_load(shard) for shard in busy}
     total_load = sum(loads.values())
-    for index, shard in cluster.shards.items():
+    for index, shard in cluster.shard_owners.items():
         if shard.owner in weights and index in busy:
             part = loads[index] / total_load if total_load else 1 / len(busy)
             weights[shard.owner] += settings.shard_weight(part)
-    if cluster.leader in weights:
-        weights[cluster.leader] += settings.leader_weight
+    if cluster.controllers.leader in weights:
+        weights[cluster.controllers.leader] += settings.leader_weight
     return weights
--- a/crossmill/fleet/forecast.py
+++ b/crossmill/fleet/forecast.py
@@ -127,7 +127,7 @@
         now = self._clock.now()
         if now - self._shares_at > self._settings.worker_lease_s:
             self._shares_at = now
-            active = (job for jobs in self._cluster.active.values() for job in jobs.values())
+            active = (job for jobs in self._cluster.jobs.active.values() for job in jobs.values())
             specs = [job.spec for job in active if job.spec is not None and job.spec.gpus > 0]
             if specs:
                 self._shares = gpu_footprints(specs, self._cluster.catalog.values())
@@ -135,7 +135,7 @@
 
     def _note_arrivals(self, wall: float) -> None:
         newest = self._seen_order
-        for shard, jobs in self._cluster.active.items():
+        for shard, jobs in self._cluster.jobs.active.items():
             for job in jobs.values():
                 if job.order <= self._seen_order or job.spec is None:
                     continue
@@ -197,11 +197,11 @@
             return
         capacities = [
             empty_capacity(m.id, kind, m.zone, True)
-            for m in self._cluster.machines_of[shard].values()
+            for m in self._cluster.machines.by_shard[shard].values()
             if m.spot and (kind := self._counted_on(m, wall)) is not None
         ]
         base = plan_capacity(demands, capacities, self.sources(), self._limit)
-        kept = {m.id for m in self._cluster.machines_of[shard].values() if m.spot}
+        kept = {m.id for m in self._cluster.machines.by_shard[shard].values() if m.spot}
         capacity_plan.spare_machines -= kept - base.spare_machines
         for key, need in base.machine_requests.items():
             known = capacity_plan.machine_requests.setdefault(key, need)
@@ -225,7 +225,7 @@
         """Jobs with tasks to be placed, in the queue's order."""
         jobs = [
             job
-            for job in self._cluster.active[shard].values()
+            for job in self._cluster.jobs.active[shard].values()
             if job.spec is not None and job.waiting_count() > 0
         ]
         jobs.sort(key=self.queue_place)
@@ -246,7 +246,7 @@
         for job in self.waiting(shard):
             spec, place = job.spec, self._pipelines.place(job)
             assert spec is not None
-            zones = self._cluster.zones_of(job)
+            zones = self._cluster.machines.task_counts_by_zone(job)
             task_s = self.estimates.task_s(spec.job_class, spec.estimate_s)
             # the fixed wait is a place in the queue; without a deadline no option is too slow
             budget_s = place.budget_end - wall if place.has_deadline else inf
@@ -277,7 +277,7 @@
     def _coming_free(self, shard: int) -> int:
         return sum(
             job.planned_count()
-            for job in self._cluster.active[shard].values()
+            for job in self._cluster.jobs.active[shard].values()
             if job.spec is not None and job.spec.kind == "array"
         )
 
@@ -293,7 +293,7 @@
     def _capacities(self, shard: int, wall: float) -> list[FreeCapacity]:
         machines = [
             (machine, kind)
-            for machine in self._cluster.machines_of[shard].values()
+            for machine in self._cluster.machines.by_shard[shard].values()
             if (kind := self._counted_on(machine, wall)) is not None
         ]
         return self.cached_capacities(self._capacity_cache, machines)
@@ -313,7 +313,7 @@
         """What has waited a while and finds no room in the shard, machines that still boot and
         slots that come free counted in."""
         old = wall - self._settings.machine_transfer_interval_s
-        waiting = self._cluster.active[shard].values()
+        waiting = self._cluster.jobs.active[shard].values()
         if not any(j.ready_at < old and j.waiting_count() > 0 for j in waiting):
             return []
         capacities = self._capacities(shard, wall)
@@ -351,7 +351,7 @@
             spec = job.spec
             if spec is None or spec.kind != "service":
                 return False
-            zones = self._cluster.zones_of(job)
+            zones = self._cluster.machines.task_counts_by_zone(job)
             zones[machine.zone] -= moving[job.id]
             near = [r for r in capacities if spec.image in r.images or self._quick(spec, r)]
             taken = assign_tasks(
--- a/crossmill/fleet/pipelines.py
+++ b/crossmill/fleet/pipelines.py
@@ -52,7 +52,7 @@
 
     def place(self, job: Job) -> QueuePlace:
         """Where the job stands now."""
-        if self._cluster.graph.is_single(job):
+        if self._cluster.jobs.graph.is_single(job):
             return self._single(job)
         self._drop_changed()
         plan = self._plans.get(job.id)
@@ -70,12 +70,12 @@
 
     def priority(self, job: Job) -> int:
         """The job's own priority, or a higher one of an unfinished job that needs it."""
-        if job.spec is not None and self._cluster.graph.is_single(job):
+        if job.spec is not None and self._cluster.jobs.graph.is_single(job):
             return PRIORITY[job.spec.priority]
         return self.place(job).priority
 
     def _drop_changed(self) -> None:
-        changed = self._cluster.graph.changed
+        changed = self._cluster.jobs.graph.changed
         while changed:
             plan = self._plans.pop(changed.pop(), None)
             if plan is not None:
@@ -103,7 +103,7 @@
 
     def _members(self, job: Job) -> dict[str, Job]:
         """The unfinished jobs that are joined to this one."""
-        graph = self._cluster.graph
+        graph = self._cluster.jobs.graph
         members = {job.id: job}
         pending = [job]
         while pending:
@@ -141,7 +141,7 @@
             spec.tasks,
             self._options(spec),
             self._estimates.margin_s(spec.job_class, spec.estimate_s),
-            tuple(before.id for before in self._cluster.graph.unfinished_needs(job)),
+            tuple(before.id for before in self._cluster.jobs.graph.unfinished_needs(job)),
             deadline,
         )
 
--- a/crossmill/jobs/cancellation.py
+++ b/crossmill/jobs/cancellation.py
@@ -69,7 +69,7 @@
 
     async def _preconditions(self, job: Job) -> dict[str, int] | None:
         """What the cancellation is to rest on; None if it can't be confirmed yet."""
-        waits_for = next(self._cluster.graph.unfinished_needs(job), None)
+        waits_for = next(self._cluster.jobs.graph.unfinished_needs(job), None)
         if waits_for is not None:
             # it has no task anywhere, and gets none before this record changes
             return {keys.job(waits_for.id): waits_for.version}
@@ -97,9 +97,9 @@
 
     async def _note(self, job_id: str, version: int) -> None:
         """Controllers that can't be reached read the note, and say so in their keys."""
-        if job_id in self._cluster.ending:
+        if job_id in self._cluster.cancellation_notes:
             return
-        note = keys.ending(job_id)
+        note = keys.cancellation_note(job_id)
         put = Put(note, {"at": self._clock.wall()})
         txn = Txn({keys.job(job_id): version, note: 0}, [put])
         await self._writer.submit(WriteIntent(txn, WriteRank.URGENT, until=self._until()))
@@ -118,7 +118,11 @@
 
     def _zones(self, job: Job) -> set[str]:
         """Where tasks of the job are, or may be before its end is durable."""
-        zones = {zone for zone, number in self._cluster.zones_of(job).items() if number}
+        zones = {
+            zone
+            for zone, number in self._cluster.machines.task_counts_by_zone(job).items()
+            if number
+        }
         if any(attempt.machine not in self._cluster.machines for attempt in job.attempts()):
             zones.update(self._settings.zones)
         if job.waiting_count() and job.spec is not None:
--- a/crossmill/jobs/cleanup.py
+++ b/crossmill/jobs/cleanup.py
@@ -44,7 +44,7 @@
     def _record_cancelled(self, shard: int) -> list[Txn]:
         """Jobs cancelled with one that they need: their records follow within the write rate."""
         txns: list[Txn] = []
-        for job in list(self._cluster.unrecorded[shard].values()):
+        for job in list(self._cluster.jobs.unrecorded_cancellations[shard].values()):
             if job.spec is not None:
                 key = keys.job(job.id)
                 most_bytes = self._cluster.limits.record_bytes
@@ -55,7 +55,7 @@
     def _clear_plans(self, shard: int, most: int) -> list[Txn]:
         """An ended job's plan goes once nothing of it can be on a machine."""
         txns: list[Txn] = []
-        for job in list(self._cluster.ended[shard].values()):
+        for job in list(self._cluster.jobs.ended[shard].values()):
             for name, version in self._clearable(job):
                 if len(txns) >= most:
                     return txns
@@ -80,23 +80,23 @@
     def _forget_notes(self, shard: int) -> list[Txn]:
         """Notes of jobs that have ended, or whose users have long given up cancelling them."""
         txns: list[Txn] = []
-        for job_id, (version, at) in self._cluster.ending.items():
+        for job_id, note in self._cluster.cancellation_notes.items():
             job = self._cluster.jobs.get(job_id)
             if (job.shard if job is not None else 0) != shard:
                 continue
             if (
                 job is None
                 or job.end != ACTIVE
-                or self._clock.wall() - at > self._settings.cancellation_note_ttl_s
+                or self._clock.wall() - note.written_at > self._settings.cancellation_note_ttl_s
             ):
-                key = keys.ending(job_id)
-                txns.append(Txn({key: version}, [], [key]))
+                key = keys.cancellation_note(job_id)
+                txns.append(Txn({key: note.version}, [], [key]))
         return txns
 
     def _archive(self, shard: int) -> list[Txn]:
         """What has long been over leaves memory, watch and start, but is never forgotten. Each
         archiving raises a counter that accepting a job with dependencies rests on."""
-        over = self._cluster.over[shard]
+        over = self._cluster.jobs.archivable[shard]
         excess = len(over) - self._settings.max_ended_jobs
         if excess <= 0:
             return []
@@ -125,5 +125,5 @@
             and not job.staged
             and job.recorded == job.end
             and job.version <= self._cluster.mirror.revision
-            and not self._cluster.graph.is_needed(job.id)
+            and not self._cluster.jobs.graph.is_needed(job.id)
         )
--- a/crossmill/jobs/failures.py
+++ b/crossmill/jobs/failures.py
@@ -77,7 +77,7 @@
 
     def forget_ended(self, shard: int) -> None:
         """Drops what is kept of the shard's jobs that are no longer unfinished."""
-        active = self._cluster.active[shard]
+        active = self._cluster.jobs.active[shard]
         self._by_job = {
             job_id: entry
             for job_id, entry in self._by_job.items()
--- a/crossmill/jobs/machine_transfer.py
+++ b/crossmill/jobs/machine_transfer.py
@@ -73,7 +73,7 @@
         self._looked_at[shard] = now
         wall = self._clock.wall()
         for other in range(self._settings.shard_count):
-            if other == shard or other not in self._cluster.shards:
+            if other == shard or other not in self._cluster.shard_owners:
                 continue
             for demand in self._forecast.unplaced_demands(other, wall):
                 yield from self._give(shard, other, demand, machines, wall)
@@ -134,7 +134,7 @@
         that is done again elsewhere; those with the least of it first."""
         spec = demand.spec
         result = []
-        for machine in self._cluster.machines_of[shard].values():
+        for machine in self._cluster.machines.by_shard[shard].values():
             kind = self._cluster.catalog.get(machine.type)
             if kind is None or machine.retiring or not machine.up:
                 continue
--- a/crossmill/jobs/placement.py
+++ b/crossmill/jobs/placement.py
@@ -137,7 +137,7 @@
             wanted = min(wanted, 1 - job.planned_count())
         if wanted <= 0:
             return
-        zones = ZoneAllowance(spec, self._cluster.zones_of(job))
+        zones = ZoneAllowance(spec, self._cluster.machines.task_counts_by_zone(job))
         bad = failures.machines if failures is not None else set()
         free = self._free(spec, capacities)
         free = [
@@ -188,7 +188,7 @@
         if job.planned_count():
             return False
         trial = [replace(capacity, images=dict(capacity.images)) for capacity in capacities]
-        zones = ZoneAllowance(spec, self._cluster.zones_of(job))
+        zones = ZoneAllowance(spec, self._cluster.machines.task_counts_by_zone(job))
         found = sum(n for _, n in assign_tasks(spec, wanted, trial, zones))
         return found == job.waiting_count()
 
--- a/crossmill/jobs/plan_migration.py
+++ b/crossmill/jobs/plan_migration.py
@@ -40,7 +40,7 @@
     def is_due(self, job: Job, name: str) -> bool:
         """Whether the chunk is a legacy one that could outgrow a segment."""
         layout = self._cluster.layout
-        if layout.segment_tasks is None or (job.id, name) not in self._cluster.legacy_chunks:
+        if layout.segment_tasks is None or (job.id, name) not in self._cluster.plans.legacy_chunks:
             return False
         where = layout.parse(name)
         tasks = job.spec.tasks if job.spec is not None else where.end
@@ -49,7 +49,7 @@
     def steps(self, shard: int, ownership: ShardOwnership) -> list[WriteIntent]:
         """The next transaction for each chunk of the shard that has to be moved."""
         intents: list[WriteIntent] = []
-        for (_, name), job in list(self._cluster.legacy_chunks.items()):
+        for (_, name), job in list(self._cluster.plans.legacy_chunks.items()):
             if len(intents) >= self._cluster.limits.txn_ops:
                 break
             is_empty = job.end != ACTIVE and not job.chunks[name].attempts
--- a/crossmill/jobs/plan_writer.py
+++ b/crossmill/jobs/plan_writer.py
@@ -126,7 +126,7 @@
         """Ends of jobs whose last chunks were finished side by side: the write of neither could
         rest on the other. What is done stays done, so only the job's record is a condition."""
         intents: list[WriteIntent] = []
-        for job in self._cluster.complete[shard].values():
+        for job in self._cluster.jobs.all_tasks_done[shard].values():
             if job.spec is not None:
                 key = keys.job(job.id)
                 put = Put(key, self._done(job.spec))
--- a/crossmill/jobs/preemption.py
+++ b/crossmill/jobs/preemption.py
@@ -188,7 +188,7 @@
         if key in self._stoppable:
             return self._stoppable[key]
         result = self._stoppable[key] = {}
-        for other in self._cluster.active[job.shard].values():
+        for other in self._cluster.jobs.active[job.shard].values():
             victim = other.spec
             if victim is None or not other.chunks or (victim.kind == "service" and not replicas):
                 continue
--- a/crossmill/jobs/record_repair.py
+++ b/crossmill/jobs/record_repair.py
@@ -64,13 +64,13 @@
                 ownership = self._membership.active_ownership(shard)
                 if ownership is not None:
                     await self._mend_waiting(job, need, shard, ownership)
-        for job in list(self._cluster.unknown.values()):
+        for job in list(self._cluster.jobs.without_record.values()):
             shard = self._shard_of(job)
             if not job.is_over and self._membership.active_ownership(shard) is not None:
                 await self._mend_unknown(job, shard)
 
     def _missing(self, shard: int) -> Iterator[tuple[Job, str]]:
-        for job in self._cluster.active[shard].values():
+        for job in self._cluster.jobs.active[shard].values():
             for need in job.unmet:
                 if not self._is_known(need):
                     yield job, need
@@ -93,7 +93,7 @@
             # accepted a moment ago: the watch will show it
             return
         archived = await self._client.get(keys.archived(job.id))
-        if job.id not in self._cluster.unknown:
+        if job.id not in self._cluster.jobs.without_record:
             return
         if archived is None:
             log.error("plan without a job job=%s tasks=%d", job.id, job.planned_count())
@@ -102,7 +102,7 @@
         log.warning(
             "plan of an archived job job=%s tasks=%d end=%s", job.id, job.planned_count(), end
         )
-        self._cluster.note_archived(job, end, shard)
+        self._cluster.apply_archived_end(job, end, shard)
 
     async def _mend_waiting(
         self, job: Job, need: str, shard: int, ownership: ShardOwnership
--- a/crossmill/jobs/scheduling_loop.py
+++ b/crossmill/jobs/scheduling_loop.py
@@ -111,7 +111,7 @@
     async def run_round(self, shard: int, ownership: ShardOwnership) -> None:
         """One round for a shard: findings, placing, upkeep, and the writes that follow."""
         edits: PlanEdits = {}
-        machines = list(self._cluster.machines_of[shard].values())
+        machines = list(self._cluster.machines.by_shard[shard].values())
         for machine in machines:
             self._heartbeats.expire_lease(machine, ownership)
         self._find_released(shard, ownership)
@@ -195,7 +195,7 @@
     def _find_released(self, shard: int, ownership: ShardOwnership) -> None:
         """The machine's record goes only after its release was confirmed; the write of what
         follows rests on its absence."""
-        for attempt in list(self._cluster.orphans()):
+        for attempt in list(self._cluster.machines.orphaned_attempts()):
             job = self._cluster.jobs.get(attempt.job)
             if job is not None and job.shard == shard:
                 preconditions = {keys.machine(attempt.machine): 0}
--- a/crossmill/jobs/team_quotas.py
+++ b/crossmill/jobs/team_quotas.py
@@ -22,7 +22,10 @@
     def usage(self, shard: int) -> ResourceUsage:
         """What each team's tasks hold, those in doubt included."""
         usage: ResourceUsage = {}
-        for job in (*self._cluster.active[shard].values(), *self._cluster.ended[shard].values()):
+        for job in (
+            *self._cluster.jobs.active[shard].values(),
+            *self._cluster.jobs.ended[shard].values(),
+        ):
             if job.spec is not None and (count := job.planned_count()):
                 entry = usage.setdefault(job.spec.team, [0.0, 0.0])
                 entry[0] += count * job.spec.cpus
@@ -50,7 +53,7 @@
         """The jobs of all teams that fit. Summed up for each job by itself, the team's earlier
         ones took two fifths of a controller's time with some 600 machines."""
         by_team: dict[str, list[tuple[int, float, str]]] = {}
-        for job in self._cluster.active[shard].values():
+        for job in self._cluster.jobs.active[shard].values():
             # a job that waits for others holds no part of a guarantee
             if job.spec is not None and not job.blocked:
                 left = job.spec.gpus * (job.spec.tasks - job.done_count())
--- a/crossmill/multihost/api.py
+++ b/crossmill/multihost/api.py
@@ -241,7 +241,7 @@
         shard = self._multihost.pool_shard
         ownership = self._membership.command_ownership(shard)
         if ownership is None:
-            known = self._cluster.shards.get(shard)
+            known = self._cluster.shard_owners.get(shard)
             return Response(421, redirect_body(known.owner if known is not None else None))
         replica = self._pool.replicas.get(replica_id)
         if replica is None:
--- a/crossmill/multihost/service.py
+++ b/crossmill/multihost/service.py
@@ -50,7 +50,7 @@
         self.writes = PoolWriter(membership, writer, self.pool, shard)
 
         def owner_of(index: int) -> str | None:
-            known = cluster.shards.get(index)
+            known = cluster.shard_owners.get(index)
             return None if known is None or known.owner == settings.label else known.owner
 
         self.heartbeats = AgentHeartbeatHandler(
--- a/crossmill/recovery/api.py
+++ b/crossmill/recovery/api.py
@@ -81,7 +81,7 @@
     def _braked(self, shard: int) -> BrakedReport | None:
         """What the shard's present owner holds back; a former owner's word is void."""
         report = self.service.notes.braked(shard)
-        owner = self._cluster.shards.get(shard)
+        owner = self._cluster.shard_owners.get(shard)
         return report if report is not None and owner is not None else None
 
     async def _approve(self, request: Request) -> Response:
--- a/crossmill/recovery/shard_recovery.py
+++ b/crossmill/recovery/shard_recovery.py
@@ -171,7 +171,7 @@
         self.phase, self._entered_at = phase, now
 
     def _observe(self) -> None:
-        machines = self._cluster.machines_of[self.shard].values()
+        machines = self._cluster.machines.by_shard[self.shard].values()
         expected = {m.id for m in machines if (m.up or m.attempts) and not m.retiring}
         self._unheard = expected - self._heard
         self.machines_known = len(machines)
@@ -182,7 +182,7 @@
         return not self._unheard or waited_s >= self._settings.observe_s
 
     def _count_machines(self) -> None:
-        for machine in self._cluster.machines_of[self.shard].values():
+        for machine in self._cluster.machines.by_shard[self.shard].values():
             self.machine_classes[self._class_of(machine)] += 1
             if machine.id in self._unheard:
                 self.classes[TaskClass.SILENT] += len(machine.attempts)
--- a/crossmill/workers/heartbeat_handler.py
+++ b/crossmill/workers/heartbeat_handler.py
@@ -114,7 +114,7 @@
                 if (view := self._views.get(machine.id)) is not None:
                     view.answered_at = self._clock.now()
                 return HeartbeatResponse(200, heartbeat.token, tuple(kept[:MAX_ORDERS]))
-            known = self._cluster.shards.get(machine.shard)
+            known = self._cluster.shard_owners.get(machine.shard)
             elsewhere = known is not None and known.owner != self._settings.label
             return self._elsewhere(known.owner if known and elsewhere else None)
         ownership, entitled = standing
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -192,7 +192,7 @@
             await node.round()
         ends = {state.keys[keys.job(name)][0]["end"] for name in (*fan, D)}
         assert ends == {CANCELLED}
-        assert not node.cluster.unrecorded[0]
+        assert not node.cluster.jobs.unrecorded_cancellations[0]
 
     play(story)
 
--- a/tests/test_deputies.py
+++ b/tests/test_deputies.py
@@ -3,7 +3,7 @@
 from collections.abc import Awaitable, Callable
 
 from crossmill.cluster import keys
-from crossmill.cluster.model import CANCELLED
+from crossmill.cluster.model import CANCELLED, ControllerRecord
 from crossmill.cluster.records import encode_end
 from crossmill.net.client import ConnectionFailedError
 from crossmill.net.server import Request, Response
@@ -144,14 +144,16 @@
         it = Story(state, clock, nodes)
         await it.begin()
         # the process before this one may have promised to leave the machine
-        it.deputy.cluster.nodes["node-0"] = {"lease": -1}
+        it.deputy.cluster.controllers["node-0"] = ControllerRecord(-1)
         await it.deputy.deputies._note_durable()
         assert it.deputy.deputies._synced_at is None
         it.cut()
         await it.deputy.controller_lease.step()
         assert it.deputy.report("n-0", 1, 900, it.token, RUNNING).status == 421
         it.mend()
-        it.deputy.cluster.nodes["node-0"] = {"lease": it.deputy.controller_lease.lease_id}
+        it.deputy.cluster.controllers["node-0"] = ControllerRecord(
+            it.deputy.controller_lease.lease_id
+        )
         await it.deputy.controller_lease.step()
         await it.settle()
         it.cut()
--- a/tests/test_derivation.py
+++ b/tests/test_derivation.py
@@ -168,10 +168,19 @@
         for m in cluster.machines.values()
     }
     indexes = {
-        name: {shard: sorted(found) for shard, found in getattr(cluster, name).items()}
-        for name in ("active", "ended", "over", "unrecorded", "complete", "machines_of")
+        name: {shard: sorted(found) for shard, found in index.items()}
+        for name, index in (
+            ("active", cluster.jobs.active),
+            ("ended", cluster.jobs.ended),
+            ("archivable", cluster.jobs.archivable),
+            ("unrecorded_cancellations", cluster.jobs.unrecorded_cancellations),
+            ("all_tasks_done", cluster.jobs.all_tasks_done),
+            ("by_shard", cluster.machines.by_shard),
+        )
     }
-    orphans = sorted((attempt.job, attempt.index) for attempt in cluster.orphans())
+    orphans = sorted(
+        (attempt.job, attempt.index) for attempt in cluster.machines.orphaned_attempts()
+    )
     return {"jobs": jobs, "machines": machines, "orphans": orphans, **indexes}
 
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -389,7 +389,7 @@
         await all_over(region, 60.0)
         await curio.sleep(20.0)
         owner = region.nodes[region.owners()[0]]
-        assert not any(owner.cluster.ended[k] for k in range(3))
+        assert not any(owner.cluster.jobs.ended[k] for k in range(3))
         assert not any(k.startswith(keys.PLAN) for k in region.state.keys)
         assert all(node.writer.backlog == 0 for node in region.nodes.values())
 
--- a/tests/test_owner_selection.py
+++ b/tests/test_owner_selection.py
@@ -4,6 +4,7 @@
 import pytest
 
 from crossmill.cluster.cluster_state import ClusterState
+from crossmill.cluster.model import ControllerRecord
 from crossmill.cluster.owner_selection import OwnerSelection
 from crossmill.state.mirror import Mirror
 
@@ -22,7 +23,8 @@
         self.owner_selection = OwnerSelection(settings, self.clock, self.cluster)
 
     def pass_with(self, *present: str, for_s: float = 11.0) -> OwnerSelection:
-        self.cluster.nodes = {label: {} for label in present}
+        self.cluster.controllers.clear()
+        self.cluster.controllers.update({label: ControllerRecord(1) for label in present})
         self.owner_selection.observe()
         self.clock.time += for_s
         self.owner_selection.observe()
@@ -93,7 +95,13 @@
     assert Choice("node-0").pass_with(*NEXT).reachable_alternative() is None
     assert Choice("node-0").pass_with("node-0").reachable_alternative() is None
     deaf = Choice("node-0")
-    deaf.cluster.nodes = {"node-0": {}, "node-1": {"deaf": True}, "node-2": {}}
+    deaf.cluster.controllers.update(
+        {
+            "node-0": ControllerRecord(1),
+            "node-1": ControllerRecord(2, is_unreachable_by_workers=True),
+            "node-2": ControllerRecord(3),
+        }
+    )
     assert deaf.owner_selection.reachable_alternative() == "node-2"
 
 
--- a/tests/test_safety.py
+++ b/tests/test_safety.py
@@ -304,7 +304,7 @@
         for number in range(2):
             node.report(f"n-{number}", 1, 1, node.token())
         await node.round()
-        assert node.cluster.zones_of(node.cluster.jobs[job]) == {"north": 2}
+        assert node.cluster.machines.task_counts_by_zone(node.cluster.jobs[job]) == {"north": 2}
 
     play(story)
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -10,6 +10,8 @@
 import pytest
 
 from crossmill.cluster import keys
+from crossmill.cluster.job_index import JobIndex
+from crossmill.cluster.machine_index import MachineIndex
 from crossmill.cluster.model import Job, PlanChunk, PlannedAttempt
 from crossmill.cluster.records import encode_chunk
 from crossmill.fleet.forecast import DemandForecast
@@ -42,6 +44,10 @@
     )
 
 
+def _refuse_iteration(index: object) -> Any:
+    raise AssertionError("all were looked at")
+
+
 def _count(monkeypatch: pytest.MonkeyPatch, counts: Counter[str], owner: Any, name: str) -> None:
     real: Callable[..., Any] = getattr(owner, name)
 
@@ -83,16 +89,14 @@
         await node.boot()
         report_all(node, MACHINES)
 
-        class Keyed(dict[str, Any]):
-            def __iter__(self) -> Any:
-                raise AssertionError("all were looked at")
+        class MachinesByKeyOnly(MachineIndex):
+            __iter__ = values = items = keys = _refuse_iteration
 
-            values = items = keys = __iter__
+        class JobsByKeyOnly(JobIndex):
+            __iter__ = values = items = keys = _refuse_iteration
 
-        node.cluster.machines, node.cluster.jobs = (
-            Keyed(node.cluster.machines),
-            Keyed(node.cluster.jobs),
-        )
+        node.cluster.machines.__class__ = MachinesByKeyOnly
+        node.cluster.jobs.__class__ = JobsByKeyOnly
         tasks = [on("wk-000000", i, i + 1, "running") for i in range(EACH)]
         assert node.report("n-0", 1, 2, node.token(), *tasks).status == 200
 
--- a/tests/test_unseen_changes.py
+++ b/tests/test_unseen_changes.py
@@ -327,17 +327,17 @@
         await node.boot()
         add_job(state, clock, nameId=JOB)
         await node.sync()
-        state.put(keys.ending("wk-000002"), {"at": clock.wall()})
+        state.put(keys.cancellation_note("wk-000002"), {"at": clock.wall()})
         unread = state.revision
         await node.jobs._cancellation._note(JOB, node.cluster.jobs[JOB].version)
         await _let_others_run()
-        assert node.cluster.ending[JOB][0] > unread
+        assert node.cluster.cancellation_notes[JOB][0] > unread
         await node.controller_lease.step()
         await node.membership.step()
-        assert state.keys[keys.node("node-0")][0]["seen"] < unread
+        assert state.keys[keys.controller("node-0")][0]["seen"] < unread
         await node.sync()
         await node.membership.step()
-        assert state.keys[keys.node("node-0")][0]["seen"] > unread
+        assert state.keys[keys.controller("node-0")][0]["seen"] > unread
 
     play(story)
 
@@ -359,7 +359,7 @@
 
         node.deputies._sync = announced_meanwhile
         await node.deputies.step()
-        assert keys.node("node-0") in state.keys
+        assert keys.controller("node-0") in state.keys
         assert node.deputies._synced_at is None
         await node.deputies.step()
         assert node.deputies._synced_at is not None
@@ -372,7 +372,7 @@
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _node_with_a_row(state, clock, nodes)
         node.mirror.deleted(keys.machine("n-0"), state.revision)
-        assert [row.machine for row in node.cluster.orphans()] == ["n-0"]
+        assert [row.machine for row in node.cluster.machines.orphaned_attempts()] == ["n-0"]
         await node.round()
         assert state.keys[keys.plan(JOB, "0")][0]["rows"]
         state.delete(keys.machine("n-0"))
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -53,7 +53,14 @@
     "deadline_s": 100.0,
 }
 PRODUCTION_JOB = {"end": "", "at": 5.0, "spec": PRODUCTION_SPEC}
-PRODUCTION_PREFIXES = (keys.JOB, keys.PLAN, keys.MACHINE, keys.SHARD, keys.NODE, keys.ENDING)
+PRODUCTION_PREFIXES = (
+    keys.JOB,
+    keys.PLAN,
+    keys.MACHINE,
+    keys.SHARD,
+    keys.CONTROLLER,
+    keys.CANCELLATION_NOTE,
+)
 
 
 def _production_reads(state: StateService) -> None:
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -99,7 +99,7 @@
         node.report("n-1", 1, 1, node.token())
         await node.round()
         assert not node.heartbeats.stop_requests
-        zones = node.cluster.zones_of(node.cluster.jobs["wk-000003"])
+        zones = node.cluster.machines.task_counts_by_zone(node.cluster.jobs["wk-000003"])
         assert zones == {"north": 1, "south": 1}
 
     play(story)
@@ -379,7 +379,7 @@
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock)
         for shard, label in ((1, "node-1"), (2, "node-2")):
-            state.put(keys.node(label), {"lease": 1, "deaf": False, "seen": 0})
+            state.put(keys.controller(label), {"lease": 1, "deaf": False, "seen": 0})
             state.put(keys.shard(shard), {"owner": label, "token": shard})
         node = Node(state, clock, nodes)
         await node.boot()
