--- a/crossmill/app.py
+++ b/crossmill/app.py
@@ -11,12 +11,12 @@
 
 from .cluster.cluster_state import ClusterState
 from .cluster.controller_lease import ControllerLease
-from .cluster.deputies import Deputies
 from .cluster.feature_level import FeatureLevel
 from .cluster.keys import ROOT
 from .cluster.lease_extensions import LeaseExtensions
 from .cluster.membership import Membership
 from .cluster.ownership import OwnedShards
+from .cluster.partition_protocol import PartitionProtocol
 from .fleet.cloud import Cloud
 from .fleet.forecast import DemandForecast
 from .fleet.provisioner import FleetProvisioner
@@ -78,11 +78,16 @@
         self.feature_level = FeatureLevel(
             settings, clock, self.cluster, self.watcher, self.writer, self.membership
         )
-        self.deputies = Deputies(
+        self.partition_protocol = PartitionProtocol(
             settings, clock, self.cluster, self.controller_lease, self.watcher.sync
         )
         self.heartbeats = HeartbeatHandler(
-            settings, clock, self.cluster, self.membership, self.deputies
+            settings,
+            clock,
+            self.cluster,
+            self.membership,
+            self.partition_protocol.keepalive,
+            self.partition_protocol.expiry_proof,
         )
         self.forecast = DemandForecast(settings, clock, self.cluster)
         command_sender = CommandSender(settings, self.cluster, self.membership, self.heartbeats)
@@ -95,7 +100,7 @@
             self.writer,
             self.forecast,
             command_sender,
-            self.deputies,
+            self.partition_protocol.expiry_proof,
         )
         command_sender.on_response = self.scheduling_loop.wake.set
         self.watcher.on_change = self.scheduling_loop.wake.set
@@ -110,7 +115,13 @@
             lambda: os.urandom(8).hex(),
         )
         self.jobs = JobApi(
-            settings, clock, self.cluster, self.watcher, self.writer, client, self.deputies
+            settings,
+            clock,
+            self.cluster,
+            self.watcher,
+            self.writer,
+            client,
+            self.partition_protocol.cancellations,
         )
         self.record_repair = RecordRepair(
             settings, clock, self.cluster, self.membership, client, self.writer
@@ -139,7 +150,7 @@
             self.writer.run,
             self.membership.run,
             self.feature_level.run,
-            self.deputies.run,
+            self.partition_protocol.run,
             self.scheduling_loop.run,
             self.record_repair.run,
             self.provisioner.run,
@@ -194,8 +205,8 @@
         await curio.Event().wait()
 
     async def _handle_peer(self, request: Request) -> Response:
-        if request.path in (peers.QUIET_PATH, peers.ENDING_PATH):
-            return self.deputies.handle(request)
+        if request.path in (peers.ATTESTATION_PATH, peers.CANCELLATION_PATH):
+            return self.partition_protocol.handle(request)
         if self._recovery_handler is not None and request.path.startswith(RECOVERY_PATH):
             return await self._recovery_handler(request)
         return self.lease_extensions.handle(request)
--- a/crossmill/cluster/lease_extensions.py
+++ b/crossmill/cluster/lease_extensions.py
@@ -64,12 +64,12 @@
         """Answers a peer's request for a promise, or for the shards that this controller acts
         for."""
         mine = self._shards.owned_or_acquiring()
-        if request.path == wire.ACTING_PATH and request.method == "GET":
-            return Response(200, wire.acting_body(sorted(mine)))
-        if request.path != wire.PROMISE_PATH or request.method != "POST":
+        if request.path == wire.OWNED_SHARDS_PATH and request.method == "GET":
+            return Response(200, wire.owned_shards_body(sorted(mine)))
+        if request.path != wire.EXTENSION_PATH or request.method != "POST":
             return Response(404)
         try:
-            claim = wire.parse_claim(request.body)
+            claim = wire.parse_extension_request(request.body)
         except MalformedMessageError:
             return Response(400)
         if mine & set(claim.shards):
@@ -79,7 +79,7 @@
         )
         for shard in claim.shards:
             self._granted_until[shard] = until
-        return Response(200, wire.promise_body(self._service.served_ago_s()))
+        return Response(200, wire.extension_grant_body(self._service.served_ago_s()))
 
     def is_granted_to_peer(self, shard: int) -> bool:
         """Whether a promise forbids taking this shard now."""
@@ -101,10 +101,10 @@
     async def _query_peer(self, label: str) -> None:
         try:
             status, data = await self._http[label].request(
-                "GET", wire.ACTING_PATH, b"", self._settings.lease_extension_grant_s / 4
+                "GET", wire.OWNED_SHARDS_PATH, b"", self._settings.lease_extension_grant_s / 4
             )
             if status == 200:
-                acting = wire.parse_acting(data)
+                acting = wire.parse_owned_shards(data)
                 self._unclaimed_by_peer[label] = set(range(self._settings.shard_count)) - set(
                     acting
                 )
@@ -137,21 +137,21 @@
         over = self._clock.now() - self._failing_since > self._settings.max_lease_extension_s
         if not shards or over or self.is_only_one_refused:
             return
-        claim = wire.Claim(self._settings.label, tuple(shards))
+        claim = wire.ExtensionRequest(self._settings.label, tuple(shards))
         async with curio.TaskGroup() as group:
             for label in self._http:
                 await group.spawn(self._request_grant, label, claim)
 
-    async def _request_grant(self, label: str, claim: wire.Claim) -> None:
+    async def _request_grant(self, label: str, claim: wire.ExtensionRequest) -> None:
         sent = self._clock.now()
         try:
             status, data = await self._http[label].request(
                 "POST",
-                wire.PROMISE_PATH,
-                wire.claim_body(claim),
+                wire.EXTENSION_PATH,
+                wire.extension_request_body(claim),
                 self._settings.lease_extension_grant_s / 4,
             )
-            ago_s = wire.parse_promise(data) if status == 200 else None
+            ago_s = wire.parse_extension_grant(data) if status == 200 else None
         except (ConnectionFailedError, NoResponseError, MalformedMessageError) as exc:
             log.debug("no promise peer=%s error=%s", label, exc)
             return
--- a/crossmill/jobs/api.py
+++ b/crossmill/jobs/api.py
@@ -1,7 +1,7 @@
 """The users' interface: which handler answers which request, on every controller."""
 
+from ..cluster.cancellation_announcement import CancellationAnnouncement
 from ..cluster.cluster_state import ClusterState
-from ..cluster.deputies import Deputies
 from ..net.clock import Clock
 from ..net.server import Request, Response
 from ..settings import Settings
@@ -29,7 +29,7 @@
         watcher: StateWatcher,
         writer: Writer,
         client: StateClient,
-        deputies: Deputies,
+        announcement: CancellationAnnouncement,
     ) -> None:
         self._lookup = JobLookup(settings, cluster, watcher, client)
         dependencies = DependencyCheck(cluster, cluster.mirror, client)
@@ -37,7 +37,7 @@
             settings, clock, cluster, writer, self._lookup, dependencies
         )
         self._cancellation = CancellationHandler(
-            settings, clock, cluster, writer, deputies, self._lookup
+            settings, clock, cluster, writer, announcement, self._lookup
         )
 
     async def handle(self, request: Request) -> Response:
--- a/crossmill/jobs/cancellation.py
+++ b/crossmill/jobs/cancellation.py
@@ -3,8 +3,8 @@
 import logging
 
 from ..cluster import keys
+from ..cluster.cancellation_announcement import CancellationAnnouncement
 from ..cluster.cluster_state import ClusterState
-from ..cluster.deputies import Deputies
 from ..cluster.model import ACTIVE, CANCELLED, Job
 from ..cluster.records import encode_end
 from ..net.clock import Clock
@@ -32,14 +32,14 @@
         clock: Clock,
         cluster: ClusterState,
         writer: Writer,
-        deputies: Deputies,
+        announcement: CancellationAnnouncement,
         lookup: JobLookup,
     ) -> None:
         self._settings = settings
         self._clock = clock
         self._cluster = cluster
         self._writer = writer
-        self._deputies = deputies
+        self._announcement = announcement
         self._lookup = lookup
 
     async def handle(self, job_id: str) -> Response:
@@ -78,7 +78,7 @@
         if len(plan) > self._cluster.limits.machines_per_txn:
             zones.update(self._settings.zones)
         version = job.version
-        preconditions = await self._deputies.announce_end(job.id, zones)
+        preconditions = await self._announcement.announce(job.id, zones)
         if preconditions is None:
             await self._note(job.id, version)
             return None
--- a/crossmill/jobs/machine_maintenance.py
+++ b/crossmill/jobs/machine_maintenance.py
@@ -7,7 +7,7 @@
 
 from ..cluster import keys
 from ..cluster.cluster_state import ClusterState
-from ..cluster.deputies import Deputies
+from ..cluster.lease_expiry_proof import LeaseExpiryProof
 from ..cluster.membership import Membership
 from ..cluster.model import Machine
 from ..cluster.ownership import ShardOwnership
@@ -36,7 +36,7 @@
         membership: Membership,
         heartbeats: HeartbeatHandler,
         forecast: DemandForecast,
-        deputies: Deputies,
+        expiry_proof: LeaseExpiryProof,
         preemption: Preemption,
         machine_transfer: MachineTransfer,
         failures: TaskFailures,
@@ -47,7 +47,7 @@
         self._membership = membership
         self._heartbeats = heartbeats
         self._forecast = forecast
-        self._deputies = deputies
+        self._expiry_proof = expiry_proof
         self._preemption = preemption
         self._machine_transfer = machine_transfer
         self._failures = failures
@@ -120,7 +120,9 @@
                 if view is None or not view.is_fresh(now, self._settings.heartbeat_timeout_s):
                     silent[machine.zone] += 1
         for zone, number in silent.items():
-            if 2 * number > up[zone] and (number > 1 or self._deputies.zone_lost(zone)):
+            if 2 * number > up[zone] and (
+                number > 1 or self._expiry_proof.is_zone_unreachable(zone)
+            ):
                 self._silent_until[shard, zone] = now + self._settings.worker_lease_s
         return {z for (k, z), until in self._silent_until.items() if k == shard and now < until}
 
--- a/crossmill/jobs/scheduling_loop.py
+++ b/crossmill/jobs/scheduling_loop.py
@@ -9,7 +9,7 @@
 
 from ..cluster import keys
 from ..cluster.cluster_state import ClusterState
-from ..cluster.deputies import Deputies
+from ..cluster.lease_expiry_proof import LeaseExpiryProof
 from ..cluster.membership import Membership
 from ..cluster.model import Job, Machine, PlannedAttempt
 from ..cluster.ownership import ShardOwnership
@@ -47,7 +47,7 @@
         writer: Writer,
         forecast: DemandForecast,
         command_sender: CommandSender,
-        deputies: Deputies,
+        expiry_proof: LeaseExpiryProof,
     ) -> None:
         self._settings = settings
         self._clock = clock
@@ -74,7 +74,7 @@
             membership,
             heartbeats,
             forecast,
-            deputies,
+            expiry_proof,
             self._preemption,
             self._machine_transfer,
             self._failures,
--- a/crossmill/wire/peers.py
+++ b/crossmill/wire/peers.py
@@ -6,13 +6,13 @@
 
 from . import checks
 
-PROMISE_PATH = "/v1/promise"
-ACTING_PATH = "/v1/acting"
-QUIET_PATH = "/v1/quiet"
-ENDING_PATH = "/v1/ending"
+EXTENSION_PATH = "/v1/promise"
+OWNED_SHARDS_PATH = "/v1/acting"
+ATTESTATION_PATH = "/v1/quiet"
+CANCELLATION_PATH = "/v1/ending"
 
 
-class Claim(NamedTuple):
+class ExtensionRequest(NamedTuple):
     """A controller that can't renew its lease asks that its shards be left alone."""
 
     label: str
@@ -26,33 +26,33 @@
     return tuple(shards)
 
 
-def claim_body(claim: Claim) -> bytes:
+def extension_request_body(claim: ExtensionRequest) -> bytes:
     """A request for promises."""
     return orjson.dumps(claim._asdict())
 
 
-def parse_claim(body: bytes) -> Claim:
+def parse_extension_request(body: bytes) -> ExtensionRequest:
     """A request for promises, checked."""
     data = checks.load_object(body)
-    return Claim(checks.text(data, "label"), _shards(data))
+    return ExtensionRequest(checks.text(data, "label"), _shards(data))
 
 
-def promise_body(served_ago_s: float | None) -> bytes:
+def extension_grant_body(served_ago_s: float | None) -> bytes:
     """How long ago the state service last served whoever promises, if it ever did."""
     return orjson.dumps({"servedAgoS": served_ago_s})
 
 
-def parse_promise(body: bytes) -> float | None:
+def parse_extension_grant(body: bytes) -> float | None:
     """How long ago the state service last served whoever promises."""
     return checks.optional_amount(checks.load_object(body), "servedAgoS")
 
 
-def acting_body(shards: list[int]) -> bytes:
+def owned_shards_body(shards: list[int]) -> bytes:
     """The shards that a controller acts for or takes."""
     return orjson.dumps({"shards": shards})
 
 
-def parse_acting(body: bytes) -> tuple[int, ...]:
+def parse_owned_shards(body: bytes) -> tuple[int, ...]:
     """The shards that a controller acts for or takes, checked."""
     return _shards(checks.load_object(body))
 
@@ -74,12 +74,12 @@
     return _names(body, "machines")
 
 
-def quiet_body(quiet_s: list[float]) -> bytes:
+def attestations_body(quiet_s: list[float]) -> bytes:
     """For each machine asked about, how long it has not been answered for certain."""
     return orjson.dumps({"quietS": quiet_s})
 
 
-def parse_quiet(body: bytes) -> list[float]:
+def parse_attestations(body: bytes) -> list[float]:
     """For how long each machine has certainly not been answered."""
     spans = checks.load_object(body).get("quietS")
     if type(spans) is not list or not all(type(s) in (int, float) and s >= 0 for s in spans):
@@ -87,11 +87,11 @@
     return [float(s) for s in spans]
 
 
-def ending_body(job: str) -> bytes:
+def cancellation_body(job: str) -> bytes:
     """A job about to be withdrawn."""
     return orjson.dumps({"jobs": [job]})
 
 
-def parse_ending(body: bytes) -> tuple[str, ...]:
+def parse_cancellations(body: bytes) -> tuple[str, ...]:
     """The jobs that are about to be cancelled."""
     return _names(body, "jobs")
--- a/crossmill/workers/heartbeat_handler.py
+++ b/crossmill/workers/heartbeat_handler.py
@@ -8,10 +8,11 @@
 from typing import NamedTuple
 
 from ..cluster.cluster_state import ClusterState
-from ..cluster.deputies import Deputies
+from ..cluster.lease_expiry_proof import LeaseExpiryProof
 from ..cluster.membership import Membership
 from ..cluster.model import AttemptId, Machine, PlannedAttempt
 from ..cluster.ownership import ShardOwnership
+from ..cluster.partition_keepalive import PartitionKeepalive
 from ..net.clock import Clock
 from ..settings import Settings
 from ..wire.workers import (
@@ -46,13 +47,15 @@
         clock: Clock,
         cluster: ClusterState,
         membership: Membership,
-        deputies: Deputies,
+        keepalive: PartitionKeepalive,
+        expiry_proof: LeaseExpiryProof,
     ) -> None:
         self._settings = settings
         self._clock = clock
         self._cluster = cluster
         self._membership = membership
-        self._deputies = deputies
+        self._keepalive = keepalive
+        self._expiry_proof = expiry_proof
         self._views: dict[str, WorkerView] = {}
         self.read_task_status = cached_task_status_reader(settings.max_cached_task_statuses)
         self.outcomes = AttemptOutcomes(cluster)
@@ -107,7 +110,7 @@
         if self.is_transferring(machine.id):
             return self._elsewhere()
         if standing is None:
-            kept = self._deputies.keep_alive(machine, heartbeat)
+            kept = self._keepalive.keep_alive(machine, heartbeat)
             if kept is not None:
                 # an owner that answers as its zone's deputy may act by the same lease again
                 # once the trouble is over: this answer renewed the worker's lease all the same
@@ -369,8 +372,8 @@
             or self._clock.now() - view.lease_renewed_at <= self._settings.heartbeat_timeout_s
         ):
             return
-        self._deputies.wonder(machine)
-        preconditions = self._deputies.lease_over(machine, view.lease_renewed_at)
+        self._expiry_proof.request_attestation(machine)
+        preconditions = self._expiry_proof.preconditions(machine, view.lease_renewed_at)
         if preconditions is not None:
             for attempt in machine.attempts.values():
                 if attempt.session <= view.session or not view.trusted:
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -9,11 +9,11 @@
 from crossmill.cluster import keys
 from crossmill.cluster.cluster_state import ClusterState
 from crossmill.cluster.controller_lease import ControllerLease
-from crossmill.cluster.deputies import Deputies
 from crossmill.cluster.feature_level import FeatureLevel
 from crossmill.cluster.lease_extensions import LeaseExtensions
 from crossmill.cluster.membership import Membership
 from crossmill.cluster.ownership import OwnedShards
+from crossmill.cluster.partition_protocol import PartitionProtocol
 from crossmill.cluster.records import encode_job
 from crossmill.fleet.cloud import Cloud, stored_catalog
 from crossmill.fleet.forecast import DemandForecast
@@ -63,8 +63,8 @@
         if node is None or node.cut:
             raise ConnectionFailedError(self._label)
         request = Request(method, path, body)
-        asked = path in (peers.QUIET_PATH, peers.ENDING_PATH)
-        response = (node.deputies if asked else node.lease_extensions).handle(request)
+        asked = path in (peers.ATTESTATION_PATH, peers.CANCELLATION_PATH)
+        response = (node.partition_protocol if asked else node.lease_extensions).handle(request)
         return response.status, response.body
 
 
@@ -129,10 +129,17 @@
         self.feature_level = FeatureLevel(
             s, clock, self.cluster, self.watcher, self.writer, self.membership
         )
-        self.deputies = Deputies(
+        self.partition_protocol = PartitionProtocol(
             s, clock, self.cluster, self.controller_lease, self.watcher.sync, line
         )
-        self.heartbeats = HeartbeatHandler(s, clock, self.cluster, self.membership, self.deputies)
+        self.heartbeats = HeartbeatHandler(
+            s,
+            clock,
+            self.cluster,
+            self.membership,
+            self.partition_protocol.keepalive,
+            self.partition_protocol.expiry_proof,
+        )
         self.forecast = DemandForecast(s, clock, self.cluster)
         self.worker = WorkerLine()
         self.command_sender = CommandSender(s, self.cluster, self.membership, self.heartbeats)
@@ -146,7 +153,7 @@
             self.writer,
             self.forecast,
             self.command_sender,
-            self.deputies,
+            self.partition_protocol.expiry_proof,
         )
         self.cloud = cloud or CloudService()
         self.provisioner = FleetProvisioner(
@@ -160,7 +167,13 @@
             lambda: unique,
         )
         self.jobs = JobApi(
-            s, clock, self.cluster, self.watcher, self.writer, self.client, self.deputies
+            s,
+            clock,
+            self.cluster,
+            self.watcher,
+            self.writer,
+            self.client,
+            self.partition_protocol.cancellations,
         )
 
         self.record_repair = RecordRepair(
--- a/tests/simulated_links.py
+++ b/tests/simulated_links.py
@@ -90,8 +90,8 @@
         if region.stands_still(self._label):
             await curio.sleep(timeout_s)
             raise NoResponseError(path)
-        asked = path in (peers.QUIET_PATH, peers.ENDING_PATH)
-        handler = node.deputies if asked else node.lease_extensions
+        asked = path in (peers.ATTESTATION_PATH, peers.CANCELLATION_PATH)
+        handler = node.partition_protocol if asked else node.lease_extensions
         response = handler.handle(Request(method, path, body))
         await curio.sleep(HOP_S)
         return response.status, response.body
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -134,7 +134,7 @@
             node.writer.run,
             node.membership.run,
             node.feature_level.run,
-            node.deputies.run,
+            node.partition_protocol.run,
             node.scheduling_loop.run,
             node.record_repair.run,
             *self.more_parts(node),
--- a/tests/test_deputies.py
+++ b/tests/test_partition_keepalive.py
@@ -58,7 +58,7 @@
             self.clock.time += 0.5
             for node in (self.owner, self.deputy):
                 await node.controller_lease.step()
-                await node.deputies.step()
+                await node.partition_protocol.step()
             if to is not None:
                 self.seq += 1
                 answer = to.report("n-0", 1, self.seq, self.token, RUNNING)
@@ -145,8 +145,8 @@
         await it.begin()
         # the process before this one may have promised to leave the machine
         it.deputy.cluster.controllers["node-0"] = ControllerRecord(-1)
-        await it.deputy.deputies._note_durable()
-        assert it.deputy.deputies._synced_at is None
+        await it.deputy.partition_protocol.keepalive.refresh()
+        assert it.deputy.partition_protocol.keepalive._synced_at is None
         it.cut()
         await it.deputy.controller_lease.step()
         assert it.deputy.report("n-0", 1, 900, it.token, RUNNING).status == 421
@@ -159,12 +159,12 @@
         it.cut()
         it.nodes["node-1"].cut = False
         await it.deputy.controller_lease.step()
-        await it.deputy.deputies.step()
+        await it.deputy.partition_protocol.step()
         answer = it.deputy.report("n-0", 1, 901, it.token, RUNNING)
         assert (answer.status, answer.redirect) == (421, "node-1")
         # a token that is not known: somebody acts for the machine and reaches it
         it.cut()
-        it.deputy.deputies._heard.clear()
+        it.deputy.partition_protocol.peers.last_answer_at.clear()
         assert it.deputy.report("n-0", 1, 902, it.token + 1, RUNNING).status == 421
         assert it.deputy.report("n-0", 1, 903, it.token, RUNNING).status == 200
 
@@ -232,7 +232,7 @@
 def test_what_deputies_are_asked_is_checked() -> None:
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = Node(state, clock, nodes)
-        for path in (peers.QUIET_PATH, peers.ENDING_PATH):
+        for path in (peers.ATTESTATION_PATH, peers.CANCELLATION_PATH):
             for body in (b"", b"[]", b'{"machines":3,"jobs":[4]}', b"\xff"):
                 line = node.lease_extensions._http["node-1"]
                 nodes["node-1"] = node
@@ -272,12 +272,12 @@
         it.clock.time += it.s.heartbeat_timeout_s + 0.5
         await it.owner.controller_lease.step()
         await it.owner.round()
-        await it.owner.deputies.step()
-        assert it.owner.deputies._quiet
+        await it.owner.partition_protocol.step()
+        assert it.owner.partition_protocol.expiry_proof._attestations
         # node-0 ends; the process that follows knows of no promise, and helps
         it.deputy = Node(it.state, it.clock, it.nodes, "node-0")
         await it.deputy.boot(waited=False)
-        await it.deputy.deputies.step()
+        await it.deputy.partition_protocol.step()
         it.cut()
         await it.deputy.controller_lease.step()
         assert it.deputy.report("n-0", 1, 900, it.token, RUNNING).status == 200
@@ -285,12 +285,17 @@
         it.clock.time += it.s.worker_lease_expiry_s - it.s.heartbeat_timeout_s
         await it.owner.controller_lease.step()
         machine, view = it.owner.cluster.machines["n-0"], it.owner.heartbeats.find_view("n-0")
-        assert view and it.owner.deputies.lease_over(machine, view.answered_at)
+        assert view and it.owner.partition_protocol.expiry_proof.preconditions(
+            machine, view.answered_at
+        )
         await it.owner.round()
         assert it.on_machine() == 1
         # and once it has heard, it concludes nothing
         await it.owner.sync()
-        assert it.owner.deputies.lease_over(machine, view.answered_at) is None
+        assert (
+            it.owner.partition_protocol.expiry_proof.preconditions(machine, view.answered_at)
+            is None
+        )
 
     play_settled(story)
 
@@ -298,7 +303,7 @@
 def test_a_withdrawal_rests_on_the_processes_that_were_told() -> None:
     async def story(it: Story) -> None:
         job = it.owner.cluster.jobs["wk-000001"]
-        preconditions = await it.owner.deputies.announce_end(job.id, ["north"])
+        preconditions = await it.owner.partition_protocol.cancellations.announce(job.id, ["north"])
         assert preconditions == {"cm/n/node-0": it.state.keys["cm/n/node-0"][1]}
         # node-0 ends, and the process that follows does not know of the withdrawal
         again = Node(it.state, it.clock, it.nodes, "node-0")
@@ -320,7 +325,7 @@
         # while the owner stands still node-0 comes back, learns all, and goes again
         again = Node(it.state, it.clock, it.nodes, "node-0")
         await again.boot(waited=False)
-        await again.deputies.step()
+        await again.partition_protocol.step()
         again.cut = True
         it.state.end_lease(again.controller_lease.lease_id or 0)
         await it.owner.sync()
@@ -343,7 +348,7 @@
         # node-0 reads the note and says so; cut off after that, it ends the job's tasks
         await it.deputy.sync()
         await it.deputy.membership.step()
-        await it.deputy.deputies.step()
+        await it.deputy.partition_protocol.step()
         assert (await it.owner.ask("POST", path)).status == 200
         it.cut()
         await it.deputy.controller_lease.step()
@@ -366,16 +371,19 @@
         other = Node(it.state, it.clock, it.nodes, "node-2")
         await other.boot()
         await it.owner.live()
-        told = it.deputy.deputies.handle
+        told = it.deputy.partition_protocol.handle
         plan = it.state.keys[keys.plan("wk-000001", "0")][0]
 
         def moves(request: Request) -> Response:
             it.state.put(keys.plan("wk-000001", "0"), {**plan, "rows": [[0, 2, "s-0", 1]]})
             return told(request)
 
-        it.deputy.deputies.handle = moves  # type: ignore[method-assign]
+        it.deputy.partition_protocol.handle = moves  # type: ignore[method-assign]
         answer = await it.owner.ask("POST", "/v1/jobs/wk-000001/withdraw")
-        assert answer.status == 503 or "wk-000001" in other.deputies._ending
+        assert (
+            answer.status == 503
+            or "wk-000001" in other.partition_protocol.keepalive.pending_cancellations
+        )
 
     play_settled(story)
 
@@ -390,7 +398,7 @@
         ownership = it.owner
         add_machine(it.state, it.clock, "s-0", zone="south")
         await ownership.live()
-        await ownership.deputies.step()
+        await ownership.partition_protocol.step()
         ownership.report("s-0", 1, 1, 0)
         ownership.report("s-0", 1, 2, it.token)
         view = ownership.heartbeats.find_view("s-0")
@@ -400,7 +408,7 @@
         for seq in range(3, 50):
             clock.time += 0.5
             await ownership.controller_lease.step()
-            await ownership.deputies.step()
+            await ownership.partition_protocol.step()
             ownership.report("s-0", 1, seq, it.token)
         assert (
             ownership.membership.heartbeat_authority(ownership.cluster.machines["s-0"].shard)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -141,11 +141,11 @@
                 asked.append(len(body))
                 return 503, b""
 
-        node.deputies._http["node-0"] = Line()
+        node.partition_protocol.peers._http["node-0"] = Line()
         clock.time += node.settings.heartbeat_timeout_s + 0.1
         await node.controller_lease.step()
         await node.round()
-        await node.deputies.step()
+        await node.partition_protocol.step()
         assert len(asked) == 1 and asked[0] < 64 * 1024
 
     play(story)
--- a/tests/test_unseen_changes.py
+++ b/tests/test_unseen_changes.py
@@ -286,7 +286,7 @@
             await node.sync()
             return {}
 
-        node.deputies.announce_end = tell_slowly  # type: ignore
+        node.partition_protocol.cancellations.announce = tell_slowly  # type: ignore
         response = await node.ask("POST", f"/v1/jobs/{JOB}/withdraw")
         assert state.keys[keys.job(JOB)][0]["end"] == DONE
         assert response.status == 200
@@ -357,12 +357,12 @@
             await node.membership._announce()
             return True
 
-        node.deputies._sync = announced_meanwhile
-        await node.deputies.step()
+        node.partition_protocol.keepalive._sync = announced_meanwhile
+        await node.partition_protocol.step()
         assert keys.controller("node-0") in state.keys
-        assert node.deputies._synced_at is None
-        await node.deputies.step()
-        assert node.deputies._synced_at is not None
+        assert node.partition_protocol.keepalive._synced_at is None
+        await node.partition_protocol.step()
+        assert node.partition_protocol.keepalive._synced_at is not None
 
     play(story)
 
--- a/tests/trace_adapter.py
+++ b/tests/trace_adapter.py
@@ -181,7 +181,7 @@
         label = node.settings.label
         self._record_direct_commands(node, label)
         self._count_preemptions(node)
-        for peer_handler in (node.lease_extensions, node.deputies):
+        for peer_handler in (node.lease_extensions, node.partition_protocol):
             self._record_handler(peer_handler, "peer", label)
         self._record_async_handler(node.jobs, "user", label)
         return parts
