--- a/crossmill/app.py
+++ b/crossmill/app.py
@@ -261,7 +261,7 @@
         except curio.CancelledError:
             raise
         except Exception:
-            log.exception("part failed part=%s", getattr(run, "__qualname__", run))
+            log.exception("component failed component=%s", getattr(run, "__qualname__", run))
             await curio.sleep(1.0)
 
 
--- a/crossmill/cluster/controller_lease.py
+++ b/crossmill/cluster/controller_lease.py
@@ -47,7 +47,7 @@
                 self.lease_id = lease
                 self.epoch += 1
                 self._until = sent + self._span_s
-                log.info("lease acquired lease=%d epoch=%d", lease, self.epoch)
+                log.info("controller lease acquired lease=%d lease_epoch=%d", lease, self.epoch)
                 await self.changed.set()
             else:
                 await self._client.renew_lease(self.lease_id)
@@ -55,14 +55,14 @@
             self.is_failing = False
         except LeaseExpiredError:
             self.is_failing = False
-            log.info("lease lost lease=%s epoch=%d", self.lease_id, self.epoch)
+            log.info("controller lease lost lease=%s lease_epoch=%d", self.lease_id, self.epoch)
             self.lease_id = None
             self._until = 0.0
             self.epoch += 1
             await self.changed.set()
             return 0.0
         except (RequestRefusedError, OutcomeUnknownError) as exc:
-            log.debug("lease not renewed error=%s", exc)
+            log.debug("controller lease not renewed error=%s", exc)
             if not self.is_failing:
                 self.is_failing = True
                 await self.changed.set()
--- a/crossmill/cluster/lease_extensions.py
+++ b/crossmill/cluster/lease_extensions.py
@@ -109,7 +109,7 @@
                     acting
                 )
         except (ConnectionFailedError, NoResponseError, MalformedMessageError) as exc:
-            log.debug("peer not heard peer=%s error=%s", label, exc)
+            log.debug("peer not reached peer=%s error=%s", label, exc)
 
     # -- promises got ----------------------------------------------------------------
 
@@ -153,7 +153,7 @@
             )
             ago_s = wire.parse_extension_grant(data) if status == 200 else None
         except (ConnectionFailedError, NoResponseError, MalformedMessageError) as exc:
-            log.debug("no promise peer=%s error=%s", label, exc)
+            log.debug("lease extension not answered peer=%s error=%s", label, exc)
             return
         if status == 200:
             self._grants_until[label] = sent + self._settings.lease_extension_grant_s * (
@@ -161,7 +161,7 @@
             )
             self._detect_isolation(label, sent, ago_s)
         else:
-            log.info("promise refused peer=%s status=%d", label, status)
+            log.info("lease extension denied peer=%s status=%d", label, status)
             self._grants_until.pop(label, None)
 
     def _detect_isolation(self, label: str, sent: float, ago_s: float | None) -> None:
@@ -175,5 +175,5 @@
         if self._others_served_at is None:
             self._others_served_at = self._clock.now()
         elif self._service.refused_at() > self._others_served_at:
-            log.info("state service refuses us alone peer=%s", label)
+            log.info("state service refuses only this controller peer=%s", label)
             self.is_only_one_refused = True
--- a/crossmill/cluster/membership.py
+++ b/crossmill/cluster/membership.py
@@ -134,7 +134,7 @@
 
     def _drop(self, shard: int, why: str) -> None:
         ownership = self.ownerships.pop(shard)
-        log.info("shard lost shard=%d epoch=%d why=%s", shard, ownership.token, why)
+        log.info("shard lost shard=%d token=%d reason=%s", shard, ownership.token, why)
         for listener in self.on_lost:
             listener(shard)
 
@@ -182,7 +182,7 @@
                 self._settings.lease_renewal_interval_s
             ):
                 ownership.ready = True
-                log.info("shard ready shard=%d epoch=%d", shard, ownership.token)
+                log.info("shard ready shard=%d token=%d", shard, ownership.token)
         await self._hand_over()
 
     async def _announce(self) -> None:
@@ -210,7 +210,7 @@
             for label, record in self._cluster.controllers.items()
         ):
             return
-        log.info("no worker heard, shards given away number=%d", len(shards))
+        log.info("no heartbeats received, shards released shards=%d", len(shards))
         await self._announce()
         for shard, ownership in shards.items():
             self._drop(shard, "no worker heard")
@@ -297,7 +297,7 @@
             self.ownerships[shard].ready = before.ready
             self.ownerships[shard].term = before.term
         self._missing.pop(key, None)
-        log.info("shard taken shard=%d epoch=%d", shard, token)
+        log.info("shard acquired shard=%d token=%d", shard, token)
 
     async def _lead(self) -> None:
         known = self._cluster.controllers.leader
@@ -305,7 +305,7 @@
         if self._leads is not None and self._leads == (self._controller_lease.epoch, version):
             return
         if self._leads is not None:
-            log.info("lead lost")
+            log.info("leadership lost")
             self._leads = None
         if known is not None and known != self._settings.label:
             self._missing.pop(keys.LEADER, None)
@@ -320,7 +320,7 @@
         if await self._commit(txn):
             self._leads = (epoch, self._cluster.mirror.version(keys.LEADER))
             self._missing.pop(keys.LEADER, None)
-            log.info("lead taken epoch=%d", epoch)
+            log.info("leadership acquired lease_epoch=%d", epoch)
         else:
             await self._watcher.sync(self._settings.lease_renewal_interval_s)
 
--- a/crossmill/fleet/provisioner.py
+++ b/crossmill/fleet/provisioner.py
@@ -58,7 +58,7 @@
                     await self._step()
                 except CloudError as exc:
                     # spending pauses; what runs goes on
-                    log.info("cloud trouble error=%s", exc)
+                    log.info("cloud request failed error=%s", exc)
                     await curio.sleep(self._settings.heartbeat_interval_s)
             await curio.sleep(self._settings.heartbeat_interval_s / 2)
 
@@ -148,7 +148,7 @@
                 self._forecast.blocked[key] = (
                     self._clock.now() + self._settings.no_capacity_backoff_s
                 )
-                log.info("no capacity type=%s zone=%s spot=%s", *key)
+                log.info("cloud capacity unavailable type=%s zone=%s spot=%s", *key)
                 return
             except NotLeaderError:
                 raise
@@ -236,7 +236,7 @@
         )
         if machine is None or version is None:
             return
-        log.info("machine given up machine=%s why=%s", machine_id, why)
+        log.info("machine retired machine=%s reason=%s", machine_id, why)
         key = keys.machine(machine_id)
         txn = Txn(
             {keys.LEADER: version, key: machine.version},
@@ -256,7 +256,7 @@
         version = self._membership.leadership_version()
         if version is None:
             return
-        log.info("machines released number=%d first=%s", len(going), going[0].id)
+        log.info("machines released machines=%d first=%s", len(going), going[0].id)
         now = self._clock.now()
         self._gone = {
             m: at for m, at in self._gone.items() if now - at < 60 * self._settings.worker_lease_s
--- a/crossmill/jobs/machine_maintenance.py
+++ b/crossmill/jobs/machine_maintenance.py
@@ -79,7 +79,7 @@
             if why and (
                 self._heartbeats.gate is None or self._heartbeats.gate.may_give_up(machine, why)
             ):
-                log.info("machine given up machine=%s why=%s", machine.id, why)
+                log.info("machine retired machine=%s reason=%s", machine.id, why)
                 intents.append(self._intent(shard, ownership, machine, machine.encode(why, True)))
         return intents
 
--- a/crossmill/jobs/machine_transfer.py
+++ b/crossmill/jobs/machine_transfer.py
@@ -104,7 +104,7 @@
                 left -= min(slots_on(demand.spec, self._cluster.catalog[machine.type]), left)
                 self._leaving[machine.id] = (other, now + self._settings.worker_lease_s)
                 log.info(
-                    "machine to be given machine=%s shard=%d for=%s tasks=%d",
+                    "machine transfer planned machine=%s shard=%d for_job=%s tasks=%d",
                     machine.id,
                     other,
                     job.id,
--- a/crossmill/jobs/preemption.py
+++ b/crossmill/jobs/preemption.py
@@ -145,7 +145,7 @@
                 self._reserved[machine] = (job.id, self._claims[job.id])
         for attempt in chosen:
             log.info(
-                "task preempted job=%s task=%d machine=%s for=%s",
+                "task preempted job=%s task=%d machine=%s for_job=%s",
                 attempt.job,
                 attempt.index,
                 attempt.machine,
--- a/crossmill/jobs/record_repair.py
+++ b/crossmill/jobs/record_repair.py
@@ -117,9 +117,9 @@
         end = archived.value["end"] if archived is not None else ""
         record = self._record(job, job.spec, need, end)
         if record is None:
-            log.error("dependency without a record job=%s needs=%s", job.id, need)
+            log.error("dependency without a record job=%s dependency=%s", job.id, need)
             return
-        log.warning("dependency was archived job=%s needs=%s end=%s", job.id, need, end)
+        log.warning("dependency was archived job=%s dependency=%s end=%s", job.id, need, end)
         key = keys.job(job.id)
         txn = Txn({key: version, keys.job(need): 0}, [Put(key, record)])
         await self._writer.commit(
--- a/crossmill/jobs/scheduling_loop.py
+++ b/crossmill/jobs/scheduling_loop.py
@@ -166,7 +166,7 @@
                 if await intent.future.wait() == WriteResult.OK:
                     self._heartbeats.forget_machine(machine_id)
                     self._machine_transfer.forget_transferred(machine_id)
-                    log.info("machine given machine=%s", machine_id)
+                    log.info("machine transferred machine=%s", machine_id)
         finally:
             self._heartbeats.end_transfers(moves)
 
@@ -226,7 +226,7 @@
     def _learn(self, job: Job, outcome: AttemptOutcome) -> None:
         spec, attempt = job.spec, outcome.attempt
         log.info(
-            "task over job=%s task=%d attempt=%d machine=%s why=%s",
+            "task ended job=%s task=%d attempt=%d machine=%s reason=%s",
             job.id,
             attempt.index,
             attempt.number,
--- a/crossmill/jobs/submission.py
+++ b/crossmill/jobs/submission.py
@@ -156,7 +156,7 @@
         outcome = await intent.future.wait(self._settings.submission_timeout_s)
         if outcome == WriteResult.OK:
             log.info(
-                "job accepted job=%s class=%s team=%s tasks=%d needs=%d",
+                "job accepted job=%s class=%s team=%s tasks=%d dependencies=%d",
                 spec.id,
                 spec.job_class,
                 spec.team,
--- a/crossmill/multihost/coordinator.py
+++ b/crossmill/multihost/coordinator.py
@@ -140,7 +140,7 @@
         self._pool.changes.sets |= set(self._pool.sets) | set(self._pool.replicas_of)
         self._pool.changes.machines |= set(self._pool.machines)
         log.info(
-            "pool owned machines=%d sets=%d replicas=%d",
+            "pool acquired machines=%d sets=%d replicas=%d",
             len(self._pool.machines),
             len(self._pool.sets),
             len(self._pool.replicas),
@@ -183,13 +183,13 @@
             is_new = view.machine not in self._silent
             if is_new and is_silent(view, moment, self._settings):
                 self._silent.add(view.machine)
-                log.info("machine silent machine=%s", view.machine)
+                log.info("agent heartbeats missed machine=%s", view.machine)
                 self._touch_machine(view.machine)
         for machine in list(self._silent):
             view_now = self._agents.get(machine)
             if view_now is None or not is_silent(view_now, moment, self._settings):
                 self._silent.discard(machine)
-                log.info("machine heard again machine=%s", machine)
+                log.info("agent heartbeats resumed machine=%s", machine)
                 self._touch_machine(machine)
 
     def _notice_machines(self) -> None:
--- a/crossmill/multihost/heartbeats.py
+++ b/crossmill/multihost/heartbeats.py
@@ -114,7 +114,7 @@
                 view.rejected += 1
                 self.rejected += 1
                 log.info(
-                    "member report rejected replica=%s rank=%d generation=%d machine=%s why=%s",
+                    "member report rejected replica=%s rank=%d generation=%d machine=%s reason=%s",
                     report.replica,
                     report.rank,
                     report.generation,
--- a/crossmill/net/server.py
+++ b/crossmill/net/server.py
@@ -88,7 +88,7 @@
                     client, _ = await sock.accept()
                 except OSError as exc:
                     # no free socket: go on serving those that are open
-                    log.info("accept failed error=%s", exc)
+                    log.info("accepting connections failed error=%s", exc)
                     await curio.sleep(0.05)
                     continue
                 if self.open >= self._max:
--- a/crossmill/recovery/service.py
+++ b/crossmill/recovery/service.py
@@ -168,11 +168,11 @@
             return
         version = self._cluster.mirror.version(key)
         if wanted is None:
-            log.info("recovery brake off shard=%d epoch=%d", shard, ownership.term)
+            log.info("recovery brake released shard=%d token=%d", shard, ownership.term)
             txn = Txn({key: version}, [], [key, *self._stale_approval(shard)])
         else:
             log.warning(
-                "recovery braked shard=%d epoch=%d digest=%s stops=%d restarts=%d releases=%d "
+                "recovery braked shard=%d token=%d digest=%s stops=%d restarts=%d releases=%d "
                 "tasks=%d machines=%d",
                 shard,
                 ownership.term,
@@ -192,7 +192,7 @@
         controller, wall = self._settings.label, self._clock.wall()
         record = encode_record(recovery, controller, wall, self._recovery.dry_run)
         log.info(
-            "recovery over shard=%d epoch=%d after_s=%.2f machines=%d tasks=%d orders=%d "
+            "recovery finished shard=%d token=%d after_s=%.2f machines=%d tasks=%d orders=%d "
             "dry_run=%s let_through=%d",
             shard,
             ownership.term,
--- a/crossmill/recovery/shard_recovery.py
+++ b/crossmill/recovery/shard_recovery.py
@@ -123,7 +123,7 @@
         """An operator approved what the present digest names."""
         self._open.approve()
         self._releases.approve()
-        log.info("recovery approved shard=%d epoch=%d", self.shard, self.term)
+        log.info("recovery approved shard=%d token=%d", self.shard, self.term)
 
     def waits_for(self) -> str:
         """What the phase waits for, in words for an operator."""
@@ -159,7 +159,8 @@
         spent_s = now - self._entered_at
         self.spent_s[self.phase] = self.spent_s.get(self.phase, 0.0) + spent_s
         log.info(
-            "recovery phase shard=%d epoch=%d from=%s to=%s after_s=%.2f differences=%d unheard=%d",
+            "recovery phase shard=%d token=%d from=%s to=%s after_s=%.2f differences=%d "
+            "without_heartbeat=%d",
             self.shard,
             self.term,
             self.phase,
--- a/crossmill/state/watcher.py
+++ b/crossmill/state/watcher.py
@@ -70,10 +70,10 @@
                 revision, events = await self._client.changes(self._prefix, first, 0.0)
                 break
             except ChangesCompactedError:
-                log.info("reading took too long, begun anew keys=%d revision=%d", len(rows), first)
+                log.info("full read took too long, restarted keys=%d revision=%d", len(rows), first)
         rows = brought_up_to_date(rows, events)
         self._mirror.replace(revision, rows)
-        log.info("state read keys=%d revision=%d", len(rows), revision)
+        log.info("state loaded keys=%d revision=%d", len(rows), revision)
         self._note_current(sent)
         await self.ready.set()
 
@@ -82,7 +82,7 @@
         that at once: one reads for both."""
         async with self._reading:
             if self._mirror.revision == missed:
-                log.info("watch too old, reading everything again revision=%d", missed)
+                log.info("watch compacted, reading all keys revision=%d", missed)
                 await self.load()
 
     def _note_current(self, sent: float) -> None:
--- a/crossmill/state/writer.py
+++ b/crossmill/state/writer.py
@@ -231,7 +231,7 @@
             self._queue[:0] = batch
         except OutcomeUnknownError as exc:
             # the same conditions make a repeat harmless: one of the two does nothing
-            log.info("write unanswered error=%s", exc)
+            log.info("write outcome unknown error=%s", exc)
             for intent in batch:
                 intent.outcome_unknown = True
             await curio.sleep(self._retry_s)
@@ -269,7 +269,7 @@
             if not intent.failed:
                 again.append(intent)
             elif intent.outcome_unknown and await self._was_applied(intent):
-                log.info("lost answer settled keys=%s", sorted(intent.keys())[:3])
+                log.info("unanswered write confirmed keys=%s", sorted(intent.keys())[:3])
             else:
                 await intent.future.settle(WriteResult.CONFLICT)
         self._queue[:0] = again
--- a/crossmill/workers/command_sender.py
+++ b/crossmill/workers/command_sender.py
@@ -102,7 +102,9 @@
         except ConnectionFailedError as exc:
             log.debug("worker not reached machine=%s error=%s", machine_id, exc)
         except NoResponseError as exc:
-            log.info("start in doubt machine=%s tasks=%d error=%s", machine_id, len(attempts), exc)
+            log.info(
+                "start unconfirmed machine=%s tasks=%d error=%s", machine_id, len(attempts), exc
+            )
             return
         else:
             self._answered(machine_id, status, data)
@@ -119,6 +121,6 @@
         try:
             heartbeat = parse_heartbeat(load_object(data), self._heartbeats.read_task_status)
         except MalformedMessageError as exc:
-            log.info("odd answer machine=%s error=%s", machine_id, exc)
+            log.info("malformed response machine=%s error=%s", machine_id, exc)
             return
         self._heartbeats.apply_command_response(heartbeat)
--- a/crossmill/workers/heartbeat_handler.py
+++ b/crossmill/workers/heartbeat_handler.py
@@ -308,7 +308,7 @@
         if job is not None and (job.is_known or job.is_over):
             return True
         log.debug(
-            "row without a job job=%s task=%d machine=%s",
+            "planned attempt without a job record job=%s task=%d machine=%s",
             attempt.job,
             attempt.index,
             attempt.machine,
--- a/tests/test_multihost_service.py
+++ b/tests/test_multihost_service.py
@@ -178,7 +178,7 @@
     caplog.set_level("INFO")
 
     def lines() -> int:
-        return sum("machine silent" in record.getMessage() for record in caplog.records)
+        return sum("agent heartbeats missed" in record.getMessage() for record in caplog.records)
 
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node, service = await booted_pool(state, clock, nodes, machines=2)
