--- a/crossmill/cluster/cluster_state.py
+++ b/crossmill/cluster/cluster_state.py
@@ -75,7 +75,7 @@
         return sum(
             max(1, len(job.chunks))
             for job in self.jobs.active[shard].values()
-            if job.spec is not None and job.spec.kind != "service" and not job.blocked
+            if job.spec is not None and job.spec.kind != "service" and not job.is_blocked
         )
 
     def apply_archived_end(self, job: Job, end: str, shard: int) -> None:
--- a/crossmill/cluster/dependencies.py
+++ b/crossmill/cluster/dependencies.py
@@ -22,15 +22,15 @@
     def add(self, job: Job) -> list[Job]:
         """A job was accepted; returns the jobs that are cancelled by what is known."""
         job.ready_at = job.submitted
-        if not job.needs or job.end != ACTIVE:
+        if not job.dependencies or job.end != ACTIVE:
             return []
-        job.unmet = set(job.needs)
-        for need in job.needs:
-            self._dependents.setdefault(need, {})[job.id] = None
-        self.changed.update((job.id, *job.needs))
+        job.unmet_dependencies = set(job.dependencies)
+        for dependency in job.dependencies:
+            self._dependents.setdefault(dependency, {})[job.id] = None
+        self.changed.update((job.id, *job.dependencies))
         cancelled = False
-        for need in job.needs:
-            before = self._jobs.get(need)
+        for dependency in job.dependencies:
+            before = self._jobs.get(dependency)
             if before is None or before.spec is None:
                 continue
             if before.end == DONE:
@@ -38,12 +38,12 @@
             cancelled = cancelled or before.end == CANCELLED
         return self._cancel(job) if cancelled else []
 
-    def reduce(self, job: Job, needs: tuple[str, ...]) -> None:
+    def reduce(self, job: Job, dependencies: tuple[str, ...]) -> None:
         """The job's record was written anew, and names only these any more."""
-        for need in set(job.needs) - set(needs):
-            job.unmet.discard(need)
-            self._drop_edge(need, job)
-        job.needs = needs
+        for dependency in set(job.dependencies) - set(dependencies):
+            job.unmet_dependencies.discard(dependency)
+            self._drop_edge(dependency, job)
+        job.dependencies = dependencies
         self.changed.add(job.id)
 
     def ended(self, job: Job) -> list[Job]:
@@ -55,21 +55,21 @@
                 self._met(dependent, job)
             elif dependent.end == ACTIVE:
                 cancelled += self._cancel(dependent)
-        self.changed.update((job.id, *job.unmet))
+        self.changed.update((job.id, *job.unmet_dependencies))
         return cancelled
 
     def remove(self, job: Job) -> None:
         """The job's record is gone: it was archived."""
-        for need in job.needs:
-            self._drop_edge(need, job)
+        for dependency in job.dependencies:
+            self._drop_edge(dependency, job)
         self.changed.discard(job.id)
 
-    def _drop_edge(self, need: str, job: Job) -> None:
-        known = self._dependents.get(need)
+    def _drop_edge(self, dependency: str, job: Job) -> None:
+        known = self._dependents.get(dependency)
         if known is not None:
             known.pop(job.id, None)
             if not known:
-                del self._dependents[need]
+                del self._dependents[dependency]
 
     def dependents(self, job_id: str) -> Iterator[Job]:
         """The jobs at hand that name this one directly."""
@@ -82,23 +82,23 @@
         """Those of them that are neither done nor cancelled."""
         return (job for job in self.dependents(job_id) if job.end == ACTIVE)
 
-    def unfinished_needs(self, job: Job) -> Iterator[Job]:
+    def unfinished_dependencies(self, job: Job) -> Iterator[Job]:
         """The jobs at hand that this one still waits for."""
-        for name in job.unmet:
+        for name in job.unmet_dependencies:
             before = self._jobs.get(name)
             if before is not None and before.spec is not None:
                 yield before
 
     def is_single(self, job: Job) -> bool:
         """Whether no other job bears on this one's place: it waits for none, and none names it."""
-        return not job.unmet and job.id not in self._dependents
+        return not job.unmet_dependencies and job.id not in self._dependents
 
-    def is_needed(self, job_id: str) -> bool:
+    def is_depended_on(self, job_id: str) -> bool:
         """Whether a job's record, still called unfinished, rests on this one's."""
         return any(job.recorded == ACTIVE for job in self.dependents(job_id))
 
     def _met(self, job: Job, before: Job) -> None:
-        job.unmet.discard(before.id)
+        job.unmet_dependencies.discard(before.id)
         job.ready_at = max(job.ready_at, before.ended_at)
 
     def _cancel(self, job: Job) -> list[Job]:
@@ -110,7 +110,7 @@
             if current.end != ACTIVE:
                 continue
             current.end = CANCELLED
-            self.changed.update((current.id, *current.unmet))
+            self.changed.update((current.id, *current.unmet_dependencies))
             cancelled.append(current)
             pending.extend(self.dependents(current.id))
         return cancelled
--- a/crossmill/cluster/job_index.py
+++ b/crossmill/cluster/job_index.py
@@ -48,7 +48,7 @@
             self.without_record.pop(job.id, None)
             job.spec = record.spec
             job.submitted = record.submitted
-            job.needs = record.needs
+            job.dependencies = record.dependencies
             job.order = version
             job.shard = self._settings.shard_of_team(job.spec.team)
         return is_new
@@ -59,8 +59,8 @@
             job.end = record.end
             self.unrecorded_cancellations[job.shard].pop(job.id, None)
         cancelled = self.graph.add(job) if is_new else []
-        if not is_new and record.end == ACTIVE and record.needs != job.needs:
-            self.graph.reduce(job, record.needs)
+        if not is_new and record.end == ACTIVE and record.dependencies != job.dependencies:
+            self.graph.reduce(job, record.dependencies)
         if record.end != ACTIVE:
             cancelled += self.graph.ended(job)
         self.update_sets(job)
@@ -89,8 +89,8 @@
             job.id,
             chunks=job.chunks,
             staged=job.staged,
-            finished=job.finished,
-            planned=job.planned,
+            done_tasks=job.done_tasks,
+            planned_tasks=job.planned_tasks,
         )
         self[job.id] = plan_only
         self.without_record[job.id] = plan_only
@@ -98,22 +98,22 @@
 
     def drop_if_empty(self, job: Job) -> None:
         """Forgets a job without a record once no plan of it is known."""
-        if job.is_known or job.chunks or job.staged:
+        if job.has_record or job.chunks or job.staged:
             return
         self.pop(job.id, None)
         self.without_record.pop(job.id, None)
-        if job.is_over:
+        if job.has_ended:
             self.ended[job.shard].pop(job.id, None)
             self.archivable[job.shard].pop(job.id, None)
 
     def update_sets(self, job: Job) -> None:
         """Puts the job into the sets that its state belongs to."""
-        if not job.is_known and not job.is_over:
+        if not job.has_record and not job.has_ended:
             return
         self.all_tasks_done[job.shard].pop(job.id, None)
         if job.end == ACTIVE:
             self.active[job.shard][job.id] = job
-            if job.spec and job.spec.kind != "service" and job.finished == job.spec.tasks:
+            if job.spec and job.spec.kind != "service" and job.done_tasks == job.spec.tasks:
                 self.all_tasks_done[job.shard][job.id] = job
             return
         self.active[job.shard].pop(job.id, None)
--- a/crossmill/cluster/model.py
+++ b/crossmill/cluster/model.py
@@ -62,19 +62,19 @@
     order: int = 0
     shard: int = -1
     # the jobs that had to be waited for when this one was accepted, and those not done yet
-    needs: tuple[str, ...] = ()
-    unmet: set[str] = field(default_factory=set)
+    dependencies: tuple[str, ...] = ()
+    unmet_dependencies: set[str] = field(default_factory=set)
     # when the last job that it needs was done; the submission if it needs none
     ready_at: float = 0.0
     chunks: dict[str, PlanChunk] = field(default_factory=dict)
     # copies of larger chunks in smaller ones, in force once the larger chunk is deleted
     staged: dict[str, PlanChunk] = field(default_factory=dict)
     # of all chunks, kept as they change: every round asks for them of every job
-    finished: int = 0
-    planned: int = 0
+    done_tasks: int = 0
+    planned_tasks: int = 0
 
     @property
-    def is_known(self) -> bool:
+    def has_record(self) -> bool:
         """Whether the job's record is at hand. Of a job without one nothing can be concluded:
         neither that it is to run, nor that it is over."""
         return self.spec is not None
@@ -82,38 +82,38 @@
     @property
     def is_active(self) -> bool:
         """Whether the job is known, and neither done nor cancelled."""
-        return self.is_known and self.end == ACTIVE
+        return self.has_record and self.end == ACTIVE
 
     @property
-    def is_over(self) -> bool:
+    def has_ended(self) -> bool:
         """Whether the job is done or cancelled, by its record or, without one, by the archive."""
         return self.end != ACTIVE
 
     @property
-    def blocked(self) -> bool:
+    def is_blocked(self) -> bool:
         """Whether a job that this one needs is not done."""
-        return bool(self.unmet)
+        return bool(self.unmet_dependencies)
 
-    def done_count(self) -> int:
+    def done_task_count(self) -> int:
         """How many tasks are done."""
         if self.end == DONE:
             return self.spec.tasks if self.spec else 0
-        return self.finished
+        return self.done_tasks
 
-    def planned_count(self) -> int:
+    def planned_task_count(self) -> int:
         """How many tasks are planned onto machines."""
-        return self.planned
+        return self.planned_tasks
 
     def attempts(self) -> Iterator[PlannedAttempt]:
         """All planned tasks."""
         for chunk in self.chunks.values():
             yield from chunk.attempts.values()
 
-    def waiting_count(self) -> int:
+    def waiting_task_count(self) -> int:
         """Tasks that wait for room; those of a job that waits for other jobs do not."""
-        if self.spec is None or self.end != ACTIVE or self.unmet:
+        if self.spec is None or self.end != ACTIVE or self.unmet_dependencies:
             return 0
-        return self.spec.tasks - self.done_count() - self.planned_count()
+        return self.spec.tasks - self.done_task_count() - self.planned_task_count()
 
 
 @dataclass(slots=True, eq=False)
--- a/crossmill/cluster/plan_index.py
+++ b/crossmill/cluster/plan_index.py
@@ -36,7 +36,7 @@
             self._replace_chunk(job, name, chunk)
             if not where.is_segment:
                 self._switch_layout(job, where, chunk is not None)
-        if not job.is_known:
+        if not job.has_record:
             self._jobs.without_record[job_id] = job
         self._jobs.update_sets(job)
         self._jobs.drop_if_empty(job)
@@ -70,8 +70,8 @@
         old = job.chunks.get(name)
         old_attempts = old.attempts if old else {}
         new_attempts = new.attempts if new else {}
-        job.planned += len(new_attempts) - len(old_attempts)
-        job.finished += _done_count(new) - _done_count(old)
+        job.planned_tasks += len(new_attempts) - len(old_attempts)
+        job.done_tasks += _done_count(new) - _done_count(old)
         for task, attempt in old_attempts.items():
             if new_attempts.get(task) != attempt:
                 self._machines.add_usage(job, attempt, -1)
--- a/crossmill/cluster/records.py
+++ b/crossmill/cluster/records.py
@@ -21,7 +21,7 @@
     spec: JobSpec
     submitted: float
     ended_at: float
-    needs: tuple[str, ...]
+    dependencies: tuple[str, ...]
 
 
 def _encode_spec(spec: JobSpec) -> dict[str, Any]:
@@ -75,11 +75,13 @@
     )
 
 
-def encode_job(spec: JobSpec, submitted: float, needs: tuple[str, ...] = ()) -> dict[str, Any]:
+def encode_job(
+    spec: JobSpec, submitted: float, dependencies: tuple[str, ...] = ()
+) -> dict[str, Any]:
     """A job just accepted; `needs` are the jobs before it that are not done."""
     value: dict[str, Any] = {"end": ACTIVE, "at": submitted, "spec": _encode_spec(spec)}
-    if needs:
-        value["needs"] = list(needs)
+    if dependencies:
+        value["needs"] = list(dependencies)
     return value
 
 
@@ -105,7 +107,7 @@
 
 def encode_archived(job: Job) -> dict[str, Any]:
     """What is kept of a job that was over long ago."""
-    return {"end": job.end, "done": job.done_count()}
+    return {"end": job.end, "done": job.done_task_count()}
 
 
 def encode_chunk(chunk: PlanChunk) -> dict[str, Any]:
--- a/crossmill/fleet/forecast.py
+++ b/crossmill/fleet/forecast.py
@@ -219,14 +219,14 @@
     def priority_of(self, job_id: str) -> int:
         """The priority of a job by its id; one that is not known comes after all others."""
         job = self._cluster.jobs.get(job_id)
-        return len(PRIORITY) if job is None or not job.is_known else self.priority(job)
+        return len(PRIORITY) if job is None or not job.has_record else self.priority(job)
 
     def waiting(self, shard: int) -> list[Job]:
         """Jobs with tasks to be placed, in the queue's order."""
         jobs = [
             job
             for job in self._cluster.jobs.active[shard].values()
-            if job.spec is not None and job.waiting_count() > 0
+            if job.spec is not None and job.waiting_task_count() > 0
         ]
         jobs.sort(key=self.queue_place)
         return jobs
@@ -251,7 +251,7 @@
             # the fixed wait is a place in the queue; without a deadline no option is too slow
             budget_s = place.budget_end - wall if place.has_deadline else inf
             demand = TaskDemand(
-                spec, job.waiting_count(), ZoneAllowance(spec, zones), budget_s, task_s
+                spec, job.waiting_task_count(), ZoneAllowance(spec, zones), budget_s, task_s
             )
             if spec.kind == "array" and task_s > 0:
                 # slots of running arrays come free one after the other, and again; those that
@@ -276,7 +276,7 @@
 
     def _coming_free(self, shard: int) -> int:
         return sum(
-            job.planned_count()
+            job.planned_task_count()
             for job in self._cluster.jobs.active[shard].values()
             if job.spec is not None and job.spec.kind == "array"
         )
@@ -314,7 +314,7 @@
         slots that come free counted in."""
         old = wall - self._settings.machine_transfer_interval_s
         waiting = self._cluster.jobs.active[shard].values()
-        if not any(j.ready_at < old and j.waiting_count() > 0 for j in waiting):
+        if not any(j.ready_at < old and j.waiting_task_count() > 0 for j in waiting):
             return []
         capacities = self._capacities(shard, wall)
         result: list[TaskDemand] = []
--- a/crossmill/fleet/pipelines.py
+++ b/crossmill/fleet/pipelines.py
@@ -109,7 +109,7 @@
         while pending:
             current = pending.pop()
             for other in (
-                *graph.unfinished_needs(current),
+                *graph.unfinished_dependencies(current),
                 *graph.unfinished_dependents(current.id),
             ):
                 if other.id not in members and other.end == ACTIVE:
@@ -141,7 +141,7 @@
             spec.tasks,
             self._options(spec),
             self._estimates.margin_s(spec.job_class, spec.estimate_s),
-            tuple(before.id for before in self._cluster.jobs.graph.unfinished_needs(job)),
+            tuple(before.id for before in self._cluster.jobs.graph.unfinished_dependencies(job)),
             deadline,
         )
 
--- a/crossmill/jobs/cancellation.py
+++ b/crossmill/jobs/cancellation.py
@@ -69,7 +69,7 @@
 
     async def _preconditions(self, job: Job) -> dict[str, int] | None:
         """What the cancellation is to rest on; None if it can't be confirmed yet."""
-        waits_for = next(self._cluster.jobs.graph.unfinished_needs(job), None)
+        waits_for = next(self._cluster.jobs.graph.unfinished_dependencies(job), None)
         if waits_for is not None:
             # it has no task anywhere, and gets none before this record changes
             return {keys.job(waits_for.id): waits_for.version}
@@ -125,6 +125,6 @@
         }
         if any(attempt.machine not in self._cluster.machines for attempt in job.attempts()):
             zones.update(self._settings.zones)
-        if job.waiting_count() and job.spec is not None:
+        if job.waiting_task_count() and job.spec is not None:
             zones.update((job.spec.zone,) if job.spec.zone else self._settings.zones)
         return zones
--- a/crossmill/jobs/cleanup.py
+++ b/crossmill/jobs/cleanup.py
@@ -125,5 +125,5 @@
             and not job.staged
             and job.recorded == job.end
             and job.version <= self._cluster.mirror.revision
-            and not self._cluster.jobs.graph.is_needed(job.id)
+            and not self._cluster.jobs.graph.is_depended_on(job.id)
         )
--- a/crossmill/jobs/dependency_check.py
+++ b/crossmill/jobs/dependency_check.py
@@ -39,49 +39,49 @@
         self._client = client
         self._archived_ends: dict[str, str] = {}
 
-    async def resolve(self, job_id: str, needs: tuple[str, ...]) -> Dependencies:
+    async def resolve(self, job_id: str, dependency_ids: tuple[str, ...]) -> Dependencies:
         """Raises DependencyRefusedError or DependencyUnknownError when a job can't be waited
         for."""
         result = Dependencies()
-        for need in needs:
-            if need == job_id:
+        for dependency_id in dependency_ids:
+            if dependency_id == job_id:
                 raise DependencyRefusedError("a job can't wait for itself")
-            job = self._at_hand(need) or await self._read(need)
+            job = self._at_hand(dependency_id) or await self._read(dependency_id)
             if job is not None and job.spec is not None and job.spec.kind == "service":
-                raise DependencyRefusedError(f"{need} is a service and is never done")
-            end = job.end if job is not None else await self._archived_end(need)
+                raise DependencyRefusedError(f"{dependency_id} is a service and is never done")
+            end = job.end if job is not None else await self._archived_end(dependency_id)
             if end == CANCELLED:
                 result.is_cancelled = True
             elif end != DONE and job is not None:
-                result.unfinished[need] = job.version
+                result.unfinished[dependency_id] = job.version
         return result
 
-    def _at_hand(self, need: str) -> Job | None:
-        job = self._cluster.jobs.get(need)
+    def _at_hand(self, dependency_id: str) -> Job | None:
+        job = self._cluster.jobs.get(dependency_id)
         return job if job is not None and job.spec is not None else None
 
-    async def _read(self, need: str) -> Job | None:
-        if need in self._archived_ends:
+    async def _read(self, dependency_id: str) -> Job | None:
+        if dependency_id in self._archived_ends:
             return None
         try:
-            row = await self._client.get(keys.job(need))
+            row = await self._client.get(keys.job(dependency_id))
         except (RequestRefusedError, OutcomeUnknownError) as exc:
-            raise DependencyUnknownError(need) from exc
+            raise DependencyUnknownError(dependency_id) from exc
         if row is not None:
             self._mirror.merge_read(row)
-        return self._at_hand(need)
+        return self._at_hand(dependency_id)
 
-    async def _archived_end(self, need: str) -> str:
-        end = self._archived_ends.get(need)
+    async def _archived_end(self, dependency_id: str) -> str:
+        end = self._archived_ends.get(dependency_id)
         if end is not None:
             return end
         try:
-            row = await self._client.get(keys.archived(need))
+            row = await self._client.get(keys.archived(dependency_id))
         except (RequestRefusedError, OutcomeUnknownError) as exc:
-            raise DependencyUnknownError(need) from exc
+            raise DependencyUnknownError(dependency_id) from exc
         if row is None:
-            raise DependencyRefusedError(f"{need} was never accepted")
+            raise DependencyRefusedError(f"{dependency_id} was never accepted")
         if len(self._archived_ends) >= REMEMBERED_ENDS:
             self._archived_ends.pop(next(iter(self._archived_ends)))
-        end = self._archived_ends[need] = str(row.value["end"])
+        end = self._archived_ends[dependency_id] = str(row.value["end"])
         return end
--- a/crossmill/jobs/lookup.py
+++ b/crossmill/jobs/lookup.py
@@ -16,9 +16,9 @@
 
 def status_of(job: Job) -> bytes:
     """The job's state as every controller derives it from the same records."""
-    running = job.planned_count()
+    running = job.planned_task_count()
     state = job.end or ("running" if running else "queued")
-    return wire.status_body(job.id, state, job.done_count(), 0 if job.end else running)
+    return wire.status_body(job.id, state, job.done_task_count(), 0 if job.end else running)
 
 
 class JobLookup:
@@ -45,7 +45,7 @@
     def final(self, job_id: str) -> Job | None:
         """The job, if it has ended for good."""
         job = self._cluster.jobs.get(job_id)
-        return job if job is not None and job.is_known and job.is_over else None
+        return job if job is not None and job.has_record and job.has_ended else None
 
     def known(self, job_id: str) -> Job | None:
         """The job, if it is accepted and not archived."""
--- a/crossmill/jobs/placement.py
+++ b/crossmill/jobs/placement.py
@@ -130,11 +130,11 @@
         spec = job.spec
         assert spec is not None
         failures = self._failures.of(job.id)
-        wanted = min(job.waiting_count(), self._within_limit(spec, usage))
+        wanted = min(job.waiting_task_count(), self._within_limit(spec, usage))
         if failures is not None and failures.not_before > self._clock.now():
             return
         if failures is not None and failures.is_suspect:
-            wanted = min(wanted, 1 - job.planned_count())
+            wanted = min(wanted, 1 - job.planned_task_count())
         if wanted <= 0:
             return
         zones = ZoneAllowance(spec, self._cluster.machines.task_counts_by_zone(job))
@@ -185,12 +185,12 @@
 
     def _whole(self, job: Job, spec: JobSpec, wanted: int, capacities: list[FreeCapacity]) -> bool:
         """A gang's tasks wait for one another, so they are placed together or not at all."""
-        if job.planned_count():
+        if job.planned_task_count():
             return False
         trial = [replace(capacity, images=dict(capacity.images)) for capacity in capacities]
         zones = ZoneAllowance(spec, self._cluster.machines.task_counts_by_zone(job))
         found = sum(n for _, n in assign_tasks(spec, wanted, trial, zones))
-        return found == job.waiting_count()
+        return found == job.waiting_task_count()
 
     def _find_capacity(
         self,
--- a/crossmill/jobs/plan_writer.py
+++ b/crossmill/jobs/plan_writer.py
@@ -70,7 +70,7 @@
     def intent(self, edit: PlanEdit, shard: int, ownership: ShardOwnership) -> WriteIntent | None:
         """The write of an edited plan; None if nothing is to be written."""
         job, spec = edit.job, edit.job.spec
-        if not (edit.over or edit.starts) or not (job.is_known or job.is_over):
+        if not (edit.over or edit.starts) or not (job.has_record or job.has_ended):
             return None
         if self._migration.is_due(job, edit.chunk):
             # it may no longer fit as it is; what is found now is found again at the next report
--- a/crossmill/jobs/preemption.py
+++ b/crossmill/jobs/preemption.py
@@ -64,7 +64,7 @@
         self._stoppable.clear()
         for job_id in list(self._claims):
             job = self._cluster.jobs.get(job_id)
-            if job is None or job.waiting_count() == 0:
+            if job is None or job.waiting_task_count() == 0:
                 del self._claims[job_id]
         for machine, (job_id, until) in list(self._reserved.items()):
             if job_id not in self._claims or now > until:
--- a/crossmill/jobs/record_repair.py
+++ b/crossmill/jobs/record_repair.py
@@ -60,25 +60,25 @@
     async def step(self) -> None:
         """One look at all shards acted for."""
         for shard in range(self._settings.shard_count):
-            for job, need in list(self._missing(shard)):
+            for job, dependency in list(self._missing(shard)):
                 ownership = self._membership.active_ownership(shard)
                 if ownership is not None:
-                    await self._mend_waiting(job, need, shard, ownership)
+                    await self._mend_waiting(job, dependency, shard, ownership)
         for job in list(self._cluster.jobs.without_record.values()):
             shard = self._shard_of(job)
-            if not job.is_over and self._membership.active_ownership(shard) is not None:
+            if not job.has_ended and self._membership.active_ownership(shard) is not None:
                 await self._mend_unknown(job, shard)
 
     def _missing(self, shard: int) -> Iterator[tuple[Job, str]]:
         for job in self._cluster.jobs.active[shard].values():
-            for need in job.unmet:
-                if not self._is_known(need):
-                    yield job, need
+            for dependency in job.unmet_dependencies:
+                if not self._is_known(dependency):
+                    yield job, dependency
                     break
 
-    def _is_known(self, need: str) -> bool:
-        job = self._cluster.jobs.get(need)
-        return job is not None and job.is_known
+    def _is_known(self, dependency: str) -> bool:
+        job = self._cluster.jobs.get(dependency)
+        return job is not None and job.has_record
 
     def _shard_of(self, job: Job) -> int:
         """The shard of the machines that the plan names; the first, if it names none."""
@@ -96,42 +96,44 @@
         if job.id not in self._cluster.jobs.without_record:
             return
         if archived is None:
-            log.error("plan without a job job=%s tasks=%d", job.id, job.planned_count())
+            log.error("plan without a job job=%s tasks=%d", job.id, job.planned_task_count())
             return
         end = str(archived.value["end"])
         log.warning(
-            "plan of an archived job job=%s tasks=%d end=%s", job.id, job.planned_count(), end
+            "plan of an archived job job=%s tasks=%d end=%s", job.id, job.planned_task_count(), end
         )
         self._cluster.apply_archived_end(job, end, shard)
 
     async def _mend_waiting(
-        self, job: Job, need: str, shard: int, ownership: ShardOwnership
+        self, job: Job, dependency: str, shard: int, ownership: ShardOwnership
     ) -> None:
         version = job.version
-        if await self._client.get(keys.job(need)) is not None:
+        if await self._client.get(keys.job(dependency)) is not None:
             # accepted a moment ago: the watch will show it
             return
-        archived = await self._client.get(keys.archived(need))
-        if self._is_known(need) or job.spec is None or job.version != version:
+        archived = await self._client.get(keys.archived(dependency))
+        if self._is_known(dependency) or job.spec is None or job.version != version:
             return
         end = archived.value["end"] if archived is not None else ""
-        record = self._record(job, job.spec, need, end)
+        record = self._record(job, job.spec, dependency, end)
         if record is None:
-            log.error("dependency without a record job=%s dependency=%s", job.id, need)
+            log.error("dependency without a record job=%s dependency=%s", job.id, dependency)
             return
-        log.warning("dependency was archived job=%s dependency=%s end=%s", job.id, need, end)
+        log.warning("dependency was archived job=%s dependency=%s end=%s", job.id, dependency, end)
         key = keys.job(job.id)
-        txn = Txn({key: version, keys.job(need): 0}, [Put(key, record)])
+        txn = Txn({key: version, keys.job(dependency): 0}, [Put(key, record)])
         await self._writer.commit(
             shard_intent(self._membership, shard, ownership, WriteRank.BACKGROUND, txn)
         )
 
-    def _record(self, job: Job, spec: JobSpec, need: str, end: str) -> dict[str, object] | None:
+    def _record(
+        self, job: Job, spec: JobSpec, dependency: str, end: str
+    ) -> dict[str, object] | None:
         """The waiting job's record once it is known how the missing one ended."""
         if end == CANCELLED:
             most_bytes = self._cluster.limits.record_bytes
             return encode_end(CANCELLED, spec, self._clock.wall(), most_bytes)
         if end == DONE:
-            needs = tuple(name for name in job.needs if name != need)
-            return encode_job(spec, job.submitted, needs)
+            dependencies = tuple(name for name in job.dependencies if name != dependency)
+            return encode_job(spec, job.submitted, dependencies)
         return None
--- a/crossmill/jobs/submission.py
+++ b/crossmill/jobs/submission.py
@@ -31,7 +31,7 @@
 # how often a submission is looked at anew when what it rested on has changed
 ATTEMPTS = 3
 # far above what users name; each may have to be read from the archive
-MOST_NEEDS = 256
+MAX_DEPENDENCIES = 256
 
 
 class SubmissionHandler:
@@ -81,21 +81,21 @@
         return Response(status, wire.error_body(why))
 
     async def _decide(self, submission: Submission) -> Response:
-        spec, needs = submission.spec, submission.needs
+        spec, dependency_ids = submission.spec, submission.dependencies
         if not self._cluster.catalog:
             return NOT_NOW
         why = self._never(spec)
-        if why is None and len(needs) > MOST_NEEDS:
-            why = f"more than {MOST_NEEDS} jobs to wait for"
+        if why is None and len(dependency_ids) > MAX_DEPENDENCIES:
+            why = f"more than {MAX_DEPENDENCIES} jobs to wait for"
         if why is not None:
             return await self._refuse(spec.id, NEVER, why)
         if not self._lookup.is_served():
             return NOT_NOW
-        if not needs:
+        if not dependency_ids:
             return await self._accept(spec, Dependencies()) or NOT_NOW
-        return await self._accept_dependent(spec, needs)
+        return await self._accept_dependent(spec, dependency_ids)
 
-    async def _accept_dependent(self, spec: JobSpec, needs: tuple[str, ...]) -> Response:
+    async def _accept_dependent(self, spec: JobSpec, dependency_ids: tuple[str, ...]) -> Response:
         if self._cluster.level is None:
             # a controller of the version before would start it at once
             return NOT_NOW
@@ -103,7 +103,7 @@
             # counted before the first is looked at: one archived meanwhile raises it
             archivings = self._archivings()
             try:
-                dependencies = await self._dependencies.resolve(spec.id, needs)
+                dependencies = await self._dependencies.resolve(spec.id, dependency_ids)
             except DependencyRefusedError as exc:
                 return await self._refuse(spec.id, NEVER, str(exc))
             except DependencyUnknownError:
@@ -180,7 +180,10 @@
         it has seen all up to there, and so knows of this job. Where the records are more than a
         transaction's conditions, the counter of archivings stands for them: raised by this write
         too, it keeps those who have not seen it from archiving anything."""
-        records = {keys.job(need): version for need, version in dependencies.unfinished.items()}
+        records = {
+            keys.job(dependency_id): version
+            for dependency_id, version in dependencies.unfinished.items()
+        }
         if len(txn.conditions) + len(records) <= self._cluster.limits.conditions:
             txn.conditions.update(records)
             return
--- a/crossmill/jobs/team_quotas.py
+++ b/crossmill/jobs/team_quotas.py
@@ -26,7 +26,7 @@
             *self._cluster.jobs.active[shard].values(),
             *self._cluster.jobs.ended[shard].values(),
         ):
-            if job.spec is not None and (count := job.planned_count()):
+            if job.spec is not None and (count := job.planned_task_count()):
                 entry = usage.setdefault(job.spec.team, [0.0, 0.0])
                 entry[0] += count * job.spec.cpus
                 entry[1] += count * job.spec.gpus
@@ -55,8 +55,8 @@
         by_team: dict[str, list[tuple[int, float, str]]] = {}
         for job in self._cluster.jobs.active[shard].values():
             # a job that waits for others holds no part of a guarantee
-            if job.spec is not None and not job.blocked:
-                left = job.spec.gpus * (job.spec.tasks - job.done_count())
+            if job.spec is not None and not job.is_blocked:
+                left = job.spec.gpus * (job.spec.tasks - job.done_task_count())
                 by_team.setdefault(job.spec.team, []).append((job.order, left, job.id))
         fitting: set[str] = set()
         for name, entries in by_team.items():
--- a/crossmill/planning/pipelines.py
+++ b/crossmill/planning/pipelines.py
@@ -18,7 +18,7 @@
     tasks: int
     options: tuple[MachineOption, ...]
     margin_s: float
-    needs: tuple[str, ...] = ()
+    dependencies: tuple[str, ...] = ()
     deadline: float | None = None
 
 
@@ -32,12 +32,12 @@
 
 def topological_order(stages: Mapping[str, PipelineStage]) -> list[str]:
     """Every stage after those it needs."""
-    missing = {name: sum(n in stages for n in s.needs) for name, s in stages.items()}
+    missing = {name: sum(n in stages for n in s.dependencies) for name, s in stages.items()}
     dependents: dict[str, list[str]] = {name: [] for name in stages}
     for name, stage in stages.items():
-        for need in stage.needs:
-            if need in dependents:
-                dependents[need].append(name)
+        for dependency in stage.dependencies:
+            if dependency in dependents:
+                dependents[dependency].append(name)
     order = [name for name in stages if not missing[name]]
     for name in order:
         for dependent in dependents[name]:
@@ -64,9 +64,9 @@
 ) -> dict[str, int]:
     priorities = {name: stages[name].priority for name in order}
     for name in reversed(order):
-        for need in stages[name].needs:
-            if need in priorities:
-                priorities[need] = min(priorities[need], priorities[name])
+        for dependency in stages[name].dependencies:
+            if dependency in priorities:
+                priorities[dependency] = min(priorities[dependency], priorities[name])
     return priorities
 
 
@@ -75,10 +75,10 @@
     found = {last}
     pending = [last]
     while pending:
-        for need in stages[pending.pop()].needs:
-            if need in stages and need not in found:
-                found.add(need)
-                pending.append(need)
+        for dependency in stages[pending.pop()].dependencies:
+            if dependency in stages and dependency not in found:
+                found.add(dependency)
+                pending.append(dependency)
     return found
 
 
@@ -93,7 +93,9 @@
     split_stages: list[Stage] = []
     for name in names:
         stage = stages[name]
-        after = tuple(places[need] for need in stage.needs if need in places)
+        after = tuple(
+            places[dependency] for dependency in stage.dependencies if dependency in places
+        )
         split_stages.append(Stage(stage.tasks, stage.options, after))
         margins.append(stage.margin_s + max((margins[place] for place in after), default=0.0))
     deadline = stages[last].deadline
--- a/crossmill/recovery/differences.py
+++ b/crossmill/recovery/differences.py
@@ -47,9 +47,9 @@
 
 def job_standing(job: Job | None) -> JobStanding:
     """What the stored state says of the job."""
-    if job is not None and job.is_over:
+    if job is not None and job.has_ended:
         return JobStanding.OVER
-    if job is None or not job.is_known:
+    if job is None or not job.has_record:
         return JobStanding.UNKNOWN
     return JobStanding.ACTIVE
 
--- a/crossmill/recovery/service.py
+++ b/crossmill/recovery/service.py
@@ -126,7 +126,7 @@
         """One look at all shards that this controller owns."""
         for shard, ownership in list(self._membership.ownerships.items()):
             recovery = self._recovery_of(shard, ownership)
-            is_done = recovery.is_over and shard in self._recorded
+            is_done = recovery.has_ended and shard in self._recorded
             if is_done or self._membership.active_ownership(shard) is None:
                 continue
             recovery.advance(ownership)
@@ -219,13 +219,13 @@
             ownership is not None
             and recovery is not None
             and recovery.term == ownership.term
-            and recovery.is_over
+            and recovery.has_ended
             and shard in self._recorded
         )
 
     def recoveries(self) -> list[ShardRecovery]:
         """Those that go on."""
-        return [recovery for recovery in self._shards.values() if not recovery.is_over]
+        return [recovery for recovery in self._shards.values() if not recovery.has_ended]
 
     # -- for operators ---------------------------------------------------------------
 
--- a/crossmill/recovery/shard_recovery.py
+++ b/crossmill/recovery/shard_recovery.py
@@ -88,7 +88,7 @@
         return self.phase is Phase.STEADY
 
     @property
-    def is_over(self) -> bool:
+    def has_ended(self) -> bool:
         """Whether nothing is left to be watched: those that were silent have come, or are gone."""
         return self.is_settled and not self._unheard and not self._open.count
 
@@ -289,7 +289,7 @@
 
     def may_give_up(self, machine: Machine) -> bool:
         """Whether the machine may be marked to be returned."""
-        if self.is_over:
+        if self.has_ended:
             return True
         if self.phase not in (Phase.SETTLING, Phase.STEADY):
             return False
--- a/crossmill/verbs.py
+++ b/crossmill/verbs.py
@@ -7,16 +7,16 @@
 
 from .client_command import BadUsage, ClientRequest, read_input, run_verb
 from .wire.checks import MalformedMessageError, load_object
-from .wire.users import JOBS_PATH, NEEDS, WITHDRAW
+from .wire.users import DEPENDENCIES, JOBS_PATH, WITHDRAW
 
 
-def with_needs(body: bytes, needs: Sequence[str]) -> bytes:
+def with_dependencies(body: bytes, dependencies: Sequence[str]) -> bytes:
     """A submission that also waits for these jobs; raises MalformedMessageError if it is no JSON
     object."""
-    if not needs:
+    if not dependencies:
         return body
     data = load_object(body)
-    data[NEEDS] = [*(data.get(NEEDS) or ()), *needs]
+    data[DEPENDENCIES] = [*(data.get(DEPENDENCIES) or ()), *dependencies]
     return orjson.dumps(data)
 
 
@@ -24,7 +24,7 @@
     """The request of a verb; raises BadUsage."""
     if args.verb == "submit":
         try:
-            body = with_needs(read_input(args.file), args.after)
+            body = with_dependencies(read_input(args.file), args.after)
         except MalformedMessageError as exc:
             raise BadUsage(f"{args.file}: {exc}") from exc
         return ClientRequest("POST", JOBS_PATH, body)
--- a/crossmill/wire/users.py
+++ b/crossmill/wire/users.py
@@ -16,7 +16,7 @@
 PRIORITIES = {"production": "production", "high": "high", "standard": "normal", "idle": "low"}
 JOBS_PATH = "/v1/jobs"
 WITHDRAW = "withdraw"
-NEEDS = "awaits"
+DEPENDENCIES = "awaits"
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +49,7 @@
     """A job as its user submits it, with the jobs that have to be done before it starts."""
 
     spec: JobSpec
-    needs: tuple[str, ...] = ()
+    dependencies: tuple[str, ...] = ()
 
 
 def is_job_id(value: str) -> bool:
@@ -59,16 +59,18 @@
 
 def parse_submission(data: dict[str, Any]) -> Submission:
     """A submission, checked; raises MalformedMessageError."""
-    return Submission(parse_spec(data), _parse_needs(data))
+    return Submission(parse_spec(data), _parse_dependencies(data))
 
 
-def _parse_needs(data: dict[str, Any]) -> tuple[str, ...]:
-    needs = data.get(NEEDS)
-    if needs is None:
+def _parse_dependencies(data: dict[str, Any]) -> tuple[str, ...]:
+    dependencies = data.get(DEPENDENCIES)
+    if dependencies is None:
         return ()
-    if type(needs) is not list or not all(type(n) is str and is_job_id(n) for n in needs):
-        raise MalformedMessageError(f"{NEEDS}: a list of job ids or null is needed")
-    return tuple(dict.fromkeys(needs))
+    if type(dependencies) is not list or not all(
+        type(n) is str and is_job_id(n) for n in dependencies
+    ):
+        raise MalformedMessageError(f"{DEPENDENCIES}: a list of job ids or null is needed")
+    return tuple(dict.fromkeys(dependencies))
 
 
 def parse_spec(data: dict[str, Any]) -> JobSpec:
--- a/crossmill/workers/attempt_outcomes.py
+++ b/crossmill/workers/attempt_outcomes.py
@@ -95,7 +95,7 @@
     def _is_of(self, job_id: str, shard: int) -> bool:
         """Whether the job belongs to the shard; one that is unknown may."""
         job = self._cluster.jobs.get(job_id)
-        return job is None or not job.is_known or job.shard == shard
+        return job is None or not job.has_record or job.shard == shard
 
     def _trim(self) -> None:
         attempts = (r for m in self._cluster.machines.values() for r in m.attempts.values())
--- a/crossmill/workers/heartbeat_handler.py
+++ b/crossmill/workers/heartbeat_handler.py
@@ -177,7 +177,7 @@
 
     def _job_ended(self, task: str) -> bool:
         job = self._cluster.jobs.get(task.rpartition("/")[0])
-        return job is not None and job.is_over
+        return job is not None and job.has_ended
 
     @staticmethod
     def token(machine: Machine, ownership: ShardOwnership) -> int:
@@ -305,7 +305,7 @@
 
     def _is_known(self, attempt: PlannedAttempt) -> bool:
         job = self._cluster.jobs.get(attempt.job)
-        if job is not None and (job.is_known or job.is_over):
+        if job is not None and (job.has_record or job.has_ended):
             return True
         log.debug(
             "planned attempt without a job record job=%s task=%d machine=%s",
@@ -340,7 +340,7 @@
             self.outcomes.record(AttemptOutcome(attempt, EndReason(task.why), ownership.term, took))
             return
         job = self._cluster.jobs.get(attempt.job)
-        if job is None or job.is_over:
+        if job is None or job.has_ended:
             orders.append(Command("stop", f"{attempt.job}/{attempt.index}", attempt.number, 0.0))
             return
         spec = job.spec
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -10,7 +10,7 @@
 from crossmill.cluster.model import ACTIVE, CANCELLED, DONE, Job
 from crossmill.cluster.records import encode_end, encode_job
 from crossmill.net.server import Response
-from crossmill.verbs import with_needs
+from crossmill.verbs import with_dependencies
 from crossmill.wire.checks import MalformedMessageError, load_object
 from crossmill.wire.users import parse_submission
 
@@ -53,20 +53,20 @@
 
 
 def test_needs_are_null_or_well_formed_ids_and_repeats_count_once() -> None:
-    assert parse_submission(submission(awaits=None)).needs == ()
-    assert parse_submission(submission()).needs == ()
-    assert parse_submission(submission(awaits=[B, C, B])).needs == (B, C)
+    assert parse_submission(submission(awaits=None)).dependencies == ()
+    assert parse_submission(submission()).dependencies == ()
+    assert parse_submission(submission(awaits=[B, C, B])).dependencies == (B, C)
     for bad in ("wk-000002", ["x"], [1], {"a": 1}, [None], [[B]]):
         with pytest.raises(MalformedMessageError):
             parse_submission(submission(awaits=bad))
 
 
 def test_the_command_line_adds_needs_to_a_submission() -> None:
-    body = with_needs(orjson.dumps(submission(awaits=[B])), [C])
-    assert parse_submission(load_object(body)).needs == (B, C)
-    assert with_needs(b"as it is", []) == b"as it is"
+    body = with_dependencies(orjson.dumps(submission(awaits=[B])), [C])
+    assert parse_submission(load_object(body)).dependencies == (B, C)
+    assert with_dependencies(b"as it is", []) == b"as it is"
     with pytest.raises(MalformedMessageError):
-        with_needs(b"[]", [C])
+        with_dependencies(b"[]", [C])
 
 
 def test_a_chain_runs_stage_by_stage() -> None:
@@ -120,7 +120,7 @@
         if state_of == "at hand":
             await node.sync()
         assert (await _submit(node, B, A)).status == 201
-        assert node.cluster.jobs[B].blocked is (state_of != "archived")
+        assert node.cluster.jobs[B].is_blocked is (state_of != "archived")
 
     play(story)
 
@@ -203,7 +203,7 @@
     for number in range(5000):
         needs = (f"wk-{number - 1:06d}",) if number else ()
         spec = make_spec(nameId=f"wk-{number:06d}")
-        job = jobs[spec.id] = Job(spec.id, spec=spec, needs=needs)
+        job = jobs[spec.id] = Job(spec.id, spec=spec, dependencies=needs)
         graph.add(job)
     first = jobs["wk-000000"]
     first.end = CANCELLED
@@ -227,7 +227,7 @@
         node = Node(state, clock, nodes)
         await node.boot()
         assert node.cluster.jobs[after].end == CANCELLED
-        assert not node.cluster.jobs[D].blocked
+        assert not node.cluster.jobs[D].is_blocked
         assert node.cluster.jobs[D].ready_at == 7.0
 
     play(story)
@@ -289,8 +289,8 @@
         state._delete(keys.job(A))
         # looked at anew within the request: accepted on the archived end, and waiting for nothing
         assert (await _submit(node, B, A)).status == 201
-        assert not node.cluster.jobs[B].blocked
-        assert not node.cluster.jobs[B].needs
+        assert not node.cluster.jobs[B].is_blocked
+        assert not node.cluster.jobs[B].dependencies
         assert "needs" not in state.keys[keys.job(B)][0]
 
     play(story)
@@ -305,7 +305,7 @@
         check = node.jobs._submission._dependencies
         read = check._read
 
-        async def slow_read(need: str) -> Job | None:
+        async def slow_read(dependency_id: str) -> Job | None:
             value = encode_end(DONE, make_spec(nameId=A), clock.wall(), RECORD_BYTES)
             state.put(keys.job(A), value)
             state.put(keys.archived(A), {"end": "done", "done": 1})
@@ -314,11 +314,11 @@
             state._delete(keys.job(A))
             await node.sync()
             check._read = read  # type: ignore[method-assign]
-            return await read(need)
+            return await read(dependency_id)
 
         check._read = slow_read  # type: ignore[method-assign]
         assert (await _submit(node, B, A, C)).status == 201
-        assert node.cluster.jobs[B].unmet == {C}
+        assert node.cluster.jobs[B].unmet_dependencies == {C}
         assert state.keys[keys.job(B)][0]["needs"] == [C]
 
     play(story)
@@ -451,7 +451,7 @@
             await owner.round()
         late = Node(state, clock, nodes, "node-2")
         await late.boot()
-        assert late.cluster.jobs[B].unmet == set(more)
+        assert late.cluster.jobs[B].unmet_dependencies == set(more)
 
     play(story)
 
@@ -470,17 +470,21 @@
         other = Node(state, clock, nodes, "node-1")
         await other.boot()
         await node.sync()
-        assert node.cluster.jobs[B].unmet == other.cluster.jobs[B].unmet == {A}
+        assert (
+            node.cluster.jobs[B].unmet_dependencies
+            == other.cluster.jobs[B].unmet_dependencies
+            == {A}
+        )
         await node.live()
         await node.record_repair.step()
         await other.sync()
         assert await _stage(node, B) == await _stage(other, B) == told
         for seen in (node, other):
-            assert seen.cluster.jobs[B].blocked is (end != DONE)
-            assert seen.cluster.jobs[B].waiting_count() == (end == DONE)
+            assert seen.cluster.jobs[B].is_blocked is (end != DONE)
+            assert seen.cluster.jobs[B].waiting_task_count() == (end == DONE)
         late = Node(state, clock, nodes, "node-2")
         await late.boot()
         assert await _stage(late, B) == told
-        assert late.cluster.jobs[B].blocked is (end == "")
+        assert late.cluster.jobs[B].is_blocked is (end == "")
 
     play(story)
--- a/tests/test_derivation.py
+++ b/tests/test_derivation.py
@@ -125,8 +125,8 @@
 
     def archive(self) -> None:
         for job in self._ended():
-            is_needed = any(job in self.needs[other] for other in self._unfinished())
-            if not self._plans(job) and not is_needed and self.lots.random() < 0.5:
+            is_depended_on = any(job in self.needs[other] for other in self._unfinished())
+            if not self._plans(job) and not is_depended_on and self.lots.random() < 0.5:
                 self.state.put(keys.archived(job), encode_archived(Job(job, end=DONE)))
                 self.state.delete(keys.job(job))
 
@@ -154,11 +154,11 @@
         job.id: (
             job.end,
             job.recorded,
-            sorted(job.unmet) if job.end == ACTIVE else [],
-            job.finished,
-            job.planned,
+            sorted(job.unmet_dependencies) if job.end == ACTIVE else [],
+            job.done_tasks,
+            job.planned_tasks,
             job.shard,
-            job.waiting_count(),
+            job.waiting_task_count(),
             sorted((attempt.index, attempt.number, attempt.machine) for attempt in job.attempts()),
         )
         for job in cluster.jobs.values()
--- a/tests/test_safety.py
+++ b/tests/test_safety.py
@@ -135,11 +135,11 @@
         await node.provisioner._look_at_list(await node.provisioner._cloud.machines())
         await node.round()
         assert node.cluster.machines["n-0"].retiring == "failed"
-        assert node.cluster.jobs["wk-000001"].planned_count() == 1
+        assert node.cluster.jobs["wk-000001"].planned_task_count() == 1
         await node.provisioner._release()
         assert node.cloud.released == ["n-0"]
         await node.round()
-        assert node.cluster.jobs["wk-000001"].planned_count() == 0
+        assert node.cluster.jobs["wk-000001"].planned_task_count() == 0
 
     play(story)
 
@@ -162,16 +162,16 @@
         await node.sync()
         node.report("n-0", 1, 2, token)
         await node.round()
-        assert node.cluster.jobs[job].planned_count() == 1
+        assert node.cluster.jobs[job].planned_task_count() == 1
         await node.membership.step()
         higher = node.token()
         assert higher > token
         node.report("n-0", 1, 3, token)
         await node.round()
-        assert node.cluster.jobs[job].planned_count() == 1
+        assert node.cluster.jobs[job].planned_task_count() == 1
         node.report("n-0", 1, 4, higher)
         await node.round()
-        assert node.cluster.jobs[job].planned_count() == 0
+        assert node.cluster.jobs[job].planned_task_count() == 0
 
     play(story)
 
@@ -199,7 +199,7 @@
         # another controller's write that this mirror has not seen yet
         state.put(keys.job(job), {**state.keys[keys.job(job)][0], "end": "cancelled"})
         await node.round()
-        assert node.cluster.jobs[job].planned_count() == 0
+        assert node.cluster.jobs[job].planned_task_count() == 0
         assert keys.plan(job, "0") not in state.keys
 
     play(story)
@@ -289,8 +289,8 @@
         for number in range(6):
             node.report(f"n-{number}", 1, 2, node.token())
         await node.round()
-        assert node.cluster.jobs["wk-000001"].planned_count() == 16
-        assert node.cluster.jobs["wk-000002"].planned_count() == 0
+        assert node.cluster.jobs["wk-000001"].planned_task_count() == 16
+        assert node.cluster.jobs["wk-000002"].planned_task_count() == 0
 
     play(story)
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -73,11 +73,11 @@
         report_all(node, MACHINES)
         counts: Counter[str] = Counter()
         _count(monkeypatch, counts, FreeCapacity, "fits")
-        _count(monkeypatch, counts, Job, "done_count")
+        _count(monkeypatch, counts, Job, "done_task_count")
         await node.round()
         jobs = MACHINES * EACH // 16 + 300
         assert MACHINES <= counts["fits"] <= 2 * MACHINES
-        assert counts["done_count"] <= 20 * jobs
+        assert counts["done_task_count"] <= 20 * jobs
 
     play(story)
 
@@ -113,7 +113,7 @@
         assert len(pages) <= stored // 1000 + 1
         # each shard's key and the counter of tokens, this controller's own key and the leader's
         assert state.puts <= 2 * node.settings.controller_count + 2
-        assert sum(j.planned_count() for j in node.cluster.jobs.values()) == MACHINES * EACH
+        assert sum(j.planned_task_count() for j in node.cluster.jobs.values()) == MACHINES * EACH
         before = state.puts
         report_all(node, MACHINES)
         await node.round()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -178,11 +178,11 @@
         state.put(keys.job("wk-000002"), encode_job(waits, clock.wall(), (JOB,)))
         node = Node(state, clock, nodes)
         await node.boot()
-        assert node.cluster.jobs["wk-000002"].blocked
+        assert node.cluster.jobs["wk-000002"].is_blocked
         state.put(keys.job(JOB), {"end": "done", "spec": PRODUCTION_SPEC})
         await node.sync()
         job = node.cluster.jobs["wk-000002"]
-        assert not job.blocked and job.ready_at == job.submitted
+        assert not job.is_blocked and job.ready_at == job.submitted
 
     play(story)
 
@@ -268,7 +268,7 @@
             assert _stored_rows(state) == planned
             job = node.cluster.jobs[JOB]
             assert sorted(r.index for r in job.attempts()) == planned
-            assert job.waiting_count() == 0 and job.done_count() == 2
+            assert job.waiting_task_count() == 0 and job.done_task_count() == 2
         assert keys.plan(JOB, "0") not in state.keys
         assert not node.cluster.jobs[JOB].staged
         assert state.too_large == 0
@@ -298,7 +298,7 @@
             await node.round()
         job = node.cluster.jobs[JOB]
         assert keys.plan(JOB, "0") not in state.keys
-        assert 7 not in _stored_rows(state) and job.done_count() == 3
+        assert 7 not in _stored_rows(state) and job.done_task_count() == 3
 
     play(story)
 
@@ -322,7 +322,7 @@
             clock.time += 0.5
             await node.live()
             await node.round()
-            assert node.cluster.jobs[JOB].planned_count() == 0
+            assert node.cluster.jobs[JOB].planned_task_count() == 0
         assert not [k for k in state.keys if k.startswith(keys.PLAN)]
 
     play(story)
@@ -440,7 +440,7 @@
             for number in range(40):
                 node.report(f"n-{number}", 1, turn + 1, node.token())
             await node.round()
-        assert node.cluster.jobs[JOB].planned_count() == 40
+        assert node.cluster.jobs[JOB].planned_task_count() == 40
         assert state.too_large == 0
         assert make_settings().lowest_state_limits.conditions == 24
 
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -48,13 +48,13 @@
         node.report("n-0", 1, 4, node.token(), *left, gone)
         await node.round()
         await node.round()
-        assert node.cluster.jobs["wk-000001"].planned_count() == 3
+        assert node.cluster.jobs["wk-000001"].planned_task_count() == 3
         index = int(stopped[1].rpartition("/")[2])
         gone = on("wk-000001", index, index + 1, "exited", "halted")
         node.report("n-0", 1, 5, node.token(), *left[:-1], gone)
         await node.round()
         await node.round()
-        assert node.cluster.jobs["wk-000002"].planned_count() == 1
+        assert node.cluster.jobs["wk-000002"].planned_task_count() == 1
 
     play(story)
 
@@ -76,7 +76,7 @@
         node.report("n-0", 1, 3, node.token(), *left, gone)
         await node.round()
         await node.round()
-        assert node.cluster.jobs["wk-000002"].planned_count() == 1
+        assert node.cluster.jobs["wk-000002"].planned_task_count() == 1
 
     play(story)
 
@@ -173,7 +173,7 @@
         await node.sync()
         node.report("n-0", 1, 99, node.token())
         await node.round()
-        assert node.cluster.jobs["wk-000001"].planned_count() == 0
+        assert node.cluster.jobs["wk-000001"].planned_task_count() == 0
 
     play(story)
 
@@ -193,7 +193,7 @@
         add_job(state, clock, nameId="wk-000002", sacks=1)
         await node.sync()
         await node.round()
-        assert node.cluster.jobs["wk-000002"].planned_count() == 0
+        assert node.cluster.jobs["wk-000002"].planned_task_count() == 0
 
     play(story)
 
@@ -222,7 +222,7 @@
             node.report(f"n-{number}", 1, 1, node.token(shard))
         for _ in range(4):
             await node.round(shard)
-        assert node.cluster.jobs["wk-000001"].planned_count() > 1000
+        assert node.cluster.jobs["wk-000001"].planned_task_count() > 1000
         for key, (value, _, _) in state.keys.items():
             if key.startswith(keys.PLAN):
                 assert len(orjson.dumps(value)) < 32 * 1024
@@ -330,7 +330,7 @@
 
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready(state, clock, nodes, 3, sacks=12)
-        assert node.cluster.jobs["wk-000001"].planned_count() == 12
+        assert node.cluster.jobs["wk-000001"].planned_task_count() == 12
         asked: list[str] = []
         short = node.forecast.is_out_of_capacity
 
