--- a/crossmill/app.py
+++ b/crossmill/app.py
@@ -47,7 +47,8 @@
 
 class App:
     """All parts of one controller. Those of multi-machine replicas, and of recovery, are there only
-    with their own settings; without them nothing of `multihost` or `recovery` is loaded."""
+    with their own settings; without them nothing of `multihost` or `recovery` is loaded.
+    """
 
     def __init__(
         self,
@@ -185,7 +186,8 @@
 
     async def _run_multihost(self, multihost: "MultihostSettings", clock: Clock) -> None:
         """Loaded only once the controller has had time to take its shards: after an end of all
-        controllers the workers' leases hang on how soon it serves."""
+        controllers the workers' leases hang on how soon it serves.
+        """
         await self.watcher.ready.wait()
         await curio.sleep(self.settings.controller_lease_ttl_s)
         from .multihost.service import MultihostService
--- a/crossmill/bytecode.py
+++ b/crossmill/bytecode.py
@@ -3,7 +3,8 @@
 The cache lies where `sys.pycache_prefix` says (`run.py`). Under a prefix Python looks nowhere else,
 so the modules of the standard library have to be in it as well: a controller, which can't write
 there, would compile each of them from source at every start. Whatever is imported here is written
-by Python itself, which compares it with its source whenever it is loaded."""
+by Python itself, which compares it with its source whenever it is loaded.
+"""
 
 import logging
 import os
@@ -26,7 +27,8 @@
 
 def fill() -> int:
     """Writes the bytecode of all that a controller, or a client verb, can load; returns of how
-    many modules. Raises CacheNotWritten."""
+    many modules. Raises CacheNotWritten.
+    """
     sys.dont_write_bytecode = False
     defer_unused()
     for name in (*_own_modules(), *IMPORTED_LATE):
--- a/crossmill/cli.py
+++ b/crossmill/cli.py
@@ -111,7 +111,8 @@
 
 def _load(args: argparse.Namespace) -> _LoadedSettings:
     """All files that are named; raises SettingsError. A subsystem's modules are loaded only if its
-    file is."""
+    file is.
+    """
     settings = load(args.config)
     multihost, recovery = None, None
     if args.multihost is not None:
--- a/crossmill/cluster/cancellation_announcement.py
+++ b/crossmill/cluster/cancellation_announcement.py
@@ -1,7 +1,8 @@
 """Telling other controllers of a cancellation before it is confirmed.
 
 A controller that is partitioned together with tasks of the job must know of the cancellation, or
-it might keep their worker alive past the time by which PROTOCOL has a cancelled task end."""
+it might keep their worker alive past the time by which PROTOCOL has a cancelled task end.
+"""
 
 from collections.abc import Iterable
 
@@ -41,7 +42,8 @@
         """Tells the controllers of these zones that the job is about to be cancelled.
 
         Returns the versions of keys that the cancellation's write is to rest on (that each is
-        still the process that was told), or None if it can't be confirmed yet."""
+        still the process that was told), or None if it can't be confirmed yet.
+        """
         if self._ends_in_time_anyway():
             return {}
         zones = set(zones)
@@ -86,7 +88,8 @@
 
     def has_stopped_keepalives(self, label: str) -> bool:
         """Whether a controller that can't be asked has long stopped keeping anything alive that
-        would not end in time by itself."""
+        would not end in time by itself.
+        """
         absent_since = self._absences.since(label)
         span_s = self._longest_run_s() - self._settings.cancellation_deadline_s
         span_s *= 1 + self._settings.clock_drift
--- a/crossmill/cluster/cluster_state.py
+++ b/crossmill/cluster/cluster_state.py
@@ -1,7 +1,8 @@
 """What the state service is known to hold, read as jobs, plans, machines and controllers.
 
 Nothing else stands here: what this controller believes or intends is kept by those who act on
-it."""
+it.
+"""
 
 from collections.abc import Callable
 from typing import Any
@@ -26,7 +27,8 @@
 class ClusterState:
     """The stored state of the fleet, kept up to date by the mirror.
 
-    Everyone may read its indexes; only changes of keys change them."""
+    Everyone may read its indexes; only changes of keys change them.
+    """
 
     def __init__(self, mirror: Mirror, settings: Settings) -> None:
         self._settings = settings
@@ -80,7 +82,8 @@
 
     def apply_archived_end(self, job: Job, end: str, shard: int) -> None:
         """The archive says how a job ended of which only a plan is known; the shard's owner
-        stops its tasks and deletes the plan."""
+        stops its tasks and deletes the plan.
+        """
         job.end, job.shard = end, shard
         self.jobs.update_sets(job)
 
@@ -112,7 +115,8 @@
 
         When all keys are read again the two may be told of in any order, and the plan's attempts
         stay indexed by machine until their own deletion is known; until then the job is one
-        without a record."""
+        without a record.
+        """
         job = self.jobs.pop(job_id, None)
         if job is None or job.spec is None:
             return
--- a/crossmill/cluster/controller_index.py
+++ b/crossmill/cluster/controller_index.py
@@ -9,7 +9,8 @@
 class ControllerIndex(dict[str, ControllerRecord]):
     """The record of every controller whose lease stands, by label.
 
-    Only `ClusterState` changes it, as keys of the state service change."""
+    Only `ClusterState` changes it, as keys of the state service change.
+    """
 
     def __init__(self) -> None:
         super().__init__()
--- a/crossmill/cluster/controller_lease.py
+++ b/crossmill/cluster/controller_lease.py
@@ -13,7 +13,8 @@
 
 class ControllerLease:
     """Authority is counted from when the last renewal that succeeded was *sent*, less drift:
-    the service counts from when it got it, so it never ends the lease before we stop."""
+    the service counts from when it got it, so it never ends the lease before we stop.
+    """
 
     def __init__(self, client: StateClient, clock: Clock, settings: Settings) -> None:
         self._client = client
--- a/crossmill/cluster/dependencies.py
+++ b/crossmill/cluster/dependencies.py
@@ -2,7 +2,8 @@
 
 A job starts only when all that it needs is durably done, so one that needs an unfinished job has
 never started: as soon as a cancellation is durable, every controller derives from the same
-records that all jobs after it are cancelled. Nothing is written for that to hold."""
+records that all jobs after it are cancelled. Nothing is written for that to hold.
+"""
 
 from collections.abc import Iterator, Mapping
 
@@ -11,7 +12,8 @@
 
 class DependencyGraph:
     """The edges between jobs at hand. It alone sets what a job derives from those before it:
-    `unmet`, `ready_at` and a derived `end`."""
+    `unmet`, `ready_at` and a derived `end`.
+    """
 
     def __init__(self, jobs: Mapping[str, Job]) -> None:
         self._jobs = jobs
--- a/crossmill/cluster/feature_level.py
+++ b/crossmill/cluster/feature_level.py
@@ -3,7 +3,8 @@
 Each controller of this version notes so under a key of its own, which no lease removes and which
 the version before ignores. Once every configured controller has, the leader raises the level, in a
 transaction that rests on all those notes. Until then nothing is written that the version before
-could not read; the level is never lowered."""
+could not read; the level is never lowered.
+"""
 
 import logging
 
--- a/crossmill/cluster/job_index.py
+++ b/crossmill/cluster/job_index.py
@@ -14,7 +14,8 @@
 class JobIndex(dict[str, Job]):
     """Every job that a record or a plan is known of, by id; sets of them by shard.
 
-    Only `ClusterState` changes it, as keys of the state service change."""
+    Only `ClusterState` changes it, as keys of the state service change.
+    """
 
     def __init__(self, settings: Settings) -> None:
         super().__init__()
--- a/crossmill/cluster/layout.py
+++ b/crossmill/cluster/layout.py
@@ -3,7 +3,8 @@
 The *legacy* layout numbers the chunks: chunk `n` holds the tasks from `n * legacy_tasks` on.
 Once the feature level is raised, plans are written in *segments*, whose name says what they
 hold: `FIRST-TASKS`. Segments never cross the border of a legacy chunk. Both sizes are durable
-in the level's record, so that no later change of settings can shift what a stored chunk means."""
+in the level's record, so that no later change of settings can shift what a stored chunk means.
+"""
 
 from collections.abc import Container, Iterator
 from dataclasses import dataclass
--- a/crossmill/cluster/lease_expiry_proof.py
+++ b/crossmill/cluster/lease_expiry_proof.py
@@ -3,7 +3,8 @@
 While a zone is partitioned its own controllers may keep its workers alive
 (cluster/partition_keepalive.py). Whoever owns a machine therefore can't conclude from silence alone
 that its worker's lease has expired: each other controller of the machine's zone has to attest that
-it has not answered the worker and will not, or to have been gone for long enough."""
+it has not answered the worker and will not, or to have been gone for long enough.
+"""
 
 import logging
 from typing import NamedTuple
@@ -25,7 +26,8 @@
 class Attestation(NamedTuple):
     """A controller's word on a silent machine: it has not kept it alive since `silent_since` and
     will not before `expires_at`. `key_version` is that of the controller's key when asked; the
-    word is that process's, and void for the next."""
+    word is that process's, and void for the next.
+    """
 
     silent_since: float
     expires_at: float
@@ -63,7 +65,8 @@
         """Since when the controller has certainly had no key; None if that is not known.
 
         A stall of this process may have hidden that the controller came back, learnt of what was
-        durable then, and went again."""
+        durable then, and went again.
+        """
         absence = self._absences.get(label)
         if absence is None or label in self._cluster.controllers:
             return None
@@ -92,7 +95,8 @@
 
     def request_attestation(self, machine: Machine) -> None:
         """The machine is silent: its zone's controllers are asked at the next step, unless their
-        attestations stand. To be called well before the lease expires."""
+        attestations stand. To be called well before the lease expires.
+        """
         now = self._clock.now()
         for label in self._peers.in_zone(machine.zone):
             attestation = self._attestations.get((label, machine.id))
@@ -105,7 +109,8 @@
         None if it may not have. `answered_at` is when this controller last answered the worker.
 
         An attestation is a process's, and the next process under the label announces itself
-        before it keeps anything alive: so the write is conditional on the controllers' keys."""
+        before it keeps anything alive: so the write is conditional on the controllers' keys.
+        """
         now = self._clock.now()
         preconditions: dict[str, int] = {}
         for label in self._peers.in_zone(machine.zone):
--- a/crossmill/cluster/lease_extensions.py
+++ b/crossmill/cluster/lease_extensions.py
@@ -4,7 +4,8 @@
 as long as every peer has promised not to take its shards: only a peer could. A promise is
 given by a process; the next process under the same label does not know of it, so a controller
 that has just started takes a shard whose key is missing only when all peers say that they do
-not act for it, or after the longest promise it can have forgotten has ended."""
+not act for it, or after the longest promise it can have forgotten has ended.
+"""
 
 import logging
 from collections.abc import Callable
@@ -35,7 +36,8 @@
 
 class LeaseExtensions:
     """Grants and asks for extensions of a controller's right to answer while the state service
-    is out."""
+    is out.
+    """
 
     def __init__(
         self,
@@ -62,7 +64,8 @@
 
     def handle(self, request: Request) -> Response:
         """Answers a peer's request for a promise, or for the shards that this controller acts
-        for."""
+        for.
+        """
         mine = self._shards.owned_or_acquiring()
         if request.path == wire.OWNED_SHARDS_PATH and request.method == "GET":
             return Response(200, wire.owned_shards_body(sorted(mine)))
@@ -123,7 +126,8 @@
 
     def is_extended(self) -> bool:
         """Whether every peer's promise, counted from when it was asked for, still holds. A job
-        withdrawn by others meanwhile is not known here, so this ends well before cancel_s."""
+        withdrawn by others meanwhile is not known here, so this ends well before cancel_s.
+        """
         since, now = self._failing_since, self._clock.now()
         if since is None or now - since > self._settings.max_lease_extension_s:
             return False
@@ -167,7 +171,8 @@
     def _detect_isolation(self, label: str, sent: float, ago_s: float | None) -> None:
         """In an outage nobody has been served since it began; a peer that was, and clearly
         later than we were first refused, shows that the trouble is ours alone. Only if we are
-        refused once more after that: the first to be served after an outage would look alike."""
+        refused once more after that: the first to be served after an outage would look alike.
+        """
         if ago_s is None or self._failing_since is None or self.is_only_one_refused:
             return
         if sent - ago_s <= self._failing_since + self._settings.lease_renewal_interval_s:
--- a/crossmill/cluster/machine_index.py
+++ b/crossmill/cluster/machine_index.py
@@ -17,7 +17,8 @@
     """Every machine with a record, by id and by shard.
 
     Only `ClusterState` changes it, as keys of the state service change. A machine's usage always
-    equals the sum of the attempts planned onto it."""
+    equals the sum of the attempts planned onto it.
+    """
 
     def __init__(
         self,
@@ -94,7 +95,8 @@
         """Forgets the least recently used images beyond the size of the machine's cache.
 
         To count on an image that has been evicted would cost its fetch when a replica is moved
-        to the machine."""
+        to the machine.
+        """
         machine_type = self._machine_type(machine.type)
         if machine_type is None:
             return
@@ -118,7 +120,8 @@
 
     def task_counts_by_zone(self, job: Job) -> dict[str, int]:
         """How many attempts of the job are planned in each zone, those that may have ended
-        included."""
+        included.
+        """
         counts: dict[str, int] = {}
         for attempt in job.attempts():
             machine = self.get(attempt.machine)
--- a/crossmill/cluster/membership.py
+++ b/crossmill/cluster/membership.py
@@ -73,7 +73,8 @@
     def command_ownership(self, shard: int) -> ShardOwnership | None:
         """The shard, if tasks may be started and stopped at will: with full authority, and only
         while all that was durable not long ago is known. A lease that is renewed is no sign of
-        that: a job may have been cancelled that no read has shown."""
+        that: a job may have been cancelled that no read has shown.
+        """
         ownership = self.active_ownership(shard)
         is_current = self._watcher.is_current_within(self._settings.controller_lease_ttl_s)
         return ownership if is_current else None
@@ -82,7 +83,8 @@
         """The shard, if its workers may be answered, and whether by full authority; without
         it they are only kept alive. Whatever the right to answer rests on, it ends so soon
         after the last read that showed all that was durable that a cancellation confirmed
-        right after that read is kept by the workers' own leases."""
+        right after that read is kept by the workers' own leases.
+        """
         ownership = self.ownerships.get(shard)
         if (
             ownership is None
@@ -112,7 +114,8 @@
     def request_higher_token(self, shard: int, above: int = 0) -> None:
         """A worker has seen a higher token than ours, or may still get a start under ours: only a
         fresh one will be obeyed. Where the state service came back older, the counter may stand far
-        below `above`."""
+        below `above`.
+        """
         self._raise[shard] = max(above, self._raise.get(shard, 0))
 
     # -- the loop --------------------------------------------------------------------
@@ -203,7 +206,8 @@
 
     async def _give_away(self) -> None:
         """Workers that can't reach us are sent to us by all others until somebody else acts
-        for them; once nobody answers them their leases end."""
+        for them; once nobody answers them their leases end.
+        """
         shards = dict(self.ownerships)
         if all(
             label == self._settings.label or record.is_unreachable_by_workers
@@ -326,7 +330,8 @@
 
     async def _hand_over(self) -> None:
         """A shard that another controller should own is let go of, one at a look: whoever comes
-        first in rank takes it at once."""
+        first in rank takes it at once.
+        """
         for shard, ownership in list(self.ownerships.items()):
             stood_s = self._clock.now() - ownership.acquired_at
             if (
--- a/crossmill/cluster/model.py
+++ b/crossmill/cluster/model.py
@@ -21,7 +21,8 @@
 class PlannedAttempt:
     """An attempt of a task that a durable plan puts on a machine.
 
-    It may or may not run there: it holds its place until it is proved to have ended."""
+    It may or may not run there: it holds its place until it is proved to have ended.
+    """
 
     job: str
     index: int
@@ -38,7 +39,8 @@
 @dataclass(slots=True)
 class PlanChunk:
     """A stretch of a job's tasks, `first` its lowest index: `done` is a bitmap of those that are
-    done, `next` the next attempt number."""
+    done, `next` the next attempt number.
+    """
 
     next: int = 1
     done: int = 0
@@ -50,7 +52,8 @@
 @dataclass(slots=True, eq=False)
 class Job:
     """An accepted job. `end` is what every controller derives from the durable facts; `recorded`
-    is what the job's own record says, which follows later when the end was derived."""
+    is what the job's own record says, which follows later when the end was derived.
+    """
 
     id: str
     version: int = 0
@@ -76,7 +79,8 @@
     @property
     def has_record(self) -> bool:
         """Whether the job's record is at hand. Of a job without one nothing can be concluded:
-        neither that it is to run, nor that it is over."""
+        neither that it is to run, nor that it is over.
+        """
         return self.spec is not None
 
     @property
@@ -177,7 +181,8 @@
 class ControllerRecord(NamedTuple):
     """What a controller says of itself under its lease.
 
-    `seen_note` is the version of the newest cancellation note that it has read."""
+    `seen_note` is the version of the newest cancellation note that it has read.
+    """
 
     lease_id: int | None
     is_unreachable_by_workers: bool = False
@@ -186,7 +191,8 @@
 
 class CancellationNote(NamedTuple):
     """The note that a job is to be cancelled: its key's version, and when it was written (wall
-    clock)."""
+    clock).
+    """
 
     version: int
     written_at: float
--- a/crossmill/cluster/owner_selection.py
+++ b/crossmill/cluster/owner_selection.py
@@ -4,7 +4,8 @@
 waits for it as long as a request may take, and then tries the next controller in its order; if that
 one is down as well, the worker's lease ends on the way to the third. So a controller is *exposed*
 while the next one after it is missing, and as long as there is another that is not exposed, that
-one should own the shard."""
+one should own the shard.
+"""
 
 from ..net.clock import Clock
 from ..settings import Settings
@@ -13,7 +14,8 @@
 
 class OwnerSelection:
     """Who should own a shard, from the controllers' keys in the state service and from how long
-    each of them has been there or been missing, as seen by this process."""
+    each of them has been there or been missing, as seen by this process.
+    """
 
     def __init__(self, settings: Settings, clock: Clock, cluster: ClusterState) -> None:
         self._settings = settings
@@ -55,14 +57,16 @@
 
     def is_exposed(self, label: str) -> bool:
         """Whether workers of this controller would find nobody at the next one after it. One that
-        is only begun again is not missing for so long."""
+        is only begun again is not missing for so long.
+        """
         return self._lasts(self._absent_since, self._settings.next_controller(label))
 
     def reachable_alternative(self) -> str | None:
         """Where a worker whose owner is not known is sent: None if the controller that it tries
         next by itself is there, else the first one after it that is. Left to itself it waits
         for a request's time at each that is missing, and with two of them in a row its lease ends
-        on the way."""
+        on the way.
+        """
         label = self._settings.next_controller(self._settings.label)
         if self.is_reachable(label):
             return None
@@ -78,7 +82,8 @@
 
     def rank(self) -> int:
         """How many controllers come before this one in taking what has no owner: those that are
-        not exposed first, then those with fewer shards."""
+        not exposed first, then those with fewer shards.
+        """
         load = {
             label: 0
             for label in self._cluster.controllers
--- a/crossmill/cluster/ownership.py
+++ b/crossmill/cluster/ownership.py
@@ -7,7 +7,8 @@
 class ShardOwnership:
     """A shard this incarnation acts for. `ready` once all earlier owners' writes are known.
     `term` is the token under which this ownership began: it stays when the token is raised, and
-    whatever was concluded under another term is void."""
+    whatever was concluded under another term is void.
+    """
 
     token: int
     version: int
@@ -26,5 +27,6 @@
 
     def owned_or_acquiring(self) -> set[int]:
         """The shards that this controller acts for, or may be about to: a transaction under way
-        can't be called back."""
+        can't be called back.
+        """
         return {*self.ownerships, *self.acquiring}
--- a/crossmill/cluster/partition_keepalive.py
+++ b/crossmill/cluster/partition_keepalive.py
@@ -3,7 +3,8 @@
 A controller in a partitioned zone answers the zone's workers with the fencing token that they
 report, and with no commands but stops of cancelled jobs' tasks, so that what runs goes on running
 until the owner is back. It owns nothing while it does so (docs/safety.md, "Keepalive in a
-partitioned zone")."""
+partitioned zone").
+"""
 
 from collections.abc import Awaitable, Callable, Iterable
 
@@ -43,7 +44,8 @@
     """Answers the workers of this controller's zone while the zone is partitioned.
 
     The right to answer ends `partition_keepalive_s` after the sending of the last read that
-    showed all that was durable."""
+    showed all that was durable.
+    """
 
     def __init__(
         self,
@@ -72,7 +74,8 @@
 
     def keep_alive(self, machine: Machine, heartbeat: WorkerHeartbeat) -> list[Command] | None:
         """The commands with which the machine's worker is kept alive, or None if it may not
-        be."""
+        be.
+        """
         if not self._may_keep_alive(machine, heartbeat):
             return None
         self._kept_alive_at[machine.id] = self._clock.now()
@@ -115,7 +118,8 @@
 
     def withhold(self, machines: Iterable[str]) -> list[float]:
         """Stops keeping these machines alive for `attestation_ttl_s`. Returns for each how long
-        it has certainly not been kept alive, in seconds."""
+        it has certainly not been kept alive, in seconds.
+        """
         now = self._clock.now()
         self._withheld_until = {
             m: until for m, until in self._withheld_until.items() if until > now
@@ -142,7 +146,8 @@
 
         It counts while this controller's key stands in the state service, as it did when the read
         was sent: the key's deletion bounds for others how long workers may be kept alive, and its
-        change shows them that attestations of the process before this one are void."""
+        change shows them that attestations of the process before this one are void.
+        """
         sent, lease_id = self._clock.now(), self._announced_lease_id()
         if (
             await self._sync(self._settings.lease_renewal_interval_s)
--- a/crossmill/cluster/partition_protocol.py
+++ b/crossmill/cluster/partition_protocol.py
@@ -1,7 +1,8 @@
 """What controllers say to one another about partitioned zones, and the loop that keeps it going.
 
 The parts: `keepalive` answers workers of this controller's own zone, `expiry_proof` gathers
-attestations for the machines that it owns, `cancellations` tells others of cancellations."""
+attestations for the machines that it owns, `cancellations` tells others of cancellations.
+"""
 
 from collections.abc import Awaitable, Callable
 
@@ -51,7 +52,8 @@
 
     def handle(self, request: Request) -> Response:
         """Answers a peer: an owner's request for attestations, or a cancellation's
-        announcement."""
+        announcement.
+        """
         try:
             if request.path == wire.ATTESTATION_PATH:
                 spans_s = self.keepalive.withhold(wire.parse_machines(request.body))
@@ -64,7 +66,8 @@
 
     async def step(self) -> None:
         """Notes which controllers are gone, probes other zones while the lease fails, and asks
-        for the attestations that are wanted."""
+        for the attestations that are wanted.
+        """
         self.expiry_proof.observe_absences()
         self.expiry_proof.drop_expired()
         async with curio.TaskGroup() as group:
--- a/crossmill/cluster/plan_index.py
+++ b/crossmill/cluster/plan_index.py
@@ -14,7 +14,8 @@
 
     A stretch of tasks is held by a legacy chunk or by segments, never by both: while the legacy
     chunk exists, segments are staged copies of it (cluster/layout.py). The chunks are kept in
-    their jobs; `MachineIndex` has the attempts of those in force."""
+    their jobs; `MachineIndex` has the attempts of those in force.
+    """
 
     def __init__(self, layout: PlanLayout, jobs: JobIndex, machines: MachineIndex) -> None:
         self.layout = layout
--- a/crossmill/cluster/reachability.py
+++ b/crossmill/cluster/reachability.py
@@ -1,7 +1,8 @@
 """Whether this controller hears workers at all.
 
 A controller that the workers can't reach, but that the state service still serves, would keep
-its shards while every worker's lease runs out."""
+its shards while every worker's lease runs out.
+"""
 
 from ..net.clock import Clock
 from ..settings import Settings
--- a/crossmill/cluster/records.py
+++ b/crossmill/cluster/records.py
@@ -2,7 +2,8 @@
 
 Records are read by other versions of the program, so a format changes only here, and never by
 renaming a field of a class. Unknown fields are ignored. `production` in deploy/service.toml reads
-everything written here as long as the cluster's feature level is not raised."""
+everything written here as long as the cluster's feature level is not raised.
+"""
 
 from dataclasses import replace
 from typing import Any, NamedTuple
@@ -87,7 +88,8 @@
 
 def encode_end(end: str, spec: JobSpec, ended_at: float, most_bytes: int) -> dict[str, Any]:
     """An ended job. The spec stays: a cancelled job's tasks hold room until they are proved
-    gone. Of a record that was accepted under larger limits only what that takes is kept."""
+    gone. Of a record that was accepted under larger limits only what that takes is kept.
+    """
     value = {"end": end, "spec": _encode_spec(spec), "ended": ended_at}
     if len(orjson.dumps(value)) > most_bytes:
         value["spec"] = _encode_spec(replace(spec, job_class="", image="", types=None, zone=None))
--- a/crossmill/cluster/write_shares.py
+++ b/crossmill/cluster/write_shares.py
@@ -2,7 +2,8 @@
 
 It goes by what there is to do: a controller whose shards have no team takes submissions only, the
 leader also writes every machine's record, and shards with many running arrays have more outcomes
-to write. All see the same keys; while they differ, a refusal or two is the worst."""
+to write. All see the same keys; while they differ, a refusal or two is the worst.
+"""
 
 from ..settings import Settings
 from .cluster_state import ClusterState
--- a/crossmill/fleet/boot_times.py
+++ b/crossmill/fleet/boot_times.py
@@ -7,7 +7,8 @@
 or after it: if one of them is up, the machine has been overtaken.
 
 All ages here are in parts of the type's boot time. What is learned rests on the machines' records,
-so that every controller concludes the same."""
+so that every controller concludes the same.
+"""
 
 from collections import deque
 from math import inf
@@ -71,7 +72,8 @@
 
     def is_expected(self, machine: Machine, kind: MachineType, wall: float) -> bool:
         """Whether the machine, which is not up yet, counts as supply. Of those that are late
-        together every other one does: the rest is replaced while it is missed."""
+        together every other one does: the rest is replaced while it is missed.
+        """
         age = self._age(machine, kind, wall)
         if age <= max(self._settings.boot_late_factor, LATE_MARGIN * self._slowest(kind)):
             return True
--- a/crossmill/fleet/capacity_cache.py
+++ b/crossmill/fleet/capacity_cache.py
@@ -2,7 +2,8 @@
 
 Most machines are as they were at the last look, so what is free on them is not worked out anew. A
 room is used again only while its machine is unchanged and nothing was planned into it; whoever
-gets one may change it until the next look."""
+gets one may change it until the next look.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
--- a/crossmill/fleet/cloud.py
+++ b/crossmill/fleet/cloud.py
@@ -41,7 +41,8 @@
         holds: Callable[[], bool] = lambda: True,
     ) -> tuple[int, bytes]:
         """Sends a request once the pace allows it, if `holds` is still true then: the wait may have
-        lasted, and the process may have stood still in it."""
+        lasted, and the process may have stood still in it.
+        """
         while not self._pacer.take():
             await curio.sleep(self._pacer.wait_s())
         if not holds():
@@ -71,7 +72,8 @@
         holds: Callable[[], bool],
     ) -> list[str]:
         """Rents up to so many machines under a request name, if `holds` at the sending; raises
-        NoCapacityError or CloudError."""
+        NoCapacityError or CloudError.
+        """
         body = wire.rent_body(request, type_name, zone, spot, min(number, wire.MAX_RENT))
         status, data = await self._call("POST", wire.MACHINES_PATH, body, holds)
         if status == 503:
--- a/crossmill/fleet/forecast.py
+++ b/crossmill/fleet/forecast.py
@@ -1,5 +1,6 @@
 """What a shard needs of the fleet, worked out from durable facts: every controller that looks
-sees nearly the same. The leader rents by it, a shard's owner returns machines by it."""
+sees nearly the same. The leader rents by it, a shard's owner returns machines by it.
+"""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field, replace
@@ -69,13 +70,15 @@
 
     def has_few_types(self, zone: str) -> bool:
         """Whether the zone offers fewer of the types than another does, so that replicas that
-        are spread find least there."""
+        are spread find least there.
+        """
         self._note_catalog()
         return self._narrow.get(zone, False)
 
     def _note_catalog(self) -> None:
         """What follows from the catalog alone is worked out once for each: asked for every
-        machine and task, it took most of a controller's time on a large fleet."""
+        machine and task, it took most of a controller's time on a large fleet.
+        """
         catalog = self._cluster.catalog
         if catalog is self._catalog:
             return
@@ -173,7 +176,8 @@
 
     def _ahead(self, shard: int) -> list[TaskDemand]:
         """Arrays' tasks that run at a time on average. Arrays that find no room can't wait for
-        a cheap machine's boot, so a base of spot machines is rented ahead and kept."""
+        a cheap machine's boot, so a base of spot machines is rented ahead and kept.
+        """
         demands: list[TaskDemand] = []
         for (where, job_class), entry in self._arrivals.items():
             spec = entry.spec
@@ -311,7 +315,8 @@
 
     def unplaced_demands(self, shard: int, wall: float) -> list[TaskDemand]:
         """What has waited a while and finds no room in the shard, machines that still boot and
-        slots that come free counted in."""
+        slots that come free counted in.
+        """
         old = wall - self._settings.machine_transfer_interval_s
         waiting = self._cluster.jobs.active[shard].values()
         if not any(j.ready_at < old and j.waiting_task_count() > 0 for j in waiting):
@@ -332,7 +337,8 @@
 
     def is_redundant(self, shard: int, machine: Machine, capacities: list[FreeCapacity]) -> bool:
         """Whether all on this machine would fit where its images are, on machines in use or
-        cheaper, with room left for what is expected."""
+        cheaper, with room left for what is expected.
+        """
         kind = self._cluster.catalog.get(machine.type)
         if kind is None:
             return False
--- a/crossmill/fleet/pipelines.py
+++ b/crossmill/fleet/pipelines.py
@@ -2,7 +2,8 @@
 
 Budgets are kept until something of the pipeline changes: a stage is added, done, cancelled or
 late. They are counted from the durable time of the last change, so that every controller that has
-a stage of the pipeline works out the same."""
+a stage of the pipeline works out the same.
+"""
 
 from typing import NamedTuple
 
--- a/crossmill/fleet/provisioner.py
+++ b/crossmill/fleet/provisioner.py
@@ -195,7 +195,8 @@
 
     async def _look_at_list(self, listed: list[Listed]) -> None:
         """Lists lag and may go back: a machine is adopted only when it is listed and has been
-        unknown for longer than a rental's answer and its record take."""
+        unknown for longer than a rental's answer and its record take.
+        """
         fresh: list[Listed] = []
         for row in listed:
             known = self._cluster.machines.get(row.id)
@@ -248,7 +249,8 @@
 
     async def _release(self) -> None:
         """Only what is durably retiring is released; the record goes after the 200, when the
-        machine and all on it are gone."""
+        machine and all on it are gone.
+        """
         going = [m for m in self._cluster.machines.values() if m.retiring][:MAX_RELEASE]
         if not going:
             return
--- a/crossmill/jobs/cancellation.py
+++ b/crossmill/jobs/cancellation.py
@@ -24,7 +24,8 @@
 
 class CancellationHandler:
     """Answers cancellations. A confirmed one rests on the job's record alone; the jobs that need
-    it are cancelled by that, whatever their number (cluster/dependencies.py)."""
+    it are cancelled by that, whatever their number (cluster/dependencies.py).
+    """
 
     def __init__(
         self,
--- a/crossmill/jobs/cleanup.py
+++ b/crossmill/jobs/cleanup.py
@@ -1,5 +1,6 @@
 """What is written about jobs that have ended: records brought into line, plans cleared away, notes
-deleted, and records archived."""
+deleted, and records archived.
+"""
 
 from collections.abc import Iterator
 
@@ -65,7 +66,8 @@
 
     def _clearable(self, job: Job) -> Iterator[tuple[str, int]]:
         """Chunks with no task on a machine. Copies of a chunk go before it: its deletion would
-        put them in force."""
+        put them in force.
+        """
         layout = self._cluster.layout
         copied: set[str] = set()
         for name, copy in job.staged.items():
@@ -95,7 +97,8 @@
 
     def _archive(self, shard: int) -> list[Txn]:
         """What has long been over leaves memory, watch and start, but is never forgotten. Each
-        archiving raises a counter that accepting a job with dependencies rests on."""
+        archiving raises a counter that accepting a job with dependencies rests on.
+        """
         over = self._cluster.jobs.archivable[shard]
         excess = len(over) - self._settings.max_ended_jobs
         if excess <= 0:
@@ -118,7 +121,8 @@
     def _is_archivable(self, job: Job) -> bool:
         """Its record says how it ended, and rests on no other, nor another on it. Every job
         that names it was accepted while it was unfinished, so before its last revision: only
-        once all up to that has been seen are all such jobs known."""
+        once all up to that has been seen are all such jobs known.
+        """
         return (
             job.spec is not None
             and not job.chunks
--- a/crossmill/jobs/dependency_check.py
+++ b/crossmill/jobs/dependency_check.py
@@ -31,7 +31,8 @@
 
 class DependencyCheck:
     """Reads what the mirror does not hold straight from the state service: the job's key, then
-    the archive, in the order in which a record moves, so that none is missed."""
+    the archive, in the order in which a record moves, so that none is missed.
+    """
 
     def __init__(self, cluster: ClusterState, mirror: Mirror, client: StateClient) -> None:
         self._cluster = cluster
@@ -41,7 +42,8 @@
 
     async def resolve(self, job_id: str, dependency_ids: tuple[str, ...]) -> Dependencies:
         """Raises DependencyRefusedError or DependencyUnknownError when a job can't be waited
-        for."""
+        for.
+        """
         result = Dependencies()
         for dependency_id in dependency_ids:
             if dependency_id == job_id:
--- a/crossmill/jobs/lookup.py
+++ b/crossmill/jobs/lookup.py
@@ -34,7 +34,8 @@
 
     def is_served(self) -> bool:
         """Whether the state service can be asked. In an outage users are refused at once:
-        nobody's answer could be shown to be current."""
+        nobody's answer could be shown to be current.
+        """
         is_down = self._client.down_for_s() > self._settings.lease_renewal_interval_s / 2
         return self._watcher.ready.is_set() and not is_down
 
--- a/crossmill/jobs/machine_maintenance.py
+++ b/crossmill/jobs/machine_maintenance.py
@@ -59,7 +59,8 @@
         self, shard: int, ownership: ShardOwnership, machines: list[Machine]
     ) -> list[WriteIntent]:
         """Writes for machines that have come up or are to go. What is found out here changes with
-        reports and boots, so rounds between two reports find little that is new."""
+        reports and boots, so rounds between two reports find little that is new.
+        """
         now = self._clock.now()
         if now - self._looked_at.get(shard, -inf) < self._settings.maintenance_interval_s:
             return []
@@ -110,7 +111,8 @@
     def _silent_zones(self, shard: int, machines: list[Machine], now: float) -> set[str]:
         """ZoneAllowance of which most machines that have been up are not heard, or were not until a
         moment ago: they fall silent and come back one by one, and none should be given up for
-        being the first or the last."""
+        being the first or the last.
+        """
         up: Counter[str] = Counter()
         silent: Counter[str] = Counter()
         for machine in machines:
@@ -131,7 +133,8 @@
     ) -> dict[str, WriteIntent]:
         """Empty machines go to the shard they are given to under a token drawn for them alone,
         so that nothing said by this shard's owner is obeyed afterwards. One at a time: each
-        raises the counter that all tokens come from."""
+        raises the counter that all tokens come from.
+        """
         for machine in machines if self._machine_transfer.has_any else ():
             target = self._machine_transfer.target(machine)
             if target is not None:
@@ -152,7 +155,8 @@
 
     def _spare(self, shard: int, machines: list[Machine], now: float) -> set[str]:
         """Machines that neither waiting nor expected tasks would use; looked for only when
-        some machine has been empty for long enough, and no more often than workers report."""
+        some machine has been empty for long enough, and no more often than workers report.
+        """
         if now - self._spare_at.get(shard, 0.0) < self._settings.heartbeat_interval_s:
             return set()
         for machine in machines:
--- a/crossmill/jobs/machine_transfer.py
+++ b/crossmill/jobs/machine_transfer.py
@@ -1,7 +1,8 @@
 """Machines given to another shard, whose tasks find no room while the cloud has none.
 
 Every controller sees the same durable facts, so each works out by itself what the others lack
-and which shard has most to give; only a machine's present owner moves it (docs/safety.md)."""
+and which shard has most to give; only a machine's present owner moves it (docs/safety.md).
+"""
 
 import logging
 from collections.abc import Iterator
@@ -131,7 +132,8 @@
 
     def _suiting(self, shard: int, demand: TaskDemand, stop: bool) -> list[Machine]:
         """Machines of the shard that could serve: empty ones, or such as only run lesser work
-        that is done again elsewhere; those with the least of it first."""
+        that is done again elsewhere; those with the least of it first.
+        """
         spec = demand.spec
         result = []
         for machine in self._cluster.machines.by_shard[shard].values():
--- a/crossmill/jobs/outcome_batch.py
+++ b/crossmill/jobs/outcome_batch.py
@@ -2,7 +2,8 @@
 
 Outcomes of a chunk are one write however many they are. When more chunks have news than this
 controller's share of the write rate takes in a moment, those that others wait for go first, and
-the rest gather more outcomes until a later round."""
+the rest gather more outcomes until a later round.
+"""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -49,7 +50,8 @@
 
 def select(news: list[ChunkNews], most: int) -> list[ChunkNews]:
     """About as many as may be written now: all that are urgent, and at least one of the others,
-    the oldest first, so that none waits for ever."""
+    the oldest first, so that none waits for ever.
+    """
     if len(news) <= most:
         return news
     urgent = [entry for entry in news if entry.is_urgent]
--- a/crossmill/jobs/placement.py
+++ b/crossmill/jobs/placement.py
@@ -80,7 +80,8 @@
         self, shard: int, ownership: ShardOwnership, machines: list[Machine], edits: PlanEdits
     ) -> list[PlannedAttempt]:
         """Plans starts of the shard's waiting tasks into `edits`; returns the attempts to be
-        stopped to make room, or to empty a machine."""
+        stopped to make room, or to empty a machine.
+        """
         self._stops = []
         self._preemption.drop_expired_claims()
         self._quotas.start_round(shard)
@@ -170,7 +171,8 @@
 
     def _free(self, spec: JobSpec, capacities: list[FreeCapacity]) -> list[FreeCapacity]:
         """Rooms where at least one such task fits. Most jobs that wait are like others that
-        wait, and most rooms are full: it is asked once for all that are alike."""
+        wait, and most rooms are full: it is asked once for all that are alike.
+        """
         kind = (spec.cpus, spec.gpus, spec.memory_gb, spec.types, spec.zone, spec.spot)
         if kind in self._full:
             return []
@@ -205,7 +207,8 @@
     ) -> list[tuple[FreeCapacity, int]]:
         """FreeCapacity that is free; but a class that must start soon rather gets the place of
         lesser
-        work where its image is than a free one where it would wait for the image."""
+        work where its image is than a free one where it would wait for the image.
+        """
         start_objective_s = (
             self._settings.start_objective_s(spec.job_class) if spec.kind == "service" else None
         )
--- a/crossmill/jobs/plan_migration.py
+++ b/crossmill/jobs/plan_migration.py
@@ -3,7 +3,8 @@
 The segments are first written as copies, which nobody heeds while the legacy chunk exists; its
 deletion, in a transaction that rests on the version that was copied, puts them in force at once.
 Where the copies fit beside the deletion, that is one transaction. At no time does a task seem free
-that is planned, and an end of the process between two steps leaves the legacy chunk in force."""
+that is planned, and an end of the process between two steps leaves the legacy chunk in force.
+"""
 
 import logging
 from typing import NamedTuple
@@ -93,7 +94,8 @@
 
     def _copies(self, where: ChunkRange, legacy: PlanChunk, tasks: int) -> dict[str, PlanChunk]:
         """The legacy chunk cut into segments. Each goes on counting attempts where the whole
-        stands, so that no attempt number comes twice."""
+        stands, so that no attempt number comes twice.
+        """
         layout = self._cluster.layout
         copies: dict[str, PlanChunk] = {}
         index = where.first
--- a/crossmill/jobs/plan_writer.py
+++ b/crossmill/jobs/plan_writer.py
@@ -23,7 +23,8 @@
 @dataclass(slots=True, eq=False)
 class PlanEdit:
     """What a round changes in one chunk of a job's plan, with the versions of what it was decided
-    on: the write fails if any of them has changed since."""
+    on: the write fails if any of them has changed since.
+    """
 
     job: Job
     chunk: str
@@ -105,7 +106,8 @@
         self, edit: PlanEdit, where: ChunkRange, ownership: ShardOwnership, new: PlanChunk, txn: Txn
     ) -> None:
         """Frees the attempts that are over. A finding of another term, of another attempt, or
-        whose proof has no room among the conditions frees nothing; it is found again."""
+        whose proof has no room among the conditions frees nothing; it is found again.
+        """
         most = self._cluster.limits.conditions - OTHER_CONDITIONS
         for outcome in edit.over:
             preconditions = {**txn.conditions, **outcome.preconditions}
@@ -124,7 +126,8 @@
 
     def finish(self, shard: int, ownership: ShardOwnership) -> list[WriteIntent]:
         """Ends of jobs whose last chunks were finished side by side: the write of neither could
-        rest on the other. What is done stays done, so only the job's record is a condition."""
+        rest on the other. What is done stays done, so only the job's record is a condition.
+        """
         intents: list[WriteIntent] = []
         for job in self._cluster.jobs.all_tasks_done[shard].values():
             if job.spec is not None:
@@ -138,7 +141,8 @@
 
     def _layout_conditions(self, job: Job, where: ChunkRange) -> dict[str, int]:
         """What creating a chunk rests on: a stretch of tasks is held by a legacy chunk or by
-        segments, never by both, however late a transaction is carried out."""
+        segments, never by both, however late a transaction is carried out.
+        """
         if where.is_segment:
             legacy = self._cluster.layout.legacy_of(where.first)
             return {keys.plan(job.id, legacy.name): 0}
--- a/crossmill/jobs/preemption.py
+++ b/crossmill/jobs/preemption.py
@@ -1,5 +1,6 @@
 """Stopping tasks: to make room for jobs of higher priority, and to empty machines that the
-rest of the fleet can do without. Only intentions are kept here; reports carry them out."""
+rest of the fleet can do without. Only intentions are kept here; reports carry them out.
+"""
 
 import logging
 from collections.abc import Callable, Iterator
@@ -94,7 +95,8 @@
     ) -> tuple[list[PlannedAttempt], int]:
         """Rows to be stopped so that up to this many tasks of the job find room, and how many
         tasks they make room for. `zones` counts what this round has placed already, and takes
-        what room is made for."""
+        what room is made for.
+        """
         spec, now = job.spec, self._clock.now()
         if spec is None or self.has_claim(job):
             return [], 0
@@ -177,7 +179,8 @@
         """The jobs whose tasks may be stopped for this one, each with the team from whose use
         beyond its guarantee that is drawn ("" for lesser work). Asked once for jobs that are
         alike, not for each task on each machine: that took two thirds of a controller's time on
-        a large fleet."""
+        a large fleet.
+        """
         spec = job.spec
         assert spec is not None
         # a replica stopped costs as much as one started late, while machines can be had
@@ -206,7 +209,8 @@
         self, victims: list[PlannedAttempt], stoppable: dict[str, str], beyond: dict[str, float]
     ) -> bool:
         """Takes the victims' GPUs off what their teams use beyond their guarantees; false if
-        a team would be left with less than its guarantee."""
+        a team would be left with less than its guarantee.
+        """
         drawn: dict[str, float] = {}
         for attempt in victims:
             team = stoppable[attempt.job]
@@ -250,7 +254,8 @@
         self, shard: int, ownership: ShardOwnership, capacities: Callable[[], list[FreeCapacity]]
     ) -> Iterator[PlannedAttempt]:
         """At most one machine at a time is emptied, when its replicas would stand within a
-        moment on machines that are kept anyway."""
+        moment on machines that are kept anyway.
+        """
         now = self._clock.now()
         for machine_id in list(self.draining):
             machine = self._cluster.machines.get(machine_id)
--- a/crossmill/jobs/record_repair.py
+++ b/crossmill/jobs/record_repair.py
@@ -4,7 +4,8 @@
 jobs/cleanup.py). Earlier versions did not hold to that in every case. The archive says how the
 missing job ended: a waiting job's record is written anew on that, so that all controllers follow
 from one durable fact, and a plan's tasks are ended by whoever owns their machines' shard. What the
-archive does not hold stays as it is, and is logged."""
+archive does not hold stays as it is, and is logged.
+"""
 
 import logging
 from collections.abc import Iterator
@@ -30,7 +31,8 @@
 
 class RecordRepair:
     """Looks, once in a worker lease, through the waiting jobs of the shards acted for, and through
-    the plans without a job."""
+    the plans without a job.
+    """
 
     def __init__(
         self,
--- a/crossmill/jobs/scheduling_loop.py
+++ b/crossmill/jobs/scheduling_loop.py
@@ -1,7 +1,8 @@
 """SchedulingLoop of decisions for the shards this controller acts for.
 
 A round turns findings into plan changes, places waiting tasks, and makes both durable in
-transactions that carry the stamps of all they rest on. Starts are sent only from durable plans."""
+transactions that carry the stamps of all they rest on. Starts are sent only from durable plans.
+"""
 
 import logging
 
@@ -94,7 +95,8 @@
 
     async def run(self) -> None:
         """SchedulingLoop for all shards that this controller acts for, when something has
-        changed."""
+        changed.
+        """
         while True:
             if not self._placement.is_unfinished:
                 await curio.ignore_after(self._settings.heartbeat_interval_s / 2, self.wake.wait)
@@ -133,7 +135,8 @@
     ) -> list[PlannedAttempt]:
         """Plans starts into `edits`; returns the attempts to be stopped. Machines to be given are
         chosen before tasks are placed: a start planned in the same round would follow its
-        machine to a shard that knows nothing of the job."""
+        machine to a shard that knows nothing of the job.
+        """
         gate = self._heartbeats.gate
         if gate is not None and not gate.may_place(shard):
             return []
@@ -157,7 +160,8 @@
 
     async def _submit(self, intents: list[WriteIntent], moves: dict[str, WriteIntent]) -> None:
         """Queues the writes, and waits for those that move machines: until its fate is known, a
-        machine that moves is not answered."""
+        machine that moves is not answered.
+        """
         self._heartbeats.begin_transfers(moves)
         try:
             for intent in intents:
@@ -184,7 +188,8 @@
 
     async def _clean_up(self, shard: int, ownership: ShardOwnership) -> bool:
         """Sends what is due for ended jobs, once all that was sent before is settled. No round
-        waits for it. Returns whether there was anything."""
+        waits for it. Returns whether there was anything.
+        """
         if not all(intent.future.settled for intent in self._cleaning.get(shard, ())):
             return False
         intents = self._cleaning[shard] = self._cleanup.intents(shard, ownership)
@@ -194,7 +199,8 @@
 
     def _find_released(self, shard: int, ownership: ShardOwnership) -> None:
         """The machine's record goes only after its release was confirmed; the write of what
-        follows rests on its absence."""
+        follows rests on its absence.
+        """
         for attempt in list(self._cluster.machines.orphaned_attempts()):
             job = self._cluster.jobs.get(attempt.job)
             if job is not None and job.shard == shard:
--- a/crossmill/jobs/submission.py
+++ b/crossmill/jobs/submission.py
@@ -139,7 +139,8 @@
         self, spec: JobSpec, dependencies: Dependencies, archivings: int = 0
     ) -> Response | None:
         """None if something that the job rests on has changed: all is known now, to be looked at
-        once more."""
+        once more.
+        """
         now, wall = self._clock.now(), self._clock.wall()
         key = keys.job(spec.id)
         if dependencies.is_cancelled:
@@ -179,7 +180,8 @@
         """A job may name one as unfinished only before that one's end is written: whoever archives
         it has seen all up to there, and so knows of this job. Where the records are more than a
         transaction's conditions, the counter of archivings stands for them: raised by this write
-        too, it keeps those who have not seen it from archiving anything."""
+        too, it keeps those who have not seen it from archiving anything.
+        """
         records = {
             keys.job(dependency_id): version
             for dependency_id, version in dependencies.unfinished.items()
--- a/crossmill/jobs/team_quotas.py
+++ b/crossmill/jobs/team_quotas.py
@@ -44,14 +44,16 @@
 
     def is_within_quota(self, job: Job) -> bool:
         """Whether the job fits into its team's guarantee together with the team's earlier ones:
-        only then does the guarantee speak for it."""
+        only then does the guarantee speak for it.
+        """
         if job.shard not in self._within:
             self._within[job.shard] = self._fitting(job.shard)
         return job.id in self._within[job.shard]
 
     def _fitting(self, shard: int) -> set[str]:
         """The jobs of all teams that fit. Summed up for each job by itself, the team's earlier
-        ones took two fifths of a controller's time with some 600 machines."""
+        ones took two fifths of a controller's time with some 600 machines.
+        """
         by_team: dict[str, list[tuple[int, float, str]]] = {}
         for job in self._cluster.jobs.active[shard].values():
             # a job that waits for others holds no part of a guarantee
--- a/crossmill/lazy_imports.py
+++ b/crossmill/lazy_imports.py
@@ -2,7 +2,8 @@
 only when something of them is asked for.
 
 A restarted controller serves nobody until its imports are done, and on a small share of a
-processor each of them delays that by a multiple of its own time."""
+processor each of them delays that by a multiple of its own time.
+"""
 
 import sys
 from importlib import import_module
@@ -19,7 +20,8 @@
     """Stands for a module until an attribute of it is asked for.
 
     `importlib.util.LazyLoader` is of no use here: up to Python 3.11 a second import statement
-    already makes it load the module."""
+    already makes it load the module.
+    """
 
     def __getattr__(self, attribute: str) -> Any:
         name = self.__name__
--- a/crossmill/multihost/agents.py
+++ b/crossmill/multihost/agents.py
@@ -1,7 +1,8 @@
 """What the pool's owner knows of the machines from their agents' heartbeats.
 
 Everything here ends with the ownership: the next owner believes only agents that it has itself
-answered."""
+answered.
+"""
 
 from collections import OrderedDict
 from collections.abc import Iterator
@@ -87,7 +88,8 @@
 
     def silent_since(self, moment: float) -> Iterator[AgentView]:
         """The views of machines not heard since the moment, oldest first; looks no further than
-        the first that was."""
+        the first that was.
+        """
         for view in self._views.values():
             if view.last_heartbeat_at >= moment:
                 return
@@ -95,7 +97,8 @@
 
     def note(self, beat: AgentHeartbeat, token: int, now: float) -> Freshness:
         """Takes a heartbeat in. It is believed if it returns a proof of this process, made under
-        the owner's token, and is the newest of its agent."""
+        the owner's token, and is the newest of its agent.
+        """
         view = self._views.get(beat.machine)
         if view is None:
             view = self._views[beat.machine] = AgentView(beat.machine, last_heartbeat_at=now)
--- a/crossmill/multihost/api.py
+++ b/crossmill/multihost/api.py
@@ -1,7 +1,8 @@
 """The operators' interface: declaring replica sets, watching replicas, emptying machines.
 
 Any controller answers reads and takes declarations; what only the pool's owner can do is answered
-by the others with 421 and the owner's name."""
+by the others with 421 and the owner's name.
+"""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import replace
--- a/crossmill/multihost/coordinator.py
+++ b/crossmill/multihost/coordinator.py
@@ -2,7 +2,8 @@
 
 A round looks only at replicas and sets of which something has changed or is due. Whatever it
 decides is durable before an agent hears of it, so a controller may end at any moment: the next
-owner finds every replica in a phase from which it goes on."""
+owner finds every replica in a phase from which it goes on.
+"""
 
 import logging
 from collections.abc import Iterable
@@ -109,7 +110,8 @@
 
     def _nap_s(self) -> float:
         """Until something is due. A silent machine is noticed by looking each half heartbeat; where
-        no agent is heard, none can fall silent, and the first heartbeat ends the nap."""
+        no agent is heard, none can fall silent, and the first heartbeat ends the nap.
+        """
         longest = self._settings.heartbeat_s / 2
         if len(self._agents) == 0:
             longest = self._settings.idle_nap_s
@@ -134,7 +136,8 @@
 
     def _begin_term(self, ownership: ShardOwnership) -> None:
         """The first round of an ownership looks at everything. What agents have said and were
-        granted since it began stays: all of it was dropped when the one before ended."""
+        granted since it began stays: all of it was dropped when the one before ended.
+        """
         self._term = ownership.term
         self._pool.changes.replicas |= set(self._pool.replicas)
         self._pool.changes.sets |= set(self._pool.sets) | set(self._pool.replicas_of)
@@ -211,7 +214,8 @@
         self, ownership: ShardOwnership, changed: Iterable[str]
     ) -> list[WriteIntent]:
         """Machines that were returned are taken out of the pool, empty ones that are to leave it
-        become ordinary again."""
+        become ordinary again.
+        """
         gone = [
             m for m in changed if m in self._pool.machines and self._pool.record_version(m) == 0
         ]
--- a/crossmill/multihost/failure_scores.py
+++ b/crossmill/multihost/failure_scores.py
@@ -13,7 +13,8 @@
 
 class FailureScores:
     """A score for each machine: one more with each failure, halved in each half-life. Kept by the
-    pool's owner alone: a new owner begins with none."""
+    pool's owner alone: a new owner begins with none.
+    """
 
     def __init__(self, half_life_s: float) -> None:
         self._half_life_s = half_life_s
--- a/crossmill/multihost/heartbeats.py
+++ b/crossmill/multihost/heartbeats.py
@@ -1,7 +1,8 @@
 """Answers agents' heartbeats: the orders follow from comparing them with the durable plan.
 
 Orders need no memory and can be repeated. They go out only in answers, which an agent drops when
-they come late."""
+they come late.
+"""
 
 import logging
 from collections.abc import Callable
--- a/crossmill/multihost/keys.py
+++ b/crossmill/multihost/keys.py
@@ -1,7 +1,8 @@
 """Names of the keys of multi-machine replicas in the state service.
 
 They lie under the controllers' common prefix, so one watch brings them too; versions that do not
-know them ignore them."""
+know them ignore them.
+"""
 
 from ..cluster import keys as cluster_keys
 from .model import ReplicaId
--- a/crossmill/multihost/lifecycle.py
+++ b/crossmill/multihost/lifecycle.py
@@ -83,7 +83,8 @@
 
 def is_silent(view: AgentView | None, moment: Moment, settings: MultihostSettings) -> bool:
     """Whether the machine has not been heard for so long that it counts as lost. After a change
-    of owner the agents first have to find the new one."""
+    of owner the agents first have to find the new one.
+    """
     if view is None or not view.is_trusted:
         return moment.now - moment.owned_since > first_contact_s(settings)
     return moment.now - view.last_heartbeat_at > settings.detection_s
--- a/crossmill/multihost/model.py
+++ b/crossmill/multihost/model.py
@@ -90,7 +90,8 @@
 
 class Member(NamedTuple):
     """One machine's part of a replica. It belongs to one session of the machine's agent: an agent
-    that begins a new session has lost it."""
+    that begins a new session has lost it.
+    """
 
     rank: int
     machine: str
--- a/crossmill/multihost/placement.py
+++ b/crossmill/multihost/placement.py
@@ -1,7 +1,8 @@
 """Which machines take a replica's members: all of them, or none.
 
 Pure functions. Members of one replica stand on different machines; survivors of an earlier
-generation stay where they are, unless the whole replica is back sooner elsewhere."""
+generation stay where they are, unless the whole replica is back sooner elsewhere.
+"""
 
 from collections.abc import Collection, Iterable, Mapping
 from typing import NamedTuple
@@ -64,7 +65,8 @@
 ) -> ReplicaPlacement | None:
     """Machines for every rank, or None. `kept` names the machines of ranks that may stay; their
     room is counted as free for them in `candidates`. `in_zone` counts the set's other replicas by
-    zone; a machine that is excluded takes no new member."""
+    zone; a machine that is excluded takes no new member.
+    """
     by_zone: dict[str, list[Candidate]] = {}
     for candidate in candidates:
         if spec.allows_zone(candidate.zone):
@@ -133,7 +135,8 @@
     most: int,
 ) -> frozenset[str]:
     """Free machines kept for a replica that finds too few: in the zone that has most of them, up
-    to `most`. Those behind it in the queue do not get these machines."""
+    to `most`. Those behind it in the queue do not get these machines.
+    """
     by_zone: dict[str, list[Candidate]] = {}
     for c in candidates:
         if spec.allows_zone(c.zone) and c.free.holds(spec.resources):
@@ -168,7 +171,8 @@
     in_zone: Mapping[str, int],
 ) -> tuple[Victim, ...]:
     """Whole replicas whose machines, with what is free, hold the replica: of the lowest priority,
-    the fewest members lost, the youngest. Empty if there are none."""
+    the fewest members lost, the youngest. Empty if there are none.
+    """
     pool = list(candidates)
     lesser = sorted(
         (v for v in victims if v.priority < spec.priority),
--- a/crossmill/multihost/pool.py
+++ b/crossmill/multihost/pool.py
@@ -28,7 +28,8 @@
 @dataclass(slots=True, eq=False)
 class Changes:
     """What has changed in the records, or by heartbeats, since the pool's owner last looked; only
-    it takes them away."""
+    it takes them away.
+    """
 
     sets: set[str] = field(default_factory=set)
     replicas: set[ReplicaId] = field(default_factory=set)
--- a/crossmill/multihost/records.py
+++ b/crossmill/multihost/records.py
@@ -1,7 +1,8 @@
 """Stored formats of replica sets, replicas, members and pool machines, field by field.
 
 Other versions of the program read them, so a format changes only here; unknown fields are
-ignored."""
+ignored.
+"""
 
 from typing import Any
 
@@ -137,7 +138,8 @@
 
 def returned_record(record: dict[str, Any]) -> dict[str, Any]:
     """The ordinary record of a machine that has left the pool: single-machine tasks may use it, and
-    it is given back if nobody does."""
+    it is given back if nobody does.
+    """
     return record | {"type": str(record["type"]).removeprefix(RESERVED_TYPE_PREFIX)}
 
 
@@ -146,7 +148,8 @@
 ) -> dict[str, Any]:
     """The ordinary record of a pool machine, in the format that every version reads. Its type keeps
     single-machine tasks and the return of idle machines away; it is never counted as up, so that
-    its silence towards the ordinary interface says nothing about its zone."""
+    its silence towards the ordinary interface says nothing about its zone.
+    """
     return {
         "type": RESERVED_TYPE_PREFIX + machine_type,
         "zone": zone,
--- a/crossmill/multihost/registration.py
+++ b/crossmill/multihost/registration.py
@@ -22,7 +22,8 @@
 
 class Registration:
     """Writes the records of machines that join. A machine that runs ordinary tasks, or belongs to
-    another shard, is left alone; its agent asks again."""
+    another shard, is left alone; its agent asks again.
+    """
 
     def __init__(
         self,
--- a/crossmill/multihost/rendezvous.py
+++ b/crossmill/multihost/rendezvous.py
@@ -1,7 +1,8 @@
 """Shows that all members of a generation were there at one moment.
 
 Members confirm at different times, and one may have died since it did. They have met when each was
-proved alive, in the session in which it confirmed, after the last confirmation had come."""
+proved alive, in the session in which it confirmed, after the last confirmation had come.
+"""
 
 from collections.abc import Iterable
 from typing import NamedTuple
--- a/crossmill/multihost/scheduling.py
+++ b/crossmill/multihost/scheduling.py
@@ -1,7 +1,8 @@
 """The queue of replicas that wait for machines, and who gets which.
 
 All wait in one total order. A replica gets all of its machines or none. The first that finds too
-few keeps free machines from those behind it, up to a stated part of the pool."""
+few keeps free machines from those behind it, up to a stated part of the pool.
+"""
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, field
@@ -114,7 +115,8 @@
 
     def _order(self) -> list[ReplicaId]:
         """Reservations already begun go first: only one is ever left open, and finished or undone
-        before another is begun. Then repairs, which hold machines; then the total order."""
+        before another is begun. Then repairs, which hold machines; then the total order.
+        """
 
         def key(replica_id: ReplicaId) -> tuple[int, tuple[int, float, str, int]]:
             replica = self._pool.replicas[replica_id]
@@ -233,7 +235,8 @@
         spec: ReplicaSetSpec, placement: ReplicaPlacement, ownership: set[str], state: _Pass
     ) -> None:
         """What the placement takes is no longer free in this pass. Where the replica stood before,
-        its room is counted as its own already."""
+        its room is counted as its own already.
+        """
         for _, machine, _ in placement.places:
             if machine not in ownership:
                 candidate = state.candidates[machine]
@@ -242,7 +245,8 @@
 
     def _earmark(self, spec: ReplicaSetSpec, in_zone: Mapping[str, int], state: _Pass) -> None:
         """Keeps free machines for the first that waits in vain, and for it alone; none if the pool
-        as it stands could not hold it even empty."""
+        as it stands could not hold it even empty.
+        """
         if state.earmarked:
             return
         try:
--- a/crossmill/multihost/serving.py
+++ b/crossmill/multihost/serving.py
@@ -2,7 +2,8 @@
 
 A grant ends `serving_lease_s` after the moment at which every member was last proved alive. That
 moment is the sending of the oldest of the answers that the members' newest heartbeats return; the
-receipt of a heartbeat proves nothing, for it may have been under way for minutes."""
+receipt of a heartbeat proves nothing, for it may have been under way for minutes.
+"""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -50,7 +51,8 @@
     def grant(self, replica: Replica, front: Member, alive_at: float, now: float) -> float:
         """How long the front member may serve from the sending of the heartbeat that is answered
         now; 0 if all were proved alive too long ago. The heartbeat was sent before now, so the
-        lease ends no later than it does by this clock."""
+        lease ends no later than it does by this clock.
+        """
         until = alive_at + self._settings.serving_lease_s
         lease_s = (until - now) * (1 - DRIFT)
         if lease_s <= 0:
@@ -66,7 +68,8 @@
     ) -> float:
         """From this moment on no front member of an earlier generation serves: its lease has
         ended, or its agent has said that it runs a later generation. `front_view` is the view of
-        the machine that was granted the last lease."""
+        the machine that was granted the last lease.
+        """
         earliest = owned_since + self._settings.fence_s
         grant = self._grants.get(replica.id)
         if grant is None or grant.generation >= replica.generation:
--- a/crossmill/multihost/set_rounds.py
+++ b/crossmill/multihost/set_rounds.py
@@ -36,7 +36,8 @@
         intents: list[WriteIntent],
     ) -> set[ReplicaId]:
         """Adds the writes that the sets need to `intents`; returns the replicas that leave and that
-        the disruption budget lets stop now."""
+        the disruption budget lets stop now.
+        """
         allowed: set[ReplicaId] = set()
         for name in sorted(names):
             stored = self._pool.sets.get(name)
--- a/crossmill/multihost/sets.py
+++ b/crossmill/multihost/sets.py
@@ -1,6 +1,7 @@
 """What a replica set needs as a whole: replicas to be created, marked as leaving, or stopped.
 
-Pure functions over the set's replicas; the disruption budget is kept here."""
+Pure functions over the set's replicas; the disruption budget is kept here.
+"""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -32,7 +33,8 @@
     no_room: bool,
 ) -> SetPlan:
     """What the set needs now. `evacuated` are replicas with a member on a machine that is to be
-    emptied, with the reason; `no_room` says that a replica of the set waits for room in vain."""
+    emptied, with the reason; `no_room` says that a replica of the set waits for room in vain.
+    """
     spec = stored.spec
     alive = [r for r in replicas.values() if r.version and r.phase not in ENDED_PHASES]
     leaving = {r.id: evacuated[r.id] for r in alive if not r.leaving and r.id in evacuated}
@@ -65,7 +67,8 @@
     no_room: bool,
 ) -> frozenset[ReplicaId]:
     """The replicas that leave and whose stop keeps the set at its minimum. A replacement is
-    waited for, unless it finds no room."""
+    waited for, unless it finds no room.
+    """
     ready = [r for r in alive if r.phase is Phase.READY]
     going = [r for r in ready if r.leaving or r.id in leaving]
     if stored.removed:
--- a/crossmill/multihost/settings.py
+++ b/crossmill/multihost/settings.py
@@ -14,7 +14,8 @@
 @dataclass(frozen=True, slots=True)
 class MultihostSettings:
     """The checked settings of multi-machine replicas. All time spans follow from the interval of
-    the agents' heartbeats."""
+    the agents' heartbeats.
+    """
 
     listen: Endpoint
     # the shard whose owner owns the pool
@@ -85,7 +86,8 @@
     def repair_bound_s(self, load_s: float, write_s: float) -> float:
         """Within this time of a member's death the replica serves again, if there is room and no
         back-off is due: `load_s` is what the slowest fetch takes, `write_s` a durable write. Also
-        the bound for several deaths, counted from the last one."""
+        the bound for several deaths, counted from the last one.
+        """
         noticed = self.detection_s + 2 * self.heartbeat_s
         fenced = max(self.fence_s, noticed)
         placed = 2 * write_s + self.heartbeat_s
--- a/crossmill/multihost/writes.py
+++ b/crossmill/multihost/writes.py
@@ -1,7 +1,8 @@
 """Transactions of the pool's owner: transitions, reservations, deletions.
 
 Each rests on the shard's key, so that it does nothing once another controller owns the pool, and on
-the versions of the records that it was decided on."""
+the versions of the records that it was decided on.
+"""
 
 import logging
 from collections.abc import Sequence
@@ -91,7 +92,8 @@
         self, ownership: ShardOwnership, stored: ReplicaSet, number: int, wall: float
     ) -> WriteIntent:
         """New replicas of a set, and its counter of their numbers. As many as one transaction
-        takes; the rest follows."""
+        takes; the rest follows.
+        """
         number = min(number, self._writer.limits.txn_ops - 1)
         set_key = keys.replica_set(stored.spec.name)
         after = ReplicaSet(stored.spec, stored.removed, stored.next_index + number)
@@ -119,7 +121,8 @@
 
     def departure_of_machine(self, ownership: ShardOwnership, machine: PoolMachine) -> WriteIntent:
         """An empty machine leaves the pool: its ordinary record names its own type again. The
-        pool's record stays until the machine is gone, so that its agent is not taken in anew."""
+        pool's record stays until the machine is gone, so that its agent is not taken in anew.
+        """
         key, ordinary = keys.machine(machine.id), cluster_keys.machine(machine.id)
         value = encode_machine(with_changes(machine, has_left=True))
         record = returned_record(self._pool.mirror.value(ordinary))
@@ -158,7 +161,8 @@
 
     def _split(self, replica: Replica, members: Sequence[Member]) -> list[tuple[Member, ...]]:
         """The members' records. A reservation under way keeps their number: limits may differ
-        from those that it was begun under."""
+        from those that it was begun under.
+        """
         size = self.members_per_chunk()
         return [tuple(members[i : i + size]) for i in range(0, len(members), size)]
 
@@ -186,7 +190,8 @@
     ) -> bool:
         """Reserves all machines and begins the start. In one transaction if it takes them all;
         else in steps under a durable intent (the phase), which this owner or the next goes on
-        with or undoes."""
+        with or undoes.
+        """
         members = self._members(replica, placement)
         chunks = self._split(replica, members)
         if len(chunks) == 1 and replica.chunk_count <= 1:
--- a/crossmill/net/request_heads.py
+++ b/crossmill/net/request_heads.py
@@ -3,7 +3,8 @@
 Workers and users repeat themselves: on a kept connection nearly every request has, byte for byte,
 a head that came before. h11 is asked about each such head once; what it said of it is kept, in a
 table whose size the settings derive from the memory. Only whole requests are taken, of a connection
-that goes on afterwards; anything else is left to h11."""
+that goes on afterwards; anything else is left to h11.
+"""
 
 from functools import lru_cache
 from typing import NamedTuple
@@ -30,7 +31,8 @@
 
 def head_of(request: h11.Request) -> RequestHead | None:
     """The request's head; None if its body has no stated length or its sender waits for leave to
-    send it."""
+    send it.
+    """
     body_bytes = 0
     for name, value in request.headers:
         if name in (b"transfer-encoding", b"expect"):
@@ -61,7 +63,8 @@
 
     def note(self, data: bytes, request: h11.Request) -> None:
         """Keeps the head of a request that h11 has read from exactly this data, and after which
-        the connection went on."""
+        the connection went on.
+        """
         end = data.find(END_OF_HEAD) + len(END_OF_HEAD)
         head = head_of(request)
         if head is None or head.method == "HEAD" or not len(END_OF_HEAD) <= end <= MAX_HEAD_BYTES:
--- a/crossmill/net/server.py
+++ b/crossmill/net/server.py
@@ -42,7 +42,8 @@
 
 class _Connection:
     """A client's connection; `reading_since` counts the idle checks up to when the server began
-    to wait for the request that it now reads, None while it answers one."""
+    to wait for the request that it now reads, None while it answers one.
+    """
 
     __slots__ = ("h11", "reading_since", "sock")
 
@@ -55,7 +56,8 @@
 class Server:
     """Serves one address. Connections on which no request was completed for `idle_timeout_s`
     are closed,
-    by one task for all: a timer for each request costs more than many a request itself."""
+    by one task for all: a timer for each request costs more than many a request itself.
+    """
 
     def __init__(
         self,
@@ -99,7 +101,8 @@
 
     async def _close_idle(self) -> None:
         """Ends the connections whose request has not come in time: one that sends a byte now and
-        then must not hold its socket."""
+        then must not hold its socket.
+        """
         while True:
             await curio.sleep(self._idle_s / IDLE_CHECKS)
             self._idle_checks += 1
@@ -131,7 +134,8 @@
     async def _serve_one(self, connection: _Connection) -> bool:
         """Answers the next request; false if the connection does not go on. The h11 connection is
         not told of requests whose heads it has read before: it stands between two requests
-        before and after them."""
+        before and after them.
+        """
         conn, client = connection.h11, connection.sock
         connection.reading_since = self._idle_checks
         # the next request may have come with the last one; h11 holds it then
@@ -185,7 +189,8 @@
 
     async def _read(self, connection: _Connection) -> tuple[h11.Request, bytes, bool] | None:
         """A request's head and body (of one that is too large, what came of it), and whether it
-        took more data than had come; None when the client has ended the connection."""
+        took more data than had come; None when the client has ended the connection.
+        """
         conn, client = connection.h11, connection.sock
         head: h11.Request | None = None
         body = b""
--- a/crossmill/planning/demand.py
+++ b/crossmill/planning/demand.py
@@ -16,7 +16,8 @@
 @dataclass(slots=True, eq=False)
 class TaskDemand:
     """Tasks that need room: how long until their budget ends, and how many of them running
-    tasks will make room for in time."""
+    tasks will make room for in time.
+    """
 
     spec: JobSpec
     tasks: int
@@ -86,7 +87,8 @@
     limit: Callable[[MachineSource], int],
 ) -> CapacityPlan:
     """Wants in queue order are fitted into the rooms there are (those still booting included);
-    what does not fit asks for whole machines in the design's fill order."""
+    what does not fit asks for whole machines in the design's fill order.
+    """
     capacity_plan = CapacityPlan()
     for capacity in capacities:
         capacity.used = False
--- a/crossmill/planning/fill.py
+++ b/crossmill/planning/fill.py
@@ -7,7 +7,8 @@
 
 class MachineOffer(NamedTuple):
     """A machine type as a stage sees it: how long until it can run, tasks side by side, and
-    how many machines there may be."""
+    how many machines there may be.
+    """
 
     name: str
     price: float
@@ -31,7 +32,8 @@
     tasks: int, offers: Sequence[MachineOffer], budget_s: float
 ) -> list[tuple[MachineOffer, int]]:
     """Whole machines of the best throughput per price first; the next offers that still meet
-    the budget take what is left; when none meets it, the soonest takes all."""
+    the budget take what is left; when none meets it, the soonest takes all.
+    """
     order = sorted((o for o in offers if o.slots > 0 and o.limit > 0), key=lambda o: -o.value())
     meeting = [o for o in order if o.rounds(budget_s) >= 1]
     late = not meeting
--- a/crossmill/planning/free_capacity.py
+++ b/crossmill/planning/free_capacity.py
@@ -11,7 +11,8 @@
 
 def tasks_fitting(spec: JobSpec, cpus: float, gpus: float, memory_gb: float) -> int:
     """How many tasks like this fit; not bounded by the job's own number, since a machine
-    that one job fills in part is shared with others, and costs each its share."""
+    that one job fills in part is shared with others, and costs each its share.
+    """
     cpus, gpus, memory_gb = cpus + EPS, gpus + EPS, memory_gb + EPS
     # most rooms asked about are full; this is asked of every room for every waiting job
     if gpus < spec.gpus or cpus < spec.cpus or memory_gb < spec.memory_gb:
@@ -45,7 +46,8 @@
 @dataclass(slots=True, eq=False)
 class FreeCapacity:
     """What is free on a machine; `price` is its type's, whole, and `slots` tells how many
-    tasks like the one given fit on an empty one."""
+    tasks like the one given fit on an empty one.
+    """
 
     machine: str
     type: str
@@ -70,7 +72,8 @@
 
     def fits_beside_gpu_tasks(self, spec: JobSpec) -> int:
         """How many tasks without GPUs fit beside the GPU tasks that the machine still has room
-        for. Filled up with small tasks, its GPUs would be paid for and serve nobody."""
+        for. Filled up with small tasks, its GPUs would be paid for and serve nobody.
+        """
         if not self.accelerated or spec.gpus > 0:
             return MAX_TASKS
         shares = (share for share in (self.typical, self.bound) if share is not None)
@@ -84,7 +87,8 @@
     def contention_cost(self, spec: JobSpec) -> int:
         """How far a task would hold what others need: without GPUs, it would keep a GPU machine
         rented when all else on it has ended, and on the only type that some class fits on it
-        would take that class's place."""
+        would take that class's place.
+        """
         return 0 if spec.gpus > 0 else self.accelerated + (self.bound is not None)
 
     def fits(self, spec: JobSpec) -> int:
@@ -149,7 +153,8 @@
     """Machines for up to this many tasks. Cheapest room for the task first (throughput per
     price), machines that have the image, or fetch it sooner, before the others, full ones before
     empty ones. Services are dealt out, at most `together` of a job's tasks on one machine,
-    so that one loss hurts little, as long as there is other room."""
+    so that one loss hurts little, as long as there is other room.
+    """
     fitting = [
         (capacity, count)
         for capacity in capacities
--- a/crossmill/planning/gpu_footprints.py
+++ b/crossmill/planning/gpu_footprints.py
@@ -18,7 +18,8 @@
 
 class GpuFootprints(NamedTuple):
     """The share of a task of the class with the most tasks; and by type that of the class with the
-    most tasks among those that fit on this type alone, if that does not hold for all classes."""
+    most tasks among those that fit on this type alone, if that does not hold for all classes.
+    """
 
     typical: TaskFootprint | None
     bound: dict[str, _Bound]
--- a/crossmill/planning/pipelines.py
+++ b/crossmill/planning/pipelines.py
@@ -1,7 +1,8 @@
 """Budgets and priorities of the stages of a pipeline: jobs joined by dependencies.
 
 The paper's split (section III-C) is made over all of the pipeline that is not done, with the time
-left to its deadline. Pure: the same facts give the same budgets on every controller."""
+left to its deadline. Pure: the same facts give the same budgets on every controller.
+"""
 
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
@@ -11,7 +12,8 @@
 
 class PipelineStage(NamedTuple):
     """An unfinished job of a pipeline. `needs` names unfinished jobs only; `deadline` is when it
-    has to be done, None if its user gave no deadline."""
+    has to be done, None if its user gave no deadline.
+    """
 
     id: str
     priority: int
@@ -24,7 +26,8 @@
 
 class StagePlan(NamedTuple):
     """A stage's place: the highest priority among it and all that need it, and when its budget
-    ends (None without any deadline)."""
+    ends (None without any deadline).
+    """
 
     priority: int
     budget_end: float | None
--- a/crossmill/planning/queue.py
+++ b/crossmill/planning/queue.py
@@ -10,7 +10,8 @@
 ) -> float:
     """Of a job that is a pipeline by itself: its stage's budget is all of the deadline, which
     counts from the submission, less the margin. Without a deadline the place in the queue is a
-    fixed wait after the job could begin."""
+    fixed wait after the job could begin.
+    """
     if spec.deadline_s is None:
         return ready_at + default_queue_wait_s
     return submitted + max(0.0, spec.deadline_s - margin_s)
--- a/crossmill/planning/split.py
+++ b/crossmill/planning/split.py
@@ -2,7 +2,8 @@
 
 A stage is a job; an option is a machine type. Every stage starts on its fastest, costliest
 option; the switch that saves most cost per second of finish time added is made as long as the
-pipeline keeps its deadline."""
+pipeline keeps its deadline.
+"""
 
 from collections.abc import Iterator, Sequence
 from math import inf
@@ -11,7 +12,8 @@
 
 class MachineOption(NamedTuple):
     """`throughput` is tasks per second of one whole machine, `finish_s` the stage's estimated
-    finish on this option, `price` the weight of the type (spot: its steady type's)."""
+    finish on this option, `price` the weight of the type (spot: its steady type's).
+    """
 
     name: str
     price: float
@@ -83,7 +85,8 @@
 
 def _choose(stages: Sequence[Stage], deadline_s: float) -> list[MachineOption]:
     """Every stage's option. A switch lengthens only the paths through its stage, so that one
-    pass over the edges serves all candidates of a step."""
+    pass over the edges serves all candidates of a step.
+    """
     chosen = [min(s.options, key=lambda o: (o.finish_s, -o.price)) for s in stages]
     while True:
         paths = _path_through(stages, chosen)
--- a/crossmill/recovery/api.py
+++ b/crossmill/recovery/api.py
@@ -1,7 +1,8 @@
 """The operators' interface: looking at recoveries, and approving what a brake holds back.
 
 It is served on the address at which controllers speak to one another. Any controller answers:
-what it says rests on the state service, but for the phases of its own shards."""
+what it says rests on the state service, but for the phases of its own shards.
+"""
 
 from ..cluster import keys as cluster_keys
 from ..cluster.cluster_state import ClusterState
--- a/crossmill/recovery/batches.py
+++ b/crossmill/recovery/batches.py
@@ -7,7 +7,8 @@
 
 class Batches:
     """Admits machines in batches, each twice as large as the one before. A batch that is not
-    settled in time is put back, and the next one is small again."""
+    settled in time is put back, and the next one is small again.
+    """
 
     def __init__(self, clock: Clock, first: int, batch_s: float) -> None:
         self._clock = clock
--- a/crossmill/recovery/classification.py
+++ b/crossmill/recovery/classification.py
@@ -3,7 +3,8 @@
 Each task that is stored or reported, and each machine that is stored, listed or reported, has
 exactly one class; a class has one rule (docs/recovery.md has the table). What is ordered for a
 class is worked out by `workers/reports.py` as ever; the rules say what it takes, and how urgent
-it is."""
+it is.
+"""
 
 from enum import IntEnum, StrEnum
 from typing import NamedTuple
@@ -136,7 +137,8 @@
 
 class Rule(NamedTuple):
     """What is done about a class, on what proof, how soon; `is_braked` if it counts as a mass
-    action when it is done to many at once."""
+    action when it is done to many at once.
+    """
 
     action: Action
     proof: Proof
@@ -179,7 +181,8 @@
 ) -> TaskClass:
     """The class of a task on a machine. `session` is the worker's newest; `stored` the attempt that
     a durable plan holds, here or on another machine; `reported` what the worker's newest report
-    says, None if the task is not in it or no report has come."""
+    says, None if the task is not in it or no report has come.
+    """
     if contact is not Contact.HEARD:
         return _classify_unheard(contact, stored)
     if reported is None:
@@ -236,7 +239,8 @@
     is_stored: bool, is_listed: bool | None, is_retiring: bool, contact: Contact
 ) -> MachineClass:
     """The class of a machine. `is_listed` says whether the newest list of the cloud has it; None
-    where no list is at hand: only the leader reads it."""
+    where no list is at hand: only the leader reads it.
+    """
     if not is_stored:
         return MachineClass.UNKNOWN
     if is_retiring:
--- a/crossmill/recovery/differences.py
+++ b/crossmill/recovery/differences.py
@@ -71,7 +71,8 @@
     cluster: ClusterState, machine: Machine, view: WorkerView
 ) -> dict[TaskKey, TaskClass]:
     """The class of each task that is planned onto the machine or that its newest report, which
-    has to be trusted, speaks of."""
+    has to be trusted, speaks of.
+    """
     classes: dict[TaskKey, TaskClass] = {}
     for key in {*machine.attempts, *view.tasks}:
         task = view.tasks.get(key)
--- a/crossmill/recovery/open_differences.py
+++ b/crossmill/recovery/open_differences.py
@@ -1,6 +1,7 @@
 """The differences of a shard that are not settled, and what is asked of all of them.
 
-Everything is kept as it changes: a report costs what it brings, however many differ elsewhere."""
+Everything is kept as it changes: a report costs what it brings, however many differ elsewhere.
+"""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -50,7 +51,8 @@
 
     def keep(self, machine_id: str, still: list[Difference], now: float) -> None:
         """A later report: whatever it does not show any more is settled, and what a difference
-        means may have changed: its job was cancelled."""
+        means may have changed: its job was cancelled.
+        """
         left = {_attempt(difference): difference for difference in still}
         for attempt, difference in list(self.of(machine_id).items()):
             present = left.get(attempt)
--- a/crossmill/recovery/records.py
+++ b/crossmill/recovery/records.py
@@ -35,7 +35,8 @@
     recovery: ShardRecovery, controller: str, wall: float, dry_run: bool
 ) -> dict[str, Any]:
     """The record of a recovery that has come to its end; of a dry run also what was let through
-    that would have been held back."""
+    that would have been held back.
+    """
     return {
         "shard": recovery.shard,
         "token": recovery.term,
@@ -72,7 +73,8 @@
 
 class StoredNotes:
     """Approvals, and what brakes hold back, as they are stored. What a later version of the program
-    wrote is left alone, and said so once."""
+    wrote is left alone, and said so once.
+    """
 
     def __init__(self, mirror: Mirror) -> None:
         self._mirror = mirror
--- a/crossmill/recovery/service.py
+++ b/crossmill/recovery/service.py
@@ -1,5 +1,6 @@
 """Recovery on one controller: a `ShardRecovery` for each shard that it has taken, their reads and
-their records."""
+their records.
+"""
 
 import logging
 from collections.abc import Callable
@@ -112,7 +113,8 @@
 
     async def run(self) -> None:
         """Moves the recoveries on until the controller ends. Between them it looks as often as a
-        lease is renewed for shards that were taken and of which no machine has reported yet."""
+        lease is renewed for shards that were taken and of which no machine has reported yet.
+        """
         while True:
             await self.step()
             pause_s = (
--- a/crossmill/recovery/settings.py
+++ b/crossmill/recovery/settings.py
@@ -50,7 +50,8 @@
     @property
     def shard_orders_per_s(self) -> float:
         """A shard's part of the region's rate. It goes with the shard, which has one owner at a
-        time: however many controllers end or return, the parts never add up to more."""
+        time: however many controllers end or return, the parts never add up to more.
+        """
         return self.orders_per_s / self.nodes
 
     @property
--- a/crossmill/recovery/shard_recovery.py
+++ b/crossmill/recovery/shard_recovery.py
@@ -38,7 +38,8 @@
     """What differs between plans and reports when a shard is taken, until it is settled.
 
     Only what a machine's first report under the new token shows is recovery's matter, however late
-    it comes; whatever comes to differ later is the ordinary path's."""
+    it comes; whatever comes to differ later is the ordinary path's.
+    """
 
     def __init__(
         self,
--- a/crossmill/settings/model.py
+++ b/crossmill/settings/model.py
@@ -43,7 +43,8 @@
 
 def assign_teams_to_shards(teams: tuple[Team, ...], shards: int) -> dict[str, int]:
     """Teams parted among controllers: a team's jobs are placed by one of them. Large guarantees
-    are dealt out first, each to the shard that has least so far; a shard may get no team."""
+    are dealt out first, each to the shard that has least so far; a shard may get no team.
+    """
     order = sorted(enumerate(teams), key=lambda entry: (-entry[1].gpus, -entry[1].cpus, entry[0]))
     loads = [(0.0, 0.0, 0, shard) for shard in range(shards)]
     result: dict[str, int] = {}
@@ -59,7 +60,8 @@
     """The checked settings of one controller, with all that is derived from them.
 
     `shards_with_teams` are those that have a team; with fewer teams than controllers some shards
-    have none."""
+    have none.
+    """
 
     label: str
     zone: str
@@ -107,7 +109,8 @@
 
     def next_controller(self, label: str) -> str:
         """Where a worker turns whose controller does not answer (PROTOCOL: "tries the next node"):
-        the next label, counted as numbers are."""
+        the next label, counted as numbers are.
+        """
         order = sorted(self.labels, key=lambda other: (len(other), other))
         return order[(order.index(label) + 1) % len(order)]
 
@@ -131,7 +134,8 @@
     @property
     def max_lease_extension_s(self) -> float:
         """How long workers are answered on promises alone: a withdrawal that is not heard of
-        must still end its tasks in time, by the end of the workers' lease if need be."""
+        must still end its tasks in time, by the end of the workers' lease if need be.
+        """
         return max(
             0.0,
             0.9 * self.cancellation_deadline_s
@@ -142,7 +146,8 @@
     @property
     def partition_keepalive_s(self) -> float:
         """How long after it last knew all that was durable a controller in a zone that is cut
-        off keeps the zone's workers alive."""
+        off keeps the zone's workers alive.
+        """
         return 3 * self.worker_lease_s
 
     @property
@@ -153,7 +158,8 @@
     @property
     def attestation_ttl_s(self) -> float:
         """How long a controller that was asked about a silent machine leaves it unanswered:
-        until its lease must have ended, and a while for whoever asked to conclude it."""
+        until its lease must have ended, and a while for whoever asked to conclude it.
+        """
         return 1.5 * self.worker_lease_expiry_s
 
     @property
@@ -208,7 +214,8 @@
 
     def shard_weight(self, part: float) -> float:
         """The weight that a shard with this part of all running work gives its owner, beside 1
-        for being there: 2 on average over all shards with a team."""
+        for being there: 2 on average over all shards with a team.
+        """
         return 0.5 + 1.5 * len(self.shards_with_teams) * part
 
     @property
@@ -219,7 +226,8 @@
     @property
     def urgent_write_burst(self) -> float:
         """Urgent changes that a controller may make ahead of its share: a pipeline is submitted
-        as a burst to one controller, and the state service allows a second's worth at once."""
+        as a burst to one controller, and the state service allows a second's worth at once.
+        """
         return self.lowest_state_limits.write_rps / 5
 
     @property
@@ -235,7 +243,8 @@
     @property
     def max_ended_jobs(self) -> int:
         """Ended jobs of a shard kept at hand; older ones are archived and read when asked for.
-        With all controllers' shares, some 4 KB each, that is a tenth of the memory."""
+        With all controllers' shares, some 4 KB each, that is a tenth of the memory.
+        """
         return max(100, int(self.ram_mb * 0.1 * 1e6 / 4096 / self.controller_count))
 
     @property
@@ -261,7 +270,8 @@
     @property
     def replan_interval_s(self) -> float:
         """A pipeline with a late stage is split anew at most this often (DESIGN's ten seconds
-        on its reference lease)."""
+        on its reference lease).
+        """
         return self.worker_lease_s
 
     @property
@@ -297,13 +307,15 @@
     @property
     def boot_failure_factor(self) -> float:
         """A machine not up after this many boot times is counted as never coming up, unless those
-        before it took as long."""
+        before it took as long.
+        """
         return 3.5
 
     @property
     def boot_late_factor(self) -> float:
         """After this many boot times a machine is no longer counted on, unless those before it
-        took as long."""
+        took as long.
+        """
         return 1.8
 
     @property
@@ -324,7 +336,8 @@
     @property
     def headroom(self) -> float:
         """FreeCapacity kept for expected tasks, in parts of those expected while a machine
-        boots."""
+        boots.
+        """
         return 1.0
 
     @property
--- a/crossmill/settings/table.py
+++ b/crossmill/settings/table.py
@@ -57,7 +57,8 @@
 
     def expect_only(self, *fields: str) -> None:
         """Refuses fields beyond these: in a file that an operator writes, a name that is not known
-        is a mistake, and what it was to change would stay as it is."""
+        is a mistake, and what it was to change would stay as it is.
+        """
         for field in self.data:
             if field not in fields:
                 raise SettingsError(
--- a/crossmill/state/client.py
+++ b/crossmill/state/client.py
@@ -41,7 +41,8 @@
 class StateClient:
     """Calls one state service; raises RequestRefusedError or OutcomeUnknownError where no answer
     can be relied
-    on."""
+    on.
+    """
 
     def __init__(self, settings: Settings, clock: Clock, http: Http | None = None) -> None:
         self._http = http or Client(settings.state, max_sockets=12)
@@ -101,7 +102,8 @@
 
     async def read_all(self, prefix: str) -> tuple[list[wire.KeyValue], int]:
         """Every key under the prefix. The revision is the first page's: later pages may hold
-        newer values, and the changes after it bring the rest up to date."""
+        newer values, and the changes after it bring the rest up to date.
+        """
         rows: list[wire.KeyValue] = []
         revision = -1
         after = ""
@@ -129,7 +131,8 @@
 
     async def changes(self, prefix: str, after: int, wait_s: float) -> tuple[int, list[wire.Event]]:
         """The changes after a revision, waited for; raises ChangesCompactedError if they are no
-        longer kept."""
+        longer kept.
+        """
         path = wire.changes_path(prefix, after, int(wait_s * 1000))
         timeout_s = wait_s + self._timeout_s if wait_s else None
         status, data = await self._call("GET", path, timeout_s=timeout_s)
--- a/crossmill/state/mirror.py
+++ b/crossmill/state/mirror.py
@@ -21,7 +21,8 @@
 class Mirror:
     """Fed by the follower, by syncs and by this controller's own settled writes, in any
     order: a key's version only grows, and a deletion is remembered until every change up to
-    it has been seen, so that an older answer can't bring a key back."""
+    it has been seen, so that an older answer can't bring a key back.
+    """
 
     def __init__(self) -> None:
         self.revision = -1
@@ -33,7 +34,8 @@
 
     def listen(self, listener: Listener) -> None:
         """Called with (key, value, version), at first for all that is known; a value of None means
-        deleted."""
+        deleted.
+        """
         for key, entry in self._entries.items():
             listener(key, entry.value, entry.version)
         self._listeners.append(listener)
@@ -62,7 +64,8 @@
 
     def merge_read(self, row: KeyValue) -> None:
         """A key read by itself. The answer may be older than what has been seen since: a key of
-        a revision already seen that is not here was deleted, and must not come back."""
+        a revision already seen that is not here was deleted, and must not come back.
+        """
         if row.version > self.revision:
             self.written(row.key, row.value, row.version)
 
--- a/crossmill/state/watcher.py
+++ b/crossmill/state/watcher.py
@@ -31,7 +31,8 @@
 
 class StateWatcher:
     """A long watch brings changes soon; a sync is a watch that does not wait, and what it
-    returns was current after it was sent: it serves all who asked before that."""
+    returns was current after it was sent: it serves all who asked before that.
+    """
 
     def __init__(
         self, client: StateClient, mirror: Mirror, clock: Clock, prefix: str, s: Settings
@@ -62,7 +63,8 @@
 
     async def load(self) -> None:
         """Reads every key and publishes a state that existed at one revision. The pages are of
-        different moments; the changes since the first bring all of them to the last."""
+        different moments; the changes since the first bring all of them to the last.
+        """
         while True:
             rows, first = await self._client.read_all(self._prefix)
             sent = self._clock.now()
@@ -79,7 +81,8 @@
 
     async def _reload(self, missed: int) -> None:
         """Reads all anew after a watch from a revision that is no longer kept. Both loops meet
-        that at once: one reads for both."""
+        that at once: one reads for both.
+        """
         async with self._reading:
             if self._mirror.revision == missed:
                 log.info("watch compacted, reading all keys revision=%d", missed)
@@ -90,7 +93,8 @@
 
     def is_current_within(self, span_s: float) -> bool:
         """Whether all that was durable so long ago is known. A renewal that succeeds is no sign
-        of it: the lease may stand where no read has come through for long."""
+        of it: the lease may stand where no read has come through for long.
+        """
         at = self.current_at
         return at is not None and self._clock.now() - at <= span_s * (1 - self._drift)
 
--- a/crossmill/state/writer.py
+++ b/crossmill/state/writer.py
@@ -52,7 +52,8 @@
 @dataclass(slots=True, eq=False)
 class WriteIntent:
     """Changes that stand or fall together. `holds` is asked right before each sending: None
-    means not now, False never again."""
+    means not now, False never again.
+    """
 
     txn: Txn
     rank: WriteRank = WriteRank.BACKGROUND
@@ -246,7 +247,8 @@
 
     async def _split(self, batch: list[WriteIntent], exc: TransactionTooLargeError) -> None:
         """The limits were lowered: what went together is tried apart, what is too large by
-        itself is given back to be planned anew, and never repeated as it is."""
+        itself is given back to be planned anew, and never repeated as it is.
+        """
         self._lowest = self._announced
         if len(batch) > 1:
             log.info("write too large, split intents=%d error=%s", len(batch), exc)
@@ -283,7 +285,8 @@
 
     async def _was_applied(self, intent: WriteIntent) -> bool:
         """After a lost answer the repeat's conditions fail when the first was executed: what
-        stands in the store tells."""
+        stands in the store tells.
+        """
         while True:
             try:
                 rows = [await self._client.get(p.key) for p in intent.txn.puts]
--- a/crossmill/verbs.py
+++ b/crossmill/verbs.py
@@ -12,7 +12,8 @@
 
 def with_dependencies(body: bytes, dependencies: Sequence[str]) -> bytes:
     """A submission that also waits for these jobs; raises MalformedMessageError if it is no JSON
-    object."""
+    object.
+    """
     if not dependencies:
         return body
     data = load_object(body)
--- a/crossmill/wire/multihost.py
+++ b/crossmill/wire/multihost.py
@@ -2,7 +2,8 @@
 
 The protocol is crossmill's own: agents (one a machine) send heartbeats to the controller that owns
 the pool, whose answers carry orders; the front member's agent pings the others. PROTOCOL's
-interfaces know nothing of it. Unknown fields are ignored; another protocol version is refused."""
+interfaces know nothing of it. Unknown fields are ignored; another protocol version is refused.
+"""
 
 from enum import StrEnum
 from typing import Any, NamedTuple
@@ -44,7 +45,8 @@
 
 class Proof(NamedTuple):
     """Names an answer of a controller: the process that sent it and when, by that process's steady
-    clock. A heartbeat that returns it was sent after that answer had arrived."""
+    clock. A heartbeat that returns it was sent after that answer had arrived.
+    """
 
     process: str
     sent: float
@@ -97,7 +99,8 @@
 
 class Order(NamedTuple):
     """What an agent is to do with a member. A lease is counted from the sending of the heartbeat
-    that the order answers."""
+    that the order answers.
+    """
 
     op: Op
     replica: str
--- a/crossmill/workers/attempt_outcomes.py
+++ b/crossmill/workers/attempt_outcomes.py
@@ -2,7 +2,8 @@
 
 A finding is what frees a planned task, so it names what proves it, the ownership it was drawn
 under, and the keys that the write of it rests on. It ends with that ownership: another owner may
-have started the very attempt that was found not started."""
+have started the very attempt that was found not started.
+"""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
--- a/crossmill/workers/command_sender.py
+++ b/crossmill/workers/command_sender.py
@@ -1,7 +1,8 @@
 """Starts sent straight to workers, so that they need not wait for the next report.
 
 Such a command may be executed late, as long as token and session match. While one is not
-answered its attempt is in doubt: see `HeartbeatHandler.unacknowledged`."""
+answered its attempt is in doubt: see `HeartbeatHandler.unacknowledged`.
+"""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -53,7 +54,8 @@
 
     async def send(self, starts: list[PlannedAttempt], stops: list[PlannedAttempt]) -> None:
         """Starts of durable plans, and stops; a stop that comes late ends an attempt that is
-        to end anyway, and is in no doubt."""
+        to end anyway, and is in no doubt.
+        """
         by_machine: dict[str, tuple[list[PlannedAttempt], list[PlannedAttempt]]] = {}
         for attempt in starts:
             by_machine.setdefault(attempt.machine, ([], []))[0].append(attempt)
--- a/crossmill/workers/heartbeat_handler.py
+++ b/crossmill/workers/heartbeat_handler.py
@@ -1,7 +1,8 @@
 """HeartbeatHandler of workers: who answers them, and with which orders.
 
 Orders come from comparing the newest report with the durable plan, so they need no memory and
-can be repeated. Only responses carry them: the worker drops a response that comes late."""
+can be repeated. Only responses carry them: the worker drops a response that comes late.
+"""
 
 import logging
 from collections.abc import Collection
@@ -89,7 +90,8 @@
     def view_of(self, machine: Machine, ownership: ShardOwnership) -> WorkerView:
         """Before the first answer of ours an earlier owner may have answered, at the latest
         when we took over, and no worker was ours before we knew its machine. One that was
-        given away and came back is begun anew."""
+        given away and came back is begun anew.
+        """
         view = self._views.get(machine.id)
         if view is None or view.move != machine.token:
             view = WorkerView(machine.id, self._clock.now(), move=machine.token)
@@ -154,7 +156,8 @@
 
     def _elsewhere(self, owner: str | None = None) -> HeartbeatResponse:
         """The worker is sent to its machine's owner; where none is known it goes round the
-        controllers by itself, past those that are missing."""
+        controllers by itself, past those that are missing.
+        """
         return HeartbeatResponse(
             421, redirect=owner or self._membership.owner_selection.reachable_alternative()
         )
@@ -249,7 +252,8 @@
     ) -> list[Command]:
         """What the worker has to do for its tasks to be those of the plan. AttemptOutcomes made on
         the
-        way wait to be written."""
+        way wait to be written.
+        """
         orders: list[Command] = []
         for key, task in view.tasks.items():
             attempt = machine.attempts.get(key)
--- a/crossmill/workers/order_gate.py
+++ b/crossmill/workers/order_gate.py
@@ -10,13 +10,15 @@
 
 class OrderGate(Protocol):
     """Asked before anything of a shard is ordered, placed or given up. Without a gate all is let
-    through."""
+    through.
+    """
 
     def screen(
         self, machine: Machine, view: WorkerView, ownership: ShardOwnership, orders: list[Command]
     ) -> list[Command]:
         """Which of the orders that answer a report may be sent now; the others follow from
-        comparing anew."""
+        comparing anew.
+        """
 
     def may_place(self, shard: int) -> bool:
         """Whether waiting tasks of the shard may be placed."""
--- a/crossmill/workers/views.py
+++ b/crossmill/workers/views.py
@@ -22,7 +22,8 @@
 class WorkerView:
     """`answered_at` and `session_at` bound the worker's lease: nobody can have answered it
     later, nor can its session have begun later than it was first seen. A report is trusted once
-    it carries our own token: only then was it made after we took over."""
+    it carries our own token: only then was it made after we took over.
+    """
 
     machine: str
     answered_at: float
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,6 +1,7 @@
 """The test command: lint, types and tests, in that order; the first failure ends it.
 
-Tests that fail for a real fault may be listed in KNOWN-RED.txt (tests/known_red.py)."""
+Tests that fail for a real fault may be listed in KNOWN-RED.txt (tests/known_red.py).
+"""
 
 import subprocess
 import sys
--- a/tests/judge.py
+++ b/tests/judge.py
@@ -32,7 +32,8 @@
 class Judge:
     """PROTOCOL's rules, looked at on every start and every half second. Of its own it asks that
     each task on a machine is in a durable plan: it is started from one, and its row goes only
-    when it is proved over."""
+    when it is proved over.
+    """
 
     def __init__(self, region: "Region") -> None:
         self._region = region
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,5 +1,6 @@
 """KNOWN-RED.txt: tests that fail for a real fault which is not mended yet, one line each as
-`test, cause, issue`, three at most. The test command passes over just these, and prints them."""
+`test, cause, issue`, three at most. The test command passes over just these, and prints them.
+"""
 
 from dataclasses import dataclass
 from pathlib import Path
--- a/tests/measure_multihost.py
+++ b/tests/measure_multihost.py
@@ -3,7 +3,8 @@
     python -m tests.measure_multihost [--seeds N] [--out FOLDER]
 
 It needs requirements-measure.txt and is no part of the test command. The baseline is this project's
-ordinary path: every member a task of a service, each replaced by itself."""
+ordinary path: every member a task of a service, each replaced by itself.
+"""
 
 import argparse
 import json
@@ -143,7 +144,8 @@
 def measure_baseline(job: tuple[str, int, int]) -> Sample:
     """The same failures of a service whose tasks are the members, on the ordinary path. Its front,
     task 0, answers whenever it runs itself; images are there at once, and idle machines are kept
-    for the whole story, so that spare ones are there as they are in the pool."""
+    for the whole story, so that spare ones are there as they are in the pool.
+    """
     failure, members, seed = job
     result: list[Sample] = []
 
--- a/tests/measure_recovery.py
+++ b/tests/measure_recovery.py
@@ -3,7 +3,8 @@
     python -m tests.measure_recovery [--sizes 100:20,1000:20,4000:2] [--out FOLDER]
 
 Three controllers and stand-in workers under virtual time; it needs requirements-measure.txt and is
-no part of the test command. The baseline is the ordinary path, without the package."""
+no part of the test command. The baseline is the ordinary path, without the package.
+"""
 
 import argparse
 import json
--- a/tests/multihost_agents.py
+++ b/tests/multihost_agents.py
@@ -1,5 +1,6 @@
 """Stand-in agents of the multihost protocol: one a machine, under virtual time, with a steady clock
-of its own that drifts."""
+of its own that drifts.
+"""
 
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
@@ -53,7 +54,8 @@
 
 class Agent:
     """A machine's agent. `lease_from_receipt` plants a fault: leases are counted from the receipt
-    of an answer instead of the sending of what it answers."""
+    of an answer instead of the sending of what it answers.
+    """
 
     def __init__(self, region: "MultihostRegion", machine: str, number: int, zone: str) -> None:
         self.region, self.machine, self.number, self.zone = region, machine, number, zone
--- a/tests/multihost_troubles.py
+++ b/tests/multihost_troubles.py
@@ -1,5 +1,6 @@
 """Troubles drawn by lot for regions with multi-machine replicas. A seed gives the same story
-everywhere."""
+everywhere.
+"""
 
 from random import Random
 
--- a/tests/profile_controller.py
+++ b/tests/profile_controller.py
@@ -3,7 +3,8 @@
 One whole controller over the stand-ins, at the size given, by phases: the start's reading, reports,
 rounds without news, a burst of jobs, and HTTP over loopback. Prints the processor time of each
 phase by part of the program, its dearest functions, and the memory held after the start by file.
-Not a part of the test command's verdict: times differ from machine to machine."""
+Not a part of the test command's verdict: times differ from machine to machine.
+"""
 
 import argparse
 import cProfile
--- a/tests/recovery_region.py
+++ b/tests/recovery_region.py
@@ -1,5 +1,6 @@
 """The simulated region with recovery on: every controller has the package's service, and the orders
-that workers get are counted."""
+that workers get are counted.
+"""
 
 from collections.abc import Awaitable, Callable, Iterable
 from copy import deepcopy
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -1,5 +1,6 @@
 """A small region under virtual time (tests/virtual_time.py): real loops of several controllers, the
-stand-ins, workers and users, and a judge who knows PROTOCOL's rules (tests/judge.py)."""
+stand-ins, workers and users, and a judge who knows PROTOCOL's rules (tests/judge.py).
+"""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,5 +1,6 @@
 """Stand-ins written from the published protocol: a state service and a cloud that are called
-without sockets, a clock that is held, and short hands for settings and jobs."""
+without sockets, a clock that is held, and short hands for settings and jobs.
+"""
 
 from collections import deque
 from typing import Any
@@ -109,7 +110,8 @@
 
 class StateService:
     """The state service as PROTOCOL describes it, kept in memory. Tests may make pages and the
-    history of changes shorter, so that few keys do what thousands do in production."""
+    history of changes shorter, so that few keys do what thousands do in production.
+    """
 
     def __init__(self, kept_changes: int = KEPT_CHANGES) -> None:
         self.revision = 0
--- a/tests/test_behavior_trace.py
+++ b/tests/test_behavior_trace.py
@@ -95,4 +95,5 @@
     difference = first_difference(
         _store(tmp_path / "whole", lines), _store(tmp_path / "part", shorter)
     )
-    assert difference is not None and difference.after is None
+    assert difference is not None
+    assert difference.after is None
--- a/tests/test_boot_times.py
+++ b/tests/test_boot_times.py
@@ -121,6 +121,7 @@
         await curio.sleep(5.0)
         for node in region.nodes.values():
             took = [m.boot_s for m in node.cluster.machines.values() if m.up]
-            assert took and all(s is not None and s > slow * BOOT_S for s in took)
+            assert took
+            assert all(s is not None and s > slow * BOOT_S for s in took)
 
     simulate(story)
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -150,7 +150,8 @@
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready_node(state, clock, nodes)
         response = await _submit(node, B, *(f"wk-{n:06d}" for n in range(100, 400)))
-        assert response.status == 422 and b"256" in response.body
+        assert response.status == 422
+        assert b"256" in response.body
         # unfinished ones that fit no record under the next limits
         names = [f"wk-{n:06d}" for n in range(100, 300)]
         for name in names:
@@ -177,7 +178,8 @@
         await node.sync()
         assert (await _submit(node, D, fan[0], fan[-1])).status == 201
         response = await node.ask("POST", f"/v1/jobs/{A}/withdraw")
-        assert response.status == 200 and b"withdrawn" in response.body
+        assert response.status == 200
+        assert b"withdrawn" in response.body
         # before any further write, and on a controller that only reads
         for name in (*fan, D):
             assert await _stage(other, name) == "withdrawn"
@@ -238,7 +240,8 @@
         node = await _ready_node(state, clock, nodes)
         state.put(keys.archived(A), {"end": "cancelled", "done": 0})
         response = await _submit(node, B, A)
-        assert response.status == 201 and b"withdrawn" in response.body
+        assert response.status == 201
+        assert b"withdrawn" in response.body
         assert await _stage(node, B) == "withdrawn"
 
     play(story)
@@ -456,7 +459,9 @@
     play(story)
 
 
-@pytest.mark.parametrize("end, told", [(DONE, "queued"), (CANCELLED, "withdrawn"), ("", "queued")])
+@pytest.mark.parametrize(
+    ("end", "told"), [(DONE, "queued"), (CANCELLED, "withdrawn"), ("", "queued")]
+)
 def test_a_job_left_without_its_dependency_by_an_earlier_version_is_mended(
     end: str, told: str
 ) -> None:
--- a/tests/test_derivation.py
+++ b/tests/test_derivation.py
@@ -2,7 +2,8 @@
 
 Increments (use per machine, counts of tasks, indexes of jobs, what waits for what) are compared
 with a derivation from scratch after random writes, seen in random ways: by the watch, ahead of it
-as own writes, as keys read by themselves, or all at once after a gap."""
+as own writes, as keys read by themselves, or all at once after a gap.
+"""
 
 import random
 from typing import Any
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize(
-    "breach, rule",
+    ("breach", "rule"),
     [
         (_ran_twice, "ran_twice"),
         (_ran_cancelled, "ran_cancelled"),
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -43,7 +43,8 @@
 
 async def _gap(region: Region, refused: str, refuses: object, alone_s: float) -> None:
     """node-0 is refused alone; another controller confirms a cancellation; then all are refused
-    for longer than cancel_s, while the worker goes on reporting to node-0."""
+    for longer than cancel_s, while the worker goes on reporting to node-0.
+    """
     await region.until(lambda: len(region.running("wk-000001")) > 0)
     before = region.clock.now()
     if refuses == "flapping":
@@ -69,7 +70,8 @@
 def test_gap(refuses: object, alone_s: float, peers: str) -> None:
     """A controller that is refused alone knows of no cancellation that others confirm, and what
     it keeps alive must end in time all the same. On its lease alone it went on for ever where
-    renewals succeeded and reads did not."""
+    renewals succeeded and reads did not.
+    """
 
     async def story(region: Region) -> None:
         # apart from the others it could not be told as its zone's deputy, and the user would wait
@@ -85,7 +87,8 @@
 
 def test_a_deputy_ends_what_it_was_itself_about_to_cancel() -> None:
     """The only controller of a zone asks that a job be cancelled and never hears that it was;
-    cut off with its zone it would have kept the job's tasks for three leases."""
+    cut off with its zone it would have kept the job's tasks for three leases.
+    """
 
     async def story(region: Region) -> None:
         await region.begin(machines=2)
@@ -116,7 +119,8 @@
 @pytest.mark.parametrize("ends", [False, True])
 def test_answers_lost_while_others_write_on(at_once: bool, ends: bool) -> None:
     """Every third transaction gets no answer, is carried out at once or seconds late, while
-    users cancel and, in one variant, the owner's process is replaced."""
+    users cancel and, in one variant, the owner's process is replaced.
+    """
 
     async def story(region: Region) -> None:
         await region.begin(machines=3)
@@ -163,7 +167,8 @@
 
 def test_a_slow_answer_to_a_submission_says_what_others_told_meanwhile() -> None:
     """The job was durable, seen and cancelled elsewhere while the answer was held up: `queued`
-    after `withdrawn`."""
+    after `withdrawn`.
+    """
 
     async def story(region: Region) -> None:
         await region.begin(machines=1)
@@ -224,7 +229,8 @@
 
 def test_a_team_at_its_limit_whose_cancelled_tasks_are_not_proved_over() -> None:
     """Every machine of the team hangs or can't be reached, its jobs are cancelled and the owner
-    ends: what comes next waits until the old tasks are proved over."""
+    ends: what comes next waits until the old tasks are proved over.
+    """
 
     async def story(region: Region) -> None:
         await region.begin(machines=6)
@@ -315,7 +321,8 @@
 @pytest.mark.parametrize("trouble", ["deaf", "mute", "hung"])
 def test_workers_that_hear_nothing_or_are_not_heard(trouble: str) -> None:
     """A machine in trouble keeps no job waiting that another could take, and what was cancelled
-    on it meanwhile is over in time."""
+    on it meanwhile is over in time.
+    """
 
     async def story(region: Region) -> None:
         await region.begin(machines=2)
@@ -340,7 +347,8 @@
 @pytest.mark.parametrize("cancelled", [False, True])
 def test_a_command_is_held_up_and_the_machine_then_goes_on(hang_s: float, cancelled: bool) -> None:
     """A direct start reaches a machine that hangs; it is carried out when the machine goes on,
-    after the job was cancelled, or its owner replaced, or the task given up."""
+    after the job was cancelled, or its owner replaced, or the task given up.
+    """
 
     async def story(region: Region) -> None:
         await region.begin(machines=2)
@@ -480,7 +488,8 @@
 
 def test_new_machines_up_at_once_while_writes_lag_and_the_leader_ends() -> None:
     """Rented and up within two seconds, before their records: workers without a record, records
-    written late, and the next leader renting again."""
+    written late, and the next leader renting again.
+    """
 
     async def story(region: Region) -> None:
         await region.begin(machines=0)
@@ -535,7 +544,8 @@
 @pytest.mark.parametrize("seed_n", [0, 1, 131, 148, 177, 2060])
 def test_troubles_drawn_by_lot(seed_n: int) -> None:
     """Whatever meets whatever: the lots are drawn from a fixed seed, so each story is the same
-    on every machine."""
+    on every machine.
+    """
 
     async def story(region: Region) -> None:
         lots = random.Random(seed_n)
@@ -556,7 +566,8 @@
 @pytest.mark.parametrize("lot", range(4))
 def test_replicas_at_the_limit_meet_troubles_drawn_by_lot(lot: int) -> None:
     """A team at its limit, work that makes room for other work, bursts of cancellations, zones
-    cut off and all controllers ended: drawn from a fixed seed as above."""
+    cut off and all controllers ended: drawn from a fixed seed as above.
+    """
 
     async def story(region: Region) -> None:
         lots = random.Random(1000 + lot)
--- a/tests/test_multihost_decisions.py
+++ b/tests/test_multihost_decisions.py
@@ -165,7 +165,8 @@
     assert choose(SPEC, {}, _candidates("north", 2) + _candidates("south", 2), {}) is None
     placement = choose(SPEC, {}, _candidates("north", 3), {})
     assert placement is not None
-    assert len(placement.machines) == 3 and [p.rank for p in placement.places] == [0, 1, 2]
+    assert len(placement.machines) == 3
+    assert [p.rank for p in placement.places] == [0, 1, 2]
     assert choose(SPEC._replace(one_zone=False), {}, _candidates("a", 2) + _candidates("b", 1), {})
 
 
@@ -177,18 +178,25 @@
     cold_spare, warm_spare = north[1], north[1]._replace(images=warm)
     elsewhere = _candidates("south", 3, images=warm)
     stays = choose(SPEC, kept, [*survivors, warm_spare, *elsewhere], {})
-    assert stays is not None and stays.kept == 2 and stays.ready_s == 0
+    assert stays is not None
+    assert stays.kept == 2
+    assert stays.ready_s == 0
     moves = choose(SPEC, kept, [*survivors, cold_spare, *elsewhere], {})
-    assert moves is not None and moves.kept == 0 and moves.ready_s == 0
+    assert moves is not None
+    assert moves.kept == 0
+    assert moves.ready_s == 0
     alone = choose(SPEC, kept, [*survivors, cold_spare], {})
-    assert alone is not None and alone.kept == 2 and alone.ready_s == 10.0
+    assert alone is not None
+    assert alone.kept == 2
+    assert alone.ready_s == 10.0
 
 
 def test_weights_at_hand_come_first_and_machines_that_failed_last() -> None:
     plain, warm = _candidates("north", 4), frozenset({"weights"})
     candidates = [plain[0]._replace(avoided=True, images=warm), *plain[1:]]
     placement = choose(SPEC, {}, candidates, {})
-    assert placement is not None and "north-0" not in placement.machines
+    assert placement is not None
+    assert "north-0" not in placement.machines
     assert choose(SPEC, {}, candidates[:3], {}) is not None
     assert choose(SPEC, {}, candidates[:3], {}, {"north-0"}) is None
 
@@ -198,7 +206,8 @@
     candidates = _candidates("north", 3, images=frozenset({"weights"})) + _candidates("south", 3)
     assert choose(spec, {}, candidates, {}).machines >= {"north-0"}  # type: ignore[union-attr]
     second = choose(spec, {}, candidates, {"north": 1})
-    assert second is not None and second.machines == {"south-0", "south-1", "south-2"}
+    assert second is not None
+    assert second.machines == {"south-0", "south-1", "south-2"}
     assert choose(spec, {}, candidates, {"north": 1, "south": 1}) is None
 
 
@@ -237,7 +246,8 @@
 def test_the_back_off_doubles_and_is_bounded() -> None:
     waits = [backoff_s(n, SETTINGS) for n in range(40)]
     assert waits[:5] == [0.0, 0.0, 2.0, 4.0, 8.0]
-    assert waits == sorted(waits) and waits[-1] == SETTINGS.longest_backoff_s
+    assert waits == sorted(waits)
+    assert waits[-1] == SETTINGS.longest_backoff_s
 
 
 # -- sets ----------------------------------------------------------------------------
@@ -255,9 +265,11 @@
 def test_a_leaving_replica_is_replaced_before_it_may_stop() -> None:
     leaving = _replica(0, leaving="drained")
     before = _plan(2, leaving, _replica(1))
-    assert before.create == 1 and not before.may_stop
+    assert before.create == 1
+    assert not before.may_stop
     starting = _plan(2, leaving, _replica(1), _replica(2, Phase.STARTING))
-    assert starting.create == 0 and not starting.may_stop
+    assert starting.create == 0
+    assert not starting.may_stop
     after = _plan(2, leaving, _replica(1), _replica(2))
     assert after.may_stop == {leaving.id}
 
@@ -279,7 +291,9 @@
     plan = _plan(0, _replica(0), _replica(1, Phase.STARTING), _replica(2))
     assert set(plan.leaving) == {ReplicaId("chat", 1)}
     removed = _plan(2, _replica(0), _replica(1), removed=True)
-    assert len(removed.leaving) == 2 and len(removed.may_stop) == 2 and removed.create == 0
+    assert len(removed.leaving) == 2
+    assert len(removed.may_stop) == 2
+    assert removed.create == 0
     assert _plan(0, removed=True).is_over
 
 
@@ -347,7 +361,8 @@
     late = BEAT._replace(sequence=8, proof=Proof("here", 100.5))
     assert agents.note(late, 41, 500.0) is Freshness.NEW
     view = agents.get("m-1")
-    assert view is not None and view.alive_at == 100.5
+    assert view is not None
+    assert view.alive_at == 100.5
     assert agents.note(BEAT, 41, 501.0) is Freshness.STALE
 
 
@@ -358,7 +373,9 @@
     agents = Agents("here")
     assert agents.note(BEAT._replace(**change), 41, 101.0) is Freshness.GREETING
     view = agents.get("m-1")
-    assert view is not None and not view.is_trusted and not view.members
+    assert view is not None
+    assert not view.is_trusted
+    assert not view.members
 
 
 def test_messages_come_through_as_they_were_sent_and_unknown_fields_are_ignored() -> None:
@@ -434,10 +451,8 @@
 
 def test_the_deploy_file_is_good_and_time_spans_follow_from_the_heartbeat() -> None:
     settings = load(str(ROOT / "deploy" / "multihost.toml"), make_settings())
-    assert (
-        settings.listen.port == 8091
-        and settings.heartbeat_s == make_settings().heartbeat_interval_s
-    )
+    assert settings.listen.port == 8091
+    assert settings.heartbeat_s == make_settings().heartbeat_interval_s
     assert settings.detection_s < settings.serving_lease_s < settings.agent_lease_s
 
 
--- a/tests/test_multihost_failures.py
+++ b/tests/test_multihost_failures.py
@@ -1,6 +1,7 @@
 """Failures of multi-machine replicas, under virtual time. In each story the judge of
 `tests/multihost_region.py` looks on: never two serving generations, never an answer while
-incomplete beyond the bound, nothing promised twice."""
+incomplete beyond the bound, nothing promised twice.
+"""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -235,7 +236,8 @@
         await region.until_serving("chat/0")
         await region.restart(region.owner(), 0.5)
         await curio.sleep(30.0)
-        assert region.generation("chat/0") == 1 and len(region.serving("chat/0")) == 1
+        assert region.generation("chat/0") == 1
+        assert len(region.serving("chat/0")) == 1
         starts = [o for a in region.agents.values() for _, o in a.orders if o.op is Op.START]
         assert len(starts) == 4
 
@@ -288,7 +290,8 @@
             agent.dead = True
         await region.until(lambda: region.phase("chat/0") == "repairing")
         await curio.sleep(10.0 + 2 * SETTINGS.heartbeat_s)
-        assert region.phase("chat/0") == "pending" and not region.agents_of("chat/0")
+        assert region.phase("chat/0") == "pending"
+        assert not region.agents_of("chat/0")
         # three machines are left: two of them serve the other set
         await region.until_serving("small/0", BOUND_S)
         for number in range(3):
@@ -314,7 +317,8 @@
         agent = region.agents_of("chat/0")[1]
         agent.lies = [lie]
         await curio.sleep(LOAD_S + 5.0)
-        assert region.phase("chat/0") == "starting" and not region.serving("chat/0")
+        assert region.phase("chat/0") == "starting"
+        assert not region.serving("chat/0")
         assert region.services[region.owner()].heartbeats.rejected > 0
         agent.lies = []
         await region.until_serving("chat/0")
@@ -363,7 +367,8 @@
         machine = region.agents_of("chat/0")[2].machine
         await region.operate("POST", f"machines/{machine}/drain")
         await curio.sleep(40.0)
-        assert region.phase("chat/0") == "ready" and len(region.serving("chat/0")) == 1
+        assert region.phase("chat/0") == "ready"
+        assert len(region.serving("chat/0")) == 1
         for number in range(4):
             await region.add_agent(f"new-{number}", "north")
         await region.until(lambda: region.phase("chat/0") == "", BOUND_S + 10.0)
@@ -396,7 +401,8 @@
         await region.until_serving("chat/1", BOUND_S)
         assert region.state.keys[record][0]["type"] == "multihost/g4"
         await region.until(lambda: agent.has_left, 20.0)
-        assert not agent.members and region.state.keys[record][0]["type"] == "g4"
+        assert not agent.members
+        assert region.state.keys[record][0]["type"] == "g4"
         assert (await region.operate("POST", f"machines/{agent.machine}/undrain"))[0] == 409
         # once the machine is returned nothing is left of it
         region.state.delete(record)
--- a/tests/test_multihost_random.py
+++ b/tests/test_multihost_random.py
@@ -94,7 +94,8 @@
 def test_the_serving_lease_counted_from_receipt_is_caught() -> None:
     """The mutation of agents: what a front member answers then outlasts the bound."""
     caught = [entry for death_s in DEATHS_S for entry in _dies_after(death_s, True)]
-    assert caught and all("incomplete" in entry for entry in caught)
+    assert caught
+    assert all("incomplete" in entry for entry in caught)
 
 
 @pytest.mark.parametrize("death_s", DEATHS_S)
@@ -129,7 +130,8 @@
 def test_a_replica_cut_off_whole_stops_before_its_successor_serves() -> None:
     region = _zone_cut(0.0)
     assert not region.judge.broken
-    assert region.generation("chat/0") == 2 and len(region.serving("chat/0")) == 1
+    assert region.generation("chat/0") == 2
+    assert len(region.serving("chat/0")) == 1
 
 
 @pytest.mark.usefixtures("_long_lease")
--- a/tests/test_multihost_service.py
+++ b/tests/test_multihost_service.py
@@ -51,11 +51,13 @@
         assert (await put("Chat", DECLARED))[1]["field"] == "name"
         assert (await put("chat", [1]))[0] == 400
         status, answer = await put("chat", DECLARED | {"members": 5})
-        assert status == 422 and "the pool has 4" in answer["error"]
+        assert status == 422
+        assert "the pool has 4" in answer["error"]
         assert (await put("chat", DECLARED))[0] == 201
         assert (await put("chat", DECLARED | {"min_ready": 1}))[0] == 200
         status, answer = await put("chat", DECLARED | {"image": "other"})
-        assert status == 409 and "min_ready" in answer["error"]
+        assert status == 409
+        assert "min_ready" in answer["error"]
         await region.until_serving("chat/0")
         status, answer = await region.operate("GET", "replicas/chat/0")
         assert (status, answer["phase"], len(answer["members"])) == (200, "ready", 2)
@@ -210,9 +212,8 @@
             node.writer,
             "late",
         )
-        assert (
-            len(late.pool.replicas) == 3 and late.pool.replicas.keys() == early.pool.replicas.keys()
-        )
+        assert len(late.pool.replicas) == 3
+        assert late.pool.replicas.keys() == early.pool.replicas.keys()
         assert {m: set(x.planned) for m, x in late.pool.machines.items()} == {
             m: set(x.planned) for m, x in early.pool.machines.items()
         }
@@ -284,7 +285,8 @@
         await node.round()
         await node.sync()
         ownership = node.membership.command_ownership(0)
-        assert ownership is not None and node.cluster.machines["n-0"].attempts
+        assert ownership is not None
+        assert node.cluster.machines["n-0"].attempts
         for machine in ("n-0", "n-1", "n-2"):
             service.heartbeats.handle(heartbeat_of(node, 0, 1)._replace(machine=machine))
         await service.coordinator.round(ownership)
--- a/tests/test_on_call_troubles.py
+++ b/tests/test_on_call_troubles.py
@@ -1,5 +1,6 @@
 """What the operators' on-call people met: controllers that stand still and go on with clocks that
-ran, all but one gone for a minute, machines that come up late or never, broken jobs, guests."""
+ran, all but one gone for a minute, machines that come up late or never, broken jobs, guests.
+"""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -94,7 +95,8 @@
         for label in others:
             await region.light(label)
         await curio.sleep(40.0)
-        assert region.running("wk-000001") and not region.running("wk-000003")
+        assert region.running("wk-000001")
+        assert not region.running("wk-000003")
         assert region.owners() == {0: "node-0", 1: "node-1", 2: "node-2"}
 
     simulate(story)
@@ -102,7 +104,8 @@
 
 def test_questions_of_all_users_at_once_cost_the_one_that_serves_alone_few_reads() -> None:
     """Eight questions a second for each of fifty jobs: those that come together share a read, and
-    workers are answered and work begins meanwhile."""
+    workers are answered and work begins meanwhile.
+    """
 
     async def story(region: Region) -> None:
         await _begin(region)
@@ -220,7 +223,8 @@
 @pytest.mark.parametrize("stands_still", [False, True])
 def test_a_leader_that_stood_still_neither_rents_nor_returns(step: str, stands_still: bool) -> None:
     """It stands still while it waits for the cloud's pace, between its look at its right to lead
-    and the request."""
+    and the request.
+    """
 
     async def story(state: StateService, clock: FakeClock, nodes: dict[str, Node]) -> None:
         seed(state, clock, machines=1)
@@ -256,7 +260,8 @@
 @pytest.mark.parametrize("seed_number", range(900, 908))
 def test_views_agree_soon_after_freezes_drawn_by_lot(seed_number: int) -> None:
     """Controllers stand still at drawn moments, in the middle of whatever each of their loops waits
-    for, while jobs come, end and are cancelled; the judge looks on."""
+    for, while jobs come, end and are cancelled; the judge looks on.
+    """
     lots = random.Random(seed_number)
 
     async def story(region: Region) -> None:
--- a/tests/test_owner_selection.py
+++ b/tests/test_owner_selection.py
@@ -70,7 +70,8 @@
     down: str, frozen: str
 ) -> None:
     """The canteen's day `operations`: one controller without power for 90 s, another stands
-    still for 20 s meanwhile."""
+    still for 20 s meanwhile.
+    """
 
     async def story(region: Region) -> None:
         await region.begin(machines=0)
@@ -108,7 +109,8 @@
 def test_workers_are_answered_soon_after_a_hand_over_past_a_missing_controller() -> None:
     """Nadi's day `operations`: between the old owner's letting go and the new one's taking, workers
     were left to try the next controllers by themselves, of which one was down and one stood still;
-    39 tasks ended with their workers' leases."""
+    39 tasks ended with their workers' leases.
+    """
 
     async def story(region: Region) -> None:
         await region.begin(machines=0)
--- a/tests/test_partition_keepalive.py
+++ b/tests/test_partition_keepalive.py
@@ -243,7 +243,8 @@
 
 def test_machines_of_a_cut_zone_fall_silent_and_come_back_one_by_one() -> None:
     """The first to fall silent were given up before the rest were, and the last to come back as
-    soon as most others had."""
+    soon as most others had.
+    """
 
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=0)
@@ -285,9 +286,8 @@
         it.clock.time += it.s.worker_lease_expiry_s - it.s.heartbeat_timeout_s
         await it.owner.controller_lease.step()
         machine, view = it.owner.cluster.machines["n-0"], it.owner.heartbeats.find_view("n-0")
-        assert view and it.owner.partition_protocol.expiry_proof.preconditions(
-            machine, view.answered_at
-        )
+        assert view
+        assert it.owner.partition_protocol.expiry_proof.preconditions(machine, view.answered_at)
         await it.owner.round()
         assert it.on_machine() == 1
         # and once it has heard, it concludes nothing
@@ -364,7 +364,8 @@
 
 def test_a_task_that_moves_to_another_zone_while_deputies_are_told() -> None:
     """Only the controllers of the zones with tasks of the job are told; before the write a task
-    may move to a zone whose controllers know nothing."""
+    may move to a zone whose controllers know nothing.
+    """
 
     async def story(it: Story) -> None:
         add_machine(it.state, it.clock, "s-0", zone="south")
@@ -390,7 +391,8 @@
 
 def test_an_owner_that_answers_as_deputy_counts_the_workers_lease_from_there() -> None:
     """Its right as an owner had ended and its lease outlasted the outage: it then counted from its
-    last answer as an owner, and the task was placed again while it ran (lot 2060)."""
+    last answer as an owner, and the task was placed again while it ran (lot 2060).
+    """
 
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         it = Story(state, clock, nodes)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -32,7 +32,8 @@
 
 def test_order_puts_each_stage_after_those_it_needs() -> None:
     order = topological_order(_diamond())
-    assert order[0] == "first" and order[-1] == "last"
+    assert order[0] == "first"
+    assert order[-1] == "last"
 
 
 def test_priority_is_inherited_and_the_deadline_is_shared_out() -> None:
@@ -47,7 +48,9 @@
     # past the deadline the order among late ones stays
     past = plan_pipeline(_diamond(), 130.0)["first"].budget_end
     later = plan_pipeline(_diamond(), 160.0)["first"].budget_end
-    assert past is not None and later is not None and past > 100.0 - 30.0
+    assert past is not None
+    assert later is not None
+    assert past > 100.0 - 30.0
     # without any deadline there is no budget
     free = {"a": _stage("a"), "b": _stage("b", "a")}
     assert plan_pipeline(free, 0.0)["a"].budget_end is None
@@ -120,12 +123,14 @@
         await node.boot()
         forecast, jobs = node.forecast, node.cluster.jobs
         (priority, end), _ = forecast.queue_place(jobs[first])
-        assert priority == 3 and end == pytest.approx(at + node.settings.default_queue_wait_s)
+        assert priority == 3
+        assert end == pytest.approx(at + node.settings.default_queue_wait_s)
         final = make_spec(nameId=last, precedence="high", dueS=300.0, grindS=10.0)
         state.put(keys.job(last), encode_job(final, clock.wall(), (middle,)))
         await node.sync()
         (priority, end), _ = forecast.queue_place(jobs[first])
-        assert priority == 1 and at < end < at + 300.0
+        assert priority == 1
+        assert at < end < at + 300.0
         # a later stage of another team has what is left, by the same function
         other = Node(state, clock, nodes, "node-1")
         await other.boot()
--- a/tests/test_pipelines_in_trouble.py
+++ b/tests/test_pipelines_in_trouble.py
@@ -64,7 +64,8 @@
 @pytest.mark.parametrize("seed_n", [0, 1, 2, 3])
 def test_pipelines_meet_troubles_drawn_by_lot(seed_n: int) -> None:
     """Stages of three teams, some cancelled in the middle, while controllers end, the state
-    service is out and answers are lost; no task starts early and no job is orphaned."""
+    service is out and answers are lost; no task starts early and no job is orphaned.
+    """
 
     async def story(region: Region) -> None:
         lots = random.Random(seed_n)
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -143,14 +143,16 @@
     ]
     spare = empty_capacity("c", KINDS["g4"], "north", False)
     outcome = plan_capacity([want()], [*capacities, spare], sources, lambda s: 50)
-    assert outcome.machine_requests == {} and len(outcome.spare_machines) == 1
+    assert outcome.machine_requests == {}
+    assert len(outcome.spare_machines) == 1
     assert plan_capacity([want()], [], sources, lambda s: 0).unplaced_tasks == 6
 
 
 def test_teams_are_parted_by_guarantee() -> None:
     settings = make_settings()
     shards = [settings.shard_of_team(t.name) for t in settings.teams]
-    assert sorted(shards) == [0, 1, 2] and shards[0] == 0
+    assert sorted(shards) == [0, 1, 2]
+    assert shards[0] == 0
     assert stored_catalog(KINDS)[0]["name"] == "g4"
 
 
@@ -172,7 +174,8 @@
 @pytest.mark.parametrize("large", [{"dueS": 60.0}, {"dueS": None}])
 def test_no_job_is_passed_over_for_ever_by_newer_ones(large: dict[str, float | None]) -> None:
     """More comes than can be done, for minutes: the largest array and the job without a deadline
-    still begin once their budgets end, since what comes later has a later end."""
+    still begin once their budgets end, since what comes later has a later end.
+    """
     slots, default_queue_wait_s, number = 8, 45.0, 90
     waiting: list[tuple[tuple[int, float], str, int]] = []
     done_at: list[int] = []
@@ -209,7 +212,8 @@
 
 def test_the_only_type_that_a_class_fits_on_is_filled_up_last_by_tasks_without_gpus() -> None:
     """Production replicas waited for room that equal ones without GPUs had taken, while the type
-    that these could have used as well had room."""
+    that these could have used as well had room.
+    """
     small = make_spec(cut="service", sacks=40, cards=0.0, cpus=4.0, ramGb=2.0)
     capacities = [_room("large", "g8", TaskFootprint(22.0, 4.0, 150.0)), _room("other", "g4")]
     taken: dict[str, int] = {}
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -94,7 +94,8 @@
 
 def test_a_hundred_workers_of_which_some_differ() -> None:
     """All controllers end; five workers are silent for two minutes, one reports a task that was
-    never recorded, and two jobs are to be cancelled while nobody serves."""
+    never recorded, and two jobs are to be cancelled while nobody serves.
+    """
 
     async def story(region: RecoveryRegion) -> None:
         jobs = await _busy_region(region, WORKERS, SERVICES)
@@ -248,7 +249,8 @@
         assert _tasks(region) == running
         overview = await _overview(region)
         braked = overview["braked"]
-        assert braked and all(report["stops"] > 0 for report in braked)
+        assert braked
+        assert all(report["stops"] > 0 for report in braked)
         wrong = approval_body(Approval(braked[0]["shard"], "0" * 16))
         assert (await region.request("node-1", "POST", APPROVE_PATH, wrong)).status == 409
         approved_at = region.clock.now()
@@ -355,7 +357,8 @@
         # one in each shard is no mass action yet
         assert given_up() <= len(region.LABELS)
         braked = (await _overview(region))["braked"]
-        assert braked and all(report["releases"] > 1 for report in braked)
+        assert braked
+        assert all(report["releases"] > 1 for report in braked)
         await _approve(region, "node-2", braked)
         await region.until(lambda: given_up() == len(silent), 60.0)
 
@@ -386,7 +389,8 @@
         fields = {k: v for k, v in facts.spec.items() if k != "nameId"}
         await region.submit_until_accepted("node-0", job, None, **fields)
         await curio.sleep(20.0)
-        assert region.running(job) and (await _overview(region))["braked"]
+        assert region.running(job)
+        assert (await _overview(region))["braked"]
         assert await region.cancel_until_told("node-1", job, 30.0)
         await curio.sleep(region.cancellation_deadline_s + 1.0)
         assert not region.running(job)
@@ -590,7 +594,8 @@
 
 def test_one_that_was_behind_stops_nothing_that_another_planned() -> None:
     """Two controllers saw different things: one does not hear of changes, and its view of the
-    plans is old when it takes a shard."""
+    plans is old when it takes a shard.
+    """
 
     async def story(region: RecoveryRegion) -> None:
         await _busy_region(region)
@@ -618,7 +623,8 @@
 
 def test_beside_a_controller_without_recovery() -> None:
     """The version before, or one without the file, takes part: what it does not hold back is as
-    right as ever."""
+    right as ever.
+    """
 
     async def story(region: RecoveryRegion) -> None:
         await _busy_region(region)
--- a/tests/test_recovery_dry_run.py
+++ b/tests/test_recovery_dry_run.py
@@ -1,5 +1,6 @@
 """The recovery file's dry run: all goes as without the file, and what would have been held back is
-noted; and what the file does not take."""
+noted; and what the file does not take.
+"""
 
 from pathlib import Path
 
@@ -95,7 +96,8 @@
     bad.write_text(text)
     assert main(["check", "--config", str(config), "--recovery", str(bad)]) == BAD_USAGE
     error = capsys.readouterr().err.strip()
-    assert named in error and "\n" not in error
+    assert named in error
+    assert "\n" not in error
 
 
 def test_check_says_that_it_is_a_dry_run(
--- a/tests/test_recovery_service.py
+++ b/tests/test_recovery_service.py
@@ -1,5 +1,6 @@
 """Recovery's ways in: command line, operators' interface, and that nothing of it is loaded without
-the file."""
+the file.
+"""
 
 import subprocess
 import sys
@@ -37,7 +38,8 @@
 ) -> None:
     assert main(["check", "--config", config, "--recovery", str(DEPLOY)]) == 0
     printed = capsys.readouterr().out
-    assert "brake at 0.2" in printed and "observe_s = 2.000" in printed
+    assert "brake at 0.2" in printed
+    assert "observe_s = 2.000" in printed
 
 
 @pytest.mark.parametrize("verb", ["check", "serve"])
@@ -111,7 +113,8 @@
             return response.status, orjson.loads(response.body)
 
         status, overview = await ask("GET", RECOVERY_PATH)
-        assert status == 200 and overview["controller"] == "node-0"
+        assert status == 200
+        assert overview["controller"] == "node-0"
         # a machine that is up has not reported: the shard says that it waits for it
         waiting = {phase["shard"]: phase["waits_for"] for phase in overview["recovering"]}
         assert waiting[0] == "reports of 1 machines"
@@ -122,6 +125,7 @@
         state.down = True
         for method, path, body in (("GET", RECOVERY_PATH, b""), ("POST", APPROVE_PATH, approval)):
             response = await api.handle(Request(method, path, body))
-            assert response.status == 503 and response.retry_after_s is not None
+            assert response.status == 503
+            assert response.retry_after_s is not None
 
     play(story)
--- a/tests/test_request_heads.py
+++ b/tests/test_request_heads.py
@@ -49,7 +49,8 @@
 def test_heads_that_say_more_than_a_length_are_left_to_h11(data: bytes) -> None:
     heads = RequestHeads(most=8)
     heads.note(data, _parsed(data))
-    assert heads.match(data) is None and len(heads) == 0
+    assert heads.match(data) is None
+    assert len(heads) == 0
 
 
 def test_the_table_of_heads_is_bounded_and_the_oldest_goes() -> None:
@@ -68,10 +69,12 @@
     client.send(h11.EndOfMessage())
     client.receive_data(encoded_response_head(503, 2, 7) + b"{}")
     head = client.next_event()
-    assert isinstance(head, h11.Response) and head.status_code == 503
+    assert isinstance(head, h11.Response)
+    assert head.status_code == 503
     assert dict(head.headers)[b"retry-after"] == b"7"
     body = client.next_event()
-    assert isinstance(body, h11.Data) and bytes(body.data) == b"{}"
+    assert isinstance(body, h11.Data)
+    assert bytes(body.data) == b"{}"
     assert isinstance(client.next_event(), h11.EndOfMessage)
 
 
@@ -120,7 +123,8 @@
                 if len(answers) == 3:
                     assert not counts
             # two at a time are h11's again
-            assert counts and answers[3] == 2 * answers[2]
+            assert counts
+            assert answers[3] == 2 * answers[2]
             assert answers[0] == answers[1] == answers[2]
 
     async def bounded() -> None:
--- a/tests/test_safety.py
+++ b/tests/test_safety.py
@@ -57,7 +57,8 @@
         await again.boot()
         assert again.token() > node.token()
         answer = again.report("n-0", 1, 2, node.token())
-        assert answer.commands == () and answer.token == again.token()
+        assert answer.commands == ()
+        assert answer.token == again.token()
         assert not again.heartbeats.outcomes
         await again.round()
         assert len(again.cluster.machines["n-0"].attempts) == 1
@@ -327,7 +328,8 @@
 
 def test_what_others_wrote_on_top_of_a_lost_write_is_known_once_its_fate_is() -> None:
     """Whoever gave a machine away believed for a while longer that it was its own, and would
-    have answered its worker: the new owner's record was read and not kept."""
+    have answered its worker: the new owner's record was read and not kept.
+    """
 
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = Node(state, clock, nodes)
@@ -346,7 +348,8 @@
 
 def test_a_direct_answer_without_the_task_does_not_prove_that_a_start_can_not_come() -> None:
     """The start may be in the answer to the last report, still on its way: the row went, and the
-    task was free to be placed elsewhere while it began here."""
+    task was free to be placed elsewhere while it began here.
+    """
 
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
@@ -547,7 +550,8 @@
         clock.time += 3
         data = orjson.loads(beat("n-0", 1, 9, node.token(), on("wk-000001", 0, 1, "running")))
         node.command_sender._answered("n-0", 200, orjson.dumps(data))
-        assert view.seq == 9 and view.answered_at == before
+        assert view.seq == 9
+        assert view.answered_at == before
         # the report that was under way meanwhile is older, but its answer does renew
         node.report("n-0", 1, 8, node.token(), on("wk-000001", 0, 1, "running"))
         assert view.answered_at == clock.now()
@@ -557,7 +561,8 @@
 
 def test_a_session_known_from_direct_answers_alone_has_a_lease_of_its_own() -> None:
     """A worker whose reports go astray begins a new session; what was placed there was counted
-    as over from our last answer, long before, and began elsewhere while it ran."""
+    as over from our last answer, long before, and began elsewhere while it ran.
+    """
 
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _placed(state, clock, nodes)
@@ -567,7 +572,8 @@
         node.command_sender._answered("n-0", 200, beat("n-0", 2, 1, node.token()))
         machine = node.cluster.machines["n-0"]
         view = node.heartbeats.find_view("n-0")
-        assert view is not None and view.session == 2
+        assert view is not None
+        assert view.session == 2
         # nothing is placed where no report comes from
         assert not view.is_fresh(clock.now(), node.settings.heartbeat_timeout_s)
         node.cluster.mirror.written(
@@ -589,7 +595,8 @@
 
 def test_what_was_found_not_started_is_never_started() -> None:
     """The plan's write was known from the watch before its answer: a report without the task
-    showed it over on a machine to be returned, and then the answer brought a direct start."""
+    showed it over on a machine to be returned, and then the answer brought a direct start.
+    """
 
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
@@ -630,7 +637,8 @@
             clock.time += node.settings.controller_lease_ttl_s / 3
             await node.live()
             await node.membership.step()
-        assert other in node.membership.ownerships and other != 0
+        assert other in node.membership.ownerships
+        assert other != 0
         # shard 0 has an idle machine; the job waits in the other shard, and no cloud is there
         add_job(state, clock, crew="blue", sacks=1)
         await node.sync()
@@ -726,14 +734,16 @@
             machine = node.cluster.machines["n-0"]
             if machine.shard == other:
                 break
-        assert machine.shard == other and not machine.attempts
+        assert machine.shard == other
+        assert not machine.attempts
 
     play(story)
 
 
 def test_a_controller_that_no_worker_reaches_gives_its_shards_away() -> None:
     """A cut between a controller and all workers cost 90 tasks: it kept its shards, and every
-    peer sent the workers back to it until their leases ended."""
+    peer sent the workers back to it until their leases ended.
+    """
 
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=4)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -62,7 +62,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Asked for each waiting job, the rooms took a fifth of a controller's time and the team's
-    earlier jobs two fifths."""
+    earlier jobs two fifths.
+    """
 
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         full_fleet(state, clock, MACHINES)
@@ -146,7 +147,8 @@
         await node.controller_lease.step()
         await node.round()
         await node.partition_protocol.step()
-        assert len(asked) == 1 and asked[0] < 64 * 1024
+        assert len(asked) == 1
+        assert asked[0] < 64 * 1024
 
     play(story)
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -45,7 +45,8 @@
     path.write_text('label = "a"\n')
     assert main(["check", "--config", str(path)]) == 2
     error = capsys.readouterr().err
-    assert error.count("\n") == 1 and "settings" in error
+    assert error.count("\n") == 1
+    assert "settings" in error
 
 
 def test_cancel_and_its_alias_take_a_job(capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/test_size_drawn.py
+++ b/tests/test_size_drawn.py
@@ -1,6 +1,7 @@
 """Randomised scenarios that have what only size brings: readings of many pages, changes that are
 no longer kept, jobs archived soon after their end, controllers that stand still, many owners in a
-row; with pipelines and cancellations. The limits are made small instead of the numbers large."""
+row; with pipelines and cancellations. The limits are made small instead of the numbers large.
+"""
 
 import random
 
--- a/tests/test_start_compiles_nothing.py
+++ b/tests/test_start_compiles_nothing.py
@@ -1,5 +1,6 @@
 """A controller that is started as deploy/service.toml says compiles nothing from source: on a
-small share of a processor that takes longer than all else of a start."""
+small share of a processor that takes longer than all else of a start.
+"""
 
 import os
 import shlex
@@ -58,7 +59,8 @@
         shutil.copy2(ROOT / file, root / file)
     for name in LIBRARIES:
         spec = find_spec(name)
-        assert spec is not None and spec.origin is not None
+        assert spec is not None
+        assert spec.origin is not None
         shutil.copytree(
             Path(spec.origin).parent,
             root / "target" / "deps" / name,
@@ -136,7 +138,8 @@
 
 class Served(NamedTuple):
     """What a controller compiled from its start to its first answers, and what a client verb
-    printed that was sent to its peers' address then."""
+    printed that was sent to its peers' address then.
+    """
 
     compiled: list[str]
     shown: str
@@ -185,7 +188,8 @@
     served = _serve_once(checkout, tmp_path, *arguments, verb=("recovery", "show"))
     assert served.compiled == []
     overview = orjson.loads(served.shown)
-    assert overview["controller"] == "node-0" and overview["braked"] == []
+    assert overview["controller"] == "node-0"
+    assert overview["braked"] == []
     shards = [report["shard"] for report in overview["recovering"] + overview["records"]]
     assert 0 in shards
 
--- a/tests/test_unseen_changes.py
+++ b/tests/test_unseen_changes.py
@@ -1,7 +1,8 @@
 """What a controller makes of changes that it did not see one by one: it was cut off or stood still
 while others acted, and reads the state anew, page by page.
 
-The causes of what broke at production size (docs/safety.md, "Beliefs and their proofs")."""
+The causes of what broke at production size (docs/safety.md, "Beliefs and their proofs").
+"""
 
 from collections.abc import Callable
 
@@ -67,7 +68,8 @@
 
 def _end_elsewhere(state: StateService, clock: FakeClock) -> None:
     """What the other owner durably did while this one saw nothing: the job is over, its plan is
-    cleared away and its record is archived."""
+    cleared away and its record is archived.
+    """
     record = encode_end(CANCELLED, make_spec(nameId=JOB), clock.wall(), RECORD_BYTES)
     state.put(keys.job(JOB), record)
     state.delete(keys.plan(JOB, "0"))
@@ -124,7 +126,8 @@
 
 class _PageTurner:
     """A line to the state service that takes a moment, on which something happens after each page
-    of a list."""
+    of a list.
+    """
 
     def __init__(
         self, state: StateService, after_page: Callable[[int], None] = lambda page: None
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -182,7 +182,8 @@
         state.put(keys.job(JOB), {"end": "done", "spec": PRODUCTION_SPEC})
         await node.sync()
         job = node.cluster.jobs["wk-000002"]
-        assert not job.is_blocked and job.ready_at == job.submitted
+        assert not job.is_blocked
+        assert job.ready_at == job.submitted
 
     play(story)
 
@@ -213,7 +214,8 @@
         assert job.chunks["1"].first == 1024
         assert node.cluster.layout.chunk_of(1030, job.chunks).name == "1"
         waiting = node.scheduling_loop._placement._waiting(job)
-        assert 1024 not in waiting and 1025 not in waiting
+        assert 1024 not in waiting
+        assert 1025 not in waiting
 
     play(story)
 
@@ -268,7 +270,8 @@
             assert _stored_rows(state) == planned
             job = node.cluster.jobs[JOB]
             assert sorted(r.index for r in job.attempts()) == planned
-            assert job.waiting_task_count() == 0 and job.done_task_count() == 2
+            assert job.waiting_task_count() == 0
+            assert job.done_task_count() == 2
         assert keys.plan(JOB, "0") not in state.keys
         assert not node.cluster.jobs[JOB].staged
         assert state.too_large == 0
@@ -298,7 +301,8 @@
             await node.round()
         job = node.cluster.jobs[JOB]
         assert keys.plan(JOB, "0") not in state.keys
-        assert 7 not in _stored_rows(state) and job.done_task_count() == 3
+        assert 7 not in _stored_rows(state)
+        assert job.done_task_count() == 3
 
     play(story)
 
@@ -317,7 +321,8 @@
         clearable = [
             name for name, _ in node.scheduling_loop._cleanup._clearable(node.cluster.jobs[JOB])
         ]
-        assert clearable and "0" not in clearable
+        assert clearable
+        assert "0" not in clearable
         for _ in range(20):
             clock.time += 0.5
             await node.live()
@@ -466,7 +471,8 @@
             node.report("n-0", 1, 2, node.token(), on(JOB, 0, 1, "exited", "done"))
             await node.round()
         stored = state.keys[keys.job(JOB)][0]
-        assert stored["end"] == end and state.too_large == 0
+        assert stored["end"] == end
+        assert state.too_large == 0
         assert (stored["spec"]["team"], stored["spec"]["gpus"]) == ("red", 1.0)
 
     play(story)
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -83,7 +83,8 @@
 
 def test_no_room_is_made_in_a_zone_that_the_job_has_just_filled() -> None:
     """The canteen's gates, found on a recorded day: half of a job went to one zone, lesser work was
-    stopped there for the other half, and that waited until the claim on the room ended."""
+    stopped there for the other half, and that waited until the claim on the room ended.
+    """
 
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready(state, clock, nodes, 1, sacks=2)
@@ -242,7 +243,8 @@
         await node.sync()
         await node.round()
         await node.sync()
-        assert len(node.cluster.jobs) == kept and "wk-000000" not in node.cluster.jobs
+        assert len(node.cluster.jobs) == kept
+        assert "wk-000000" not in node.cluster.jobs
         answer = await node.ask("GET", "/v1/jobs/wk-000000")
         assert orjson.loads(answer.body)["stage"] == "withdrawn"
         answer = await node.ask("POST", "/v1/jobs/wk-000001/withdraw")
@@ -326,7 +328,8 @@
 
 def test_what_may_be_stopped_is_asked_once_for_a_job() -> None:
     """Asked for each task on each machine it took two thirds of a controller's time, and days of
-    300 machines did not end within the processor time they are given."""
+    300 machines did not end within the processor time they are given.
+    """
 
     async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready(state, clock, nodes, 3, sacks=12)
--- a/tests/trace_adapter.py
+++ b/tests/trace_adapter.py
@@ -572,7 +572,8 @@
 
 def _wait_in_order(barrier: Any) -> None:
     """The barrier's initialiser. Curio keeps the tasks that wait for an event in a set, whose order
-    depends on their addresses in memory, so they wake in an order that differs between runs."""
+    depends on their addresses in memory, so they wake in an order that differs between runs.
+    """
     barrier._tasks = _ArrivalOrder()
 
 
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -1,5 +1,6 @@
 """Time that jumps: nothing waits in real time. When every task sleeps, the clock goes on to the
-next that wakes, so a story says the same on every machine."""
+next that wakes, so a story says the same on every machine.
+"""
 
 import logging
 import selectors
@@ -50,7 +51,8 @@
     part: Coroutine[Any, Any, None], until: Callable[[], float], clock: FakeClock
 ) -> Generator[Any, Any, None]:
     """Runs a controller's part so that it can stand still between any two awaits: what it waited
-    for has come, its clock runs on, and it goes on only then."""
+    for has come, its clock runs on, and it goes on only then.
+    """
     step: Callable[[], Any] = lambda: part.send(None)  # noqa: E731
     while True:
         try:
