--- a/tests/scenario_steps.py
+++ b/tests/fault_injection.py
@@ -1,11 +1,11 @@
-"""Troubles and traffic that randomised scenarios of several test files share."""
+"""MultihostFaults and traffic that randomised scenarios of several test files share."""
 
 import random
 from collections.abc import Awaitable, Callable
 
 import curio
 
-from .simulation import Region
+from .simulated_region import Region
 
 
 def every_request(method: str, path: str) -> bool:
@@ -60,7 +60,7 @@
     end = region.clock.now() + within_s
     # a controller that has just come back does not know anything yet
     await curio.sleep(3.0)
-    for job, facts in region.judge.jobs.items():
+    for job, facts in region.checker.jobs.items():
         while facts.done is None and facts.cancelled is None:
             if await region.show(next(iter(region.nodes)), job) != 200 or not (
                 facts.done or facts.cancelled
@@ -72,19 +72,17 @@
 
 
 async def all_over_but_services(region: Region) -> None:
-    for job, facts in list(region.judge.jobs.items()):
+    for job, facts in list(region.checker.jobs.items()):
         if facts.run_s is None:
             assert await region.cancel_until_told("node-1", job, 60.0)
     await all_over(region)
 
 
-async def draw_trouble(region: Region, lots: random.Random) -> None:
-    label, worker = lots.choice(region.LABELS), lots.choice(list(region.workers.values()))
-    kind = lots.choice(
-        ["end", "cut", "refuse", "out", "late", "lost", "odd", "mend", "old", "slow"]
-    )
+async def inject_random_fault(region: Region, rng: random.Random) -> None:
+    label, worker = rng.choice(region.LABELS), rng.choice(list(region.workers.values()))
+    kind = rng.choice(["end", "cut", "refuse", "out", "late", "lost", "odd", "mend", "old", "slow"])
     if kind == "end":
-        await region.restart(label, lots.choice([0.1, 1.0, 4.0]))
+        await region.restart(label, rng.choice([0.1, 1.0, 4.0]))
     elif kind == "cut":
         region.cut(label)
     elif kind == "refuse":
@@ -92,15 +90,15 @@
     elif kind == "out":
         region.state.down = not region.state.down
     elif kind in ("late", "lost"):
-        lose_answers(lots.choice([2, 3, 5]), region, 2.0, kind == "lost", 10.0)
+        lose_answers(rng.choice([2, 3, 5]), region, 2.0, kind == "lost", 10.0)
     elif kind == "odd":
-        trouble = lots.choice(["deaf", "mute", "hung"])
-        setattr(worker, trouble, not getattr(worker, trouble))
+        fault = rng.choice(["deaf", "mute", "hung"])
+        setattr(worker, fault, not getattr(worker, fault))
     elif kind == "mend":
         region.mend()
         region.state.down = False
     elif kind == "slow":
-        region.slow_s = lots.choice([0.0, 0.3])
+        region.slow_s = rng.choice([0.0, 0.3])
     else:
         for body in worker.copies:
             region.deliver(body, label)
--- a/tests/full_fleet.py
+++ b/tests/full_fleet.py
@@ -4,8 +4,8 @@
 from crossmill.cluster.model import PlanChunk, PlannedAttempt
 from crossmill.cluster.records import encode_chunk
 
-from .harness import Node, add_job, add_machine, seed
-from .standins import FakeClock, StateService, on
+from .fake_services import FakeClock, StateService, on
+from .stepped_controller import SteppedController, add_job, add_machine, seed
 
 # GPUs of a machine, and the tasks of a job: it stands on four machines
 EACH, JOB_TASKS = 4, 16
@@ -27,7 +27,7 @@
         state.put(keys.plan(name, "0"), encode_chunk(PlanChunk(JOB_TASKS + 1, 0, rows)))
 
 
-def report_all(node: Node, machines: int, seq: int = 1) -> None:
+def report_all(node: SteppedController, machines: int, seq: int = 1) -> None:
     """Every worker reports that its tasks run."""
     for number in range(machines):
         job, first = f"wk-{number // EACH:06d}", number % EACH * EACH
--- a/tests/judge.py
+++ b/tests/invariant_checker.py
@@ -10,7 +10,7 @@
 from .simulated_worker import Worker
 
 if TYPE_CHECKING:
-    from .simulation import Region
+    from .simulated_region import Region
 
 
 @dataclass
@@ -29,7 +29,7 @@
         return list(self.spec.get("awaits") or [])
 
 
-class Judge:
+class InvariantChecker:
     """PROTOCOL's rules, looked at on every start and every half second. Of its own it asks that
     each task on a machine is in a durable plan: it is started from one, and its row goes only
     when it is proved over.
@@ -40,31 +40,31 @@
         self.jobs: dict[str, JobFacts] = {}
         self.starts: list[tuple[float, str, int, str]] = []
         self.late_starts = 0
-        self.broken: list[str] = []
+        self.violations: list[str] = []
 
-    def blame(self, what: str) -> None:
-        self.broken.append(f"{self._region.clock.now():.2f} {what}")
+    def report_violation(self, what: str) -> None:
+        self.violations.append(f"{self._region.clock.now():.2f} {what}")
 
     def started(self, worker: Worker, key: tuple[str, int]) -> None:
         now, facts = self._region.clock.now(), self.jobs[key[0]]
         self.starts.append((now, *key, worker.machine))
-        self._judge_order(key[0])
+        self._check_order(key[0])
         for other in self._region.workers.values():
             task = other.tasks.get(key)
             alive = other is not worker and other.answered + self._region.worker_lease_s >= now
             if alive and task is not None and task.state != "exited":
-                self.blame(f"ran_twice {key} {worker.machine} {other.machine}")
+                self.report_violation(f"ran_twice {key} {worker.machine} {other.machine}")
         if facts.cancelled is not None:
             self.late_starts += 1
         self.look()
 
-    def _judge_order(self, job: str) -> None:
+    def _check_order(self, job: str) -> None:
         """A task starts only when all jobs that its job needs are done."""
         self.look()
         for need in self.jobs[job].needs():
             before = self.jobs[need]
             if len(before.finished) < before.spec["sacks"]:
-                self.blame(f"too_early {job} before {need}")
+                self.report_violation(f"too_early {job} before {need}")
 
     def _before(self, job: str) -> set[str]:
         """All jobs that this one needs, directly or through others."""
@@ -77,13 +77,13 @@
                     pending.append(need)
         return found
 
-    def _judge_orphans(self, job: str, stage: str, asked_at: float) -> None:
+    def _check_orphans(self, job: str, stage: str, asked_at: float) -> None:
         """A job is not called queued or running long after one before it was cancelled."""
         for before in self._before(job):
             told = self.jobs[before].cancelled
             late = told is not None and asked_at - told > self._region.cancellation_deadline_s
             if late and stage in ("queued", "running"):
-                self.blame(f"orphaned {job}: {stage}, {before} is cancelled")
+                self.report_violation(f"orphaned {job}: {stage}, {before} is cancelled")
 
     def look(self) -> None:
         now, region = self._region.clock.now(), self._region
@@ -104,14 +104,14 @@
                     and now - facts.cancelled > region.cancellation_deadline_s
                 )
                 if over:
-                    self.blame(f"ran_cancelled {job}/{index} {worker.machine}")
+                    self.report_violation(f"ran_cancelled {job}/{index} {worker.machine}")
                 if facts.spec["yard"] not in (None, worker.zone):
-                    self.blame(f"wrong_place {job}/{index} {worker.machine}")
-        self._judge_unplanned()
+                    self.report_violation(f"wrong_place {job}/{index} {worker.machine}")
+        self._check_unplanned()
         for node in region.nodes.values():
             for team in node.settings.teams:
                 if 0 < team.gpus_max < used.get(team.name, 0.0):
-                    self.blame(f"quota {team.name} {used[team.name]}")
+                    self.report_violation(f"quota {team.name} {used[team.name]}")
 
     def _planned(self) -> set[tuple[str, int, int, str]]:
         """Job, task, attempt and machine of every durable row, copies of chunks included."""
@@ -122,7 +122,7 @@
             for row in value["rows"]
         }
 
-    def _judge_unplanned(self) -> None:
+    def _check_unplanned(self) -> None:
         """A task that runs and that no plan holds is known to nobody."""
         region, now = self._region, self._region.clock.now()
         planned = self._planned()
@@ -132,31 +132,31 @@
             for (job, index), task in worker.tasks.items():
                 row = (job, index, task.attempt, worker.machine)
                 if task.state != "exited" and row not in planned:
-                    self.blame(f"orphaned {job}/{index} {worker.machine}: in no plan")
+                    self.report_violation(f"orphaned {job}/{index} {worker.machine}: in no plan")
 
     def told(self, job: str, response: Response, asked_at: float) -> None:
         """An answer arrived. It is compared with what had been told before it was asked for."""
         facts, now = self.jobs[job], self._region.clock.now()
         if response.status == 404 and facts.accepted is not None and facts.accepted < asked_at:
-            self.blame(f"forgotten {job}")
+            self.report_violation(f"forgotten {job}")
         if response.status in (400, 422) and facts.accepted is not None:
-            self.blame(f"forgotten {job}: {response.status}")
+            self.report_violation(f"forgotten {job}: {response.status}")
         if response.status not in (200, 201):
             return
         stage = load_object(response.body)["stage"]
         facts.accepted = facts.accepted if facts.accepted is not None else now
-        self._judge_orphans(job, stage, asked_at)
+        self._check_orphans(job, stage, asked_at)
         if facts.cancelled is not None and stage != "withdrawn":
-            self.blame(f"went_back {job}: {stage} after withdrawn")
+            self.report_violation(f"went_back {job}: {stage} after withdrawn")
         if facts.done is not None and stage != "done":
-            self.blame(f"went_back {job}: {stage} after done")
+            self.report_violation(f"went_back {job}: {stage} after done")
         if stage == "withdrawn":
             asked = any(self.jobs[x].cancel_asked for x in (job, *self._before(job)))
             if not asked:
-                self.blame(f"went_back {job}: nobody cancelled it")
+                self.report_violation(f"went_back {job}: nobody cancelled it")
             facts.cancelled = facts.cancelled if facts.cancelled is not None else now
         elif stage == "done":
             self.look()
             if len(facts.finished) < facts.spec["sacks"]:
-                self.blame(f"not_done {job}: {len(facts.finished)}")
+                self.report_violation(f"not_done {job}: {len(facts.finished)}")
             facts.done = facts.done if facts.done is not None else now
--- a/tests/measure_multihost.py
+++ b/tests/measure_multihost.py
@@ -23,12 +23,12 @@
 from crossmill.multihost import keys, scheduling
 from crossmill.settings import Settings
 
-from .harness import Node, play
+from .fake_services import FakeClock, StateService
 from .multihost_pool import add_ready_pairs, all_beat, booted_pool
 from .multihost_region import LOOK_S, SETTINGS, MultihostRegion, simulate_multihost
 from .report_multihost import write_report
-from .simulation import Region, simulate
-from .standins import FakeClock, StateService
+from .simulated_region import Region, simulate
+from .stepped_controller import SteppedController, run_scenario
 
 LOAD_S = 5.0
 WRITE_S = 0.5
@@ -100,7 +100,7 @@
     last_answer: list[float] = []
     wrong = [0.0]
 
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         draw = Random(seed)
         await region.begin_pool(2 * members + 4)
         await region.declare("chat", members=members, image_gb=load_s, restart_budget=1000)
@@ -115,14 +115,14 @@
             old = len(fronts) - len(new)
             if old:
                 last_answer[:] = [at]
-                wrong[0] += LOOK_S * (not region.judge.is_complete("chat/0", before))
+                wrong[0] += LOOK_S * (not region.checker.is_complete("chat/0", before))
             _note(seen, "noticed", at, region.generation("chat/0") > before)
             _note(seen, "placed", at, seen["noticed"] is not None and phase == "starting")
             _note(seen, "ready", at, seen["placed"] is not None and phase == "ready")
             _note(seen, "serving", at, bool(new))
             await curio.sleep(LOOK_S)
 
-    simulate_multihost(story)
+    simulate_multihost(scenario)
     return Sample(
         failure,
         members,
@@ -149,7 +149,7 @@
     failure, members, seed = job
     result: list[Sample] = []
 
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         draw = Random(seed)
         await region.begin(machines=2 * members + 4)
         # one task a machine
@@ -183,7 +183,7 @@
 
     kept = property(lambda _: 10 * LONGEST_S)
     with mock.patch.object(Settings, "idle_machine_timeout_s", kept):
-        simulate(story)
+        simulate(scenario)
     return result[0]
 
 
@@ -200,7 +200,7 @@
     """A large replica waits among small ones that come and go: how long, and what stood idle."""
     result: dict[str, float] = {}
 
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         region.multihost = replace(SETTINGS, idle_ratio=idle_ratio)
         draw = Random(7)
         await region.begin_pool(16)
@@ -217,7 +217,7 @@
             await region.declare(f"small-{number}", members=2, image_gb=0.0)
             number += 1
             for _ in range(10):
-                used = region.judge.planned_use()
+                used = region.checker.planned_use()
                 idle += 1 - len(used) / 16
                 looks += 1
                 await curio.sleep(0.5)
@@ -225,19 +225,21 @@
         result["placed"] = float(bool(region.serving("large/0")))
         result["idle"] = round(idle / max(1, looks), 3)
 
-    simulate_multihost(story)
+    simulate_multihost(scenario)
     return {"idle_ratio": idle_ratio, **result}
 
 
 def _has_served(region: MultihostRegion, number: int) -> bool:
-    return f"small-{number}/0" in region.judge.served_at
+    return f"small-{number}/0" in region.checker.served_at
 
 
 def measure_pool(machines: int) -> dict[str, float]:
     """Operations and processor time of a round and of a heartbeat in a pool of this size."""
     result: dict[str, float] = {"machines": machines}
 
-    async def story(state: StateService, clock: FakeClock, nodes: dict[str, Node]) -> None:
+    async def scenario(
+        state: StateService, clock: FakeClock, nodes: dict[str, SteppedController]
+    ) -> None:
         counts: Counter[str] = Counter()
         real = scheduling.Scheduler._candidate
 
@@ -263,7 +265,7 @@
         result["looks_idle_round"] = service.coordinator.looks - looks
         result["candidates_idle_round"] = counts["candidates"]
 
-    play(story)
+    run_scenario(scenario)
     return {k: round(v, 1) for k, v in result.items()}
 
 
@@ -271,7 +273,7 @@
     """Transactions of the pool's owner for a start and for a repair, up to serving."""
     result: dict[str, int] = {"members": members}
 
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(members + 2)
         service = region.services[region.owner()]
         before = service.writes.transactions
@@ -283,7 +285,7 @@
         await region.until(lambda: any(a.serves("chat/0") == 2 for a in region.agents.values()))
         result["repair"] = service.writes.transactions - before
 
-    simulate_multihost(story)
+    simulate_multihost(scenario)
     return result
 
 
--- a/tests/measure_recovery.py
+++ b/tests/measure_recovery.py
@@ -45,7 +45,7 @@
 class Case(NamedTuple):
     """What is played."""
 
-    story: str
+    scenario: str
     workers: int
     with_recovery: bool
     seed: int
@@ -54,7 +54,7 @@
 class Sample(NamedTuple):
     """One restart; times in seconds from the last end, None if it did not come about."""
 
-    story: str
+    scenario: str
     workers: int
     with_recovery: bool
     seed: int
@@ -92,7 +92,7 @@
 def _put_job(region: RecoveryRegion, job: str, team: str, workers: list[Worker]) -> None:
     fields = {"crew": team, "sacks": len(workers), "cards": 0.0, "cpus": 1.0, "ramGb": 1.0}
     spec = parse_spec(region.expect(job, None, **fields))
-    region.judge.jobs[job].accepted = region.clock.now()
+    region.checker.jobs[job].accepted = region.clock.now()
     rows = {}
     for index, worker in enumerate(workers):
         rows[index] = PlannedAttempt(job, index, 1, worker.machine, worker.session)
@@ -106,10 +106,10 @@
     region.state.put(keys.job(job), orjson.loads(orjson.dumps(record)))
 
 
-def _make_trouble(region: RecoveryRegion, story: str, draw: Random) -> set[str]:
+def _make_trouble(region: RecoveryRegion, scenario: str, draw: Random) -> set[str]:
     """Whatever differs when the controllers return; the machines that it is about."""
     workers = list(region.workers.values())
-    if story == "differing":
+    if scenario == "differing":
         odd = draw.sample(workers, max(2, int(2 * ODD_SHARE * len(workers))))
         for number, worker in enumerate(odd):
             if number % 2:
@@ -117,8 +117,8 @@
             else:
                 give_unplanned(worker, "wk-000000", 500 + number, 9)
         return {worker.machine for worker in odd}
-    if story == "older":
-        jobs = sorted(region.judge.jobs)
+    if scenario == "older":
+        jobs = sorted(region.checker.jobs)
         lost = set(draw.sample(jobs, int(LOST_SHARE * len(jobs))))
         for name in list(region.state.keys):
             if name.startswith((keys.JOB, keys.PLAN)) and name.split("/")[2] in lost:
@@ -131,14 +131,14 @@
     """One restart of all controllers."""
     results: list[Sample] = []
 
-    async def story(region: RecoveryRegion) -> None:
-        draw = Random(f"{case.story}/{case.workers}/{case.seed}")
+    async def scenario(region: RecoveryRegion) -> None:
+        draw = Random(f"{case.scenario}/{case.workers}/{case.seed}")
         await _fill(region, case.workers)
         await curio.sleep(draw.random())
         tasks = sum(len(worker.tasks) for worker in region.workers.values())
         region.forget_orders()
         await region.end_all()
-        odd = _make_trouble(region, case.story, draw)
+        odd = _make_trouble(region, case.scenario, draw)
         strays = sum(len(w.tasks) for w in region.workers.values()) - tasks
         ended_at, outage_s = region.clock.now(), draw.uniform(0.5, 3.5)
         calls, puts = len(region.state.calls), region.state.puts
@@ -163,7 +163,7 @@
         )
 
     settings = recovery_settings() if case.with_recovery else None
-    simulate_recovery(story, settings, expected=lambda blame: True)
+    simulate_recovery(scenario, settings, expected=lambda report_violation: True)
     return results[0]
 
 
@@ -174,7 +174,7 @@
     first_worker: float | None = None
     all_workers: float | None = None
     first_user: float | None = None
-    job = min(region.judge.jobs)
+    job = min(region.checker.jobs)
     while region.clock.now() - ended_at < WATCHED_S:
         await curio.sleep(LOOK_S)
         passed_s = round(region.clock.now() - ended_at, 2)
@@ -203,10 +203,10 @@
     return groups
 
 
-def _table(samples: list[dict[str, Any]], story: str) -> Table:
+def _table(samples: list[dict[str, Any]], scenario: str) -> Table:
     rows = []
     for (name, workers, with_recovery), group in _groups(samples).items():
-        if name != story:
+        if name != scenario:
             continue
         verbs = Counter[str]()
         for sample in group:
@@ -215,14 +215,14 @@
         cells = [spread(group, field) for field in (*TIMES, *COUNTS)]
         rows.append([workers, "yes" if with_recovery else "no", len(group), mean or "0", *cells])
     heads = ["workers", "recovery", "seeds", "orders (mean)", *TIMES, *COUNTS]
-    return Table(story, "Median / 95th percentile / largest.", heads, rows, f"{story}.svg")
+    return Table(scenario, "Median / 95th percentile / largest.", heads, rows, f"{scenario}.svg")
 
 
-def _plot(samples: list[dict[str, Any]], story: str, path: Path) -> None:
+def _plot(samples: list[dict[str, Any]], scenario: str, path: Path) -> None:
     with plot(path) as axis:
         for with_recovery in (False, True):
             points = [
-                s for s in samples if (s["story"], s["with_recovery"]) == (story, with_recovery)
+                s for s in samples if (s["story"], s["with_recovery"]) == (scenario, with_recovery)
             ]
             axis.plot(
                 [s["workers"] for s in points],
@@ -243,14 +243,14 @@
     out.mkdir(parents=True, exist_ok=True)
     (out / "figures.json").write_text(json.dumps(figures, indent=1) + "\n")
     samples = figures["samples"]
-    for story in STORIES:
-        _plot(samples, story, out / f"{story}.svg")
+    for scenario in STORIES:
+        _plot(samples, scenario, out / f"{scenario}.svg")
     text = (
         f"Three controllers end at once and return within 0.5 to 5 s; {WATCHED_S:g} s from the "
         f"end. Differing: {ODD_SHARE:.0%} of the workers silent, {ODD_SHARE:.0%} with a task "
         f"never recorded. Older: the state service has lost {LOST_SHARE:.0%} of the jobs."
     )
-    tables = [_table(samples, story) for story in STORIES]
+    tables = [_table(samples, scenario) for scenario in STORIES]
     title = "Restart after all controllers end, measured"
     write_page(out / "index.html", title, text, "tests.measure_recovery", tables)
 
@@ -266,9 +266,9 @@
     args = parser.parse_args()
     sizes = [tuple(map(int, size.split(":"))) for size in args.sizes.split(",")]
     cases = [
-        Case(story, size, with_recovery, seed)
+        Case(scenario, size, with_recovery, seed)
         for size, seeds in sizes
-        for story in STORIES
+        for scenario in STORIES
         for with_recovery in (False, True)
         for seed in range(seeds)
     ]
--- a/tests/multihost_agents.py
+++ b/tests/multihost_agents.py
@@ -146,7 +146,7 @@
         """Carries out an answer's orders."""
         for order in answer.orders:
             self.orders.append((self.region.clock.now(), order))
-            self.region.judge.ordered(self, order)
+            self.region.checker.ordered(self, order)
             match order.op:
                 case Op.START:
                     self._start(order)
--- a/tests/multihost_troubles.py
+++ b/tests/multihost_fault_injection.py
@@ -1,4 +1,4 @@
-"""Troubles drawn by lot for regions with multi-machine replicas. A seed gives the same story
+"""MultihostFaults drawn by lot for regions with multi-machine replicas. A seed gives the same story
 everywhere.
 """
 
@@ -11,7 +11,7 @@
 ZONES = ("north", "south")
 
 
-class Troubles:
+class MultihostFaults:
     """Draws troubles, a few at a time, each of which ends by itself or is mended at the end."""
 
     def __init__(self, region: MultihostRegion, seed: int) -> None:
@@ -50,7 +50,7 @@
         )
 
     async def run(self, span_s: float) -> None:
-        """Troubles for so long."""
+        """MultihostFaults for so long."""
         end = self.region.clock.now() + span_s
         while self.region.clock.now() < end:
             await self._one()
--- a/tests/multihost_pool.py
+++ b/tests/multihost_pool.py
@@ -22,9 +22,9 @@
 from crossmill.multihost.service import MultihostService
 from crossmill.wire.multihost import AgentHeartbeat, MemberReport, MemberState, Offer, Proof
 
-from .harness import Node, seed
+from .fake_services import FakeClock, StateService
 from .multihost_region import SETTINGS
-from .standins import FakeClock, StateService
+from .stepped_controller import SteppedController, seed
 
 EACH = Resources(16.0, 4.0, 64.0)
 
@@ -40,7 +40,9 @@
     state.put(keys.replica_set("chat"), encode_set(ReplicaSet(spec, False, number)))
 
 
-def all_beat(node: Node, service: MultihostService, machines: int, sequence: int) -> None:
+def all_beat(
+    node: SteppedController, service: MultihostService, machines: int, sequence: int
+) -> None:
     """Every machine reports that its member of a pair runs."""
     for m in range(machines):
         report = MemberReport(f"chat/{m // 2}", m % 2, 1, MemberState.LOADED)
@@ -48,8 +50,8 @@
 
 
 async def booted_pool(
-    state: StateService, clock: FakeClock, nodes: dict[str, Node], machines: int
-) -> tuple[Node, MultihostService]:
+    state: StateService, clock: FakeClock, nodes: dict[str, SteppedController], machines: int
+) -> tuple[SteppedController, MultihostService]:
     """An owner of a pool whose every two machines run a ready replica, all heard."""
     seed(state, clock, machines=0)
     for number in range(machines):
@@ -57,7 +59,7 @@
         record = reservation_record("g4", "north", False, SETTINGS.pool_shard, clock.wall())
         state.put(keys.machine(machine.id), encode_machine(machine))
         state.put(cluster_keys.machine(machine.id), record)
-    node = Node(state, clock, nodes)
+    node = SteppedController(state, clock, nodes)
     service = MultihostService(
         node.settings,
         SETTINGS,
@@ -72,7 +74,9 @@
     return node, service
 
 
-def heartbeat_of(node: Node, machine: int, sequence: int, *members: MemberReport) -> AgentHeartbeat:
+def heartbeat_of(
+    node: SteppedController, machine: int, sequence: int, *members: MemberReport
+) -> AgentHeartbeat:
     proof = Proof("process", node.clock.now())
     offer = Offer("g4", "north", False, 32.0, 4.0, 256.0, 1.0)
     token = node.token(SETTINGS.pool_shard)
--- a/tests/multihost_region.py
+++ b/tests/multihost_region.py
@@ -16,11 +16,11 @@
 from crossmill.settings import Endpoint
 from crossmill.wire.multihost import Op, Order
 
-from .harness import Node
+from .fake_services import FakeClock, StateService
 from .multihost_agents import Agent, heartbeat_request
+from .simulated_region import Region
 from .simulated_worker import HOP_S
-from .simulation import Region
-from .standins import FakeClock, StateService
+from .stepped_controller import SteppedController
 from .virtual_time import run_under_virtual_time
 
 LOOK_S = 0.05
@@ -36,11 +36,11 @@
 
 
 @dataclass
-class MultihostJudge:
+class MultihostInvariantChecker:
     """Looks at agents and records many times a second, and blames what must never happen."""
 
     region: "MultihostRegion"
-    broken: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
     facts: dict[tuple[str, int], ServingFacts] = field(default_factory=dict)
     # by replica: when it was last seen to serve
     served_at: dict[str, float] = field(default_factory=dict)
@@ -48,11 +48,11 @@
     latest_answer_s: float = 0.0
     _phases: dict[str, str] = field(default_factory=dict)
 
-    def blame(self, what: str) -> None:
+    def report_violation(self, what: str) -> None:
         """Something happened that must not."""
         entry = f"{self.region.clock.now():.2f} {what}"
-        if len(self.broken) < 20:
-            self.broken.append(entry)
+        if len(self.violations) < 20:
+            self.violations.append(entry)
 
     def ordered(self, agent: Agent, order: Order) -> None:
         """An agent has got an order: what it names must have been durable before."""
@@ -60,7 +60,7 @@
         assert replica_id is not None
         row = self.region.state.keys.get(keys.replica(replica_id))
         if order.op is Op.START and (row is None or row[0]["generation"] < order.generation):
-            self.blame(f"ordered_early {order.replica} generation {order.generation}")
+            self.report_violation(f"ordered_early {order.replica} generation {order.generation}")
 
     def look(self) -> None:
         """One look at everything."""
@@ -75,24 +75,26 @@
                     serving.setdefault(name, []).append((agent, generation))
         for name, fronts in serving.items():
             if len(fronts) > 1:
-                self.blame(f"two_serving {name}: {[(a.machine, g) for a, g in fronts]}")
+                self.report_violation(f"two_serving {name}: {[(a.machine, g) for a, g in fronts]}")
             for _, generation in fronts:
-                self._judge_answer(name, generation)
+                self._check_answer(name, generation)
             self.served_at[name] = self.region.clock.now()
-        self._judge_records()
+        self._check_records()
 
-    def _judge_answer(self, name: str, generation: int) -> None:
+    def _check_answer(self, name: str, generation: int) -> None:
         now = self.region.clock.now()
         facts = self.facts.setdefault((name, generation), ServingFacts())
         facts.answers += 1
         if facts.complete_at is None:
-            self.blame(f"incomplete {name}: generation {generation} never was complete")
+            self.report_violation(f"incomplete {name}: generation {generation} never was complete")
         elif facts.complete_at < now:
             self.latest_answer_s = max(self.latest_answer_s, now - facts.complete_at)
             lease_s = self.region.multihost.serving_lease_s
             if now - facts.complete_at > lease_s + self.region.tolerance_s:
                 late = now - facts.complete_at
-                self.blame(f"incomplete {name}: generation {generation} answers {late:.2f} s late")
+                self.report_violation(
+                    f"incomplete {name}: generation {generation} answers {late:.2f} s late"
+                )
 
     def is_complete(self, name: str, generation: int) -> bool:
         """Whether every rank runs this generation on some machine that is alive."""
@@ -105,7 +107,7 @@
         row = self.region.state.keys.get(keys.replica_set(set_name))
         return row is not None and ranks == set(range(row[0]["members"]))
 
-    def _judge_records(self) -> None:
+    def _check_records(self) -> None:
         """No machine is promised twice, and no voluntary stop goes below the minimum."""
         ready: dict[str, int] = {}
         changes: list[tuple[str, str, str]] = []
@@ -123,7 +125,7 @@
             if capacity is not None and any(
                 u > c + 1e-9 for u, c in zip(amounts, capacity[0]["capacity"], strict=True)
             ):
-                self.blame(f"over_committed {machine}: {amounts}")
+                self.report_violation(f"over_committed {machine}: {amounts}")
         for name, before, after in changes:
             set_name = name.rpartition("/")[0]
             row = self.region.state.keys.get(keys.replica_set(set_name))
@@ -134,7 +136,7 @@
                 # it had lost a member, which is not voluntary
                 continue
             if ready[set_name] < row[0]["min_ready"]:
-                self.blame(f"below_minimum {name} stopped, {ready[set_name]} ready")
+                self.report_violation(f"below_minimum {name} stopped, {ready[set_name]} ready")
 
     def planned_use(self) -> dict[str, list[float]]:
         """What the records have planned onto each machine."""
@@ -154,7 +156,7 @@
             for i, amount in enumerate(row[0]["resources"]):
                 amounts[i] += amount
 
-    def judge_end(self) -> None:
+    def check_end(self) -> None:
         """After all troubles: nothing is reserved or runs that no replica wants."""
         state = self.region.state.keys
         planned: dict[str, set[str]] = {}
@@ -164,18 +166,18 @@
             replica_id, _ = keys.parse_members(key[len(keys.MEMBERS) :])
             row = state.get(keys.replica(replica_id))
             if row is None:
-                self.blame(f"leaked {key}: its replica has no record")
+                self.report_violation(f"leaked {key}: its replica has no record")
                 continue
             replica = decode_replica(replica_id, row[0], version)
             chunk = decode_chunk(value, version)
             if replica.phase.value not in ("ready", "starting", "repairing", "reserving"):
-                self.blame(f"leaked {key}: its replica is {replica.phase}")
+                self.report_violation(f"leaked {key}: its replica is {replica.phase}")
             for member in chunk.members:
                 planned.setdefault(member.machine, set()).add(str(replica_id))
         for agent in self.region.agents.values():
             extra = set(agent.members) - planned.get(agent.machine, set())
             if extra and not agent.dead and not agent.hung:
-                self.blame(f"leaked {agent.machine} runs {extra}")
+                self.report_violation(f"leaked {agent.machine} runs {extra}")
 
 
 class MultihostRegion(Region):
@@ -188,7 +190,7 @@
         self.multihost: MultihostSettings = multihost
         self.services: dict[str, MultihostService] = {}
         self.agents: dict[str, Agent] = {}
-        self.judge: MultihostJudge = MultihostJudge(self)  # type: ignore[assignment]
+        self.checker: MultihostInvariantChecker = MultihostInvariantChecker(self)  # type: ignore[assignment]
         # pairs of machines that do not reach one another, the first not the second
         self.parted: set[tuple[str, str]] = set()
         # machines that reach no controller, by label; None: none at all
@@ -200,7 +202,7 @@
         self.tolerance_s = 2 * LOOK_S
         self._processes = 0
 
-    def more_parts(self, node: Node) -> list[Callable[[], Awaitable[None]]]:
+    def more_parts(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
         self._processes += 1
         service = MultihostService(
             node.settings,
@@ -320,7 +322,7 @@
 
     async def watch(self) -> None:
         while True:
-            self.judge.look()
+            self.checker.look()
             await curio.sleep(LOOK_S)
 
     def set_record(self, name: str) -> Any:
@@ -329,7 +331,7 @@
 
 
 def simulate_multihost(
-    story: Callable[[MultihostRegion], Awaitable[None]], judged: bool = True
+    scenario: Callable[[MultihostRegion], Awaitable[None]], judged: bool = True
 ) -> MultihostRegion:
     """Plays a story; nothing may be broken in it, unless that is what it is about."""
     clock = FakeClock()
@@ -339,10 +341,10 @@
         region = MultihostRegion(clock)
         regions.append(region)
         await curio.spawn(region.watch, daemon=True)
-        await story(region)
-        region.judge.look()
+        await scenario(region)
+        region.checker.look()
 
     run_under_virtual_time(clock, play)
     if judged:
-        assert not regions[0].judge.broken, regions[0].judge.broken[:5]
+        assert not regions[0].checker.violations, regions[0].checker.violations[:5]
     return regions[0]
--- a/tests/profile_controller.py
+++ b/tests/profile_controller.py
@@ -21,9 +21,9 @@
 from crossmill.net.server import Request, Response, Server
 from crossmill.settings import Endpoint
 
+from .fake_services import FakeClock, StateService
 from .full_fleet import full_fleet, report_all
-from .harness import Node, add_job, play
-from .standins import FakeClock, StateService
+from .stepped_controller import SteppedController, add_job, run_scenario
 
 ROOT = Path(__file__).resolve().parent.parent
 REPEATS = 20
@@ -95,10 +95,14 @@
 
 
 async def _profile_controller(
-    state: StateService, clock: FakeClock, nodes: dict[str, Node], machines: int, jobs: int
+    state: StateService,
+    clock: FakeClock,
+    nodes: dict[str, SteppedController],
+    machines: int,
+    jobs: int,
 ) -> None:
     full_fleet(state, clock, machines)
-    node = Node(state, clock, nodes)
+    node = SteppedController(state, clock, nodes)
     await _profiled("start: reading and taking shards", node.boot)
     seq = 0
 
@@ -126,20 +130,24 @@
     parser.add_argument("--jobs", type=int, default=200, help="of the burst, default %(default)s")
     args = parser.parse_args()
 
-    async def memory(state: StateService, clock: FakeClock, nodes: dict[str, Node]) -> None:
+    async def memory(
+        state: StateService, clock: FakeClock, nodes: dict[str, SteppedController]
+    ) -> None:
         full_fleet(state, clock, args.machines)
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         # a run by itself: what is traced takes several times as long
         tracemalloc.start()
         await node.boot()
         _print_memory()
         tracemalloc.stop()
 
-    async def story(state: StateService, clock: FakeClock, nodes: dict[str, Node]) -> None:
+    async def scenario(
+        state: StateService, clock: FakeClock, nodes: dict[str, SteppedController]
+    ) -> None:
         await _profile_controller(state, clock, nodes, args.machines, args.jobs)
 
-    play(memory)
-    play(story)
+    run_scenario(memory)
+    run_scenario(scenario)
     curio.run(_profile_http)
 
 
--- a/tests/recovery_region.py
+++ b/tests/recovery_region.py
@@ -14,10 +14,10 @@
 from crossmill.recovery.settings import RecoverySettings, parse
 from crossmill.recovery.shard_recovery import ShardRecovery
 
-from .harness import Node
+from .fake_services import FakeClock, make_settings
+from .simulated_region import Region
 from .simulated_worker import Task, Worker
-from .simulation import Region
-from .standins import FakeClock, make_settings
+from .stepped_controller import SteppedController
 from .virtual_time import run_under_virtual_time
 
 # of every five jobs one is of the team with a limit, which the stories stay below
@@ -29,7 +29,7 @@
     return parse({"recovery": changes}, make_settings())
 
 
-def add_recovery(node: Node, recovery: RecoverySettings) -> RecoveryApi:
+def add_recovery(node: SteppedController, recovery: RecoverySettings) -> RecoveryApi:
     """Gives a controller the package's parts, as the application does."""
     parts = node.settings, recovery, node.clock, node.cluster
     service = RecoveryService(
@@ -48,7 +48,7 @@
         self.services: dict[str, RecoveryService] = {}
         self.apis: dict[str, RecoveryApi] = {}
 
-    def more_parts(self, node: Node) -> list[Callable[[], Awaitable[None]]]:
+    def more_parts(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
         if self.recovery is None:
             return []
         label = node.settings.label
@@ -152,25 +152,29 @@
     worker.tasks[job, index] = Task(attempt, "running", worker.region.clock.now())
 
 
-def is_unplanned(blame: str) -> bool:
+def is_unplanned(report_violation: str) -> bool:
     """What the judge says of tasks that the story gave to workers behind the plans' back."""
-    return " orphaned " in blame and blame.endswith(": in no plan")
+    return " orphaned " in report_violation and report_violation.endswith(": in no plan")
 
 
 def simulate_recovery(
-    story: Callable[[RecoveryRegion], Awaitable[None]],
+    scenario: Callable[[RecoveryRegion], Awaitable[None]],
     recovery: RecoverySettings | None,
-    expected: Callable[[str], bool] = lambda blame: False,
+    expected: Callable[[str], bool] = lambda report_violation: False,
 ) -> RecoveryRegion:
     """Plays a story; rules that break fail it, unless the blame is one that the story expects."""
     clock = FakeClock()
     region = RecoveryRegion(clock, recovery)
 
     async def begin() -> None:
-        await story(region)
-        region.judge.look()
+        await scenario(region)
+        region.checker.look()
 
     run_under_virtual_time(clock, begin)
-    broken = [blame for blame in region.judge.broken if not expected(blame)]
-    assert not broken, broken[:5]
+    violations = [
+        report_violation
+        for report_violation in region.checker.violations
+        if not expected(report_violation)
+    ]
+    assert not violations, violations[:5]
     return region
--- a/tests/simulated_links.py
+++ b/tests/simulated_links.py
@@ -11,7 +11,7 @@
 from crossmill.wire import peers
 
 if TYPE_CHECKING:
-    from .simulation import Region
+    from .simulated_region import Region
 
 from .simulated_worker import HOP_S
 
--- a/tests/simulation.py
+++ b/tests/simulated_region.py
@@ -1,5 +1,5 @@
 """A small region under virtual time (tests/virtual_time.py): real loops of several controllers, the
-stand-ins, workers and users, and a judge who knows PROTOCOL's rules (tests/judge.py).
+stand-ins, workers and users, and a judge who knows PROTOCOL's rules (tests/invariant_checker.py).
 """
 
 from collections.abc import Awaitable, Callable
@@ -14,11 +14,11 @@
 from crossmill.wire.checks import load_object
 from crossmill.wire.workers import answer_body, parse_heartbeat
 
-from .harness import Node, seed
-from .judge import JobFacts, Judge
+from .fake_services import CloudService, FakeClock, StateService, submission
+from .invariant_checker import InvariantChecker, JobFacts
 from .simulated_links import PeerLink, StateLink
 from .simulated_worker import Worker, WorkerLink
-from .standins import CloudService, FakeClock, StateService, submission
+from .stepped_controller import SteppedController, seed
 from .virtual_time import run_under_virtual_time, standing_still
 
 
@@ -29,11 +29,11 @@
         self.clock = clock
         self.state = state or StateService()
         self.cloud = CloudService()
-        self.nodes: dict[str, Node] = {}
+        self.nodes: dict[str, SteppedController] = {}
         self.lines = {label: StateLink(self, label) for label in self.LABELS}
         self._tasks: dict[str, list[curio.Task]] = {}
         self.workers: dict[str, Worker] = {}
-        self.judge = Judge(self)
+        self.checker = InvariantChecker(self)
         self.bell = curio.Event()
         self.slow_s = 0.0
         # by label: how long the answers to its transactions are held up
@@ -86,9 +86,9 @@
                 await self.ring()
             await curio.sleep(0.02)
 
-    async def _judge_looks(self) -> None:
+    async def _check_invariants(self) -> None:
         while True:
-            self.judge.look()
+            self.checker.look()
             await curio.sleep(0.5)
 
     # -- who takes part --------------------------------------------------------------
@@ -96,7 +96,7 @@
     async def begin(self, machines: int = 2, zone: str = "north") -> None:
         seed(self.state, self.clock, machines=0)
         await curio.spawn(self._state_runs, daemon=True)
-        await curio.spawn(self._judge_looks, daemon=True)
+        await curio.spawn(self._check_invariants, daemon=True)
         for label in self.LABELS:
             await self.start(label)
         self.heartbeat_interval_s = self.nodes["node-0"].settings.heartbeat_interval_s
@@ -117,13 +117,15 @@
         await curio.spawn(worker.run, daemon=True)
         return worker
 
-    async def start(self, label: str) -> Node:
+    async def start(self, label: str) -> SteppedController:
         def connect(peer: Peer) -> PeerLink:
             return PeerLink(self, label, peer.label)
 
         self._begun += 1
         unique = f"process-{self._begun}"
-        node = Node(self.lines[label], self.clock, self.nodes, label, self.cloud, connect, unique)
+        node = SteppedController(
+            self.lines[label], self.clock, self.nodes, label, self.cloud, connect, unique
+        )
         node.watcher._pause_s = 4 / node.settings.state_request_rate
         node.command_sender.connect = lambda endpoint: WorkerLink(
             next(w for w in self.workers.values() if 20000 + w.number == endpoint.port)
@@ -147,7 +149,7 @@
         ]
         return node
 
-    def more_parts(self, node: Node) -> list[Callable[[], Awaitable[None]]]:
+    def more_parts(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
         """Loops that a controller runs beside the ordinary ones, made before any of them runs."""
         return []
 
@@ -245,7 +247,7 @@
         """The job as a user submits it; the judge knows of it from now on."""
         fields = {"cut": "service" if run_s is None else "array", "dueS": None} | fields
         spec = submission(**{"nameId": job, **fields})
-        self.judge.jobs.setdefault(job, JobFacts(spec, run_s, self.clock.now()))
+        self.checker.jobs.setdefault(job, JobFacts(spec, run_s, self.clock.now()))
         return spec
 
     async def submit(self, label: str, job: str, run_s: float | None = None, **fields: Any) -> int:
@@ -253,16 +255,16 @@
         return await self._ask(label, job, "POST", "/v1/jobs", orjson.dumps(spec))
 
     def accepted(self, job: str) -> bool:
-        return self.judge.jobs[job].accepted is not None
+        return self.checker.jobs[job].accepted is not None
 
     def finished(self, job: str, tasks: int) -> bool:
-        return len(self.judge.jobs[job].finished) >= tasks
+        return len(self.checker.jobs[job].finished) >= tasks
 
     async def show(self, label: str, job: str) -> int:
         return await self._ask(label, job, "GET", f"/v1/jobs/{job}")
 
     async def cancel(self, label: str, job: str) -> int:
-        self.judge.jobs[job].cancel_asked = True
+        self.checker.jobs[job].cancel_asked = True
         return await self._ask(label, job, "POST", f"/v1/jobs/{job}/withdraw")
 
     async def cancel_until_told(self, label: str, job: str, within_s: float) -> bool:
@@ -278,7 +280,7 @@
         while self.stands_still(label):
             await curio.sleep(0.1)
         response = await self.nodes[label].ask(method, path, body)
-        self.judge.told(job, response, asked_at)
+        self.checker.told(job, response, asked_at)
         return response.status
 
     async def look_everywhere(self, job: str, times: int = 3) -> None:
@@ -309,7 +311,7 @@
 
 
 def simulate(
-    story: Callable[[Region], Awaitable[None]], state: StateService | None = None
+    scenario: Callable[[Region], Awaitable[None]], state: StateService | None = None
 ) -> Region:
     """Play a story; parts that fail and rules that break fail it."""
     clock = FakeClock()
@@ -318,9 +320,9 @@
     async def begin() -> None:
         region = Region(clock, state)
         regions.append(region)
-        await story(region)
-        region.judge.look()
+        await scenario(region)
+        region.checker.look()
 
     run_under_virtual_time(clock, begin)
-    assert not regions[0].judge.broken, regions[0].judge.broken[:5]
+    assert not regions[0].checker.violations, regions[0].checker.violations[:5]
     return regions[0]
--- a/tests/simulated_worker.py
+++ b/tests/simulated_worker.py
@@ -9,10 +9,10 @@
 from crossmill.net.client import NoResponseError
 from crossmill.wire.checks import load_object
 
-from .standins import beat
+from .fake_services import beat
 
 if TYPE_CHECKING:
-    from .simulation import Region
+    from .simulated_region import Region
 
 # how long a message takes from one host to another
 HOP_S = 0.002
@@ -80,13 +80,13 @@
         return orjson.dumps(report)
 
     def _tick(self) -> None:
-        now, judge = self.region.clock.now(), self.region.judge
+        now, checker = self.region.clock.now(), self.region.checker
         if now - self.answered > self.region.worker_lease_s:
             self.session += 1
             self.tasks.clear()
             self.answered = now
         for (job, _), task in self.tasks.items():
-            run_s = judge.jobs[job].run_s
+            run_s = checker.jobs[job].run_s
             if task.state == "running" and run_s is not None and now - task.since >= run_s:
                 task.state, task.cause = "exited", "done"
 
@@ -148,7 +148,7 @@
             if order["verb"] == "start":
                 if task is None:
                     self.tasks[key] = Task(attempt, "running", self.region.clock.now())
-                    self.region.judge.started(self, key)
+                    self.region.checker.started(self, key)
             elif task is not None and task.attempt == attempt:
                 if order["verb"] == "reap" and task.state == "exited":
                     del self.tasks[key]
--- a/tests/harness.py
+++ b/tests/stepped_controller.py
@@ -35,7 +35,7 @@
 from crossmill.workers.command_sender import CommandSender
 from crossmill.workers.heartbeat_handler import HeartbeatHandler, HeartbeatResponse
 
-from .standins import (
+from .fake_services import (
     CATALOG,
     CloudService,
     FakeClock,
@@ -52,7 +52,7 @@
 class PeerLine:
     """The line to a peer's handler; cut, it reaches nobody."""
 
-    def __init__(self, nodes: dict[str, "Node"], label: str) -> None:
+    def __init__(self, nodes: dict[str, "SteppedController"], label: str) -> None:
         self._nodes = nodes
         self._label = label
 
@@ -87,12 +87,12 @@
         return self.answer(data)
 
 
-class Node:
+class SteppedController:
     def __init__(
         self,
         state: Http,
         clock: FakeClock,
-        nodes: dict[str, "Node"],
+        nodes: dict[str, "SteppedController"],
         label: str = "node-0",
         cloud: CloudService | None = None,
         connect: Callable[[Peer], Http] | None = None,
@@ -251,6 +251,8 @@
     return spec.id
 
 
-def play(story: Callable[[StateService, FakeClock, dict[str, Node]], Awaitable[None]]) -> None:
+def run_scenario(
+    scenario: Callable[[StateService, FakeClock, dict[str, SteppedController]], Awaitable[None]],
+) -> None:
     state, clock = StateService(), FakeClock()
-    curio.run(story, state, clock, {})
+    curio.run(scenario, state, clock, {})
--- a/tests/test_boot_times.py
+++ b/tests/test_boot_times.py
@@ -10,8 +10,8 @@
 from crossmill.state.mirror import Mirror
 from crossmill.wire.cloud import parse_catalog
 
-from .simulation import Region, simulate
-from .standins import CATALOG, make_settings
+from .fake_services import CATALOG, make_settings
+from .simulated_region import Region, simulate
 
 # the boot time of CATALOG's g4
 BOOT_S = 30.0
@@ -102,7 +102,7 @@
 
 @pytest.mark.parametrize("slow", [4.0, 6.0])
 def test_machines_that_all_boot_slowly_join_instead_of_being_rented_anew(slow: float) -> None:
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await region.begin(machines=0)
         await region.lead_everywhere()
         rented_at: dict[str, float] = {}
@@ -124,4 +124,4 @@
             assert took
             assert all(s is not None and s > slow * BOOT_S for s in took)
 
-    simulate(story)
+    simulate(scenario)
--- a/tests/test_capacity_cache.py
+++ b/tests/test_capacity_cache.py
@@ -17,7 +17,7 @@
 from crossmill.wire.cloud import MachineType, parse_catalog
 from crossmill.wire.state import Event
 
-from .standins import CATALOG, FakeClock, make_settings, make_spec
+from .fake_services import CATALOG, FakeClock, make_settings, make_spec
 
 MACHINES, JOBS = 6, 5
 
@@ -31,7 +31,7 @@
     """A cluster that changes at random, as the watch tells of it."""
 
     def __init__(self, seed: int) -> None:
-        self.lots = random.Random(seed)
+        self.rng = random.Random(seed)
         self.mirror = Mirror()
         self.mirror.revision = 0
         self.cluster = ClusterState(self.mirror, make_settings())
@@ -45,33 +45,33 @@
         self.mirror.apply(version, [Event(key, value, version, value is None)])
 
     def _change_machine(self) -> None:
-        name = f"n-{self.lots.randrange(MACHINES)}"
+        name = f"n-{self.rng.randrange(MACHINES)}"
         value = {
-            "type": self.lots.choice(["g4", "c16"]),
+            "type": self.rng.choice(["g4", "c16"]),
             "zone": "north",
             "spot": False,
-            "shard": self.lots.randrange(2),
+            "shard": self.rng.randrange(2),
             "at": 0.0,
             "retiring": "",
             "up": True,
         }
-        self.put(keys.machine(name), None if self.lots.random() < 0.2 else value)
+        self.put(keys.machine(name), None if self.rng.random() < 0.2 else value)
 
     def _change_job(self) -> None:
-        name = f"wk-{self.lots.randrange(JOBS):06d}"
-        spec = make_spec(nameId=name, sacks=8, recipe=f"img-{self.lots.randrange(20)}", pullGb=30.0)
-        self.put(keys.job(name), None if self.lots.random() < 0.2 else encode_job(spec, 0.0))
+        name = f"wk-{self.rng.randrange(JOBS):06d}"
+        spec = make_spec(nameId=name, sacks=8, recipe=f"img-{self.rng.randrange(20)}", pullGb=30.0)
+        self.put(keys.job(name), None if self.rng.random() < 0.2 else encode_job(spec, 0.0))
 
     def _change_plan(self) -> None:
-        name = f"wk-{self.lots.randrange(JOBS):06d}"
+        name = f"wk-{self.rng.randrange(JOBS):06d}"
         self.attempt += 1
         rows = [
-            [task, self.attempt, f"n-{self.lots.randrange(MACHINES)}", 1]
+            [task, self.attempt, f"n-{self.rng.randrange(MACHINES)}", 1]
             for task in range(8)
-            if self.lots.random() < 0.4
+            if self.rng.random() < 0.4
         ]
         value = {"next": self.attempt + 1, "done": "0", "rows": rows}
-        self.put(keys.plan(name, "0"), None if self.lots.random() < 0.2 else value)
+        self.put(keys.plan(name, "0"), None if self.rng.random() < 0.2 else value)
 
     def _plan_tasks(self) -> None:
         """What a round does with the rooms that it gets."""
@@ -87,7 +87,7 @@
 
     def step(self) -> None:
         changes = (self._change_machine, self._change_job, self._change_plan, self._plan_tasks)
-        self.lots.choice(changes)()
+        self.rng.choice(changes)()
         fresh = [self.forecast.free_capacity(machine, kind) for machine, kind in self._machines()]
         assert [_facts(r) for r in self.capacities()] == [_facts(r) for r in fresh]
 
@@ -95,19 +95,19 @@
 @pytest.mark.parametrize("seed", range(8))
 def test_rooms_are_as_if_made_anew_after_every_event(seed: int) -> None:
     # guards against placing tasks by what was free before a start, an end or a machine's change
-    story = _Story(seed)
+    scenario = _Story(seed)
     for _ in range(300):
-        story.step()
+        scenario.step()
 
 
 def test_an_unchanged_machine_keeps_its_room_and_gone_ones_are_dropped() -> None:
-    story = _Story(0)
+    scenario = _Story(0)
     value = {"type": "g4", "zone": "north", "spot": False, "shard": 0, "at": 0.0}
     value.update(retiring="", up=True)
-    story.put(keys.machine("n-kept"), value)
-    kept = story.capacities()[0]
+    scenario.put(keys.machine("n-kept"), value)
+    kept = scenario.capacities()[0]
     for number in range(2 * SPARE_ENTRIES):
-        story.put(keys.machine(f"n-{number}"), value)
-        assert story.capacities()[0] is kept
-        story.put(keys.machine(f"n-{number}"), None)
-    assert len(story.cache) <= SPARE_ENTRIES + 1
+        scenario.put(keys.machine(f"n-{number}"), value)
+        assert scenario.capacities()[0] is kept
+        scenario.put(keys.machine(f"n-{number}"), None)
+    assert len(scenario.cache) <= SPARE_ENTRIES + 1
--- a/tests/test_meetings.py
+++ b/tests/test_concurrent_faults.py
@@ -9,36 +9,36 @@
 
 from crossmill.cluster import keys
 
-from .scenario_steps import (
+from .fault_injection import (
     all_but_leases,
     all_over,
     all_over_but_services,
-    draw_trouble,
     every_request,
     heal,
+    inject_random_fault,
     lose_answers,
     single_task_jobs,
 )
-from .simulation import Region, simulate
+from .simulated_region import Region, simulate
 
 
 def test_a_quiet_spell_keeps_every_rule() -> None:
     """What all other stories here begin with; it also shows that the judge sees tasks run."""
 
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await region.begin(machines=2)
         assert await region.submit("node-1", "wk-000001", sacks=3) == 201
         assert await region.submit("node-2", "wk-000002", run_s=5.0, sacks=2) == 201
         await region.until(lambda: len(region.running("wk-000001")) > 0)
-        await region.until(lambda: len(region.judge.jobs["wk-000002"].finished) == 2)
+        await region.until(lambda: len(region.checker.jobs["wk-000002"].finished) == 2)
         await curio.sleep(3.0)
         assert await region.show("node-0", "wk-000002") == 200
-        assert region.judge.jobs["wk-000002"].done is not None
+        assert region.checker.jobs["wk-000002"].done is not None
         assert await region.cancel("node-2", "wk-000001") == 200
         await curio.sleep(3.0)
         assert not region.running("wk-000001")
 
-    simulate(story)
+    simulate(scenario)
 
 
 async def _gap(region: Region, refused: str, refuses: object, alone_s: float) -> None:
@@ -73,7 +73,7 @@
     renewals succeeded and reads did not.
     """
 
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         # apart from the others it could not be told as its zone's deputy, and the user would wait
         await region.begin(machines=2, zone="south" if peers == "apart" else "north")
         await region.submit("node-1", "wk-000001", sacks=2)
@@ -82,7 +82,7 @@
             region.apart.add("node-0")
         await _gap(region, "node-0", refuses, alone_s)
 
-    simulate(story)
+    simulate(scenario)
 
 
 def test_a_deputy_ends_what_it_was_itself_about_to_cancel() -> None:
@@ -90,7 +90,7 @@
     cut off with its zone it would have kept the job's tasks for three leases.
     """
 
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await region.begin(machines=2)
         await region.submit("node-1", "wk-000001", sacks=2)
         await region.until(lambda: len(region.running("wk-000001")) > 0)
@@ -107,12 +107,12 @@
         asking = await curio.spawn(region.cancel, "node-0", "wk-000001")
         await curio.sleep(2.0)
         await region.show("node-1", "wk-000001")
-        assert region.judge.jobs["wk-000001"].cancelled is not None
+        assert region.checker.jobs["wk-000001"].cancelled is not None
         await curio.sleep(region.cancellation_deadline_s * 1.5)
         await asking.cancel()
         assert not region.running("wk-000001")
 
-    simulate(story)
+    simulate(scenario)
 
 
 @pytest.mark.parametrize("at_once", [True, False])
@@ -122,7 +122,7 @@
     users cancel and, in one variant, the owner's process is replaced.
     """
 
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await region.begin(machines=3)
         lose_answers(3, region, 2.0, at_once, 30.0)
         traffic = await curio.spawn(single_task_jobs, region, 24, 0.7)
@@ -132,13 +132,13 @@
         await traffic.join()
         await all_over(region)
 
-    simulate(story)
+    simulate(scenario)
 
 
 def test_close_looks_after_a_submission_an_end_and_a_cancellation() -> None:
     """Right after something was told, no controller says anything older."""
 
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await region.begin(machines=3)
         lose_answers(4, region, 2.0, True, 60.0)
         for n in range(9):
@@ -155,14 +155,14 @@
                 await region.look_everywhere(job, 6)
                 await region.submit(other, job, 1.0)
         await curio.sleep(6.0)
-        for job in region.judge.jobs:
+        for job in region.checker.jobs:
             await region.look_everywhere(job)
             for label in region.LABELS:
                 await region.submit(label, job, 1.0)
                 await region.cancel(label, job)
-        assert all(f.done or f.cancelled for f in region.judge.jobs.values())
+        assert all(f.done or f.cancelled for f in region.checker.jobs.values())
 
-    simulate(story)
+    simulate(scenario)
 
 
 def test_a_slow_answer_to_a_submission_says_what_others_told_meanwhile() -> None:
@@ -170,7 +170,7 @@
     after `withdrawn`.
     """
 
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await region.begin(machines=1)
         region.answer_s["node-1"] = 0.6
         async with curio.TaskGroup() as group:
@@ -179,12 +179,12 @@
             assert await region.show("node-2", "wk-000001") == 200
             assert await region.cancel("node-2", "wk-000001") == 200
 
-    simulate(story)
+    simulate(scenario)
 
 
 @pytest.mark.parametrize("offset_s", [-0.3, -0.1, -0.02, 0.0, 0.02, 0.1, 0.4])
 def test_a_cancellation_meets_the_end_of_the_last_task(offset_s: float) -> None:
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await region.begin(machines=1)
         await region.submit("node-2", "wk-000001", run_s=5.0, sacks=1)
         await region.until(lambda: bool(region.running("wk-000001")))
@@ -195,20 +195,20 @@
             await group.spawn(region.submit, "node-2", "wk-000001", 5.0)
         await curio.sleep(4.0)
         await region.look_everywhere("wk-000001")
-        facts = region.judge.jobs["wk-000001"]
+        facts = region.checker.jobs["wk-000001"]
         assert (facts.done is None) != (facts.cancelled is None)
 
-    simulate(story)
+    simulate(scenario)
 
 
 def test_old_reports_reach_every_controller_as_a_new_owner_begins() -> None:
     """Copies from before, from an earlier session too, with the highest token ever seen."""
 
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await region.begin(machines=2)
         await region.submit("node-1", "wk-000001", sacks=2)
         await region.submit("node-1", "wk-000002", run_s=4.0, sacks=2)
-        await region.until(lambda: len(region.judge.jobs["wk-000002"].finished) == 2)
+        await region.until(lambda: len(region.checker.jobs["wk-000002"].finished) == 2)
         worker = region.workers["n-0"]
         worker.hung = True
         await curio.sleep(region.worker_lease_s * 1.2)
@@ -224,7 +224,7 @@
         await region.until(lambda: len(region.running("wk-000001")) > 0, 40.0)
         await all_over_but_services(region)
 
-    simulate(story)
+    simulate(scenario)
 
 
 def test_a_team_at_its_limit_whose_cancelled_tasks_are_not_proved_over() -> None:
@@ -232,11 +232,11 @@
     ends: what comes next waits until the old tasks are proved over.
     """
 
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await region.begin(machines=6)
         for n in range(4):
             await region.submit("node-1", f"wk-30000{n}", sacks=4)
-        await region.until(lambda: len(region.judge.starts) == 16, 30.0)
+        await region.until(lambda: len(region.checker.starts) == 16, 30.0)
         full = [w for w in region.workers.values() if w.tasks]
         full[0].hung = True
         full[1].deaf = True
@@ -249,19 +249,19 @@
         await curio.sleep(region.worker_lease_s * 0.6)
         full[0].hung = full[1].deaf = full[2].mute = False
         await region.start("node-0")
-        await region.until(lambda: len(region.judge.starts) == 32, 90.0)
+        await region.until(lambda: len(region.checker.starts) == 32, 90.0)
 
-    simulate(story)
+    simulate(scenario)
 
 
 def test_jobs_are_cancelled_while_shards_change_hands() -> None:
     """Taken over, handed back, given up: some job is cancelled every quarter of a second."""
 
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await region.begin(machines=4)
         for n in range(12):
             await region.submit("node-1", f"wk-{500000 + n}", sacks=1)
-        await region.until(lambda: len(region.judge.starts) >= 12)
+        await region.until(lambda: len(region.checker.starts) >= 12)
         await curio.sleep(region.worker_lease_s)
         changes = await curio.spawn(_change_hands, region)
         for n in range(12):
@@ -269,9 +269,9 @@
             await curio.sleep(0.25)
         await changes.join()
         await curio.sleep(region.worker_lease_s * 2)
-        assert not any(region.running(job) for job in region.judge.jobs)
+        assert not any(region.running(job) for job in region.checker.jobs)
 
-    simulate(story)
+    simulate(scenario)
 
 
 async def _change_hands(region: Region) -> None:
@@ -284,7 +284,7 @@
 
 @pytest.mark.parametrize("outage", [False, True])
 def test_ten_changes_of_leader_in_two_minutes(outage: bool) -> None:
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await region.begin(machines=4)
         await region.submit("node-1", "wk-000001", sacks=2)
         traffic = await curio.spawn(single_task_jobs, region, 40, 2.5)
@@ -297,12 +297,12 @@
         await traffic.join()
         await all_over_but_services(region)
 
-    simulate(story)
+    simulate(scenario)
 
 
 @pytest.mark.parametrize("away_s", [0.3, 3.0, 25.0])
 def test_all_controllers_end_and_one_returns_first(away_s: float) -> None:
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await region.begin(machines=3)
         await region.submit("node-1", "wk-000001", sacks=2)
         await single_task_jobs(region, 6, 0.5)
@@ -315,32 +315,32 @@
         await region.start("node-2")
         await all_over_but_services(region)
 
-    simulate(story)
+    simulate(scenario)
 
 
-@pytest.mark.parametrize("trouble", ["deaf", "mute", "hung"])
-def test_workers_that_hear_nothing_or_are_not_heard(trouble: str) -> None:
+@pytest.mark.parametrize("fault", ["deaf", "mute", "hung"])
+def test_workers_that_hear_nothing_or_are_not_heard(fault: str) -> None:
     """A machine in trouble keeps no job waiting that another could take, and what was cancelled
     on it meanwhile is over in time.
     """
 
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await region.begin(machines=2)
         await region.submit("node-1", "wk-000001", sacks=4, cards=1.0)
-        await region.until(lambda: len(region.judge.starts) == 4)
+        await region.until(lambda: len(region.checker.starts) == 4)
         odd = region.workers["n-0"]
-        setattr(odd, trouble, True)
+        setattr(odd, fault, True)
         assert await region.cancel_until_told("node-2", "wk-000001", 10.0)
         await region.submit("node-2", "wk-000002", run_s=4.0, sacks=6)
         await region.kill("node-0")
         await region.until(
-            lambda: len(region.judge.jobs["wk-000002"].finished) == 6, 4 * region.worker_lease_s
+            lambda: len(region.checker.jobs["wk-000002"].finished) == 6, 4 * region.worker_lease_s
         )
-        setattr(odd, trouble, False)
+        setattr(odd, fault, False)
         await region.start("node-0")
         await all_over(region)
 
-    simulate(story)
+    simulate(scenario)
 
 
 @pytest.mark.parametrize("hang_s", [2.0, 6.0, 12.0])
@@ -350,7 +350,7 @@
     after the job was cancelled, or its owner replaced, or the task given up.
     """
 
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await region.begin(machines=2)
         await curio.sleep(4.0)
         for worker in region.workers.values():
@@ -369,13 +369,13 @@
         await curio.sleep(5.0)
         assert not region.running("wk-000001")
 
-    simulate(story)
+    simulate(scenario)
 
 
 def test_tasks_of_a_job_end_far_apart_across_changes_of_owner() -> None:
     """One after the other on one machine, an owner's end between each and the next."""
 
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await region.begin(machines=1)
         await region.submit("node-1", "wk-000001", run_s=5.0, sacks=3, cards=4.0)
         for done in (1, 2, 3):
@@ -383,15 +383,15 @@
             await region.look_everywhere("wk-000001")
             await region.restart(region.owners().get(0, "node-0"), 0.2 if done % 2 else 3.0)
         await all_over(region)
-        assert len(region.judge.starts) == 3, "what is done is not done again"
+        assert len(region.checker.starts) == 3, "what is done is not done again"
 
-    simulate(story)
+    simulate(scenario)
 
 
 def test_one_task_jobs_four_a_second() -> None:
     """Nothing grows with them for good, none starves, none is forgotten."""
 
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await region.begin(machines=8)
         await single_task_jobs(region, 160, 0.25)
         await all_over(region, 60.0)
@@ -401,13 +401,13 @@
         assert not any(k.startswith(keys.PLAN) for k in region.state.keys)
         assert all(node.writer.backlog == 0 for node in region.nodes.values())
 
-    simulate(story)
+    simulate(scenario)
 
 
 def test_a_leader_without_state_service_and_peers_while_others_cancel() -> None:
     """Workers and users still reach it: it answers nothing old, and keeps nothing too long."""
 
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await region.begin(machines=2)
         await region.submit("node-1", "wk-000001", sacks=2)
         await region.until(lambda: len(region.running("wk-000001")) > 0)
@@ -422,17 +422,17 @@
         await curio.sleep(5.0)
         await region.look_everywhere("wk-000001")
 
-    simulate(story)
+    simulate(scenario)
 
 
 def test_a_refusal_of_one_meets_slow_answers_and_an_outage() -> None:
     """Users cancel and ask while the state service is slow, refuses the owner, and is out."""
 
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await region.begin(machines=3)
         for n in range(6):
             await region.submit("node-1", f"wk-{600000 + n}", sacks=1)
-        await region.until(lambda: len(region.judge.starts) >= 6)
+        await region.until(lambda: len(region.checker.starts) >= 6)
         region.slow_s = 0.4
         cancels = await curio.spawn(_cancel_some, region)
         await curio.sleep(4.0)
@@ -445,10 +445,10 @@
         region.mend()
         await cancels.join()
         await curio.sleep(region.worker_lease_s * 2)
-        for job in region.judge.jobs:
+        for job in region.checker.jobs:
             await region.look_everywhere(job, 2)
 
-    simulate(story)
+    simulate(scenario)
 
 
 async def _cancel_some(region: Region) -> None:
@@ -460,7 +460,7 @@
 def test_jobs_that_can_not_run_or_lack_a_field_are_never_accepted() -> None:
     """Under trouble too; and a repeat of an accepted job gets neither 400 nor 422."""
 
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await region.begin(machines=1)
         odd: list[dict[str, Any]] = [
             {"cpus": 500.0},
@@ -483,7 +483,7 @@
                 )
         region.state.down = False
 
-    simulate(story)
+    simulate(scenario)
 
 
 def test_new_machines_up_at_once_while_writes_lag_and_the_leader_ends() -> None:
@@ -491,7 +491,7 @@
     written late, and the next leader renting again.
     """
 
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await region.begin(machines=0)
         await region.lead_everywhere()
         lose_answers(2, region, 2.0, False, 25.0)
@@ -504,21 +504,21 @@
         await region.restart(region.leader() or "node-0", 3.0)
         await all_over(region, 150.0)
 
-    simulate(story)
+    simulate(scenario)
 
 
 @pytest.mark.parametrize("mode", ["cancel", "answer lost"])
 def test_a_zone_with_workers_and_a_controller_is_cut_off_for_longer_than_a_lease(mode: str) -> None:
     """Jobs bound to the zone, arrays too, lose machines at the same time."""
 
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await region.begin(machines=3)
         for n in range(2):
             await region.add_worker(f"s-{n}", "south")
         await region.submit("node-1", "wk-000001", sacks=2, yard="north")
         await region.submit("node-1", "wk-000002", run_s=20.0, sacks=4, yard="north")
         await region.submit("node-1", "wk-000003", run_s=20.0, sacks=2, yard="south")
-        await region.until(lambda: len(region.judge.starts) == 8)
+        await region.until(lambda: len(region.checker.starts) == 8)
         await curio.sleep(4.0)
         south = ("node-1", "node-2")
         region.reaches = lambda worker, label: (
@@ -538,7 +538,7 @@
         assert await asks.join()
         await all_over(region, 120.0)
 
-    simulate(story)
+    simulate(scenario)
 
 
 @pytest.mark.parametrize("seed_n", [0, 1, 131, 148, 177, 2060])
@@ -547,20 +547,20 @@
     on every machine.
     """
 
-    async def story(region: Region) -> None:
-        lots = random.Random(seed_n)
+    async def scenario(region: Region) -> None:
+        rng = random.Random(seed_n)
         await region.begin(machines=4)
         await region.add_worker("s-0", "south")
         await region.submit("node-1", "wk-000001", sacks=2)
         traffic = await curio.spawn(single_task_jobs, region, 60, 1.2)
         for _ in range(9):
-            await curio.sleep(lots.uniform(1.0, 8.0))
-            await draw_trouble(region, lots)
+            await curio.sleep(rng.uniform(1.0, 8.0))
+            await inject_random_fault(region, rng)
         heal(region)
         await traffic.join()
         await all_over_but_services(region)
 
-    simulate(story)
+    simulate(scenario)
 
 
 @pytest.mark.parametrize("lot", range(4))
@@ -569,17 +569,17 @@
     cut off and all controllers ended: drawn from a fixed seed as above.
     """
 
-    async def story(region: Region) -> None:
-        lots = random.Random(1000 + lot)
+    async def scenario(region: Region) -> None:
+        rng = random.Random(1000 + lot)
         await region.begin(machines=5)
         for n in range(2):
             await region.add_worker(f"s-{n}", "south")
         users = await curio.spawn(_replicas, region, random.Random(lot))
         for _ in range(8):
-            await curio.sleep(lots.uniform(2.0, 9.0))
-            kind = lots.choice(["zone", "all", "other", "other", "heal"])
+            await curio.sleep(rng.uniform(2.0, 9.0))
+            kind = rng.choice(["zone", "all", "other", "other", "heal"])
             if kind == "zone":
-                north = lots.choice([True, False])
+                north = rng.choice([True, False])
                 for label in ("node-0",) if north else ("node-1", "node-2"):
                     region.cut(label)
                 region.reaches = lambda worker, label: (
@@ -589,22 +589,22 @@
                 labels = list(region.nodes)
                 for label in labels:
                     await region.kill(label)
-                await curio.sleep(lots.choice([0.2, 2.0, 14.0]))
+                await curio.sleep(rng.choice([0.2, 2.0, 14.0]))
                 for label in labels:
                     await region.start(label)
-                    await curio.sleep(lots.choice([0.1, 1.5]))
+                    await curio.sleep(rng.choice([0.1, 1.5]))
             elif kind == "heal":
                 heal(region)
             else:
-                await draw_trouble(region, lots)
+                await inject_random_fault(region, rng)
         heal(region)
         await users.join()
         await all_over_but_services(region)
 
-    simulate(story)
+    simulate(scenario)
 
 
-async def _replicas(region: Region, lots: random.Random) -> None:
+async def _replicas(region: Region, rng: random.Random) -> None:
     async def submit(job: str, at: str, fields: dict[str, Any]) -> None:
         for n in range(90):
             labels = list(region.nodes) or [at]
@@ -623,18 +623,18 @@
 
     async with curio.TaskGroup() as group:
         for n in range(26):
-            job, at = f"wk-{900000 + n}", lots.choice(region.LABELS)
+            job, at = f"wk-{900000 + n}", rng.choice(region.LABELS)
             fields: dict[str, Any] = {
-                "sacks": lots.choice([1, 2, 3]),
-                "cards": lots.choice([1.0, 2.0]),
-                "crew": lots.choice(["red", "red", "blue"]),
-                "precedence": lots.choice(["production", "standard", "idle"]),
-                "run_s": lots.choice([None, 4.0, 12.0]),
-                "yard": lots.choice([None, None, "north"]),
+                "sacks": rng.choice([1, 2, 3]),
+                "cards": rng.choice([1.0, 2.0]),
+                "crew": rng.choice(["red", "red", "blue"]),
+                "precedence": rng.choice(["production", "standard", "idle"]),
+                "run_s": rng.choice([None, 4.0, 12.0]),
+                "yard": rng.choice([None, None, "north"]),
             }
             await submit(job, at, fields)
-            if lots.random() < 0.6:
-                await curio.sleep(lots.uniform(0.0, 3.0))
-                gone = f"wk-{900000 + lots.randint(max(0, n - 4), n)}"
+            if rng.random() < 0.6:
+                await curio.sleep(rng.uniform(0.0, 3.0))
+                gone = f"wk-{900000 + rng.randint(max(0, n - 4), n)}"
                 await group.spawn(cancel, gone, at)
-            await curio.sleep(lots.uniform(0.0, 2.5))
+            await curio.sleep(rng.uniform(0.0, 2.5))
--- a/tests/test_on_call_troubles.py
+++ b/tests/test_controller_outages.py
@@ -16,11 +16,11 @@
 from crossmill.state.mirror import Mirror
 from crossmill.workers.attempt_outcomes import AttemptOutcome, EndReason
 
-from .harness import Node, add_machine, play, seed
-from .scenario_steps import all_over_but_services
+from .fake_services import FakeClock, StateService, make_settings, make_spec
+from .fault_injection import all_over_but_services
+from .simulated_region import Region, simulate
 from .simulated_worker import Worker
-from .simulation import Region, simulate
-from .standins import FakeClock, StateService, make_settings, make_spec
+from .stepped_controller import SteppedController, add_machine, run_scenario, seed
 
 
 async def _begin(region: Region, machines: int = 9) -> None:
@@ -33,7 +33,7 @@
 def _freeze(freeze_s: float, seed_s: float) -> Callable[[Region], Awaitable[None]]:
     """The owner of a shard stands still; its jobs are cancelled meanwhile through another."""
 
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await _begin(region)
         jobs = [f"wk-{n:06d}" for n in range(9)]
         for n, job in enumerate(jobs):
@@ -61,7 +61,7 @@
         assert not any(region.running(job) for job in jobs[:5])
         assert all(region.running(job) for job in jobs[5:])
 
-    return story
+    return scenario
 
 
 @pytest.mark.parametrize("freeze_s", [5.0, 9.0, 25.0])
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize("alone", ["node-0", "node-1", "node-2"])
 def test_all_but_one_are_gone_for_more_than_a_minute(alone: str) -> None:
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await _begin(region)
         others = [label for label in region.LABELS if label != alone]
         assert await region.submit(others[0], "wk-000001", None, crew="blue", sacks=3) == 201
@@ -99,7 +99,7 @@
         assert not region.running("wk-000003")
         assert region.owners() == {0: "node-0", 1: "node-1", 2: "node-2"}
 
-    simulate(story)
+    simulate(scenario)
 
 
 def test_questions_of_all_users_at_once_cost_the_one_that_serves_alone_few_reads() -> None:
@@ -107,7 +107,7 @@
     workers are answered and work begins meanwhile.
     """
 
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await _begin(region)
         jobs = [f"wk-{n:06d}" for n in range(50)]
         small = {"crew": "blue", "cards": 0.0, "cpus": 0.25, "ramGb": 0.5}
@@ -129,11 +129,11 @@
         await region.until(lambda: region.finished("wk-000100", 2), 20.0)
         assert all(region.running(job) for job in jobs)
 
-    simulate(story)
+    simulate(scenario)
 
 
 def test_machines_that_never_come_up_are_given_up_and_replaced() -> None:
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await region.begin(machines=0)
         await region.lead_everywhere()
         region.boots = lambda machine: int(machine[2:]) >= 2
@@ -141,7 +141,7 @@
         await region.until(lambda: region.finished("wk-000001", 8), 400.0)
         await region.until(lambda: {"n-000000", "n-000001"} <= set(region.cloud.released), 400.0)
 
-    simulate(story)
+    simulate(scenario)
 
 
 def _all_fail(worker: Worker, jobs: set[str]) -> None:
@@ -151,7 +151,7 @@
 
 
 def test_broken_jobs_of_several_teams_are_cancelled_while_they_are_tried_again() -> None:
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await _begin(region)
         broken = {f"wk-{n:06d}" for n in range(6)}
 
@@ -177,7 +177,7 @@
         await curio.sleep(region.cancellation_deadline_s)
         assert not any(job in broken for w in region.workers.values() for job, _ in w.tasks)
 
-    simulate(story)
+    simulate(scenario)
 
 
 def test_jobs_that_fail_on_a_third_machine_say_nothing_against_the_first_two() -> None:
@@ -200,7 +200,7 @@
 
 
 def test_a_guests_array_swarm_and_idle_batch_while_leaders_change() -> None:
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await _begin(region)
         await region.lead_everywhere()
         small = {"crew": "green", "precedence": "idle", "cards": 0.0, "cpus": 0.25, "ramGb": 0.5}
@@ -216,7 +216,7 @@
         assert len(region.running("wk-000001")) > 0
         await all_over_but_services(region)
 
-    simulate(story)
+    simulate(scenario)
 
 
 @pytest.mark.parametrize("step", ["rent", "release"])
@@ -226,10 +226,12 @@
     and the request.
     """
 
-    async def story(state: StateService, clock: FakeClock, nodes: dict[str, Node]) -> None:
+    async def scenario(
+        state: StateService, clock: FakeClock, nodes: dict[str, SteppedController]
+    ) -> None:
         seed(state, clock, machines=1)
         add_machine(state, clock, "n-9", retiring="idle")
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         leader = node.provisioner
         need = MachineRequest(node.forecast.sources()[0], 2)
@@ -242,7 +244,7 @@
         await task.cancel()
         assert bool(node.cloud.requests or node.cloud.released) is not stands_still
 
-    play(story)
+    run_scenario(scenario)
 
 
 def _agrees(region: Region, worker: Worker) -> bool:
@@ -262,9 +264,9 @@
     """Controllers stand still at drawn moments, in the middle of whatever each of their loops waits
     for, while jobs come, end and are cancelled; the judge looks on.
     """
-    lots = random.Random(seed_number)
+    rng = random.Random(seed_number)
 
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await _begin(region, machines=12)
         services = [f"wk-{n:06d}" for n in range(9)]
         for n, job in enumerate(services):
@@ -272,13 +274,13 @@
             assert await region.submit("node-0", job, None, crew=crew, sacks=2) == 201
         await region.until(lambda: all(region.running(job) for job in services))
         for freeze in range(3):
-            label = lots.choice(region.LABELS)
-            freeze_s = lots.uniform(5.0, 25.0)
+            label = rng.choice(region.LABELS)
+            freeze_s = rng.uniform(5.0, 25.0)
             traffic = await curio.spawn(_traffic, region, label, freeze, daemon=True)
-            await curio.sleep(lots.uniform(0.0, 3.0))
+            await curio.sleep(rng.uniform(0.0, 3.0))
             region.still_until[label] = region.clock.now() + freeze_s
             others = [other for other in region.LABELS if other != label]
-            assert await region.cancel_until_told(lots.choice(others), services[freeze], 20.0)
+            assert await region.cancel_until_told(rng.choice(others), services[freeze], 20.0)
             await curio.sleep(max(0.0, region.still_until[label] - region.clock.now()))
             await traffic.join()
             # all shards go home within two leases; from then on nobody's view may be old
@@ -290,7 +292,7 @@
         assert not any(region.running(job) for job in services[:3])
         assert all(len(region.running(job)) > 0 for job in services[3:])
 
-    simulate(story)
+    simulate(scenario)
 
 
 async def _traffic(region: Region, frozen: str, number: int) -> None:
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -14,11 +14,11 @@
 from crossmill.wire.checks import MalformedMessageError, load_object
 from crossmill.wire.users import parse_submission
 
-from .harness import RECORD_BYTES, Node, add_job, play, seed
-from .simulation import Region, simulate
-from .standins import FakeClock, StateService, make_spec, on, submission
+from .fake_services import FakeClock, StateService, make_spec, on, submission
+from .simulated_region import Region, simulate
+from .stepped_controller import RECORD_BYTES, SteppedController, add_job, run_scenario, seed
 
-Nodes = dict[str, Node]
+Nodes = dict[str, SteppedController]
 A, B, C, D = (f"wk-00000{n}" for n in range(1, 5))
 
 
@@ -26,28 +26,28 @@
     state.put(keys.LEVEL, encode_level(Level(1, 512, 32)))
 
 
-async def _submit(node: Node, job: str, *needs: str, **fields: object) -> Response:
+async def _submit(node: SteppedController, job: str, *needs: str, **fields: object) -> Response:
     body = submission(nameId=job, awaits=list(needs), **{"sacks": 1, **fields})
     return await node.ask("POST", "/v1/jobs", orjson.dumps(body))
 
 
-async def _stage(node: Node, job: str) -> str:
+async def _stage(node: SteppedController, job: str) -> str:
     response = await node.ask("GET", f"/v1/jobs/{job}")
     assert response.status == 200, response.status
     return str(load_object(response.body)["stage"])
 
 
-async def _ready_node(state: StateService, clock: FakeClock, nodes: Nodes) -> Node:
+async def _ready_node(state: StateService, clock: FakeClock, nodes: Nodes) -> SteppedController:
     seed(state, clock, machines=1)
     _raise_level(state)
-    node = Node(state, clock, nodes)
+    node = SteppedController(state, clock, nodes)
     await node.boot()
     node.report("n-0", 1, 1, 0)
     node.report("n-0", 1, 2, node.token())
     return node
 
 
-def _starts(node: Node, seq: int, *tasks: object) -> list[str]:
+def _starts(node: SteppedController, seq: int, *tasks: object) -> list[str]:
     commands = node.report("n-0", 1, seq, node.token(), *tasks).commands
     return [c.task for c in commands if c.op == "start"]
 
@@ -71,7 +71,7 @@
 
 def test_a_chain_runs_stage_by_stage() -> None:
     # guards against too_early: the second stage is planned only on a durable end of the first
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready_node(state, clock, nodes)
         assert (await _submit(node, A)).status == 201
         assert (await _submit(node, B, A)).status == 201
@@ -89,11 +89,11 @@
         await node.round()
         assert _starts(node, 6) == [f"{B}/0"]
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_job_that_waits_holds_no_guarantee_and_asks_for_no_room() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready_node(state, clock, nodes)
         await _submit(node, A, sacks=1, cards=1.0)
         await _submit(node, B, A, sacks=4, cards=1.0)
@@ -104,14 +104,14 @@
         assert node.scheduling_loop._quotas.is_within_quota(job)
         assert [j.id for j in node.forecast.waiting(0)] == [A, C]
 
-    play(story)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("state_of", ["at hand", "in the state service only", "archived"])
 def test_a_dependency_counts_wherever_its_record_is(state_of: str) -> None:
     # guards against 422 for a job that another controller has accepted a moment ago, and
     # against one that was archived
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready_node(state, clock, nodes)
         if state_of == "archived":
             state.put(keys.archived(A), {"end": "done", "done": 1})
@@ -122,11 +122,11 @@
         assert (await _submit(node, B, A)).status == 201
         assert node.cluster.jobs[B].is_blocked is (state_of != "archived")
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_unknown_dependencies_are_refused_and_repeats_are_not() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready_node(state, clock, nodes)
         assert (await _submit(node, B, A)).status == 422
         assert (await _submit(node, B, B)).status == 422
@@ -143,11 +143,11 @@
             body = submission(nameId=D, awaits=needs)
             assert (await node.ask("POST", "/v1/jobs", orjson.dumps(body))).status == 200
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_list_too_long_is_refused_with_the_bound() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready_node(state, clock, nodes)
         response = await _submit(node, B, *(f"wk-{n:06d}" for n in range(100, 400)))
         assert response.status == 422
@@ -161,14 +161,14 @@
         assert (await _submit(node, C, *names[:60])).status == 201
         assert state.too_large == 0
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_fan_wider_than_a_transaction_is_cancelled_at_once_and_recorded_later() -> None:
     # guards against orphaned: the first cancellation alone decides for all that need it
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready_node(state, clock, nodes)
-        other = Node(state, clock, nodes, "node-1")
+        other = SteppedController(state, clock, nodes, "node-1")
         await other.boot()
         # only controllers of its own zone have to be told, and this is the only one
         await _submit(node, A, yard="north")
@@ -196,7 +196,7 @@
         assert ends == {CANCELLED}
         assert not node.cluster.jobs.unrecorded_cancellations[0]
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_chain_of_thousands_is_cancelled_without_recursion() -> None:
@@ -218,7 +218,7 @@
     # keys are read in their order, which says nothing about who needs whom
     before, after = (A, B) if order == "needed first" else (B, A)
 
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock)
         first, second = make_spec(nameId=before), make_spec(nameId=after)
         state.put(keys.job(before), encode_end(CANCELLED, first, 5.0, RECORD_BYTES))
@@ -226,17 +226,17 @@
         done, waits = make_spec(nameId=C), make_spec(nameId=D)
         state.put(keys.job(C), encode_end(DONE, done, 7.0, RECORD_BYTES))
         state.put(keys.job(D), encode_job(waits, 1.0, (C,)))
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         assert node.cluster.jobs[after].end == CANCELLED
         assert not node.cluster.jobs[D].is_blocked
         assert node.cluster.jobs[D].ready_at == 7.0
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_job_that_names_a_cancelled_one_is_accepted_and_cancelled() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready_node(state, clock, nodes)
         state.put(keys.archived(A), {"end": "cancelled", "done": 0})
         response = await _submit(node, B, A)
@@ -244,11 +244,11 @@
         assert b"withdrawn" in response.body
         assert await _stage(node, B) == "withdrawn"
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_cancellation_answered_done_leaves_the_jobs_after_it() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready_node(state, clock, nodes)
         state.put(keys.job(A), encode_end(DONE, make_spec(nameId=A), clock.wall(), RECORD_BYTES))
         await _submit(node, B, A)
@@ -256,13 +256,13 @@
         assert b"done" in response.body
         assert await _stage(node, B) == "queued"
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_waiting_job_is_cancelled_without_asking_peers_but_not_while_it_begins() -> None:
     # its cancellation rests on the job it waits for: ended in the meantime, a task may be on
     # its way, and the peers have to be told first
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready_node(state, clock, nodes)
         await _submit(node, A)
         await _submit(node, B, A)
@@ -275,12 +275,12 @@
         assert not await handler._commit(B, make_spec(nameId=B), conditions)
         assert await _stage(node, B) == "queued"
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_archiving_and_accepting_do_not_race() -> None:
     # guards against a job that waits for ever for one whose record has gone
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready_node(state, clock, nodes)
         await _submit(node, A)
         # another owner ends and archives it, unseen here, while the submission is on its way
@@ -296,12 +296,12 @@
         assert not node.cluster.jobs[B].dependencies
         assert "needs" not in state.keys[keys.job(B)][0]
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_dependency_archived_while_another_is_read_is_noticed() -> None:
     # guards against resting on a count of archivings newer than what was read before it
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready_node(state, clock, nodes)
         await _submit(node, A)
         add_job(state, clock, nameId=C, sacks=1)
@@ -324,11 +324,11 @@
         assert node.cluster.jobs[B].unmet_dependencies == {C}
         assert state.keys[keys.job(B)][0]["needs"] == [C]
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_job_that_others_wait_for_is_not_archived() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready_node(state, clock, nodes)
         await _submit(node, A)
         await _submit(node, B, A)
@@ -345,7 +345,7 @@
         assert any(key.startswith(keys.ARCHIVE) for key in state.keys)
         assert state.keys[keys.ARCHIVINGS][0]["n"] >= 1
 
-    play(story)
+    run_scenario(scenario)
 
 
 async def _pipeline(region: Region, label: str = "node-0") -> None:
@@ -363,7 +363,7 @@
 
 
 def test_a_diamond_over_three_teams_runs_in_order_through_a_restart_of_everybody() -> None:
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await _begin(region)
         await _pipeline(region)
         await region.until(lambda: bool(region.running(A)))
@@ -374,7 +374,7 @@
             await region.start(label)
         await region.until(lambda: region.finished(D, 1), 120)
 
-    simulate(story)
+    simulate(scenario)
 
 
 @pytest.mark.parametrize("outage_s", [0.0, 45.0])
@@ -382,7 +382,7 @@
     outage_s: float,
 ) -> None:
     # the state service may also be down right after the confirmation, for longer than cancel_s
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await _begin(region)
         await _pipeline(region)
         assert await region.cancel_until_told("node-1", A, 20)
@@ -397,14 +397,14 @@
         await curio.sleep(10)
         for job in (A, B, C, D):
             await region.look_everywhere(job)
-            assert region.judge.jobs[job].cancelled is not None
+            assert region.checker.jobs[job].cancelled is not None
         assert not region.running(D)
 
-    simulate(story)
+    simulate(scenario)
 
 
 def test_a_dependent_submitted_at_one_node_while_its_dependency_is_cancelled_at_another() -> None:
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await _begin(region)
         assert await region.submit("node-0", A, run_s=30.0, sacks=1) == 201
         async with curio.TaskGroup() as group:
@@ -416,9 +416,9 @@
         for number in range(100, 120):
             name = f"wk-{number:06d}"
             await region.look_everywhere(name, 1)
-            assert region.judge.jobs[name].cancelled is not None
+            assert region.checker.jobs[name].cancelled is not None
 
-    simulate(story)
+    simulate(scenario)
 
 
 async def _submit_until_accepted(region: Region, name: str) -> None:
@@ -433,11 +433,11 @@
     # with more needs than a transaction has conditions, too.
     # guards against a job that waits for ever: accepted by a controller that had not seen the end
     # of what it names, and unseen by the one that archived that
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         owner = await _ready_node(state, clock, nodes)
         await _submit(owner, A)
         more = [add_job(state, clock, nameId=f"wk-{5000 + n:06d}") for n in range(others)]
-        other = Node(state, clock, nodes, "node-1")
+        other = SteppedController(state, clock, nodes, "node-1")
         await other.boot()
         # A ends; the other controller's watch is behind
         state.put(keys.job(A), encode_end(DONE, make_spec(nameId=A), clock.wall(), RECORD_BYTES))
@@ -452,11 +452,11 @@
         assert B not in owner.cluster.jobs
         for _ in range(3):
             await owner.round()
-        late = Node(state, clock, nodes, "node-2")
+        late = SteppedController(state, clock, nodes, "node-2")
         await late.boot()
         assert late.cluster.jobs[B].unmet_dependencies == set(more)
 
-    play(story)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -466,13 +466,13 @@
     end: str, told: str
 ) -> None:
     # guards against a job that waits for ever; with nothing in the archive nothing is concluded
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready_node(state, clock, nodes)
         record = encode_job(make_spec(nameId=B, sacks=1), clock.wall(), (A,))
         state.put(keys.job(B), load_object(orjson.dumps(record)))
         if end:
             state.put(keys.archived(A), {"end": end, "done": 1})
-        other = Node(state, clock, nodes, "node-1")
+        other = SteppedController(state, clock, nodes, "node-1")
         await other.boot()
         await node.sync()
         assert (
@@ -487,9 +487,9 @@
         for seen in (node, other):
             assert seen.cluster.jobs[B].is_blocked is (end != DONE)
             assert seen.cluster.jobs[B].waiting_task_count() == (end == DONE)
-        late = Node(state, clock, nodes, "node-2")
+        late = SteppedController(state, clock, nodes, "node-2")
         await late.boot()
         assert await _stage(late, B) == told
         assert late.cluster.jobs[B].is_blocked is (end == "")
 
-    play(story)
+    run_scenario(scenario)
--- a/tests/test_derivation.py
+++ b/tests/test_derivation.py
@@ -22,8 +22,8 @@
 from crossmill.state.watcher import StateWatcher
 from crossmill.wire.state import KeyValue
 
-from .harness import RECORD_BYTES
-from .standins import FakeClock, StateService, make_settings, make_spec
+from .fake_services import FakeClock, StateService, make_settings, make_spec
+from .stepped_controller import RECORD_BYTES
 
 STEPS = 400
 SEGMENT = 4
@@ -33,8 +33,8 @@
 class Writers:
     """Writes what controllers write, in the order that their conditions allow."""
 
-    def __init__(self, state: StateService, lots: random.Random) -> None:
-        self.state, self.lots = state, lots
+    def __init__(self, state: StateService, rng: random.Random) -> None:
+        self.state, self.rng = state, rng
         self.numbers = iter(range(10_000))
         self.needs: dict[str, list[str]] = {}
 
@@ -58,14 +58,14 @@
 
     def step(self) -> None:
         """One write drawn at random, if it may be made now."""
-        self.lots.choice(
+        self.rng.choice(
             [self.accept, self.plan, self.plan, self.end, self.clear, self.archive, self.machine]
         )()
 
     def accept(self) -> None:
         job, unfinished = f"wk-{next(self.numbers):06d}", self._unfinished()
-        needs = self.lots.sample(unfinished, min(len(unfinished), self.lots.choice([0, 0, 1, 2])))
-        spec = make_spec(nameId=job, sacks=TASKS, crew=self.lots.choice(["red", "blue", "green"]))
+        needs = self.rng.sample(unfinished, min(len(unfinished), self.rng.choice([0, 0, 1, 2])))
+        spec = make_spec(nameId=job, sacks=TASKS, crew=self.rng.choice(["red", "blue", "green"]))
         self.needs[job] = needs
         record = encode_job(spec, 1.0, tuple(needs))
         self.state.put(keys.job(job), orjson.loads(orjson.dumps(record)))
@@ -79,16 +79,14 @@
         machines = self._machines()
         if not ready or not machines:
             return
-        job, first = self.lots.choice(ready), self.lots.choice(range(0, TASKS, SEGMENT))
+        job, first = self.rng.choice(ready), self.rng.choice(range(0, TASKS, SEGMENT))
         name = keys.plan(job, f"{first}-{SEGMENT}")
         old = self.state.keys[name][0] if name in self.state.keys else {"next": 1, "done": "0"}
-        done = int(old["done"], 16) | self.lots.getrandbits(SEGMENT) & self.lots.getrandbits(
-            SEGMENT
-        )
+        done = int(old["done"], 16) | self.rng.getrandbits(SEGMENT) & self.rng.getrandbits(SEGMENT)
         rows = [
-            [first + i, old["next"] + i, self.lots.choice(machines), 1]
+            [first + i, old["next"] + i, self.rng.choice(machines), 1]
             for i in range(SEGMENT)
-            if not done >> i & 1 and self.lots.random() < 0.5
+            if not done >> i & 1 and self.rng.random() < 0.5
         ]
         self.state.put(name, {"next": old["next"] + SEGMENT, "done": f"{done:x}", "rows": rows})
 
@@ -96,7 +94,7 @@
         ready = [job for job in self._unfinished() if self._is_ready(job)]
         if not ready:
             return
-        job, end = self.lots.choice(ready), self.lots.choice([DONE, CANCELLED])
+        job, end = self.rng.choice(ready), self.rng.choice([DONE, CANCELLED])
         spec = make_spec(nameId=job, sacks=TASKS, crew=self._records()[job]["spec"]["team"])
         if end == DONE:
             for name in self._plans(job):
@@ -121,13 +119,13 @@
     def clear(self) -> None:
         for job in self._ended():
             for name in self._plans(job):
-                if self.lots.random() < 0.5:
+                if self.rng.random() < 0.5:
                     self.state.delete(name)
 
     def archive(self) -> None:
         for job in self._ended():
             is_depended_on = any(job in self.needs[other] for other in self._unfinished())
-            if not self._plans(job) and not is_depended_on and self.lots.random() < 0.5:
+            if not self._plans(job) and not is_depended_on and self.rng.random() < 0.5:
                 self.state.put(keys.archived(job), encode_archived(Job(job, end=DONE)))
                 self.state.delete(keys.job(job))
 
@@ -140,12 +138,12 @@
             for row in value["rows"]
         }
         idle = [machine for machine in machines if machine not in used]
-        if len(machines) > 4 and idle and self.lots.random() < 0.5:
-            self.state.delete(keys.machine(self.lots.choice(idle)))
+        if len(machines) > 4 and idle and self.rng.random() < 0.5:
+            self.state.delete(keys.machine(self.rng.choice(idle)))
             return
         record = {"type": "g4", "zone": "north", "spot": False, "at": 1.0, "retiring": ""}
-        shard = self.lots.randrange(3)
-        name = self.lots.choice([*machines, f"n-{next(self.numbers):06d}"])
+        shard = self.rng.randrange(3)
+        name = self.rng.choice([*machines, f"n-{next(self.numbers):06d}"])
         self.state.put(keys.machine(name), {**record, "shard": shard, "up": True})
 
 
@@ -187,8 +185,8 @@
 
 @pytest.mark.parametrize("seed_n", range(12))
 def test_increments_agree_with_a_derivation_from_scratch(seed_n: int) -> None:
-    async def story() -> None:
-        lots = random.Random(seed_n)
+    async def scenario() -> None:
+        rng = random.Random(seed_n)
         state, clock, settings = StateService(), FakeClock(), make_settings()
         state.page_items = 7
         state.put(keys.LEVEL, encode_level(Level(1, 512, SEGMENT)))
@@ -202,13 +200,13 @@
             return mirror, cluster, watcher
 
         mirror, cluster, watcher = await fresh()
-        writers = Writers(state, lots)
+        writers = Writers(state, rng)
         for _ in range(STEPS):
             before = state.revision
             writers.step()
-            kind = lots.random()
+            kind = rng.random()
             if kind < 0.3:
-                _see_some_ahead(state, mirror, lots, before)
+                _see_some_ahead(state, mirror, rng, before)
             elif kind < 0.34:
                 state.compact()
             if kind < 0.6:
@@ -217,14 +215,14 @@
             _, scratch, _ = await fresh()
             assert _derived(cluster) == _derived(scratch)
 
-    curio.run(story)
+    curio.run(scenario)
 
 
-def _see_some_ahead(state: StateService, mirror: Mirror, lots: random.Random, after: int) -> None:
+def _see_some_ahead(state: StateService, mirror: Mirror, rng: random.Random, after: int) -> None:
     """Own writes, and keys read by themselves, are known before the watch has brought the rest."""
     for name, (value, version, _) in list(state.keys.items()):
-        if version > after and name.startswith(keys.ROOT) and lots.random() < 0.5:
-            if lots.random() < 0.5:
+        if version > after and name.startswith(keys.ROOT) and rng.random() < 0.5:
+            if rng.random() < 0.5:
                 mirror.written(name, value, version)
             else:
                 mirror.merge_read(KeyValue(name, value, version))
--- a/tests/test_judge.py
+++ b/tests/test_invariant_checker.py
@@ -9,8 +9,8 @@
 from crossmill.net.server import Response
 from crossmill.wire.users import status_body
 
+from .simulated_region import Region, simulate
 from .simulated_worker import Task
-from .simulation import Region, simulate
 
 JOB, DEPENDENT = "wk-000001", "wk-000002"
 Breach = Callable[[Region], Awaitable[None]]
@@ -23,7 +23,7 @@
 def _running_here(region: Region, machine: str, job: str = JOB) -> None:
     worker = region.workers[machine]
     worker.tasks[job, 0] = Task(1, "running", region.clock.now())
-    region.judge.started(worker, (job, 0))
+    region.checker.started(worker, (job, 0))
 
 
 async def _ran_twice(region: Region) -> None:
@@ -34,8 +34,8 @@
 
 async def _ran_cancelled(region: Region) -> None:
     await region.until(lambda: bool(region.running(JOB)))
-    region.judge.jobs[JOB].cancelled = region.clock.now() - region.cancellation_deadline_s - 1
-    region.judge.look()
+    region.checker.jobs[JOB].cancelled = region.clock.now() - region.cancellation_deadline_s - 1
+    region.checker.look()
 
 
 async def _too_early(region: Region) -> None:
@@ -45,50 +45,50 @@
 
 async def _called_queued_after_its_need_was_cancelled(region: Region) -> None:
     await region.submit("node-0", DEPENDENT, run_s=5.0, sacks=1, awaits=[JOB])
-    region.judge.jobs[JOB].cancelled = region.clock.now() - region.cancellation_deadline_s - 1
-    region.judge.told(DEPENDENT, _answer("queued"), region.clock.now())
+    region.checker.jobs[JOB].cancelled = region.clock.now() - region.cancellation_deadline_s - 1
+    region.checker.told(DEPENDENT, _answer("queued"), region.clock.now())
 
 
 async def _in_no_plan(region: Region) -> None:
     await region.until(lambda: bool(region.running(JOB)))
     name = next(name for name in region.state.keys if name.startswith(keys.PLAN + JOB))
     region.state.put(name, {"next": 2, "done": "0", "rows": []})
-    region.judge.look()
+    region.checker.look()
 
 
 async def _quota(region: Region) -> None:
-    region.judge.jobs[JOB].spec["cards"] = 1000.0
+    region.checker.jobs[JOB].spec["cards"] = 1000.0
     await region.until(lambda: bool(region.running(JOB)))
-    region.judge.look()
+    region.checker.look()
 
 
 async def _wrong_place(region: Region) -> None:
     await region.until(lambda: bool(region.running(JOB)))
-    region.judge.jobs[JOB].spec["yard"] = "south"
-    region.judge.look()
+    region.checker.jobs[JOB].spec["yard"] = "south"
+    region.checker.look()
 
 
 async def _forgotten(region: Region) -> None:
     await curio.sleep(1.0)
-    region.judge.told(JOB, _answer("", 404), region.clock.now())
+    region.checker.told(JOB, _answer("", 404), region.clock.now())
 
 
 async def _refused_though_accepted(region: Region) -> None:
-    region.judge.told(JOB, _answer("", 422), region.clock.now())
+    region.checker.told(JOB, _answer("", 422), region.clock.now())
 
 
 async def _not_done(region: Region) -> None:
-    region.judge.told(JOB, _answer("done"), region.clock.now())
+    region.checker.told(JOB, _answer("done"), region.clock.now())
 
 
 async def _went_back(region: Region) -> None:
-    region.judge.jobs[JOB].cancelled = region.clock.now()
-    region.judge.jobs[JOB].cancel_asked = True
-    region.judge.told(JOB, _answer("running"), region.clock.now())
+    region.checker.jobs[JOB].cancelled = region.clock.now()
+    region.checker.jobs[JOB].cancel_asked = True
+    region.checker.told(JOB, _answer("running"), region.clock.now())
 
 
 async def _cancelled_by_nobody(region: Region) -> None:
-    region.judge.told(JOB, _answer("withdrawn"), region.clock.now())
+    region.checker.told(JOB, _answer("withdrawn"), region.clock.now())
 
 
 @pytest.mark.parametrize(
@@ -109,11 +109,11 @@
     ],
 )
 def test_a_planted_breach_is_condemned(breach: Breach, rule: str) -> None:
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await region.begin(machines=2)
         assert await region.submit("node-0", JOB, run_s=20.0, sacks=1) == 201
-        assert not region.judge.broken
+        assert not region.checker.violations
         await breach(region)
 
     with pytest.raises(AssertionError, match=rf"\d {rule} "):
-        simulate(story)
+        simulate(scenario)
--- a/tests/test_unseen_changes.py
+++ b/tests/test_missed_watch_events.py
@@ -19,19 +19,19 @@
 from crossmill.wire.checks import load_object
 from crossmill.workers.attempt_outcomes import StopReason
 
-from .harness import RECORD_BYTES, Node, add_job, play, seed
-from .standins import FakeClock, StateService, make_settings, make_spec, on
+from .fake_services import FakeClock, StateService, make_settings, make_spec, on
+from .stepped_controller import RECORD_BYTES, SteppedController, add_job, run_scenario, seed
 
-Nodes = dict[str, Node]
+Nodes = dict[str, SteppedController]
 JOB = "wk-000001"
 
 
 async def _node_with_a_row(
     state: StateService, clock: FakeClock, nodes: Nodes, tasks: int = 1
-) -> Node:
+) -> SteppedController:
     """A controller whose only job is planned on its only machine, and not started yet."""
     seed(state, clock, machines=1)
-    node = Node(state, clock, nodes)
+    node = SteppedController(state, clock, nodes)
     await node.boot()
     node.report("n-0", 1, 1, 0)
     node.report("n-0", 1, 2, node.token())
@@ -42,14 +42,14 @@
     return node
 
 
-async def _lose_shard(state: StateService, node: Node) -> None:
+async def _lose_shard(state: StateService, node: SteppedController) -> None:
     """Another controller takes shard 0 under a higher token."""
     token = state.keys[keys.TOKEN][0]["n"] + 1
     state.put(keys.TOKEN, {"n": token})
     state.put(keys.shard(0), {"owner": "node-1", "token": token}, 1)
 
 
-async def _regain_shard(state: StateService, clock: FakeClock, node: Node) -> None:
+async def _regain_shard(state: StateService, clock: FakeClock, node: SteppedController) -> None:
     """The other controller hands the shard back."""
     state.delete(keys.shard(0))
     for _ in range(12):
@@ -81,7 +81,7 @@
 def test_a_job_archived_unseen_is_never_started_again(is_compacted: bool) -> None:
     # guards against ran_cancelled and orphaned: after a reading anew the plan's rows stayed on
     # their machines without the job, and were started under the shard's next token
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _node_with_a_row(state, clock, nodes)
         await _lose_shard(state, node)
         _end_elsewhere(state, clock)
@@ -99,13 +99,13 @@
         assert node.cluster.machines["n-0"].gpus == 0
         assert JOB not in node.cluster.jobs
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_finding_ends_with_the_ownership_it_was_made_under() -> None:
     # guards against orphaned and ran_twice: `not started` waited to be written while the next
     # owner started the task; with the shard back, the old finding removed the running task's row
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _node_with_a_row(state, clock, nodes)
         node.heartbeats.stop_requests[AttemptId(JOB, 0, 1)] = StopReason.DRAINED
         node.report("n-0", 1, 3, node.token())
@@ -121,7 +121,7 @@
         answer = node.report("n-0", 1, 5, node.token(), on(JOB, 0, 1, "running"))
         assert [c.op for c in answer.commands] == []
 
-    play(story)
+    run_scenario(scenario)
 
 
 class _PageTurner:
@@ -152,7 +152,7 @@
 def test_a_reading_is_a_state_that_existed(is_first: bool) -> None:
     # guards against torn readings: pages of different moments, published as one state, show a
     # plan without its machine, and a job without what was written with it
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         state.page_items = 2
         for name in ("b", "c", "d", "e"):
             state.put(keys.ROOT + name, 0)
@@ -177,14 +177,14 @@
         assert {name: mirror.value(name) for name in at_revision} == at_revision
         assert mirror.version(keys.ROOT + "d") == 0
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_two_loops_that_meet_a_compaction_read_the_state_once() -> None:
     # guards against a load that starves everything else: the watch and a sync each read it all
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
-        node = Node(_PageTurner(state), clock, nodes)
+        node = SteppedController(_PageTurner(state), clock, nodes)
         await node.boot()
         state.put(keys.ROOT + "x", 1)
         state.put(keys.ROOT + "y", 1)
@@ -196,14 +196,14 @@
         assert node.mirror.value(keys.ROOT + "y") == 1
         assert node.mirror.readings == readings + 1
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_sync_that_meets_a_reading_begun_before_it_waits_for_more() -> None:
     # guards against went_back: the reading shows less than was durable when the sync was asked
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
-        node = Node(_PageTurner(state), clock, nodes)
+        node = SteppedController(_PageTurner(state), clock, nodes)
         await node.boot()
         state.put(keys.ROOT + "x", 1)
         state.compact()
@@ -218,13 +218,13 @@
             state.put(keys.ROOT + "y", turns)
             state.compact()
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_direct_starts_end_when_what_is_durable_is_no_longer_known() -> None:
     # guards against ran_cancelled: the lease was renewed while no read came through, and a start
     # was sent long after another controller had confirmed the cancellation
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _node_with_a_row(state, clock, nodes)
         row = node.cluster.machines["n-0"].attempts[JOB, 0]
         await _let_others_run()
@@ -241,15 +241,15 @@
         await _let_others_run()
         assert not node.worker.sent
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_round_writes_on_the_versions_it_decided_on() -> None:
     # guards against a decision made on one state and written on the conditions of another: what
     # is sent in the middle of a round lets others' changes in
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         node.report("n-0", 1, 1, 0)
         node.report("n-0", 1, 2, node.token())
@@ -275,12 +275,12 @@
         await node.round()
         assert keys.plan(JOB, "0") not in state.keys
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_cancellation_does_not_undo_an_end_that_came_while_peers_were_told() -> None:
     # guards against went_back: the write rested on the version that the job's end had made
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _node_with_a_row(state, clock, nodes)
 
         async def tell_slowly(job_id: str, zones: object) -> dict[str, int]:
@@ -295,13 +295,13 @@
         assert response.status == 200
         assert load_object(response.body)["stage"] == "done"
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_job_of_many_chunks_in_one_zone_can_be_cancelled() -> None:
     # guards against a cancellation that rests on more versions than a transaction takes, and so
     # is never confirmed
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
         state.put(keys.LEVEL, encode_level(Level(1, 512, 16)))
         tasks = 16 * 200
@@ -311,22 +311,22 @@
             done = 0xFFFE if first == 0 else 0xFFFF
             value = {"next": 2, "done": f"{done:x}", "rows": rows}
             state.put(keys.plan(JOB, f"{first}-16"), value)
-        nodes_all = [Node(state, clock, nodes, f"node-{n}") for n in range(3)]
+        nodes_all = [SteppedController(state, clock, nodes, f"node-{n}") for n in range(3)]
         for node in nodes_all:
             await node.boot()
         response = await nodes_all[1].ask("POST", f"/v1/jobs/{JOB}/withdraw")
         assert response.status == 200
         assert state.keys[keys.job(JOB)][0]["end"] == CANCELLED
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_controller_confirms_only_notes_up_to_what_it_has_read() -> None:
     # guards against ran_cancelled: its own newer note, seen ahead of the watch, was announced as if
     # all older ones had been read, and a cancellation was confirmed on that
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         add_job(state, clock, nameId=JOB)
         await node.sync()
@@ -342,15 +342,15 @@
         await node.membership.step()
         assert state.keys[keys.controller("node-0")][0]["seen"] > unread
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_deputy_knows_what_was_durable_after_it_had_announced_itself() -> None:
     # guards against ran_cancelled: a cancellation told to the process before, durable between the
     # sending of a read and the announcement, was taken for known
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         clock.time += 100
         await node.controller_lease.step()
         await curio.spawn(node.writer.run, daemon=True)
@@ -367,12 +367,12 @@
         await node.partition_protocol.step()
         assert node.partition_protocol.keepalive._synced_at is not None
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_release_is_written_only_where_the_machine_has_no_record() -> None:
     # guards against orphaned: absence that proves something is a condition of the write
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _node_with_a_row(state, clock, nodes)
         node.mirror.deleted(keys.machine("n-0"), state.revision)
         assert [row.machine for row in node.cluster.machines.orphaned_attempts()] == ["n-0"]
@@ -383,18 +383,18 @@
         await node.round()
         assert not state.keys[keys.plan(JOB, "0")][0]["rows"]
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_an_ended_job_with_tasks_on_machines_is_not_archived_after_a_restart() -> None:
     # guards against ran_cancelled and orphaned: read anew, the record came before the plan, and
     # the job counted as cleared away; once archived, nobody ended its tasks any more
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
         record = encode_end(CANCELLED, make_spec(nameId=JOB, sacks=1), clock.wall(), RECORD_BYTES)
         state.put(keys.job(JOB), record)
         state.put(keys.plan(JOB, "0"), {"next": 2, "done": "0", "rows": [[0, 1, "n-0", 1]]})
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         for number in range(node.settings.max_ended_jobs + 5):
             spec = make_spec(nameId=f"wk-{1000 + number:06d}")
             state.put(keys.job(spec.id), encode_end(DONE, spec, clock.wall(), RECORD_BYTES))
@@ -409,20 +409,20 @@
         answer = node.report("n-0", 1, 2, node.token(), on(JOB, 0, 1, "running"))
         assert [c.op for c in answer.commands] == ["stop"]
 
-    play(story)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("is_archived", [True, False])
 def test_a_plan_left_without_its_job_by_an_earlier_version(is_archived: bool) -> None:
     # guards against orphaned: its tasks are ended on the archive's word and its plan goes; without
     # that word nothing is started, ended or freed
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
         plan = keys.plan(JOB, "0")
         state.put(plan, {"next": 2, "done": "0", "rows": [[0, 1, "n-0", 1], [1, 2, "n-0", 1]]})
         if is_archived:
             state.put(keys.archived(JOB), {"end": CANCELLED, "done": 0})
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         running = on(JOB, 0, 1, "running")
         node.report("n-0", 1, 1, 0, running)
@@ -442,4 +442,4 @@
         assert (JOB not in node.cluster.jobs) is is_archived
         assert len(node.cluster.machines["n-0"].attempts) == (0 if is_archived else 2)
 
-    play(story)
+    run_scenario(scenario)
--- a/tests/test_multihost_failures.py
+++ b/tests/test_multihost_failures.py
@@ -24,18 +24,16 @@
 Trouble = Callable[[MultihostRegion, list[Agent]], Awaitable[None]]
 
 
-def _play(
-    trouble: Trouble, machines: int = 10, members: int = 4, within_s: float = BOUND_S
-) -> None:
+def _play(fault: Trouble, machines: int = 10, members: int = 4, within_s: float = BOUND_S) -> None:
     """A replica serves, meets a trouble, and serves again within the time."""
 
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(machines)
         await region.declare("chat", members=members, image_gb=LOAD_S)
         await region.until_serving("chat/0")
         await curio.sleep(3.0)
         before = region.generation("chat/0")
-        await trouble(region, region.agents_of("chat/0"))
+        await fault(region, region.agents_of("chat/0"))
         begun = region.clock.now()
         await region.until(
             lambda: region.generation("chat/0") > before and len(region.serving("chat/0")) == 1,
@@ -43,46 +41,46 @@
         )
         assert region.clock.now() - begun <= within_s
         await curio.sleep(SETTINGS.agent_lease_s * 2)
-        region.judge.judge_end()
+        region.checker.check_end()
 
-    simulate_multihost(story)
+    simulate_multihost(scenario)
 
 
 def test_a_member_that_dies_takes_the_replica_down_and_it_comes_back_whole() -> None:
-    async def trouble(region: MultihostRegion, agents: list[Agent]) -> None:
+    async def fault(region: MultihostRegion, agents: list[Agent]) -> None:
         agents[2].dead = True
         begun = region.clock.now()
         await region.until(lambda: not region.serving("chat/0"), SETTINGS.serving_lease_s + 0.1)
         assert region.clock.now() - begun <= SETTINGS.serving_lease_s + 0.1
 
-    _play(trouble)
+    _play(fault)
 
 
 def test_the_front_members_machine_dies() -> None:
-    async def trouble(region: MultihostRegion, agents: list[Agent]) -> None:
+    async def fault(region: MultihostRegion, agents: list[Agent]) -> None:
         agents[0].dead = True
 
-    _play(trouble)
+    _play(fault)
 
 
 def test_all_members_die_at_once() -> None:
-    async def trouble(region: MultihostRegion, agents: list[Agent]) -> None:
+    async def fault(region: MultihostRegion, agents: list[Agent]) -> None:
         for agent in agents:
             agent.dead = True
 
-    _play(trouble)
+    _play(fault)
 
 
 def test_an_agent_that_restarts_has_lost_its_member() -> None:
-    async def trouble(region: MultihostRegion, agents: list[Agent]) -> None:
+    async def fault(region: MultihostRegion, agents: list[Agent]) -> None:
         agents[1].restart()
 
-    _play(trouble, machines=4)
+    _play(fault, machines=4)
 
 
 @pytest.mark.parametrize("after_s", [0.05, 1.0, 3.5, 4.2, 6.0, 9.0])
 def test_more_members_die_during_the_repair(after_s: float) -> None:
-    async def trouble(region: MultihostRegion, agents: list[Agent]) -> None:
+    async def fault(region: MultihostRegion, agents: list[Agent]) -> None:
         agents[1].dead = True
         await curio.sleep(after_s)
         # one of those that stayed, and one that was chosen for the repair if there is one yet
@@ -92,14 +90,14 @@
         region.agents_of("chat/0")[1].dead = True
 
     # two back-offs may be due before the last repair
-    _play(trouble, machines=14, within_s=2 * BOUND_S)
+    _play(fault, machines=14, within_s=2 * BOUND_S)
 
 
 @pytest.mark.parametrize("after_s", [0.0, 0.05, 0.3, 1.0, 1.6, 3.0, 5.0, 5.5, 6.0])
 def test_a_machine_dies_while_the_replica_starts(after_s: float) -> None:
     """At every step: before and after the reservation, the orders, the weights, the rendezvous."""
 
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(8)
         await region.declare("chat", image_gb=LOAD_S)
         await region.until(lambda: region.phase("chat/0") == "starting")
@@ -108,15 +106,15 @@
         await curio.sleep(SETTINGS.serving_lease_s + 0.5)
         await region.until_serving("chat/0", BOUND_S)
         await curio.sleep(SETTINGS.agent_lease_s * 2)
-        region.judge.judge_end()
+        region.checker.check_end()
 
-    simulate_multihost(story)
+    simulate_multihost(scenario)
 
 
 @pytest.mark.parametrize("hang_s", [2.0, 4.0, 7.0, 9.0, 15.0])
 @pytest.mark.parametrize("rank", [0, 2])
 def test_a_member_hangs_and_goes_on_with_its_old_generation(hang_s: float, rank: int) -> None:
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(6)
         await region.declare("chat", image_gb=LOAD_S)
         await region.until_serving("chat/0")
@@ -127,15 +125,15 @@
         await curio.sleep(1.0)
         await region.until_serving("chat/0", BOUND_S + 1.0)
         await curio.sleep(SETTINGS.agent_lease_s * 2)
-        region.judge.judge_end()
+        region.checker.check_end()
         assert len(region.serving("chat/0")) == 1
 
-    simulate_multihost(story)
+    simulate_multihost(scenario)
 
 
 @pytest.mark.parametrize("one_way", ["out", "in", "both"])
 def test_the_front_member_is_cut_off_from_its_peers_but_not_from_controllers(one_way: str) -> None:
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(10)
         await region.declare("chat", image_gb=LOAD_S)
         await region.until_serving("chat/0")
@@ -150,19 +148,19 @@
         await region.until_serving("chat/0", SETTINGS.serving_lease_s + BOUND_S)
         assert region.agents_of("chat/0")[0] is not front
 
-    simulate_multihost(story)
+    simulate_multihost(scenario)
 
 
 @pytest.mark.parametrize("mute", [True, False])
 def test_the_front_member_is_cut_off_from_controllers_but_not_from_its_peers(mute: bool) -> None:
-    async def trouble(region: MultihostRegion, agents: list[Agent]) -> None:
+    async def fault(region: MultihostRegion, agents: list[Agent]) -> None:
         agents[0].mute, agents[0].deaf = mute, not mute
 
-    _play(trouble)
+    _play(fault)
 
 
 def test_a_start_and_a_confirmation_come_minutes_late() -> None:
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(8)
         await region.declare("chat", image_gb=LOAD_S)
         await region.until_serving("chat/0")
@@ -181,13 +179,13 @@
         assert region.generation("chat/0") == generation
         assert len(region.serving("chat/0")) == 1
 
-    simulate_multihost(story)
+    simulate_multihost(scenario)
 
 
 @pytest.mark.parametrize("phase", ["starting", "ready", "repairing"])
 @pytest.mark.parametrize("with_member", [False, True])
 def test_the_owner_ends_between_transaction_and_order(phase: str, with_member: bool) -> None:
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(10)
         await region.declare("chat", image_gb=LOAD_S)
         if phase == "repairing":
@@ -202,14 +200,14 @@
         await curio.sleep(SETTINGS.serving_lease_s + 0.5)
         await region.until_serving("chat/0", 2 * BOUND_S + takeover_s)
         await curio.sleep(SETTINGS.agent_lease_s * 2)
-        region.judge.judge_end()
+        region.checker.check_end()
 
-    simulate_multihost(story)
+    simulate_multihost(scenario)
 
 
 def test_the_pool_is_lost_while_several_replicas_are_being_placed() -> None:
     # guards against a pass over the queue that goes on after the ownership has ended
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(8)
         owner = region.owner()
         other = next(label for label in region.services if label != owner)
@@ -226,11 +224,11 @@
         for number in range(3):
             await region.until_serving(f"pair-{number}/0")
 
-    simulate_multihost(story)
+    simulate_multihost(scenario)
 
 
 def test_a_takeover_of_a_healthy_replica_changes_nothing() -> None:
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(6)
         await region.declare("chat", image_gb=LOAD_S)
         await region.until_serving("chat/0")
@@ -241,11 +239,11 @@
         starts = [o for a in region.agents.values() for _, o in a.orders if o.op is Op.START]
         assert len(starts) == 4
 
-    simulate_multihost(story)
+    simulate_multihost(scenario)
 
 
 def test_the_state_service_is_out_during_a_repair() -> None:
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(8)
         await region.declare("chat", image_gb=LOAD_S)
         await region.until_serving("chat/0")
@@ -257,13 +255,13 @@
         region.state.down = False
         await region.until_serving("chat/0", 2 * BOUND_S + SETTINGS.agent_lease_s)
         await curio.sleep(SETTINGS.agent_lease_s * 2)
-        region.judge.judge_end()
+        region.checker.check_end()
 
-    simulate_multihost(story)
+    simulate_multihost(scenario)
 
 
 def test_a_healthy_replica_serves_on_through_a_short_outage_of_the_state_service() -> None:
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(6)
         await region.declare("chat", image_gb=LOAD_S)
         await region.until_serving("chat/0")
@@ -276,11 +274,11 @@
         await curio.sleep(20.0)
         assert region.generation("chat/0") == 1
 
-    simulate_multihost(story)
+    simulate_multihost(scenario)
 
 
 def test_without_a_spare_machine_it_waits_whole_and_others_run() -> None:
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(5)
         await region.declare("chat", image_gb=LOAD_S, hold_s=10.0)
         await region.until_serving("chat/0")
@@ -298,7 +296,7 @@
             await region.add_agent(f"new-{number}", "north")
         await region.until_serving("chat/0", BOUND_S)
 
-    simulate_multihost(story)
+    simulate_multihost(scenario)
 
 
 @pytest.mark.parametrize(
@@ -310,7 +308,7 @@
     ],
 )
 def test_contradictory_confirmations_are_refused_and_counted(lie: MemberReport, why: str) -> None:
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(5)
         await region.declare("chat", image_gb=LOAD_S)
         await region.until(lambda: region.phase("chat/0") == "starting")
@@ -323,11 +321,11 @@
         agent.lies = []
         await region.until_serving("chat/0")
 
-    simulate_multihost(story)
+    simulate_multihost(scenario)
 
 
 def test_the_same_rank_twice_confirms_nothing() -> None:
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(5)
         await region.declare("chat", image_gb=LOAD_S)
         await region.until(lambda: region.phase("chat/0") == "starting")
@@ -339,11 +337,11 @@
         assert region.phase("chat/0") == "starting"
         assert region.services[region.owner()].heartbeats.rejected >= 2
 
-    simulate_multihost(story)
+    simulate_multihost(scenario)
 
 
 def test_a_drained_machines_replica_is_replaced_before_it_stops() -> None:
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(10)
         await region.declare("chat", min_ready=1, image_gb=LOAD_S)
         await region.until_serving("chat/0")
@@ -354,13 +352,13 @@
         # until the new one serves the old one goes on
         await region.until(lambda: region.phase("chat/0") == "", 20.0)
         assert not region.agents[machine].members
-        region.judge.judge_end()
+        region.checker.check_end()
 
-    simulate_multihost(story)
+    simulate_multihost(scenario)
 
 
 def test_a_drain_without_room_for_a_second_replica_keeps_to_the_minimum() -> None:
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(5)
         await region.declare("chat", min_ready=1, image_gb=LOAD_S)
         await region.until_serving("chat/0")
@@ -374,11 +372,11 @@
         await region.until(lambda: region.phase("chat/0") == "", BOUND_S + 10.0)
         assert len(region.serving("chat/1")) == 1
 
-    simulate_multihost(story)
+    simulate_multihost(scenario)
 
 
 def test_a_drain_without_room_and_without_a_minimum_stops_first() -> None:
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(5)
         await region.declare("chat", min_ready=0, image_gb=LOAD_S)
         await region.until_serving("chat/0")
@@ -387,11 +385,11 @@
         await region.until_serving("chat/1", SETTINGS.preempt_after_s + 2 * BOUND_S)
         assert not region.agents[machine].members
 
-    simulate_multihost(story)
+    simulate_multihost(scenario)
 
 
 def test_a_released_machine_leaves_the_pool_only_when_it_is_empty() -> None:
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(10)
         await region.declare("chat", min_ready=1, image_gb=LOAD_S)
         await region.until_serving("chat/0")
@@ -408,11 +406,11 @@
         region.state.delete(record)
         await region.until(lambda: region.pool_size() == 9)
 
-    simulate_multihost(story)
+    simulate_multihost(scenario)
 
 
 def test_a_spot_notice_moves_the_whole_replica() -> None:
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(10)
         await region.declare("chat", min_ready=1, image_gb=LOAD_S)
         await region.until_serving("chat/0")
@@ -421,11 +419,11 @@
         await region.until_serving("chat/1", BOUND_S)
         await region.until(lambda: not agent.members, 20.0)
 
-    simulate_multihost(story)
+    simulate_multihost(scenario)
 
 
 def test_a_higher_priority_takes_whole_replicas_and_no_more_than_it_needs() -> None:
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(8)
         await region.declare("batch", members=2, replicas=4, image_gb=1.0)
         for number in range(4):
@@ -435,11 +433,11 @@
         left = [n for n in range(4) if region.serving(f"batch/{n}")]
         assert len(left) == 2
 
-    simulate_multihost(story)
+    simulate_multihost(scenario)
 
 
 def test_a_preemption_keeps_to_the_lesser_sets_minimum() -> None:
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(8)
         await region.declare("batch", members=2, replicas=4, min_ready=3, image_gb=1.0)
         for number in range(4):
@@ -449,11 +447,11 @@
         assert region.phase("chat/0") == "pending"
         assert sum(len(region.serving(f"batch/{n}")) for n in range(9)) >= 3
 
-    simulate_multihost(story)
+    simulate_multihost(scenario)
 
 
 def test_a_replica_that_keeps_failing_uses_up_its_budget_and_can_be_restarted_by_hand() -> None:
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(4)
         await region.declare("chat", image_gb=1.0, restart_budget=2, restart_window_s=500.0)
         for _ in range(3):
@@ -471,11 +469,11 @@
         assert (status, answer["owner"]) == (421, owner)
         await region.until_serving("chat/0")
 
-    simulate_multihost(story)
+    simulate_multihost(scenario)
 
 
 def test_a_machine_that_fails_again_and_again_is_avoided_for_a_while() -> None:
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(6)
         await region.declare("chat", image_gb=1.0, restart_budget=20)
         await region.until_serving("chat/0")
@@ -488,11 +486,11 @@
             await region.until_serving("chat/0")
         assert bad not in region.agents_of("chat/0")
 
-    simulate_multihost(story)
+    simulate_multihost(scenario)
 
 
 def test_a_gang_larger_than_one_transaction_is_reserved_in_steps() -> None:
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(50)
         await region.declare("large", members=40, image_gb=LOAD_S)
         await region.until_serving("large/0")
@@ -502,11 +500,11 @@
         await region.until(lambda: region.generation("large/0") == 2)
         await region.until_serving("large/0", BOUND_S + 5.0)
 
-    simulate_multihost(story)
+    simulate_multihost(scenario)
 
 
 def test_the_owner_ends_in_the_middle_of_a_reservation_in_steps() -> None:
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(50)
         region.answer_s[region.owner()] = 0.3
         await region.declare("large", members=40, image_gb=LOAD_S, hold_s=60.0)
@@ -515,13 +513,13 @@
         assert len(region.agents_of("large/0")) < 40
         await region.kill(region.owner())
         await region.until_serving("large/0", 60.0)
-        region.judge.judge_end()
+        region.checker.check_end()
 
-    simulate_multihost(story)
+    simulate_multihost(scenario)
 
 
 def test_no_second_reservation_in_steps_is_begun_while_one_is_open() -> None:
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(60)
         region.answer_s[region.owner()] = 0.3
         await region.declare("first", members=40, image_gb=LOAD_S, hold_s=25.0)
@@ -539,11 +537,11 @@
         assert region.phase("first/0") == "pending"
         await region.until_serving("second/0", 90.0)
 
-    simulate_multihost(story)
+    simulate_multihost(scenario)
 
 
 def test_a_reservation_that_can_not_be_finished_is_undone() -> None:
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(42)
         region.answer_s[region.owner()] = 0.3
         await region.declare("large", members=40, image_gb=LOAD_S, hold_s=8.0)
@@ -556,11 +554,11 @@
         await curio.sleep(5.0)
         assert not region.agents_of("large/0")
 
-    simulate_multihost(story)
+    simulate_multihost(scenario)
 
 
 def test_a_removed_set_leaves_nothing_behind() -> None:
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(8)
         await region.declare("chat", replicas=2, min_ready=2, image_gb=LOAD_S)
         await region.until_serving("chat/0")
@@ -570,4 +568,4 @@
         await curio.sleep(5.0)
         assert not [k for k in region.state.keys if "chat" in k]
 
-    simulate_multihost(story)
+    simulate_multihost(scenario)
--- a/tests/test_multihost_loopback.py
+++ b/tests/test_multihost_loopback.py
@@ -12,11 +12,11 @@
 from crossmill.settings import Endpoint
 from crossmill.wire.multihost import HEARTBEAT_PATH, PING_PATH
 
-from .harness import Node
+from .fake_services import FakeClock
 from .loopback import free_ports
 from .multihost_agents import Agent
 from .multihost_region import SETTINGS, MultihostRegion
-from .standins import FakeClock
+from .stepped_controller import SteppedController
 
 FAST = replace(SETTINGS, heartbeat_s=0.3)
 LOAD_S = 0.5
@@ -43,7 +43,7 @@
         self._ports = iter(free_ports(40))
         self._clients: dict[Endpoint, Client] = {}
 
-    def more_parts(self, node: Node) -> list[Callable[[], Awaitable[None]]]:
+    def more_parts(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
         listen = Endpoint("127.0.0.1", next(self._ports))
         self.multihost = replace(FAST, listen=listen)
         parts = super().more_parts(node)
@@ -88,7 +88,7 @@
 def test_over_sockets_it_never_answers_incomplete_and_is_back_in_time() -> None:
     bound_s = FAST.repair_bound_s(LOAD_S, 0.5)
 
-    async def story() -> None:
+    async def scenario() -> None:
         region = LoopbackRegion()
         await curio.spawn(region.watch, daemon=True)
         await region.begin_pool(8)
@@ -105,6 +105,6 @@
         await curio.sleep(FAST.serving_lease_s + 0.5)
         await region.until_serving("chat/0", 2 * SLACK_S)
         assert region.generation("chat/0") == 3
-        assert not region.judge.broken, region.judge.broken
+        assert not region.checker.violations, region.checker.violations
 
-    curio.run(story)
+    curio.run(scenario)
--- a/tests/test_multihost_random.py
+++ b/tests/test_multihost_random.py
@@ -1,4 +1,4 @@
-"""Troubles drawn by lot, and the judge itself on planted breaches."""
+"""MultihostFaults drawn by lot, and the judge itself on planted breaches."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -12,8 +12,8 @@
 from crossmill.multihost.settings import MultihostSettings
 from crossmill.wire.multihost import AgentHeartbeat, Op, Order
 
+from .multihost_fault_injection import MultihostFaults
 from .multihost_region import SETTINGS, MultihostRegion, simulate_multihost
-from .multihost_troubles import Troubles
 
 SPAN_S = 120.0
 # longest back-off, then detection, fence, load and grant; a lesser set may wait for room
@@ -23,17 +23,17 @@
 def play_by_lot(seed: int) -> MultihostRegion:
     """A story of troubles; at its end all that was declared serves again, and nothing is left."""
 
-    async def story(region: MultihostRegion) -> None:
-        troubles = Troubles(region, seed)
-        await troubles.begin()
-        await troubles.run(SPAN_S)
-        await troubles.mend()
+    async def scenario(region: MultihostRegion) -> None:
+        faults = MultihostFaults(region, seed)
+        await faults.begin()
+        await faults.run(SPAN_S)
+        await faults.mend()
         await region.until(lambda: all_serve(region), RECOVERY_S)
         await curio.sleep(2 * SETTINGS.agent_lease_s)
-        region.judge.judge_end()
+        region.checker.check_end()
 
     print(f"seed {seed}")
-    return simulate_multihost(story)
+    return simulate_multihost(scenario)
 
 
 def all_serve(region: MultihostRegion) -> bool:
@@ -51,7 +51,7 @@
 
 def has_room(region: MultihostRegion, spec: ReplicaSetSpec) -> bool:
     """Whether a zone's machines, as the records have them, would take another replica."""
-    used = region.judge.planned_use()
+    used = region.checker.planned_use()
     free: Counter[str] = Counter()
     for agent in region.agents.values():
         amounts = used.get(agent.machine, [0.0, 0.0, 0.0])
@@ -64,13 +64,13 @@
 @pytest.mark.parametrize("seed", range(8))
 def test_troubles_drawn_by_lot(seed: int) -> None:
     region = play_by_lot(seed)
-    assert region.judge.latest_answer_s <= SETTINGS.serving_lease_s * 1.01
+    assert region.checker.latest_answer_s <= SETTINGS.serving_lease_s * 1.01
 
 
 def _dies_after(death_s: float, lease_from_receipt: bool) -> list[str]:
     """A member dies so long after its heartbeat; answers to the front member are slow."""
 
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(4)
         await region.declare("chat", members=3, image_gb=0.0)
         await region.until_serving("chat/0")
@@ -85,7 +85,7 @@
         victim.dead = True
         await curio.sleep(SETTINGS.serving_lease_s + 3.0)
 
-    return simulate_multihost(story, judged=False).judge.broken
+    return simulate_multihost(scenario, judged=False).checker.violations
 
 
 DEATHS_S = (0.0, 0.2, 0.4, 0.6, 0.8)
@@ -106,7 +106,7 @@
 def _zone_cut(delay_s: float) -> MultihostRegion:
     """All members of a replica are cut off from controllers, not from one another."""
 
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(8, ("north", "south"))
         await region.declare("chat", members=3, image_gb=0.0)
         await region.until_serving("chat/0")
@@ -117,7 +117,7 @@
             agent.mute = agent.zone == zone
         await curio.sleep(25.0)
 
-    return simulate_multihost(story, judged=False)
+    return simulate_multihost(scenario, judged=False)
 
 
 @pytest.fixture
@@ -129,7 +129,7 @@
 @pytest.mark.usefixtures("_long_lease")
 def test_a_replica_cut_off_whole_stops_before_its_successor_serves() -> None:
     region = _zone_cut(0.0)
-    assert not region.judge.broken
+    assert not region.checker.violations
     assert region.generation("chat/0") == 2
     assert len(region.serving("chat/0")) == 1
 
@@ -137,7 +137,7 @@
 @pytest.mark.usefixtures("_long_lease")
 def test_a_fence_that_is_not_waited_for_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(serving.ServingLeases, "fenced_at", lambda *_: 0.0)
-    assert any("two_serving" in entry for entry in _zone_cut(0.0).judge.broken)
+    assert any("two_serving" in entry for entry in _zone_cut(0.0).checker.violations)
 
 
 def test_a_controller_that_counts_from_receipt_is_caught(
@@ -153,7 +153,7 @@
             view.alive_at = view.last_heartbeat_at = now
         return result
 
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(4)
         await region.declare("chat", members=3, image_gb=0.0)
         await region.until_serving("chat/0")
@@ -170,9 +170,11 @@
         await curio.sleep(5.0)
 
     monkeypatch.setattr(agents.Agents, "note", mutated)
-    assert any("incomplete" in b for b in simulate_multihost(story, judged=False).judge.broken)
+    assert any(
+        "incomplete" in b for b in simulate_multihost(scenario, judged=False).checker.violations
+    )
     monkeypatch.setattr(agents.Agents, "note", real)
-    assert not simulate_multihost(story, judged=False).judge.broken
+    assert not simulate_multihost(scenario, judged=False).checker.violations
 
 
 def _deliver_past_death(region: MultihostRegion, beat: AgentHeartbeat) -> None:
@@ -214,7 +216,7 @@
 
 def _orders_early(region: MultihostRegion) -> None:
     agent = region.agents_of("chat/0")[1]
-    region.judge.ordered(agent, Order(Op.START, "chat/0", 1, 2))
+    region.checker.ordered(agent, Order(Op.START, "chat/0", 1, 2))
 
 
 @pytest.mark.parametrize(
@@ -229,15 +231,15 @@
     ],
 )
 def test_the_judge_condemns_a_planted_breach(breach: Breach, named: str) -> None:
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(6)
         await region.declare("chat", members=3, min_ready=1, image_gb=0.0)
         await region.until_serving("chat/0")
         await curio.sleep(1.0)
-        assert not region.judge.broken
+        assert not region.checker.violations
         breach(region)
-        region.judge.look()
+        region.checker.look()
         await curio.sleep(0.1 if named != "incomplete" else 8.0)
-        region.judge.judge_end()
+        region.checker.check_end()
 
-    assert any(named in b for b in simulate_multihost(story, judged=False).judge.broken)
+    assert any(named in b for b in simulate_multihost(scenario, judged=False).checker.violations)
--- a/tests/test_multihost_service.py
+++ b/tests/test_multihost_service.py
@@ -21,13 +21,13 @@
 from crossmill.settings import Endpoint
 from crossmill.wire.multihost import MemberReport, MemberState
 
-from .harness import Node, add_job, play, seed
+from .fake_services import FakeClock, StateService
 from .multihost_pool import add_ready_pairs, all_beat, booted_pool, heartbeat_of
 from .multihost_region import SETTINGS, MultihostRegion, simulate_multihost
-from .standins import FakeClock, StateService
+from .stepped_controller import SteppedController, add_job, run_scenario, seed
 
 ROOT = Path(__file__).resolve().parent.parent
-Nodes = dict[str, Node]
+Nodes = dict[str, SteppedController]
 DECLARED = {
     "members": 2,
     "replicas": 1,
@@ -40,7 +40,7 @@
 
 
 def test_operators_get_answers_that_say_what_is_wrong() -> None:
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(4)
 
         async def put(name: str, body: Any) -> tuple[int, Any]:
@@ -74,22 +74,22 @@
         for method, path in (("GET", "replicas"), ("PUT", "replica-sets/more")):
             assert (await region.operate(method, path, DECLARED))[0] == 503
 
-    simulate_multihost(story)
+    simulate_multihost(scenario)
 
 
 def test_a_declaration_through_any_controller_is_seen_by_the_owner() -> None:
-    async def story(region: MultihostRegion) -> None:
+    async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(4)
         other = next(label for label in region.services if label != region.owner())
         status, _ = await region.operate("PUT", "replica-sets/chat", DECLARED, label=other)
         assert status == 201
         await region.until_serving("chat/0")
 
-    simulate_multihost(story)
+    simulate_multihost(scenario)
 
 
 def test_client_verbs_over_a_real_socket() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node, service = await booted_pool(state, clock, nodes, machines=4)
         async with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as free:
             free.bind(("127.0.0.1", 0))
@@ -122,7 +122,7 @@
         assert (await verb("show", "chat/7")).returncode == 1
         assert (await verb("show", "chat")).returncode == 2
 
-    play(story)
+    run_scenario(scenario)
 
 
 # -- at size -------------------------------------------------------------------------
@@ -141,7 +141,7 @@
 
     monkeypatch.setattr(scheduling.Scheduler, "_candidate", counted)
 
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         add_ready_pairs(state, clock, machines // 2)
         node, service = await booted_pool(state, clock, nodes, machines)
 
@@ -170,7 +170,7 @@
         assert service.writes.transactions - transactions <= 2
         assert len(service.agents) == machines
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_machine_whose_answers_are_lost_is_called_silent_once(
@@ -182,7 +182,7 @@
     def lines() -> int:
         return sum("agent heartbeats missed" in record.getMessage() for record in caplog.records)
 
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node, service = await booted_pool(state, clock, nodes, machines=2)
         # it reaches the new owner, whose answer does not reach it
         service.heartbeats.handle(heartbeat_of(node, 0, 1)._replace(proof=None))
@@ -195,11 +195,11 @@
             await service.coordinator.round(ownership)
             assert lines() == seen
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_service_begun_late_knows_what_was_there_before() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         add_ready_pairs(state, clock, 3)
         node, early = await booted_pool(state, clock, nodes, machines=6)
         late = MultihostService(
@@ -218,7 +218,7 @@
             m: set(x.planned) for m, x in early.pool.machines.items()
         }
 
-    play(story)
+    run_scenario(scenario)
 
 
 # -- other versions ------------------------------------------------------------------
@@ -227,7 +227,7 @@
 def test_a_controller_without_the_file_leaves_the_pool_alone() -> None:
     """What older versions do with the keys, and with machines of a type that no catalog has."""
 
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
         record = reservation_record("g4", "north", False, 0, clock.wall())
         state.put(cluster_keys.machine("m-0"), record)
@@ -236,7 +236,7 @@
         state.put(keys.replica(replica.id), encode_replica(replica))
         state.put(keys.members(replica.id, 0), encode_chunk(1, (Member(0, "m-0", 1, 1),)))
         add_job(state, clock, sacks=9)
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         stored = {k: v for k, v in state.keys.items() if k.startswith(keys.PREFIX)}
         # the cloud lists it for long: it is neither adopted nor returned
@@ -270,11 +270,11 @@
         assert {k: v for k, v in state.keys.items() if k.startswith(keys.PREFIX)} == stored
         assert "m-0" not in node.cloud.released
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_machine_with_ordinary_tasks_or_on_its_way_out_does_not_join() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node, service = await booted_pool(state, clock, nodes, machines=0)
         seed(state, clock, machines=2)
         add_job(state, clock, sacks=1)
@@ -295,4 +295,4 @@
         assert state.keys[cluster_keys.machine("n-1")][0]["type"] == "multihost/g4"
         assert state.keys[cluster_keys.machine("n-0")][0]["type"] == "g4"
 
-    play(story)
+    run_scenario(scenario)
--- a/tests/test_owner_selection.py
+++ b/tests/test_owner_selection.py
@@ -8,8 +8,8 @@
 from crossmill.cluster.owner_selection import OwnerSelection
 from crossmill.state.mirror import Mirror
 
-from .simulation import Region, simulate
-from .standins import FakeClock, make_settings
+from .fake_services import FakeClock, make_settings
+from .simulated_region import Region, simulate
 
 NEXT = {"node-0": "node-1", "node-1": "node-2", "node-2": "node-0"}
 
@@ -73,7 +73,7 @@
     still for 20 s meanwhile.
     """
 
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await region.begin(machines=0)
         for number in range(12):
             await region.add_worker(f"n-{number}", shard=number % 3)
@@ -88,7 +88,7 @@
         # all are at home again
         assert region.owners() == {0: "node-0", 1: "node-1", 2: "node-2"}
 
-    simulate(story)
+    simulate(scenario)
 
 
 def test_a_worker_without_an_owner_is_sent_past_controllers_that_are_missing() -> None:
@@ -112,7 +112,7 @@
     39 tasks ended with their workers' leases.
     """
 
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await region.begin(machines=0)
         for number in range(36):
             await region.add_worker(f"n-{number}", shard=0)
@@ -127,4 +127,4 @@
             unanswered_s = max(unanswered_s, region.clock.now() - oldest)
         assert unanswered_s < 3 * region.heartbeat_interval_s
 
-    simulate(story)
+    simulate(scenario)
--- a/tests/test_partition_keepalive.py
+++ b/tests/test_partition_keepalive.py
@@ -12,10 +12,17 @@
 from crossmill.wire.state import Put, Txn
 from crossmill.wire.workers import Command
 
-from .harness import RECORD_BYTES, Node, add_job, add_machine, play, seed
-from .standins import FakeClock, StateService, on
-
-Nodes = dict[str, Node]
+from .fake_services import FakeClock, StateService, on
+from .stepped_controller import (
+    RECORD_BYTES,
+    SteppedController,
+    add_job,
+    add_machine,
+    run_scenario,
+    seed,
+)
+
+Nodes = dict[str, SteppedController]
 RUNNING = on("wk-000001", 0, 1, "running")
 
 
@@ -26,7 +33,7 @@
         raise ConnectionFailedError(path)
 
 
-class Story:
+class PartitionScenario:
     """node-1 (south) owns machine n-0 (north), which runs a task; node-0 stands in the north."""
 
     def __init__(self, state: StateService, clock: FakeClock, nodes: Nodes) -> None:
@@ -36,7 +43,7 @@
     async def begin(self) -> None:
         seed(self.state, self.clock, machines=1)
         self.job = add_job(self.state, self.clock, sacks=1, cut="service", grindS=0.0, dueS=None)
-        self.owner = Node(self.state, self.clock, self.nodes, "node-1")
+        self.owner = SteppedController(self.state, self.clock, self.nodes, "node-1")
         await self.owner.boot()
         for _ in range(12):
             self.clock.time += self.owner.settings.controller_lease_ttl_s / 3
@@ -47,11 +54,11 @@
         self.owner.report("n-0", 1, 2, token)
         await self.owner.round()
         assert [c.op for c in self.owner.report("n-0", 1, 3, token).commands] == ["start"]
-        self.deputy = Node(self.state, self.clock, self.nodes, "node-0")
+        self.deputy = SteppedController(self.state, self.clock, self.nodes, "node-0")
         await self.deputy.boot()
         self.s = self.deputy.settings
 
-    async def pass_time(self, seconds: float, to: Node | None = None) -> None:
+    async def pass_time(self, seconds: float, to: SteppedController | None = None) -> None:
         """Time passes; the machine reports to one controller, the owner decides."""
         end = self.clock.time + seconds
         while self.clock.time < end:
@@ -82,20 +89,20 @@
         return len(self.owner.cluster.machines["n-0"].attempts)
 
 
-def play_settled(story: Callable[[Story], Awaitable[None]]) -> None:
+def play_settled(scenario: Callable[[PartitionScenario], Awaitable[None]]) -> None:
     """Plays a story from where node-0 counts as a deputy."""
 
     async def begin(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        it = Story(state, clock, nodes)
+        it = PartitionScenario(state, clock, nodes)
         await it.begin()
         await it.settle()
-        await story(it)
+        await scenario(it)
 
-    play(begin)
+    run_scenario(begin)
 
 
 def test_a_cut_off_zones_workers_are_kept_alive_and_nobody_concludes_otherwise() -> None:
-    async def story(it: Story) -> None:
+    async def scenario(it: PartitionScenario) -> None:
         it.cut()
         await it.pass_time(4)
         await it.pass_time(2 * it.s.worker_lease_s, it.deputy)
@@ -108,11 +115,11 @@
         await it.pass_time(0.3 * it.s.worker_lease_s)
         assert it.on_machine() == 0
 
-    play_settled(story)
+    play_settled(scenario)
 
 
 def test_a_deputy_stops_long_before_its_going_counts_as_proof() -> None:
-    async def story(it: Story) -> None:
+    async def scenario(it: PartitionScenario) -> None:
         it.cut()
         it.state.end_lease(it.deputy.controller_lease.lease_id or 0)
         await it.pass_time(it.s.partition_keepalive_s - 1, it.deputy)
@@ -123,11 +130,11 @@
         await it.pass_time(6)
         assert it.on_machine() == 0
 
-    play_settled(story)
+    play_settled(scenario)
 
 
 def test_a_deputy_leaves_a_machine_whose_owner_asked() -> None:
-    async def story(it: Story) -> None:
+    async def scenario(it: PartitionScenario) -> None:
         # silent to its owner, who asks; then the zone is cut off
         await it.pass_time(it.s.heartbeat_timeout_s + 1.5)
         it.cut()
@@ -136,12 +143,12 @@
         await it.pass_time(it.s.worker_lease_expiry_s)
         assert it.on_machine() == 0
 
-    play_settled(story)
+    play_settled(scenario)
 
 
 def test_nobody_is_a_deputy_while_another_zone_answers_or_before_it_has_announced_itself() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        it = Story(state, clock, nodes)
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        it = PartitionScenario(state, clock, nodes)
         await it.begin()
         # the process before this one may have promised to leave the machine
         it.deputy.cluster.controllers["node-0"] = ControllerRecord(-1)
@@ -168,11 +175,11 @@
         assert it.deputy.report("n-0", 1, 902, it.token + 1, RUNNING).status == 421
         assert it.deputy.report("n-0", 1, 903, it.token, RUNNING).status == 200
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_job_is_called_withdrawn_only_when_a_deputy_would_end_it() -> None:
-    async def story(it: Story) -> None:
+    async def scenario(it: PartitionScenario) -> None:
         it.cut()
         await it.pass_time(2, it.deputy)
         path = "/v1/jobs/wk-000001"
@@ -188,11 +195,11 @@
         await it.pass_time(3)
         assert (await it.owner.ask("POST", path + "/withdraw")).status == 200
 
-    play_settled(story)
+    play_settled(scenario)
 
 
 def test_a_deputy_ends_what_it_was_told_is_being_withdrawn() -> None:
-    async def story(it: Story) -> None:
+    async def scenario(it: PartitionScenario) -> None:
         answer = await it.owner.ask("POST", "/v1/jobs/wk-000001/withdraw")
         assert answer.status == 200
         # the deputy's mirror never got it: only what it was told counts
@@ -202,17 +209,17 @@
         orders = it.deputy.report("n-0", 1, 900, it.token, RUNNING).commands
         assert orders == (Command("stop", "wk-000001/0", 1, 0.0),)
 
-    play_settled(story)
+    play_settled(scenario)
 
 
 def test_machines_silent_since_a_takeover_are_not_given_up_while_their_zone_is_cut_off() -> None:
     """Half a fleet was released as never come up, 16 s after a takeover during a cut."""
 
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=3)
         for number in range(3):
             add_machine(state, clock, f"s-{number}", zone="south", at=clock.wall() - 1000)
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         up = ["n-0", "n-1", "n-2"]
         for seq in range(1, 140):
@@ -226,19 +233,19 @@
                 assert not retiring, seq
         assert retiring == {"s-0", "s-1", "s-2"}
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_what_deputies_are_asked_is_checked() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        node = Node(state, clock, nodes)
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        node = SteppedController(state, clock, nodes)
         for path in (peers.ATTESTATION_PATH, peers.CANCELLATION_PATH):
             for body in (b"", b"[]", b'{"machines":3,"jobs":[4]}', b"\xff"):
                 line = node.lease_extensions._http["node-1"]
                 nodes["node-1"] = node
                 assert (await line.request("POST", path, body))[0] == 400
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_machines_of_a_cut_zone_fall_silent_and_come_back_one_by_one() -> None:
@@ -246,12 +253,12 @@
     soon as most others had.
     """
 
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=0)
         names = [f"s-{number}" for number in range(6)]
         for name in names:
             add_machine(state, clock, name, zone="south")
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         worker_lease_s = node.settings.worker_lease_s
         for seq in range(1, 130):
@@ -264,11 +271,11 @@
             await node.round()
         assert not any(m.retiring == "silent" for m in node.cluster.machines.values())
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_what_was_promised_by_a_process_that_has_ended_proves_nothing() -> None:
-    async def story(it: Story) -> None:
+    async def scenario(it: PartitionScenario) -> None:
         # not yet asked when it falls silent; then node-0 says that it has not answered
         it.clock.time += it.s.heartbeat_timeout_s + 0.5
         await it.owner.controller_lease.step()
@@ -276,7 +283,7 @@
         await it.owner.partition_protocol.step()
         assert it.owner.partition_protocol.expiry_proof._attestations
         # node-0 ends; the process that follows knows of no promise, and helps
-        it.deputy = Node(it.state, it.clock, it.nodes, "node-0")
+        it.deputy = SteppedController(it.state, it.clock, it.nodes, "node-0")
         await it.deputy.boot(waited=False)
         await it.deputy.partition_protocol.step()
         it.cut()
@@ -297,33 +304,33 @@
             is None
         )
 
-    play_settled(story)
+    play_settled(scenario)
 
 
 def test_a_withdrawal_rests_on_the_processes_that_were_told() -> None:
-    async def story(it: Story) -> None:
+    async def scenario(it: PartitionScenario) -> None:
         job = it.owner.cluster.jobs["wk-000001"]
         preconditions = await it.owner.partition_protocol.cancellations.announce(job.id, ["north"])
         assert preconditions == {"cm/n/node-0": it.state.keys["cm/n/node-0"][1]}
         # node-0 ends, and the process that follows does not know of the withdrawal
-        again = Node(it.state, it.clock, it.nodes, "node-0")
+        again = SteppedController(it.state, it.clock, it.nodes, "node-0")
         await again.boot(waited=False)
         assert job.spec is not None
         put = Put("cm/j/wk-000001", encode_end(CANCELLED, job.spec, 0.0, RECORD_BYTES))
         late = WriteIntent(Txn({"cm/j/wk-000001": job.version, **preconditions}, [put]))
         assert await it.owner.writer.commit(late) == WriteResult.CONFLICT
 
-    play_settled(story)
+    play_settled(scenario)
 
 
 def test_an_absence_is_counted_anew_when_a_controller_came_back_and_went_unseen() -> None:
-    async def story(it: Story) -> None:
+    async def scenario(it: PartitionScenario) -> None:
         it.cut()
         it.state.end_lease(it.deputy.controller_lease.lease_id or 0)
         await it.pass_time(it.s.partition_keepalive_s + it.s.worker_lease_s - 1)
         assert it.on_machine() == 1
         # while the owner stands still node-0 comes back, learns all, and goes again
-        again = Node(it.state, it.clock, it.nodes, "node-0")
+        again = SteppedController(it.state, it.clock, it.nodes, "node-0")
         await again.boot(waited=False)
         await again.partition_protocol.step()
         again.cut = True
@@ -334,13 +341,13 @@
         await it.pass_time(it.s.worker_lease_s + 2)
         assert it.on_machine() == 0
 
-    play_settled(story)
+    play_settled(scenario)
 
 
 def test_a_withdrawal_goes_through_the_state_service_while_controllers_refuse_each_other() -> None:
     """For as long as a packet filter stood between controllers no such job could be withdrawn."""
 
-    async def story(it: Story) -> None:
+    async def scenario(it: PartitionScenario) -> None:
         it.nodes["node-0"].cut = it.nodes["node-1"].cut = True
         path = "/v1/jobs/wk-000001/withdraw"
         assert (await it.owner.ask("POST", path)).status == 503
@@ -359,7 +366,7 @@
         await it.owner.round()
         assert "cm/w/wk-000001" not in it.state.keys
 
-    play_settled(story)
+    play_settled(scenario)
 
 
 def test_a_task_that_moves_to_another_zone_while_deputies_are_told() -> None:
@@ -367,9 +374,9 @@
     may move to a zone whose controllers know nothing.
     """
 
-    async def story(it: Story) -> None:
+    async def scenario(it: PartitionScenario) -> None:
         add_machine(it.state, it.clock, "s-0", zone="south")
-        other = Node(it.state, it.clock, it.nodes, "node-2")
+        other = SteppedController(it.state, it.clock, it.nodes, "node-2")
         await other.boot()
         await it.owner.live()
         told = it.deputy.partition_protocol.handle
@@ -386,7 +393,7 @@
             or "wk-000001" in other.partition_protocol.keepalive.pending_cancellations
         )
 
-    play_settled(story)
+    play_settled(scenario)
 
 
 def test_an_owner_that_answers_as_deputy_counts_the_workers_lease_from_there() -> None:
@@ -394,8 +401,8 @@
     last answer as an owner, and the task was placed again while it ran (lot 2060).
     """
 
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        it = Story(state, clock, nodes)
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        it = PartitionScenario(state, clock, nodes)
         await it.begin()
         ownership = it.owner
         add_machine(it.state, it.clock, "s-0", zone="south")
@@ -419,4 +426,4 @@
         assert ownership.report("s-0", 1, 50, it.token).status == 200, "kept alive as a deputy"
         assert view.answered_at == clock.now()
 
-    play(story)
+    run_scenario(scenario)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -7,10 +7,10 @@
 from crossmill.planning.pipelines import PipelineStage, plan_pipeline, topological_order
 from crossmill.planning.split import MachineOption, Stage, _path_ends, split
 
-from .harness import RECORD_BYTES, Node, play, seed
-from .standins import FakeClock, StateService, make_spec
+from .fake_services import FakeClock, StateService, make_spec
+from .stepped_controller import RECORD_BYTES, SteppedController, run_scenario, seed
 
-Nodes = dict[str, Node]
+Nodes = dict[str, SteppedController]
 FAST, SLOW = MachineOption("fast", 2.0, 1.0, 10.0), MachineOption("slow", 1.0, 1.0, 20.0)
 
 
@@ -111,7 +111,7 @@
 
 def test_a_pipelines_place_follows_what_is_durable() -> None:
     # inheritance begins when the last stage comes and ends with it; other jobs stay as they are
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock)
         first, middle, last = (f"wk-00000{n}" for n in (1, 2, 3))
         low = {"precedence": "idle", "dueS": None, "sacks": 4}
@@ -119,7 +119,7 @@
         state.put(keys.job(first), encode_job(make_spec(nameId=first, **low), at))
         middle_spec = make_spec(nameId=middle, **low, crew="blue")
         state.put(keys.job(middle), encode_job(middle_spec, at, (first,)))
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         forecast, jobs = node.forecast, node.cluster.jobs
         (priority, end), _ = forecast.queue_place(jobs[first])
@@ -132,7 +132,7 @@
         assert priority == 1
         assert at < end < at + 300.0
         # a later stage of another team has what is left, by the same function
-        other = Node(state, clock, nodes, "node-1")
+        other = SteppedController(state, clock, nodes, "node-1")
         await other.boot()
         assert other.forecast.queue_place(jobs[first])[0][1] == pytest.approx(end)
         # the heir is cancelled: inheritance ends
@@ -140,11 +140,11 @@
         await node.sync()
         assert forecast.queue_place(jobs[first])[0][0] == 3
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_times_count_from_the_last_dependencys_end_but_the_deadline_from_the_submission() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock)
         at = clock.wall()
         waits = {"a": 0.0, "b": 300.0}
@@ -155,9 +155,9 @@
             after = make_spec(nameId=name, dueS=due or None, grindS=0.0)
             state.put(keys.job(name), encode_job(after, at, ("wk-000001",)))
         state.put(keys.job("wk-000001"), encode_end("done", spec, at + 50.0, RECORD_BYTES))
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         ends = [node.forecast.queue_place(node.cluster.jobs[f"wk-00000{n}"])[0][1] for n in (2, 3)]
         assert ends == pytest.approx([at + 50.0 + node.settings.default_queue_wait_s, at + 300.0])
 
-    play(story)
+    run_scenario(scenario)
--- a/tests/test_pipelines_in_trouble.py
+++ b/tests/test_pipelines_under_faults.py
@@ -5,8 +5,8 @@
 import curio
 import pytest
 
-from .scenario_steps import all_over_but_services, draw_trouble, heal
-from .simulation import Region, simulate
+from .fault_injection import all_over_but_services, heal, inject_random_fault
+from .simulated_region import Region, simulate
 
 Names = list[str]
 PATIENCE = 60
@@ -40,24 +40,24 @@
         await _ask_until_answered(region, job, needs, True)
 
 
-async def _users(region: Region, lots: random.Random, jobs: int) -> None:
+async def _users(region: Region, rng: random.Random, jobs: int) -> None:
     names: Names = []
     async with curio.TaskGroup() as group:
         for number in range(jobs):
             job = f"wk-{200000 + number}"
             accepted = [name for name in names if region.accepted(name)]
-            needs = lots.sample(accepted[-6:], min(len(accepted[-6:]), lots.choice([0, 1, 1, 2])))
+            needs = rng.sample(accepted[-6:], min(len(accepted[-6:]), rng.choice([0, 1, 1, 2])))
             names.append(job)
-            region.judge.jobs.pop(job, None)
-            await group.spawn(_user, region, job, needs, lots.random() < 0.12)
+            region.checker.jobs.pop(job, None)
+            await group.spawn(_user, region, job, needs, rng.random() < 0.12)
             await curio.sleep(1.2)
 
 
-async def _look_around(region: Region, lots: random.Random) -> None:
+async def _look_around(region: Region, rng: random.Random) -> None:
     while True:
-        known = [job for job in region.judge.jobs if region.accepted(job)]
+        known = [job for job in region.checker.jobs if region.accepted(job)]
         if known and region.nodes:
-            await region.show(lots.choice(list(region.nodes)), lots.choice(known))
+            await region.show(rng.choice(list(region.nodes)), rng.choice(known))
         await curio.sleep(0.2)
 
 
@@ -67,8 +67,8 @@
     service is out and answers are lost; no task starts early and no job is orphaned.
     """
 
-    async def story(region: Region) -> None:
-        lots = random.Random(seed_n)
+    async def scenario(region: Region) -> None:
+        rng = random.Random(seed_n)
         await region.begin(machines=0)
         for shard in range(3):
             for number in range(2):
@@ -76,11 +76,11 @@
         users = await curio.spawn(_users, region, random.Random(seed_n + 1), 40)
         looks = await curio.spawn(_look_around, region, random.Random(seed_n + 2), daemon=True)
         for _ in range(7):
-            await curio.sleep(lots.uniform(1.0, 8.0))
-            await draw_trouble(region, lots)
+            await curio.sleep(rng.uniform(1.0, 8.0))
+            await inject_random_fault(region, rng)
         heal(region)
         await users.join()
         await looks.cancel()
         await all_over_but_services(region)
 
-    simulate(story)
+    simulate(scenario)
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -17,7 +17,7 @@
 from crossmill.planning.split import MachineOption, Stage, split
 from crossmill.wire.cloud import MachineType, parse_catalog
 
-from .standins import CATALOG, make_settings, make_spec
+from .fake_services import CATALOG, make_settings, make_spec
 
 KINDS = parse_catalog(CATALOG)
 
--- a/tests/test_size_drawn.py
+++ b/tests/test_random_faults_at_limits.py
@@ -11,26 +11,26 @@
 from crossmill.cluster import keys
 from crossmill.settings import Settings
 
-from .scenario_steps import draw_trouble, heal
-from .simulation import Region, simulate
-from .standins import StateService
+from .fake_services import StateService
+from .fault_injection import heal, inject_random_fault
+from .simulated_region import Region, simulate
 
 TEAMS = ("red", "blue", "green")
 ENDED_KEPT = 4
 KEPT_CHANGES = 60
 PAGE_ITEMS = 15
 JOBS = 90
-TROUBLES = 14
+FAULTS = 14
 PATIENCE = 400
 
 
-async def _answered(region: Region, lots: random.Random, job: str, cancel: bool) -> None:
+async def _answered(region: Region, rng: random.Random, job: str, cancel: bool) -> None:
     """A user, who asks one controller after another until answered."""
-    facts = region.judge.jobs[job]
+    facts = region.checker.jobs[job]
     for _ in range(PATIENCE):
         labels = list(region.nodes)
         if labels:
-            label = lots.choice(labels)
+            label = rng.choice(labels)
             if cancel:
                 status = await region.cancel(label, job)
             else:
@@ -40,72 +40,72 @@
         await curio.sleep(1.0)
 
 
-async def _user(region: Region, lots: random.Random, job: str) -> None:
-    facts = region.judge.jobs[job]
+async def _user(region: Region, rng: random.Random, job: str) -> None:
+    facts = region.checker.jobs[job]
     for need in facts.needs():
         await region.until(lambda need=need: region.accepted(need), 900.0)  # type: ignore[misc]
-    await _answered(region, lots, job, cancel=False)
-    if lots.random() < 0.3:
-        await curio.sleep(lots.choice([0.0, 1.0, 4.0, 12.0]))
-        await _answered(region, lots, job, cancel=True)
+    await _answered(region, rng, job, cancel=False)
+    if rng.random() < 0.3:
+        await curio.sleep(rng.choice([0.0, 1.0, 4.0, 12.0]))
+        await _answered(region, rng, job, cancel=True)
 
 
-async def _users(region: Region, lots: random.Random) -> None:
+async def _users(region: Region, rng: random.Random) -> None:
     async with curio.TaskGroup() as group:
         names: list[str] = []
         for number in range(JOBS):
-            job = f"wk-{300000 + lots.randrange(100000)}"
-            if job in region.judge.jobs:
+            job = f"wk-{300000 + rng.randrange(100000)}"
+            if job in region.checker.jobs:
                 continue
             recent = [name for name in names[-8:] if region.accepted(name)]
-            needs = lots.sample(recent, min(len(recent), lots.choice([0, 0, 1, 1, 2])))
+            needs = rng.sample(recent, min(len(recent), rng.choice([0, 0, 1, 1, 2])))
             region.expect(
                 job,
-                lots.choice([1.0, 3.0, 8.0, 20.0]),
-                sacks=lots.choice([1, 1, 2, 4]),
+                rng.choice([1.0, 3.0, 8.0, 20.0]),
+                sacks=rng.choice([1, 1, 2, 4]),
                 crew=TEAMS[number % 3],
                 awaits=needs,
             )
             names.append(job)
-            await group.spawn(_user, region, lots, job)
-            await curio.sleep(lots.uniform(0.3, 1.6))
+            await group.spawn(_user, region, rng, job)
+            await curio.sleep(rng.uniform(0.3, 1.6))
 
 
-async def _looks(region: Region, lots: random.Random) -> None:
+async def _looks(region: Region, rng: random.Random) -> None:
     while True:
-        known = [job for job in region.judge.jobs if region.accepted(job)]
+        known = [job for job in region.checker.jobs if region.accepted(job)]
         if known and region.nodes:
-            await region.show(lots.choice(list(region.nodes)), lots.choice(known[-30:]))
+            await region.show(rng.choice(list(region.nodes)), rng.choice(known[-30:]))
         await curio.sleep(0.2)
 
 
-async def _size_trouble(region: Region, lots: random.Random) -> None:
+async def _size_trouble(region: Region, rng: random.Random) -> None:
     """One trouble that takes a controller out of what the others do, or any other."""
-    label = lots.choice(region.LABELS)
-    kind = lots.choice(["unseen", "still", "compact", "lost", "other", "other"])
+    label = rng.choice(region.LABELS)
+    kind = rng.choice(["unseen", "still", "compact", "lost", "other", "other"])
     if kind == "unseen":
         region.refused[label] = lambda method, path: True
-        await curio.sleep(lots.uniform(4.0, 40.0))
+        await curio.sleep(rng.uniform(4.0, 40.0))
         region.refused.pop(label, None)
     elif kind == "still":
-        region.still_until[label] = region.clock.now() + lots.choice([1.0, 3.0, 8.0, 25.0])
+        region.still_until[label] = region.clock.now() + rng.choice([1.0, 3.0, 8.0, 25.0])
     elif kind == "compact":
         region.state.compact()
     elif kind == "lost":
         region.lost.add(label)
-        await curio.sleep(lots.uniform(2.0, 20.0))
+        await curio.sleep(rng.uniform(2.0, 20.0))
         region.lost.discard(label)
     else:
-        await draw_trouble(region, lots)
+        await inject_random_fault(region, rng)
 
 
 async def _all_told(region: Region) -> None:
     """Every accepted job comes to its end, and every controller says so."""
-    for job in [job for job in region.judge.jobs if region.accepted(job)]:
+    for job in [job for job in region.checker.jobs if region.accepted(job)]:
         for label in list(region.nodes):
             for _ in range(PATIENCE):
                 status = await region.show(label, job)
-                facts = region.judge.jobs[job]
+                facts = region.checker.jobs[job]
                 if status == 200 and (facts.done or facts.cancelled):
                     break
                 await curio.sleep(1.0)
@@ -119,17 +119,17 @@
     state = StateService(KEPT_CHANGES)
     state.page_items = PAGE_ITEMS
 
-    async def story(region: Region) -> None:
-        lots = random.Random(seed_n)
+    async def scenario(region: Region) -> None:
+        rng = random.Random(seed_n)
         await region.begin(machines=0)
         for shard in range(3):
             for number in range(2):
                 await region.add_worker(f"n-{shard}{number}", shard=shard)
         users = await curio.spawn(_users, region, random.Random(seed_n + 1))
         looks = await curio.spawn(_looks, region, random.Random(seed_n + 2), daemon=True)
-        for _ in range(TROUBLES):
-            await curio.sleep(lots.uniform(1.0, 8.0))
-            await _size_trouble(region, lots)
+        for _ in range(FAULTS):
+            await curio.sleep(rng.uniform(1.0, 8.0))
+            await _size_trouble(region, rng)
         heal(region)
         region.still_until.clear()
         # silent machines were given up meanwhile, and nobody rents any here
@@ -141,7 +141,7 @@
         archived = [name for name in region.state.keys if name.startswith(keys.ARCHIVE)]
         assert archived, "nothing was archived"
 
-    return simulate(story, state)
+    return simulate(scenario, state)
 
 
 @pytest.mark.parametrize("seed_n", [0, 1, 2, 3])
