--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -77,7 +77,7 @@
 
 @pytest.mark.parametrize("apart_s", [0.0, 1.0])
 def test_healthy_workers_get_no_order_after_all_controllers_end(apart_s: float) -> None:
-    async def story(region: RecoveryRegion) -> None:
+    async def scenario(region: RecoveryRegion) -> None:
         await _busy_region(region, WORKERS, SERVICES)
         running = _tasks(region)
         assert sum(map(len, running.values())) > 2 * SERVICES
@@ -89,7 +89,7 @@
         newest = (await _overview(region))["records"][-3:]
         assert sum(record["classes"].get("healthy", 0) for record in newest) > 0
 
-    simulate_recovery(story, recovery_settings())
+    simulate_recovery(scenario, recovery_settings())
 
 
 def test_a_hundred_workers_of_which_some_differ() -> None:
@@ -97,7 +97,7 @@
     never recorded, and two jobs are to be cancelled while nobody serves.
     """
 
-    async def story(region: RecoveryRegion) -> None:
+    async def scenario(region: RecoveryRegion) -> None:
         jobs = await _busy_region(region, WORKERS, SERVICES)
         busy = [w for w in region.workers.values() if w.tasks]
         silent, odd = busy[:5], busy[5]
@@ -139,13 +139,13 @@
         # they forgot their tasks when their leases ended: nothing is ordered about those
         assert region.orders(silent) == before == {}
 
-    simulate_recovery(story, recovery_settings(), expected=is_unplanned)
+    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
 
 
 def test_a_cancellation_is_not_held_up_behind_many_differences() -> None:
     """More strays than an answer has room for, all of them held back, and one cancelled task."""
 
-    async def story(region: RecoveryRegion) -> None:
+    async def scenario(region: RecoveryRegion) -> None:
         await _busy_region(region)
         odd = next(w for w in region.workers.values() if w.tasks)
         job = next(iter(odd.tasks))[0]
@@ -158,11 +158,11 @@
         await curio.sleep(3 * region.heartbeat_interval_s)
         assert not any(key[0] == job and t.state == "running" for key, t in odd.tasks.items())
 
-    simulate_recovery(story, recovery_settings(), expected=is_unplanned)
+    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
 
 
 def test_a_worker_that_comes_and_goes_costs_a_bounded_number_of_orders() -> None:
-    async def story(region: RecoveryRegion) -> None:
+    async def scenario(region: RecoveryRegion) -> None:
         await _busy_region(region)
         odd = next(w for w in region.workers.values() if w.tasks)
         for index in range(30):
@@ -179,7 +179,7 @@
         _assert_paced(sent, region.recovery.worker_orders_per_s, region.recovery.orders_per_worker)
 
     settings = recovery_settings(orders_per_worker=2, brake_share=1.0)
-    simulate_recovery(story, settings, expected=is_unplanned)
+    simulate_recovery(scenario, settings, expected=is_unplanned)
 
 
 def _assert_paced(times: list[float], rate: float, burst: float) -> None:
@@ -228,7 +228,7 @@
 def test_machines_whose_coming_up_is_not_recorded_are_no_exception() -> None:
     """That a machine is up is written in the background: after a rush many are not marked yet."""
 
-    async def story(region: RecoveryRegion) -> None:
+    async def scenario(region: RecoveryRegion) -> None:
         await _state_comes_back_older(region, marked_up=False)
         running = sum(map(len, _tasks(region).values()))
         await curio.sleep(40.0)
@@ -237,11 +237,11 @@
         least = region.recovery.brake_least * len(region.LABELS)
         assert sum(map(len, _tasks(region).values())) >= running - least
 
-    simulate_recovery(story, recovery_settings(), expected=is_unplanned)
+    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
 
 
 def test_nothing_is_torn_down_after_the_state_came_back_older_until_it_is_approved() -> None:
-    async def story(region: RecoveryRegion) -> None:
+    async def scenario(region: RecoveryRegion) -> None:
         await _state_comes_back_older(region)
         running = _tasks(region)
         await curio.sleep(60.0)
@@ -265,13 +265,13 @@
         _assert_paced(_recovery_orders(region, approved_at), settings.orders_per_s, burst)
 
     settings = recovery_settings(orders_per_s=1.5)
-    simulate_recovery(story, settings, expected=is_unplanned)
+    simulate_recovery(scenario, settings, expected=is_unplanned)
 
 
 def test_an_empty_state_service_brings_no_order() -> None:
     """No machine is known, so none is answered: PROTOCOL gives no way to keep its tasks."""
 
-    async def story(region: RecoveryRegion) -> None:
+    async def scenario(region: RecoveryRegion) -> None:
         await _busy_region(region)
         await region.end_all()
         await region.come_back_older({})
@@ -281,11 +281,11 @@
         assert region.orders() == {}
         assert not any(worker.tasks for worker in region.workers.values())
 
-    simulate_recovery(story, recovery_settings(), expected=is_unplanned)
+    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
 
 
 def test_an_approval_ends_with_the_ownership() -> None:
-    async def story(region: RecoveryRegion) -> None:
+    async def scenario(region: RecoveryRegion) -> None:
         await _state_comes_back_older(region)
         await curio.sleep(20.0)
         braked = (await _overview(region))["braked"]
@@ -301,12 +301,12 @@
         assert _recovery_orders(region, 0.0) == []
         assert shard in [report["shard"] for report in (await _overview(region, other))["braked"]]
 
-    simulate_recovery(story, recovery_settings(), expected=is_unplanned)
+    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
 
 
 @pytest.mark.parametrize(("left_s", "is_honoured"), [(-1.0, False), (60.0, True)])
 def test_an_approval_ends_with_its_time(left_s: float, is_honoured: bool) -> None:
-    async def story(region: RecoveryRegion) -> None:
+    async def scenario(region: RecoveryRegion) -> None:
         await _state_comes_back_older(region)
         await curio.sleep(30.0)
         report = (await _overview(region))["braked"][0]
@@ -316,11 +316,11 @@
         await curio.sleep(20.0)
         assert bool(_recovery_orders(region, 0.0)) is is_honoured
 
-    simulate_recovery(story, recovery_settings(), expected=is_unplanned)
+    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
 
 
 def test_records_are_bounded_in_number() -> None:
-    async def story(region: RecoveryRegion) -> None:
+    async def scenario(region: RecoveryRegion) -> None:
         await _busy_region(region)
         for _ in range(4):
             await region.restart_all(1.0)
@@ -332,7 +332,7 @@
         newest = {shard: row[0]["token"] for shard, row in _shard_rows(region)}
         assert {r["shard"]: r["token"] for r in records} == newest
 
-    simulate_recovery(story, recovery_settings(kept_records=2))
+    simulate_recovery(scenario, recovery_settings(kept_records=2))
 
 
 def _shard_rows(region: RecoveryRegion) -> list[tuple[int, Any]]:
@@ -340,7 +340,7 @@
 
 
 def test_many_machines_are_given_up_only_when_it_is_approved() -> None:
-    async def story(region: RecoveryRegion) -> None:
+    async def scenario(region: RecoveryRegion) -> None:
         await _busy_region(region)
         silent = list(region.workers.values())[: FEW_WORKERS // 2]
         await region.end_all()
@@ -362,30 +362,30 @@
         await _approve(region, "node-2", braked)
         await region.until(lambda: given_up() == len(silent), 60.0)
 
-    simulate_recovery(story, recovery_settings(brake_least=1, brake_share=0.0))
+    simulate_recovery(scenario, recovery_settings(brake_least=1, brake_share=0.0))
 
 
 def test_a_job_of_which_a_stray_task_runs_is_not_started_elsewhere() -> None:
     """The planted meeting: the plan lost a task's row while it runs, the brake holds the stop."""
 
-    async def story(region: RecoveryRegion) -> None:
+    async def scenario(region: RecoveryRegion) -> None:
         await _state_comes_back_older(region)
         running = _tasks(region)
         # the users repeat their submissions, as PROTOCOL lets them, and the jobs are new again
-        for job, facts in list(region.judge.jobs.items()):
+        for job, facts in list(region.checker.jobs.items()):
             spec = facts.spec
             fields = {k: v for k, v in spec.items() if k != "nameId"}
             await region.submit_until_accepted("node-0", job, facts.run_s, **fields)
         await curio.sleep(60.0)
         assert _tasks(region) == running
 
-    simulate_recovery(story, recovery_settings(), expected=is_unplanned)
+    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
 
 
 def test_a_cancellation_passes_a_brake_that_is_on() -> None:
-    async def story(region: RecoveryRegion) -> None:
+    async def scenario(region: RecoveryRegion) -> None:
         await _state_comes_back_older(region)
-        job, facts = next(iter(region.judge.jobs.items()))
+        job, facts = next(iter(region.checker.jobs.items()))
         fields = {k: v for k, v in facts.spec.items() if k != "nameId"}
         await region.submit_until_accepted("node-0", job, None, **fields)
         await curio.sleep(20.0)
@@ -395,13 +395,13 @@
         await curio.sleep(region.cancellation_deadline_s + 1.0)
         assert not region.running(job)
 
-    simulate_recovery(story, recovery_settings(), expected=is_unplanned)
+    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
 
 
 def test_a_task_whose_row_was_lost_is_not_started_elsewhere_while_it_runs() -> None:
     """The stray's stop waits for its turn, and its task looks free to whoever places."""
 
-    async def story(region: RecoveryRegion) -> None:
+    async def scenario(region: RecoveryRegion) -> None:
         await _busy_region(region)
         odd = next(w for w in region.workers.values() if w.tasks)
         job, index = next(iter(odd.tasks))
@@ -424,13 +424,13 @@
         await region.until(lambda: region.is_up(job, 3), 90.0)
 
     slow = recovery_settings(orders_per_s=0.1)
-    simulate_recovery(story, slow, expected=is_unplanned)
+    simulate_recovery(scenario, slow, expected=is_unplanned)
 
 
 def test_a_planned_task_is_not_started_while_another_attempt_runs_elsewhere() -> None:
     """The stored plan is of before the task was moved: it runs on another machine."""
 
-    async def story(region: RecoveryRegion) -> None:
+    async def scenario(region: RecoveryRegion) -> None:
         await _busy_region(region)
         machines = region.nodes["node-0"].cluster.machines
         before = next(w for w in region.workers.values() if w.tasks)
@@ -449,13 +449,13 @@
         await region.until(lambda: (job, index) in before.tasks, 120.0)
         assert (job, index) not in after.tasks or after.tasks[job, index].state == "exited"
 
-    simulate_recovery(story, recovery_settings(), expected=is_unplanned)
+    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
 
 
 def test_starts_under_way_at_a_change_of_owner_do_not_wait_for_batches() -> None:
     """Every machine lacks a planned task whose start was never sent."""
 
-    async def story(region: RecoveryRegion) -> None:
+    async def scenario(region: RecoveryRegion) -> None:
         await _busy_region(region)
         await region.end_all()
         missing = {w.machine: next(iter(w.tasks)) for w in region.workers.values() if w.tasks}
@@ -470,7 +470,7 @@
             lambda: all(key in region.workers[m].tasks for m, key in missing.items()), 3.5
         )
 
-    simulate_recovery(story, recovery_settings(brake_share=1.0))
+    simulate_recovery(scenario, recovery_settings(brake_share=1.0))
 
 
 # -- failures in the middle of a recovery --------------------------------------------
@@ -478,7 +478,7 @@
 
 @pytest.mark.parametrize("phase", list(Phase))
 def test_all_end_again_in_each_phase(phase: Phase) -> None:
-    async def story(region: RecoveryRegion) -> None:
+    async def scenario(region: RecoveryRegion) -> None:
         await _busy_region(region)
         odd = [w for w in region.workers.values() if w.tasks][:4]
         for worker in odd:
@@ -502,7 +502,7 @@
         assert region.orders(others) == {}
         assert all(index < 70 for worker in odd for _, index in worker.tasks)
 
-    simulate_recovery(story, recovery_settings(), expected=is_unplanned)
+    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
 
 
 def _down(region: RecoveryRegion) -> None:
@@ -524,15 +524,15 @@
     region.mend()
 
 
-@pytest.mark.parametrize("trouble", [_down, _slow, _read_only])
+@pytest.mark.parametrize("fault", [_down, _slow, _read_only])
 def test_the_state_service_is_in_trouble_at_the_restart(
-    trouble: Callable[[RecoveryRegion], None],
+    fault: Callable[[RecoveryRegion], None],
 ) -> None:
-    async def story(region: RecoveryRegion) -> None:
+    async def scenario(region: RecoveryRegion) -> None:
         await _busy_region(region)
         running = _tasks(region)
         await region.end_all()
-        trouble(region)
+        fault(region)
         await curio.sleep(1.0)
         await region.start_all()
         await curio.sleep(1.5)
@@ -542,11 +542,11 @@
         assert region.orders() == {}
         assert _tasks(region) == running
 
-    simulate_recovery(story, recovery_settings())
+    simulate_recovery(scenario, recovery_settings())
 
 
 def test_a_zone_is_cut_off_while_all_controllers_end() -> None:
-    async def story(region: RecoveryRegion) -> None:
+    async def scenario(region: RecoveryRegion) -> None:
         await _busy_region(region)
         south = [w for w in region.workers.values() if w.zone == "south"]
         north = [w for w in region.workers.values() if w.zone == "north"]
@@ -565,11 +565,11 @@
         ended = [v for verbs in region.orders(north).values() for v in verbs if v != "start"]
         assert ended == []
 
-    simulate_recovery(story, recovery_settings())
+    simulate_recovery(scenario, recovery_settings())
 
 
 def test_a_controller_stands_still_between_deciding_and_sending() -> None:
-    async def story(region: RecoveryRegion) -> None:
+    async def scenario(region: RecoveryRegion) -> None:
         await _busy_region(region)
         odd = next(w for w in region.workers.values() if w.tasks)
         give_unplanned(odd, "wk-000001", 70, 9)
@@ -589,7 +589,7 @@
         assert ("wk-000001", 70) not in odd.tasks
         assert all(w.session == 1 for w in region.workers.values())
 
-    simulate_recovery(story, recovery_settings(), expected=is_unplanned)
+    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
 
 
 def test_one_that_was_behind_stops_nothing_that_another_planned() -> None:
@@ -597,7 +597,7 @@
     plans is old when it takes a shard.
     """
 
-    async def story(region: RecoveryRegion) -> None:
+    async def scenario(region: RecoveryRegion) -> None:
         await _busy_region(region)
         region.refused["node-1"] = lambda method, path: path.startswith("/changes")
         for number in range(6):
@@ -618,7 +618,7 @@
         for machine, tasks in running.items():
             assert tasks.items() <= region.workers[machine].tasks.items()
 
-    simulate_recovery(story, recovery_settings())
+    simulate_recovery(scenario, recovery_settings())
 
 
 def test_beside_a_controller_without_recovery() -> None:
@@ -626,7 +626,7 @@
     right as ever.
     """
 
-    async def story(region: RecoveryRegion) -> None:
+    async def scenario(region: RecoveryRegion) -> None:
         await _busy_region(region)
         running = _tasks(region)
         await region.end_all()
@@ -640,7 +640,7 @@
         assert region.orders() == {}
         assert _tasks(region) == running
 
-    simulate_recovery(story, recovery_settings())
+    simulate_recovery(scenario, recovery_settings())
 
 
 # -- planted faults ------------------------------------------------------------------
@@ -650,13 +650,13 @@
     """When tasks were ended in a region whose state came back older, and nothing brakes."""
     times: list[float] = []
 
-    async def story(region: RecoveryRegion) -> None:
+    async def scenario(region: RecoveryRegion) -> None:
         await _state_comes_back_older(region)
         await region.until(region.steady, 200.0)
         times.extend(_recovery_orders(region, 0.0))
         assert len(times) > FEW_SERVICES
 
-    simulate_recovery(story, settings, expected=is_unplanned)
+    simulate_recovery(scenario, settings, expected=is_unplanned)
     return times
 
 
@@ -690,22 +690,22 @@
 
 
 @pytest.mark.parametrize(
-    "story",
+    "scenario",
     [
         test_a_task_whose_row_was_lost_is_not_started_elsewhere_while_it_runs,
         test_a_planned_task_is_not_started_while_another_attempt_runs_elsewhere,
     ],
 )
 def test_a_claim_that_is_not_honoured_is_caught(
-    story: Callable[[], None], monkeypatch: pytest.MonkeyPatch
+    scenario: Callable[[], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(ShardRecovery, "is_claimed", lambda self, key: False)
     with pytest.raises(AssertionError):
-        story()
+        scenario()
 
 
 def test_a_task_never_recorded_is_stopped_only_after_a_read_newer_than_its_report() -> None:
-    async def story(region: RecoveryRegion) -> None:
+    async def scenario(region: RecoveryRegion) -> None:
         await _busy_region(region)
         odd = next(w for w in region.workers.values() if w.tasks)
         give_unplanned(odd, "wk-000001", 70, 9)
@@ -720,7 +720,7 @@
         region.mend()
         await region.until(lambda: ("wk-000001", 70) not in odd.tasks)
 
-    simulate_recovery(story, recovery_settings(), expected=is_unplanned)
+    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
 
 
 def test_a_stop_without_a_fresh_read_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -732,7 +732,7 @@
 def _late_copies_come_first() -> None:
     """HeartbeatHandler of before the restart reach the new owners ahead of the workers' own."""
 
-    async def story(region: RecoveryRegion) -> None:
+    async def scenario(region: RecoveryRegion) -> None:
         await _busy_region(region)
         busy = [w for w in region.workers.values() if w.tasks]
         old = [worker.copies[0] for worker in busy]
@@ -759,7 +759,7 @@
         assert sum(c.get("absent", 0) for c in classes) == 0
         assert region.orders() == {}
 
-    simulate_recovery(story, recovery_settings())
+    simulate_recovery(scenario, recovery_settings())
 
 
 def test_a_report_from_before_the_restart_is_not_taken_for_a_new_one() -> None:
--- a/tests/test_recovery_decisions.py
+++ b/tests/test_recovery_decisions.py
@@ -30,9 +30,9 @@
 from crossmill.wire.recovery import Approval, approval_body, parse_approval
 from crossmill.wire.workers import Command
 
-from .harness import RECORD_BYTES, Node, add_job, play, seed
+from .fake_services import FakeClock, StateService, make_spec, on
 from .recovery_region import recovery_settings
-from .standins import FakeClock, StateService, make_spec, on
+from .stepped_controller import RECORD_BYTES, SteppedController, add_job, run_scenario, seed
 
 HEARD, SILENT, ENDED = Contact.HEARD, Contact.SILENT, Contact.ENDED
 ACTIVE, OVER, UNKNOWN = JobStanding.ACTIVE, JobStanding.OVER, JobStanding.UNKNOWN
@@ -130,25 +130,25 @@
 JOBS = {"wk-000001": ACTIVE, "wk-000002": OVER, "wk-000003": UNKNOWN}
 
 
-def _draw(lots: random.Random) -> tuple[dict[str, list[PlannedAttempt]], list[dict[str, Any]]]:
+def _draw(rng: random.Random) -> tuple[dict[str, list[PlannedAttempt]], list[dict[str, Any]]]:
     """Plans and a report of n-0, drawn at random."""
     plans: dict[str, list[PlannedAttempt]] = {}
     reported = []
     for job in JOBS:
         for index in range(TASKS):
-            if lots.random() < 0.7:
+            if rng.random() < 0.7:
                 row = PlannedAttempt(
                     job,
                     index,
-                    lots.randint(1, 3),
-                    lots.choice(("n-0", "n-0", "n-1")),
-                    lots.randint(1, 3),
+                    rng.randint(1, 3),
+                    rng.choice(("n-0", "n-0", "n-1")),
+                    rng.randint(1, 3),
                 )
                 plans.setdefault(job, []).append(row)
-            if lots.random() < 0.7:
-                exited = lots.random() < 0.3
+            if rng.random() < 0.7:
+                exited = rng.random() < 0.3
                 state, cause = ("exited", "done") if exited else ("running", "")
-                reported.append(on(job, index, lots.randint(1, 3), state, cause))
+                reported.append(on(job, index, rng.randint(1, 3), state, cause))
     return plans, reported
 
 
@@ -157,7 +157,7 @@
     clock: FakeClock,
     plans: dict[str, list[PlannedAttempt]],
     reported: list[Any],
-) -> tuple[Node, list[Command]]:
+) -> tuple[SteppedController, list[Command]]:
     """What the ordinary path orders after the machine's first trusted report."""
     seed(state, clock, machines=2)
     add_job(state, clock, nameId="wk-000001", sacks=TASKS)
@@ -167,7 +167,7 @@
     for job, rows in plans.items():
         chunk = PlanChunk(4, 0, {row.index: row for row in rows})
         state.put(keys.plan(job, "0"), encode_chunk(chunk))
-    node = Node(state, clock, {})
+    node = SteppedController(state, clock, {})
     await node.boot()
     node.report("n-0", SESSION, 1, 0)
     answer = node.report("n-0", SESSION, 2, node.token(), *reported)
@@ -186,7 +186,9 @@
 def _compare_with_the_ordinary_path(drawn: int) -> None:
     plans, reported = _draw(random.Random(drawn))
 
-    async def story(state: StateService, clock: FakeClock, nodes: dict[str, Node]) -> None:
+    async def scenario(
+        state: StateService, clock: FakeClock, nodes: dict[str, SteppedController]
+    ) -> None:
         node, commands = await _ordinary(state, clock, plans, reported)
         machine, view = node.cluster.machines["n-0"], node.heartbeats.find_view("n-0")
         assert view is not None
@@ -206,7 +208,7 @@
             assert concluded == (action is Action.CONCLUDE or session_over), (drawn, key)
         assert ordered == expected, drawn
 
-    play(story)
+    run_scenario(scenario)
 
 
 # -- batches, brake, settings ----------------------------------------------------------
@@ -298,13 +300,15 @@
 
 
 def test_a_token_is_raised_above_what_a_worker_has_seen() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: dict[str, Node]) -> None:
+    async def scenario(
+        state: StateService, clock: FakeClock, nodes: dict[str, SteppedController]
+    ) -> None:
         seed(state, clock, machines=1)
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         assert node.report("n-0", 1, 1, 400).status == 503
         await node.membership.step()
         assert node.token() == 401
         assert node.report("n-0", 1, 2, 400).token == 401
 
-    play(story)
+    run_scenario(scenario)
--- a/tests/test_recovery_dry_run.py
+++ b/tests/test_recovery_dry_run.py
@@ -16,6 +16,7 @@
 from crossmill.wire.checks import load_object
 from crossmill.wire.recovery import APPROVE_PATH, RECOVERY_PATH, Approval, approval_body
 
+from .fake_services import settings_table
 from .recovery_region import (
     RecoveryRegion,
     give_unplanned,
@@ -23,7 +24,6 @@
     recovery_settings,
     simulate_recovery,
 )
-from .standins import settings_table
 
 
 async def _restart_with_differences(region: RecoveryRegion) -> None:
@@ -61,7 +61,7 @@
 
 
 def test_a_dry_run_says_what_it_would_have_held_back_and_takes_no_approval() -> None:
-    async def story(region: RecoveryRegion) -> None:
+    async def scenario(region: RecoveryRegion) -> None:
         await _restart_with_differences(region)
         label = next(iter(region.nodes))
         overview = load_object((await region.request(label, "GET", RECOVERY_PATH)).body)
@@ -73,7 +73,7 @@
         approval = approval_body(Approval(0, "ab"))
         assert (await region.request(label, "POST", APPROVE_PATH, approval)).status == 409
 
-    simulate_recovery(story, recovery_settings(dry_run=True), is_unplanned)
+    simulate_recovery(scenario, recovery_settings(dry_run=True), is_unplanned)
 
 
 @pytest.mark.parametrize(
@@ -120,7 +120,7 @@
         keys.record(0, 7): {"shard": 0, "token": 7, "zones": {}},
     }
 
-    async def story(region: RecoveryRegion) -> None:
+    async def scenario(region: RecoveryRegion) -> None:
         for key, value in later.items():
             region.state.put(key, value)
         await _restart_with_differences(region)
@@ -135,7 +135,7 @@
         await region.until(region.steady, 60.0)
 
     with caplog.at_level("WARNING"):
-        simulate_recovery(story, recovery_settings(), is_unplanned)
+        simulate_recovery(scenario, recovery_settings(), is_unplanned)
     said = [record.getMessage() for record in caplog.records]
     for key in (keys.braked(0), keys.RECORD + "0/by-zone/7"):
         assert any(key in message for message in said), key
--- a/tests/test_recovery_service.py
+++ b/tests/test_recovery_service.py
@@ -18,9 +18,9 @@
 from crossmill.recovery.service import RecoveryService
 from crossmill.wire.recovery import APPROVE_PATH, RECOVERY_PATH, Approval, approval_body
 
-from .harness import Node, play, seed
+from .fake_services import FakeClock, StateService, make_settings, settings_table
 from .recovery_region import add_recovery, recovery_settings
-from .standins import FakeClock, StateService, make_settings, settings_table
+from .stepped_controller import SteppedController, run_scenario, seed
 
 ROOT = Path(__file__).resolve().parent.parent
 DEPLOY = ROOT / "deploy" / "recovery.toml"
@@ -56,7 +56,7 @@
     script = """
 import sys
 import crossmill.cli, crossmill.app
-from tests.standins import FakeClock, make_settings
+from tests.fake_services import FakeClock, make_settings
 app = crossmill.app.App(make_settings(), FakeClock())
 assert app.heartbeats.gate is None
 print(*(name for name in sys.modules if "recovery" in name))
@@ -95,9 +95,11 @@
         assert exc.code == BAD_USAGE
 
 
-async def _api(state: StateService, clock: FakeClock, nodes: dict[str, Node]) -> RecoveryApi:
+async def _api(
+    state: StateService, clock: FakeClock, nodes: dict[str, SteppedController]
+) -> RecoveryApi:
     seed(state, clock, machines=1)
-    node = Node(state, clock, nodes)
+    node = SteppedController(state, clock, nodes)
     api = add_recovery(node, recovery_settings())
     await node.boot()
     await api.service.step()
@@ -105,7 +107,9 @@
 
 
 def test_the_operators_interface() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: dict[str, Node]) -> None:
+    async def scenario(
+        state: StateService, clock: FakeClock, nodes: dict[str, SteppedController]
+    ) -> None:
         api = await _api(state, clock, nodes)
 
         async def ask(method: str, path: str, body: bytes = b"") -> tuple[int, Any]:
@@ -128,4 +132,4 @@
             assert response.status == 503
             assert response.retry_after_s is not None
 
-    play(story)
+    run_scenario(scenario)
--- a/tests/test_request_heads.py
+++ b/tests/test_request_heads.py
@@ -103,7 +103,7 @@
     async def handler(request: Request) -> Response:
         return Response(200, request.path.encode() + request.body)
 
-    async def story() -> None:
+    async def scenario() -> None:
         port = await _free_port()
         server = Server(Endpoint("127.0.0.1", port), handler, 8, 60.0, kept_heads=8)
         await curio.spawn(server.run, daemon=True)
@@ -128,6 +128,6 @@
             assert answers[0] == answers[1] == answers[2]
 
     async def bounded() -> None:
-        await curio.timeout_after(5.0, story)
+        await curio.timeout_after(5.0, scenario)
 
     curio.run(bounded)
--- a/tests/test_safety.py
+++ b/tests/test_safety.py
@@ -11,17 +11,19 @@
 from crossmill.wire.workers import Command
 from crossmill.workers.attempt_outcomes import StopReason
 
-from .harness import Node, add_job, add_machine, play, seed
-from .standins import FakeClock, StateService, beat, on, submission
+from .fake_services import FakeClock, StateService, beat, on, submission
+from .stepped_controller import SteppedController, add_job, add_machine, run_scenario, seed
 
-Nodes = dict[str, Node]
+Nodes = dict[str, SteppedController]
 
 
-async def _placed(state: StateService, clock: FakeClock, nodes: Nodes, **job: object) -> Node:
+async def _placed(
+    state: StateService, clock: FakeClock, nodes: Nodes, **job: object
+) -> SteppedController:
     """A node whose machine n-0 runs the job's one task, attempt 1, in session 1."""
     seed(state, clock, machines=1)
     job_id = add_job(state, clock, **{"sacks": 1, **job})
-    node = Node(state, clock, nodes)
+    node = SteppedController(state, clock, nodes)
     await node.boot()
     token = node.token()
     node.report("n-0", 1, 1, 0)
@@ -33,10 +35,10 @@
 
 
 def test_start_is_sent_only_from_a_durable_plan() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
         add_job(state, clock, sacks=1)
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         node.report("n-0", 1, 1, node.token())
         state.script["/txn"] = ["refuse"] * 2
@@ -46,14 +48,14 @@
         await task.join()
         assert len(node.report("n-0", 1, 3, node.token()).commands) == 1
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_report_from_before_takeover_is_not_believed() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _placed(state, clock, nodes)
         # a new incarnation; a late copy of an old report lists nothing
-        again = Node(state, clock, nodes)
+        again = SteppedController(state, clock, nodes)
         await again.boot()
         assert again.token() > node.token()
         answer = again.report("n-0", 1, 2, node.token())
@@ -63,11 +65,11 @@
         await again.round()
         assert len(again.cluster.machines["n-0"].attempts) == 1
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_late_copy_renews_no_belief_and_brings_no_order() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _placed(state, clock, nodes)
         clock.time += node.settings.heartbeat_timeout_s + 0.1
         view = node.heartbeats.find_view("n-0")
@@ -77,11 +79,11 @@
         assert not view.is_fresh(clock.now(), node.settings.heartbeat_timeout_s)
         assert view.answered_at == before
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_silence_is_no_proof_until_the_lease_must_have_ended() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _placed(state, clock, nodes)
         add_machine(state, clock, "n-1")
         await node.sync()
@@ -96,11 +98,11 @@
                 assert held == ["n-0"], silent_s
         assert held == ["n-1"]
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_new_session_proves_the_old_attempts_over() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _placed(state, clock, nodes)
         node.report("n-0", 2, 1, node.token())
         await node.round()
@@ -108,11 +110,11 @@
         rows = list(node.cluster.jobs["wk-000001"].attempts())
         assert [(r.number, r.session) for r in rows] == [(2, 2)]
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_failed_entry_in_the_list_is_no_proof_but_a_release_is() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _placed(state, clock, nodes)
         node.cloud.listed = [
             {
@@ -142,14 +144,14 @@
         await node.round()
         assert node.cluster.jobs["wk-000001"].planned_task_count() == 0
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_an_unanswered_direct_start_stays_in_doubt_until_a_higher_token() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
         job = add_job(state, clock, sacks=1)
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         node.worker.answer = NoResponseError("held back")
         token = node.token()
@@ -174,11 +176,11 @@
         await node.round()
         assert node.cluster.jobs[job].planned_task_count() == 0
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_an_outcome_is_durable_before_the_reap() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _placed(state, clock, nodes)
         done = on("wk-000001", 0, 1, "exited", "done")
         assert node.report("n-0", 1, 5, node.token(), done).commands == ()
@@ -187,14 +189,14 @@
         orders = node.report("n-0", 1, 6, node.token(), done).commands
         assert orders == (Command("forget", "wk-000001/0", 1),)
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_job_withdrawn_elsewhere_stops_a_start_that_did_not_know() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
         job = add_job(state, clock, sacks=1)
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         node.report("n-0", 1, 1, node.token())
         # another controller's write that this mirror has not seen yet
@@ -203,11 +205,11 @@
         assert node.cluster.jobs[job].planned_task_count() == 0
         assert keys.plan(job, "0") not in state.keys
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_withdrawn_tasks_are_killed_and_done_jobs_stay_done() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _placed(state, clock, nodes)
         answer = await node.ask("POST", "/v1/jobs/wk-000001/withdraw")
         assert (answer.status, orjson.loads(answer.body)["stage"]) == (200, "withdrawn")
@@ -218,14 +220,14 @@
         await node.round()
         assert state.keys[keys.job("wk-000001")][0]["end"] == "cancelled"
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_non_final_answer_is_shown_to_be_current() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock)
         job = add_job(state, clock)
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         # told elsewhere to be withdrawn; this mirror lags
         state.put(keys.job(job), {**state.keys[keys.job(job)][0], "end": "cancelled"})
@@ -239,12 +241,12 @@
         # what is final needs no proof
         assert (await node.ask("GET", f"/v1/jobs/{job}")).status == 200
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_submissions_and_their_repeats() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        node = Node(state, clock, nodes)
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         body = orjson.dumps(submission())
         early = await node.ask("POST", "/v1/jobs", body)
@@ -254,7 +256,7 @@
         assert (await node.ask("POST", "/v1/jobs", body)).status == 201
         assert state.keys[keys.job("wk-000001")][0]["spec"]["tasks"] == 2
         # another node that has not seen it, and a repeat that is broken by now
-        other = Node(state, clock, nodes, "node-1")
+        other = SteppedController(state, clock, nodes, "node-1")
         await other.boot()
         broken = orjson.dumps({"nameId": "wk-000001", "cpus": -1})
         assert (await other.ask("POST", "/v1/jobs", broken)).status == 200
@@ -271,14 +273,14 @@
         refused = await node.ask("POST", "/v1/jobs", orjson.dumps(submission(nameId="wk-000008")))
         assert (refused.status, refused.retry_after_s) == (503, 1)
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_team_limit_counts_attempts_in_doubt() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=6)
         add_job(state, clock, sacks=16)
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         for number in range(6):
             node.report(f"n-{number}", 1, 1, node.token())
@@ -293,26 +295,26 @@
         assert node.cluster.jobs["wk-000001"].planned_task_count() == 16
         assert node.cluster.jobs["wk-000002"].planned_task_count() == 0
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_spread_and_zone_are_kept_with_tasks_in_doubt() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=2)
         job = add_job(state, clock, sacks=4, spread=True, cut="service", grindS=0.0)
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         for number in range(2):
             node.report(f"n-{number}", 1, 1, node.token())
         await node.round()
         assert node.cluster.machines.task_counts_by_zone(node.cluster.jobs[job]) == {"north": 2}
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_lost_answer_of_a_write_is_settled_by_reading() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        node = Node(state, clock, nodes)
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         state.script["/txn"] = ["lose"]
         mine = WriteIntent(Txn({"cm/x": 0}, [Put("cm/x", {"a": 1.0})]))
@@ -323,7 +325,7 @@
         state.put("cm/y", {"a": 2})
         assert await node.writer.commit(other) == WriteResult.CONFLICT
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_what_others_wrote_on_top_of_a_lost_write_is_known_once_its_fate_is() -> None:
@@ -331,8 +333,8 @@
     have answered its worker: the new owner's record was read and not kept.
     """
 
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        node = Node(state, clock, nodes)
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         mine = WriteIntent(Txn({"cm/x": 0}, [Put("cm/x", {"a": 1})]))
         state.script["/txn"] = ["lose"]
@@ -343,7 +345,7 @@
         await mine.future.wait()
         assert node.mirror.value("cm/x") == {"a": 2}
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_direct_answer_without_the_task_does_not_prove_that_a_start_can_not_come() -> None:
@@ -351,10 +353,10 @@
     task was free to be placed elsewhere while it began here.
     """
 
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
         add_job(state, clock, sacks=1)
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         token = node.token()
         node.report("n-0", 1, 1, 0)
@@ -368,16 +370,16 @@
         node.report("n-0", 1, 5, token)
         assert [outcome.reason for outcome in node.heartbeats.outcomes.values()] == ["not started"]
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_stale_owners_write_does_nothing() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _placed(state, clock, nodes)
         lease = node.controller_lease.lease_id
         assert lease is not None
         state.end_lease(lease)
-        other = Node(state, clock, nodes, "node-1")
+        other = SteppedController(state, clock, nodes, "node-1")
         await other.boot()
         clock.time += (
             other.settings.lease_extension_grant_s * 1.1 + other.settings.controller_lease_ttl_s * 2
@@ -396,14 +398,14 @@
         assert node.report("n-0", 1, 9, node.token()).status == 421
         assert {k: v for k, v in state.keys.items() if k in before} == before
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_workers_are_kept_alive_on_promises_and_only_then() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _placed(state, clock, nodes)
         for label in ("node-1", "node-2"):
-            await Node(state, clock, nodes, label).boot()
+            await SteppedController(state, clock, nodes, label).boot()
         running = on("wk-000001", 0, 1, "running")
         await node.live()
         state.down = True
@@ -423,15 +425,15 @@
         await node.lease_extensions.request_grants(sorted(node.membership.ownerships))
         assert node.report("n-0", 1, seq + 1, node.token(), running).status in (421, 503)
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_controller_refused_alone_lets_its_promises_end() -> None:
     """It went on asking, so that no peer took its shards, and its workers' leases ended."""
 
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _placed(state, clock, nodes)
-        peers = [Node(state, clock, nodes, label) for label in ("node-1", "node-2")]
+        peers = [SteppedController(state, clock, nodes, label) for label in ("node-1", "node-2")]
         for peer in peers:
             await peer.boot()
         for _ in range(8):
@@ -448,13 +450,13 @@
         assert not peers[0].lease_extensions.is_granted_to_peer(0)
         assert not node.lease_extensions.is_extended()
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_in_an_outage_for_all_nobody_believes_to_be_alone() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _placed(state, clock, nodes)
-        peers = [Node(state, clock, nodes, label) for label in ("node-1", "node-2")]
+        peers = [SteppedController(state, clock, nodes, label) for label in ("node-1", "node-2")]
         for peer in peers:
             await peer.boot()
         state.down = True
@@ -474,15 +476,15 @@
         # and once the workers are no longer answered, nobody is kept from taking over
         assert not peers[0].lease_extensions.is_granted_to_peer(0)
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_the_first_to_be_served_after_an_outage_is_no_sign_that_others_are_refused_alone() -> None:
     """Two of three controllers took an outage's end for a refusal of their own."""
 
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _placed(state, clock, nodes)
-        peers = [Node(state, clock, nodes, label) for label in ("node-1", "node-2")]
+        peers = [SteppedController(state, clock, nodes, label) for label in ("node-1", "node-2")]
         for peer in peers:
             await peer.boot()
         state.down = True
@@ -498,18 +500,18 @@
         await node.lease_extensions.request_grants(sorted(node.membership.ownerships))
         assert not node.lease_extensions.is_only_one_refused
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_restarted_controller_waits_out_promises_it_has_forgotten() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        first = Node(state, clock, nodes, "node-0")
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        first = SteppedController(state, clock, nodes, "node-0")
         await first.boot()
         lease = first.controller_lease.lease_id
         assert lease is not None
         state.end_lease(lease)
         # node-0 acts on promises while its key is gone; node-1 has just started anew
-        other = Node(state, clock, nodes, "node-1")
+        other = SteppedController(state, clock, nodes, "node-1")
         first.cut = True
         await other.boot(waited=False)
         assert 0 not in other.membership.ownerships
@@ -517,14 +519,14 @@
         clock.time += other.settings.lease_extension_grant_s * 1.1
         assert other.lease_extensions.may_acquire_unowned(0)
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_request_names_differ_between_incarnations_and_lost_rentals_are_not_doubled() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=0)
         add_job(state, clock, sacks=4)
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         for _ in range(6):
             clock.time += node.settings.controller_lease_ttl_s / 2
@@ -538,11 +540,11 @@
         await node.provisioner._rent()
         assert len(node.cloud.requests) == 1
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_direct_answers_do_not_renew_the_lease_bound() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _placed(state, clock, nodes)
         view = node.heartbeats.find_view("n-0")
         assert view is not None
@@ -556,7 +558,7 @@
         node.report("n-0", 1, 8, node.token(), on("wk-000001", 0, 1, "running"))
         assert view.answered_at == clock.now()
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_session_known_from_direct_answers_alone_has_a_lease_of_its_own() -> None:
@@ -564,7 +566,7 @@
     as over from our last answer, long before, and began elsewhere while it ran.
     """
 
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _placed(state, clock, nodes)
         for _ in range(20):
             clock.time += node.settings.worker_lease_s / 20
@@ -590,7 +592,7 @@
         node.heartbeats.expire_lease(machine, ownership)
         assert [outcome.reason for outcome in node.heartbeats.outcomes.values()] == ["lease over"]
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_what_was_found_not_started_is_never_started() -> None:
@@ -598,10 +600,10 @@
     showed it over on a machine to be returned, and then the answer brought a direct start.
     """
 
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
         add_job(state, clock, sacks=1)
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         token = node.token()
         node.report("n-0", 1, 1, 0)
@@ -624,13 +626,13 @@
         # should the write come to nothing, it is found once more
         assert [outcome.reason for outcome in node.heartbeats.outcomes.values()] == ["not started"]
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_machine_given_to_another_shard_obeys_only_its_new_owner() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         other = node.settings.shard_of_team("blue")
         for _ in range(12):
@@ -663,15 +665,15 @@
         commands = node.report("n-0", 1, 52, machine.token).commands
         assert [c.op for c in commands] == ["start"]
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_machine_is_not_answered_while_its_move_is_written() -> None:
     """Its new owner counts the worker's lease from when it learns of the move."""
 
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         node.report("n-0", 1, 1, node.token())
         await node.round()
@@ -685,11 +687,11 @@
         # an older view must not be believed again if the machine comes back
         assert node.heartbeats.find_view("n-0") is None
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_machine_with_anything_on_it_or_on_its_way_is_not_given() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _placed(state, clock, nodes)
         giving = node.scheduling_loop._machine_transfer
         machine = node.cluster.machines["n-0"]
@@ -702,15 +704,15 @@
         node.heartbeats.unacknowledged["n-0"] = {AttemptId("wk-000001", 0, 1): node.token()}
         assert giving.target(machine) is None, "a start sent to it may still arrive"
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_no_start_is_planned_on_a_machine_in_the_round_that_gives_it() -> None:
     """The start's write rests on the machine's stamp but leaves it: both would be carried out."""
 
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         other = node.settings.shard_of_team("blue")
         for _ in range(12):
@@ -737,7 +739,7 @@
         assert machine.shard == other
         assert not machine.attempts
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_controller_that_no_worker_reaches_gives_its_shards_away() -> None:
@@ -745,9 +747,12 @@
     peer sent the workers back to it until their leases ended.
     """
 
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=4)
-        node, other = Node(state, clock, nodes), Node(state, clock, nodes, "node-1")
+        node, other = (
+            SteppedController(state, clock, nodes),
+            SteppedController(state, clock, nodes, "node-1"),
+        )
         await node.boot()
         await other.boot(waited=False)
         s = node.settings
@@ -783,4 +788,4 @@
             other.report("n-0", 1, tick, 1)
         assert 0 in node.membership.ownerships
 
-    play(story)
+    run_scenario(scenario)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -26,12 +26,12 @@
 from crossmill.wire.workers import cached_task_status_reader, parse_heartbeat
 from crossmill.workers.attempt_outcomes import AttemptOutcome, EndReason
 
-from . import harness
+from . import stepped_controller
+from .fake_services import FakeClock, StateService, beat, make_settings, on
 from .full_fleet import EACH, full_fleet, report_all
-from .harness import Node, add_job, play
-from .standins import FakeClock, StateService, beat, make_settings, on
+from .stepped_controller import SteppedController, add_job, run_scenario
 
-Nodes = dict[str, Node]
+Nodes = dict[str, SteppedController]
 MACHINES = 1000
 
 
@@ -40,7 +40,9 @@
     """The one team is guaranteed all GPUs, and may use more."""
     teams = (Team("red", 0.0, 0.0, 1.0 * MACHINES * EACH, 0.0),)
     monkeypatch.setattr(
-        harness, "make_settings", lambda label: replace(make_settings(label), teams=teams)
+        stepped_controller,
+        "make_settings",
+        lambda label: replace(make_settings(label), teams=teams),
     )
 
 
@@ -65,11 +67,11 @@
     earlier jobs two fifths.
     """
 
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         full_fleet(state, clock, MACHINES)
         for job in range(300):
             add_job(state, clock, nameId=f"wk-{job + 500:06d}", grist="batch")
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         report_all(node, MACHINES)
         counts: Counter[str] = Counter()
@@ -80,13 +82,13 @@
         assert MACHINES <= counts["fits"] <= 2 * MACHINES
         assert counts["done_task_count"] <= 20 * jobs
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_report_looks_at_its_own_machine_only() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         full_fleet(state, clock, MACHINES)
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         report_all(node, MACHINES)
 
@@ -101,14 +103,14 @@
         tasks = [on("wk-000000", i, i + 1, "running") for i in range(EACH)]
         assert node.report("n-0", 1, 2, node.token(), *tasks).status == 200
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_takeover_reads_by_pages_and_writes_no_more_than_the_shards_key() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         full_fleet(state, clock, MACHINES)
         stored = len(state.keys)
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         pages = [path for _, path in state.calls if path == "/keys"]
         assert len(pages) <= stored // 1000 + 1
@@ -120,13 +122,13 @@
         await node.round()
         assert state.puts == before
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_zone_that_falls_silent_is_asked_about_in_one_message_to_each_controller() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         full_fleet(state, clock, MACHINES)
-        node = Node(state, clock, nodes, "node-1")
+        node = SteppedController(state, clock, nodes, "node-1")
         await node.boot()
         for _ in range(12):
             clock.time += node.settings.controller_lease_ttl_s / 3
@@ -150,13 +152,15 @@
         assert len(asked) == 1
         assert asked[0] < 64 * 1024
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_burst_of_submissions_does_not_wait_for_this_controllers_share_of_the_rate() -> None:
     # guards against a pipeline's stages, submitted one after the other, taking a second each
-    async def story(state: StateService, clock: FakeClock, nodes: dict[str, Node]) -> None:
-        node = Node(state, clock, nodes)
+    async def scenario(
+        state: StateService, clock: FakeClock, nodes: dict[str, SteppedController]
+    ) -> None:
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         clock.time += 2
         node.writer.allot(1.0)
@@ -169,7 +173,7 @@
         await node.writer.submit(late)
         assert await late.future.wait(0.05) is None
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_round_writes_no_more_chunks_than_the_rate_takes_and_urgent_ones_first() -> None:
@@ -191,8 +195,10 @@
 
 def test_a_shard_changes_hands_before_submissions_that_wait_for_the_rate() -> None:
     # guards against a shard that nobody acts for while cancellations queue up before its key
-    async def story(state: StateService, clock: FakeClock, nodes: dict[str, Node]) -> None:
-        node = Node(state, clock, nodes)
+    async def scenario(
+        state: StateService, clock: FakeClock, nodes: dict[str, SteppedController]
+    ) -> None:
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         node.writer.allot(1.0)
         node.writer._pacer.spend(100.0)
@@ -207,7 +213,7 @@
         assert next(iter(node.writer._queue)).txn.deletes == [key]
         await task.cancel()
 
-    play(story)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("machines", [200, MACHINES])
@@ -215,12 +221,12 @@
     machines: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # guards against rooms of the whole fleet in each round: a quarter of the rounds' time
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         full_fleet(state, clock, machines)
         add_job(state, clock, nameId="wk-900000", grist="batch")
         counts: Counter[str] = Counter()
         _count(monkeypatch, counts, DemandForecast, "free_capacity")
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         report_all(node, machines)
         await node.round()
@@ -236,7 +242,7 @@
         # of what is planned onto it in that round the next one learns
         assert counts["free_capacity"] == 1
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_steady_reports_of_four_thousand_machines_cost_the_cheap_path(
@@ -279,9 +285,9 @@
 
 def test_a_report_without_news_checks_no_task_anew(monkeypatch: pytest.MonkeyPatch) -> None:
     # guards against parsing every task of every machine in each report interval
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         full_fleet(state, clock, 40)
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         report_all(node, 40, 1)
         counts: Counter[str] = Counter()
@@ -289,4 +295,4 @@
         report_all(node, 40, 2)
         assert counts["one_of"] == 0
 
-    play(story)
+    run_scenario(scenario)
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -46,7 +46,7 @@
 ) -> None:
     """One that sent a byte now and then held its socket for ever."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         free = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         free.bind(("127.0.0.1", 0))
         port = free.getsockname()[1]
@@ -62,4 +62,4 @@
             5.0, _converse, port, b"GET / HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n", 0
         )
 
-    curio.run(story)
+    curio.run(scenario)
--- a/tests/test_start_compiles_nothing.py
+++ b/tests/test_start_compiles_nothing.py
@@ -23,9 +23,9 @@
 from crossmill.wire.users import JOBS_PATH
 from crossmill.wire.workers import HEARTBEAT_PATH
 
-from .harness import seed
+from .fake_services import CloudService, FakeClock, StateService, beat, settings_table, submission
 from .loopback import free_ports, serving
-from .standins import CloudService, FakeClock, StateService, beat, settings_table, submission
+from .stepped_controller import seed
 
 ROOT = Path(__file__).resolve().parent.parent
 LIBRARIES = ("curio", "h11", "orjson")
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,9 +14,7 @@
 from crossmill.state.writer import WriteIntent, WriteResult
 from crossmill.wire.state import Put, Txn
 
-from .harness import RECORD_BYTES, Node, add_job, add_machine, play, seed
-from .simulation import Region, simulate
-from .standins import (
+from .fake_services import (
     FakeClock,
     StateService,
     make_settings,
@@ -25,8 +23,17 @@
     settings_table,
     submission,
 )
+from .simulated_region import Region, simulate
+from .stepped_controller import (
+    RECORD_BYTES,
+    SteppedController,
+    add_job,
+    add_machine,
+    run_scenario,
+    seed,
+)
 
-Nodes = dict[str, Node]
+Nodes = dict[str, SteppedController]
 JOB = "wk-000001"
 
 # what the version in production writes, and all that it reads
@@ -96,11 +103,11 @@
 def test_the_level_is_raised_once_all_have_noted_and_by_the_leader(
     upgraded: tuple[str, ...],
 ) -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock)
         for label in upgraded:
             state.put(keys.feature(label), {"level": 1})
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         await node.feature_level.step()
         assert keys.feature("node-0") in state.keys
@@ -119,11 +126,11 @@
         assert response.status == (201 if len(upgraded) == 2 else 503)
         assert response.retry_after_s is not None or response.status == 201
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_the_raise_rests_on_every_note_and_survives_lost_answers() -> None:
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         lost: list[str] = []
 
         def fate(label: str, method: str, path: str) -> tuple[float, bool] | None:
@@ -142,14 +149,14 @@
         await region.until(lambda: all(n.cluster.level for n in region.nodes.values()), 90)
         assert region.state.keys[keys.LEVEL][0]["level"] == 1
 
-    simulate(story)
+    simulate(scenario)
 
 
 def test_until_the_level_is_raised_production_reads_all_that_is_written() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=2)
         state.put(keys.job(JOB), PRODUCTION_JOB)
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         await node.feature_level.step()
         for machine in ("n-0", "n-1"):
@@ -165,18 +172,18 @@
         assert state.keys[keys.job(JOB)][0]["end"] == "done"
         _production_reads(state)
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_late_write_of_production_after_the_raise_does_no_harm() -> None:
     # it ends a job in its own format: the jobs after it count from their submission
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock)
         state.put(keys.LEVEL, encode_level(Level(1, 512, 32)))
         state.put(keys.job(JOB), PRODUCTION_JOB)
         waits = make_spec(nameId="wk-000002")
         state.put(keys.job("wk-000002"), encode_job(waits, clock.wall(), (JOB,)))
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         assert node.cluster.jobs["wk-000002"].is_blocked
         state.put(keys.job(JOB), {"end": "done", "spec": PRODUCTION_SPEC})
@@ -185,7 +192,7 @@
         assert not job.is_blocked
         assert job.ready_at == job.submitted
 
-    play(story)
+    run_scenario(scenario)
 
 
 # -- plans ---------------------------------------------------------------------------
@@ -203,12 +210,12 @@
 
 def test_chunk_sizes_come_from_the_level_and_not_from_todays_settings() -> None:
     # guards against reading stored plans wrongly once the settings name the lower limit
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock)
         state.put(keys.LEVEL, encode_level(Level(1, 1024, 64)))
         state.put(keys.job(JOB), {**PRODUCTION_JOB, "spec": {**PRODUCTION_SPEC, "tasks": 3000}})
         state.put(keys.plan(JOB, "1"), {"next": 2, "done": "1", "rows": [[1025, 1, "n-0", 1]]})
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         job = node.cluster.jobs[JOB]
         assert job.chunks["1"].first == 1024
@@ -217,7 +224,7 @@
         assert 1024 not in waiting
         assert 1025 not in waiting
 
-    play(story)
+    run_scenario(scenario)
 
 
 def _old_plan(tasks: int, done: int = 0) -> dict[str, Any]:
@@ -225,12 +232,14 @@
     return {"next": tasks + 1, "done": f"{done:x}", "rows": rows}
 
 
-async def _with_old_plan(state: StateService, clock: FakeClock, nodes: Nodes, tasks: int) -> Node:
+async def _with_old_plan(
+    state: StateService, clock: FakeClock, nodes: Nodes, tasks: int
+) -> SteppedController:
     seed(state, clock, machines=2)
     spec = {**PRODUCTION_SPEC, "tasks": tasks, "cpus": 0.01, "gpus": 0.0, "memory_gb": 0.1}
     state.put(keys.job(JOB), {**PRODUCTION_JOB, "spec": spec})
     state.put(keys.plan(JOB, "0"), _old_plan(tasks, done=0b101))
-    node = Node(state, clock, nodes)
+    node = SteppedController(state, clock, nodes)
     await node.boot()
     for machine in ("n-0", "n-1"):
         node.report(machine, 1, 1, node.token())
@@ -251,7 +260,7 @@
     tasks: int, is_lowered: bool
 ) -> None:
     # also when the limit bites before the move: 400 tasks need more than one transaction
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _with_old_plan(state, clock, nodes, tasks)
         planned = [i for i in range(tasks) if i not in (0, 2)]
         state.put(keys.LEVEL, encode_level(Level(1, 512, 32)))
@@ -262,7 +271,7 @@
         for turn in range(8):
             # ends and restarts of the owner in between must change nothing
             if turn == 1:
-                node = Node(state, clock, nodes)
+                node = SteppedController(state, clock, nodes)
                 await node.boot()
             clock.time += 0.5
             await node.live()
@@ -280,11 +289,11 @@
         # attempt numbers go on where they stood
         assert all(c.next == tasks + 1 for c in job.chunks.values())
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_plan_that_changes_while_it_is_copied_is_copied_again() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _with_old_plan(state, clock, nodes, 400)
         state.put(keys.LEVEL, encode_level(Level(1, 512, 32)))
         await node.sync()
@@ -304,11 +313,11 @@
         assert 7 not in _stored_rows(state)
         assert job.done_task_count() == 3
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_cancelled_jobs_copies_never_come_into_force() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _with_old_plan(state, clock, nodes, 400)
         state.put(keys.LEVEL, encode_level(Level(1, 512, 32)))
         await node.sync()
@@ -330,15 +339,15 @@
             assert node.cluster.jobs[JOB].planned_task_count() == 0
         assert not [k for k in state.keys if k.startswith(keys.PLAN)]
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_legacy_chunk_created_late_does_not_meet_segments() -> None:
     # the layout is among the conditions of whatever creates a chunk
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
         add_job(state, clock, nameId=JOB, sacks=1)
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         node.report("n-0", 1, 1, node.token())
         # raised, but not seen here yet
@@ -349,7 +358,7 @@
         await node.round()
         assert [k for k in state.keys if k.startswith(keys.PLAN)] == [keys.plan(JOB, "0-32")]
 
-    play(story)
+    run_scenario(scenario)
 
 
 # -- limits --------------------------------------------------------------------------
@@ -369,8 +378,8 @@
 
 
 def test_rates_and_sizes_follow_the_lower_limits_once_the_level_is_raised() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        node = Node(state, clock, nodes)
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         assert node.cluster.limits == node.settings.state_limits
         state.put(keys.LEVEL, encode_level(Level(1, 512, 32)))
@@ -380,14 +389,14 @@
         share = node.writer._pacer
         assert share.wait_s(40.0) > 0
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_batch_that_became_too_large_is_split_and_one_alone_is_given_back() -> None:
     # guards against repeating for ever what the state service refuses for its size, and
     # against taking that for a lost lease
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        node = Node(state, clock, nodes)
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         # the pacer's bucket is full again
         clock.time += 2
@@ -401,12 +410,12 @@
         assert state.too_large <= 3
         assert node.membership.active_ownership(0) is not None
 
-    play(story)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("seed_s", [2.0, 6.0, 11.0])
 def test_limits_lowered_while_pipelines_run_and_controllers_end(seed_s: float) -> None:
-    async def story(region: Region) -> None:
+    async def scenario(region: Region) -> None:
         await region.begin(machines=0)
         for number in range(3):
             await region.add_worker(f"n-{number}", shard=0)
@@ -425,19 +434,19 @@
         await region.until(lambda: region.finished(second, 40), 120)
         assert region.state.too_large == 0
 
-    simulate(story)
+    simulate(scenario)
 
 
 def test_machines_of_one_plan_write_stay_within_the_conditions() -> None:
     # a job of many tasks, one to a machine, under six changes and twenty-four conditions
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=0)
         for number in range(40):
             add_machine(state, clock, f"n-{number}")
         state.put(keys.LEVEL, encode_level(Level(1, 512, 32)))
         state.limits = StateLimits(100, 40, 2048, 6)
         add_job(state, clock, nameId=JOB, sacks=40, cpus=32.0, cards=0.0, ramGb=1.0)
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         for turn in range(6):
             clock.time += 0.5
@@ -449,18 +458,18 @@
         assert state.too_large == 0
         assert make_settings().lowest_state_limits.conditions == 24
 
-    play(story)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("end", ["done", "cancelled"])
 def test_a_record_written_too_large_before_can_still_be_ended(end: str) -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
         spec = {**PRODUCTION_SPEC, "tasks": 1, "image": "i" * 3000, "zone": "north"}
         state.put(keys.job(JOB), {**PRODUCTION_JOB, "spec": spec})
         state.put(keys.LEVEL, encode_level(Level(1, 512, 32)))
         state.limits = StateLimits(100, 40, 2048, 6)
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         node.report("n-0", 1, 1, node.token())
         if end == "cancelled":
@@ -475,4 +484,4 @@
         assert state.too_large == 0
         assert (stored["spec"]["team"], stored["spec"]["gpus"]) == ("red", 1.0)
 
-    play(story)
+    run_scenario(scenario)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -13,7 +13,7 @@
     parse_heartbeat,
 )
 
-from .standins import beat, on, submission
+from .fake_services import beat, on, submission
 
 
 @pytest.mark.parametrize(
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -7,18 +7,18 @@
 from crossmill.cluster.records import encode_job
 from crossmill.wire.users import JobSpec
 
-from .harness import Node, add_job, add_machine, play, seed
-from .standins import FakeClock, StateService, make_settings, make_spec, on, submission
+from .fake_services import FakeClock, StateService, make_settings, make_spec, on, submission
+from .stepped_controller import SteppedController, add_job, add_machine, run_scenario, seed
 
-Nodes = dict[str, Node]
+Nodes = dict[str, SteppedController]
 
 
 async def _ready(
     state: StateService, clock: FakeClock, nodes: Nodes, machines: int, **job: object
-) -> Node:
+) -> SteppedController:
     seed(state, clock, machines=machines)
     add_job(state, clock, **job)
-    node = Node(state, clock, nodes)
+    node = SteppedController(state, clock, nodes)
     await node.boot()
     for number in range(machines):
         node.report(f"n-{number}", 1, 1, node.token())
@@ -27,7 +27,7 @@
 
 
 def test_a_service_takes_the_place_of_lesser_work_and_nobody_else_does() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready(state, clock, nodes, 1, sacks=4)
         running = [on("wk-000001", i, i + 1, "running") for i in range(4)]
         node.report("n-0", 1, 2, node.token(), *running)
@@ -56,11 +56,11 @@
         await node.round()
         assert node.cluster.jobs["wk-000002"].planned_task_count() == 1
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_room_made_where_the_image_is_not_is_used_at_once() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready(state, clock, nodes, 1, sacks=4)
         running = [on("wk-000001", i, i + 1, "running") for i in range(4)]
         node.report("n-0", 1, 2, node.token(), *running)
@@ -78,7 +78,7 @@
         await node.round()
         assert node.cluster.jobs["wk-000002"].planned_task_count() == 1
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_no_room_is_made_in_a_zone_that_the_job_has_just_filled() -> None:
@@ -86,7 +86,7 @@
     stopped there for the other half, and that waited until the claim on the room ended.
     """
 
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready(state, clock, nodes, 1, sacks=2)
         replica = {"cut": "service", "precedence": "production", "grindS": 0.0, "dueS": None}
         replica |= {"recipe": "img-2", "pullGb": 20.0}
@@ -103,22 +103,22 @@
         zones = node.cluster.machines.task_counts_by_zone(node.cluster.jobs["wk-000003"])
         assert zones == {"north": 1, "south": 1}
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_equal_priority_is_never_preempted() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready(state, clock, nodes, 1, sacks=4)
         add_job(state, clock, nameId="wk-000002", sacks=1)
         await node.sync()
         await node.round()
         assert not node.heartbeats.stop_requests
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_job_that_fails_everywhere_backs_off_and_condemns_no_machine() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready(state, clock, nodes, 4, sacks=1)
         starts = 0
         for seq in range(2, 240):
@@ -134,11 +134,11 @@
         assert 4 <= starts <= 14
         assert not any(m.retiring == "faulty" for m in node.cluster.machines.values())
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_faulty_machine_is_given_up() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready(state, clock, nodes, 1, sacks=1)
         add_job(state, clock, nameId="wk-000002", sacks=1)
         await node.sync()
@@ -156,13 +156,13 @@
         await node.round()
         assert node.cluster.machines["n-0"].retiring == "faulty"
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_an_idle_machine_is_returned_and_never_used_again() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         for seq in range(1, 60):
             clock.time += 1.0
@@ -176,11 +176,11 @@
         await node.round()
         assert node.cluster.jobs["wk-000001"].planned_task_count() == 0
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_notice_stops_new_starts_and_saves_in_time() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready(state, clock, nodes, 1, sacks=1, baggingS=10.0, sealS=3.0)
         running = on("wk-000001", 0, 1, "running")
         node.report("n-0", 1, 2, node.token(), running)
@@ -196,13 +196,13 @@
         await node.round()
         assert node.cluster.jobs["wk-000002"].planned_task_count() == 0
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_large_jobs_plans_fit_the_value_limit() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         # the team of this job has no limit and sits on another shard
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         shard = node.settings.shard_of_team("blue")
         seed(state, clock, machines=0)
@@ -228,13 +228,13 @@
             if key.startswith(keys.PLAN):
                 assert len(orjson.dumps(value)) < 32 * 1024
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_jobs_long_over_leave_memory_but_are_never_forgotten() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=0)
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         kept = node.settings.max_ended_jobs
         for number in range(kept + 2):
@@ -255,11 +255,11 @@
             assert (answer.status, orjson.loads(answer.body)["stage"]) == (200, "withdrawn")
         assert (await node.ask("GET", "/v1/jobs/wk-999999")).status == 404
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_spot_room_for_arrays_is_rented_before_they_come() -> None:
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         # arrays that come all the time, each done by now: no waiting task asks for a machine
         node = await _ready(state, clock, nodes, 0, sacks=20, loaners=True, grindS=10.0)
         for number in range(2, 11):
@@ -276,13 +276,13 @@
         machines = sum(n.number for n in needs.values())
         assert machines == -(-round(tasks) // 4)
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_guarantee_takes_from_others_only_what_is_beyond_theirs() -> None:
     """Whole arrays were stopped for one task's guarantee, other teams' own share included."""
 
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready(state, clock, nodes, 1, sacks=3)
         making = node.scheduling_loop._preemption
         rows = list(node.cluster.jobs["wk-000001"].attempts())
@@ -297,13 +297,13 @@
         assert node.scheduling_loop._quotas.is_within_quota(node.cluster.jobs["wk-000001"])
         assert not node.scheduling_loop._quotas.is_within_quota(node.cluster.jobs[job])
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_replica_lost_with_its_machine_may_take_lesser_works_room_again() -> None:
     """It waited for a free machine for minutes, since any end of an attempt counted against it."""
 
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready(
             state, clock, nodes, 2, cut="service", precedence="production", sacks=1, cards=4.0,
             grindS=0.0, dueS=None,
@@ -323,7 +323,7 @@
             await node.round()
         assert len(node.heartbeats.stop_requests) == 4
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_what_may_be_stopped_is_asked_once_for_a_job() -> None:
@@ -331,7 +331,7 @@
     300 machines did not end within the processor time they are given.
     """
 
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready(state, clock, nodes, 3, sacks=12)
         assert node.cluster.jobs["wk-000001"].planned_task_count() == 12
         asked: list[str] = []
@@ -352,12 +352,12 @@
         # once where its image is, at most once more anywhere
         assert 1 <= len(asked) <= 2
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_job_ends_when_its_last_chunks_finish_in_one_round() -> None:
     # guards against a job that is never called done: each chunk's write saw the other unfinished
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
         size = make_settings().state_limits.chunk_tasks
         job = add_job(state, clock, sacks=size + 1, cpus=0.01, cards=0.0, ramGb=0.01)
@@ -365,7 +365,7 @@
         for name, index, done in (("0", 0, almost), ("1", size, "0")):
             plan = {"next": 2, "done": done, "rows": [[index, 1, "n-0", 1]]}
             state.put(keys.plan(job, name), plan)
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         over = [on(job, index, 1, "exited", "done") for index in (0, size)]
         node.report("n-0", 1, 1, node.token(), *over)
@@ -373,18 +373,18 @@
             await node.round()
         assert state.keys[keys.job(job)][0]["end"] == "done"
 
-    play(story)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(("team", "is_hot"), [("red", True), ("blue", False)])
 def test_the_write_rate_goes_to_the_shard_with_the_running_arrays(team: str, is_hot: bool) -> None:
     # guards against the outcomes of one team's many arrays waiting while others' shares lie idle
-    async def story(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock)
         for shard, label in ((1, "node-1"), (2, "node-2")):
             state.put(keys.controller(label), {"lease": 1, "deaf": False, "seen": 0})
             state.put(keys.shard(shard), {"owner": label, "token": shard})
-        node = Node(state, clock, nodes)
+        node = SteppedController(state, clock, nodes)
         await node.boot()
         await node.membership.step()
         assert set(node.membership.ownerships) == {node.settings.shard_of_team("red")}
@@ -402,4 +402,4 @@
         parts = [s.shard_weight(part) for part in (0.5, 0.25, 0.25)]
         assert sum(parts) == pytest.approx(2 * len(s.shards_with_teams))
 
-    play(story)
+    run_scenario(scenario)
--- a/tests/trace_adapter.py
+++ b/tests/trace_adapter.py
@@ -25,16 +25,16 @@
 from crossmill.wire.users import JobSpec
 from crossmill.workers.attempt_outcomes import StopReason
 
-from . import simulation
-from .harness import Node
+from . import simulated_region
+from .fake_services import ZONES, CloudService, FakeClock
+from .fault_injection import every_request, heal, lose_answers
+from .multihost_fault_injection import MultihostFaults
 from .multihost_region import MultihostRegion
-from .multihost_troubles import Troubles
 from .recovery_region import RecoveryRegion, recovery_settings
-from .scenario_steps import every_request, heal, lose_answers
 from .simulated_links import PeerLink
+from .simulated_region import Region
 from .simulated_worker import Worker
-from .simulation import Region
-from .standins import ZONES, CloudService, FakeClock
+from .stepped_controller import SteppedController
 from .virtual_time import run_under_virtual_time
 
 SENT, RECEIVED = "sent", "received"
@@ -170,12 +170,12 @@
         }
         self.lines = links  # type: ignore[assignment]
 
-    async def start(self, label: str) -> Node:
+    async def start(self, label: str) -> SteppedController:
         # the region hands its cloud to the controller before anything else can run
         self.cloud = _RecordedCloud(self._shared_cloud, self.log, label)
         return await super().start(label)
 
-    def more_parts(self, node: Node) -> list[Callable[[], Awaitable[None]]]:
+    def more_parts(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
         self.cloud = self._shared_cloud
         parts = super().more_parts(node)
         label = node.settings.label
@@ -186,7 +186,7 @@
         self._record_async_handler(node.jobs, "user", label)
         return parts
 
-    def _record_direct_commands(self, node: Node, label: str) -> None:
+    def _record_direct_commands(self, node: SteppedController, label: str) -> None:
         connect = node.command_sender.connect
 
         def recorded(endpoint: Any) -> Http:
@@ -194,7 +194,7 @@
 
         node.command_sender.connect = recorded
 
-    def _count_preemptions(self, node: Node) -> None:
+    def _count_preemptions(self, node: SteppedController) -> None:
         request_stop = node.heartbeats.request_stop
 
         def counted(attempt: PlannedAttempt, reason: StopReason) -> None:
@@ -237,7 +237,7 @@
 class _RecordedMultihostRegion(_RecordedRegion, MultihostRegion):
     """A region with multi-machine replicas, recorded."""
 
-    def more_parts(self, node: Node) -> list[Callable[[], Awaitable[None]]]:
+    def more_parts(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
         parts = super().more_parts(node)
         label = node.settings.label
         self._record_async_handler(self.services[label], "multihost", label)
@@ -247,7 +247,7 @@
 class _RecordedRecoveryRegion(_RecordedRegion, RecoveryRegion):
     """A region with recovery on, recorded."""
 
-    def more_parts(self, node: Node) -> list[Callable[[], Awaitable[None]]]:
+    def more_parts(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
         parts = super().more_parts(node)
         label = node.settings.label
         self._record_async_handler(self.apis[label], "recovery operator", label)
@@ -447,7 +447,7 @@
 
     def broken_rules(self) -> list[str]:
         """What the region's judge found fault with."""
-        return list(self._region.judge.broken)
+        return list(self._region.checker.violations)
 
 
 class SimulatedMultihostRegion(SimulatedRegion):
@@ -457,18 +457,18 @@
 
     async def begin_pool(self, seed: int) -> dict[str, Callable[[], Awaitable[None]]]:
         """Start a drawn pool with replica sets; the troubles that end by themselves, by name."""
-        self._troubles = troubles = Troubles(self._region, seed)
-        await troubles.begin()
+        self._troubles = faults = MultihostFaults(self._region, seed)
+        await faults.begin()
         return {
-            "machine dies": troubles._machine_dies,
-            "agent restarts": troubles._agent_restarts,
-            "agent hangs": troubles._machine_hangs,
-            "one-way cut": troubles._one_way_cut,
-            "machines parted": troubles._machines_parted,
-            "owner ends": troubles._owner_ends,
-            "state outage": troubles._state_outage,
-            "machine drained": troubles._drain,
-            "late heartbeats": troubles._late_copies,
+            "machine dies": faults._machine_dies,
+            "agent restarts": faults._agent_restarts,
+            "agent hangs": faults._machine_hangs,
+            "one-way cut": faults._one_way_cut,
+            "machines parted": faults._machines_parted,
+            "owner ends": faults._owner_ends,
+            "state outage": faults._state_outage,
+            "machine drained": faults._drain,
+            "late heartbeats": faults._late_copies,
         }
 
     async def declare(self, name: str, members: int, replicas: int, priority: int) -> int:
@@ -585,27 +585,27 @@
         self._running = _ArrivalOrder()
 
 
-def _play(region: _RecordedRegion, log: _MessageLog, story: Callable[[], Any]) -> None:
+def _play(region: _RecordedRegion, log: _MessageLog, scenario: Callable[[], Any]) -> None:
     region.attach(log)
     with (
         _replaced(SchedBarrier, "__init__", _wait_in_order),
         _replaced(curio, "TaskGroup", _OrderedTaskGroup),
-        _replaced(simulation, "PeerLink", _RecordedPeerLink),
+        _replaced(simulated_region, "PeerLink", _RecordedPeerLink),
     ):
-        run_under_virtual_time(region.clock, story)
+        run_under_virtual_time(region.clock, scenario)
 
 
 def play_ordinary(
     recorder: Recorder,
     counts: Counter[str],
-    story: Callable[[SimulatedRegion], Awaitable[None]],
+    scenario: Callable[[SimulatedRegion], Awaitable[None]],
 ) -> None:
     """Play a story in a region without optional parts."""
     clock = FakeClock()
     region = _RecordedRegion(clock)
 
     async def begin() -> None:
-        await story(SimulatedRegion(region, counts))
+        await scenario(SimulatedRegion(region, counts))
 
     _play(region, _MessageLog(recorder, clock, counts), begin)
 
@@ -613,7 +613,7 @@
 def play_multihost(
     recorder: Recorder,
     counts: Counter[str],
-    story: Callable[[SimulatedMultihostRegion], Awaitable[None]],
+    scenario: Callable[[SimulatedMultihostRegion], Awaitable[None]],
 ) -> None:
     """Play a story in a region with multi-machine replicas."""
     clock = FakeClock()
@@ -621,7 +621,7 @@
 
     async def begin() -> None:
         await curio.spawn(region.watch, daemon=True)
-        await story(SimulatedMultihostRegion(region, counts))
+        await scenario(SimulatedMultihostRegion(region, counts))
 
     _play(region, _MessageLog(recorder, clock, counts), begin)
 
@@ -629,7 +629,7 @@
 def play_recovery(
     recorder: Recorder,
     counts: Counter[str],
-    story: Callable[[SimulatedRecoveryRegion], Awaitable[None]],
+    scenario: Callable[[SimulatedRecoveryRegion], Awaitable[None]],
 ) -> None:
     """Play a story in a region with recovery on."""
     clock = FakeClock()
@@ -638,7 +638,7 @@
     )
 
     async def begin() -> None:
-        await story(SimulatedRecoveryRegion(region, counts))
+        await scenario(SimulatedRecoveryRegion(region, counts))
 
     _play(region, _MessageLog(recorder, clock, counts), begin)
 
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -12,7 +12,7 @@
 import curio
 import curio.kernel
 
-from .standins import FakeClock
+from .fake_services import FakeClock
 
 
 class VirtualTime(selectors.BaseSelector):
@@ -84,7 +84,7 @@
 
 
 def run_under_virtual_time(
-    clock: FakeClock, story: Callable[[], Coroutine[Any, Any, None]]
+    clock: FakeClock, scenario: Callable[[], Coroutine[Any, Any, None]]
 ) -> None:
     """Plays a story whose waits cost no time; parts that fail fail it."""
     virtual = VirtualTime(clock)
@@ -92,7 +92,7 @@
     logging.getLogger("curio").addHandler(crashes)
     curio.kernel.time = virtual
     try:
-        curio.run(story, selector=virtual)
+        curio.run(scenario, selector=virtual)
     finally:
         curio.kernel.time = kernel_time
         logging.getLogger("curio").removeHandler(crashes)
