--- a/crossmill/app.py
+++ b/crossmill/app.py
@@ -24,30 +24,35 @@
 from .jobs.record_repair import RecordRepair
 from .jobs.scheduling_loop import SchedulingLoop
 from .net.clock import Clock
-from .net.server import Handler, Request, Response, Server
+from .net.server import Server
+from .routes import PeerRoutes, PublicRoutes
 from .settings import Settings
 from .state.client import StateClient
 from .state.mirror import Mirror
 from .state.watcher import StateWatcher
 from .state.writer import Writer
-from .wire import peers, users, workers
-from .wire.checks import MalformedMessageError, load_object
 from .workers.command_sender import CommandSender
 from .workers.heartbeat_handler import HeartbeatHandler
 
 if TYPE_CHECKING:
     from .multihost.settings import MultihostSettings
+    from .recovery.api import RecoveryApi
     from .recovery.settings import RecoverySettings
 
 log = logging.getLogger(__name__)
 
-# operators' requests about recoveries; its wire module is loaded only with them
-RECOVERY_PATH = "/recovery"
+# how long a component that failed pauses before it is started again, in seconds
+RESTART_PAUSE_S = 1.0
+
+# one component's loop; it runs until the controller ends
+Loop = Callable[[], Awaitable[None]]
 
 
 class App:
-    """All parts of one controller. Those of multi-machine replicas, and of recovery, are there only
-    with their own settings; without them nothing of `multihost` or `recovery` is loaded.
+    """All components of one controller, and the loops that they run.
+
+    Multi-machine replicas and recovery are there only with their own settings; without them
+    nothing of `multihost` or `recovery` is loaded.
     """
 
     def __init__(
@@ -58,14 +63,39 @@
         recovery: "RecoverySettings | None" = None,
     ) -> None:
         self.settings = settings
-        client = StateClient(settings, clock)
-        mirror = Mirror()
-        self.cluster = ClusterState(mirror, settings)
-        self.watcher = StateWatcher(client, mirror, clock, ROOT, settings)
-        self.writer = Writer(client, mirror, clock, settings, lambda: self.cluster.limits)
-        self.controller_lease = ControllerLease(client, clock, settings)
+        self._clock = clock
+        # set whenever there may be something to schedule
+        work_available = curio.Event()
+        self._build_state(work_available)
+        self._build_cluster()
+        self.forecast = DemandForecast(settings, clock, self.cluster)
+        self.recovery = None if recovery is None else self._build_recovery(recovery)
+        self._build_workers(work_available)
+        self._build_jobs(work_available)
+        self._build_servers(work_available)
+        self._loops = self._ordinary_loops()
+        if multihost is not None:
+            self._loops.append(partial(self._run_multihost, multihost))
+        if self.recovery is not None:
+            self._loops.append(self.recovery.service.run)
+
+    def _build_state(self, work_available: curio.Event) -> None:
+        """The state service's client, and what is known and written of the stored state."""
+        settings, clock = self.settings, self._clock
+        self.client = StateClient(settings, clock)
+        self.mirror = Mirror()
+        self.cluster = ClusterState(self.mirror, settings)
+        self.watcher = StateWatcher(
+            self.client, self.mirror, clock, ROOT, settings, work_available.set
+        )
+        self.writer = Writer(self.client, self.mirror, clock, settings, lambda: self.cluster.limits)
+
+    def _build_cluster(self) -> None:
+        """What this controller may act for, and what it agrees on with the others."""
+        settings, clock = self.settings, self._clock
+        self.controller_lease = ControllerLease(self.client, clock, settings)
         shards = OwnedShards()
-        self.lease_extensions = LeaseExtensions(settings, clock, shards, client)
+        self.lease_extensions = LeaseExtensions(settings, clock, shards, self.client)
         self.membership = Membership(
             settings,
             clock,
@@ -82,16 +112,54 @@
         self.partition_protocol = PartitionProtocol(
             settings, clock, self.cluster, self.controller_lease, self.watcher.sync
         )
+
+    def _build_recovery(self, recovery: "RecoverySettings") -> "RecoveryApi":
+        """Holds back what differs when a shard is acquired, before the first heartbeat comes."""
+        from .recovery.api import RecoveryApi
+        from .recovery.service import RecoveryService
+
+        service = RecoveryService(
+            self.settings,
+            recovery,
+            self._clock,
+            self.cluster,
+            self.membership,
+            self.watcher,
+            self.writer,
+            self.forecast.priority_of,
+        )
+        return RecoveryApi(
+            self.settings,
+            recovery,
+            self._clock,
+            self.cluster,
+            self.watcher,
+            self.writer,
+            service,
+        )
+
+    def _build_workers(self, work_available: curio.Event) -> None:
+        """What answers workers' heartbeats and sends them commands."""
         self.heartbeats = HeartbeatHandler(
-            settings,
-            clock,
+            self.settings,
+            self._clock,
             self.cluster,
             self.membership,
             self.partition_protocol.keepalive,
             self.partition_protocol.expiry_proof,
+            None if self.recovery is None else self.recovery.service,
         )
-        self.forecast = DemandForecast(settings, clock, self.cluster)
-        command_sender = CommandSender(settings, self.cluster, self.membership, self.heartbeats)
+        self.command_sender = CommandSender(
+            self.settings,
+            self.cluster,
+            self.membership,
+            self.heartbeats,
+            work_available.set,
+        )
+
+    def _build_jobs(self, work_available: curio.Event) -> None:
+        """What schedules tasks, provisions machines and answers users."""
+        settings, clock = self.settings, self._clock
         self.scheduling_loop = SchedulingLoop(
             settings,
             clock,
@@ -100,11 +168,10 @@
             self.heartbeats,
             self.writer,
             self.forecast,
-            command_sender,
+            self.command_sender,
             self.partition_protocol.expiry_proof,
+            work_available,
         )
-        command_sender.on_response = self.scheduling_loop.wake.set
-        self.watcher.on_change = self.scheduling_loop.wake.set
         self.provisioner = FleetProvisioner(
             settings,
             clock,
@@ -113,7 +180,7 @@
             self.forecast,
             Cloud(settings, clock),
             self.writer,
-            lambda: os.urandom(8).hex(),
+            _unique_name,
         )
         self.jobs = JobApi(
             settings,
@@ -121,28 +188,35 @@
             self.cluster,
             self.watcher,
             self.writer,
-            client,
+            self.client,
             self.partition_protocol.cancellations,
         )
         self.record_repair = RecordRepair(
-            settings, clock, self.cluster, self.membership, client, self.writer
+            settings, clock, self.cluster, self.membership, self.client, self.writer
         )
+
+    def _build_servers(self, work_available: curio.Event) -> None:
+        settings = self.settings
+        public = PublicRoutes(self.heartbeats, self.jobs, self.is_ready, work_available.set)
+        recovery_handler = None if self.recovery is None else self.recovery.handle
+        peers = PeerRoutes(self.lease_extensions, self.partition_protocol, recovery_handler)
         self.server = Server(
             settings.bind,
-            self._handle,
+            public.handle,
             settings.server_sockets,
             settings.idle_connection_timeout_s,
             settings.max_cached_request_heads,
         )
         self.peer_server = Server(
             settings.peer_listen,
-            self._handle_peer,
+            peers.handle,
             settings.peer_sockets,
             settings.idle_connection_timeout_s,
             settings.max_cached_request_heads,
         )
 
-        self._loops: list[Callable[[], Awaitable[None]]] = [
+    def _ordinary_loops(self) -> list[Loop]:
+        return [
             self.server.run,
             self.peer_server.run,
             self.controller_lease.run,
@@ -156,37 +230,17 @@
             self.record_repair.run,
             self.provisioner.run,
         ]
-        if multihost is not None:
-            self._loops.append(partial(self._run_multihost, multihost, clock))
-        self._recovery_handler: Handler | None = None
-        if recovery is not None:
-            self._add_recovery(recovery, clock)
 
-    def _add_recovery(self, recovery: "RecoverySettings", clock: Clock) -> None:
-        """Holds back what differs when a shard is taken: there before the first report comes."""
-        from .recovery.api import RecoveryApi
-        from .recovery.service import RecoveryService
+    def is_ready(self) -> bool:
+        """Whether users may be sent here: not while this controller alone can't decide anything."""
+        is_loaded = self.watcher.ready.is_set() and bool(self.cluster.catalog)
+        return is_loaded and not self.lease_extensions.is_only_one_refused
 
-        service = RecoveryService(
-            self.settings,
-            recovery,
-            clock,
-            self.cluster,
-            self.membership,
-            self.watcher,
-            self.writer,
-            self.forecast.priority_of,
-        )
-        api = RecoveryApi(
-            self.settings, recovery, clock, self.cluster, self.watcher, self.writer, service
-        )
-        self.heartbeats.gate = service
-        self._recovery_handler = api.handle
-        self._loops.append(service.run)
+    async def _run_multihost(self, multihost: "MultihostSettings") -> None:
+        """Runs multi-machine replicas.
 
-    async def _run_multihost(self, multihost: "MultihostSettings", clock: Clock) -> None:
-        """Loaded only once the controller has had time to take its shards: after an end of all
-        controllers the workers' leases hang on how soon it serves.
+        Loaded only once the controller has had time to acquire its shards: when all controllers
+        ended, the workers' leases depend on how soon it serves.
         """
         await self.watcher.ready.wait()
         await curio.sleep(self.settings.controller_lease_ttl_s)
@@ -195,76 +249,50 @@
         service = MultihostService(
             self.settings,
             multihost,
-            clock,
+            self._clock,
             self.cluster,
             self.membership,
             self.watcher,
             self.writer,
-            os.urandom(8).hex(),
+            _unique_name(),
         )
-        for run in service.loops:
-            await curio.spawn(_guard, run, daemon=True)
+        for loop in service.loops:
+            await curio.spawn(_restart_on_failure, loop, daemon=True)
         await curio.Event().wait()
 
-    async def _handle_peer(self, request: Request) -> Response:
-        if request.path in (peers.ATTESTATION_PATH, peers.CANCELLATION_PATH):
-            return self.partition_protocol.handle(request)
-        if self._recovery_handler is not None and request.path.startswith(RECOVERY_PATH):
-            return await self._recovery_handler(request)
-        return self.lease_extensions.handle(request)
-
-    async def _handle(self, request: Request) -> Response:
-        if request.path == workers.HEARTBEAT_PATH:
-            if request.method != "POST":
-                return Response(405)
-            return await self._report(request)
-        if request.path == users.JOBS_PATH or request.path.startswith(users.JOBS_PATH + "/"):
-            return await self.jobs.handle(request)
-        if request.path == "/healthz":
-            # users are sent elsewhere while this controller alone can't decide anything
-            ready = self.watcher.ready.is_set() and bool(self.cluster.catalog)
-            ready = ready and not self.lease_extensions.is_only_one_refused
-            return Response(200 if ready else 503)
-        return Response(404, users.error_body("no such path"))
-
-    async def _report(self, request: Request) -> Response:
-        try:
-            heartbeat = workers.parse_heartbeat(
-                load_object(request.body), self.heartbeats.read_task_status
-            )
-        except MalformedMessageError as exc:
-            return Response(400, users.error_body(str(exc)))
-        before = len(self.heartbeats.outcomes)
-        answer = self.heartbeats.handle(heartbeat)
-        if len(self.heartbeats.outcomes) > before:
-            await self.scheduling_loop.wake.set()
-        if answer.status == 200:
-            return Response(200, workers.answer_body(answer.token, list(answer.commands)))
-        return Response(answer.status, workers.redirect_body(answer.redirect))
-
     async def run(self) -> None:
         """Runs all loops of the controller until it is killed."""
-        s = self.settings
-        log.info("starting controller=%s zone=%s bind=%s:%d", s.label, s.zone, *_pair(s))
-        for run in self._loops:
-            await curio.spawn(_guard, run, daemon=True)
+        settings = self.settings
+        log.info(
+            "starting controller=%s zone=%s bind=%s:%d",
+            settings.label,
+            settings.zone,
+            settings.bind.host,
+            settings.bind.port,
+        )
+        for loop in self._loops:
+            await curio.spawn(_restart_on_failure, loop, daemon=True)
         await curio.Event().wait()
 
 
-def _pair(s: Settings) -> tuple[str, int]:
-    return s.bind.host, s.bind.port
+def _unique_name() -> str:
+    """A name that no other process has ever had."""
+    return os.urandom(8).hex()
+
 
+async def _restart_on_failure(loop: Loop) -> None:
+    """Runs a component's loop; one that fails is logged and started again.
 
-async def _guard(run) -> None:  # type: ignore[no-untyped-def]
-    """A part that fails must not leave a controller half alive: it is logged and begun anew."""
+    No controller may go on with one of its components missing.
+    """
     while True:
         try:
-            await run()
+            await loop()
         except curio.CancelledError:
             raise
         except Exception:
-            log.exception("component failed component=%s", getattr(run, "__qualname__", run))
-            await curio.sleep(1.0)
+            log.exception("component failed component=%s", getattr(loop, "__qualname__", loop))
+            await curio.sleep(RESTART_PAUSE_S)
 
 
 def serve(
--- a/crossmill/bytecode.py
+++ b/crossmill/bytecode.py
@@ -21,13 +21,18 @@
 IMPORTED_LATE: tuple[str, ...] = ()
 
 
-class CacheNotWritten(Exception):
+class CacheNotWrittenError(Exception):
     """A module that was loaded has no bytecode in the cache afterwards."""
 
 
 def fill() -> int:
-    """Writes the bytecode of all that a controller, or a client verb, can load; returns of how
-    many modules. Raises CacheNotWritten.
+    """Writes the bytecode of all that a controller or a client verb can load.
+
+    Returns:
+        Of how many modules.
+
+    Raises:
+        CacheNotWrittenError: a module that was loaded has no bytecode afterwards.
     """
     sys.dont_write_bytecode = False
     defer_unused()
@@ -36,7 +41,9 @@
     cached = _cache_files()
     missing = [file for file in cached if not os.path.exists(file)]
     if missing:
-        raise CacheNotWritten(f"{len(missing)} of {len(cached)} files, the first: {missing[0]}")
+        raise CacheNotWrittenError(
+            f"{len(missing)} of {len(cached)} files, the first: {missing[0]}"
+        )
     return len(cached)
 
 
--- a/crossmill/cli.py
+++ b/crossmill/cli.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command line: parses the arguments and runs the verb that they name."""
 
 import argparse
 import logging
@@ -19,7 +19,8 @@
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
-def _logging() -> str | None:
+def _configure_logging() -> str | None:
+    """Sets logging up as LOG_LEVEL says; returns its value if it names no level."""
     name = os.environ.get("LOG_LEVEL", "info").lower()
     logging.basicConfig(
         level=LEVELS.get(name, logging.INFO),
@@ -30,8 +31,8 @@
     return None if name in LEVELS else name
 
 
-def _name_lines(label: str) -> None:
-    """Every line of a controller says whose it is, so that logs can be read together."""
+def _add_label_to_log_lines(label: str) -> None:
+    """Puts the controller's label into every line, so that several logs can be read together."""
     for handler in logging.getLogger().handlers:
         line = f"%(asctime)s {label.replace('%', '%%')} %(levelname)s %(name)s %(message)s"
         handler.setFormatter(logging.Formatter(line))
@@ -110,8 +111,9 @@
 
 
 def _load(args: argparse.Namespace) -> _LoadedSettings:
-    """All files that are named; raises SettingsError. A subsystem's modules are loaded only if its
-    file is.
+    """Reads all settings files that the arguments name; raises SettingsError.
+
+    A subsystem's modules are loaded only if its file is named.
     """
     settings = load(args.config)
     multihost, recovery = None, None
@@ -127,6 +129,7 @@
 
 
 def _check(loaded: _LoadedSettings) -> None:
+    """Prints what follows from the settings."""
     settings, multihost, recovery = loaded
     print(f"{settings.label}: {settings.controller_count} controllers, {len(settings.teams)} teams")
     _print_derived(
@@ -152,7 +155,7 @@
 
 
 def _serve(loaded: _LoadedSettings) -> None:
-    _name_lines(loaded.settings.label)
+    _add_label_to_log_lines(loaded.settings.label)
     defer_unused()
     from .app import serve
 
@@ -160,7 +163,7 @@
 
 
 def _run_with_settings(args: argparse.Namespace) -> int:
-    """`serve` and `check`; with bad settings one line says why."""
+    """Runs `serve` or `check`; with bad settings one line says why."""
     try:
         loaded = _load(args)
     except SettingsError as exc:
@@ -174,21 +177,22 @@
 
 
 def _compile() -> int:
-    from .bytecode import CacheNotWritten, fill
+    """Writes the bytecode cache; returns the exit code."""
+    from .bytecode import CacheNotWrittenError, fill
 
     try:
-        print(f"bytecode of {fill()} modules in {sys.pycache_prefix or 'their ownership folders'}")
-    except CacheNotWritten as exc:
+        print(f"bytecode of {fill()} modules in {sys.pycache_prefix or 'their own folders'}")
+    except CacheNotWrittenError as exc:
         print(f"crossmill: bytecode was not written: {exc}", file=sys.stderr)
         return FAILED
     return 0
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Runs the command; returns its exit code."""
+    """Runs the command that the arguments name; returns its exit code."""
     argv = sys.argv[1:] if argv is None else argv
     args = _parser(argv).parse_args(argv)
-    bad_level = _logging()
+    bad_level = _configure_logging()
     if bad_level is not None:
         print(f"LOG_LEVEL: {bad_level!r} is none of {', '.join(LEVELS)}", file=sys.stderr)
         return BAD_USAGE
--- a/crossmill/client_command.py
+++ b/crossmill/client_command.py
@@ -1,4 +1,4 @@
-"""What the client verbs of the command line share: input, request, answer."""
+"""What the client verbs of the command line share: input, request, response."""
 
 import argparse
 import sys
@@ -15,8 +15,8 @@
 SUCCESSES = (200, 201)
 
 
-class BadUsage(ValueError):
-    """The arguments can't be used; the text says why."""
+class UsageError(ValueError):
+    """The arguments of a client verb can't be used; the text says why."""
 
 
 class ClientRequest(NamedTuple):
@@ -28,39 +28,39 @@
 
 
 def read_input(file_name: str) -> bytes:
-    """A file's content, or standard input for `-`; raises BadUsage."""
+    """The content of a file, or of standard input for `-`; raises UsageError."""
     if file_name == "-":
         return sys.stdin.buffer.read()
     try:
         with open(file_name, "rb") as file:
             return file.read()
     except OSError as exc:
-        raise BadUsage(f"{file_name}: {exc.strerror}") from exc
+        raise UsageError(f"{file_name}: {exc.strerror}") from exc
 
 
 def parse_server(server: str) -> Endpoint:
-    """The address given with --server; raises BadUsage."""
+    """The address given with --server, as HOST:PORT; raises UsageError."""
     host, _, port = server.rpartition(":")
     if not host or not port.isdigit():
-        raise BadUsage(f"--server: {server!r} is not HOST:PORT")
+        raise UsageError(f"--server: {server!r} is not HOST:PORT")
     return Endpoint(host, int(port))
 
 
 def run_verb(
     args: argparse.Namespace, request_of: Callable[[argparse.Namespace], ClientRequest]
 ) -> int:
-    """Makes the request of a verb and sends it; the exit code."""
+    """Builds the request of a verb and sends it; returns the exit code."""
     try:
         server = parse_server(args.server)
         request = request_of(args)
-    except BadUsage as exc:
+    except UsageError as exc:
         print(exc, file=sys.stderr)
         return BAD_USAGE
     return send(server, args.timeout, request)
 
 
 def send(server: Endpoint, timeout_s: float, request: ClientRequest) -> int:
-    """Sends the request and prints the answer; the exit code."""
+    """Sends the request and prints the response; returns the exit code."""
     client = Client(server)
     try:
         status, data = curio.run(
--- a/crossmill/jobs/scheduling_loop.py
+++ b/crossmill/jobs/scheduling_loop.py
@@ -49,6 +49,7 @@
         forecast: DemandForecast,
         command_sender: CommandSender,
         expiry_proof: LeaseExpiryProof,
+        wake: curio.Event,
     ) -> None:
         self._settings = settings
         self._clock = clock
@@ -91,7 +92,7 @@
             self._machine_transfer,
             self._failures,
         )
-        self.wake = curio.Event()
+        self._wake = wake
 
     async def run(self) -> None:
         """SchedulingLoop for all shards that this controller acts for, when something has
@@ -99,9 +100,9 @@
         """
         while True:
             if not self._placement.is_unfinished:
-                await curio.ignore_after(self._settings.heartbeat_interval_s / 2, self.wake.wait)
+                await curio.ignore_after(self._settings.heartbeat_interval_s / 2, self._wake.wait)
             self._placement.is_unfinished = False
-            self.wake.clear()
+            self._wake.clear()
             for shard in range(self._settings.shard_count):
                 ownership = self._membership.active_ownership(shard)
                 if ownership is not None:
--- a/crossmill/lazy_imports.py
+++ b/crossmill/lazy_imports.py
@@ -1,5 +1,6 @@
-"""Keeps a controller's start short: modules that curio imports, but no controller uses, are loaded
-only when something of them is asked for.
+"""Defers imports of modules that curio loads and no controller uses.
+
+They are loaded only when something of them is asked for.
 
 A restarted controller serves nobody until its imports are done, and on a small share of a
 processor each of them delays that by a multiple of its own time.
@@ -17,7 +18,7 @@
 
 
 class LazyModule(ModuleType):
-    """Stands for a module until an attribute of it is asked for.
+    """Stands in for a module until an attribute of it is asked for.
 
     `importlib.util.LazyLoader` is of no use here: up to Python 3.11 a second import statement
     already makes it load the module.
--- a/crossmill/multihost/verbs.py
+++ b/crossmill/multihost/verbs.py
@@ -3,7 +3,7 @@
 import argparse
 from collections.abc import Callable
 
-from ..client_command import BadUsage, ClientRequest, read_input, run_verb
+from ..client_command import ClientRequest, UsageError, read_input, run_verb
 from ..wire.multihost import MACHINES_PATH, REPLICAS_PATH, SETS_PATH
 from .model import ReplicaId
 
@@ -45,12 +45,12 @@
 
 def _replica_path(name: str) -> str:
     if ReplicaId.parse(name) is None:
-        raise BadUsage(f"{name!r} is not SET/NUMBER")
+        raise UsageError(f"{name!r} is not SET/NUMBER")
     return f"{REPLICAS_PATH}/{name}"
 
 
 def request_of(args: argparse.Namespace) -> ClientRequest:
-    """The request of a verb; raises BadUsage."""
+    """The request of a verb; raises UsageError."""
     match args.replica_verb:
         case "list":
             return ClientRequest("GET", REPLICAS_PATH)
@@ -68,7 +68,7 @@
             return ClientRequest("DELETE", f"{SETS_PATH}/{args.set}")
         case "drain" | "undrain" | "release":
             return ClientRequest("POST", f"{MACHINES_PATH}/{args.machine}/{args.replica_verb}")
-    raise BadUsage(f"{args.replica_verb!r} is no verb")
+    raise UsageError(f"{args.replica_verb!r} is no verb")
 
 
 def run(args: argparse.Namespace) -> int:
--- a/crossmill/recovery/verbs.py
+++ b/crossmill/recovery/verbs.py
@@ -3,7 +3,7 @@
 import argparse
 from collections.abc import Callable
 
-from ..client_command import BadUsage, ClientRequest, run_verb
+from ..client_command import ClientRequest, UsageError, run_verb
 from ..wire.recovery import APPROVE_PATH, RECOVERY_PATH, Approval, approval_body
 
 
@@ -24,11 +24,11 @@
 
 
 def request_of(args: argparse.Namespace) -> ClientRequest:
-    """The request of a verb; raises BadUsage."""
+    """The request of a verb; raises UsageError."""
     if args.recovery_verb == "show":
         return ClientRequest("GET", RECOVERY_PATH)
     if args.shard < 0:
-        raise BadUsage("the shard's number is at least 0")
+        raise UsageError("the shard's number is at least 0")
     return ClientRequest("POST", APPROVE_PATH, approval_body(Approval(args.shard, args.digest)))
 
 
--- /dev/null
+++ b/crossmill/routes.py
@@ -0,0 +1,85 @@
+"""Which part of a controller answers which request.
+
+Two addresses are served: one for workers and users, one for the other controllers and, where
+recovery is on, for operators' requests about it.
+"""
+
+from collections.abc import Awaitable, Callable
+
+from .cluster.lease_extensions import LeaseExtensions
+from .cluster.partition_protocol import PartitionProtocol
+from .jobs.api import JobApi
+from .net.server import Handler, Request, Response
+from .wire import peers, users, workers
+from .wire.checks import MalformedMessageError, load_object
+from .workers.heartbeat_handler import HeartbeatHandler
+
+OK = 200
+HEALTH_PATH = "/healthz"
+# operators' requests about recoveries; their wire module is loaded only with the subsystem
+RECOVERY_PATH = "/recovery"
+
+
+class PublicRoutes:
+    """Routes requests of workers and users."""
+
+    def __init__(
+        self,
+        heartbeats: HeartbeatHandler,
+        jobs: JobApi,
+        is_ready: Callable[[], bool],
+        on_outcome: Callable[[], Awaitable[None]],
+    ) -> None:
+        self._heartbeats = heartbeats
+        self._jobs = jobs
+        self._is_ready = is_ready
+        # called when a heartbeat shows that an attempt has ended
+        self._on_outcome = on_outcome
+
+    async def handle(self, request: Request) -> Response:
+        """The response to a request on the public address."""
+        if request.path == workers.HEARTBEAT_PATH:
+            if request.method != "POST":
+                return Response(405)
+            return await self._heartbeat(request)
+        if request.path == users.JOBS_PATH or request.path.startswith(users.JOBS_PATH + "/"):
+            return await self._jobs.handle(request)
+        if request.path == HEALTH_PATH:
+            return Response(200 if self._is_ready() else 503)
+        return Response(404, users.error_body("no such path"))
+
+    async def _heartbeat(self, request: Request) -> Response:
+        try:
+            body = load_object(request.body)
+            heartbeat = workers.parse_heartbeat(body, self._heartbeats.read_task_status)
+        except MalformedMessageError as exc:
+            return Response(400, users.error_body(str(exc)))
+        outcomes_before = len(self._heartbeats.outcomes)
+        response = self._heartbeats.handle(heartbeat)
+        if len(self._heartbeats.outcomes) > outcomes_before:
+            await self._on_outcome()
+        if response.status == OK:
+            return Response(200, workers.answer_body(response.token, list(response.commands)))
+        return Response(response.status, workers.redirect_body(response.redirect))
+
+
+class PeerRoutes:
+    """Routes requests of other controllers, and of operators about recoveries."""
+
+    def __init__(
+        self,
+        lease_extensions: LeaseExtensions,
+        partition_protocol: PartitionProtocol,
+        recovery_handler: Handler | None,
+    ) -> None:
+        self._lease_extensions = lease_extensions
+        self._partition_protocol = partition_protocol
+        self._recovery_handler = recovery_handler
+
+    async def handle(self, request: Request) -> Response:
+        """The response to a request on the peers' address."""
+        if request.path in (peers.ATTESTATION_PATH, peers.CANCELLATION_PATH):
+            return self._partition_protocol.handle(request)
+        if self._recovery_handler is not None and request.path.startswith(RECOVERY_PATH):
+            return await self._recovery_handler(request)
+        return self._lease_extensions.handle(request)
--- a/crossmill/state/watcher.py
+++ b/crossmill/state/watcher.py
@@ -35,7 +35,13 @@
     """
 
     def __init__(
-        self, client: StateClient, mirror: Mirror, clock: Clock, prefix: str, s: Settings
+        self,
+        client: StateClient,
+        mirror: Mirror,
+        clock: Clock,
+        prefix: str,
+        s: Settings,
+        on_change: Callable[[], Awaitable[None]] | None = None,
     ) -> None:
         self._client = client
         self._clock = clock
@@ -52,7 +58,7 @@
         self.ready = curio.Event()
         # the sending of the newest read that showed all that was durable
         self.current_at: float | None = None
-        self.on_change: Callable[[], Awaitable[None]] | None = None
+        self._on_change = on_change
 
     async def sync(self, timeout_s: float) -> bool:
         """True when the mirror holds all that was durable when this was called."""
@@ -114,9 +120,9 @@
                 wait_s = 0.0
         self._mirror.apply(revision, events)
         self._note_current(sent)
-        if (events or self._mirror.readings != self._readings) and self.on_change is not None:
+        if (events or self._mirror.readings != self._readings) and self._on_change is not None:
             self._readings = self._mirror.readings
-            await self.on_change()
+            await self._on_change()
 
     async def run(self) -> None:
         """Watches for changes until the controller ends."""
--- a/crossmill/verbs.py
+++ b/crossmill/verbs.py
@@ -5,14 +5,15 @@
 
 import orjson
 
-from .client_command import BadUsage, ClientRequest, read_input, run_verb
+from .client_command import ClientRequest, UsageError, read_input, run_verb
 from .wire.checks import MalformedMessageError, load_object
 from .wire.users import DEPENDENCIES, JOBS_PATH, WITHDRAW
 
 
 def with_dependencies(body: bytes, dependencies: Sequence[str]) -> bytes:
-    """A submission that also waits for these jobs; raises MalformedMessageError if it is no JSON
-    object.
+    """The submission with these jobs added to its dependencies.
+
+    Raises MalformedMessageError if the body is not a JSON object.
     """
     if not dependencies:
         return body
@@ -22,12 +23,12 @@
 
 
 def _request(args: argparse.Namespace) -> ClientRequest:
-    """The request of a verb; raises BadUsage."""
+    """The request that a verb stands for; raises UsageError."""
     if args.verb == "submit":
         try:
             body = with_dependencies(read_input(args.file), args.after)
         except MalformedMessageError as exc:
-            raise BadUsage(f"{args.file}: {exc}") from exc
+            raise UsageError(f"{args.file}: {exc}") from exc
         return ClientRequest("POST", JOBS_PATH, body)
     if args.verb == "show":
         return ClientRequest("GET", f"{JOBS_PATH}/{args.job}")
@@ -35,5 +36,5 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Sends the request of a client verb and prints the answer; the exit code."""
+    """Sends the request of a client verb and prints the response; returns the exit code."""
     return run_verb(args, _request)
--- a/crossmill/workers/command_sender.py
+++ b/crossmill/workers/command_sender.py
@@ -30,6 +30,7 @@
         cluster: ClusterState,
         membership: Membership,
         heartbeats: HeartbeatHandler,
+        on_response: Callable[[], Awaitable[None]] | None = None,
     ) -> None:
         self._settings = settings
         self._cluster = cluster
@@ -38,7 +39,7 @@
         self._clients: dict[str, Http] = {}
         self._sending = 0
         self.connect: Callable[[Endpoint], Http] = lambda endpoint: Client(endpoint, max_sockets=1)
-        self.on_response: Callable[[], Awaitable[None]] | None = None
+        self._on_response = on_response
 
     def _client(self, address: str) -> Http | None:
         client = self._clients.get(address)
@@ -110,8 +111,8 @@
             return
         else:
             self._answered(machine_id, status, data)
-            if self.on_response is not None:
-                await self.on_response()
+            if self._on_response is not None:
+                await self._on_response()
         finally:
             self._sending -= 1
         for attempt in attempts:
--- a/crossmill/workers/heartbeat_handler.py
+++ b/crossmill/workers/heartbeat_handler.py
@@ -50,6 +50,7 @@
         membership: Membership,
         keepalive: PartitionKeepalive,
         expiry_proof: LeaseExpiryProof,
+        gate: OrderGate | None = None,
     ) -> None:
         self._settings = settings
         self._clock = clock
@@ -70,7 +71,7 @@
         # reports of running tasks that no plan holds: each is stopped
         self.unplanned_stops = 0
         # holds back orders, placements and returns while a shard recovers; None: nothing is held
-        self.gate: OrderGate | None = None
+        self.gate = gate
         membership.on_lost.append(self._forget)
 
     def _forget(self, shard: int) -> None:
--- a/tests/stepped_controller.py
+++ b/tests/stepped_controller.py
@@ -154,6 +154,7 @@
             self.forecast,
             self.command_sender,
             self.partition_protocol.expiry_proof,
+            curio.Event(),
         )
         self.cloud = cloud or CloudService()
         self.provisioner = FleetProvisioner(
