--- a/crossmill/cluster/controller_lease.py
+++ b/crossmill/cluster/controller_lease.py
@@ -7,6 +7,7 @@
 from ..net.clock import Clock
 from ..settings import Settings
 from ..state.client import LeaseExpiredError, OutcomeUnknownError, RequestRefusedError, StateClient
+from ..state.writer import Authority
 
 log = logging.getLogger(__name__)
 
@@ -33,11 +34,11 @@
         """Whether the lease certainly stands at this moment."""
         return self.lease_id is not None and self._clock.now() < self._until
 
-    def write_authority(self, epoch: int) -> bool | None:
-        """For a write decided under this epoch: yes, not now, never again."""
+    def write_authority(self, epoch: int) -> Authority:
+        """Whether a write that was decided in this lease epoch may be sent now."""
         if epoch != self.epoch or self.lease_id is None:
-            return False
-        return True if self.is_held() else None
+            return Authority.LOST
+        return Authority.HELD if self.is_held() else Authority.SUSPENDED
 
     async def step(self) -> float:
         """One renewal or acquisition; the time until the next."""
--- a/crossmill/cluster/membership.py
+++ b/crossmill/cluster/membership.py
@@ -8,7 +8,7 @@
 from ..net.clock import Clock
 from ..settings import Settings
 from ..state.watcher import StateWatcher
-from ..state.writer import WriteIntent, Writer, WriteRank, WriteResult
+from ..state.writer import Authority, WriteIntent, Writer, WriteRank, WriteResult
 from ..wire.state import Put, Txn
 from . import keys
 from .cluster_state import ClusterState
@@ -16,7 +16,7 @@
 from .lease_extensions import LeaseExtensions
 from .model import ControllerRecord
 from .owner_selection import OwnerSelection
-from .ownership import OwnedShards, ShardOwnership
+from .ownership import HeartbeatAuthority, OwnedShards, ShardOwnership
 from .reachability import WorkerReachability
 from .records import encode_controller
 from .write_shares import write_share
@@ -55,10 +55,18 @@
         self._leads: tuple[int, int] | None = None
         # by shard: a token that a worker has seen and that the next has to be above
         self._raise: dict[int, int] = {}
-        self.on_lost: list[Callable[[int], None]] = []
+        self._lost_listeners: list[Callable[[int], None]] = []
+
+    def subscribe_lost(self, listener: Callable[[int], None]) -> None:
+        """Calls the listener with each shard that this controller no longer owns from now on."""
+        self._lost_listeners.append(listener)
 
     # -- what others ask -------------------------------------------------------------
 
+    def owned_shards(self) -> list[tuple[int, ShardOwnership]]:
+        """The shards that are owned now, whether or not this controller may act for them."""
+        return list(self.ownerships.items())
+
     def active_ownership(self, shard: int) -> ShardOwnership | None:
         """The shard, if this controller may act for it right now."""
         ownership = self.ownerships.get(shard)
@@ -79,7 +87,7 @@
         is_current = self._watcher.is_current_within(self._settings.controller_lease_ttl_s)
         return ownership if is_current else None
 
-    def heartbeat_authority(self, shard: int) -> tuple[ShardOwnership, bool] | None:
+    def heartbeat_authority(self, shard: int) -> HeartbeatAuthority | None:
         """The shard, if its workers may be answered, and whether by full authority; without
         it they are only kept alive. Whatever the right to answer rests on, it ends so soon
         after the last read that showed all that was durable that a cancellation confirmed
@@ -95,14 +103,15 @@
         if not self._watcher.is_current_within(self._settings.max_lease_extension_s):
             return None
         if self._controller_lease.is_held():
-            return ownership, self.command_ownership(shard) is not None
-        return (ownership, False) if self._lease_extensions.is_extended() else None
+            return HeartbeatAuthority(ownership, self.command_ownership(shard) is not None)
+        is_extended = self._lease_extensions.is_extended()
+        return HeartbeatAuthority(ownership, may_command=False) if is_extended else None
 
-    def write_authority(self, shard: int, token: int) -> bool | None:
-        """For a write decided under this token of the shard: yes, not now, never again."""
+    def write_authority(self, shard: int, token: int) -> Authority:
+        """Whether a write that was decided under this token of the shard may be sent now."""
         ownership = self.ownerships.get(shard)
         if ownership is None or ownership.token != token:
-            return False
+            return Authority.LOST
         return self._controller_lease.write_authority(ownership.epoch)
 
     def leadership_version(self) -> int | None:
@@ -138,7 +147,7 @@
     def _drop(self, shard: int, why: str) -> None:
         ownership = self.ownerships.pop(shard)
         log.info("shard lost shard=%d token=%d reason=%s", shard, ownership.token, why)
-        for listener in self.on_lost:
+        for listener in self._lost_listeners:
             listener(shard)
 
     def _drop_if_lost(self, shard: int, ownership: ShardOwnership) -> bool:
@@ -223,7 +232,9 @@
     async def _commit(self, txn: Txn) -> bool:
         epoch = self._controller_lease.epoch
         intent = WriteIntent(
-            txn, WriteRank.OWNERSHIP, holds=lambda: self._controller_lease.write_authority(epoch)
+            txn,
+            WriteRank.OWNERSHIP,
+            authority=lambda: self._controller_lease.write_authority(epoch),
         )
         return await self._writer.commit(intent) == WriteResult.OK
 
--- a/crossmill/cluster/ownership.py
+++ b/crossmill/cluster/ownership.py
@@ -1,6 +1,7 @@
 """The shards that this controller owns: kept by the membership, read by all who act for them."""
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 
 @dataclass(slots=True, eq=False)
@@ -18,6 +19,17 @@
     ready: bool = False
 
 
+class HeartbeatAuthority(NamedTuple):
+    """The authority to answer heartbeats of a shard's workers.
+
+    Without `may_command` the workers are only kept alive: nothing is started, and nothing stopped
+    but tasks of jobs that have ended.
+    """
+
+    ownership: ShardOwnership
+    may_command: bool
+
+
 @dataclass(slots=True, eq=False)
 class OwnedShards:
     """The shards owned, and those that are being taken right now."""
--- a/crossmill/fleet/provisioner.py
+++ b/crossmill/fleet/provisioner.py
@@ -12,7 +12,7 @@
 from ..net.clock import Clock
 from ..planning.demand import MachineRequest
 from ..settings import Settings
-from ..state.writer import WriteIntent, Writer, WriteRank, WriteResult
+from ..state.writer import Authority, WriteIntent, Writer, WriteRank, WriteResult
 from ..wire.cloud import MAX_RELEASE, Listed
 from ..wire.state import Put, Txn
 from .cloud import Cloud, CloudError, NoCapacityError, NotLeaderError, stored_catalog
@@ -116,11 +116,16 @@
         if version is None or stored_catalog(catalog) == self._cluster.mirror.value(keys.CATALOG):
             return
         txn = Txn({keys.LEADER: version}, [Put(keys.CATALOG, stored_catalog(catalog))])
-        await self._commit([WriteIntent(txn, WriteRank.BACKGROUND, holds=self._leads)])
+        await self._commit(
+            [WriteIntent(txn, WriteRank.BACKGROUND, authority=self._write_authority)]
+        )
 
     def _leads(self) -> bool:
         return self._membership.leadership_version() is not None
 
+    def _write_authority(self) -> Authority:
+        return Authority.HELD if self._leads() else Authority.LOST
+
     async def _commit(self, intents: list[WriteIntent]) -> int:
         for intent in intents:
             await self._writer.submit(intent)
@@ -188,7 +193,7 @@
                 "up": False,
             }
             txn = Txn({keys.LEADER: version, key: 0}, [Put(key, value)])
-            intents.append(WriteIntent(txn, WriteRank.PLACEMENT, holds=self._leads))
+            intents.append(WriteIntent(txn, WriteRank.PLACEMENT, authority=self._write_authority))
         await self._commit(intents)
 
     # -- the list --------------------------------------------------------------------
@@ -243,7 +248,9 @@
             {keys.LEADER: version, key: machine.version},
             [Put(key, machine.encode(retiring=why))],
         )
-        await self._commit([WriteIntent(txn, WriteRank.BACKGROUND, holds=self._leads)])
+        await self._commit(
+            [WriteIntent(txn, WriteRank.BACKGROUND, authority=self._write_authority)]
+        )
 
     # -- releasing -------------------------------------------------------------------
 
@@ -270,7 +277,7 @@
                     {keys.LEADER: version, keys.machine(m.id): m.version}, [], [keys.machine(m.id)]
                 ),
                 WriteRank.BACKGROUND,
-                holds=self._leads,
+                authority=self._write_authority,
             )
             for m in going
         ]
--- a/crossmill/jobs/shard_writes.py
+++ b/crossmill/jobs/shard_writes.py
@@ -14,4 +14,5 @@
 ) -> WriteIntent:
     """The transaction as an intent that also rests on the shard's key as this owner wrote it."""
     txn.conditions = {keys.shard(shard): ownership.version, **txn.conditions}
-    return WriteIntent(txn, rank, holds=partial(membership.write_authority, shard, ownership.token))
+    authority = partial(membership.write_authority, shard, ownership.token)
+    return WriteIntent(txn, rank, authority=authority)
--- a/crossmill/multihost/coordinator.py
+++ b/crossmill/multihost/coordinator.py
@@ -88,7 +88,7 @@
         self._suspects: dict[ReplicaId, frozenset[int]] = {}
         # how often a replica was looked at, since the start
         self.looks = 0
-        membership.on_lost.append(self._lost)
+        membership.subscribe_lost(self._lost)
 
     # -- what wakes a round ----------------------------------------------------------
 
--- a/crossmill/multihost/heartbeats.py
+++ b/crossmill/multihost/heartbeats.py
@@ -68,10 +68,10 @@
     def handle(self, beat: AgentHeartbeat) -> Reply:
         """The answer to a heartbeat."""
         shard = self._settings.pool_shard
-        standing = self._membership.heartbeat_authority(shard)
-        if standing is None:
+        authority = self._membership.heartbeat_authority(shard)
+        if authority is None:
             return Reply(421, owner=self._owner_of(shard))
-        ownership, may_order = standing
+        ownership = authority.ownership
         if beat.token > ownership.token:
             # the agent would drop an answer of ours
             self._membership.request_higher_token(shard)
@@ -93,7 +93,7 @@
             self._compare(beat, view)
             if (view.notice_at is not None) != had_notice:
                 self._pool.note_news(beat.machine, self._pool.machines[beat.machine].planned)
-            if may_order:
+            if authority.may_command:
                 orders += self._orders(beat, view)
             orders += self._grants(view, now)
         sent_at = self._clock.now()
--- a/crossmill/recovery/service.py
+++ b/crossmill/recovery/service.py
@@ -54,7 +54,7 @@
         self._recorded: set[int] = set()
         self.records = RecordIndex(cluster.mirror)
         self.notes = StoredNotes(cluster.mirror)
-        membership.on_lost.append(self._forget)
+        membership.subscribe_lost(self._forget)
 
     def _forget(self, shard: int) -> None:
         """The next owner begins anew, from durable facts and reports."""
@@ -126,7 +126,7 @@
 
     async def step(self) -> None:
         """One look at all shards that this controller owns."""
-        for shard, ownership in list(self._membership.ownerships.items()):
+        for shard, ownership in self._membership.owned_shards():
             recovery = self._recovery_of(shard, ownership)
             is_done = recovery.has_ended and shard in self._recorded
             if is_done or self._membership.active_ownership(shard) is None:
--- a/crossmill/state/writer.py
+++ b/crossmill/state/writer.py
@@ -29,6 +29,16 @@
 IN_FLIGHT = 3
 
 
+class Authority(Enum):
+    """Whether this controller may send a write that was decided earlier."""
+
+    HELD = "held"
+    # not now, but perhaps again: the lease that it was decided under is in doubt
+    SUSPENDED = "suspended"
+    # never again
+    LOST = "lost"
+
+
 class WriteResult(Enum):
     """What became of an intent."""
 
@@ -51,14 +61,15 @@
 
 @dataclass(slots=True, eq=False)
 class WriteIntent:
-    """Changes that stand or fall together. `holds` is asked right before each sending: None
-    means not now, False never again.
+    """Changes that are committed together or not at all.
+
+    `authority` is asked right before each sending; without one the intent may always be sent.
     """
 
     txn: Txn
     rank: WriteRank = WriteRank.BACKGROUND
     until: float | None = None
-    holds: Callable[[], bool | None] | None = None
+    authority: Callable[[], Authority] | None = None
     outcome_unknown: bool = False
     # part of a batch that was too large: sent by itself from now on
     alone: bool = False
@@ -165,15 +176,14 @@
         nap_s: float | None = None
         now = self._clock.now()
         for intent in list(self._queue):
-            holds = True if intent.holds is None else intent.holds()
-            if holds is False or (intent.until is not None and now > intent.until):
+            authority = Authority.HELD if intent.authority is None else intent.authority()
+            is_lost = authority is Authority.LOST
+            if is_lost or (intent.until is not None and now > intent.until):
                 self._queue.remove(intent)
-                await intent.future.settle(
-                    WriteResult.CONFLICT if holds is False else WriteResult.EXPIRED
-                )
+                await intent.future.settle(WriteResult.CONFLICT if is_lost else WriteResult.EXPIRED)
                 continue
             mine = intent.keys()
-            if holds is None or mine & self._busy:
+            if authority is Authority.SUSPENDED or mine & self._busy:
                 nap_s = self._retry_s
                 continue
             # alike conditions share their place in a batch; others must not contradict it
--- a/crossmill/workers/heartbeat_handler.py
+++ b/crossmill/workers/heartbeat_handler.py
@@ -71,7 +71,7 @@
         self.unplanned_stops = 0
         # holds back orders, placements and returns while a shard recovers; None: nothing is held
         self.gate: OrderGate | None = None
-        membership.on_lost.append(self._forget)
+        membership.subscribe_lost(self._forget)
 
     def _forget(self, shard: int) -> None:
         """Beliefs of a shard end with our right to act for it."""
@@ -108,10 +108,10 @@
         machine = self._cluster.machines.get(heartbeat.machine)
         if machine is None:
             return self._elsewhere()
-        standing = self._membership.heartbeat_authority(machine.shard)
+        authority = self._membership.heartbeat_authority(machine.shard)
         if self.is_transferring(machine.id):
             return self._elsewhere()
-        if standing is None:
+        if authority is None:
             kept = self._keepalive.keep_alive(machine, heartbeat)
             if kept is not None:
                 # an owner that answers as its zone's deputy may act by the same lease again
@@ -122,7 +122,7 @@
             known = self._cluster.shard_owners.get(machine.shard)
             elsewhere = known is not None and known.owner != self._settings.label
             return self._elsewhere(known.owner if known and elsewhere else None)
-        ownership, entitled = standing
+        ownership = authority.ownership
         token = self.token(machine, ownership)
         if heartbeat.token > token:
             # the worker would drop our answer, and its lease would run out meanwhile
@@ -143,7 +143,7 @@
             return HeartbeatResponse(200, token)
         self._acknowledge(machine.id, heartbeat)
         orders = self._orders(machine, view, ownership)
-        if not entitled:
+        if not authority.may_command:
             # only kept alive; nothing is begun meanwhile, and nothing ended but what is over
             # for good: to end that is right whoever says it, and whenever
             orders = [c for c in orders if c.op == "stop" and self._job_ended(c.task)]
