--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -1,4 +1,4 @@
-"""Jobs that wait for others: accepting, starting, cancelling, archiving."""
+"""Job dependencies: submission, start, cancellation and archiving."""
 
 import curio
 import orjson
@@ -51,16 +51,23 @@
     return [c.task for c in commands if c.op == "start"]
 
 
-def test_needs_are_null_or_well_formed_ids_and_repeats_count_once() -> None:
-    assert parse_submission(submission(awaits=None)).dependencies == ()
-    assert parse_submission(submission()).dependencies == ()
-    assert parse_submission(submission(awaits=[B, C, B])).dependencies == (B, C)
-    for bad in ("wk-000002", ["x"], [1], {"a": 1}, [None], [[B]]):
-        with pytest.raises(MalformedMessageError):
-            parse_submission(submission(awaits=bad))
+@pytest.mark.parametrize(
+    ("fields", "dependencies"),
+    [({"awaits": None}, ()), ({}, ()), ({"awaits": [B, C, B]}, (B, C))],
+)
+def test_dependencies_may_be_missing_or_repeated(
+    fields: dict[str, object], dependencies: tuple[str, ...]
+) -> None:
+    assert parse_submission(submission(**fields)).dependencies == dependencies
 
 
-def test_the_command_line_adds_needs_to_a_submission() -> None:
+@pytest.mark.parametrize("awaits", ["wk-000002", ["x"], [1], {"a": 1}, [None], [[B]]])
+def test_malformed_dependencies_are_refused(awaits: object) -> None:
+    with pytest.raises(MalformedMessageError):
+        parse_submission(submission(awaits=awaits))
+
+
+def test_the_command_line_adds_dependencies_to_a_submission() -> None:
     body = with_dependencies(orjson.dumps(submission(awaits=[B])), [C])
     assert parse_submission(load_object(body)).dependencies == (B, C)
     assert with_dependencies(b"as it is", []) == b"as it is"
@@ -68,8 +75,8 @@
         with_dependencies(b"[]", [C])
 
 
-def test_a_chain_runs_stage_by_stage() -> None:
-    # guards against too_early: the second stage is planned only on a durable end of the first
+def test_a_dependent_starts_only_after_the_durable_end_of_its_dependency() -> None:
+    # guards against `too_early`: a job is planned only once its dependency has durably ended
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready_node(state, clock, nodes)
         assert (await _submit(node, A)).status == 201
@@ -77,7 +84,7 @@
         await node.round()
         assert _starts(node, 3) == [f"{A}/0"]
         assert await _stage(node, B) == "queued"
-        # the worker says done, but nothing of it is durable yet
+        # the worker reports that it is done, but nothing of that is durable yet
         done = on(A, 0, 1, "exited", "done")
         assert _starts(node, 4, done) == []
         await node.round()
@@ -91,7 +98,7 @@
     run_scenario(scenario)
 
 
-def test_a_job_that_waits_holds_no_guarantee_and_asks_for_no_room() -> None:
+def test_a_blocked_job_uses_no_quota_and_demands_no_capacity() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready_node(state, clock, nodes)
         await _submit(node, A, sacks=1, cards=1.0)
@@ -99,7 +106,7 @@
         await _submit(node, C, sacks=3, cards=1.0)
         job = node.cluster.jobs[C]
         node.scheduling_loop._quotas.start_round(0)
-        # red is guaranteed four GPUs: one and three fit, the four that wait do not count
+        # red has a quota of four GPUs: one and three fit, the four of the blocked job do not count
         assert node.scheduling_loop._quotas.is_within_quota(job)
         assert [j.id for j in node.forecast.waiting(0)] == [A, C]
 
@@ -107,7 +114,7 @@
 
 
 @pytest.mark.parametrize("state_of", ["at hand", "in the state service only", "archived"])
-def test_a_dependency_counts_wherever_its_record_is(state_of: str) -> None:
+def test_a_dependency_is_found_wherever_its_record_is(state_of: str) -> None:
     # guards against 422 for a job that another controller has accepted a moment ago, and
     # against one that was archived
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
@@ -124,52 +131,75 @@
     run_scenario(scenario)
 
 
-def test_unknown_dependencies_are_refused_and_repeats_are_not() -> None:
+def test_impossible_dependencies_are_refused() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready_node(state, clock, nodes)
+        # an unknown job, the job itself, and a service, which never ends
         assert (await _submit(node, B, A)).status == 422
         assert (await _submit(node, B, B)).status == 422
         add_job(state, clock, nameId=C, cut="service")
         assert (await _submit(node, B, C)).status == 422
-        # while the state service can't be asked nothing is refused for good
+
+    run_scenario(scenario)
+
+
+def test_no_dependency_is_refused_for_good_while_the_state_service_cannot_be_read() -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        node = await _ready_node(state, clock, nodes)
         state.script["/keys/" + keys.job(A)] = ["refuse"]
         assert (await _submit(node, B, A)).status == 503
         state.script["/keys/" + keys.archived(A)] = ["drop"]
         assert (await _submit(node, B, A)).status == 503
-        # an accepted job's repeat is answered by its state, whatever it names now
+
+    run_scenario(scenario)
+
+
+@pytest.mark.parametrize("dependency", [A, D, "nonsense"])
+def test_a_repeated_submission_is_answered_whatever_it_depends_on(dependency: str) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        node = await _ready_node(state, clock, nodes)
         add_job(state, clock, nameId=D, sacks=1)
-        for needs in ([A], [D], ["nonsense"]):
-            body = submission(nameId=D, awaits=needs)
-            assert (await node.ask("POST", "/v1/jobs", orjson.dumps(body))).status == 200
+        body = submission(nameId=D, awaits=[dependency])
+        assert (await node.ask("POST", "/v1/jobs", orjson.dumps(body))).status == 200
 
     run_scenario(scenario)
 
 
-def test_a_list_too_long_is_refused_with_the_bound() -> None:
+def test_too_many_dependencies_are_refused_with_the_limit() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready_node(state, clock, nodes)
         response = await _submit(node, B, *(f"wk-{n:06d}" for n in range(100, 400)))
         assert response.status == 422
         assert b"256" in response.body
-        # unfinished ones that fit no record under the next limits
-        names = [f"wk-{n:06d}" for n in range(100, 300)]
+
+    run_scenario(scenario)
+
+
+@pytest.mark.parametrize(("dependencies", "status"), [(200, 422), (60, 201)])
+def test_dependencies_must_fit_into_a_record_under_the_next_limits(
+    dependencies: int, status: int
+) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        node = await _ready_node(state, clock, nodes)
+        names = [f"wk-{n:06d}" for n in range(100, 100 + dependencies)]
         for name in names:
             add_job(state, clock, nameId=name, sacks=1)
         await node.sync()
-        assert (await _submit(node, B, *names)).status == 422
-        assert (await _submit(node, C, *names[:60])).status == 201
+        assert (await _submit(node, B, *names)).status == status
         assert state.too_large == 0
 
     run_scenario(scenario)
 
 
-def test_a_fan_wider_than_a_transaction_is_cancelled_at_once_and_recorded_later() -> None:
-    # guards against orphaned: the first cancellation alone decides for all that need it
+def test_more_dependents_than_a_transaction_allows_are_cancelled_at_once_and_recorded_later() -> (
+    None
+):
+    # guards against `orphaned`: one write cancels all jobs that depend on this one
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready_node(state, clock, nodes)
         other = SteppedController(state, clock, nodes, "node-1")
         await other.boot()
-        # only controllers of its own zone have to be told, and this is the only one
+        # only controllers of the job's zone have to be told, and this is the only one
         await _submit(node, A, yard="north")
         fan = [f"wk-{n:06d}" for n in range(100, 200)]
         for name in fan:
@@ -179,11 +209,11 @@
         response = await node.ask("POST", f"/v1/jobs/{A}/withdraw")
         assert response.status == 200
         assert b"withdrawn" in response.body
-        # before any further write, and on a controller that only reads
+        # before any further write, and also on a controller that only reads
         for name in (*fan, D):
             assert await _stage(other, name) == "withdrawn"
         assert state.keys[keys.job(fan[0])][0]["end"] == ACTIVE
-        # outage: what is known to be final is still told
+        # in an outage an end that is known to be final is still reported
         state.down = True
         assert await _stage(other, D) == "withdrawn"
         state.down = False
@@ -213,8 +243,8 @@
 
 
 @pytest.mark.parametrize("order", ["needed first", "needed last"])
-def test_a_restart_derives_the_same_whatever_comes_first(order: str) -> None:
-    # keys are read in their order, which says nothing about who needs whom
+def test_a_restart_derives_the_same_in_whatever_order_records_are_read(order: str) -> None:
+    # keys are read in the order of their names, which is not that of dependencies
     before, after = (A, B) if order == "needed first" else (B, A)
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
@@ -234,7 +264,7 @@
     run_scenario(scenario)
 
 
-def test_a_job_that_names_a_cancelled_one_is_accepted_and_cancelled() -> None:
+def test_a_job_that_depends_on_a_cancelled_one_is_accepted_and_cancelled() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready_node(state, clock, nodes)
         state.put(keys.archived(A), {"end": "cancelled", "done": 0})
@@ -246,7 +276,7 @@
     run_scenario(scenario)
 
 
-def test_a_cancellation_answered_done_leaves_the_jobs_after_it() -> None:
+def test_cancelling_a_job_that_is_done_leaves_its_dependents() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready_node(state, clock, nodes)
         state.put(keys.job(A), encode_end(DONE, make_spec(nameId=A), clock.wall(), RECORD_BYTES))
@@ -258,9 +288,9 @@
     run_scenario(scenario)
 
 
-def test_a_waiting_job_is_cancelled_without_asking_peers_but_not_while_it_begins() -> None:
-    # its cancellation rests on the job it waits for: ended in the meantime, a task may be on
-    # its way, and the peers have to be told first
+def test_a_blocked_job_is_cancelled_without_telling_peers_unless_it_may_start_meanwhile() -> None:
+    # the cancellation is conditional on the job that it waits for: once that has ended, a task may
+    # be about to start, and the peers have to be told first
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready_node(state, clock, nodes)
         await _submit(node, A)
@@ -278,18 +308,18 @@
 
 
 def test_archiving_and_accepting_do_not_race() -> None:
-    # guards against a job that waits for ever for one whose record has gone
+    # guards against a job that waits for ever for one whose record was deleted
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready_node(state, clock, nodes)
         await _submit(node, A)
-        # another owner ends and archives it, unseen here, while the submission is on its way
+        # another owner ends and archives it, unnoticed here, during the submission
         value = encode_end(DONE, make_spec(nameId=A), clock.wall(), RECORD_BYTES)
         state.put(keys.job(A), value)
         state.put(keys.archived(A), {"end": "done", "done": 1})
         state.put(keys.ARCHIVINGS, {"n": 1})
         state.revision += 1
         state._delete(keys.job(A))
-        # looked at anew within the request: accepted on the archived end, and waiting for nothing
+        # checked again within the request: accepted on the archived end, and not blocked
         assert (await _submit(node, B, A)).status == 201
         assert not node.cluster.jobs[B].is_blocked
         assert not node.cluster.jobs[B].dependencies
@@ -299,7 +329,7 @@
 
 
 def test_a_dependency_archived_while_another_is_read_is_noticed() -> None:
-    # guards against resting on a count of archivings newer than what was read before it
+    # guards against a condition on a count of archivings that is newer than the records read
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready_node(state, clock, nodes)
         await _submit(node, A)
@@ -326,7 +356,7 @@
     run_scenario(scenario)
 
 
-def test_a_job_that_others_wait_for_is_not_archived() -> None:
+def test_a_job_with_unfinished_dependents_is_not_archived() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready_node(state, clock, nodes)
         await _submit(node, A)
@@ -361,7 +391,7 @@
     await region.until(lambda: all(n.cluster.level is not None for n in region.nodes.values()))
 
 
-def test_a_diamond_over_three_teams_runs_in_order_through_a_restart_of_everybody() -> None:
+def test_a_diamond_over_three_teams_runs_in_order_through_a_restart_of_all_controllers() -> None:
     async def scenario(region: Region) -> None:
         await _begin(region)
         await _pipeline(region)
@@ -380,7 +410,7 @@
 def test_all_controllers_end_between_a_cancellation_and_its_last_dependent(
     outage_s: float,
 ) -> None:
-    # the state service may also be down right after the confirmation, for longer than cancel_s
+    # the state service may also be down right after the confirmation, for longer than `cancel_s`
     async def scenario(region: Region) -> None:
         await _begin(region)
         await _pipeline(region)
@@ -429,16 +459,16 @@
 def test_a_job_accepted_on_an_old_view_of_its_dependency_is_not_left_without_it(
     others: int,
 ) -> None:
-    # with more needs than a transaction has conditions, too.
-    # guards against a job that waits for ever: accepted by a controller that had not seen the end
-    # of what it names, and unseen by the one that archived that
+    # also with more dependencies than a transaction has conditions.
+    # guards against a job that waits for ever: it was accepted by a controller that did not know
+    # that its dependency had ended, and the one that archived the dependency did not know of it
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         owner = await _ready_node(state, clock, nodes)
         await _submit(owner, A)
         more = [add_job(state, clock, nameId=f"wk-{5000 + n:06d}") for n in range(others)]
         other = SteppedController(state, clock, nodes, "node-1")
         await other.boot()
-        # A ends; the other controller's watch is behind
+        # A ends; the other controller's watch lags behind
         state.put(keys.job(A), encode_end(DONE, make_spec(nameId=A), clock.wall(), RECORD_BYTES))
         for number in range(owner.settings.max_ended_jobs + 5):
             spec = make_spec(nameId=f"wk-{1000 + number:06d}")
@@ -461,10 +491,10 @@
 @pytest.mark.parametrize(
     ("end", "told"), [(DONE, "queued"), (CANCELLED, "withdrawn"), ("", "queued")]
 )
-def test_a_job_left_without_its_dependency_by_an_earlier_version_is_mended(
+def test_a_job_left_without_its_dependency_by_an_earlier_version_is_repaired(
     end: str, told: str
 ) -> None:
-    # guards against a job that waits for ever; with nothing in the archive nothing is concluded
+    # guards against a job that waits for ever; without an archived end nothing is concluded
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready_node(state, clock, nodes)
         record = encode_job(make_spec(nameId=B, sacks=1), clock.wall(), (A,))
--- a/tests/test_derivation.py
+++ b/tests/test_derivation.py
@@ -1,8 +1,8 @@
-"""What a controller derives from changes one by one is what a fresh one derives from the keys.
+"""Incremental updates of `ClusterState` agree with a state read from scratch.
 
-Increments (use per machine, counts of tasks, indexes of jobs, what waits for what) are compared
-with a derivation from scratch after random writes, seen in random ways: by the watch, ahead of it
-as own writes, as keys read by themselves, or all at once after a gap.
+Usage per machine, counts of tasks, indexes of jobs and dependencies are compared after random
+writes, which arrive in random ways: by the watch, ahead of it as own writes or as single reads, or
+all at once after the watch was compacted.
 """
 
 import random
@@ -29,13 +29,14 @@
 TASKS = 8
 
 
-class Writers:
-    """Writes what controllers write, in the order that their conditions allow."""
+class RandomWriter:
+    """Writes what controllers write, as far as their transactions' conditions allow it."""
 
     def __init__(self, state: StateService, rng: random.Random) -> None:
-        self.state, self.rng = state, rng
+        self.state = state
+        self.rng = rng
         self.numbers = iter(range(10_000))
-        self.needs: dict[str, list[str]] = {}
+        self.dependencies: dict[str, list[str]] = {}
 
     def _records(self) -> dict[str, Any]:
         return {
@@ -56,22 +57,24 @@
         ]
 
     def step(self) -> None:
-        """One write drawn at random, if it may be made now."""
+        """Makes one write drawn at random, if it is possible now."""
         self.rng.choice(
             [self.accept, self.plan, self.plan, self.end, self.clear, self.archive, self.machine]
         )()
 
     def accept(self) -> None:
         job, unfinished = f"wk-{next(self.numbers):06d}", self._unfinished()
-        needs = self.rng.sample(unfinished, min(len(unfinished), self.rng.choice([0, 0, 1, 2])))
+        dependencies = self.rng.sample(
+            unfinished, min(len(unfinished), self.rng.choice([0, 0, 1, 2]))
+        )
         spec = make_spec(nameId=job, sacks=TASKS, crew=self.rng.choice(["red", "blue", "green"]))
-        self.needs[job] = needs
-        record = encode_job(spec, 1.0, tuple(needs))
+        self.dependencies[job] = dependencies
+        record = encode_job(spec, 1.0, tuple(dependencies))
         self.state.put(keys.job(job), orjson.loads(orjson.dumps(record)))
 
     def _is_ready(self, job: str) -> bool:
         records = self._records()
-        return all(n not in records or records[n]["end"] == DONE for n in self.needs[job])
+        return all(n not in records or records[n]["end"] == DONE for n in self.dependencies[job])
 
     def plan(self) -> None:
         ready = [job for job in self._unfinished() if self._is_ready(job)]
@@ -105,7 +108,7 @@
 
     def _record_dependents(self, job: str) -> None:
         for other in self._unfinished():
-            if job in self.needs[other]:
+            if job in self.dependencies[other]:
                 spec = make_spec(nameId=other, sacks=TASKS)
                 record = encode_end(CANCELLED, spec, 2.0, RECORD_BYTES)
                 record["spec"]["team"] = self._records()[other]["spec"]["team"]
@@ -123,7 +126,7 @@
 
     def archive(self) -> None:
         for job in self._ended():
-            is_depended_on = any(job in self.needs[other] for other in self._unfinished())
+            is_depended_on = any(job in self.dependencies[other] for other in self._unfinished())
             if not self._plans(job) and not is_depended_on and self.rng.random() < 0.5:
                 self.state.put(keys.archived(job), encode_archived(Job(job, end=DONE)))
                 self.state.delete(keys.job(job))
@@ -147,7 +150,7 @@
 
 
 def _derived(cluster: ClusterState) -> dict[str, Any]:
-    """All that is derived, in a form that can be compared."""
+    """All derived state, in a form that can be compared."""
     jobs = {
         job.id: (
             job.end,
@@ -182,10 +185,10 @@
     return {"jobs": jobs, "machines": machines, "orphans": orphans, **indexes}
 
 
-@pytest.mark.parametrize("seed_n", range(12))
-def test_increments_agree_with_a_derivation_from_scratch(seed_n: int) -> None:
+@pytest.mark.parametrize("seed", range(12))
+def test_incremental_updates_agree_with_a_state_read_from_scratch(seed: int) -> None:
     async def scenario() -> None:
-        rng = random.Random(seed_n)
+        rng = random.Random(seed)
         state, clock, settings = StateService(), FakeClock(), make_settings()
         state.page_items = 7
         state.put(keys.LEVEL, encode_level(Level(1, 512, SEGMENT)))
@@ -199,13 +202,13 @@
             return mirror, cluster, watcher
 
         mirror, cluster, watcher = await fresh()
-        writers = Writers(state, rng)
+        writer = RandomWriter(state, rng)
         for _ in range(STEPS):
             before = state.revision
-            writers.step()
+            writer.step()
             kind = rng.random()
             if kind < 0.3:
-                _see_some_ahead(state, mirror, rng, before)
+                _apply_some_ahead(state, mirror, rng, before)
             elif kind < 0.34:
                 state.compact()
             if kind < 0.6:
@@ -217,8 +220,8 @@
     curio.run(scenario)
 
 
-def _see_some_ahead(state: StateService, mirror: Mirror, rng: random.Random, after: int) -> None:
-    """Own writes, and keys read by themselves, are known before the watch has brought the rest."""
+def _apply_some_ahead(state: StateService, mirror: Mirror, rng: random.Random, after: int) -> None:
+    """Applies some changes before the watch does, as own writes or as single reads."""
     for name, (value, version, _) in list(state.keys.items()):
         if version > after and name.startswith(keys.ROOT) and rng.random() < 0.5:
             if rng.random() < 0.5:
--- a/tests/test_owner_selection.py
+++ b/tests/test_owner_selection.py
@@ -1,4 +1,4 @@
-"""Which controller owns a shard, where workers would find nobody at the next one."""
+"""Which controller should own a shard, and where workers without an owner are redirected."""
 
 import curio
 import pytest
@@ -11,18 +11,21 @@
 from .fake_services import FakeClock, make_settings
 from .simulated_region import Region, simulate
 
+LONGER_THAN_WORKER_LEASE_S = 11.0
+# by controller: the one that its workers try next
 NEXT = {"node-0": "node-1", "node-1": "node-2", "node-2": "node-0"}
 
 
-class Choice:
-    """The choice of one controller, among those that are said to be there."""
+class ObservedControllers:
+    """One controller's owner selection, as it observes the others present or absent."""
 
     def __init__(self, label: str) -> None:
         self.clock, settings = FakeClock(), make_settings(label)
         self.cluster = ClusterState(Mirror(), settings)
         self.owner_selection = OwnerSelection(settings, self.clock, self.cluster)
 
-    def pass_with(self, *present: str, for_s: float = 11.0) -> OwnerSelection:
+    def observe(self, *present: str, for_s: float = LONGER_THAN_WORKER_LEASE_S) -> OwnerSelection:
+        """Has exactly these controllers present for so long."""
         self.cluster.controllers.clear()
         self.cluster.controllers.update({label: ControllerRecord(1) for label in present})
         self.owner_selection.observe()
@@ -31,47 +34,45 @@
         return self.owner_selection
 
 
-def test_the_next_controller_is_counted_as_numbers_are() -> None:
+def test_the_next_controller_follows_in_the_numbers_order() -> None:
     settings = make_settings()
     assert {label: settings.next_controller(label) for label in NEXT} == NEXT
 
 
-def test_with_all_there_each_home_owns_its_shard() -> None:
-    for number, label in enumerate(NEXT):
-        choice = Choice(label).pass_with(*NEXT)
-        assert not any(choice.should_yield(other) for other in NEXT)
-        assert not choice.has_better_owner(number)
-        assert choice.has_better_owner((number + 1) % 3)
+@pytest.mark.parametrize(("shard", "label"), list(enumerate(NEXT)))
+def test_each_preferred_owner_keeps_its_shard_while_all_are_present(shard: int, label: str) -> None:
+    selection = ObservedControllers(label).observe(*NEXT)
+    assert not any(selection.should_yield(other) for other in NEXT)
+    assert not selection.has_better_owner(shard)
+    assert selection.has_better_owner((shard + 1) % 3)
 
 
-def test_a_controller_gives_way_while_the_next_one_is_missing() -> None:
-    exposed = Choice("node-1").pass_with("node-0", "node-1")
+def test_an_exposed_controller_yields_to_one_that_is_not() -> None:
+    exposed = ObservedControllers("node-1").observe("node-0", "node-1")
     assert [exposed.has_better_owner(shard) for shard in range(3)] == [True, True, True]
     assert exposed.acquisition_rank() == 1
-    other = Choice("node-0").pass_with("node-0", "node-1")
+    other = ObservedControllers("node-0").observe("node-0", "node-1")
     assert [other.has_better_owner(shard) for shard in range(3)] == [False, False, False]
     assert other.acquisition_rank() == 0
 
 
-def test_a_controller_that_is_only_begun_again_is_not_missing() -> None:
-    choice = Choice("node-1").pass_with("node-0", "node-1", for_s=9.0)
-    assert not choice.should_yield("node-1")
+def test_a_restarted_controller_does_not_count_as_absent() -> None:
+    selection = ObservedControllers("node-1").observe("node-0", "node-1", for_s=9.0)
+    assert not selection.should_yield("node-1")
 
 
-def test_the_only_controller_left_gives_way_to_nobody() -> None:
-    choice = Choice("node-1").pass_with("node-1")
-    assert not any(choice.has_better_owner(shard) for shard in range(3))
+def test_the_only_controller_left_yields_to_nobody() -> None:
+    selection = ObservedControllers("node-1").observe("node-1")
+    assert not any(selection.has_better_owner(shard) for shard in range(3))
 
 
 @pytest.mark.parametrize(
     ("down", "frozen"), [("node-2", "node-1"), ("node-0", "node-2"), ("node-2", "node-0")]
 )
-def test_no_worker_is_lost_when_one_is_down_and_the_next_stands_still(
+def test_no_worker_lease_expires_while_one_controller_is_down_and_another_stalls(
     down: str, frozen: str
 ) -> None:
-    """The canteen's day `operations`: one controller without power for 90 s, another stands
-    still for 20 s meanwhile.
-    """
+    """One controller is without power for 90 s, another stalls for 20 s meanwhile."""
 
     async def scenario(region: Region) -> None:
         await region.begin(machines=0)
@@ -85,31 +86,39 @@
         await region.light(down)
         await curio.sleep(30.0)
         assert {w.machine: w.session for w in region.workers.values() if w.session > 1} == {}
-        # all are at home again
+        # each shard is back at its preferred owner
         assert region.owners() == {0: "node-0", 1: "node-1", 2: "node-2"}
 
     simulate(scenario)
 
 
-def test_a_worker_without_an_owner_is_sent_past_controllers_that_are_missing() -> None:
-    assert Choice("node-0").pass_with("node-0", "node-2").reachable_alternative() == "node-2"
-    assert Choice("node-0").pass_with(*NEXT).reachable_alternative() is None
-    assert Choice("node-0").pass_with("node-0").reachable_alternative() is None
-    deaf = Choice("node-0")
-    deaf.cluster.controllers.update(
+@pytest.mark.parametrize(
+    ("present", "redirect"),
+    [(("node-0", "node-2"), "node-2"), (tuple(NEXT), None), (("node-0",), None)],
+)
+def test_a_worker_without_an_owner_is_redirected_past_absent_controllers(
+    present: tuple[str, ...], redirect: str | None
+) -> None:
+    assert ObservedControllers("node-0").observe(*present).reachable_alternative() == redirect
+
+
+def test_a_worker_without_an_owner_is_redirected_past_unreachable_controllers() -> None:
+    observed = ObservedControllers("node-0")
+    observed.cluster.controllers.update(
         {
             "node-0": ControllerRecord(1),
             "node-1": ControllerRecord(2, is_unreachable_by_workers=True),
             "node-2": ControllerRecord(3),
         }
     )
-    assert deaf.owner_selection.reachable_alternative() == "node-2"
+    assert observed.owner_selection.reachable_alternative() == "node-2"
 
 
-def test_workers_are_answered_soon_after_a_hand_over_past_a_missing_controller() -> None:
-    """Nadi's day `operations`: between the old owner's letting go and the new one's taking, workers
-    were left to try the next controllers by themselves, of which one was down and one stood still;
-    39 tasks ended with their workers' leases.
+def test_workers_are_answered_soon_after_a_release_past_an_absent_controller() -> None:
+    """Between the release by the old owner and the acquisition by the new one, workers tried the
+    next
+    controllers by themselves, of which one was down and one stalled; 39 tasks ended with their
+    workers' leases.
     """
 
     async def scenario(region: Region) -> None:
--- a/tests/test_partition_keepalive.py
+++ b/tests/test_partition_keepalive.py
@@ -1,7 +1,12 @@
-"""A zone that is cut off: its controllers keep its workers alive, and nobody says otherwise."""
+"""Keepalive in a partitioned zone, the proof of expired worker leases, and cancellations meanwhile.
+
+In most tests node-1 (south) owns a machine in the north, and node-0 is the controller of the north.
+"""
 
 from collections.abc import Awaitable, Callable
 
+import pytest
+
 from crossmill.cluster import keys
 from crossmill.cluster.model import CANCELLED, ControllerRecord
 from crossmill.cluster.records import encode_end
@@ -15,6 +20,7 @@
 from .fake_services import FakeClock, StateService, on
 from .stepped_controller import (
     RECORD_BYTES,
+    PeerLine,
     SteppedController,
     add_job,
     add_machine,
@@ -26,7 +32,9 @@
 RUNNING = on("wk-000001", 0, 1, "running")
 
 
-class Nobody:
+class UnreachableServer:
+    """A server to which no connection can be made."""
+
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
@@ -34,7 +42,10 @@
 
 
 class PartitionScenario:
-    """node-1 (south) owns machine n-0 (north), which runs a task; node-0 stands in the north."""
+    """node-1 (south) owns machine n-0 (north), which runs a task; node-0 is in the north.
+
+    `owner` is node-1, `zone_controller` is node-0.
+    """
 
     def __init__(self, state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         self.state, self.clock, self.nodes = state, clock, nodes
@@ -53,17 +64,20 @@
         self.owner.report("n-0", 1, 1, 0)
         self.owner.report("n-0", 1, 2, token)
         await self.owner.round()
-        assert [c.op for c in self.owner.report("n-0", 1, 3, token).commands] == ["start"]
-        self.deputy = SteppedController(self.state, self.clock, self.nodes, "node-0")
-        await self.deputy.boot()
-        self.s = self.deputy.settings
+        assert [command.op for command in self.owner.report("n-0", 1, 3, token).commands] == [
+            "start"
+        ]
+        self.zone_controller = SteppedController(self.state, self.clock, self.nodes, "node-0")
+        await self.zone_controller.boot()
+        self.s = self.zone_controller.settings
 
     async def pass_time(self, seconds: float, to: SteppedController | None = None) -> None:
-        """Time passes; the machine reports to one controller, the owner decides."""
+        """Passes time while the machine sends heartbeats to one controller, and the owner
+        decides."""
         end = self.clock.time + seconds
         while self.clock.time < end:
             self.clock.time += 0.5
-            for node in (self.owner, self.deputy):
+            for node in (self.owner, self.zone_controller):
                 await node.controller_lease.step()
                 await node.partition_protocol.step()
             if to is not None:
@@ -73,24 +87,28 @@
             await self.owner.round()
 
     async def settle(self) -> None:
-        """Long enough for node-0 to count as a deputy."""
+        """Passes enough time for node-0 to have the right to keep workers alive."""
         await self.pass_time(2, self.owner)
 
     def cut(self) -> None:
-        """The north is cut off: node-0 reaches neither state service nor the south."""
-        self.deputy.client._http = self.deputy.client._watch_http = Nobody()
+        """Partitions the north: node-0 reaches neither the state service nor the south."""
+        self.zone_controller.client._http = self.zone_controller.client._watch_http = (
+            UnreachableServer()
+        )
         self.nodes["node-0"].cut = self.nodes["node-1"].cut = True
 
-    def mend(self) -> None:
-        self.deputy.client._http = self.deputy.client._watch_http = self.state
+    def heal(self) -> None:
+        """Ends the partition."""
+        self.zone_controller.client._http = self.zone_controller.client._watch_http = self.state
         self.nodes["node-0"].cut = self.nodes["node-1"].cut = False
 
-    def on_machine(self) -> int:
+    def planned_on_machine(self) -> int:
+        """How many attempts the owner has planned onto the machine."""
         return len(self.owner.cluster.machines["n-0"].attempts)
 
 
-def play_settled(scenario: Callable[[PartitionScenario], Awaitable[None]]) -> None:
-    """Plays a story from where node-0 counts as a deputy."""
+def run_settled(scenario: Callable[[PartitionScenario], Awaitable[None]]) -> None:
+    """Runs a scenario from where node-0 may keep workers alive once its zone is partitioned."""
 
     async def begin(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         it = PartitionScenario(state, clock, nodes)
@@ -101,93 +119,130 @@
     run_scenario(begin)
 
 
-def test_a_cut_off_zones_workers_are_kept_alive_and_nobody_concludes_otherwise() -> None:
+def test_workers_of_a_partitioned_zone_are_kept_alive_and_not_presumed_lost() -> None:
     async def scenario(it: PartitionScenario) -> None:
         it.cut()
         await it.pass_time(4)
-        await it.pass_time(2 * it.s.worker_lease_s, it.deputy)
-        assert it.on_machine() == 1
+        await it.pass_time(2 * it.s.worker_lease_s, it.zone_controller)
+        assert it.planned_on_machine() == 1
         assert not it.owner.cluster.machines["n-0"].retiring
-        # the cut ends: asked, the deputy says that it has answered just now
-        it.mend()
+        # the partition ends: the attestation of node-0 says that it has answered just now
+        it.heal()
         await it.pass_time(0.9 * it.s.worker_lease_s)
-        assert it.on_machine() == 1
+        assert it.planned_on_machine() == 1
         await it.pass_time(0.3 * it.s.worker_lease_s)
-        assert it.on_machine() == 0
+        assert it.planned_on_machine() == 0
 
-    play_settled(scenario)
+    run_settled(scenario)
 
 
-def test_a_deputy_stops_long_before_its_going_counts_as_proof() -> None:
+def test_keepalive_stops_before_the_absence_of_its_controller_proves_an_expired_lease() -> None:
     async def scenario(it: PartitionScenario) -> None:
         it.cut()
-        it.state.end_lease(it.deputy.controller_lease.lease_id or 0)
-        await it.pass_time(it.s.partition_keepalive_s - 1, it.deputy)
+        it.state.end_lease(it.zone_controller.controller_lease.lease_id or 0)
+        await it.pass_time(it.s.partition_keepalive_s - 1, it.zone_controller)
         await it.pass_time(2)
-        assert it.deputy.report("n-0", 1, 900, it.token, RUNNING).status == 421
+        assert it.zone_controller.report("n-0", 1, 900, it.token, RUNNING).status == 421
         await it.pass_time(it.s.worker_lease_s - 3)
-        assert it.on_machine() == 1
+        assert it.planned_on_machine() == 1
         await it.pass_time(6)
-        assert it.on_machine() == 0
+        assert it.planned_on_machine() == 0
 
-    play_settled(scenario)
+    run_settled(scenario)
 
 
-def test_a_deputy_leaves_a_machine_whose_owner_asked() -> None:
+def test_a_controller_does_not_keep_a_machine_alive_after_attesting_its_silence() -> None:
     async def scenario(it: PartitionScenario) -> None:
-        # silent to its owner, who asks; then the zone is cut off
+        # silent to its owner, which requests attestations; then the zone is cut off
         await it.pass_time(it.s.heartbeat_timeout_s + 1.5)
         it.cut()
         await it.pass_time(2)
-        assert it.deputy.report("n-0", 1, 900, it.token, RUNNING).status == 421
+        assert it.zone_controller.report("n-0", 1, 900, it.token, RUNNING).status == 421
         await it.pass_time(it.s.worker_lease_expiry_s)
-        assert it.on_machine() == 0
+        assert it.planned_on_machine() == 0
+
+    run_settled(scenario)
+
 
-    play_settled(scenario)
+async def _begin_unsettled(
+    state: StateService, clock: FakeClock, nodes: Nodes
+) -> PartitionScenario:
+    it = PartitionScenario(state, clock, nodes)
+    await it.begin()
+    return it
 
 
-def test_nobody_is_a_deputy_while_another_zone_answers_or_before_it_has_announced_itself() -> None:
+def test_no_keepalive_before_the_controller_has_announced_itself() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        it = PartitionScenario(state, clock, nodes)
-        await it.begin()
-        # the process before this one may have promised to leave the machine
-        it.deputy.cluster.controllers["node-0"] = ControllerRecord(-1)
-        await it.deputy.partition_protocol.durable_read.refresh()
-        assert it.deputy.partition_protocol.durable_read.sent_at is None
+        it = await _begin_unsettled(state, clock, nodes)
+        # the process before this one may have attested that it leaves the machine alone
+        it.zone_controller.cluster.controllers["node-0"] = ControllerRecord(-1)
+        await it.zone_controller.partition_protocol.durable_read.refresh()
+        assert it.zone_controller.partition_protocol.durable_read.sent_at is None
         it.cut()
-        await it.deputy.controller_lease.step()
-        assert it.deputy.report("n-0", 1, 900, it.token, RUNNING).status == 421
-        it.mend()
-        it.deputy.cluster.controllers["node-0"] = ControllerRecord(
-            it.deputy.controller_lease.lease_id
-        )
-        await it.deputy.controller_lease.step()
-        await it.settle()
-        it.cut()
-        it.nodes["node-1"].cut = False
-        await it.deputy.controller_lease.step()
-        await it.deputy.partition_protocol.step()
-        answer = it.deputy.report("n-0", 1, 901, it.token, RUNNING)
+        await it.zone_controller.controller_lease.step()
+        assert it.zone_controller.report("n-0", 1, 900, it.token, RUNNING).status == 421
+
+    run_scenario(scenario)
+
+
+async def _announce_and_settle(it: PartitionScenario) -> None:
+    """Has node-0 announced only after a first partition, as a process that has just started."""
+    it.zone_controller.cluster.controllers["node-0"] = ControllerRecord(-1)
+    await it.zone_controller.partition_protocol.durable_read.refresh()
+    it.cut()
+    await it.zone_controller.controller_lease.step()
+    it.zone_controller.report("n-0", 1, 900, it.token, RUNNING)
+    it.heal()
+    lease_id = it.zone_controller.controller_lease.lease_id
+    it.zone_controller.cluster.controllers["node-0"] = ControllerRecord(lease_id)
+    await it.zone_controller.controller_lease.step()
+    await it.settle()
+
+
+async def _cut_except_from_south(it: PartitionScenario) -> None:
+    """Cuts node-0 off from the state service while node-1 answers its probes."""
+    it.cut()
+    it.nodes["node-1"].cut = False
+    await it.zone_controller.controller_lease.step()
+    await it.zone_controller.partition_protocol.step()
+
+
+def test_no_keepalive_while_another_zone_answers() -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        it = await _begin_unsettled(state, clock, nodes)
+        await _announce_and_settle(it)
+        await _cut_except_from_south(it)
+        answer = it.zone_controller.report("n-0", 1, 901, it.token, RUNNING)
         assert (answer.status, answer.redirect) == (421, "node-1")
-        # a token that is not known: somebody acts for the machine and reaches it
+
+    run_scenario(scenario)
+
+
+def test_no_keepalive_under_a_token_that_is_not_known() -> None:
+    # with such a token another controller acts for the machine, and reaches it
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        it = await _begin_unsettled(state, clock, nodes)
+        await _announce_and_settle(it)
+        await _cut_except_from_south(it)
         it.cut()
-        it.deputy.partition_protocol.peers.last_answer_at.clear()
-        assert it.deputy.report("n-0", 1, 902, it.token + 1, RUNNING).status == 421
-        assert it.deputy.report("n-0", 1, 903, it.token, RUNNING).status == 200
+        it.zone_controller.partition_protocol.peers.last_answer_at.clear()
+        assert it.zone_controller.report("n-0", 1, 902, it.token + 1, RUNNING).status == 421
+        assert it.zone_controller.report("n-0", 1, 903, it.token, RUNNING).status == 200
 
     run_scenario(scenario)
 
 
-def test_a_job_is_called_withdrawn_only_when_a_deputy_would_end_it() -> None:
+def test_a_cancellation_is_confirmed_only_when_no_keepalive_can_outlast_it() -> None:
     async def scenario(it: PartitionScenario) -> None:
         it.cut()
-        await it.pass_time(2, it.deputy)
+        await it.pass_time(2, it.zone_controller)
         path = "/v1/jobs/wk-000001"
         answer = await it.owner.ask("POST", path + "/withdraw")
         assert (answer.status, answer.retry_after_s) == (503, 1)
         assert b"withdrawn" not in (await it.owner.ask("GET", path)).body
-        # once the deputy must have stopped early enough, its word is no longer needed
-        it.state.end_lease(it.deputy.controller_lease.lease_id or 0)
+        # once node-0 must have stopped early enough, it need not be told
+        it.state.end_lease(it.zone_controller.controller_lease.lease_id or 0)
         await it.pass_time(
             it.s.partition_keepalive_s + it.s.worker_lease_s - it.s.cancellation_deadline_s
         )
@@ -195,25 +250,25 @@
         await it.pass_time(3)
         assert (await it.owner.ask("POST", path + "/withdraw")).status == 200
 
-    play_settled(scenario)
+    run_settled(scenario)
 
 
-def test_a_deputy_ends_what_it_was_told_is_being_withdrawn() -> None:
+def test_keepalive_stops_tasks_of_a_job_whose_cancellation_was_announced() -> None:
     async def scenario(it: PartitionScenario) -> None:
         answer = await it.owner.ask("POST", "/v1/jobs/wk-000001/withdraw")
         assert answer.status == 200
-        # the deputy's mirror never got it: only what it was told counts
-        assert it.deputy.cluster.jobs["wk-000001"].end == ""
+        # the mirror of node-0 has not received it: only the announcement counts
+        assert it.zone_controller.cluster.jobs["wk-000001"].end == ""
         it.cut()
-        await it.deputy.controller_lease.step()
-        orders = it.deputy.report("n-0", 1, 900, it.token, RUNNING).commands
-        assert orders == (Command("stop", "wk-000001/0", 1, 0.0),)
+        await it.zone_controller.controller_lease.step()
+        commands = it.zone_controller.report("n-0", 1, 900, it.token, RUNNING).commands
+        assert commands == (Command("stop", "wk-000001/0", 1, 0.0),)
 
-    play_settled(scenario)
+    run_settled(scenario)
 
 
-def test_machines_silent_since_a_takeover_are_not_given_up_while_their_zone_is_cut_off() -> None:
-    """Half a fleet was released as never come up, 16 s after a takeover during a cut."""
+def test_machines_silent_since_a_takeover_are_not_retired_during_a_possible_partition() -> None:
+    """Half a fleet was released as never started, 16 s after a takeover during a partition."""
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=3)
@@ -236,21 +291,21 @@
     run_scenario(scenario)
 
 
-def test_what_deputies_are_asked_is_checked() -> None:
+@pytest.mark.parametrize("path", [peers.ATTESTATION_PATH, peers.CANCELLATION_PATH])
+@pytest.mark.parametrize("body", [b"", b"[]", b'{"machines":3,"jobs":[4]}', b"\xff"])
+def test_a_malformed_request_of_a_peer_is_refused(path: str, body: bytes) -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = SteppedController(state, clock, nodes)
-        for path in (peers.ATTESTATION_PATH, peers.CANCELLATION_PATH):
-            for body in (b"", b"[]", b'{"machines":3,"jobs":[4]}', b"\xff"):
-                line = node.lease_extensions._http["node-1"]
-                nodes["node-1"] = node
-                assert (await line.request("POST", path, body))[0] == 400
+        nodes["node-1"] = node
+        link = PeerLine(nodes, "node-1")
+        assert (await link.request("POST", path, body))[0] == 400
 
     run_scenario(scenario)
 
 
-def test_machines_of_a_cut_zone_fall_silent_and_come_back_one_by_one() -> None:
-    """The first to fall silent were given up before the rest were, and the last to come back as
-    soon as most others had.
+def test_no_machine_is_retired_while_a_zone_falls_silent_and_comes_back_one_by_one() -> None:
+    """The first to fall silent were retired before the rest were silent, and the last to come back
+    as soon as most others had.
     """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
@@ -274,104 +329,104 @@
     run_scenario(scenario)
 
 
-def test_what_was_promised_by_a_process_that_has_ended_proves_nothing() -> None:
+def test_an_attestation_is_void_once_its_process_has_been_replaced() -> None:
     async def scenario(it: PartitionScenario) -> None:
-        # not yet asked when it falls silent; then node-0 says that it has not answered
+        # the machine falls silent; node-0 is asked, and attests that it has not answered it
         it.clock.time += it.s.heartbeat_timeout_s + 0.5
         await it.owner.controller_lease.step()
         await it.owner.round()
         await it.owner.partition_protocol.step()
         assert it.owner.partition_protocol.expiry_proof._attestations
-        # node-0 ends; the process that follows knows of no promise, and helps
-        it.deputy = SteppedController(it.state, it.clock, it.nodes, "node-0")
-        await it.deputy.boot(waited=False)
-        await it.deputy.partition_protocol.step()
+        # node-0 ends; its new process does not know of the attestation, and keeps workers alive
+        it.zone_controller = SteppedController(it.state, it.clock, it.nodes, "node-0")
+        await it.zone_controller.boot(waited=False)
+        await it.zone_controller.partition_protocol.step()
         it.cut()
-        await it.deputy.controller_lease.step()
-        assert it.deputy.report("n-0", 1, 900, it.token, RUNNING).status == 200
-        # the owner has not heard of it: what it concludes is written on the old key's version
+        await it.zone_controller.controller_lease.step()
+        assert it.zone_controller.report("n-0", 1, 900, it.token, RUNNING).status == 200
+        # the owner does not know: its write is conditional on the old version of the key of node-0
         it.clock.time += it.s.worker_lease_expiry_s - it.s.heartbeat_timeout_s
         await it.owner.controller_lease.step()
         machine, view = it.owner.cluster.machines["n-0"], it.owner.heartbeats.find_view("n-0")
         assert view
         assert it.owner.partition_protocol.expiry_proof.preconditions(machine, view.answered_at)
         await it.owner.round()
-        assert it.on_machine() == 1
-        # and once it has heard, it concludes nothing
+        assert it.planned_on_machine() == 1
+        # and once it knows, it no longer presumes that the lease has expired
         await it.owner.sync()
         assert (
             it.owner.partition_protocol.expiry_proof.preconditions(machine, view.answered_at)
             is None
         )
 
-    play_settled(scenario)
+    run_settled(scenario)
 
 
-def test_a_withdrawal_rests_on_the_processes_that_were_told() -> None:
+def test_a_cancellation_is_conditional_on_the_processes_that_were_told() -> None:
     async def scenario(it: PartitionScenario) -> None:
         job = it.owner.cluster.jobs["wk-000001"]
         preconditions = await it.owner.partition_protocol.cancellations.announce(job.id, ["north"])
         assert preconditions == {"cm/n/node-0": it.state.keys["cm/n/node-0"][1]}
-        # node-0 ends, and the process that follows does not know of the withdrawal
-        again = SteppedController(it.state, it.clock, it.nodes, "node-0")
-        await again.boot(waited=False)
+        # node-0 ends, and its new process does not know of the cancellation
+        replacement = SteppedController(it.state, it.clock, it.nodes, "node-0")
+        await replacement.boot(waited=False)
         assert job.spec is not None
         put = Put("cm/j/wk-000001", encode_end(CANCELLED, job.spec, 0.0, RECORD_BYTES))
         late = WriteIntent(Txn({"cm/j/wk-000001": job.version, **preconditions}, [put]))
         assert await it.owner.writer.commit(late) == WriteResult.CONFLICT
 
-    play_settled(scenario)
+    run_settled(scenario)
 
 
-def test_an_absence_is_counted_anew_when_a_controller_came_back_and_went_unseen() -> None:
+def test_an_absence_counts_anew_when_the_controller_was_back_unnoticed() -> None:
     async def scenario(it: PartitionScenario) -> None:
         it.cut()
-        it.state.end_lease(it.deputy.controller_lease.lease_id or 0)
+        it.state.end_lease(it.zone_controller.controller_lease.lease_id or 0)
         await it.pass_time(it.s.partition_keepalive_s + it.s.worker_lease_s - 1)
-        assert it.on_machine() == 1
-        # while the owner stands still node-0 comes back, learns all, and goes again
-        again = SteppedController(it.state, it.clock, it.nodes, "node-0")
-        await again.boot(waited=False)
-        await again.partition_protocol.step()
-        again.cut = True
-        it.state.end_lease(again.controller_lease.lease_id or 0)
+        assert it.planned_on_machine() == 1
+        # while the owner is stalled node-0 comes back, reads all that is durable, and ends again
+        replacement = SteppedController(it.state, it.clock, it.nodes, "node-0")
+        await replacement.boot(waited=False)
+        await replacement.partition_protocol.step()
+        replacement.cut = True
+        it.state.end_lease(replacement.controller_lease.lease_id or 0)
         await it.owner.sync()
         await it.pass_time(it.s.partition_keepalive_s)
-        assert it.on_machine() == 1
+        assert it.planned_on_machine() == 1
         await it.pass_time(it.s.worker_lease_s + 2)
-        assert it.on_machine() == 0
+        assert it.planned_on_machine() == 0
 
-    play_settled(scenario)
+    run_settled(scenario)
 
 
-def test_a_withdrawal_goes_through_the_state_service_while_controllers_refuse_each_other() -> None:
-    """For as long as a packet filter stood between controllers no such job could be withdrawn."""
+def test_a_cancellation_is_announced_through_the_state_service_if_peers_are_unreachable() -> None:
+    """While a packet filter separated controllers, no such job could be cancelled."""
 
     async def scenario(it: PartitionScenario) -> None:
         it.nodes["node-0"].cut = it.nodes["node-1"].cut = True
         path = "/v1/jobs/wk-000001/withdraw"
         assert (await it.owner.ask("POST", path)).status == 503
         assert (await it.owner.ask("POST", path)).status == 503
-        # node-0 reads the note and says so; cut off after that, it ends the job's tasks
-        await it.deputy.sync()
-        await it.deputy.membership.step()
-        await it.deputy.partition_protocol.step()
+        # node-0 reads the note and announces so; cut off after that, it stops the job's tasks
+        await it.zone_controller.sync()
+        await it.zone_controller.membership.step()
+        await it.zone_controller.partition_protocol.step()
         assert (await it.owner.ask("POST", path)).status == 200
         it.cut()
-        await it.deputy.controller_lease.step()
-        orders = it.deputy.report("n-0", 1, 900, it.token, RUNNING).commands
-        assert [c.op for c in orders] == ["stop"]
-        # the note goes with the next round
+        await it.zone_controller.controller_lease.step()
+        commands = it.zone_controller.report("n-0", 1, 900, it.token, RUNNING).commands
+        assert [command.op for command in commands] == ["stop"]
+        # the note is deleted in the next scheduling round
         assert "cm/w/wk-000001" in it.state.keys
         await it.owner.round()
         assert "cm/w/wk-000001" not in it.state.keys
 
-    play_settled(scenario)
+    run_settled(scenario)
 
 
-def test_a_task_that_moves_to_another_zone_while_deputies_are_told() -> None:
-    """Only the controllers of the zones with tasks of the job are told; before the write a task
-    may move to a zone whose controllers know nothing.
+def test_a_cancellation_accounts_for_a_task_that_moves_to_another_zone_meanwhile() -> None:
+    """Only the controllers of zones with tasks of the job are told; before the write a task may be
+    moved to a zone whose controllers were not.
     """
 
     async def scenario(it: PartitionScenario) -> None:
@@ -379,51 +434,50 @@
         other = SteppedController(it.state, it.clock, it.nodes, "node-2")
         await other.boot()
         await it.owner.live()
-        told = it.deputy.partition_protocol.handle
+        told = it.zone_controller.partition_protocol.handle
         plan = it.state.keys[keys.plan("wk-000001", "0")][0]
 
         def moves(request: Request) -> Response:
             it.state.put(keys.plan("wk-000001", "0"), {**plan, "rows": [[0, 2, "s-0", 1]]})
             return told(request)
 
-        it.deputy.partition_protocol.handle = moves  # type: ignore[method-assign]
+        it.zone_controller.partition_protocol.handle = moves  # type: ignore[method-assign]
         answer = await it.owner.ask("POST", "/v1/jobs/wk-000001/withdraw")
         assert (
             answer.status == 503
             or "wk-000001" in other.partition_protocol.keepalive.pending_cancellations
         )
 
-    play_settled(scenario)
+    run_settled(scenario)
 
 
-def test_an_owner_that_answers_as_deputy_counts_the_workers_lease_from_there() -> None:
-    """Its right as an owner had ended and its lease outlasted the outage: it then counted from its
-    last answer as an owner, and the task was placed again while it ran (lot 2060).
+def test_an_owner_counts_the_worker_lease_from_its_last_keepalive() -> None:
+    """Its authority as owner had ended and its lease outlasted the outage: it then counted from its
+    last answer as owner, and the task was placed again while it ran (lot 2060).
     """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         it = PartitionScenario(state, clock, nodes)
         await it.begin()
-        ownership = it.owner
+        owner = it.owner
         add_machine(it.state, it.clock, "s-0", zone="south")
-        await ownership.live()
-        await ownership.partition_protocol.step()
-        ownership.report("s-0", 1, 1, 0)
-        ownership.report("s-0", 1, 2, it.token)
-        view = ownership.heartbeats.find_view("s-0")
+        await owner.live()
+        await owner.partition_protocol.step()
+        owner.report("s-0", 1, 1, 0)
+        owner.report("s-0", 1, 2, it.token)
+        view = owner.heartbeats.find_view("s-0")
         assert view is not None
         it.cut()
         state.down = True
         for seq in range(3, 50):
             clock.time += 0.5
-            await ownership.controller_lease.step()
-            await ownership.partition_protocol.step()
-            ownership.report("s-0", 1, seq, it.token)
+            await owner.controller_lease.step()
+            await owner.partition_protocol.step()
+            owner.report("s-0", 1, seq, it.token)
+        assert owner.membership.heartbeat_authority(owner.cluster.machines["s-0"].shard) is None
         assert (
-            ownership.membership.heartbeat_authority(ownership.cluster.machines["s-0"].shard)
-            is None
-        )
-        assert ownership.report("s-0", 1, 50, it.token).status == 200, "kept alive as a deputy"
+            owner.report("s-0", 1, 50, it.token).status == 200
+        ), "kept alive without authority as owner"
         assert view.answered_at == clock.now()
 
     run_scenario(scenario)
