--- a/crossmill/fleet/provisioner.py
+++ b/crossmill/fleet/provisioner.py
@@ -9,10 +9,11 @@
 from ..cluster import keys
 from ..cluster.cluster_state import ClusterState
 from ..cluster.membership import Membership
+from ..cluster.records import encode_machine
 from ..net.clock import Clock
 from ..planning.demand import MachineRequest
 from ..settings import Settings
-from ..state.writer import WriteIntent, Writer, WriteRank, WriteResult
+from ..state.writer import Authority, WriteIntent, Writer, WriteRank, WriteResult
 from ..wire.cloud import MAX_RELEASE, Listed
 from ..wire.state import Put, Txn
 from .cloud import Cloud, CloudError, NoCapacityError, NotLeaderError, stored_catalog
@@ -86,9 +87,9 @@
             if kind is None:
                 continue
             entry = groups.setdefault((machine.shard, machine.type, machine.spot), [0.0] * 6)
-            empty, load = not machine.attempts, machine.cpus / kind.cpus
+            empty, load = not machine.attempts, machine.used_cpus / kind.cpus
             shown: tuple[float, ...]
-            shown = (1.0, float(not machine.up), float(empty), load, machine.gpus, kind.gpus)
+            shown = (1.0, float(not machine.up), float(empty), load, machine.used_gpus, kind.gpus)
             for i, value in enumerate(shown):
                 entry[i] += value
         for (shard, name, spot), (number, booting, idle, busy, gpus, most) in groups.items():
@@ -116,11 +117,16 @@
         if version is None or stored_catalog(catalog) == self._cluster.mirror.value(keys.CATALOG):
             return
         txn = Txn({keys.LEADER: version}, [Put(keys.CATALOG, stored_catalog(catalog))])
-        await self._commit([WriteIntent(txn, WriteRank.BACKGROUND, holds=self._leads)])
+        await self._commit(
+            [WriteIntent(txn, WriteRank.BACKGROUND, authority=self._write_authority)]
+        )
 
     def _leads(self) -> bool:
         return self._membership.leadership_version() is not None
 
+    def _write_authority(self) -> Authority:
+        return Authority.HELD if self._leads() else Authority.LOST
+
     async def _commit(self, intents: list[WriteIntent]) -> int:
         for intent in intents:
             await self._writer.submit(intent)
@@ -188,7 +194,7 @@
                 "up": False,
             }
             txn = Txn({keys.LEADER: version, key: 0}, [Put(key, value)])
-            intents.append(WriteIntent(txn, WriteRank.PLACEMENT, holds=self._leads))
+            intents.append(WriteIntent(txn, WriteRank.PLACEMENT, authority=self._write_authority))
         await self._commit(intents)
 
     # -- the list --------------------------------------------------------------------
@@ -241,9 +247,11 @@
         key = keys.machine(machine_id)
         txn = Txn(
             {keys.LEADER: version, key: machine.version},
-            [Put(key, machine.encode(retiring=why))],
+            [Put(key, encode_machine(machine, retiring=why))],
+        )
+        await self._commit(
+            [WriteIntent(txn, WriteRank.BACKGROUND, authority=self._write_authority)]
         )
-        await self._commit([WriteIntent(txn, WriteRank.BACKGROUND, holds=self._leads)])
 
     # -- releasing -------------------------------------------------------------------
 
@@ -270,7 +278,7 @@
                     {keys.LEADER: version, keys.machine(m.id): m.version}, [], [keys.machine(m.id)]
                 ),
                 WriteRank.BACKGROUND,
-                holds=self._leads,
+                authority=self._write_authority,
             )
             for m in going
         ]
--- a/crossmill/recovery/service.py
+++ b/crossmill/recovery/service.py
@@ -54,7 +54,7 @@
         self._recorded: set[int] = set()
         self.records = RecordIndex(cluster.mirror)
         self.notes = StoredNotes(cluster.mirror)
-        membership.on_lost.append(self._forget)
+        membership.subscribe_lost(self._forget)
 
     def _forget(self, shard: int) -> None:
         """The next owner begins anew, from durable facts and reports."""
