--- a/crossmill/app.py
+++ b/crossmill/app.py
@@ -87,8 +87,7 @@
             clock,
             self.cluster,
             self.membership,
-            self.partition_protocol.keepalive,
-            self.partition_protocol.expiry_proof,
+            self.partition_protocol,
         )
         self.forecast = DemandForecast(settings, clock, self.cluster)
         command_sender = CommandSender(settings, self.cluster, self.membership, self.heartbeats)
--- a/crossmill/cluster/partition_keepalive.py
+++ b/crossmill/cluster/partition_keepalive.py
@@ -10,7 +10,7 @@
 
 from ..net.clock import Clock
 from ..settings import Settings
-from ..wire.workers import Command, WorkerHeartbeat
+from ..wire.workers import Command, CommandKind, WorkerHeartbeat
 from .cluster_state import ClusterState
 from .controller_lease import ControllerLease
 from .model import ACTIVE, Machine
@@ -80,7 +80,7 @@
             return None
         self._kept_alive_at[machine.id] = self._clock.now()
         return [
-            Command("stop", f"{task.job}/{task.index}", task.attempt, 0.0)
+            Command(CommandKind.STOP, f"{task.job}/{task.index}", task.attempt, 0.0)
             for task in heartbeat.tasks
             if task.state != "exited" and self._has_ended(task.job)
         ]
--- a/crossmill/jobs/machine_maintenance.py
+++ b/crossmill/jobs/machine_maintenance.py
@@ -91,7 +91,7 @@
         intents: list[WriteIntent] = []
         for machine in machines:
             view = self._heartbeats.find_view(machine.id)
-            if machine.up or view is None or not view.trusted:
+            if machine.up or view is None or not view.has_confirmed_token:
                 continue
             # a type that no catalogue has is not an ordinary machine's: nothing is learned of it
             boot_s = None
@@ -176,10 +176,10 @@
         kind = self._cluster.catalog.get(machine.type)
         if view is None or kind is None:
             return ""
-        if not view.trusted:
+        if not view.has_confirmed_token:
             if now - view.answered_at <= patience:
                 return ""
-            if machine.up or view.answered:
+            if machine.up or view.has_been_answered:
                 # an earlier owner has heard it: half a fleet was once taken for never come up
                 # by whoever took over while its zone was cut off
                 return "silent"
--- a/crossmill/jobs/machine_transfer.py
+++ b/crossmill/jobs/machine_transfer.py
@@ -47,7 +47,7 @@
         view = self._heartbeats.find_view(machine.id)
         if entry is None or view is None or machine.attempts or view.tasks or machine.retiring:
             return None
-        return None if self._heartbeats.unacknowledged.get(machine.id) else entry[0]
+        return None if self._heartbeats.has_unacknowledged_starts(machine.id) else entry[0]
 
     def is_leaving(self, machine_id: str) -> bool:
         """Whether the machine goes to another shard once it is empty."""
@@ -122,7 +122,7 @@
         view = self._heartbeats.find_view(machine.id)
         if view is None or not view.is_fresh(self._clock.now(), self._settings.heartbeat_timeout_s):
             return False
-        if view.notice_at is not None:
+        if view.termination_at is not None:
             return False
         since = view.idle_since
         return stop or (
--- a/crossmill/jobs/outcome_batch.py
+++ b/crossmill/jobs/outcome_batch.py
@@ -10,7 +10,8 @@
 
 from ..cluster.cluster_state import ClusterState
 from ..cluster.model import ACTIVE, Job, PlanChunk
-from ..workers.attempt_outcomes import AttemptOutcome, EndReason, Key
+from ..wire.workers import TaskKey
+from ..workers.attempt_outcomes import AttemptOutcome, EndReason
 
 
 @dataclass(slots=True, eq=False)
@@ -32,7 +33,7 @@
 
 
 def collect(
-    cluster: ClusterState, outcomes: Mapping[Key, AttemptOutcome], shard: int, term: int
+    cluster: ClusterState, outcomes: Mapping[TaskKey, AttemptOutcome], shard: int, term: int
 ) -> list[ChunkNews]:
     """The news of the shard's chunks found in the owner's present term, oldest first."""
     news: dict[tuple[str, str], ChunkNews] = {}
--- a/crossmill/jobs/placement.py
+++ b/crossmill/jobs/placement.py
@@ -59,7 +59,7 @@
             view is not None
             and not machine.retiring
             and view.is_fresh(own_now, self._settings.heartbeat_timeout_s)
-            and view.notice_at is None
+            and view.termination_at is None
             and not self._failures.is_faulty(machine.id)
             and machine.id not in self._preemption.draining
             and not self._machine_transfer.is_leaving(machine.id)
--- a/crossmill/recovery/service.py
+++ b/crossmill/recovery/service.py
@@ -73,7 +73,7 @@
             return orders
         admitted = [order for order in orders if recovery.admits(machine, order)]
         if self._recovery.dry_run:
-            recovery.let_through.update(order.op for order in orders if order not in admitted)
+            recovery.let_through.update(order.op.value for order in orders if order not in admitted)
             return orders
         # an answer may not have room for all: what stops a task is what may be urgent
         return sorted(admitted, key=lambda order: order.op != "stop")
--- a/crossmill/recovery/shard_recovery.py
+++ b/crossmill/recovery/shard_recovery.py
@@ -258,7 +258,7 @@
             return True
         if difference.rule.urgency is not Urgency.FENCE and not self._is_due(difference):
             return False
-        self.orders[order.op] += 1
+        self.orders[order.op.value] += 1
         self._open.ordered(difference)
         return True
 
--- a/crossmill/workers/__init__.py
+++ b/crossmill/workers/__init__.py
@@ -1,1 +1,1 @@
-"""Workers' machines: newest report, lease bound, attempts and the orders they need."""
+"""Workers' machines: their newest status, their leases, and the commands that they need."""
--- a/crossmill/workers/command_sender.py
+++ b/crossmill/workers/command_sender.py
@@ -1,28 +1,53 @@
-"""Starts sent straight to workers, so that they need not wait for the next report.
+"""Sends commands straight to workers, so that starts need not wait for the next heartbeat.
 
-Such a command may be executed late, as long as token and session match. While one is not
-answered its attempt is in doubt: see `HeartbeatHandler.unacknowledged`.
+A worker may execute such a command late, as long as its token and session match. Until a start is
+answered it is recorded as unacknowledged (see `UnacknowledgedStarts`). The scheduling loop calls
+the sender after its writes; the sender owns the connections to the workers.
 """
 
 import logging
 from collections.abc import Awaitable, Callable
+from typing import NamedTuple
 
 import curio
 
 from ..cluster.cluster_state import ClusterState
 from ..cluster.membership import Membership
-from ..cluster.model import PlannedAttempt
+from ..cluster.model import Machine, PlannedAttempt
 from ..net.client import Client, ConnectionFailedError, Http, NoResponseError
 from ..settings import Endpoint, Settings
 from ..wire.checks import MalformedMessageError, load_object
-from ..wire.workers import COMMANDS_PATH, MAX_ORDERS, Command, commands_body, parse_heartbeat
+from ..wire.workers import (
+    COMMANDS_PATH,
+    MAX_COMMANDS,
+    Command,
+    CommandKind,
+    commands_body,
+    parse_heartbeat,
+)
 from .heartbeat_handler import HeartbeatHandler
+from .views import WorkerView
 
 log = logging.getLogger(__name__)
 
+# a worker answers with its status, whether it has taken the commands (200) or refused them (409)
+STATUSES_WITH_HEARTBEAT = (200, 409)
+
+
+class MachineCommands(NamedTuple):
+    """The attempts to be started and to be stopped on one machine."""
+
+    starts: list[PlannedAttempt]
+    stops: list[PlannedAttempt]
+
 
 class CommandSender:
-    """Sends commands to workers' own addresses."""
+    """Sends commands to workers' own addresses.
+
+    Attributes:
+        connect: Makes the client for a worker's address.
+        on_response: Called after a worker's response was taken in, if it is set.
+    """
 
     def __init__(
         self,
@@ -35,68 +60,89 @@
         self._cluster = cluster
         self._membership = membership
         self._heartbeats = heartbeats
+        self._reconciler = heartbeats.reconciler
         self._clients: dict[str, Http] = {}
-        self._sending = 0
+        self._in_flight = 0
         self.connect: Callable[[Endpoint], Http] = lambda endpoint: Client(endpoint, max_sockets=1)
         self.on_response: Callable[[], Awaitable[None]] | None = None
 
-    def _client(self, address: str) -> Http | None:
-        client = self._clients.get(address)
-        if client is None:
-            host, _, port = address.rpartition(":")
-            if not host or not port.isdigit():
-                return None
-            if len(self._clients) >= self._settings.command_sockets:
-                # the oldest goes; its worker is heard through its reports all the same
-                self._clients.pop(next(iter(self._clients)))
-            client = self._clients[address] = self.connect(Endpoint(host, int(port)))
-        return client
-
     async def send(self, starts: list[PlannedAttempt], stops: list[PlannedAttempt]) -> None:
-        """Starts of durable plans, and stops; a stop that comes late ends an attempt that is
-        to end anyway, and is in no doubt.
+        """Sends the starts of durable plans, and stops, without waiting for the answers.
+
+        Beyond the limit of connections nothing is sent: the answer to the worker's next
+        heartbeat has the same commands. Stops are not recorded, as a late one only ends an
+        attempt that is to end anyway.
         """
-        by_machine: dict[str, tuple[list[PlannedAttempt], list[PlannedAttempt]]] = {}
+        by_machine: dict[str, MachineCommands] = {}
         for attempt in starts:
-            by_machine.setdefault(attempt.machine, ([], []))[0].append(attempt)
+            by_machine.setdefault(attempt.machine, MachineCommands([], [])).starts.append(attempt)
         for attempt in stops:
-            by_machine.setdefault(attempt.machine, ([], []))[1].append(attempt)
-        for machine_id, (some, others) in by_machine.items():
-            if self._sending < self._settings.command_sockets:
-                await curio.spawn(self._send, machine_id, some, others, daemon=True)
+            by_machine.setdefault(attempt.machine, MachineCommands([], [])).stops.append(attempt)
+        for machine_id, commands in by_machine.items():
+            if self._in_flight < self._settings.command_sockets:
+                await curio.spawn(self._send_to, machine_id, commands, daemon=True)
 
-    async def _send(
-        self, machine_id: str, attempts: list[PlannedAttempt], stops: list[PlannedAttempt]
-    ) -> None:
-        machine, view = (
-            self._cluster.machines.get(machine_id),
-            self._heartbeats.find_view(machine_id),
-        )
+    async def _send_to(self, machine_id: str, attempts: MachineCommands) -> None:
+        """Sends one machine's commands, if this controller may still give them."""
+        machine = self._cluster.machines.get(machine_id)
+        view = self._heartbeats.find_view(machine_id)
         if machine is None or view is None:
             return
         ownership = self._membership.command_ownership(machine.shard)
         client = self._client(view.address)
-        # what was found to be over while its plan's write was settled must not begin now
-        attempts = [
-            attempt
-            for attempt in attempts
-            if attempt.session == view.session
-            and machine.attempts.get((attempt.job, attempt.index)) == attempt
-            and self._heartbeats.may_start(attempt, machine)
-        ]
-        if ownership is None or client is None or not (attempts or stops) or not view.trusted:
+        # an attempt that was found to have ended while its plan was written must not start now
+        starts = [start for start in attempts.starts if self._may_send_start(start, machine, view)]
+        stops = attempts.stops[:MAX_COMMANDS]
+        if ownership is None or client is None or not (starts or stops):
             return
-        commands = [self._heartbeats.stop_command(r) for r in stops[:MAX_ORDERS]]
-        attempts = attempts[: MAX_ORDERS - len(commands)]
-        commands += [Command("start", f"{r.job}/{r.index}", r.number) for r in attempts]
+        if not view.has_confirmed_token:
+            return
+        starts = starts[: MAX_COMMANDS - len(stops)]
+        commands = self._commands(starts, stops)
         if self._heartbeats.is_transferring(machine_id):
             return
-        token = self._heartbeats.token(machine, ownership)
+        token = self._heartbeats.command_token(machine, ownership)
         body = commands_body(token, view.session, commands)
-        unacknowledged = self._heartbeats.unacknowledged.setdefault(machine_id, {})
-        for attempt in attempts:
-            unacknowledged[attempt.id] = token
-        self._sending += 1
+        await self._request(client, machine_id, body, starts, token)
+
+    def _may_send_start(self, attempt: PlannedAttempt, machine: Machine, view: WorkerView) -> bool:
+        """Tells whether the attempt is still planned for the worker's session, and may start."""
+        return (
+            attempt.session == view.session
+            and machine.attempts.get((attempt.job, attempt.index)) == attempt
+            and self._reconciler.may_start(attempt, machine)
+        )
+
+    def _commands(self, starts: list[PlannedAttempt], stops: list[PlannedAttempt]) -> list[Command]:
+        commands = [self._reconciler.stop_command(attempt) for attempt in stops]
+        commands.extend(
+            Command(CommandKind.START, f"{attempt.job}/{attempt.index}", attempt.number)
+            for attempt in starts
+        )
+        return commands
+
+    def _client(self, address: str) -> Http | None:
+        """Returns the client for a worker's address; None if the address is malformed."""
+        client = self._clients.get(address)
+        if client is not None:
+            return client
+        host, _, port = address.rpartition(":")
+        if not host or not port.isdigit():
+            return None
+        if len(self._clients) >= self._settings.command_sockets:
+            # drop the oldest; its worker still gets its commands with its heartbeats
+            self._clients.pop(next(iter(self._clients)))
+        client = self.connect(Endpoint(host, int(port)))
+        self._clients[address] = client
+        return client
+
+    async def _request(
+        self, client: Http, machine_id: str, body: bytes, starts: list[PlannedAttempt], token: int
+    ) -> None:
+        """Sends a body with commands; the starts stay unacknowledged if no answer comes."""
+        unacknowledged = self._reconciler.unacknowledged_starts
+        recorded = unacknowledged.record(machine_id, starts, token)
+        self._in_flight += 1
         try:
             status, data = await client.request(
                 "POST", COMMANDS_PATH, body, self._settings.heartbeat_interval_s
@@ -104,21 +150,19 @@
         except ConnectionFailedError as exc:
             log.debug("worker not reached machine=%s error=%s", machine_id, exc)
         except NoResponseError as exc:
-            log.info(
-                "start unconfirmed machine=%s tasks=%d error=%s", machine_id, len(attempts), exc
-            )
+            log.info("start unconfirmed machine=%s tasks=%d error=%s", machine_id, len(starts), exc)
             return
         else:
-            self._answered(machine_id, status, data)
+            self._apply_response(machine_id, status, data)
             if self.on_response is not None:
                 await self.on_response()
         finally:
-            self._sending -= 1
-        for attempt in attempts:
-            unacknowledged.pop(attempt.id, None)
+            self._in_flight -= 1
+        unacknowledged.discard(recorded, starts)
 
-    def _answered(self, machine_id: str, status: int, data: bytes) -> None:
-        if status not in (200, 409):
+    def _apply_response(self, machine_id: str, status: int, data: bytes) -> None:
+        """Takes in the status with which a worker answers commands."""
+        if status not in STATUSES_WITH_HEARTBEAT:
             return
         try:
             heartbeat = parse_heartbeat(load_object(data), self._heartbeats.read_task_status)
--- a/crossmill/workers/heartbeat_handler.py
+++ b/crossmill/workers/heartbeat_handler.py
@@ -1,7 +1,11 @@
-"""HeartbeatHandler of workers: who answers them, and with which orders.
+"""Answers workers' heartbeats: who may answer a worker, and with which commands.
 
-Orders come from comparing the newest report with the durable plan, so they need no memory and
-can be repeated. Only responses carry them: the worker drops a response that comes late.
+A heartbeat is answered by the owner of the machine's shard, kept alive by a controller of a
+partitioned zone, or redirected. The commands come from the reconciliation of the worker's status
+with the plan. Only answers contain them (besides `CommandSender`): the worker drops a late answer.
+
+The handler owns the views of all workers that this controller has heard. The application calls it
+for each heartbeat, the scheduling loop and the machine maintenance read the views.
 """
 
 import logging
@@ -9,29 +13,41 @@
 from typing import NamedTuple
 
 from ..cluster.cluster_state import ClusterState
-from ..cluster.lease_expiry_proof import LeaseExpiryProof
 from ..cluster.membership import Membership
-from ..cluster.model import AttemptId, Machine, PlannedAttempt
+from ..cluster.model import Machine, PlannedAttempt
 from ..cluster.ownership import ShardOwnership
-from ..cluster.partition_keepalive import PartitionKeepalive
+from ..cluster.partition_protocol import PartitionProtocol
 from ..net.clock import Clock
 from ..settings import Settings
 from ..wire.workers import (
-    MAX_ORDERS,
+    MAX_COMMANDS,
     Command,
-    TaskStatus,
+    CommandKind,
     WorkerHeartbeat,
     cached_task_status_reader,
 )
-from .attempt_outcomes import AttemptOutcome, AttemptOutcomes, EndReason, StopReason
-from .order_gate import OrderGate
+from .attempt_outcomes import StopReason
+from .command_gate import CommandGate
+from .lease_expiry import WorkerLeaseExpiry
+from .reconciliation import Reconciler
 from .views import HeartbeatVerdict, WorkerView
 
 log = logging.getLogger(__name__)
 
+OK = 200
+MISDIRECTED = 421
+UNAVAILABLE = 503
+
 
 class HeartbeatResponse(NamedTuple):
-    """How a report is answered."""
+    """The answer to a heartbeat.
+
+    Attributes:
+        status: The HTTP status.
+        token: The token under which the commands are given.
+        commands: What the worker has to do, at most `MAX_COMMANDS`.
+        redirect: The controller to which the worker should send its heartbeats instead.
+    """
 
     status: int
     token: int = 0
@@ -40,7 +56,15 @@
 
 
 class HeartbeatHandler:
-    """The views of all machines of the shards this controller acts for."""
+    """Answers heartbeats, and keeps the views of the workers that sent them.
+
+    Attributes:
+        reconciler: Compares the workers' statuses with the plan.
+        outcomes: The outcomes of attempts that wait to be written.
+        stop_requests: The attempts that are to be stopped.
+        read_task_status: Reads one task of a heartbeat, from a cache where it can.
+        gate: Holds back commands and placements while a shard recovers; None holds back nothing.
+    """
 
     def __init__(
         self,
@@ -48,340 +72,231 @@
         clock: Clock,
         cluster: ClusterState,
         membership: Membership,
-        keepalive: PartitionKeepalive,
-        expiry_proof: LeaseExpiryProof,
+        partition_protocol: PartitionProtocol,
     ) -> None:
         self._settings = settings
         self._clock = clock
         self._cluster = cluster
         self._membership = membership
-        self._keepalive = keepalive
-        self._expiry_proof = expiry_proof
+        self._keepalive = partition_protocol.keepalive
         self._views: dict[str, WorkerView] = {}
         self.read_task_status = cached_task_status_reader(settings.max_cached_task_statuses)
-        self.outcomes = AttemptOutcomes(cluster)
-        self.stop_requests: dict[AttemptId, StopReason] = {}
-        # starts sent straight to a worker and not answered, with the token they carried: they
-        # may still be executed until the worker has seen a higher token or begun a new session
-        self.unacknowledged: dict[str, dict[AttemptId, int]] = {}
-        # machines whose move to another shard is being written: whoever gets one counts on
-        # nobody else answering it, so it is not answered from before the write is sent
+        self.reconciler = Reconciler(settings, clock, cluster, membership)
+        self.outcomes = self.reconciler.outcomes
+        self.stop_requests = self.reconciler.stop_requests
+        self._unacknowledged_starts = self.reconciler.unacknowledged_starts
+        self._lease_expiry = WorkerLeaseExpiry(
+            settings, clock, partition_protocol.expiry_proof, self.outcomes
+        )
+        # machines whose transfer to another shard is being written: the new owner relies on
+        # nobody else answering them, so they are not answered from before the write is sent
         self._transferring: set[str] = set()
-        # reports of running tasks that no plan holds: each is stopped
-        self.unplanned_stops = 0
-        # holds back orders, placements and returns while a shard recovers; None: nothing is held
-        self.gate: OrderGate | None = None
-        membership.on_lost.append(self._forget)
-
-    def _forget(self, shard: int) -> None:
-        """Beliefs of a shard end with our right to act for it."""
+        self._unplanned_stop_count = 0
+        self.gate: CommandGate | None = None
+        membership.on_lost.append(self._end_ownership)
+
+    def _end_ownership(self, shard: int) -> None:
+        """Drops all that is known of a shard which this controller has lost."""
         for machine_id in list(self._views):
             machine = self._cluster.machines.get(machine_id)
             if machine is None or machine.shard == shard:
-                del self._views[machine_id]
-                # whoever acts next has a higher token, and believes only those who saw it
-                self.unacknowledged.pop(machine_id, None)
-        self.outcomes.end_term(shard)
-        for attempt in list(self.stop_requests):
-            job = self._cluster.jobs.get(attempt[0])
-            if job is None or job.shard == shard:
-                del self.stop_requests[attempt]
-
-    def view_of(self, machine: Machine, ownership: ShardOwnership) -> WorkerView:
-        """Before the first answer of ours an earlier owner may have answered, at the latest
-        when we took over, and no worker was ours before we knew its machine. One that was
-        given away and came back is begun anew.
+                # the next owner has a higher token, and relies only on workers that saw it
+                self.forget_machine(machine_id)
+        self.reconciler.end_ownership(shard)
+
+    # -- views -----------------------------------------------------------------------
+
+    def view_of(self, machine: Machine) -> WorkerView:
+        """Returns the view of a machine, which begins anew if the machine came back.
+
+        An earlier owner may have answered the worker until this controller took over, so a new
+        view counts the worker as answered now.
         """
         view = self._views.get(machine.id)
-        if view is None or view.move != machine.token:
-            view = WorkerView(machine.id, self._clock.now(), move=machine.token)
+        if view is None or view.machine_token != machine.token:
+            view = WorkerView(machine.id, machine.token, self._clock.now())
             self._views[machine.id] = view
         return view
 
     def find_view(self, machine_id: str) -> WorkerView | None:
-        """What is known of the machine, if anything."""
+        """Returns the view of a machine, or None if nothing is known of it."""
         return self._views.get(machine_id)
 
+    def forget_machine(self, machine_id: str) -> None:
+        """Drops what is known of a machine that is now another shard's."""
+        self._views.pop(machine_id, None)
+        self._unacknowledged_starts.forget_machine(machine_id)
+
+    # -- authority -------------------------------------------------------------------
+
     def handle(self, heartbeat: WorkerHeartbeat) -> HeartbeatResponse:
-        """How a report is answered."""
+        """Returns the answer to a heartbeat."""
         self._membership.reachability.record_heartbeat()
         machine = self._cluster.machines.get(heartbeat.machine)
         if machine is None:
-            return self._elsewhere()
-        standing = self._membership.heartbeat_authority(machine.shard)
+            return self._redirect()
+        authority = self._membership.heartbeat_authority(machine.shard)
         if self.is_transferring(machine.id):
-            return self._elsewhere()
-        if standing is None:
-            kept = self._keepalive.keep_alive(machine, heartbeat)
-            if kept is not None:
-                # an owner that answers as its zone's deputy may act by the same lease again
-                # once the trouble is over: this answer renewed the worker's lease all the same
-                if (view := self._views.get(machine.id)) is not None:
-                    view.answered_at = self._clock.now()
-                return HeartbeatResponse(200, heartbeat.token, tuple(kept[:MAX_ORDERS]))
-            known = self._cluster.shard_owners.get(machine.shard)
-            elsewhere = known is not None and known.owner != self._settings.label
-            return self._elsewhere(known.owner if known and elsewhere else None)
-        ownership, entitled = standing
-        token = self.token(machine, ownership)
+            return self._redirect()
+        if authority is None:
+            return self._answer_without_ownership(machine, heartbeat)
+        ownership, may_command = authority
+        return self._answer_as_owner(machine, heartbeat, ownership, may_command)
+
+    def _answer_as_owner(
+        self,
+        machine: Machine,
+        heartbeat: WorkerHeartbeat,
+        ownership: ShardOwnership,
+        may_command: bool,
+    ) -> HeartbeatResponse:
+        """Answers a worker of an owned shard; without full authority it is only kept alive."""
+        token = self.command_token(machine, ownership)
         if heartbeat.token > token:
-            # the worker would drop our answer, and its lease would run out meanwhile
-            self._membership.request_higher_token(machine.shard, heartbeat.token)
-            detour = self._membership.owner_selection.reachable_alternative()
-            return (
-                HeartbeatResponse(503)
-                if detour is None
-                else HeartbeatResponse(421, redirect=detour)
-            )
-        view = self.view_of(machine, ownership)
+            return self._answer_newer_token(machine, heartbeat)
+        view = self.view_of(machine)
         verdict = view.apply_heartbeat(heartbeat, token, self._clock.now())
         if verdict is HeartbeatVerdict.STALE:
-            return HeartbeatResponse(200, token)
+            return HeartbeatResponse(OK, token)
         view.answered_at = self._clock.now()
-        view.answered = True
+        view.has_been_answered = True
         if verdict is HeartbeatVerdict.UNCONFIRMED_TOKEN:
-            return HeartbeatResponse(200, token)
-        self._acknowledge(machine.id, heartbeat)
-        orders = self._orders(machine, view, ownership)
-        if not entitled:
-            # only kept alive; nothing is begun meanwhile, and nothing ended but what is over
-            # for good: to end that is right whoever says it, and whenever
-            orders = [c for c in orders if c.op == "stop" and self._job_ended(c.task)]
+            return HeartbeatResponse(OK, token)
+        commands = self.reconciler.apply_heartbeat(machine, view, ownership, heartbeat)
+        if not may_command:
+            commands = self._stops_of_ended_jobs(commands)
         if self.gate is not None:
-            orders = self.gate.screen(machine, view, ownership, orders)
-        # cut only now: what is held back must not keep what is urgent out of the answer
-        orders = orders[:MAX_ORDERS]
-        self._count_unplanned(machine, orders)
-        return HeartbeatResponse(200, token, tuple(orders))
-
-    def _elsewhere(self, owner: str | None = None) -> HeartbeatResponse:
-        """The worker is sent to its machine's owner; where none is known it goes round the
-        controllers by itself, past those that are missing.
+            commands = self.gate.screen(machine, view, ownership, commands)
+        # cut only now: commands that are held back must not displace urgent ones
+        commands = commands[:MAX_COMMANDS]
+        self._log_unplanned_stops(machine, commands)
+        return HeartbeatResponse(OK, token, tuple(commands))
+
+    @staticmethod
+    def command_token(machine: Machine, ownership: ShardOwnership) -> int:
+        """Returns the token under which the owner of a machine's shard commands it."""
+        return max(ownership.token, machine.token)
+
+    def _redirect(self, owner: str | None = None) -> HeartbeatResponse:
+        """Redirects a worker to its machine's owner, or to another reachable controller.
+
+        Without a redirect the worker tries the controllers one after the other.
         """
-        return HeartbeatResponse(
-            421, redirect=owner or self._membership.owner_selection.reachable_alternative()
-        )
+        redirect = owner or self._membership.owner_selection.reachable_alternative()
+        return HeartbeatResponse(MISDIRECTED, redirect=redirect)
+
+    def _answer_without_ownership(
+        self, machine: Machine, heartbeat: WorkerHeartbeat
+    ) -> HeartbeatResponse:
+        """Keeps a worker of a partitioned zone alive, or redirects it to its owner."""
+        commands = self._keepalive.keep_alive(machine, heartbeat)
+        if commands is None:
+            shard_owner = self._cluster.shard_owners.get(machine.shard)
+            if shard_owner is None or shard_owner.owner == self._settings.label:
+                return self._redirect()
+            return self._redirect(shard_owner.owner)
+        # an owner that keeps a worker alive for its zone may regain its authority by the same
+        # lease: this answer renewed the worker's lease all the same
+        view = self._views.get(machine.id)
+        if view is not None:
+            view.answered_at = self._clock.now()
+        return HeartbeatResponse(OK, heartbeat.token, tuple(commands[:MAX_COMMANDS]))
 
-    def _count_unplanned(self, machine: Machine, orders: list[Command]) -> None:
-        for order in orders:
-            job, _, index = order.task.rpartition("/")
+    def _answer_newer_token(
+        self, machine: Machine, heartbeat: WorkerHeartbeat
+    ) -> HeartbeatResponse:
+        """Sends a worker elsewhere that has seen a higher token than this owner's.
+
+        It would drop an answer under the lower token, and its lease would run out meanwhile.
+        """
+        self._membership.request_higher_token(machine.shard, heartbeat.token)
+        alternative = self._membership.owner_selection.reachable_alternative()
+        if alternative is None:
+            return HeartbeatResponse(UNAVAILABLE)
+        return HeartbeatResponse(MISDIRECTED, redirect=alternative)
+
+    def _stops_of_ended_jobs(self, commands: list[Command]) -> list[Command]:
+        """Returns the commands that may be given without full authority.
+
+        A worker is then only kept alive. To stop a task whose job has ended is right whoever
+        says so, and whenever.
+        """
+        return [
+            command
+            for command in commands
+            if command.op is CommandKind.STOP and self._has_job_ended(command.task)
+        ]
+
+    def _has_job_ended(self, task_name: str) -> bool:
+        job = self._cluster.jobs.get(task_name.rpartition("/")[0])
+        return job is not None and job.has_ended
+
+    def _log_unplanned_stops(self, machine: Machine, commands: list[Command]) -> None:
+        """Logs and counts the commands that stop a running task which no plan contains."""
+        for command in commands:
+            if command.op is not CommandKind.STOP:
+                continue
+            job, _, index = command.task.rpartition("/")
             attempt = machine.attempts.get((job, int(index)))
-            if order.op != "stop" or (attempt is not None and attempt.number == order.attempt):
+            if attempt is not None and attempt.number == command.attempt:
                 continue
-            self.unplanned_stops += 1
+            self._unplanned_stop_count += 1
             log.info(
                 "unplanned task stopped job=%s task=%s attempt=%d machine=%s total=%d",
                 job,
                 index,
-                order.attempt,
+                command.attempt,
                 machine.id,
-                self.unplanned_stops,
+                self._unplanned_stop_count,
             )
 
-    def _job_ended(self, task: str) -> bool:
-        job = self._cluster.jobs.get(task.rpartition("/")[0])
-        return job is not None and job.has_ended
-
-    @staticmethod
-    def token(machine: Machine, ownership: ShardOwnership) -> int:
-        """The token under which its shard's owner speaks to the machine."""
-        return max(ownership.token, machine.token)
-
-    def forget_machine(self, machine_id: str) -> None:
-        """The machine is another shard's: what was believed of it ends."""
-        self._views.pop(machine_id, None)
-        self.unacknowledged.pop(machine_id, None)
+    # -- transfers of machines to other shards ---------------------------------------
 
     def is_transferring(self, machine_id: str) -> bool:
-        """Whether the machine's move to another shard is being written."""
+        """Tells whether the machine's transfer to another shard is being written."""
         return machine_id in self._transferring
 
     def begin_transfers(self, machine_ids: Collection[str]) -> None:
-        """These machines are not answered until their moves' fate is known."""
+        """Stops answering these machines until the results of their transfers are known."""
         self._transferring.update(machine_ids)
 
     def end_transfers(self, machine_ids: Collection[str]) -> None:
-        """The fate of these machines' moves is known."""
+        """Answers these machines again: the results of their transfers are known."""
         self._transferring.difference_update(machine_ids)
 
+    # -- commands and leases ---------------------------------------------------------
+
     def request_stop(self, attempt: PlannedAttempt, reason: StopReason) -> None:
-        """The attempt is to be stopped; the answers to its worker's reports say so from now on."""
+        """Requests that an attempt is stopped; its worker's heartbeats are answered so."""
         self.stop_requests[attempt.id] = reason
 
     def is_stopping(self, attempt: PlannedAttempt) -> bool:
-        """Whether the attempt is to be stopped, to make room or to drain its machine."""
+        """Tells whether the attempt is to be stopped, for whatever reason."""
         return attempt.id in self.stop_requests
 
     def forget_stop(self, attempt: PlannedAttempt) -> None:
-        """The attempt is over."""
+        """Drops the request to stop an attempt that has ended."""
         self.stop_requests.pop(attempt.id, None)
 
+    def has_unacknowledged_starts(self, machine_id: str) -> bool:
+        """Tells whether a start sent straight to the worker may still arrive."""
+        return self._unacknowledged_starts.has_any(machine_id)
+
     def apply_command_response(self, heartbeat: WorkerHeartbeat) -> None:
-        """The answer to a direct command: a report, but one that renews no lease."""
+        """Takes in the status that answers a direct command; it renews no lease."""
         machine = self._cluster.machines.get(heartbeat.machine)
-        ownership = (
-            self._membership.active_ownership(machine.shard) if machine is not None else None
-        )
-        if machine is None or ownership is None:
-            return
-        view = self.view_of(machine, ownership)
-        if self.is_transferring(machine.id):
-            return
-        if view.apply_status(heartbeat, self.token(machine, ownership), self._clock.now()):
-            self._acknowledge(machine.id, heartbeat)
-            self._orders(machine, view, ownership, direct=True)
-
-    def _acknowledge(self, machine_id: str, heartbeat: WorkerHeartbeat) -> None:
-        unacknowledged = self.unacknowledged.get(machine_id)
-        if unacknowledged:
-            for attempt, token in list(unacknowledged.items()):
-                if heartbeat.token > token:
-                    del unacknowledged[attempt]
-        if not unacknowledged:
-            self.unacknowledged.pop(machine_id, None)
-
-    def _may_still_begin(self, machine: Machine, job: str, index: int, attempt: int) -> bool:
-        """True, and a higher token asked for, while a start of the attempt can still arrive."""
-        if AttemptId(job, index, attempt) not in self.unacknowledged.get(machine.id, {}):
-            return False
-        self._membership.request_higher_token(machine.shard)
-        return True
-
-    def _orders(
-        self, machine: Machine, view: WorkerView, ownership: ShardOwnership, direct: bool = False
-    ) -> list[Command]:
-        """What the worker has to do for its tasks to be those of the plan. AttemptOutcomes made on
-        the
-        way wait to be written.
-        """
-        orders: list[Command] = []
-        for key, task in view.tasks.items():
-            attempt = machine.attempts.get(key)
-            if attempt is not None and (attempt.number, attempt.session) == (
-                task.attempt,
-                view.session,
-            ):
-                self._on_planned(attempt, task, view, ownership, orders)
-            else:
-                self._on_unplanned(machine, task, orders)
-        for key, attempt in machine.attempts.items():
-            if key not in view.tasks or view.tasks[key].attempt != attempt.number:
-                self._on_absent(machine, attempt, view, ownership, orders, direct)
-        return orders
-
-    def _on_unplanned(self, machine: Machine, task: TaskStatus, orders: list[Command]) -> None:
-        """The plan does not hold this attempt: its outcome is durable, or it must not be here."""
-        name = f"{task.job}/{task.index}"
-        if task.state != "exited":
-            orders.append(Command("stop", name, task.attempt, 0.0))
-        elif not self._may_still_begin(machine, task.job, task.index, task.attempt):
-            # after this a start still under way would run it once more
-            orders.append(Command("forget", name, task.attempt))
-
-    def _on_absent(
-        self,
-        machine: Machine,
-        attempt: PlannedAttempt,
-        view: WorkerView,
-        ownership: ShardOwnership,
-        orders: list[Command],
-        direct: bool,
-    ) -> None:
-        """The worker does not have this planned attempt."""
-        if attempt.session < view.session:
-            self.unacknowledged.get(machine.id, {}).pop(attempt.id, None)
-            self.outcomes.record(AttemptOutcome(attempt, EndReason.SESSION_OVER, ownership.term))
-            return
-        if (attempt.job, attempt.index) in view.tasks or attempt.session != view.session:
-            return
-        if not self._is_known(attempt):
-            # a record read late, or a contradiction: nothing begins, and nothing is over
-            return
-        if self.may_start(attempt, machine):
-            orders.append(Command("start", f"{attempt.job}/{attempt.index}", attempt.number))
-            return
-        if self._may_still_begin(machine, attempt.job, attempt.index, attempt.number) or direct:
-            # an answer to a direct command was made while the answer to the last report, which
-            # may hold the start, was still on its way
+        if machine is None:
             return
-        # a newer report without it: no start sent before can still arrive
-        self.outcomes.record(AttemptOutcome(attempt, EndReason.NOT_STARTED, ownership.term))
-
-    def _is_known(self, attempt: PlannedAttempt) -> bool:
-        job = self._cluster.jobs.get(attempt.job)
-        if job is not None and (job.has_record or job.has_ended):
-            return True
-        log.debug(
-            "planned attempt without a job record job=%s task=%d machine=%s",
-            attempt.job,
-            attempt.index,
-            attempt.machine,
-        )
-        return False
-
-    def may_start(self, attempt: PlannedAttempt, machine: Machine) -> bool:
-        """Whether a start of the attempt may still be sent."""
-        return not self.outcomes.is_concluded(attempt) and not self._unwanted(attempt, machine)
-
-    def _unwanted(self, attempt: PlannedAttempt, machine: Machine) -> bool:
-        job = self._cluster.jobs.get(attempt.job)
-        if job is None or not job.is_active or machine.retiring:
-            return True
-        return self.is_stopping(attempt)
-
-    def _on_planned(
-        self,
-        attempt: PlannedAttempt,
-        task: TaskStatus,
-        view: WorkerView,
-        ownership: ShardOwnership,
-        orders: list[Command],
-    ) -> None:
-        key = (attempt.job, attempt.index)
-        if task.state == "exited":
-            since = view.running_since.get(key)
-            took = None if since is None else self._clock.now() - since
-            self.outcomes.record(AttemptOutcome(attempt, EndReason(task.why), ownership.term, took))
+        ownership = self._membership.active_ownership(machine.shard)
+        if ownership is None:
             return
-        job = self._cluster.jobs.get(attempt.job)
-        if job is None or job.has_ended:
-            orders.append(Command("stop", f"{attempt.job}/{attempt.index}", attempt.number, 0.0))
+        view = self.view_of(machine)
+        if self.is_transferring(machine.id):
             return
-        spec = job.spec
-        saves = spec is not None and spec.checkpoint_s > 0
-        if self.is_stopping(attempt):
-            if task.state != "saving":
-                orders.append(self.stop_command(attempt))
-        elif view.notice_at is not None and saves and spec is not None:
-            # saved as late as is safe, so that the machine's last seconds count
-            left = view.notice_at - self._clock.now()
-            if (
-                task.state == "running"
-                and left < spec.save_s + 3 * self._settings.heartbeat_interval_s
-            ):
-                orders.append(self.stop_command(attempt))
-
-    def stop_command(self, attempt: PlannedAttempt) -> Command:
-        """The command that stops a planned attempt, with time to save if it can."""
-        job = self._cluster.jobs.get(attempt.job)
-        saves = job is not None and job.spec is not None and job.spec.checkpoint_s > 0
-        grace = job.spec.save_s * 2 if job is not None and job.spec is not None and saves else 0.0
-        return Command("stop", f"{attempt.job}/{attempt.index}", attempt.number, grace)
+        token = self.command_token(machine, ownership)
+        if view.apply_status(heartbeat, token, self._clock.now()):
+            self.reconciler.apply_command_response(machine, view, ownership, heartbeat)
 
     def expire_lease(self, machine: Machine, ownership: ShardOwnership) -> None:
-        """A worker that nobody can have answered for a lease has killed its tasks."""
-        view = self.view_of(machine, ownership)
-        if (
-            not machine.attempts
-            or self._clock.now() - view.lease_renewed_at <= self._settings.heartbeat_timeout_s
-        ):
-            return
-        self._expiry_proof.request_attestation(machine)
-        preconditions = self._expiry_proof.preconditions(machine, view.lease_renewed_at)
-        if preconditions is not None:
-            for attempt in machine.attempts.values():
-                if attempt.session <= view.session or not view.trusted:
-                    outcome = AttemptOutcome(
-                        attempt, EndReason.LEASE_OVER, ownership.term, preconditions=preconditions
-                    )
-                    self.outcomes.record(outcome)
+        """Ends the machine's attempts if its worker's lease is proved to have expired."""
+        self._lease_expiry.check(machine, self.view_of(machine), ownership)
--- /dev/null
+++ b/crossmill/workers/reconciliation.py
@@ -0,0 +1,231 @@
+"""Reconciles a worker's newest status with the durable plan.
+
+The comparison yields the commands that the worker needs and the outcomes of attempts that have
+ended. It needs no memory of earlier commands, so commands can be repeated until they show effect.
+The heartbeat handler calls it for each status; it owns the requested stops, the unacknowledged
+starts and the outcomes that wait to be written.
+"""
+
+import logging
+
+from ..cluster.cluster_state import ClusterState
+from ..cluster.membership import Membership
+from ..cluster.model import AttemptId, Machine, PlannedAttempt
+from ..cluster.ownership import ShardOwnership
+from ..net.clock import Clock
+from ..settings import Settings
+from ..wire.workers import Command, CommandKind, TaskState, TaskStatus, WorkerHeartbeat
+from .attempt_outcomes import AttemptOutcome, AttemptOutcomes, EndReason
+from .pending_commands import StopRequests, UnacknowledgedStarts
+from .views import WorkerView
+
+log = logging.getLogger(__name__)
+
+# a checkpoint before a machine's termination is begun so many heartbeats before it must be
+TERMINATION_MARGIN_HEARTBEATS = 3
+# a stopped task may take so many times as long to save as its job states
+SAVE_GRACE_FACTOR = 2
+
+
+def _task_name(job: str, index: int) -> str:
+    """Returns the name of a task in commands."""
+    return f"{job}/{index}"
+
+
+class Reconciler:
+    """Derives commands and outcomes from a worker's status and the plan of its machine."""
+
+    def __init__(
+        self, settings: Settings, clock: Clock, cluster: ClusterState, membership: Membership
+    ) -> None:
+        self._settings = settings
+        self._clock = clock
+        self._cluster = cluster
+        self._membership = membership
+        self.outcomes = AttemptOutcomes(cluster)
+        self.stop_requests = StopRequests()
+        self.unacknowledged_starts = UnacknowledgedStarts()
+
+    def end_ownership(self, shard: int) -> None:
+        """Drops what was concluded and requested for a shard that this controller has lost."""
+        self.outcomes.end_term(shard)
+        self.stop_requests.end_ownership(self._cluster, shard)
+
+    def may_start(self, attempt: PlannedAttempt, machine: Machine) -> bool:
+        """Tells whether a start of the attempt may still be sent."""
+        return not self.outcomes.is_concluded(attempt) and self._should_run(attempt, machine)
+
+    def _should_run(self, attempt: PlannedAttempt, machine: Machine) -> bool:
+        job = self._cluster.jobs.get(attempt.job)
+        if job is None or not job.is_active or machine.retiring:
+            return False
+        return attempt.id not in self.stop_requests
+
+    def stop_command(self, attempt: PlannedAttempt) -> Command:
+        """Returns the command that stops a planned attempt, with time to save if it can."""
+        job = self._cluster.jobs.get(attempt.job)
+        spec = job.spec if job is not None else None
+        saves = spec is not None and spec.checkpoint_s > 0
+        grace_s = spec.save_s * SAVE_GRACE_FACTOR if spec is not None and saves else 0.0
+        name = _task_name(attempt.job, attempt.index)
+        return Command(CommandKind.STOP, name, attempt.number, grace_s)
+
+    def apply_heartbeat(
+        self, machine: Machine, view: WorkerView, ownership: ShardOwnership, status: WorkerHeartbeat
+    ) -> list[Command]:
+        """Returns the commands that answer a heartbeat, whose status the view already has.
+
+        Outcomes found on the way are recorded.
+        """
+        self.unacknowledged_starts.acknowledge(machine.id, status)
+        return self.commands(machine, view, ownership)
+
+    def apply_command_response(
+        self, machine: Machine, view: WorkerView, ownership: ShardOwnership, status: WorkerHeartbeat
+    ) -> None:
+        """Records the outcomes that a response to a direct command shows."""
+        self.unacknowledged_starts.acknowledge(machine.id, status)
+        self.commands(machine, view, ownership, is_command_response=True)
+
+    def commands(
+        self,
+        machine: Machine,
+        view: WorkerView,
+        ownership: ShardOwnership,
+        is_command_response: bool = False,
+    ) -> list[Command]:
+        """Returns what the worker has to do for its tasks to be those of the plan.
+
+        Outcomes found on the way are recorded. `is_command_response` says that the newest status
+        came in response to a direct command rather than with a heartbeat.
+        """
+        commands: list[Command] = []
+        for key, task in view.tasks.items():
+            attempt = machine.attempts.get(key)
+            if (
+                attempt is not None
+                and attempt.number == task.attempt
+                and attempt.session == view.session
+            ):
+                command = self._reconcile_planned(attempt, task, view, ownership)
+            else:
+                command = self._reconcile_unplanned(machine, task)
+            if command is not None:
+                commands.append(command)
+        for key, attempt in machine.attempts.items():
+            if key not in view.tasks or view.tasks[key].attempt != attempt.number:
+                command = self._reconcile_absent(
+                    machine, attempt, view, ownership, is_command_response
+                )
+                if command is not None:
+                    commands.append(command)
+        return commands
+
+    def _reconcile_unplanned(self, machine: Machine, task: TaskStatus) -> Command | None:
+        """Handles an attempt that the plan lacks.
+
+        Its outcome is durable, or it must not be on this machine.
+        """
+        name = _task_name(task.job, task.index)
+        if task.state is not TaskState.EXITED:
+            return Command(CommandKind.STOP, name, task.attempt, 0.0)
+        # a start that arrives after the worker has forgotten the attempt would run it again
+        if self._may_start_arrive(machine, AttemptId(task.job, task.index, task.attempt)):
+            return None
+        return Command(CommandKind.FORGET, name, task.attempt)
+
+    def _reconcile_absent(
+        self,
+        machine: Machine,
+        attempt: PlannedAttempt,
+        view: WorkerView,
+        ownership: ShardOwnership,
+        is_command_response: bool,
+    ) -> Command | None:
+        """Handles a planned attempt that the worker does not have."""
+        if attempt.session < view.session:
+            self.unacknowledged_starts.drop_start(machine.id, attempt.id)
+            self.outcomes.record(AttemptOutcome(attempt, EndReason.SESSION_OVER, ownership.term))
+            return None
+        if (attempt.job, attempt.index) in view.tasks or attempt.session != view.session:
+            return None
+        if not self._is_job_known(attempt):
+            return None
+        if self.may_start(attempt, machine):
+            name = _task_name(attempt.job, attempt.index)
+            return Command(CommandKind.START, name, attempt.number)
+        if self._may_start_arrive(machine, attempt.id) or is_command_response:
+            # the response to a direct command was made while the answer to the last heartbeat,
+            # which may contain the start, was still on its way
+            return None
+        # a newer heartbeat without it: no start sent before can still arrive
+        self.outcomes.record(AttemptOutcome(attempt, EndReason.NOT_STARTED, ownership.term))
+        return None
+
+    def _may_start_arrive(self, machine: Machine, attempt: AttemptId) -> bool:
+        """Tells whether a start of the attempt can still arrive; if so asks for a higher token."""
+        if not self.unacknowledged_starts.has_start(machine.id, attempt):
+            return False
+        self._membership.request_higher_token(machine.shard)
+        return True
+
+    def _is_job_known(self, attempt: PlannedAttempt) -> bool:
+        """Tells whether the attempt's job has a record or has ended.
+
+        Without either, the record was read late or is missing: nothing is started or ended.
+        """
+        job = self._cluster.jobs.get(attempt.job)
+        if job is not None and (job.has_record or job.has_ended):
+            return True
+        log.debug(
+            "planned attempt without a job record job=%s task=%d machine=%s",
+            attempt.job,
+            attempt.index,
+            attempt.machine,
+        )
+        return False
+
+    def _reconcile_planned(
+        self,
+        attempt: PlannedAttempt,
+        task: TaskStatus,
+        view: WorkerView,
+        ownership: ShardOwnership,
+    ) -> Command | None:
+        """Handles a planned attempt that the worker has."""
+        state = task.state
+        if state is TaskState.EXITED:
+            self._record_exit(attempt, task, view, ownership)
+            return None
+        job = self._cluster.jobs.get(attempt.job)
+        if job is None or job.has_ended:
+            name = _task_name(attempt.job, attempt.index)
+            return Command(CommandKind.STOP, name, attempt.number, 0.0)
+        if attempt.id in self.stop_requests:
+            return None if state is TaskState.SAVING else self.stop_command(attempt)
+        if view.termination_at is not None and state is TaskState.RUNNING:
+            spec = job.spec
+            saves = spec is not None and spec.checkpoint_s > 0
+            if spec is not None and saves and self._must_save(spec.save_s, view.termination_at):
+                return self.stop_command(attempt)
+        return None
+
+    def _must_save(self, save_s: float, termination_at: float) -> bool:
+        """Tells whether a task must save now to be done before its machine is terminated.
+
+        It saves as late as is safe, so that the machine's last seconds count.
+        """
+        margin_s = TERMINATION_MARGIN_HEARTBEATS * self._settings.heartbeat_interval_s
+        return termination_at - self._clock.now() < save_s + margin_s
+
+    def _record_exit(
+        self,
+        attempt: PlannedAttempt,
+        task: TaskStatus,
+        view: WorkerView,
+        ownership: ShardOwnership,
+    ) -> None:
+        running_since = view.running_since.get((attempt.job, attempt.index))
+        run_s = None if running_since is None else self._clock.now() - running_since
+        reason = EndReason(task.exit_reason)
+        self.outcomes.record(AttemptOutcome(attempt, reason, ownership.term, run_s))
--- a/crossmill/workers/views.py
+++ b/crossmill/workers/views.py
@@ -1,85 +1,138 @@
-"""What this incarnation knows of a machine from its reports."""
+"""What this controller knows of a worker from the heartbeats that it received.
+
+A view is held in memory by the heartbeat handler, which creates and drops it; the planning and the
+maintenance of machines read it.
+"""
 
 import logging
-from dataclasses import dataclass, field
 from enum import Enum
 
-from ..wire.workers import TaskStatus, WorkerHeartbeat
+from ..wire.workers import TaskKey, TaskState, TaskStatus, WorkerHeartbeat
 
 log = logging.getLogger(__name__)
 
 
 class HeartbeatVerdict(Enum):
-    """What a report is worth."""
+    """What the handler may conclude from a heartbeat."""
 
+    # a late copy: it shows nothing, not even that the worker lives
     STALE = "stale"
-    SUPERSEDED = "older"
-    UNCONFIRMED_TOKEN = "greeted"
-    ACCEPTED = "trusted"
+    # the worker lives, but a response to a direct command has already told a newer status
+    SUPERSEDED = "superseded"
+    # the worker has not yet seen this owner's token: the heartbeat may predate the ownership
+    UNCONFIRMED_TOKEN = "unconfirmed token"
+    # the newest status, reported under this owner's token
+    ACCEPTED = "accepted"
 
 
-@dataclass(slots=True, eq=False)
 class WorkerView:
-    """`answered_at` and `session_at` bound the worker's lease: nobody can have answered it
-    later, nor can its session have begun later than it was first seen. A report is trusted once
-    it carries our own token: only then was it made after we took over.
+    """The newest status of one worker, and bounds on its lease.
+
+    `answered_at` and `session_seen_at` bound the worker's lease: nobody can have answered it
+    later, and its session cannot have begun later than it was first seen. A status counts only
+    once the worker reports this owner's token: only then was it made after the ownership began.
+    All times are steady times of this controller's clock, in seconds.
+
+    Attributes:
+        machine: The machine's id.
+        machine_token: The machine's own token when this view began. Another token means that
+            the machine was transferred away and came back, so that the view must begin anew.
+        answered_at: The latest time at which the worker may have been answered.
+        has_been_answered: Whether this controller has answered the worker itself.
+        session: The worker's newest session (its incarnation).
+        session_seen_at: When that session was first seen.
+        seq: The sequence number of the newest status within the session.
+        last_heartbeat_number: Session and sequence number of the newest heartbeat; responses to
+            direct commands don't count.
+        last_heartbeat_at: When that heartbeat came; None before the first.
+        has_confirmed_token: Whether the worker has reported this owner's token.
+        address: The worker's own address, `host:port`.
+        termination_at: When the cloud will terminate the machine; None without a spot notice.
+        tasks: The tasks of the newest status.
+        running_since: When each running task was first seen to run.
+        idle_since: Since when the machine has had no task, as the maintenance sees it.
     """
 
-    machine: str
-    answered_at: float
-    session: int = 0
-    session_at: float = 0.0
-    seq: int = -1
-    last_beat: tuple[int, int] = (0, -1)
-    answered: bool = False
-    last_heartbeat_at: float | None = None
-    trusted: bool = False
-    address: str = ""
-    notice_at: float | None = None
-    tasks: dict[tuple[str, int], TaskStatus] = field(default_factory=dict)
-    running_since: dict[tuple[str, int], float] = field(default_factory=dict)
-    errors: set[str] = field(default_factory=set)
-    idle_since: float | None = None
-    # the machine's own token when this began: another one means that it has come anew
-    move: int = 0
+    __slots__ = (
+        "address",
+        "answered_at",
+        "has_been_answered",
+        "has_confirmed_token",
+        "idle_since",
+        "last_heartbeat_at",
+        "last_heartbeat_number",
+        "machine",
+        "machine_token",
+        "running_since",
+        "seq",
+        "session",
+        "session_seen_at",
+        "tasks",
+        "termination_at",
+    )
+
+    def __init__(self, machine: str, machine_token: int, answered_at: float) -> None:
+        self.machine = machine
+        self.machine_token = machine_token
+        self.answered_at = answered_at
+        self.has_been_answered = False
+        self.session = 0
+        self.session_seen_at = 0.0
+        self.seq = -1
+        self.last_heartbeat_number = (0, -1)
+        self.last_heartbeat_at: float | None = None
+        self.has_confirmed_token = False
+        self.address = ""
+        self.termination_at: float | None = None
+        self.tasks: dict[TaskKey, TaskStatus] = {}
+        self.running_since: dict[TaskKey, float] = {}
+        self.idle_since: float | None = None
 
     def apply_heartbeat(
         self, heartbeat: WorkerHeartbeat, token: int, now: float
     ) -> HeartbeatVerdict:
-        """A report that came to us (answers to direct commands are only taken)."""
+        """Takes in a heartbeat that the worker sent to this controller.
+
+        `token` is the token under which this controller commands the machine. A response to a
+        direct command goes to `apply_status` instead: a worker whose heartbeats are lost still
+        answers commands while its lease runs out.
+        """
         number = (heartbeat.session, heartbeat.seq)
-        # a late copy, even of another session, renews no belief in the machine's life
-        if number <= self.last_beat:
+        if number <= self.last_heartbeat_number:
             return HeartbeatVerdict.STALE
         if heartbeat.token != token:
-            # not yet ours: it may be a copy from before we took over, so nothing is believed
             return HeartbeatVerdict.UNCONFIRMED_TOKEN
-        self.last_beat = number
-        # only reports that come to us count: a worker whose reports go astray answers direct
-        # commands, but its lease runs out
+        self.last_heartbeat_number = number
         self.last_heartbeat_at = now
-        return (
-            HeartbeatVerdict.ACCEPTED
-            if self.apply_status(heartbeat, token, now)
-            else HeartbeatVerdict.SUPERSEDED
-        )
+        if self.apply_status(heartbeat, token, now):
+            return HeartbeatVerdict.ACCEPTED
+        return HeartbeatVerdict.SUPERSEDED
 
     def apply_status(self, heartbeat: WorkerHeartbeat, token: int, now: float) -> bool:
-        """Believe a report, if it is the newest and made under our token."""
-        if heartbeat.token != token or (heartbeat.session, heartbeat.seq) <= (
-            self.session,
-            self.seq,
-        ):
+        """Takes over a status if it is the newest and was made under `token`.
+
+        Returns:
+            Whether the status was taken over.
+        """
+        if heartbeat.token != token:
+            return False
+        if (heartbeat.session, heartbeat.seq) <= (self.session, self.seq):
             return False
         if heartbeat.session > self.session:
-            self.session_at = now
-        self.session, self.seq = heartbeat.session, heartbeat.seq
-        self.trusted = True
+            self.session_seen_at = now
+        self.session = heartbeat.session
+        self.seq = heartbeat.seq
+        self.has_confirmed_token = True
         self.address = heartbeat.address
-        self.notice_at = None if heartbeat.notice_s is None else now + heartbeat.notice_s
-        old = self.running_since
-        for task in heartbeat.tasks:
-            if task.state == "running" and (task.job, task.index) not in old:
+        self.termination_at = None if heartbeat.notice_s is None else now + heartbeat.notice_s
+        self._apply_tasks(heartbeat.tasks, now)
+        return True
+
+    def _apply_tasks(self, tasks: list[TaskStatus], now: float) -> None:
+        running_before = self.running_since
+        running = TaskState.RUNNING
+        for task in tasks:
+            if task.state is running and (task.job, task.index) not in running_before:
                 log.info(
                     "task running job=%s task=%d attempt=%d machine=%s",
                     task.job,
@@ -87,21 +140,22 @@
                     task.attempt,
                     self.machine,
                 )
-        self.tasks = {(t.job, t.index): t for t in heartbeat.tasks}
+        self.tasks = {(task.job, task.index): task for task in tasks}
         self.running_since = {
-            key: old.get(key, now) for key, t in self.tasks.items() if t.state == "running"
+            key: running_before.get(key, now)
+            for key, task in self.tasks.items()
+            if task.state is running
         }
-        return True
 
     @property
     def lease_renewed_at(self) -> float:
-        """The worker's lease counts from no later than this, as far as we answer it."""
-        return max(self.answered_at, self.session_at)
+        """The latest time from which the worker's lease can count, as far as is known here."""
+        return max(self.answered_at, self.session_seen_at)
 
     def is_fresh(self, now: float, within_s: float) -> bool:
-        """Whether a believed report came within this time."""
+        """Tells whether a heartbeat under this owner's token came in the last `within_s`."""
         return (
-            self.trusted
+            self.has_confirmed_token
             and self.last_heartbeat_at is not None
             and now - self.last_heartbeat_at <= within_s
         )
--- a/tests/stepped_controller.py
+++ b/tests/stepped_controller.py
@@ -137,8 +137,7 @@
             clock,
             self.cluster,
             self.membership,
-            self.partition_protocol.keepalive,
-            self.partition_protocol.expiry_proof,
+            self.partition_protocol,
         )
         self.forecast = DemandForecast(s, clock, self.cluster)
         self.worker = WorkerLine()
--- a/tests/test_controller_outages.py
+++ b/tests/test_controller_outages.py
@@ -254,7 +254,7 @@
         if machine is None or node.membership.active_ownership(machine.shard) is None:
             continue
         view = node.heartbeats.find_view(worker.machine)
-        if view is not None and view.trusted and set(view.tasks) == set(worker.tasks):
+        if view is not None and view.has_confirmed_token and set(view.tasks) == set(worker.tasks):
             return True
     return False
 
--- a/tests/test_partition_keepalive.py
+++ b/tests/test_partition_keepalive.py
@@ -10,7 +10,7 @@
 from crossmill.state.writer import WriteIntent, WriteResult
 from crossmill.wire import peers
 from crossmill.wire.state import Put, Txn
-from crossmill.wire.workers import Command
+from crossmill.wire.workers import Command, CommandKind
 
 from .fake_services import FakeClock, StateService, on
 from .stepped_controller import (
@@ -207,7 +207,7 @@
         it.cut()
         await it.deputy.controller_lease.step()
         orders = it.deputy.report("n-0", 1, 900, it.token, RUNNING).commands
-        assert orders == (Command("stop", "wk-000001/0", 1, 0.0),)
+        assert orders == (Command(CommandKind.STOP, "wk-000001/0", 1, 0.0),)
 
     play_settled(scenario)
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -18,7 +18,7 @@
 from crossmill.recovery.settings import RecoverySettings
 from crossmill.recovery.shard_recovery import ShardRecovery
 from crossmill.wire.recovery import APPROVE_PATH, RECOVERY_PATH, Approval, approval_body
-from crossmill.wire.workers import MAX_ORDERS, WorkerHeartbeat
+from crossmill.wire.workers import MAX_COMMANDS, WorkerHeartbeat
 from crossmill.workers.views import HeartbeatVerdict, WorkerView
 
 from .recovery_region import (
@@ -150,7 +150,7 @@
         odd = next(w for w in region.workers.values() if w.tasks)
         job = next(iter(odd.tasks))[0]
         tasks, odd.tasks = odd.tasks, {}
-        for index in range(2 * MAX_ORDERS):
+        for index in range(2 * MAX_COMMANDS):
             give_unplanned(odd, "wk-000001", 100 + index, 9)
         odd.tasks.update(tasks)
         await region.restart_all(1.0)
@@ -772,7 +772,7 @@
     def believe(
         view: WorkerView, report: WorkerHeartbeat, token: int, now: float
     ) -> HeartbeatVerdict:
-        view.last_beat, view.last_heartbeat_at = (report.session, report.seq), now
+        view.last_heartbeat_number, view.last_heartbeat_at = (report.session, report.seq), now
         view.apply_status(replace(report, token=token), token, now)
         return HeartbeatVerdict.ACCEPTED
 
--- a/tests/test_safety.py
+++ b/tests/test_safety.py
@@ -8,7 +8,7 @@
 from crossmill.net.client import NoResponseError
 from crossmill.state.writer import WriteIntent, WriteResult
 from crossmill.wire.state import Put, Txn
-from crossmill.wire.workers import Command
+from crossmill.wire.workers import Command, CommandKind
 from crossmill.workers.attempt_outcomes import StopReason
 
 from .fake_services import FakeClock, StateService, beat, on, submission
@@ -29,7 +29,9 @@
     node.report("n-0", 1, 1, 0)
     node.report("n-0", 1, 2, token)
     await node.round()
-    assert node.report("n-0", 1, 3, token).commands == (Command("start", f"{job_id}/0", 1),)
+    assert node.report("n-0", 1, 3, token).commands == (
+        Command(CommandKind.START, f"{job_id}/0", 1),
+    )
     node.report("n-0", 1, 4, token, on(job_id, 0, 1, "running"))
     return node
 
@@ -187,7 +189,7 @@
         await node.round()
         assert state.keys[keys.job("wk-000001")][0]["end"] == "done"
         orders = node.report("n-0", 1, 6, node.token(), done).commands
-        assert orders == (Command("forget", "wk-000001/0", 1),)
+        assert orders == (Command(CommandKind.FORGET, "wk-000001/0", 1),)
 
     run_scenario(scenario)
 
@@ -215,7 +217,7 @@
         assert (answer.status, orjson.loads(answer.body)["stage"]) == (200, "withdrawn")
         running = on("wk-000001", 0, 1, "running")
         orders = node.report("n-0", 1, 5, node.token(), running).commands
-        assert orders == (Command("stop", "wk-000001/0", 1, 0.0),)
+        assert orders == (Command(CommandKind.STOP, "wk-000001/0", 1, 0.0),)
         node.report("n-0", 1, 6, node.token(), on("wk-000001", 0, 1, "exited", "done"))
         await node.round()
         assert state.keys[keys.job("wk-000001")][0]["end"] == "cancelled"
@@ -364,7 +366,7 @@
         await node.round()
         assert node.report("n-0", 1, 3, token).commands[0].op == "start"
         node.heartbeats.stop_requests[AttemptId("wk-000001", 0, 1)] = StopReason.PREEMPTED
-        node.command_sender._answered("n-0", 200, beat("n-0", 1, 4, token))
+        node.command_sender._apply_response("n-0", 200, beat("n-0", 1, 4, token))
         assert not node.heartbeats.outcomes
         # a report is sent only when the answer to the one before has come or is given up
         node.report("n-0", 1, 5, token)
@@ -551,7 +553,7 @@
         before = view.answered_at
         clock.time += 3
         data = orjson.loads(beat("n-0", 1, 9, node.token(), on("wk-000001", 0, 1, "running")))
-        node.command_sender._answered("n-0", 200, orjson.dumps(data))
+        node.command_sender._apply_response("n-0", 200, orjson.dumps(data))
         assert view.seq == 9
         assert view.answered_at == before
         # the report that was under way meanwhile is older, but its answer does renew
@@ -571,7 +573,7 @@
         for _ in range(20):
             clock.time += node.settings.worker_lease_s / 20
             await node.live()
-        node.command_sender._answered("n-0", 200, beat("n-0", 2, 1, node.token()))
+        node.command_sender._apply_response("n-0", 200, beat("n-0", 2, 1, node.token()))
         machine = node.cluster.machines["n-0"]
         view = node.heartbeats.find_view("n-0")
         assert view is not None
@@ -701,7 +703,8 @@
         assert giving.target(machine) is None, "the worker still reports a task"
         node.report("n-0", 1, 5, node.token())
         assert giving.target(machine) == 1
-        node.heartbeats.unacknowledged["n-0"] = {AttemptId("wk-000001", 0, 1): node.token()}
+        start = PlannedAttempt("wk-000001", 0, 1, "n-0", 1)
+        node.heartbeats.reconciler.unacknowledged_starts.record("n-0", [start], node.token())
         assert giving.target(machine) is None, "a start sent to it may still arrive"
 
     run_scenario(scenario)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -5,8 +5,9 @@
 from crossmill.wire.checks import MalformedMessageError, load_object
 from crossmill.wire.users import parse_submission
 from crossmill.wire.workers import (
-    MAX_ORDERS,
+    MAX_COMMANDS,
     Command,
+    CommandKind,
     answer_body,
     cached_task_status_reader,
     commands_body,
@@ -70,8 +71,8 @@
         load_object(beat("n-1", 2, 7, 41, on("wk-1", 3, 2, "exited", "halted")))
     )
     task = report.tasks[0]
-    assert (task.job, task.index, task.attempt, task.why) == ("wk-1", 3, 2, "stopped")
-    assert load_object(answer_body(41, [Command("forget", "wk-1/3", 2)])) == {
+    assert (task.job, task.index, task.attempt, task.exit_reason) == ("wk-1", 3, 2, "stopped")
+    assert load_object(answer_body(41, [Command(CommandKind.FORGET, "wk-1/3", 2)])) == {
         "warrant": 41,
         "orders": [{"verb": "reap", "sack": "wk-1/3", "turn": 2}],
     }
@@ -79,9 +80,9 @@
 
 def test_the_largest_answer_fits_the_line_limit() -> None:
     """Answers to a worker may have no line over 64 KiB."""
-    longest = Command("stop", "wk-" + "9" * 18 + "/99999", 2**64 - 1, 123456.789)
-    assert len(answer_body(2**64 - 1, [longest] * MAX_ORDERS)) < 64 * 1024
-    assert len(commands_body(2**64 - 1, 2**64 - 1, [longest] * MAX_ORDERS)) < 64 * 1024
+    longest = Command(CommandKind.STOP, "wk-" + "9" * 18 + "/99999", 2**64 - 1, 123456.789)
+    assert len(answer_body(2**64 - 1, [longest] * MAX_COMMANDS)) < 64 * 1024
+    assert len(commands_body(2**64 - 1, 2**64 - 1, [longest] * MAX_COMMANDS)) < 64 * 1024
 
 
 @pytest.mark.parametrize(
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -6,6 +6,7 @@
 from crossmill.cluster import keys
 from crossmill.cluster.records import encode_job
 from crossmill.wire.users import JobSpec
+from crossmill.wire.workers import CommandKind
 
 from .fake_services import FakeClock, StateService, make_settings, make_spec, on, submission
 from .stepped_controller import SteppedController, add_job, add_machine, run_scenario, seed
@@ -187,10 +188,12 @@
         view = node.heartbeats.find_view("n-0")
         assert view is not None
         for left, stops in ((20.0, 0), (5.0, 1)):
-            view.notice_at = clock.now() + left
+            view.termination_at = clock.now() + left
             ownership = node.membership.ownerships[0]
-            orders = node.heartbeats._orders(node.cluster.machines["n-0"], view, ownership)
-            assert [c.op for c in orders].count("stop") == stops
+            orders = node.heartbeats.reconciler.commands(
+                node.cluster.machines["n-0"], view, ownership
+            )
+            assert [c.op for c in orders].count(CommandKind.STOP) == stops
         add_job(state, clock, nameId="wk-000002", sacks=1)
         await node.sync()
         await node.round()
