--- a/crossmill/cluster/lease_expiry_proof.py
+++ b/crossmill/cluster/lease_expiry_proof.py
@@ -74,7 +74,7 @@
 
     def _history(self, label: str) -> _KeyHistory:
         changes = self._cluster.controllers.key_changes.get(label, 0)
-        return _KeyHistory(changes, self._cluster.mirror.readings)
+        return _KeyHistory(changes, self._cluster.mirror.full_read_count)
 
 
 class LeaseExpiryProof:
--- a/crossmill/state/__init__.py
+++ b/crossmill/state/__init__.py
@@ -1,1 +1,1 @@
-"""The state service: client, mirror, follower, writer."""
+"""The state service: the client, the mirror of its keys, the watcher and the writer."""
--- a/crossmill/state/mirror.py
+++ b/crossmill/state/mirror.py
@@ -1,4 +1,8 @@
-"""What the state service is known to hold: the newest version of every key."""
+"""A copy in memory of the state service's keys, each with its newest known value and version.
+
+The watcher and the writer feed the mirror; the indexes of the cluster's state listen to it. One
+mirror serves the whole controller.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -9,76 +13,85 @@
 
 @dataclass(slots=True, eq=False)
 class Entry:
-    """The newest known value of a key."""
+    """The newest known value and version of a key."""
 
     value: Any
     version: int
 
 
+# called with a key, its value and its version; the value None means that the key was deleted
 Listener = Callable[[str, Any, int], None]
 
 
 class Mirror:
-    """Fed by the follower, by syncs and by this controller's own settled writes, in any
-    order: a key's version only grows, and a deletion is remembered until every change up to
-    it has been seen, so that an older answer can't bring a key back.
+    """The newest known version of every key.
+
+    It accepts changes, full reads and this controller's own writes in any order: the version of
+    a key only grows, and a deletion is remembered until all changes up to it are known, so that
+    an older answer can't restore a deleted key.
+
+    Attributes:
+        revision: All changes up to this revision of the state service are known; -1 before the
+            first full read.
+        full_read_count: How many full reads were taken in. Keys that were created and deleted
+            between two of them were never seen.
     """
 
     def __init__(self) -> None:
         self.revision = -1
-        # full readings: what came and went between two of them was not seen
-        self.readings = 0
+        self.full_read_count = 0
         self._entries: dict[str, Entry] = {}
-        self._gone: dict[str, int] = {}
+        # deletions after `revision`, by key: the revision of the deletion
+        self._deleted_at: dict[str, int] = {}
         self._listeners: list[Listener] = []
 
     def listen(self, listener: Listener) -> None:
-        """Called with (key, value, version), at first for all that is known; a value of None means
-        deleted.
-        """
+        """Calls the listener for every key known now, and then for every change."""
         for key, entry in self._entries.items():
             listener(key, entry.value, entry.version)
         self._listeners.append(listener)
 
     def version(self, key: str) -> int:
-        """The newest known version of a key; 0 if it does not exist."""
+        """Returns the newest known version of a key; 0 if it does not exist."""
         entry = self._entries.get(key)
         return entry.version if entry else 0
 
     def value(self, key: str) -> Any:
-        """The newest known value of a key; None if it does not exist."""
+        """Returns the newest known value of a key; None if it does not exist."""
         entry = self._entries.get(key)
         return entry.value if entry else None
 
-    def _tell(self, key: str, value: Any, version: int) -> None:
+    def _notify(self, key: str, value: Any, version: int) -> None:
         for listener in self._listeners:
             listener(key, value, version)
 
     def written(self, key: str, value: Any, version: int) -> None:
-        """A key was written with this version, if that is news."""
-        if version <= self.version(key) or version <= self._gone.get(key, 0):
+        """Takes in a write of a key, unless a newer change of it is known."""
+        if version <= self.version(key) or version <= self._deleted_at.get(key, 0):
             return
-        self._gone.pop(key, None)
+        self._deleted_at.pop(key, None)
         self._entries[key] = Entry(value, version)
-        self._tell(key, value, version)
-
-    def merge_read(self, row: KeyValue) -> None:
-        """A key read by itself. The answer may be older than what has been seen since: a key of
-        a revision already seen that is not here was deleted, and must not come back.
-        """
-        if row.version > self.revision:
-            self.written(row.key, row.value, row.version)
+        self._notify(key, value, version)
 
     def deleted(self, key: str, version: int) -> None:
-        """A key was deleted at this revision, if that is news."""
+        """Takes in the deletion of a key at a revision, unless a newer write of it is known."""
         if version > self.revision:
-            self._gone[key] = max(version, self._gone.get(key, 0))
+            self._deleted_at[key] = max(version, self._deleted_at.get(key, 0))
         if key in self._entries and self._entries[key].version < version:
             del self._entries[key]
-            self._tell(key, None, version)
+            self._notify(key, None, version)
+
+    def merge_read(self, read: KeyValue) -> None:
+        """Takes in a key that was read by itself.
+
+        The answer may be older than what the mirror knows: a key of a revision already known
+        that the mirror lacks was deleted since, and is not restored.
+        """
+        if read.version > self.revision:
+            self.written(read.key, read.value, read.version)
 
     def apply(self, revision: int, events: list[Event]) -> None:
-        """Every change after a revision that was known, up to this one."""
+        """Takes in all changes between the mirror's revision, or an earlier one, and this one."""
         for event in events:
             if event.version <= self.revision:
                 continue
@@ -88,13 +101,17 @@
                 self.written(event.key, event.value, event.version)
         if revision > self.revision:
             self.revision = revision
-            self._gone = {k: v for k, v in self._gone.items() if v > revision}
+            self._deleted_at = {
+                key: deleted_at
+                for key, deleted_at in self._deleted_at.items()
+                if deleted_at > revision
+            }
 
     def replace(self, revision: int, rows: list[KeyValue]) -> None:
-        """A full reading as of this revision (rows may be newer)."""
-        self.readings += 1
+        """Takes in a full read as of a revision; some of its keys may be newer."""
+        self.full_read_count += 1
         present = {row.key for row in rows}
-        for key in [k for k, e in self._entries.items() if k not in present]:
+        for key in [key for key in self._entries if key not in present]:
             if self._entries[key].version <= revision:
                 self.deleted(key, revision)
         for row in rows:
--- a/crossmill/state/watcher.py
+++ b/crossmill/state/watcher.py
@@ -1,4 +1,8 @@
-"""Keeps the mirror up to date, and shows that it is when an answer depends on it."""
+"""Keeps the mirror up to date with the state service, and shows how current it is.
+
+Two loops run in each controller: a long watch that brings changes soon, and one that serves
+`sync`, for whoever needs to know all that was durable at a moment. The application starts both.
+"""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -14,9 +18,17 @@
 
 log = logging.getLogger(__name__)
 
+MAX_WATCH_S = 60.0
+WATCH_WORKER_LEASES = 4
+# each of the two loops takes at most one in so many of this controller's share of requests
+LOOP_REQUEST_DIVISOR = 4
+
 
 def brought_up_to_date(rows: list[KeyValue], events: list[Event]) -> list[KeyValue]:
-    """A reading's rows with the changes since its first page: later pages hold some already."""
+    """Returns a full read's keys with the changes since its first page.
+
+    Later pages contain some of these changes already.
+    """
     by_key = {row.key: row for row in rows}
     for event in events:
         known = by_key.get(event.key)
@@ -30,44 +42,60 @@
 
 
 class StateWatcher:
-    """A long watch brings changes soon; a sync is a watch that does not wait, and what it
-    returns was current after it was sent: it serves all who asked before that.
+    """Feeds the mirror by watches and syncs.
+
+    A sync is a watch that does not wait. What it returns was current after it was sent, so it
+    serves all callers that asked before that.
+
+    Attributes:
+        ready: Set once the mirror holds a full read.
+        current_at: When the newest read was sent that showed all that was durable then.
+        on_change: Called after each step that changed the mirror, if it is set.
     """
 
     def __init__(
-        self, client: StateClient, mirror: Mirror, clock: Clock, prefix: str, s: Settings
+        self,
+        client: StateClient,
+        mirror: Mirror,
+        clock: Clock,
+        prefix: str,
+        settings: Settings,
     ) -> None:
         self._client = client
         self._clock = clock
         self._mirror = mirror
         self._prefix = prefix
-        self._watch_s = min(60.0, 4 * s.worker_lease_s)
-        # both loops together take at most half of this controller's share of requests
-        self._pause_s = 4 / s.state_request_rate
-        self._drift = s.clock_drift
-        self._reading = curio.Lock()
-        self._readings = 0
-        self._waiting: list[Future] = []
-        self._asked = curio.Event()
+        self._watch_s = min(MAX_WATCH_S, WATCH_WORKER_LEASES * settings.worker_lease_s)
+        self._pause_s = LOOP_REQUEST_DIVISOR / settings.state_request_rate
+        self._clock_drift = settings.clock_drift
+        self._reload_lock = curio.Lock()
+        self._announced_full_reads = 0
+        self._sync_waiters: list[Future] = []
+        self._sync_requested = curio.Event()
         self.ready = curio.Event()
-        # the sending of the newest read that showed all that was durable
         self.current_at: float | None = None
         self.on_change: Callable[[], Awaitable[None]] | None = None
 
     async def sync(self, timeout_s: float) -> bool:
-        """True when the mirror holds all that was durable when this was called."""
+        """Waits until the mirror holds all that was durable when this was called.
+
+        Returns:
+            Whether it does; False if that could not be shown in time.
+        """
         future = Future()
-        self._waiting.append(future)
-        await self._asked.set()
+        self._sync_waiters.append(future)
+        await self._sync_requested.set()
         return bool(await future.wait(timeout_s))
 
     async def load(self) -> None:
-        """Reads every key and publishes a state that existed at one revision. The pages are of
-        different moments; the changes since the first bring all of them to the last.
+        """Reads every key and publishes a state that existed at one revision.
+
+        The pages of a full read are of different moments; the changes since the first page bring
+        all of them to the last revision.
         """
         while True:
             rows, first = await self._client.read_all(self._prefix)
-            sent = self._clock.now()
+            sent_at = self._clock.now()
             try:
                 revision, events = await self._client.changes(self._prefix, first, 0.0)
                 break
@@ -76,71 +104,80 @@
         rows = brought_up_to_date(rows, events)
         self._mirror.replace(revision, rows)
         log.info("state loaded keys=%d revision=%d", len(rows), revision)
-        self._note_current(sent)
+        self._note_current(sent_at)
         await self.ready.set()
 
-    async def _reload(self, missed: int) -> None:
-        """Reads all anew after a watch from a revision that is no longer kept. Both loops meet
-        that at once: one reads for both.
+    async def _reload(self, compacted_revision: int) -> None:
+        """Reads all keys anew after a watch from a revision that is no longer kept.
+
+        Both loops meet that at the same time: one reads for both.
         """
-        async with self._reading:
-            if self._mirror.revision == missed:
-                log.info("watch compacted, reading all keys revision=%d", missed)
+        async with self._reload_lock:
+            if self._mirror.revision == compacted_revision:
+                log.info("watch compacted, reading all keys revision=%d", compacted_revision)
                 await self.load()
 
-    def _note_current(self, sent: float) -> None:
-        self.current_at = max(sent, self.current_at or sent)
+    def _note_current(self, sent_at: float) -> None:
+        self.current_at = max(sent_at, self.current_at or sent_at)
 
     def is_current_within(self, span_s: float) -> bool:
-        """Whether all that was durable so long ago is known. A renewal that succeeds is no sign
-        of it: the lease may stand where no read has come through for long.
+        """Tells whether all that was durable `span_s` seconds ago is known, clock drift included.
+
+        A renewed lease does not show that: renewals may succeed where no read does.
         """
-        at = self.current_at
-        return at is not None and self._clock.now() - at <= span_s * (1 - self._drift)
+        if self.current_at is None:
+            return False
+        return self._clock.now() - self.current_at <= span_s * (1 - self._clock_drift)
+
+    async def step(self, wait_s: float) -> None:
+        """Takes in the changes since the mirror's revision; waits up to `wait_s` for the first.
 
-    async def _step(self, wait_s: float) -> None:
+        The first step reads all keys, and so does one whose changes are no longer kept.
+        """
         if not self.ready.is_set():
             await self.load()
             return
         while True:
-            sent, after = self._clock.now(), self._mirror.revision
+            sent_at = self._clock.now()
+            after = self._mirror.revision
             try:
                 revision, events = await self._client.changes(self._prefix, after, wait_s)
                 break
             except ChangesCompactedError:
-                # whoever waits for a sync may have asked after the reading was begun: only the
-                # changes asked for after it show all that was durable then
+                # a caller of sync may have asked after the full read was begun: only changes
+                # that are asked for after it show all that was durable then
                 await self._reload(after)
                 wait_s = 0.0
         self._mirror.apply(revision, events)
-        self._note_current(sent)
-        if (events or self._mirror.readings != self._readings) and self.on_change is not None:
-            self._readings = self._mirror.readings
+        self._note_current(sent_at)
+        has_reloaded = self._mirror.full_read_count != self._announced_full_reads
+        if (events or has_reloaded) and self.on_change is not None:
+            self._announced_full_reads = self._mirror.full_read_count
             await self.on_change()
 
     async def run(self) -> None:
         """Watches for changes until the controller ends."""
         while True:
             try:
-                await self._step(self._watch_s)
+                await self.step(self._watch_s)
                 await curio.sleep(self._pause_s)
             except (RequestRefusedError, OutcomeUnknownError) as exc:
                 log.debug("watch failed error=%s", exc)
                 await curio.sleep(2 * self._pause_s)
 
     async def run_syncs(self) -> None:
-        """Serves those who wait for a sync until the controller ends."""
+        """Serves the callers of `sync` until the controller ends."""
         await self.ready.wait()
         while True:
-            await self._asked.wait()
-            self._asked.clear()
-            waiting, self._waiting = self._waiting, []
+            await self._sync_requested.wait()
+            self._sync_requested.clear()
+            waiters, self._sync_waiters = self._sync_waiters, []
             try:
-                await self._step(0.0)
-                current = True
+                await self.step(0.0)
+                is_current = True
             except (RequestRefusedError, OutcomeUnknownError) as exc:
                 log.debug("sync failed error=%s", exc)
-                current = False
-            for future in waiting:
-                await future.settle(current)
+                is_current = False
+            for future in waiters:
+                await future.settle(is_current)
             await curio.sleep(self._pause_s)
--- a/crossmill/state/writer.py
+++ b/crossmill/state/writer.py
@@ -1,18 +1,21 @@
-"""Batches transactions inside this controller's share of the state service's write rate."""
+"""Sends write intents in batches, within this controller's share of the state service's rate.
+
+The writer owns the queue of intents and the keys that are being written. The application runs it;
+whoever decides on a change submits an intent and waits for its result. What was written goes to
+the mirror at once.
+"""
 
 import logging
 from collections.abc import Callable
-from dataclasses import dataclass, field
-from enum import Enum, IntEnum
+from typing import NamedTuple
 
 import curio
 import orjson
 
 from ..net.clock import Clock
-from ..net.future import Future
 from ..net.pacer import Pacer
 from ..settings import Settings, StateLimits
-from ..wire.state import Txn
+from ..wire.state import KeyValue
 from .client import (
     LeaseExpiredError,
     OutcomeUnknownError,
@@ -22,63 +25,29 @@
     TransactionTooLargeError,
 )
 from .mirror import Mirror
+from .write_batch import WriteBatch, merged_transaction
+from .write_intent import WriteIntent, WriteRank, WriteResult
 
-log = logging.getLogger(__name__)
-
-MAX_TXN_BYTES = 56 * 1024
-IN_FLIGHT = 3
-
-
-class WriteResult(Enum):
-    """What became of an intent."""
-
-    OK = "ok"
-    # a condition failed, or it may never be sent any more
-    CONFLICT = "conflict"
-    # its time was over before it could be sent
-    EXPIRED = "expired"
+__all__ = ["WriteIntent", "WriteRank", "WriteResult", "Writer"]
 
+log = logging.getLogger(__name__)
 
-class WriteRank(IntEnum):
-    """What goes first; lower ranks do. Who acts for a shard is settled before anything else."""
+MAX_BATCHES_IN_FLIGHT = 3
+# a write is repeated so many times within the interval at which leases are renewed
+RETRIES_PER_RENEWAL = 4
+MAX_LOGGED_KEYS = 3
 
-    OWNERSHIP = -1
-    URGENT = 0
-    PLACEMENT = 1
-    OUTCOME = 2
-    BACKGROUND = 3
 
+class _NextBatch(NamedTuple):
+    """What to do next.
 
-@dataclass(slots=True, eq=False)
-class WriteIntent:
-    """Changes that stand or fall together. `holds` is asked right before each sending: None
-    means not now, False never again.
+    Attributes:
+        intents: The intents to send; empty if there is nothing to send now.
+        wait_s: How long to wait otherwise; None until something changes.
     """
 
-    txn: Txn
-    rank: WriteRank = WriteRank.BACKGROUND
-    until: float | None = None
-    holds: Callable[[], bool | None] | None = None
-    outcome_unknown: bool = False
-    # part of a batch that was too large: sent by itself from now on
-    alone: bool = False
-    failed: list[str] = field(default_factory=list)
-    future: Future = field(default_factory=Future)
-
-    @property
-    def ops(self) -> int:
-        """How many puts and deletes it takes."""
-        return len(self.txn.puts) + len(self.txn.deletes)
-
-    def keys(self) -> set[str]:
-        """The keys that it changes."""
-        return {*(p.key for p in self.txn.puts), *self.txn.deletes}
-
-    def size(self) -> int:
-        """About how many bytes it takes in a request."""
-        puts = sum(len(orjson.dumps(p.value)) + len(p.key) + 60 for p in self.txn.puts)
-        names = sum(len(k) + 40 for k in (*self.txn.conditions, *self.txn.deletes))
-        return puts + names
+    intents: list[WriteIntent]
+    wait_s: float | None
 
 
 class Writer:
@@ -96,187 +65,190 @@
         self._mirror = mirror
         self._clock = clock
         self._limits = limits
-        # set by the first refusal for size: from then on whatever limits are announced are kept
-        self._lowest: StateLimits | None = None
-        self._announced = settings.lowest_state_limits
+        # set by the first refusal for size; it then replaces whatever limits are announced
+        self._reduced_limits: StateLimits | None = None
+        self._lowest_limits = settings.lowest_state_limits
         share = settings.state_write_rate
         self._pacer = Pacer(clock, share, max(share, 1.0))
-        # users and leases do not wait for a share of the rate that others leave unused
-        self._overdraft = settings.urgent_write_burst
-        self._retry_s = settings.lease_renewal_interval_s / 4
+        # users' requests and leases need not wait for a share of the rate that others don't use
+        self._urgent_overdraft = settings.urgent_write_burst
+        self._retry_s = settings.lease_renewal_interval_s / RETRIES_PER_RENEWAL
         self._queue: list[WriteIntent] = []
-        self._busy: set[str] = set()
-        self._flying = 0
+        self._keys_in_flight: set[str] = set()
+        self._batches_in_flight = 0
         self._wake = curio.Event()
 
     def allot(self, share: float) -> None:
-        """This controller's changes a second, from now on."""
+        """Sets this controller's share of the write rate, in changes a second."""
         self._pacer.reset(share, max(share, 1.0))
 
     @property
     def limits(self) -> StateLimits:
         """The state service's limits as far as they are known."""
-        return self._lowest or self._limits()
+        return self._reduced_limits or self._limits()
 
     def writes_within(self, span_s: float) -> int:
-        """How many changes this controller may make in such a time, at least one."""
+        """Returns how many changes this controller may make in a time span, at least one."""
         return max(1, int(self._pacer.rate * span_s))
 
     @property
     def backlog(self) -> int:
-        """How many intents wait."""
+        """How many intents wait to be sent."""
         return len(self._queue)
 
     async def submit(self, intent: WriteIntent) -> None:
-        """Queues the intent; what becomes of it is told by its future."""
+        """Queues the intent; its future is settled with the result."""
         self._queue.append(intent)
-        self._queue.sort(key=lambda i: i.rank)
+        self._queue.sort(key=lambda queued: queued.rank)
         await self._wake.set()
 
     async def commit(self, intent: WriteIntent) -> WriteResult:
-        """Submits the intent and waits for what becomes of it."""
+        """Submits the intent and waits for its result."""
         await self.submit(intent)
         return WriteResult(await intent.future.wait())
 
+    # -- choosing what to send -------------------------------------------------------
+
     async def run(self) -> None:
         """Sends batches as the rate allows until the controller ends."""
         while True:
-            batch, nap_s = await self._pick()
-            if batch:
-                self._flying += 1
-                self._busy.update(*(i.keys() for i in batch))
-                await curio.spawn(self._send, batch, daemon=True)
+            intents, wait_s = await self._next_batch()
+            if intents:
+                self._batches_in_flight += 1
+                self._keys_in_flight.update(*(intent.keys() for intent in intents))
+                await curio.spawn(self._send, intents, daemon=True)
                 continue
-            if nap_s is None:
+            if wait_s is None:
                 await self._wake.wait()
             else:
-                await curio.ignore_after(nap_s, self._wake.wait)
+                await curio.ignore_after(wait_s, self._wake.wait)
             self._wake.clear()
 
-    async def _pick(self) -> tuple[list[WriteIntent], float | None]:
-        """The next batch, or how long to wait for one (None: until something happens)."""
-        if not self._queue or self._flying >= IN_FLIGHT:
-            return [], None
-        batch: list[WriteIntent] = []
-        keys: set[str] = set()
-        conditions: dict[str, int] = {}
-        ops = size = 0
-        limits = self.limits
-        nap_s: float | None = None
+    async def _next_batch(self) -> _NextBatch:
+        """Takes the next batch out of the queue, or tells how long to wait for one.
+
+        Intents that may never be sent any more are settled on the way.
+        """
+        if not self._queue or self._batches_in_flight >= MAX_BATCHES_IN_FLIGHT:
+            return _NextBatch([], None)
+        batch = WriteBatch(self.limits)
+        wait_s: float | None = None
         now = self._clock.now()
         for intent in list(self._queue):
             holds = True if intent.holds is None else intent.holds()
-            if holds is False or (intent.until is not None and now > intent.until):
+            if holds is False or intent.is_expired(now):
+                result = WriteResult.CONFLICT if holds is False else WriteResult.EXPIRED
                 self._queue.remove(intent)
-                await intent.future.settle(
-                    WriteResult.CONFLICT if holds is False else WriteResult.EXPIRED
-                )
-                continue
-            mine = intent.keys()
-            if holds is None or mine & self._busy:
-                nap_s = self._retry_s
+                await intent.future.settle(result)
                 continue
-            # alike conditions share their place in a batch; others must not contradict it
-            merged = {**conditions, **intent.txn.conditions}
-            clash = any(conditions.get(k, v) != v for k, v in intent.txn.conditions.items())
-            more, bytes_more = intent.ops, intent.size()
-            full = (
-                ops + more > limits.txn_ops
-                or len(merged) > limits.conditions
-                or size + bytes_more > MAX_TXN_BYTES
-            )
-            if batch and (full or clash or mine & keys or keys & intent.txn.conditions.keys()):
+            if holds is None or self._is_in_flight(intent):
+                wait_s = self._retry_s
                 continue
-            if batch and any(k in conditions for k in mine):
+            if not batch.may_take(intent):
                 continue
-            if batch and (intent.alone or batch[0].alone):
-                continue
-            overdraft = self._overdraft if intent.rank <= WriteRank.URGENT else 0.0
-            wait_s = self._pacer.wait_s(ops + more, overdraft)
-            if wait_s > 0:
-                nap_s = wait_s
+            rate_wait_s = self._rate_wait_s(batch, intent)
+            if rate_wait_s > 0:
+                wait_s = rate_wait_s
                 break
-            batch.append(intent)
-            keys |= mine
-            conditions = merged
-            ops += more
-            size += bytes_more
-        if batch:
-            self._pacer.spend(ops)
-            for intent in batch:
-                self._queue.remove(intent)
-        return batch, nap_s
+            batch.add(intent)
+        if batch.intents:
+            self._take_out(batch)
+        return _NextBatch(batch.intents, wait_s)
 
-    async def _send(self, batch: list[WriteIntent]) -> None:
+    def _is_in_flight(self, intent: WriteIntent) -> bool:
+        """Tells whether a batch under way changes a key of the intent."""
+        return not self._keys_in_flight.isdisjoint(intent.keys())
+
+    def _rate_wait_s(self, batch: WriteBatch, intent: WriteIntent) -> float:
+        """Returns how long the rate delays the batch if the intent is added to it."""
+        overdraft = self._urgent_overdraft if intent.rank <= WriteRank.URGENT else 0.0
+        return self._pacer.wait_s(batch.operation_count + intent.operation_count, overdraft)
+
+    def _take_out(self, batch: WriteBatch) -> None:
+        self._pacer.spend(batch.operation_count)
+        for intent in batch.intents:
+            self._queue.remove(intent)
+
+    # -- sending ---------------------------------------------------------------------
+
+    async def _send(self, intents: list[WriteIntent]) -> None:
         try:
-            await self._try(batch)
+            await self._execute(intents)
         finally:
-            self._flying -= 1
-            for intent in batch:
-                self._busy -= intent.keys()
+            self._batches_in_flight -= 1
+            for intent in intents:
+                self._keys_in_flight -= intent.keys()
             await self._wake.set()
 
-    async def _try(self, batch: list[WriteIntent]) -> None:
-        txn = Txn()
-        for intent in batch:
-            txn.conditions.update(intent.txn.conditions)
-            txn.puts.extend(intent.txn.puts)
-            txn.deletes.extend(intent.txn.deletes)
+    async def _execute(self, intents: list[WriteIntent]) -> None:
+        """Sends the intents as one transaction; settles them or puts them back into the queue."""
         try:
-            outcome = await self._client.txn(txn)
+            result = await self._client.txn(merged_transaction(intents))
         except RequestRefusedError as exc:
             log.debug("write refused error=%s", exc)
-            if "429" in str(exc):
+            if exc.is_rate_limited:
                 self._pacer.drain()
-            await curio.sleep(self._retry_s)
-            self._queue[:0] = batch
+            await self._retry_later(intents)
         except OutcomeUnknownError as exc:
-            # the same conditions make a repeat harmless: one of the two does nothing
+            # the same conditions make a repeat harmless: one of the two requests has no effect
             log.info("write outcome unknown error=%s", exc)
-            for intent in batch:
+            for intent in intents:
                 intent.outcome_unknown = True
-            await curio.sleep(self._retry_s)
-            self._queue[:0] = batch
+            await self._retry_later(intents)
         except TransactionTooLargeError as exc:
-            await self._split(batch, exc)
+            await self._split(intents, exc)
         except LeaseExpiredError:
-            for intent in batch:
+            for intent in intents:
                 await intent.future.settle(WriteResult.CONFLICT)
         else:
-            await self._settle(batch, outcome)
+            await self._settle(intents, result)
 
-    async def _split(self, batch: list[WriteIntent], exc: TransactionTooLargeError) -> None:
-        """The limits were lowered: what went together is tried apart, what is too large by
-        itself is given back to be planned anew, and never repeated as it is.
+    async def _retry_later(self, intents: list[WriteIntent]) -> None:
+        await curio.sleep(self._retry_s)
+        self._put_back(intents)
+
+    def _put_back(self, intents: list[WriteIntent]) -> None:
+        """Puts intents at the head of the queue, in their order."""
+        self._queue[:0] = intents
+
+    async def _split(self, intents: list[WriteIntent], exc: TransactionTooLargeError) -> None:
+        """Handles a batch that the service refused for its size: the limits were lowered.
+
+        Several intents are sent one by one. A single one is settled as a conflict, so that it is
+        planned anew, and never repeated as it is.
         """
-        self._lowest = self._announced
-        if len(batch) > 1:
-            log.info("write too large, split intents=%d error=%s", len(batch), exc)
-            for intent in batch:
-                intent.alone = True
-            self._queue[:0] = batch
+        self._reduced_limits = self._lowest_limits
+        if len(intents) > 1:
+            log.info("write too large, split intents=%d error=%s", len(intents), exc)
+            for intent in intents:
+                intent.is_sent_alone = True
+            self._put_back(intents)
             return
-        log.error("write too large keys=%s error=%s", sorted(batch[0].keys())[:3], exc)
-        await batch[0].future.settle(WriteResult.CONFLICT)
+        log.error("write too large keys=%s error=%s", _logged_keys(intents[0]), exc)
+        await intents[0].future.settle(WriteResult.CONFLICT)
+
+    # -- results ---------------------------------------------------------------------
 
-    async def _settle(self, batch: list[WriteIntent], outcome: TransactionResult) -> None:
-        if not outcome.failed:
-            for intent in batch:
-                await self._applied(intent, outcome.revision)
+    async def _settle(self, intents: list[WriteIntent], result: TransactionResult) -> None:
+        """Settles the intents of a transaction that was executed, or refused for conditions."""
+        if not result.failed:
+            for intent in intents:
+                await self._note_applied(intent, result.revision)
             return
-        failed = set(outcome.failed)
-        again: list[WriteIntent] = []
-        for intent in batch:
-            intent.failed = [k for k in intent.txn.conditions if k in failed]
+        failed = set(result.failed)
+        to_repeat: list[WriteIntent] = []
+        for intent in intents:
+            intent.failed = [key for key in intent.txn.conditions if key in failed]
             if not intent.failed:
-                again.append(intent)
+                to_repeat.append(intent)
             elif intent.outcome_unknown and await self._was_applied(intent):
-                log.info("unanswered write confirmed keys=%s", sorted(intent.keys())[:3])
+                log.info("unanswered write confirmed keys=%s", _logged_keys(intent))
+                await intent.future.settle(WriteResult.OK)
             else:
                 await intent.future.settle(WriteResult.CONFLICT)
-        self._queue[:0] = again
+        self._put_back(to_repeat)
 
-    async def _applied(self, intent: WriteIntent, revision: int) -> None:
+    async def _note_applied(self, intent: WriteIntent, revision: int) -> None:
         for put in intent.txn.puts:
             self._mirror.written(put.key, put.value, revision)
         for key in intent.txn.deletes:
@@ -284,25 +256,34 @@
         await intent.future.settle(WriteResult.OK)
 
     async def _was_applied(self, intent: WriteIntent) -> bool:
-        """After a lost answer the repeat's conditions fail when the first was executed: what
-        stands in the store tells.
+        """Tells by reading whether an earlier, unanswered request made the intent's changes.
+
+        If it did, the conditions of the repeated request fail.
         """
         while True:
             try:
-                rows = [await self._client.get(p.key) for p in intent.txn.puts]
-                gone = [await self._client.get(k) for k in intent.txn.deletes]
+                written = [await self._client.get(put.key) for put in intent.txn.puts]
+                undeleted = [await self._client.get(key) for key in intent.txn.deletes]
                 break
             except (RequestRefusedError, OutcomeUnknownError):
                 await curio.sleep(self._retry_s)
-        for row in rows:
-            # others may have written on top; what is read here is newer than what was known
-            if row is not None:
-                self._mirror.merge_read(row)
-        if any(gone):
-            return False
-        for row, put in zip(rows, intent.txn.puts, strict=True):
-            # the store may write numbers its own way, so values are compared, not bytes
-            if row is None or row.value != orjson.loads(orjson.dumps(put.value)):
-                return False
-        await intent.future.settle(WriteResult.OK)
-        return True
+        for entry in written:
+            # others may have written since; what is read here is newer than what was known
+            if entry is not None:
+                self._mirror.merge_read(entry)
+        return not any(undeleted) and _has_values(intent, written)
+
+
+def _has_values(intent: WriteIntent, entries: list[KeyValue | None]) -> bool:
+    """Tells whether the entries, in the order of the intent's puts, have the values put.
+
+    Values are compared rather than bytes, as the service may write numbers its own way.
+    """
+    return all(
+        entry is not None and entry.value == orjson.loads(orjson.dumps(put.value))
+        for entry, put in zip(entries, intent.txn.puts, strict=True)
+    )
+
+
+def _logged_keys(intent: WriteIntent) -> list[str]:
+    return sorted(intent.keys())[:MAX_LOGGED_KEYS]
--- a/crossmill/workers/command_sender.py
+++ b/crossmill/workers/command_sender.py
@@ -14,6 +14,7 @@
 from ..cluster.cluster_state import ClusterState
 from ..cluster.membership import Membership
 from ..cluster.model import Machine, PlannedAttempt
+from ..net import http_status
 from ..net.client import Client, ConnectionFailedError, Http, NoResponseError
 from ..settings import Endpoint, Settings
 from ..wire.checks import MalformedMessageError, load_object
@@ -30,8 +31,8 @@
 
 log = logging.getLogger(__name__)
 
-# a worker answers with its status, whether it has taken the commands (200) or refused them (409)
-STATUSES_WITH_HEARTBEAT = (200, 409)
+# a worker answers with its status, whether it has taken the commands or refused them
+STATUSES_WITH_HEARTBEAT = (http_status.OK, http_status.CONFLICT)
 
 
 class MachineCommands(NamedTuple):
--- a/crossmill/workers/heartbeat_handler.py
+++ b/crossmill/workers/heartbeat_handler.py
@@ -17,6 +17,7 @@
 from ..cluster.model import Machine, PlannedAttempt
 from ..cluster.ownership import ShardOwnership
 from ..cluster.partition_protocol import PartitionProtocol
+from ..net import http_status
 from ..net.clock import Clock
 from ..settings import Settings
 from ..wire.workers import (
@@ -34,10 +35,6 @@
 
 log = logging.getLogger(__name__)
 
-OK = 200
-MISDIRECTED = 421
-UNAVAILABLE = 503
-
 
 class HeartbeatResponse(NamedTuple):
     """The answer to a heartbeat.
@@ -157,11 +154,11 @@
         view = self.view_of(machine)
         verdict = view.apply_heartbeat(heartbeat, token, self._clock.now())
         if verdict is HeartbeatVerdict.STALE:
-            return HeartbeatResponse(OK, token)
+            return HeartbeatResponse(http_status.OK, token)
         view.answered_at = self._clock.now()
         view.has_been_answered = True
         if verdict is HeartbeatVerdict.UNCONFIRMED_TOKEN:
-            return HeartbeatResponse(OK, token)
+            return HeartbeatResponse(http_status.OK, token)
         commands = self.reconciler.apply_heartbeat(machine, view, ownership, heartbeat)
         if not may_command:
             commands = self._stops_of_ended_jobs(commands)
@@ -170,7 +167,7 @@
         # cut only now: commands that are held back must not displace urgent ones
         commands = commands[:MAX_COMMANDS]
         self._log_unplanned_stops(machine, commands)
-        return HeartbeatResponse(OK, token, tuple(commands))
+        return HeartbeatResponse(http_status.OK, token, tuple(commands))
 
     @staticmethod
     def command_token(machine: Machine, ownership: ShardOwnership) -> int:
@@ -183,7 +180,7 @@
         Without a redirect the worker tries the controllers one after the other.
         """
         redirect = owner or self._membership.owner_selection.reachable_alternative()
-        return HeartbeatResponse(MISDIRECTED, redirect=redirect)
+        return HeartbeatResponse(http_status.MISDIRECTED_REQUEST, redirect=redirect)
 
     def _answer_without_ownership(
         self, machine: Machine, heartbeat: WorkerHeartbeat
@@ -200,7 +197,7 @@
         view = self._views.get(machine.id)
         if view is not None:
             view.answered_at = self._clock.now()
-        return HeartbeatResponse(OK, heartbeat.token, tuple(commands[:MAX_COMMANDS]))
+        return HeartbeatResponse(http_status.OK, heartbeat.token, tuple(commands[:MAX_COMMANDS]))
 
     def _answer_newer_token(
         self, machine: Machine, heartbeat: WorkerHeartbeat
@@ -212,8 +209,8 @@
         self._membership.request_higher_token(machine.shard, heartbeat.token)
         alternative = self._membership.owner_selection.reachable_alternative()
         if alternative is None:
-            return HeartbeatResponse(UNAVAILABLE)
-        return HeartbeatResponse(MISDIRECTED, redirect=alternative)
+            return HeartbeatResponse(http_status.SERVICE_UNAVAILABLE)
+        return HeartbeatResponse(http_status.MISDIRECTED_REQUEST, redirect=alternative)
 
     def _stops_of_ended_jobs(self, commands: list[Command]) -> list[Command]:
         """Returns the commands that may be given without full authority.
--- a/tests/test_derivation.py
+++ b/tests/test_derivation.py
@@ -211,7 +211,7 @@
                 state.compact()
             if kind < 0.6:
                 continue
-            await watcher._step(0.0)
+            await watcher.step(0.0)
             _, scratch, _ = await fresh()
             assert _derived(cluster) == _derived(scratch)
 
--- a/tests/test_missed_watch_events.py
+++ b/tests/test_missed_watch_events.py
@@ -189,12 +189,12 @@
         state.put(keys.ROOT + "x", 1)
         state.put(keys.ROOT + "y", 1)
         state.compact()
-        readings = node.mirror.readings
-        watch = await curio.spawn(node.watcher._step, 0.0)
+        readings = node.mirror.full_read_count
+        watch = await curio.spawn(node.watcher.step, 0.0)
         await node.sync()
         await watch.join()
         assert node.mirror.value(keys.ROOT + "y") == 1
-        assert node.mirror.readings == readings + 1
+        assert node.mirror.full_read_count == readings + 1
 
     run_scenario(scenario)
 
@@ -208,7 +208,7 @@
         state.put(keys.ROOT + "x", 1)
         state.compact()
         for turns in range(30):
-            watch = await curio.spawn(node.watcher._step, 0.0)
+            watch = await curio.spawn(node.watcher.step, 0.0)
             for _ in range(turns):
                 await curio.sleep(0)
             state.put(keys.ROOT + "x", 2 + turns)
