--- a/crossmill/net/__init__.py
+++ b/crossmill/net/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP over curio and h11: a server, a pooled client, a pacer."""
+"""Networking and time: HTTP client and server, token bucket, future and clock."""
--- a/crossmill/net/client.py
+++ b/crossmill/net/client.py
@@ -1,92 +1,132 @@
-"""A pooled keep-alive HTTP client for one endpoint."""
+"""An HTTP/1.1 client for one endpoint, with a pool of connections that are kept open.
+
+Calls to the state service, the cloud, workers and other controllers go through it. It owns the
+connections to its endpoint.
+"""
 
 from typing import Protocol
 
 import curio
-import curio.socket as socket
 import h11
+from curio import socket
 
 from ..settings import Endpoint
 
 RECEIVE_BYTES = 256 * 1024
-END = h11.EndOfMessage()
+DEFAULT_MAX_SOCKETS = 8
+DEFAULT_TIMEOUT_S = 2.0
+END_OF_MESSAGE = h11.EndOfMessage()
+
 
+class HttpClientError(Exception):
+    """A request got no answer."""
 
-class ConnectionFailedError(Exception):
+
+class ConnectionFailedError(HttpClientError):
     """No connection was made: the request was certainly not executed."""
 
 
-class NoResponseError(Exception):
-    """No answer came: the request might have been executed, or might still be."""
+class NoResponseError(HttpClientError):
+    """No answer came: the request may have been executed, or may still be."""
 
 
 class Http(Protocol):
-    """What calls a server; scripted peers stand in for it in tests."""
+    """The interface of a client; tests replace it by simulated services."""
 
     async def request(
-        self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
+        self, method: str, path: str, body: bytes = b"", timeout_s: float = DEFAULT_TIMEOUT_S
     ) -> tuple[int, bytes]:
-        """The status and body of the answer; raises ConnectionFailedError or NoResponseError."""
+        """Returns the answer's status and body.
+
+        Raises ConnectionFailedError or NoResponseError if none comes within the timeout.
+        """
         ...
 
 
 class _Connection:
+    """An open connection, with the state of the protocol on it."""
+
+    __slots__ = ("h11", "sock")
+
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
         self.h11 = h11.Connection(h11.CLIENT)
 
+    def is_reusable(self) -> bool:
+        """Tells whether another request may follow a complete answer."""
+        return self.h11.our_state is h11.DONE and self.h11.their_state is h11.DONE
+
+
+class _Call:
+    """A request, and whether any of it may have reached the server."""
+
+    __slots__ = ("body", "is_sent", "method", "path")
+
+    def __init__(self, method: str, path: str, body: bytes) -> None:
+        self.method = method
+        self.path = path
+        self.body = body
+        self.is_sent = False
+
 
 class Client:
-    """Keeps a bounded number of connections to one endpoint."""
+    """Sends requests to one endpoint over a bounded number of connections."""
 
-    def __init__(self, endpoint: Endpoint, max_sockets: int = 8) -> None:
+    def __init__(self, endpoint: Endpoint, max_sockets: int = DEFAULT_MAX_SOCKETS) -> None:
         self._endpoint = endpoint
         self._host = f"{endpoint.host}:{endpoint.port}"
         self._idle: list[_Connection] = []
         self._slots = curio.Semaphore(max_sockets)
 
     async def request(
-        self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
+        self, method: str, path: str, body: bytes = b"", timeout_s: float = DEFAULT_TIMEOUT_S
     ) -> tuple[int, bytes]:
-        """The status and body of the answer; raises ConnectionFailedError or NoResponseError."""
-        sent = [False]
+        """Returns the answer's status and body.
+
+        Raises ConnectionFailedError or NoResponseError if none comes within the timeout, which
+        includes the wait for a free connection.
+        """
+        call = _Call(method, path, body)
         try:
             async with curio.timeout_after(timeout_s):
-                return await self._request(method, path, body, sent)
+                return await self._perform(call)
         except curio.TaskTimeout as exc:
-            error = NoResponseError if sent[0] else ConnectionFailedError
-            raise error(f"{self._host} {method} {path}: timed out") from exc
+            raise self._error(call, "timed out") from exc
         except (OSError, h11.ProtocolError) as exc:
-            error = NoResponseError if sent[0] else ConnectionFailedError
-            raise error(f"{self._host} {method} {path}: {exc!r}") from exc
+            raise self._error(call, repr(exc)) from exc
 
-    async def _request(
-        self, method: str, path: str, body: bytes, sent: list[bool]
-    ) -> tuple[int, bytes]:
+    def _error(self, call: _Call, cause: str) -> HttpClientError:
+        message = f"{self._host} {call.method} {call.path}: {cause}"
+        return NoResponseError(message) if call.is_sent else ConnectionFailedError(message)
+
+    async def _perform(self, call: _Call) -> tuple[int, bytes]:
         async with self._slots:
-            conn = await self._connect()
-            reusable = False
+            connection = await self._connect()
+            is_kept = False
             try:
-                headers = [("host", self._host)]
-                if body or method != "GET":
-                    headers.append(("content-length", str(len(body))))
-                request = h11.Request(method=method, target=path, headers=headers)
-                out = conn.h11.send(request) or b""
-                if body:
-                    out += conn.h11.send(h11.Data(data=body)) or b""
-                out += conn.h11.send(END) or b""
-                sent[0] = True
-                await conn.sock.sendall(out)
-                status, data = await self._read(conn)
-                if conn.h11.our_state is h11.DONE and conn.h11.their_state is h11.DONE:
-                    conn.h11.start_next_cycle()
-                    reusable = True
+                encoded = self._encode(connection, call)
+                call.is_sent = True
+                await connection.sock.sendall(encoded)
+                status, data = await self._receive(connection)
+                if connection.is_reusable():
+                    connection.h11.start_next_cycle()
+                    is_kept = True
                 return status, data
             finally:
-                if reusable:
-                    self._idle.append(conn)
+                if is_kept:
+                    self._idle.append(connection)
                 else:
-                    await conn.sock.close()
+                    await connection.sock.close()
+
+    def _encode(self, connection: _Connection, call: _Call) -> bytes:
+        headers = [("host", self._host)]
+        if call.body or call.method != "GET":
+            headers.append(("content-length", str(len(call.body))))
+        head = h11.Request(method=call.method, target=call.path, headers=headers)
+        encoded = connection.h11.send(head) or b""
+        if call.body:
+            encoded += connection.h11.send(h11.Data(data=call.body)) or b""
+        return encoded + (connection.h11.send(END_OF_MESSAGE) or b"")
 
     async def _connect(self) -> _Connection:
         if self._idle:
@@ -100,14 +140,15 @@
             raise
         return _Connection(sock)
 
-    async def _read(self, conn: _Connection) -> tuple[int, bytes]:
+    async def _receive(self, connection: _Connection) -> tuple[int, bytes]:
+        """Returns the status and body of the answer that comes next."""
         status = 0
         parts: list[bytes] = []
-        conn.h11.receive_data(await conn.sock.recv(RECEIVE_BYTES))
+        connection.h11.receive_data(await connection.sock.recv(RECEIVE_BYTES))
         while True:
-            event = conn.h11.next_event()
+            event = connection.h11.next_event()
             if event is h11.NEED_DATA:
-                conn.h11.receive_data(await conn.sock.recv(RECEIVE_BYTES))
+                connection.h11.receive_data(await connection.sock.recv(RECEIVE_BYTES))
             elif isinstance(event, h11.Response):
                 status = event.status_code
             elif isinstance(event, h11.Data):
@@ -120,5 +161,5 @@
     async def close(self) -> None:
         """Closes the idle connections."""
         idle, self._idle = self._idle, []
-        for conn in idle:
-            await conn.sock.close()
+        for connection in idle:
+            await connection.sock.close()
--- a/crossmill/net/clock.py
+++ b/crossmill/net/clock.py
@@ -1,15 +1,15 @@
-"""The clock that is passed in, so that tests can hold it."""
+"""The clock, which everything that needs the time is given, so that tests can control it."""
 
 import time
 
 
 class Clock:
-    """Steady and wall time of this host."""
+    """Steady and wall time of this host, in seconds."""
 
     def now(self) -> float:
-        """Steady time in seconds, from an arbitrary moment."""
+        """Returns the steady time, counted from an arbitrary moment."""
         return time.monotonic()
 
     def wall(self) -> float:
-        """The time of day in seconds since the epoch."""
+        """Returns the time of day, counted from the Unix epoch."""
         return time.time()
--- a/crossmill/net/future.py
+++ b/crossmill/net/future.py
@@ -1,4 +1,4 @@
-"""A future: the reply that a part of the process owes to another."""
+"""A future for replies between tasks of this process."""
 
 from typing import Any
 
@@ -6,7 +6,11 @@
 
 
 class Future:
-    """A reply that is waited for."""
+    """A reply that one task settles and others wait for.
+
+    Attributes:
+        value: The reply; None until it is settled.
+    """
 
     __slots__ = ("_event", "value")
 
@@ -16,17 +20,17 @@
 
     @property
     def settled(self) -> bool:
-        """Whether the reply has come."""
+        """Whether the reply was given."""
         return bool(self._event.is_set())
 
     async def settle(self, value: Any) -> None:
-        """Gives the reply; only the first counts."""
+        """Gives the reply; any later one is ignored."""
         if not self.settled:
             self.value = value
             await self._event.set()
 
     async def wait(self, timeout_s: float | None = None) -> Any:
-        """The reply, or None when it does not come in time."""
+        """Waits for the reply; returns None if it does not come within the timeout."""
         if timeout_s is None:
             await self._event.wait()
         else:
--- a/crossmill/net/pacer.py
+++ b/crossmill/net/pacer.py
@@ -1,54 +1,62 @@
-"""A token bucket."""
+"""A token bucket, which limits the rate of requests to a service."""
 
 from .clock import Clock
 
 
 class Pacer:
-    """Tokens come at a rate and are saved up to a burst."""
+    """A bucket that is refilled at a rate, up to a burst.
+
+    An amount above the burst is allowed once the bucket is full, and leaves a debt.
+
+    Attributes:
+        rate: Tokens a second.
+    """
 
     def __init__(self, clock: Clock, rate: float, burst: float) -> None:
         self._clock = clock
         self.rate = rate
         self._burst = burst
         self._tokens = burst
-        self._at = clock.now()
+        self._refilled_at = clock.now()
 
     def _refill(self) -> None:
         now = self._clock.now()
-        self._tokens = min(self._burst, self._tokens + (now - self._at) * self.rate)
-        self._at = now
+        added = (now - self._refilled_at) * self.rate
+        self._tokens = min(self._burst, self._tokens + added)
+        self._refilled_at = now
 
     def reset(self, rate: float, burst: float) -> None:
-        """Another rate from now on; what was saved up stays, within the new burst."""
+        """Sets rate and burst from now on; tokens are kept up to the new burst."""
         self._refill()
-        self.rate, self._burst = rate, burst
+        self.rate = rate
+        self._burst = burst
         self._tokens = min(self._tokens, burst)
 
     def available(self) -> float:
-        """How many tokens there are; negative while a debt is paid off."""
+        """Returns how many tokens there are; negative while there is a debt."""
         self._refill()
         return self._tokens
 
     def take(self, amount: float = 1.0) -> bool:
-        """Takes the amount if it is there; whether it was."""
+        """Takes the amount if it is available; returns whether it was."""
         self._refill()
-        # an amount over the whole burst passes once the bucket is full, and leaves a debt
         if self._tokens < min(amount, self._burst):
             return False
         self._tokens -= amount
         return True
 
     def spend(self, amount: float) -> None:
-        """Takes the amount whatever is there, and leaves a debt if need be."""
+        """Takes the amount whether it is available or not; the rest becomes a debt."""
         self._refill()
         self._tokens -= amount
 
     def wait_s(self, amount: float = 1.0, overdraft: float = 0.0) -> float:
-        """How long until the amount may be taken, with a debt of up to `overdraft` after it."""
+        """Returns in how many seconds the amount may be taken, with a debt of up to `overdraft`."""
         self._refill()
-        return max(0.0, (min(amount, self._burst) - overdraft - self._tokens) / self.rate)
+        missing = min(amount, self._burst) - overdraft - self._tokens
+        return max(0.0, missing / self.rate)
 
     def drain(self) -> None:
-        """After a refusal the far side's bucket is known to be empty."""
+        """Empties the bucket, after the service refused a request for its rate."""
         self._refill()
         self._tokens = min(self._tokens, 0.0)
--- a/crossmill/net/server.py
+++ b/crossmill/net/server.py
@@ -1,27 +1,40 @@
-"""An HTTP/1.1 server: h11 over curio, with bounded sockets and bodies."""
+"""An HTTP/1.1 server: h11 over curio, with bounded sockets and bodies.
+
+The application runs one for users and workers and one for other controllers, each with a handler
+that answers all its requests. The server owns the connections and the cache of request heads.
+"""
 
 import logging
 from collections.abc import Awaitable, Callable
 from typing import NamedTuple
 
 import curio
-import curio.socket as socket
 import h11
+from curio import socket
 
 from ..settings import Endpoint
-from .request_heads import RequestHeads, encoded_response_head, response_head
+from . import http_status
+from .request_heads import RequestHeads, encoded_response_head, path_of, response_head
 
 log = logging.getLogger(__name__)
 
 MAX_BODY = 64 * 1024
 RECEIVE_BYTES = 64 * 1024
-# how many times within its time limit a connection's idleness is looked at
+# how many times within its time limit a connection's idleness is checked
 IDLE_CHECKS = 4
-END = h11.EndOfMessage()
+ACCEPT_RETRY_S = 0.05
+END_OF_MESSAGE = h11.EndOfMessage()
 
 
 class Request(NamedTuple):
-    """A request whose body has been read."""
+    """A request whose body has been read.
+
+    Attributes:
+        method: The method.
+        path: The path, without the query.
+        body: The body; empty if it is too large.
+        too_large: Whether the body is longer than `MAX_BODY`.
+    """
 
     method: str
     path: str
@@ -30,7 +43,13 @@
 
 
 class Response(NamedTuple):
-    """An answer with a JSON body."""
+    """An answer with a JSON body.
+
+    Attributes:
+        status: The HTTP status.
+        body: The JSON body.
+        retry_after_s: The value of the Retry-After header, if there is one.
+    """
 
     status: int
     body: bytes = b"{}"
@@ -41,8 +60,13 @@
 
 
 class _Connection:
-    """A client's connection; `reading_since` counts the idle checks up to when the server began
-    to wait for the request that it now reads, None while it answers one.
+    """A client's connection.
+
+    Attributes:
+        sock: The socket.
+        h11: The state of the protocol on it.
+        reading_since: The idle check after which the server began to wait for the request that
+            it now reads; None while it answers one.
     """
 
     __slots__ = ("h11", "reading_since", "sock")
@@ -53,10 +77,25 @@
         self.reading_since: int | None = None
 
 
+class _ReceivedRequest(NamedTuple):
+    """A request as h11 read it.
+
+    Attributes:
+        head: The head.
+        body: The body; of one that is too large, the part that has come.
+        has_received_more: Whether more data had to be received for it.
+    """
+
+    head: h11.Request
+    body: bytes
+    has_received_more: bool
+
+
 class Server:
-    """Serves one address. Connections on which no request was completed for `idle_timeout_s`
-    are closed,
-    by one task for all: a timer for each request costs more than many a request itself.
+    """Serves one address.
+
+    Connections on which no request was completed for `idle_timeout_s` are closed, by one task for
+    all of them: a timer for each request costs more than many a request itself.
     """
 
     def __init__(
@@ -65,48 +104,54 @@
         handler: Handler,
         max_sockets: int,
         idle_timeout_s: float,
-        kept_heads: int,
+        max_cached_heads: int,
     ) -> None:
         self._endpoint = endpoint
         self._handler = handler
-        self._max = max_sockets
-        self._idle_s = idle_timeout_s
-        self._idle_checks = 0
+        self._max_sockets = max_sockets
+        self._idle_timeout_s = idle_timeout_s
+        self._idle_check_count = 0
         self._connections: dict[_Connection, curio.Task] = {}
-        self._heads = RequestHeads(kept_heads)
-        self.open = 0
+        self._heads = RequestHeads(max_cached_heads)
+        self._open_sockets = 0
+
+    @property
+    def open_sockets(self) -> int:
+        """How many connections are open."""
+        return self._open_sockets
 
     async def run(self) -> None:
         """Accepts and serves connections until the controller ends."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, True)
         sock.bind((self._endpoint.host, self._endpoint.port))
-        # after a takeover every worker may come at once
-        sock.listen(self._max)
+        # after a failover every worker may connect at the same time
+        sock.listen(self._max_sockets)
         await curio.spawn(self._close_idle, daemon=True)
         async with sock:
             while True:
                 try:
                     client, _ = await sock.accept()
                 except OSError as exc:
-                    # no free socket: go on serving those that are open
+                    # no free socket: go on serving the connections that are open
                     log.info("accepting connections failed error=%s", exc)
-                    await curio.sleep(0.05)
+                    await curio.sleep(ACCEPT_RETRY_S)
                     continue
-                if self.open >= self._max:
+                if self._open_sockets >= self._max_sockets:
                     await client.close()
                     continue
-                self.open += 1
+                self._open_sockets += 1
                 await curio.spawn(self._serve, client, daemon=True)
 
     async def _close_idle(self) -> None:
-        """Ends the connections whose request has not come in time: one that sends a byte now and
-        then must not hold its socket.
+        """Closes connections whose request has not come in time.
+
+        A client that sends a byte now and then must not keep its socket.
         """
         while True:
-            await curio.sleep(self._idle_s / IDLE_CHECKS)
-            self._idle_checks += 1
-            latest = self._idle_checks - IDLE_CHECKS
+            await curio.sleep(self._idle_timeout_s / IDLE_CHECKS)
+            self._idle_check_count += 1
+            latest = self._idle_check_count - IDLE_CHECKS
             for connection, task in list(self._connections.items()):
                 since = connection.reading_since
                 if since is not None and since < latest:
@@ -118,98 +163,110 @@
         try:
             async with client:
                 client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                await self._converse(connection)
+                await self._serve_requests(connection)
         except (OSError, h11.RemoteProtocolError) as exc:
             log.debug("connection ended error=%r", exc)
         finally:
             del self._connections[connection]
-            self.open -= 1
+            self._open_sockets -= 1
 
-    async def _converse(self, connection: _Connection) -> None:
-        # nothing of a request is held while the next is waited for: with it would stay, for each
-        # connection, the memory that it was received into
+    async def _serve_requests(self, connection: _Connection) -> None:
+        # no local variable may refer to a request while the next is waited for: each connection
+        # would keep the memory that its last request was received into
         while await self._serve_one(connection):
             pass
 
     async def _serve_one(self, connection: _Connection) -> bool:
-        """Answers the next request; false if the connection does not go on. The h11 connection is
-        not told of requests whose heads it has read before: it stands between two requests
+        """Answers the next request; returns whether the connection goes on.
+
+        h11 is not told of requests whose heads are known: its connection is between two requests
         before and after them.
         """
-        conn, client = connection.h11, connection.sock
-        connection.reading_since = self._idle_checks
-        # the next request may have come with the last one; h11 holds it then
-        data = None if conn.trailing_data[0] else await client.recv(RECEIVE_BYTES)
-        known = self._heads.match(data) if data is not None else None
-        if known is None:
-            return await self._exchange(connection, data)
+        client = connection.sock
+        connection.reading_since = self._idle_check_count
+        # the next request may have come with the last one; h11 has it then
+        has_data = bool(connection.h11.trailing_data[0])
+        data = None if has_data else await client.recv(RECEIVE_BYTES)
+        head = self._heads.match(data) if data is not None else None
+        if data is None or head is None:
+            return await self._serve_by_h11(connection, data)
         connection.reading_since = None
-        head, body = known
-        response = await self._answer(Request(head.method, head.path, body))
+        response = await self._handle(Request(head.method, head.path, head.body_in(data)))
         sent = encoded_response_head(response.status, len(response.body), response.retry_after_s)
         await client.sendall(sent + response.body)
         return True
 
-    async def _exchange(self, connection: _Connection, data: bytes | None) -> bool:
-        """Reads a request by h11, and answers it; false if the connection does not go on."""
-        conn = connection.h11
+    async def _serve_by_h11(self, connection: _Connection, data: bytes | None) -> bool:
+        """Reads a request by h11 and answers it; returns whether the connection goes on."""
+        protocol = connection.h11
         if data is not None:
-            conn.receive_data(data)
-        whole = await self._read(connection)
+            protocol.receive_data(data)
+        received = await self._read(connection)
         connection.reading_since = None
-        if whole is None:
+        if received is None:
             return False
-        head, body, received_more = whole
-        too_large = len(body) > MAX_BODY
-        path = head.target.decode("latin-1").partition("?")[0]
-        request = Request(
-            head.method.decode("latin-1"), path, b"" if too_large else body, too_large
+        is_too_large = len(received.body) > MAX_BODY
+        response = await self._handle(
+            Request(
+                received.head.method.decode("latin-1"),
+                path_of(received.head),
+                b"" if is_too_large else received.body,
+                is_too_large,
+            )
         )
-        response = await self._answer(request)
-        sent = response_head(response.status, len(response.body), response.retry_after_s, too_large)
-        out = conn.send(sent) or b""
-        out += conn.send(h11.Data(data=response.body)) or b""
-        out += conn.send(END) or b""
-        await connection.sock.sendall(out)
-        if too_large or conn.our_state is not h11.DONE:
+        await self._send(connection, response, is_closing=is_too_large)
+        if is_too_large or protocol.our_state is not h11.DONE:
             return False
-        conn.start_next_cycle()
-        if data is not None and not received_more:
-            self._heads.note(data, head)
+        protocol.start_next_cycle()
+        if data is not None and not received.has_received_more:
+            self._heads.remember(data, received.head)
         return True
 
-    async def _answer(self, request: Request) -> Response:
+    async def _send(self, connection: _Connection, response: Response, is_closing: bool) -> None:
+        """Sends a response by h11."""
+        protocol = connection.h11
+        head = response_head(
+            response.status, len(response.body), response.retry_after_s, is_closing
+        )
+        encoded = protocol.send(head) or b""
+        encoded += protocol.send(h11.Data(data=response.body)) or b""
+        encoded += protocol.send(END_OF_MESSAGE) or b""
+        await connection.sock.sendall(encoded)
+
+    async def _handle(self, request: Request) -> Response:
         try:
             return await self._handler(request)
         except curio.CancelledError:
             raise
         except Exception:
             log.exception("handler failed path=%s", request.path)
-            return Response(500, b'{"error":"internal"}')
+            return Response(http_status.INTERNAL_SERVER_ERROR, b'{"error":"internal"}')
 
-    async def _read(self, connection: _Connection) -> tuple[h11.Request, bytes, bool] | None:
-        """A request's head and body (of one that is too large, what came of it), and whether it
-        took more data than had come; None when the client has ended the connection.
-        """
-        conn, client = connection.h11, connection.sock
+    async def _read(self, connection: _Connection) -> _ReceivedRequest | None:
+        """Reads a request by h11; None when the client has ended the connection."""
+        protocol, client = connection.h11, connection.sock
         head: h11.Request | None = None
         body = b""
-        received_more = False
+        has_received_more = False
         while True:
-            event = conn.next_event()
+            event = protocol.next_event()
             if event is h11.NEED_DATA:
-                received_more = True
-                conn.receive_data(await client.recv(RECEIVE_BYTES))
+                has_received_more = True
+                protocol.receive_data(await client.recv(RECEIVE_BYTES))
             elif isinstance(event, h11.Request):
                 head = event
-                if conn.they_are_waiting_for_100_continue:
-                    go_on = h11.InformationalResponse(status_code=100, headers=[])
-                    await client.sendall(conn.send(go_on) or b"")
+                if protocol.they_are_waiting_for_100_continue:
+                    await self._send_continue(connection)
             elif isinstance(event, h11.Data):
                 body += event.data
                 if len(body) > MAX_BODY and head is not None:
-                    return head, body, received_more
+                    return _ReceivedRequest(head, body, has_received_more)
             elif isinstance(event, h11.EndOfMessage) and head is not None:
-                return head, body, received_more
+                return _ReceivedRequest(head, body, has_received_more)
             else:
                 return None
+
+    async def _send_continue(self, connection: _Connection) -> None:
+        """Gives a client leave to send the body."""
+        interim = h11.InformationalResponse(status_code=100, headers=[])
+        await connection.sock.sendall(connection.h11.send(interim) or b"")
--- a/tests/test_multihost_loopback.py
+++ b/tests/test_multihost_loopback.py
@@ -58,7 +58,7 @@
             right = request.path == PING_PATH and agent.answer_ping(request.body)
             return Response(200 if right else 409)
 
-        await curio.spawn(Server(endpoint, answer, 32, 60.0, kept_heads=8).run, daemon=True)
+        await curio.spawn(Server(endpoint, answer, 32, 60.0, max_cached_heads=8).run, daemon=True)
         return agent
 
     async def _post(self, endpoint: Endpoint, path: str, body: bytes) -> tuple[int, bytes] | None:
--- a/tests/test_multihost_service.py
+++ b/tests/test_multihost_service.py
@@ -94,7 +94,7 @@
         async with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as free:
             free.bind(("127.0.0.1", 0))
             port = int(free.getsockname()[1])
-        server = Server(Endpoint("127.0.0.1", port), service.handle, 8, 60.0, kept_heads=8)
+        server = Server(Endpoint("127.0.0.1", port), service.handle, 8, 60.0, max_cached_heads=8)
         await curio.spawn(server.run, daemon=True)
         await curio.sleep(0.05)
 
--- a/tests/test_request_heads.py
+++ b/tests/test_request_heads.py
@@ -25,11 +25,14 @@
 
 
 def test_a_noted_head_matches_whole_requests_only() -> None:
-    heads = RequestHeads(most=8)
-    heads.note(POST, _parsed(POST))
+    heads = RequestHeads(max_heads=8)
+    heads.remember(POST, _parsed(POST))
     known = RequestHead("POST", "/agent/beat", len(BODY))
-    assert heads.match(POST) == (known, BODY)
-    assert heads.match(POST[:-7] + b'{"b":2}') == (known, b'{"b":2}')
+    other = POST[:-7] + b'{"b":2}'
+    assert heads.match(POST) == known
+    assert known.body_in(POST) == BODY
+    assert heads.match(other) == known
+    assert known.body_in(other) == b'{"b":2}'
     # a body cut short, a second request behind the first, and another head
     assert heads.match(POST[:-1]) is None
     assert heads.match(POST + POST) is None
@@ -47,18 +50,18 @@
     ],
 )
 def test_heads_that_say_more_than_a_length_are_left_to_h11(data: bytes) -> None:
-    heads = RequestHeads(most=8)
-    heads.note(data, _parsed(data))
+    heads = RequestHeads(max_heads=8)
+    heads.remember(data, _parsed(data))
     assert heads.match(data) is None
     assert len(heads) == 0
 
 
 def test_the_table_of_heads_is_bounded_and_the_oldest_goes() -> None:
     # guards against memory that grows with every job that was ever asked about
-    heads = RequestHeads(most=3)
+    heads = RequestHeads(max_heads=3)
     requests = [b"GET /%d HTTP/1.1\r\nhost: a\r\n\r\n" % n for n in range(5)]
     for data in requests:
-        heads.note(data, _parsed(data))
+        heads.remember(data, _parsed(data))
     assert len(heads) == 3
     assert [heads.match(data) is not None for data in requests] == [False] * 2 + [True] * 3
 
@@ -105,7 +108,7 @@
 
     async def scenario() -> None:
         port = await _free_port()
-        server = Server(Endpoint("127.0.0.1", port), handler, 8, 60.0, kept_heads=8)
+        server = Server(Endpoint("127.0.0.1", port), handler, 8, 60.0, max_cached_heads=8)
         await curio.spawn(server.run, daemon=True)
         await curio.sleep(0.05)
         async with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as sock:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -269,7 +269,7 @@
         data = (h11.Connection(h11.CLIENT).send(request) or b"") + body
         if heads.match(data) is None:
             counts["parsed"] += 1
-            heads.note(data, request)
+            heads.remember(data, request)
         parse_heartbeat(load_object(body), read)
 
     def mine(machine: int) -> range:
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -51,12 +51,12 @@
         free.bind(("127.0.0.1", 0))
         port = free.getsockname()[1]
         await free.close()
-        server = Server(Endpoint("127.0.0.1", port), _handler, 8, 0.5, kept_heads=8)
+        server = Server(Endpoint("127.0.0.1", port), _handler, 8, 0.5, max_cached_heads=8)
         await curio.spawn(server.run, daemon=True)
         await curio.sleep(0.05)
         answer = await curio.timeout_after(5.0, _converse, port, data, drip_s)
         assert expected in answer
-        while server.open:
+        while server.open_sockets:
             await curio.sleep(0.01)
         assert b"200" in await curio.timeout_after(
             5.0, _converse, port, b"GET / HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n", 0
