--- a/tests/test_request_heads.py
+++ b/tests/test_request_heads.py
@@ -1,12 +1,12 @@
-"""Requests whose heads are known are answered as h11 would answer them, and without asking it."""
+"""Requests whose heads were parsed before are answered as h11 would answer them, without it."""
 
 from collections import Counter
 from typing import Any
 
 import curio
-import curio.socket as socket
 import h11
 import pytest
+from curio import socket
 
 from crossmill.net.request_heads import RequestHead, RequestHeads, encoded_response_head
 from crossmill.net.server import Request, Response, Server
@@ -17,14 +17,14 @@
 
 
 def _parsed(data: bytes) -> h11.Request:
-    conn = h11.Connection(h11.SERVER)
-    conn.receive_data(data)
-    event = conn.next_event()
+    connection = h11.Connection(h11.SERVER)
+    connection.receive_data(data)
+    event = connection.next_event()
     assert isinstance(event, h11.Request)
     return event
 
 
-def test_a_noted_head_matches_whole_requests_only() -> None:
+def test_a_remembered_head_matches_complete_requests_only() -> None:
     heads = RequestHeads(max_heads=8)
     heads.remember(POST, _parsed(POST))
     known = RequestHead("POST", "/agent/beat", len(BODY))
@@ -49,15 +49,15 @@
         b"GET /x HTTP/1.1\r\nhost: a\r\nlong: " + b"x" * 1024 + b"\r\n\r\n",
     ],
 )
-def test_heads_that_say_more_than_a_length_are_left_to_h11(data: bytes) -> None:
+def test_heads_that_need_more_than_a_length_are_left_to_h11(data: bytes) -> None:
     heads = RequestHeads(max_heads=8)
     heads.remember(data, _parsed(data))
     assert heads.match(data) is None
     assert len(heads) == 0
 
 
-def test_the_table_of_heads_is_bounded_and_the_oldest_goes() -> None:
-    # guards against memory that grows with every job that was ever asked about
+def test_a_full_table_of_heads_drops_the_oldest() -> None:
+    # otherwise memory grows with every job that was ever asked for
     heads = RequestHeads(max_heads=3)
     requests = [b"GET /%d HTTP/1.1\r\nhost: a\r\n\r\n" % n for n in range(5)]
     for data in requests:
@@ -66,7 +66,7 @@
     assert [heads.match(data) is not None for data in requests] == [False] * 2 + [True] * 3
 
 
-def test_a_response_head_is_what_h11_sends() -> None:
+def test_a_response_head_is_encoded_as_by_h11() -> None:
     client = h11.Connection(h11.CLIENT)
     client.send(h11.Request(method="GET", target="/", headers=[("host", "a")]))
     client.send(h11.EndOfMessage())
@@ -87,7 +87,8 @@
         return int(free.getsockname()[1])
 
 
-def _count(monkeypatch: pytest.MonkeyPatch, counts: Counter[str], name: str) -> None:
+def _count_calls(monkeypatch: pytest.MonkeyPatch, counts: Counter[str], name: str) -> None:
+    """Counts the calls of a method of h11's connections."""
     real = getattr(h11.Connection, name)
 
     def counted(*args: Any) -> Any:
@@ -97,10 +98,10 @@
     monkeypatch.setattr(h11.Connection, name, counted)
 
 
-def test_a_repeated_head_costs_no_parsing_and_is_answered_alike(
+def test_a_repeated_request_is_not_parsed_and_is_answered_alike(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # guards against the parsing of reports and polls taking over a third of a controller's time
+    # the parsing of heartbeats and polls took over a third of a controller's time
     counts: Counter[str] = Counter()
 
     async def handler(request: Request) -> Response:
@@ -121,11 +122,11 @@
                     answer += await sock.recv(4096)
                 answers.append(answer)
                 if len(answers) == 2:
-                    # h11 has now read the request's head and written the answer's
-                    _count(monkeypatch, counts, "next_event")
+                    # h11 has now parsed the request's head and encoded the response's
+                    _count_calls(monkeypatch, counts, "next_event")
                 if len(answers) == 3:
                     assert not counts
-            # two at a time are h11's again
+            # two requests at a time are left to h11
             assert counts
             assert answers[3] == 2 * answers[2]
             assert answers[0] == answers[1] == answers[2]
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,27 +1,29 @@
-"""The HTTP server against senders that mean no good; over loopback, for what only sockets show."""
+"""The HTTP server against malformed, oversized and slow requests, over loopback sockets."""
 
 import curio
-import curio.socket as socket
 import pytest
+from curio import socket
 
 from crossmill.net.server import Request, Response, Server
 from crossmill.settings import Endpoint
 
+GOOD_REQUEST = b"GET / HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n"
+
 
 async def _handler(request: Request) -> Response:
     return Response(400 if request.too_large else 200)
 
 
-async def _converse(port: int, data: bytes, drip_s: float) -> bytes:
-    """Send the data, a byte at a time if it is to drip; what comes back until the end."""
+async def _exchange(port: int, data: bytes, byte_interval_s: float) -> bytes:
+    """Sends the data, byte by byte if there is an interval; returns all that comes back."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     async with sock:
         await sock.connect(("127.0.0.1", port))
         try:
-            if drip_s:
+            if byte_interval_s:
                 for byte in data:
                     await sock.sendall(bytes([byte]))
-                    await curio.sleep(drip_s)
+                    await curio.sleep(byte_interval_s)
             else:
                 await sock.sendall(data)
             answer = b""
@@ -33,7 +35,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "drip_s", "expected"),
+    ("data", "byte_interval_s", "expected"),
     [
         (b"POST /x HTTP/1.1\r\nhost: a\r\ncontent-length: 900\r\n\r\n" + b"x" * 200, 0.05, b""),
         (b"POST /x HTTP/1.1\r\nhost: a\r\ncontent-length: 70000\r\n\r\n" + b"x" * 70000, 0, b"400"),
@@ -41,25 +43,22 @@
         (b"GET /x HTTP/1.1\r\n" + b"a: b\r\n" * 30000, 0, b""),
     ],
 )
-def test_bad_input_costs_its_sender_the_connection(
-    data: bytes, drip_s: float, expected: bytes
+def test_a_bad_request_ends_its_connection_and_no_other(
+    data: bytes, byte_interval_s: float, expected: bytes
 ) -> None:
-    """One that sent a byte now and then held its socket for ever."""
+    # a client that sent a byte now and then kept its socket for ever
 
     async def scenario() -> None:
-        free = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        free.bind(("127.0.0.1", 0))
-        port = free.getsockname()[1]
-        await free.close()
+        async with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as free:
+            free.bind(("127.0.0.1", 0))
+            port = free.getsockname()[1]
         server = Server(Endpoint("127.0.0.1", port), _handler, 8, 0.5, max_cached_heads=8)
         await curio.spawn(server.run, daemon=True)
         await curio.sleep(0.05)
-        answer = await curio.timeout_after(5.0, _converse, port, data, drip_s)
+        answer = await curio.timeout_after(5.0, _exchange, port, data, byte_interval_s)
         assert expected in answer
         while server.open_sockets:
             await curio.sleep(0.01)
-        assert b"200" in await curio.timeout_after(
-            5.0, _converse, port, b"GET / HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n", 0
-        )
+        assert b"200" in await curio.timeout_after(5.0, _exchange, port, GOOD_REQUEST, 0)
 
     curio.run(scenario)
--- /dev/null
+++ b/tests/test_state_watcher.py
@@ -0,0 +1,111 @@
+"""Full reads and syncs of the state watcher, while the state changes."""
+
+from collections.abc import Callable
+
+import curio
+import pytest
+
+from crossmill.cluster import keys
+from crossmill.state.client import StateClient
+from crossmill.state.mirror import Mirror
+from crossmill.state.watcher import StateWatcher
+
+from .fake_services import FakeClock, StateService, make_settings
+from .stepped_controller import SteppedController, run_scenario, seed
+
+Nodes = dict[str, SteppedController]
+
+
+class _PagedStateLink:
+    """A link to the state service with a delay, which calls a function after each page read."""
+
+    def __init__(
+        self, state: StateService, after_page: Callable[[int], None] = lambda pages_read: None
+    ) -> None:
+        self._state = state
+        self._after_page = after_page
+        self._pages = 0
+
+    async def request(
+        self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
+    ) -> tuple[int, bytes]:
+        await curio.sleep(0)
+        response = await self._state.request(method, path, body, timeout_s)
+        await curio.sleep(0)
+        if path.startswith("/keys?"):
+            self._pages += 1
+            self._after_page(self._pages)
+        return response
+
+
+@pytest.mark.parametrize("is_first", [True, False])
+def test_a_full_read_is_a_state_that_existed_at_one_revision(is_first: bool) -> None:
+    # pages of different moments, published as one state, show a plan without its machine, and a
+    # job without what was written with it
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        state.page_items = 2
+        for name in ("b", "c", "d", "e"):
+            state.put(keys.ROOT + name, 0)
+
+        def change_keys(pages_read: int) -> None:
+            if pages_read == 1:
+                # a key of the page already read, and two of pages still to come
+                state.put(keys.ROOT + "a", 1)
+                state.put(keys.ROOT + "e", 1)
+                state.delete(keys.ROOT + "d")
+
+        settings = make_settings()
+        client = StateClient(settings, clock, _PagedStateLink(state, change_keys))
+        mirror = Mirror()
+        watcher = StateWatcher(client, mirror, clock, keys.ROOT, settings)
+        if not is_first:
+            mirror.revision = 0
+            watcher.current_at = clock.now()
+        await watcher.load()
+        at_revision = {name: value for name, (value, _, _) in state.keys.items()}
+        assert mirror.revision == state.revision
+        assert {name: mirror.value(name) for name in at_revision} == at_revision
+        assert mirror.version(keys.ROOT + "d") == 0
+
+    run_scenario(scenario)
+
+
+def test_two_loops_that_meet_a_compaction_make_one_full_read() -> None:
+    # the watch and a sync each read all keys, and the load delayed everything else
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        seed(state, clock, machines=1)
+        node = SteppedController(_PagedStateLink(state), clock, nodes)
+        await node.boot()
+        state.put(keys.ROOT + "x", 1)
+        state.put(keys.ROOT + "y", 1)
+        state.compact()
+        before = node.mirror.full_read_count
+        watch = await curio.spawn(node.watcher.step, 0.0)
+        await node.sync()
+        await watch.join()
+        assert node.mirror.value(keys.ROOT + "y") == 1
+        assert node.mirror.full_read_count == before + 1
+
+    run_scenario(scenario)
+
+
+def test_a_sync_shows_more_than_a_full_read_begun_before_it() -> None:
+    # went_back: the full read shows less than was durable when the sync was asked for
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        seed(state, clock, machines=1)
+        node = SteppedController(_PagedStateLink(state), clock, nodes)
+        await node.boot()
+        state.put(keys.ROOT + "x", 1)
+        state.compact()
+        for turns in range(30):
+            watch = await curio.spawn(node.watcher.step, 0.0)
+            for _ in range(turns):
+                await curio.sleep(0)
+            state.put(keys.ROOT + "x", 2 + turns)
+            await node.sync()
+            assert node.mirror.value(keys.ROOT + "x") == 2 + turns
+            await watch.join()
+            state.put(keys.ROOT + "y", turns)
+            state.compact()
+
+    run_scenario(scenario)
