--- a/crossmill/app.py
+++ b/crossmill/app.py
@@ -134,8 +134,7 @@
             self._clock,
             self.cluster,
             self.membership,
-            self.partition_protocol.keepalive,
-            self.partition_protocol.expiry_proof,
+            self.partition_protocol,
             None if self.recovery is None else self.recovery.service,
         )
         self.command_sender = CommandSender(
--- a/tests/test_derivation.py
+++ b/tests/test_derivation.py
@@ -213,7 +213,7 @@
                 state.compact()
             if kind < 0.6:
                 continue
-            await watcher._step(0.0)
+            await watcher.step(0.0)
             _, scratch, _ = await fresh()
             assert _derived(cluster) == _derived(scratch)
 
--- a/tests/test_partition_keepalive.py
+++ b/tests/test_partition_keepalive.py
@@ -15,7 +15,7 @@
 from crossmill.state.writer import WriteIntent, WriteResult
 from crossmill.wire import peers
 from crossmill.wire.state import Put, Txn
-from crossmill.wire.workers import Command
+from crossmill.wire.workers import Command, CommandKind
 
 from .fake_services import FakeClock, StateService, on
 from .stepped_controller import (
@@ -262,7 +262,7 @@
         it.cut()
         await it.zone_controller.controller_lease.step()
         commands = it.zone_controller.report("n-0", 1, 900, it.token, RUNNING).commands
-        assert commands == (Command("stop", "wk-000001/0", 1, 0.0),)
+        assert commands == (Command(CommandKind.STOP, "wk-000001/0", 1, 0.0),)
 
     run_settled(scenario)
 
