--- a/crossmill/jobs/api.py
+++ b/crossmill/jobs/api.py
@@ -1,4 +1,8 @@
-"""The users' interface: which handler answers which request, on every controller."""
+"""The users' HTTP interface for jobs: routes each request to its handler.
+
+Every controller serves it; `crossmill/app.py` passes on the requests under the path of jobs. It
+owns no state of its own.
+"""
 
 from ..cluster.cancellation_announcement import CancellationAnnouncement
 from ..cluster.cluster_state import ClusterState
@@ -10,6 +14,7 @@
 from ..state.writer import Writer
 from ..wire import users as wire
 from .cancellation import CancellationHandler
+from .context import JobRequestContext
 from .dependency_check import DependencyCheck
 from .lookup import JobLookup
 from .submission import SubmissionHandler
@@ -21,7 +26,7 @@
 class JobApi:
     """Routes requests about jobs."""
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 - wired by the application; grouped right here for the handlers
         self,
         settings: Settings,
         clock: Clock,
@@ -32,27 +37,20 @@
         announcement: CancellationAnnouncement,
     ) -> None:
         self._lookup = JobLookup(settings, cluster, watcher, client)
+        context = JobRequestContext(settings, clock, cluster, writer, self._lookup)
         dependencies = DependencyCheck(cluster, cluster.mirror, client)
-        self._submission = SubmissionHandler(
-            settings, clock, cluster, writer, self._lookup, dependencies
-        )
-        self._cancellation = CancellationHandler(
-            settings, clock, cluster, writer, announcement, self._lookup
-        )
+        self._submission = SubmissionHandler(context, dependencies)
+        self._cancellation = CancellationHandler(context, announcement)
 
     async def handle(self, request: Request) -> Response:
-        """The answer to a request under the path of jobs."""
-        match request.path.strip("/").split("/")[2:]:
-            case []:
-                if request.method != "POST":
-                    return WRONG_METHOD
+        """Returns the response to a request under the path of jobs."""
+        match request.path.strip("/").split("/")[2:], request.method:
+            case [[], "POST"]:
                 return await self._submission.handle(request)
-            case [job_id]:
-                if request.method != "GET":
-                    return WRONG_METHOD
+            case [[job_id], "GET"]:
                 return await self._lookup.show(job_id)
-            case [job_id, wire.WITHDRAW]:
-                if request.method != "POST":
-                    return WRONG_METHOD
+            case [[job_id, wire.WITHDRAW], "POST"]:
                 return await self._cancellation.handle(job_id)
+            case (([] | [_] | [_, wire.WITHDRAW]), _):
+                return WRONG_METHOD
         return NO_SUCH_PATH
--- a/crossmill/jobs/cancellation.py
+++ b/crossmill/jobs/cancellation.py
@@ -1,128 +1,138 @@
-"""Cancelling jobs."""
+"""Handler of users' requests to cancel a job.
+
+A cancellation is confirmed only once no task of the job can start any more. It writes the job's
+record; the jobs that depend on it are cancelled by that too, whatever their number
+(cluster/dependencies.py). Called by the users' interface; owns no state.
+"""
 
 import logging
 
 from ..cluster import keys
 from ..cluster.cancellation_announcement import CancellationAnnouncement
-from ..cluster.cluster_state import ClusterState
 from ..cluster.model import ACTIVE, CANCELLED, Job
 from ..cluster.records import encode_end
-from ..net.clock import Clock
 from ..net.server import Response
-from ..settings import Settings
-from ..state.writer import WriteIntent, Writer, WriteRank, WriteResult
+from ..state.writer import WriteIntent, WriteRank, WriteResult
 from ..wire import users as wire
 from ..wire.state import Put, Txn
 from ..wire.users import JobSpec
-from .lookup import NO_SUCH_JOB, NOT_NOW, JobLookup
+from .context import JobRequestContext
+from .lookup import NO_SUCH_JOB, NOT_NOW
 
 log = logging.getLogger(__name__)
 
-# how often a cancellation is begun anew when what it rested on has changed
-ATTEMPTS = 3
+# how often a cancellation is tried again when a precondition of its write has changed
+MAX_ATTEMPTS = 3
 
 
 class CancellationHandler:
-    """Answers cancellations. A confirmed one rests on the job's record alone; the jobs that need
-    it are cancelled by that, whatever their number (cluster/dependencies.py).
-    """
-
-    def __init__(
-        self,
-        settings: Settings,
-        clock: Clock,
-        cluster: ClusterState,
-        writer: Writer,
-        announcement: CancellationAnnouncement,
-        lookup: JobLookup,
-    ) -> None:
-        self._settings = settings
-        self._clock = clock
-        self._cluster = cluster
-        self._writer = writer
+    """Answers requests to cancel a job."""
+
+    def __init__(self, context: JobRequestContext, announcement: CancellationAnnouncement) -> None:
+        self._settings = context.settings
+        self._clock = context.clock
+        self._cluster = context.cluster
+        self._writer = context.writer
+        self._lookup = context.lookup
         self._announcement = announcement
-        self._lookup = lookup
 
     async def handle(self, job_id: str) -> Response:
-        """The answer to one request to cancel."""
+        """Returns the response to one request to cancel the job."""
         if not wire.is_job_id(job_id):
             return NO_SUCH_JOB
-        for _ in range(ATTEMPTS):
-            job = self._lookup.final(job_id)
-            if job is not None:
-                return Response(200, wire.status_body(job_id, job.end))
-            if not await self._lookup.is_current():
-                return NOT_NOW
-            job = self._lookup.known(job_id)
-            if job is None:
-                return await self._lookup.archived(job_id)
-            if job.end != ACTIVE or job.spec is None:
-                continue
-            # an end that comes while others are told has to undo the write
-            version = job.version
-            preconditions = await self._preconditions(job)
-            if preconditions is None:
-                return NOT_NOW
-            if await self._commit(job.id, job.spec, {keys.job(job.id): version, **preconditions}):
-                log.info("job cancelled job=%s", job_id)
-                return Response(200, wire.status_body(job_id, CANCELLED))
+        for _ in range(MAX_ATTEMPTS):
+            response = await self._try_to_cancel(job_id)
+            if response is not None:
+                return response
         return NOT_NOW
 
+    async def _try_to_cancel(self, job_id: str) -> Response | None:
+        """Returns the response, or None if the job changed meanwhile: to be tried again."""
+        job = self._lookup.final(job_id)
+        if job is not None:
+            return Response(200, wire.status_body(job_id, job.end))
+        if not await self._lookup.is_current():
+            return NOT_NOW
+        job = self._lookup.known(job_id)
+        if job is None:
+            return await self._lookup.archived(job_id)
+        if job.end != ACTIVE or job.spec is None:
+            return None
+        return await self._cancel(job, job.spec)
+
+    async def _cancel(self, job: Job, spec: JobSpec) -> Response | None:
+        # taken before the announcement: if the job ends during it, the write has to fail
+        version = job.version
+        preconditions = await self._preconditions(job)
+        if preconditions is None:
+            return NOT_NOW
+        if not await self._commit(job.id, spec, {keys.job(job.id): version, **preconditions}):
+            return None
+        log.info("job cancelled job=%s", job.id)
+        return Response(200, wire.status_body(job.id, CANCELLED))
+
     async def _preconditions(self, job: Job) -> dict[str, int] | None:
-        """What the cancellation is to rest on; None if it can't be confirmed yet."""
-        waits_for = next(self._cluster.jobs.graph.unfinished_dependencies(job), None)
-        if waits_for is not None:
-            # it has no task anywhere, and gets none before this record changes
-            return {keys.job(waits_for.id): waits_for.version}
-        # as of before the others are told: no task may move meanwhile
-        zones, plan = self._zones(job), self._versions_with_tasks(job)
-        if len(plan) > self._cluster.limits.machines_per_txn:
+        """Returns the key versions that the write needs; None if it can't be confirmed yet."""
+        dependency = next(self._cluster.jobs.graph.unfinished_dependencies(job), None)
+        if dependency is not None:
+            # the job has no task anywhere, and gets none before the dependency's record changes
+            return {keys.job(dependency.id): dependency.version}
+        # taken before the announcement: the plan must not change while it is made
+        zones, plan_versions = self._zones(job), self._versions_of_planned_chunks(job)
+        if len(plan_versions) > self._cluster.limits.machines_per_txn:
             zones.update(self._settings.zones)
         version = job.version
         preconditions = await self._announcement.announce(job.id, zones)
         if preconditions is None:
-            await self._note(job.id, version)
+            await self._write_note(job.id, version)
             return None
         if not zones.issuperset(self._settings.zones):
-            # those of other zones were not told: no task may have moved there meanwhile
-            preconditions |= plan
+            # the other zones did not hear the announcement: no task may have moved there meanwhile
+            preconditions |= plan_versions
         return preconditions
 
-    def _versions_with_tasks(self, job: Job) -> dict[str, int]:
-        """The chunks that hold tasks on machines. Where none waits, the others are done."""
+    def _versions_of_planned_chunks(self, job: Job) -> dict[str, int]:
+        """Returns the plan keys of the chunks with planned attempts, with their versions.
+
+        The other chunks have neither planned nor waiting tasks when no task of the job waits.
+        """
         return {
             keys.plan(job.id, name): chunk.version
             for name, chunk in job.chunks.items()
             if chunk.attempts
         }
 
-    async def _note(self, job_id: str, version: int) -> None:
-        """Controllers that can't be reached read the note, and say so in their keys."""
+    async def _write_note(self, job_id: str, version: int) -> None:
+        """Writes a cancellation note for the controllers that the announcement did not reach.
+
+        They read it through the state service and confirm it in their own keys, which a later
+        attempt of the user then finds.
+        """
         if job_id in self._cluster.cancellation_notes:
             return
         note = keys.cancellation_note(job_id)
         put = Put(note, {"at": self._clock.wall()})
         txn = Txn({keys.job(job_id): version, note: 0}, [put])
-        await self._writer.submit(WriteIntent(txn, WriteRank.URGENT, until=self._until()))
+        await self._writer.submit(WriteIntent(txn, WriteRank.URGENT, until=self._deadline()))
 
     async def _commit(self, job_id: str, spec: JobSpec, conditions: dict[str, int]) -> bool:
-        most_bytes = self._cluster.limits.record_bytes
-        record = encode_end(CANCELLED, spec, self._clock.wall(), most_bytes)
+        max_bytes = self._cluster.limits.record_bytes
+        record = encode_end(CANCELLED, spec, self._clock.wall(), max_bytes)
         txn = Txn(conditions, [Put(keys.job(job_id), record)])
-        intent = WriteIntent(txn, WriteRank.URGENT, until=self._until())
+        intent = WriteIntent(txn, WriteRank.URGENT, until=self._deadline())
         await self._writer.submit(intent)
-        outcome = await intent.future.wait(self._settings.submission_timeout_s)
-        return bool(outcome == WriteResult.OK)
+        result = await intent.future.wait(self._settings.submission_timeout_s)
+        return bool(result == WriteResult.OK)
 
-    def _until(self) -> float:
+    def _deadline(self) -> float:
         return self._clock.now() + self._settings.submission_timeout_s
 
     def _zones(self, job: Job) -> set[str]:
-        """Where tasks of the job are, or may be before its end is durable."""
+        """Returns the zones where tasks of the job run, or may start before its end is durable."""
         zones = {
             zone
-            for zone, number in self._cluster.machines.task_counts_by_zone(job).items()
-            if number
+            for zone, task_count in self._cluster.machines.task_counts_by_zone(job).items()
+            if task_count
         }
         if any(attempt.machine not in self._cluster.machines for attempt in job.attempts()):
             zones.update(self._settings.zones)
--- a/crossmill/jobs/cleanup.py
+++ b/crossmill/jobs/cleanup.py
@@ -1,5 +1,7 @@
-"""What is written about jobs that have ended: records brought into line, plans cleared away, notes
-deleted, and records archived.
+"""Writes about jobs that have ended, made by the owner of their shard.
+
+Records of cancelled dependents are written, plans without attempts deleted, cancellation notes
+deleted, and old records archived. Called by the scheduling loop in each round; owns no state.
 """
 
 from collections.abc import Iterator
@@ -7,7 +9,7 @@
 from ..cluster import keys
 from ..cluster.cluster_state import ClusterState
 from ..cluster.membership import Membership
-from ..cluster.model import ACTIVE, CANCELLED, Job
+from ..cluster.model import ACTIVE, CANCELLED, CancellationNote, Job
 from ..cluster.ownership import ShardOwnership
 from ..cluster.records import encode_archived, encode_end
 from ..net.clock import Clock
@@ -18,7 +20,7 @@
 
 
 class Cleanup:
-    """Each round's writes for the ended jobs of a shard, bounded in number."""
+    """Makes each round's writes for the ended jobs of a shard, bounded in number."""
 
     def __init__(
         self, settings: Settings, clock: Clock, cluster: ClusterState, membership: Membership
@@ -29,12 +31,12 @@
         self._membership = membership
 
     def intents(self, shard: int, ownership: ShardOwnership) -> list[WriteIntent]:
-        """All that is due for the shard's ended jobs."""
-        most = self._cluster.limits.txn_ops
+        """Returns all writes that are due for the shard's ended jobs."""
+        max_txns = self._cluster.limits.txn_ops
         txns = [
-            *self._record_cancelled(shard)[:most],
-            *self._clear_plans(shard, most),
-            *self._forget_notes(shard)[:most],
+            *self._record_cancellations(shard)[:max_txns],
+            *self._delete_plans(shard, max_txns),
+            *self._delete_notes(shard)[:max_txns],
             *self._archive(shard),
         ]
         return [
@@ -42,31 +44,33 @@
             for txn in txns
         ]
 
-    def _record_cancelled(self, shard: int) -> list[Txn]:
-        """Jobs cancelled with one that they need: their records follow within the write rate."""
+    def _record_cancellations(self, shard: int) -> list[Txn]:
+        """Writes the records of jobs that were cancelled because a dependency was cancelled."""
         txns: list[Txn] = []
         for job in list(self._cluster.jobs.unrecorded_cancellations[shard].values()):
             if job.spec is not None:
                 key = keys.job(job.id)
-                most_bytes = self._cluster.limits.record_bytes
-                value = encode_end(CANCELLED, job.spec, self._clock.wall(), most_bytes)
+                max_bytes = self._cluster.limits.record_bytes
+                value = encode_end(CANCELLED, job.spec, self._clock.wall(), max_bytes)
                 txns.append(Txn({key: job.version}, [Put(key, value)]))
         return txns
 
-    def _clear_plans(self, shard: int, most: int) -> list[Txn]:
-        """An ended job's plan goes once nothing of it can be on a machine."""
+    def _delete_plans(self, shard: int, max_txns: int) -> list[Txn]:
+        """Deletes an ended job's plan chunks that have no attempt on a machine any more."""
         txns: list[Txn] = []
         for job in list(self._cluster.jobs.ended[shard].values()):
-            for name, version in self._clearable(job):
-                if len(txns) >= most:
+            for name, version in self._deletable_chunks(job):
+                if len(txns) >= max_txns:
                     return txns
                 key = keys.plan(job.id, name)
                 txns.append(Txn({key: version}, [], [key]))
         return txns
 
-    def _clearable(self, job: Job) -> Iterator[tuple[str, int]]:
-        """Chunks with no task on a machine. Copies of a chunk go before it: its deletion would
-        put them in force.
+    def _deletable_chunks(self, job: Job) -> Iterator[tuple[str, int]]:
+        """Yields names and versions of the job's chunks without attempts.
+
+        Staged copies of a legacy chunk go before the chunk itself, whose deletion would make them
+        effective.
         """
         layout = self._cluster.layout
         copied: set[str] = set()
@@ -79,37 +83,40 @@
             if not chunk.attempts and name not in copied:
                 yield name, chunk.version
 
-    def _forget_notes(self, shard: int) -> list[Txn]:
-        """Notes of jobs that have ended, or whose users have long given up cancelling them."""
+    def _delete_notes(self, shard: int) -> list[Txn]:
+        """Deletes cancellation notes of ended jobs, and notes that are older than their TTL."""
         txns: list[Txn] = []
         for job_id, note in self._cluster.cancellation_notes.items():
             job = self._cluster.jobs.get(job_id)
+            # the first shard's owner sees to the notes of jobs that are not known
             if (job.shard if job is not None else 0) != shard:
                 continue
-            if (
-                job is None
-                or job.end != ACTIVE
-                or self._clock.wall() - note.written_at > self._settings.cancellation_note_ttl_s
-            ):
+            if job is None or job.end != ACTIVE or self._is_expired(note):
                 key = keys.cancellation_note(job_id)
                 txns.append(Txn({key: note.version}, [], [key]))
         return txns
 
+    def _is_expired(self, note: CancellationNote) -> bool:
+        age_s = self._clock.wall() - note.written_at
+        return age_s > self._settings.cancellation_note_ttl_s
+
     def _archive(self, shard: int) -> list[Txn]:
-        """What has long been over leaves memory, watch and start, but is never forgotten. Each
-        archiving raises a counter that accepting a job with dependencies rests on.
+        """Moves records of old jobs out of memory and the watch into the archive.
+
+        Archived jobs are never deleted. Each archiving raises a counter, which is a condition of
+        the write that accepts a job with many dependencies (jobs/submission.py).
         """
-        over = self._cluster.jobs.archivable[shard]
-        excess = len(over) - self._settings.max_ended_jobs
+        archivable = self._cluster.jobs.archivable[shard]
+        excess = len(archivable) - self._settings.max_ended_jobs
         if excess <= 0:
             return []
         mirror = self._cluster.mirror
         counter = mirror.value(keys.ARCHIVINGS) or {"n": 0}
         txn = Txn({keys.ARCHIVINGS: mirror.version(keys.ARCHIVINGS)})
         txn.puts.append(Put(keys.ARCHIVINGS, {"n": counter["n"] + 1}))
-        most = max(1, (self._cluster.limits.txn_ops - 1) // 2)
-        for job in over.values():
-            if len(txn.deletes) >= min(most, excess):
+        max_jobs = max(1, (self._cluster.limits.txn_ops - 1) // 2)
+        for job in archivable.values():
+            if len(txn.deletes) >= min(max_jobs, excess):
                 break
             if self._is_archivable(job):
                 key = keys.job(job.id)
@@ -119,9 +126,10 @@
         return [txn] if txn.deletes else []
 
     def _is_archivable(self, job: Job) -> bool:
-        """Its record says how it ended, and rests on no other, nor another on it. Every job
-        that names it was accepted while it was unfinished, so before its last revision: only
-        once all up to that has been seen are all such jobs known.
+        """Whether the job's record says how it ended, and no unfinished job depends on it.
+
+        Every job that names it as a dependency was accepted while it was unfinished, so before
+        its last revision: all such jobs are known only once the mirror is past that revision.
         """
         return (
             job.spec is not None
--- a/crossmill/jobs/dependency_check.py
+++ b/crossmill/jobs/dependency_check.py
@@ -1,6 +1,7 @@
-"""Resolves the jobs that a submission names, wherever their records are."""
+"""Resolution of the jobs that a submission names as its dependencies.
 
-from dataclasses import dataclass, field
+Called by the submission handler. Owns a bounded cache of the ends of archived jobs.
+"""
 
 from ..cluster import keys
 from ..cluster.cluster_state import ClusterState
@@ -8,30 +9,39 @@
 from ..state.client import OutcomeUnknownError, RequestRefusedError, StateClient
 from ..state.mirror import Mirror
 
-# ends of archived jobs that are remembered; they never change
-REMEMBERED_ENDS = 1000
+# archived jobs whose ends are cached; they never change
+MAX_CACHED_ENDS = 1000
 
 
-class DependencyRefusedError(Exception):
-    """The submission can never be accepted; the text says why."""
+class DependencyError(Exception):
+    """A submission's dependencies could not be resolved; base of the errors of this module."""
 
 
-class DependencyUnknownError(Exception):
-    """It can't be said now whether a job that is named was accepted."""
+class DependencyRefusedError(DependencyError):
+    """The submission can never be accepted; the text tells the user why."""
+
+
+class DependencyUnknownError(DependencyError):
+    """It is unknown at present whether a job that is named was accepted; a retry may succeed."""
 
 
-@dataclass(slots=True, eq=False)
 class Dependencies:
-    """What the jobs named by a submission come to."""
+    """The state of the jobs that a submission names."""
+
+    __slots__ = ("is_cancelled", "unfinished")
 
-    # with the versions at which their records were seen to be unfinished
-    unfinished: dict[str, int] = field(default_factory=dict)
-    is_cancelled: bool = False
+    def __init__(self) -> None:
+        # by job id, the version at which the record was seen to be unfinished
+        self.unfinished: dict[str, int] = {}
+        # whether one of the jobs was cancelled, and with it the job that is submitted
+        self.is_cancelled = False
 
 
 class DependencyCheck:
-    """Reads what the mirror does not hold straight from the state service: the job's key, then
-    the archive, in the order in which a record moves, so that none is missed.
+    """Resolves dependencies from the mirror or, where it lacks a record, from the state service.
+
+    There the job's key is read first and the archive second, in the order in which a record
+    moves, so that none is missed.
     """
 
     def __init__(self, cluster: ClusterState, mirror: Mirror, client: StateClient) -> None:
@@ -41,15 +51,18 @@
         self._archived_ends: dict[str, str] = {}
 
     async def resolve(self, job_id: str, dependency_ids: tuple[str, ...]) -> Dependencies:
-        """Raises DependencyRefusedError or DependencyUnknownError when a job can't be waited
-        for.
+        """Returns the state of the dependencies of the job.
+
+        Raises:
+            DependencyRefusedError: A job that is named can't be waited for.
+            DependencyUnknownError: The state service did not answer.
         """
         result = Dependencies()
         for dependency_id in dependency_ids:
             if dependency_id == job_id:
                 raise DependencyRefusedError("a job can't wait for itself")
-            job = self._at_hand(dependency_id) or await self._read(dependency_id)
-            if job is not None and job.spec is not None and job.spec.kind == "service":
+            job = self._known(dependency_id) or await self._read(dependency_id)
+            if job is not None and job.spec is not None and job.spec.is_service:
                 raise DependencyRefusedError(f"{dependency_id} is a service and is never done")
             end = job.end if job is not None else await self._archived_end(dependency_id)
             if end == CANCELLED:
@@ -58,32 +71,33 @@
                 result.unfinished[dependency_id] = job.version
         return result
 
-    def _at_hand(self, dependency_id: str) -> Job | None:
+    def _known(self, dependency_id: str) -> Job | None:
         job = self._cluster.jobs.get(dependency_id)
         return job if job is not None and job.spec is not None else None
 
     async def _read(self, dependency_id: str) -> Job | None:
+        """Reads the job's record from the state service into the mirror."""
         if dependency_id in self._archived_ends:
             return None
         try:
-            row = await self._client.get(keys.job(dependency_id))
+            record = await self._client.get(keys.job(dependency_id))
         except (RequestRefusedError, OutcomeUnknownError) as exc:
             raise DependencyUnknownError(dependency_id) from exc
-        if row is not None:
-            self._mirror.merge_read(row)
-        return self._at_hand(dependency_id)
+        if record is not None:
+            self._mirror.merge_read(record)
+        return self._known(dependency_id)
 
     async def _archived_end(self, dependency_id: str) -> str:
         end = self._archived_ends.get(dependency_id)
         if end is not None:
             return end
         try:
-            row = await self._client.get(keys.archived(dependency_id))
+            record = await self._client.get(keys.archived(dependency_id))
         except (RequestRefusedError, OutcomeUnknownError) as exc:
             raise DependencyUnknownError(dependency_id) from exc
-        if row is None:
+        if record is None:
             raise DependencyRefusedError(f"{dependency_id} was never accepted")
-        if len(self._archived_ends) >= REMEMBERED_ENDS:
+        if len(self._archived_ends) >= MAX_CACHED_ENDS:
             self._archived_ends.pop(next(iter(self._archived_ends)))
-        end = self._archived_ends[dependency_id] = str(row.value["end"])
+        end = self._archived_ends[dependency_id] = str(record.value["end"])
         return end
--- a/crossmill/jobs/failures.py
+++ b/crossmill/jobs/failures.py
@@ -1,6 +1,8 @@
-"""Failures of tasks: which jobs are tried more rarely, and which machines are suspected."""
+"""Failures of tasks: decides which jobs are retried more rarely and which machines are faulty.
 
-from dataclasses import dataclass, field
+Owns the failures seen since this process began; they are not stored. The scheduling loop records
+outcomes, placement and machine maintenance ask.
+"""
 
 from ..cluster.cluster_state import ClusterState
 from ..cluster.model import Job
@@ -8,75 +10,85 @@
 from ..settings import Settings
 from ..workers.attempt_outcomes import AttemptOutcome, EndReason
 
-# failing on so many machines, a job itself is at fault, or at least suspected
+# a job that failed on this many machines is suspected to be the cause itself
 SUSPECT_MACHINES = 2
-FAULTY_MACHINES = 3
-# so many jobs that failed on a machine, and on hardly any other, make it a faulty one
-FAULTY_JOBS = 2
-# doublings of the wait before a failed job is tried again
-MOST_DOUBLINGS = 8
+# a job that failed on this many machines and never succeeded is the cause
+JOB_AT_FAULT_MACHINES = 3
+# a machine is faulty if this many jobs failed on it that are not the cause themselves
+FAULTY_MACHINE_JOBS = 2
+# bounds the exponent of the retry backoff
+MAX_BACKOFF_DOUBLINGS = 8
 
 
-@dataclass(slots=True, eq=False)
 class JobFailures:
-    """A job whose tasks failed: where, and when the next may be tried."""
+    """The failures of one job's tasks."""
 
-    machines: set[str] = field(default_factory=set)
-    failures: int = 0
-    succeeded: bool = False
-    not_before: float = 0.0
+    __slots__ = ("failures", "machines", "not_before", "succeeded")
+
+    def __init__(self) -> None:
+        # machines on which tasks of the job failed
+        self.machines: set[str] = set()
+        self.failures = 0
+        self.succeeded = False
+        # when the next task of the job may be placed (the controller's own clock)
+        self.not_before = 0.0
 
     @property
     def is_suspect(self) -> bool:
-        """Whether only one of its tasks is tried at a time."""
+        """Whether the job itself may be the cause, so that only one task is tried at a time."""
         return len(self.machines) >= SUSPECT_MACHINES and not self.succeeded
 
 
 class TaskFailures:
-    """What failed since this process began; forgotten with the jobs."""
+    """Failures by job and by machine since this process began."""
 
     def __init__(self, settings: Settings, clock: Clock, cluster: ClusterState) -> None:
         self._settings = settings
         self._clock = clock
         self._cluster = cluster
         self._by_job: dict[str, JobFailures] = {}
-        # the jobs that failed on a machine, and on hardly any other
+        # the jobs that failed on a machine, except those that are the cause themselves
         self._by_machine: dict[str, set[str]] = {}
 
     def of(self, job_id: str) -> JobFailures | None:
-        """The job's failures, if any of its tasks was over."""
+        """Returns the job's failures; None if none of its tasks has ended yet."""
         return self._by_job.get(job_id)
 
     def is_faulty(self, machine_id: str) -> bool:
-        """Whether several jobs failed on the machine."""
-        return len(self._by_machine.get(machine_id, ())) >= FAULTY_JOBS
+        """Whether so many jobs failed on the machine that the machine is the cause."""
+        return len(self._by_machine.get(machine_id, ())) >= FAULTY_MACHINE_JOBS
 
     def record(self, job: Job, outcome: AttemptOutcome) -> None:
-        """An attempt of the job is over."""
+        """Records that an attempt of the job has ended."""
         entry = self._by_job.setdefault(job.id, JobFailures())
         machine = outcome.attempt.machine
         if outcome.reason == EndReason.DONE:
             entry.succeeded = True
             self._by_machine.pop(machine, None)
         elif outcome.reason in (EndReason.ERROR, EndReason.UNKNOWN):
-            self._failed(job, entry, machine, outcome.reason == EndReason.UNKNOWN)
+            self._record_failure(job, entry, outcome)
 
-    def _failed(self, job: Job, entry: JobFailures, machine: str, is_unknown: bool) -> None:
+    def _record_failure(self, job: Job, entry: JobFailures, outcome: AttemptOutcome) -> None:
+        machine = outcome.attempt.machine
         entry.failures += 1
         entry.machines.add(machine)
-        # a job that fails on several machines is itself at fault, and is tried ever more
-        # rarely; it says nothing against the machines
-        if len(entry.machines) >= SUSPECT_MACHINES or is_unknown:
-            wait_s = self._settings.heartbeat_interval_s * 2 ** min(entry.failures, MOST_DOUBLINGS)
-            entry.not_before = self._clock.now() + min(wait_s, self._settings.max_retry_backoff_s)
-        if len(entry.machines) < FAULTY_MACHINES or entry.succeeded:
+        # a job that fails on several machines is the cause itself: it is retried ever more
+        # rarely, and its failures don't count against the machines
+        if len(entry.machines) >= SUSPECT_MACHINES or outcome.reason == EndReason.UNKNOWN:
+            entry.not_before = self._clock.now() + self._backoff_s(entry)
+        if len(entry.machines) < JOB_AT_FAULT_MACHINES or entry.succeeded:
             self._by_machine.setdefault(machine, set()).add(job.id)
         else:
             for suspected in entry.machines:
                 self._by_machine.get(suspected, set()).discard(job.id)
 
+    def _backoff_s(self, entry: JobFailures) -> float:
+        factor: int = 2 ** min(entry.failures, MAX_BACKOFF_DOUBLINGS)
+        wait_s = self._settings.heartbeat_interval_s * factor
+        return min(wait_s, self._settings.max_retry_backoff_s)
+
     def forget_ended(self, shard: int) -> None:
-        """Drops what is kept of the shard's jobs that are no longer unfinished."""
+        """Drops the failures of the shard's jobs that are no longer active."""
         active = self._cluster.jobs.active[shard]
         self._by_job = {
             job_id: entry
--- a/crossmill/jobs/machine_maintenance.py
+++ b/crossmill/jobs/machine_maintenance.py
@@ -1,99 +1,124 @@
-"""A shard's machines: which are up, which are given up, which go to another shard."""
+"""Maintenance of a shard's machines: records which have come up, and retires others.
+
+Called by the scheduling loop in each round. Owns which zones were silent lately; the cloud returns
+a machine once its record says that it is retiring (fleet/provisioner.py).
+"""
 
 import logging
 from collections import Counter
+from enum import StrEnum
 from math import inf
 from typing import Any
 
 from ..cluster import keys
-from ..cluster.cluster_state import ClusterState
 from ..cluster.lease_expiry_proof import LeaseExpiryProof
 from ..cluster.membership import Membership
 from ..cluster.model import Machine
 from ..cluster.ownership import ShardOwnership
-from ..fleet.forecast import DemandForecast
-from ..net.clock import Clock
-from ..settings import Settings
 from ..state.writer import WriteIntent, WriteRank
+from ..wire.cloud import MachineType
 from ..wire.state import Put, Txn
-from ..workers.heartbeat_handler import HeartbeatHandler
+from ..workers.views import WorkerView
+from .context import SchedulingContext
 from .failures import TaskFailures
-from .machine_transfer import MachineTransfer
-from .preemption import Preemption
+from .machine_drain import MachineDrain
 from .shard_writes import shard_intent
 
 log = logging.getLogger(__name__)
 
 
+class RetireReason(StrEnum):
+    """Why a machine is retired; the values are stored in its record."""
+
+    # no heartbeat for longer than its worker's lease
+    SILENT = "silent"
+    # never reported, long after it should have booted
+    NEVER_UP = "never-up"
+    # several jobs failed on it
+    FAULTY = "faulty"
+    # its replicas were moved to other machines
+    DRAINED = "drained"
+    # nothing ran on it for a while, and nothing is expected to
+    IDLE = "idle"
+
+
 class MachineMaintenance:
-    """Finds machines that have come up, are to be given up, or to be given to another shard."""
+    """Finds machines that have come up, or are to be retired."""
 
     def __init__(
         self,
-        settings: Settings,
-        clock: Clock,
-        cluster: ClusterState,
+        context: SchedulingContext,
         membership: Membership,
-        heartbeats: HeartbeatHandler,
-        forecast: DemandForecast,
         expiry_proof: LeaseExpiryProof,
-        preemption: Preemption,
-        machine_transfer: MachineTransfer,
+        machine_drain: MachineDrain,
         failures: TaskFailures,
     ) -> None:
-        self._settings = settings
-        self._clock = clock
-        self._cluster = cluster
+        self._settings = context.settings
+        self._clock = context.clock
+        self._cluster = context.cluster
+        self._heartbeats = context.heartbeats
+        self._forecast = context.forecast
         self._membership = membership
-        self._heartbeats = heartbeats
-        self._forecast = forecast
         self._expiry_proof = expiry_proof
-        self._preemption = preemption
-        self._machine_transfer = machine_transfer
+        self._machine_drain = machine_drain
         self._failures = failures
-        self._looked_at: dict[int, float] = {}
-        self._spare_at: dict[int, float] = {}
+        # by shard
+        self._checked_at: dict[int, float] = {}
+        self._spare_checked_at: dict[int, float] = {}
+        # by shard and zone, until when the zone counts as silent
         self._silent_until: dict[tuple[int, str], float] = {}
 
-    def maintenance_writes(
+    def writes(
         self, shard: int, ownership: ShardOwnership, machines: list[Machine]
     ) -> list[WriteIntent]:
-        """Writes for machines that have come up or are to go. What is found out here changes with
-        reports and boots, so rounds between two reports find little that is new.
+        """Returns the writes for machines that have come up or are to be retired.
+
+        Limited to one check in an interval: what it reads changes with heartbeats and boots, so
+        rounds between two heartbeats find little that is new.
         """
         now = self._clock.now()
-        if now - self._looked_at.get(shard, -inf) < self._settings.maintenance_interval_s:
+        if now - self._checked_at.get(shard, -inf) < self._settings.maintenance_interval_s:
             return []
-        self._looked_at[shard] = now
-        intents = self._came_up(shard, ownership, machines)
-        cut = self._silent_zones(shard, machines, now)
-        spare = self._spare(shard, machines, now)
+        self._checked_at[shard] = now
+        intents = self._up_writes(shard, ownership, machines)
+        silent_zones = self._silent_zones(shard, machines, now)
+        spare = self._spare_machines(shard, machines, now)
         for machine in machines:
-            # many silent at once is a cut or our own trouble, not the machines': in a zone that
-            # is cut off its workers may be kept alive, and are worth waiting for
-            patience = self._settings.worker_lease_expiry_s
-            if machine.zone in cut:
-                patience += self._settings.partition_keepalive_s
-            if machine.retiring or now - ownership.acquired_at < patience:
+            timeout_s = self._settings.worker_lease_expiry_s
+            if machine.zone in silent_zones:
+                # many silent machines are a partition or a fault of this controller, not of the
+                # machines: in a partitioned zone a peer may keep the workers alive
+                timeout_s += self._settings.partition_keepalive_s
+            if machine.retiring or now - ownership.acquired_at < timeout_s:
                 continue
-            why = self._fault(machine, now, patience, spare)
-            if why and (
-                self._heartbeats.gate is None or self._heartbeats.gate.may_give_up(machine, why)
-            ):
-                log.info("machine retired machine=%s reason=%s", machine.id, why)
-                intents.append(self._intent(shard, ownership, machine, machine.encode(why, True)))
+            reason = self._retire_reason(machine, now, timeout_s, spare)
+            if reason is not None and self._may_retire(machine, reason):
+                log.info("machine retired machine=%s reason=%s", machine.id, reason)
+                value = machine.encode(reason, True)
+                intents.append(self._intent(shard, ownership, machine, value))
         return intents
 
-    def _came_up(
+    def _may_retire(self, machine: Machine, reason: RetireReason) -> bool:
+        gate = self._heartbeats.gate
+        return gate is None or gate.may_give_up(machine, reason)
+
+    def _intent(
+        self, shard: int, ownership: ShardOwnership, machine: Machine, value: dict[str, Any]
+    ) -> WriteIntent:
+        key = keys.machine(machine.id)
+        txn = Txn({key: machine.version}, [Put(key, value)])
+        return shard_intent(self._membership, shard, ownership, WriteRank.BACKGROUND, txn)
+
+    def _up_writes(
         self, shard: int, ownership: ShardOwnership, machines: list[Machine]
     ) -> list[WriteIntent]:
-        """Writes for machines that have reported for the first time, with how long they booted."""
+        """Returns writes for machines that sent their first heartbeat, with their boot times."""
         intents: list[WriteIntent] = []
         for machine in machines:
             view = self._heartbeats.find_view(machine.id)
             if machine.up or view is None or not view.trusted:
                 continue
-            # a type that no catalogue has is not an ordinary machine's: nothing is learned of it
+            # boot times are learned only for types that the catalog has
             boot_s = None
             if machine.type in self._cluster.catalog:
                 boot_s = round(self._clock.wall() - machine.rented, 1)
@@ -109,9 +134,10 @@
         return intents
 
     def _silent_zones(self, shard: int, machines: list[Machine], now: float) -> set[str]:
-        """ZoneAllowance of which most machines that have been up are not heard, or were not until a
-        moment ago: they fall silent and come back one by one, and none should be given up for
-        being the first or the last.
+        """Returns the zones where most machines that were up are silent, or were until recently.
+
+        Machines of a partitioned zone fall silent and come back one by one. None should be
+        retired because it was the first to fall silent or the last to come back.
         """
         up: Counter[str] = Counter()
         silent: Counter[str] = Counter()
@@ -121,80 +147,76 @@
                 up[machine.zone] += 1
                 if view is None or not view.is_fresh(now, self._settings.heartbeat_timeout_s):
                     silent[machine.zone] += 1
-        for zone, number in silent.items():
-            if 2 * number > up[zone] and (
-                number > 1 or self._expiry_proof.is_zone_unreachable(zone)
+        for zone, silent_count in silent.items():
+            if 2 * silent_count > up[zone] and (
+                silent_count > 1 or self._expiry_proof.is_zone_unreachable(zone)
             ):
                 self._silent_until[shard, zone] = now + self._settings.worker_lease_s
-        return {z for (k, z), until in self._silent_until.items() if k == shard and now < until}
-
-    def transfer_writes(
-        self, shard: int, ownership: ShardOwnership, machines: list[Machine]
-    ) -> dict[str, WriteIntent]:
-        """Empty machines go to the shard they are given to under a token drawn for them alone,
-        so that nothing said by this shard's owner is obeyed afterwards. One at a time: each
-        raises the counter that all tokens come from.
-        """
-        for machine in machines if self._machine_transfer.has_any else ():
-            target = self._machine_transfer.target(machine)
-            if target is not None:
-                token, version = self._membership.next_token()
-                value = machine.encode(moved=(target, token))
-                intent = self._intent(shard, ownership, machine, value)
-                intent.txn.conditions[keys.TOKEN] = version
-                intent.txn.puts.append(Put(keys.TOKEN, {"n": token}))
-                return {machine.id: intent}
-        return {}
+        return {
+            zone
+            for (of_shard, zone), until in self._silent_until.items()
+            if of_shard == shard and now < until
+        }
 
-    def _intent(
-        self, shard: int, ownership: ShardOwnership, machine: Machine, value: dict[str, Any]
-    ) -> WriteIntent:
-        key = keys.machine(machine.id)
-        txn = Txn({key: machine.version}, [Put(key, value)])
-        return shard_intent(self._membership, shard, ownership, WriteRank.BACKGROUND, txn)
+    def _spare_machines(self, shard: int, machines: list[Machine], now: float) -> set[str]:
+        """Returns machines that neither waiting nor expected tasks would use.
 
-    def _spare(self, shard: int, machines: list[Machine], now: float) -> set[str]:
-        """Machines that neither waiting nor expected tasks would use; looked for only when
-        some machine has been empty for long enough, and no more often than workers report.
+        The forecast is costly: it is asked only if some machine has been empty for long enough,
+        and no more often than workers send heartbeats.
         """
-        if now - self._spare_at.get(shard, 0.0) < self._settings.heartbeat_interval_s:
+        checked_at = self._spare_checked_at.get(shard, 0.0)
+        if now - checked_at < self._settings.heartbeat_interval_s:
             return set()
-        for machine in machines:
-            view = self._heartbeats.find_view(machine.id)
-            since = view.idle_since if view is not None else None
-            if (
-                since is not None
-                and now - since > self._settings.idle_machine_timeout_s
-                and not machine.retiring
-            ):
-                self._spare_at[shard] = now
-                return self._forecast.plan(shard).spare_machines
-        return set()
+        if not any(not m.retiring and self._is_idle(m, now) for m in machines):
+            return set()
+        self._spare_checked_at[shard] = now
+        return self._forecast.plan(shard).spare_machines
 
-    def _fault(self, machine: Machine, now: float, patience: float, spare: set[str]) -> str:
+    def _is_idle(self, machine: Machine, now: float) -> bool:
+        """Whether the machine has been empty for longer than the timeout."""
+        view = self._heartbeats.find_view(machine.id)
+        since = view.idle_since if view is not None else None
+        return since is not None and now - since > self._settings.idle_machine_timeout_s
+
+    def _retire_reason(
+        self, machine: Machine, now: float, timeout_s: float, spare: set[str]
+    ) -> RetireReason | None:
+        """Returns why the machine is to be retired; None if it stays."""
         view = self._heartbeats.find_view(machine.id)
         kind = self._cluster.catalog.get(machine.type)
         if view is None or kind is None:
-            return ""
+            return None
         if not view.trusted:
-            if now - view.answered_at <= patience:
-                return ""
-            if machine.up or view.answered:
-                # an earlier owner has heard it: half a fleet was once taken for never come up
-                # by whoever took over while its zone was cut off
-                return "silent"
-            has_failed = self._forecast.boot_times.has_failed(machine, kind, self._clock.wall())
-            return "never-up" if has_failed else ""
-        if not view.is_fresh(now, patience):
-            return "silent"
+            if now - view.answered_at <= timeout_s:
+                return None
+            return self._reason_without_heartbeat(machine, view, kind)
+        if not view.is_fresh(now, timeout_s):
+            return RetireReason.SILENT
         if self._failures.is_faulty(machine.id):
-            return "faulty" if not machine.attempts else ""
+            return RetireReason.FAULTY if not machine.attempts else None
+        return self._reason_when_empty(machine, view, now, spare)
+
+    def _reason_without_heartbeat(
+        self, machine: Machine, view: WorkerView, kind: MachineType
+    ) -> RetireReason | None:
+        """Returns the reason for a machine that this owner has no trusted heartbeat of."""
+        if machine.up or view.answered:
+            # an earlier owner has heard it. Without this check, a controller that took a shard
+            # over while its zone was partitioned took half a fleet for never come up
+            return RetireReason.SILENT
+        has_failed = self._forecast.boot_times.has_failed(machine, kind, self._clock.wall())
+        return RetireReason.NEVER_UP if has_failed else None
+
+    def _reason_when_empty(
+        self, machine: Machine, view: WorkerView, now: float, spare: set[str]
+    ) -> RetireReason | None:
+        """Notes since when the machine is empty; returns the reason if it has been for long."""
         if machine.attempts or view.tasks:
             view.idle_since = None
         elif view.idle_since is None:
             view.idle_since = now
-        elif machine.id in self._preemption.draining:
-            return "drained"
-        elif now - view.idle_since > self._settings.idle_machine_timeout_s and machine.id in spare:
-            return "idle"
-        return ""
+        elif self._machine_drain.is_draining(machine.id):
+            return RetireReason.DRAINED
+        elif machine.id in spare and self._is_idle(machine, now):
+            return RetireReason.IDLE
+        return None
--- a/crossmill/jobs/machine_transfer.py
+++ b/crossmill/jobs/machine_transfer.py
@@ -1,159 +1,227 @@
-"""Machines given to another shard, whose tasks find no room while the cloud has none.
+"""Transfers of machines to another shard whose tasks find no capacity while the cloud has none.
 
-Every controller sees the same durable facts, so each works out by itself what the others lack
-and which shard has most to give; only a machine's present owner moves it (docs/safety.md).
+Every controller sees the same durable facts, so each works out by itself what the other shards lack
+and which shard can spare most; only a machine's present owner transfers it (docs/safety.md). Called
+by the scheduling loop; owns which machines are to leave their shard.
 """
 
 import logging
 from collections.abc import Iterator
+from typing import NamedTuple
 
-from ..cluster.cluster_state import ClusterState
-from ..cluster.model import Machine, PlannedAttempt
-from ..fleet.forecast import DemandForecast
-from ..net.clock import Clock
+from ..cluster import keys
+from ..cluster.membership import Membership
+from ..cluster.model import Job, Machine, PlannedAttempt
+from ..cluster.ownership import ShardOwnership
 from ..planning.demand import TaskDemand, slots_on
 from ..planning.free_capacity import is_allowed
-from ..settings import Settings
+from ..state.writer import WriteIntent, WriteRank
+from ..wire.state import Put, Txn
 from ..workers.attempt_outcomes import StopReason
-from ..workers.heartbeat_handler import HeartbeatHandler
+from .context import SchedulingContext
+from .shard_writes import shard_intent
 
 log = logging.getLogger(__name__)
 
 
+class PlannedTransfer(NamedTuple):
+    """The shard that a machine goes to once it is empty, and until when that is tried."""
+
+    shard: int
+    until: float
+
+
 class MachineTransfer:
-    """Chooses machines that are given to a shard whose jobs find no room."""
-
-    def __init__(
-        self,
-        settings: Settings,
-        clock: Clock,
-        cluster: ClusterState,
-        heartbeats: HeartbeatHandler,
-        forecast: DemandForecast,
-    ) -> None:
-        self._settings = settings
-        self._clock = clock
-        self._cluster = cluster
-        self._heartbeats = heartbeats
-        self._forecast = forecast
-        # machines that go to another shard once they are empty, and until when that is tried
-        self._leaving: dict[str, tuple[int, float]] = {}
+    """Chooses machines for shards whose jobs find no capacity, and writes their transfers."""
+
+    def __init__(self, context: SchedulingContext, membership: Membership) -> None:
+        self._settings = context.settings
+        self._clock = context.clock
+        self._cluster = context.cluster
+        self._heartbeats = context.heartbeats
+        self._forecast = context.forecast
+        self._membership = membership
+        # by machine
+        self._leaving: dict[str, PlannedTransfer] = {}
+        # by job, until when the machines chosen for it are waited for
         self._pending_until: dict[str, float] = {}
-        self._looked_at: dict[int, float] = {}
+        # by shard
+        self._checked_at: dict[int, float] = {}
+
+    def is_leaving(self, machine_id: str) -> bool:
+        """Whether the machine goes to another shard once it is empty."""
+        return machine_id in self._leaving
 
     def target(self, machine: Machine) -> int | None:
-        """The shard that the machine is to go to now: nothing is on it or may come to it."""
-        entry = self._leaving.get(machine.id)
+        """Returns the shard that the machine may go to now.
+
+        None if it stays, a task is on it, or a start sent to it may still arrive.
+        """
+        planned = self._leaving.get(machine.id)
         view = self._heartbeats.find_view(machine.id)
-        if entry is None or view is None or machine.attempts or view.tasks or machine.retiring:
+        if planned is None or view is None or machine.attempts or view.tasks or machine.retiring:
             return None
-        return None if self._heartbeats.unacknowledged.get(machine.id) else entry[0]
+        return None if self._heartbeats.unacknowledged.get(machine.id) else planned.shard
 
-    def is_leaving(self, machine_id: str) -> bool:
-        """Whether the machine goes to another shard once it is empty."""
-        return machine_id in self._leaving
+    def writes(
+        self, shard: int, ownership: ShardOwnership, machines: list[Machine]
+    ) -> dict[str, WriteIntent]:
+        """Returns the write that transfers a machine, by the machine's id; empty if none is due.
 
-    @property
-    def has_any(self) -> bool:
-        """Whether any machine is to go to another shard."""
-        return bool(self._leaving)
+        The machine gets a fencing token of its own, higher than all before, so that its worker
+        obeys no command of this shard's owner afterwards. One machine at a time: each write raises
+        the counter that all tokens come from.
+        """
+        for machine in machines if self._leaving else ():
+            target = self.target(machine)
+            if target is not None:
+                token, version = self._membership.next_token()
+                key = keys.machine(machine.id)
+                txn = Txn({key: machine.version}, [Put(key, machine.encode(moved=(target, token)))])
+                intent = shard_intent(self._membership, shard, ownership, WriteRank.BACKGROUND, txn)
+                intent.txn.conditions[keys.TOKEN] = version
+                intent.txn.puts.append(Put(keys.TOKEN, {"n": token}))
+                return {machine.id: intent}
+        return {}
 
     def forget_transferred(self, machine_id: str) -> None:
-        """The machine has gone."""
+        """Drops the machine, whose transfer is durable."""
         self._leaving.pop(machine_id, None)
 
-    def choose_machines(self, shard: int, machines: list[Machine]) -> Iterator[PlannedAttempt]:
-        """Chooses machines to give; yields the attempts to be stopped for it."""
+    def choose_machines(self, shard: int) -> Iterator[PlannedAttempt]:
+        """Chooses machines of the shard for other shards; yields the attempts to be stopped."""
         now = self._clock.now()
-        for machine_id, (to, until) in list(self._leaving.items()):
-            machine = self._cluster.machines.get(machine_id)
-            if machine is None or machine.shard == to or machine.retiring or now > until:
-                del self._leaving[machine_id]
-        if now - self._looked_at.get(shard, 0.0) < self._settings.machine_transfer_interval_s:
+        self._drop_finished(now)
+        if now - self._checked_at.get(shard, 0.0) < self._settings.machine_transfer_interval_s:
             return
-        self._looked_at[shard] = now
+        self._checked_at[shard] = now
         wall = self._clock.wall()
         for other in range(self._settings.shard_count):
             if other == shard or other not in self._cluster.shard_owners:
                 continue
             for demand in self._forecast.unplaced_demands(other, wall):
-                yield from self._give(shard, other, demand, machines, wall)
+                yield from self._choose_for(demand, shard, other, wall)
 
-    def _give(
-        self, shard: int, other: int, demand: TaskDemand, machines: list[Machine], wall: float
+    def _drop_finished(self, now: float) -> None:
+        for machine_id, planned in list(self._leaving.items()):
+            machine = self._cluster.machines.get(machine_id)
+            if (
+                machine is None
+                or machine.shard == planned.shard
+                or machine.retiring
+                or now > planned.until
+            ):
+                del self._leaving[machine_id]
+
+    def _choose_for(
+        self, demand: TaskDemand, shard: int, other: int, wall: float
     ) -> Iterator[PlannedAttempt]:
+        """Chooses machines for a demand of the other shard, if this shard can spare most."""
         now, job = self._clock.now(), self._cluster.jobs[demand.spec.id]
         if self._pending_until.get(job.id, 0.0) > now:
             return
-        # an idle machine is better moved than rented; running work is stopped only for
-        # replicas, and only when the cloud has had its time
-        busy = demand.spec.kind == "service" and wall - job.ready_at > self._settings.worker_lease_s
-        for stop in (False, True) if busy else (False,):
-            mine = self._suiting(shard, demand, stop)
-            if not mine or any(
-                (-len(self._suiting(k, demand, stop)), k) < (-len(mine), shard)
-                for k in range(self._settings.shard_count)
-                if k not in (shard, other)
+        # transferring an idle machine is better than renting one; running tasks are stopped only
+        # for replicas, and only after the cloud had its time
+        may_stop = demand.spec.is_service and wall - job.ready_at > self._settings.worker_lease_s
+        for is_busy in (False, True) if may_stop else (False,):
+            candidates = self._candidates(shard, demand, is_busy)
+            if not candidates or self._has_better_donor(
+                demand, is_busy, len(candidates), shard, other
             ):
                 continue
-            left = demand.tasks
-            for machine in mine[: self._settings.max_machines_per_transfer]:
-                if left <= 0:
-                    break
-                if machine.id in self._leaving or not self._idle(machine, stop):
-                    continue
-                left -= min(slots_on(demand.spec, self._cluster.catalog[machine.type]), left)
-                self._leaving[machine.id] = (other, now + self._settings.worker_lease_s)
-                log.info(
-                    "machine transfer planned machine=%s shard=%d for_job=%s tasks=%d",
-                    machine.id,
-                    other,
-                    job.id,
-                    len(machine.attempts),
-                )
-                for attempt in machine.attempts.values():
-                    self._heartbeats.request_stop(attempt, StopReason.TRANSFERRED)
-                    yield attempt
-            if left < demand.tasks:
-                self._pending_until[job.id] = now + self._settings.worker_lease_s
+            chosen = self._select(candidates, demand, is_busy)
+            until = now + self._settings.worker_lease_s
+            for machine in chosen:
+                yield from self._begin(machine, PlannedTransfer(other, until), job)
+            if chosen:
+                self._pending_until[job.id] = until
                 return
 
-    def _idle(self, machine: Machine, stop: bool) -> bool:
+    def _has_better_donor(
+        self, demand: TaskDemand, is_busy: bool, own_count: int, shard: int, other: int
+    ) -> bool:
+        """Whether a third shard has more candidates, or as many and a lower number."""
+        return any(
+            (-len(self._candidates(third, demand, is_busy)), third) < (-own_count, shard)
+            for third in range(self._settings.shard_count)
+            if third not in (shard, other)
+        )
+
+    def _select(
+        self, candidates: list[Machine], demand: TaskDemand, is_busy: bool
+    ) -> list[Machine]:
+        """Returns enough of the candidates for the demand's tasks, within the limit."""
+        selected: list[Machine] = []
+        tasks_left = demand.tasks
+        for machine in candidates[: self._settings.max_machines_per_transfer]:
+            if tasks_left <= 0:
+                break
+            if machine.id not in self._leaving and self._is_ready(machine, is_busy):
+                tasks_left -= slots_on(demand.spec, self._cluster.catalog[machine.type])
+                selected.append(machine)
+        return selected
+
+    def _begin(
+        self, machine: Machine, planned: PlannedTransfer, job: Job
+    ) -> Iterator[PlannedAttempt]:
+        """Plans the machine's transfer; yields its attempts, which are to be stopped."""
+        self._leaving[machine.id] = planned
+        log.info(
+            "machine transfer planned machine=%s shard=%d for_job=%s tasks=%d",
+            machine.id,
+            planned.shard,
+            job.id,
+            len(machine.attempts),
+        )
+        for attempt in machine.attempts.values():
+            self._heartbeats.request_stop(attempt, StopReason.TRANSFERRED)
+            yield attempt
+
+    def _is_ready(self, machine: Machine, is_busy: bool) -> bool:
+        """Whether the machine is healthy and, unless its tasks are to be stopped, idle long enough.
+
+        Two heartbeats without a task show that no start is on its way.
+        """
+        now = self._clock.now()
         view = self._heartbeats.find_view(machine.id)
-        if view is None or not view.is_fresh(self._clock.now(), self._settings.heartbeat_timeout_s):
+        if view is None or not view.is_fresh(now, self._settings.heartbeat_timeout_s):
             return False
         if view.notice_at is not None:
             return False
         since = view.idle_since
-        return stop or (
-            since is not None
-            and self._clock.now() - since > 2 * self._settings.heartbeat_interval_s
-        )
+        min_idle_s = 2 * self._settings.heartbeat_interval_s
+        return is_busy or (since is not None and now - since > min_idle_s)
 
-    def _suiting(self, shard: int, demand: TaskDemand, stop: bool) -> list[Machine]:
-        """Machines of the shard that could serve: empty ones, or such as only run lesser work
-        that is done again elsewhere; those with the least of it first.
+    def _candidates(self, shard: int, demand: TaskDemand, is_busy: bool) -> list[Machine]:
+        """Returns the shard's machines that suit the demand, those with fewest attempts first.
+
+        Empty machines or, if `is_busy`, those whose tasks are all preemptible by the demand.
         """
-        spec = demand.spec
-        result = []
-        for machine in self._cluster.machines.by_shard[shard].values():
-            kind = self._cluster.catalog.get(machine.type)
-            if kind is None or machine.retiring or not machine.up:
-                continue
-            if bool(machine.attempts) is not stop or demand.zones.open(machine.zone) <= 0:
-                continue
-            if not is_allowed(spec, machine.type, machine.zone, machine.spot):
-                continue
-            if slots_on(spec, kind) and all(
-                self._lesser(demand, r) for r in machine.attempts.values()
-            ):
-                result.append(machine)
-        result.sort(key=lambda m: len(m.attempts))
+        result = [
+            machine
+            for machine in self._cluster.machines.by_shard[shard].values()
+            if self._is_candidate(machine, demand, is_busy)
+        ]
+        result.sort(key=lambda machine: len(machine.attempts))
         return result
 
-    def _lesser(self, demand: TaskDemand, attempt: PlannedAttempt) -> bool:
+    def _is_candidate(self, machine: Machine, demand: TaskDemand, is_busy: bool) -> bool:
+        spec = demand.spec
+        kind = self._cluster.catalog.get(machine.type)
+        if kind is None or machine.retiring or not machine.up:
+            return False
+        if bool(machine.attempts) is not is_busy or demand.zones.open(machine.zone) <= 0:
+            return False
+        if not is_allowed(spec, machine.type, machine.zone, machine.spot):
+            return False
+        return slots_on(spec, kind) > 0 and all(
+            self._is_preemptible_by(demand, attempt) for attempt in machine.attempts.values()
+        )
+
+    def _is_preemptible_by(self, demand: TaskDemand, attempt: PlannedAttempt) -> bool:
+        """Whether the attempt is of lower priority, and is no replica."""
         job = self._cluster.jobs.get(attempt.job)
-        if job is None or job.spec is None or job.spec.kind == "service":
+        if job is None or job.spec is None or job.spec.is_service:
             return False
         return self._forecast.priority(job) > self._forecast.priority(
             self._cluster.jobs[demand.spec.id]
--- a/crossmill/jobs/outcome_batch.py
+++ b/crossmill/jobs/outcome_batch.py
@@ -1,8 +1,8 @@
-"""Which outcomes of tasks a round makes durable.
+"""Selection of the task outcomes that a round writes.
 
-Outcomes of a chunk are one write however many they are. When more chunks have news than this
-controller's share of the write rate takes in a moment, those that others wait for go first, and
-the rest gather more outcomes until a later round.
+Outcomes of one plan chunk are a single write, however many they are. When more chunks have outcomes
+than this controller's share of the write rate takes soon, urgent chunks go first, and the others
+gather more outcomes until a later round. Pure functions, called by the scheduling loop.
 """
 
 from collections.abc import Mapping
@@ -14,8 +14,8 @@
 
 
 @dataclass(slots=True, eq=False)
-class ChunkNews:
-    """The outcomes found for the tasks of one chunk."""
+class ChunkOutcomes:
+    """The outcomes proved for the tasks of one plan chunk, which are written together."""
 
     job: Job
     name: str
@@ -24,7 +24,7 @@
 
     @property
     def is_urgent(self) -> bool:
-        """Whether a task has to be placed again, or the chunk's last tasks are over."""
+        """Whether a task has to be placed again, or the chunk's last attempts have ended."""
         if self.job.end != ACTIVE:
             return False
         is_last = len(self.outcomes) == len(self.chunk.attempts)
@@ -33,9 +33,9 @@
 
 def collect(
     cluster: ClusterState, outcomes: Mapping[Key, AttemptOutcome], shard: int, term: int
-) -> list[ChunkNews]:
-    """The news of the shard's chunks found in the owner's present term, oldest first."""
-    news: dict[tuple[str, str], ChunkNews] = {}
+) -> list[ChunkOutcomes]:
+    """Returns the outcomes proved in the owner's present term by chunk, oldest first."""
+    batches: dict[tuple[str, str], ChunkOutcomes] = {}
     for (job_id, index), outcome in outcomes.items():
         job = cluster.jobs.get(job_id)
         if job is None or job.shard != shard or outcome.term != term:
@@ -43,17 +43,18 @@
         name = cluster.layout.chunk_of(index, job.chunks).name
         chunk = job.chunks.get(name)
         if chunk is not None and chunk.attempts.get(index) == outcome.attempt:
-            entry = news.setdefault((job_id, name), ChunkNews(job, name, chunk))
-            entry.outcomes.append(outcome)
-    return list(news.values())
+            batch = batches.setdefault((job_id, name), ChunkOutcomes(job, name, chunk))
+            batch.outcomes.append(outcome)
+    return list(batches.values())
 
 
-def select(news: list[ChunkNews], most: int) -> list[ChunkNews]:
-    """About as many as may be written now: all that are urgent, and at least one of the others,
-    the oldest first, so that none waits for ever.
+def select(batches: list[ChunkOutcomes], max_writes: int) -> list[ChunkOutcomes]:
+    """Returns the batches to be written now, about `max_writes` of them.
+
+    All urgent ones are taken and at least one of the others, oldest first, so that none starves.
     """
-    if len(news) <= most:
-        return news
-    urgent = [entry for entry in news if entry.is_urgent]
-    others = [entry for entry in news if not entry.is_urgent]
-    return urgent + others[: max(1, most - len(urgent))]
+    if len(batches) <= max_writes:
+        return batches
+    urgent = [batch for batch in batches if batch.is_urgent]
+    others = [batch for batch in batches if not batch.is_urgent]
+    return urgent + others[: max(1, max_writes - len(urgent))]
--- a/crossmill/jobs/placement.py
+++ b/crossmill/jobs/placement.py
@@ -1,296 +1,375 @@
-"""Placing waiting tasks: which machine takes which, in the queue's order."""
+"""Placement of waiting tasks on machines, in the order of the queue.
+
+Called by the scheduling loop once per round and shard. Owns where a round that ran out of its time
+budget continues; what it decides goes into the round's plan edits.
+"""
 
 import logging
 from dataclasses import replace
+from typing import NamedTuple
 
-from ..cluster.cluster_state import ClusterState
 from ..cluster.model import Job, Machine, PlannedAttempt
 from ..cluster.ownership import ShardOwnership
-from ..fleet.forecast import DemandForecast
-from ..net.clock import Clock
 from ..planning.free_capacity import FreeCapacity, ZoneAllowance, assign_tasks, is_allowed
-from ..settings import Settings
 from ..wire.users import JobSpec
-from ..workers.heartbeat_handler import HeartbeatHandler
-from .failures import TaskFailures
+from .context import SchedulingContext
+from .failures import JobFailures, TaskFailures
+from .machine_drain import MachineDrain
 from .machine_transfer import MachineTransfer
 from .plan_writer import PlanEdits, edit_of
 from .preemption import Preemption
-from .team_quotas import ResourceUsage, TeamQuotas
+from .team_quotas import LIMIT_TOLERANCE, ResourceUsage, TeamQuotas, UsageByTeam
 
 log = logging.getLogger(__name__)
 
+# the image fetch may take this share of the time in which a service's replicas should start
+MAX_IMAGE_DELAY_SHARE = 0.75
+
+
+class _TaskShape(NamedTuple):
+    """What decides on which machines a task fits."""
+
+    cpus: float
+    gpus: float
+    memory_gb: float
+    types: tuple[str, ...] | None
+    zone: str | None
+    spot: bool
+
+
+class _PlacementRequest:
+    """The tasks of one job that this round tries to place."""
+
+    __slots__ = ("job", "may_preempt", "spec", "tasks", "usage", "zones")
+
+    def __init__(self, job: Job, spec: JobSpec, tasks: int, zones: ZoneAllowance) -> None:
+        self.job = job
+        self.spec = spec
+        # how many tasks neither have a machine yet nor are covered by a preemption
+        self.tasks = tasks
+        self.zones = zones
+        self.may_preempt = False
+
+
+def _slots(taken: list[tuple[FreeCapacity, int]]) -> list[str]:
+    """Returns the machine for each of the tasks."""
+    return [capacity.machine for capacity, task_count in taken for _ in range(task_count)]
+
 
 class TaskPlacement:
-    """One round's placing, within its time budget; the next goes on where it stopped."""
+    """Places waiting tasks within a time budget; the next round continues where one stopped."""
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 - each answers one question about a machine or a job
         self,
-        settings: Settings,
-        clock: Clock,
-        cluster: ClusterState,
-        heartbeats: HeartbeatHandler,
-        forecast: DemandForecast,
+        context: SchedulingContext,
         quotas: TeamQuotas,
         preemption: Preemption,
+        machine_drain: MachineDrain,
         machine_transfer: MachineTransfer,
         failures: TaskFailures,
     ) -> None:
-        self._settings = settings
-        self._clock = clock
-        self._cluster = cluster
-        self._heartbeats = heartbeats
-        self._forecast = forecast
+        self._settings = context.settings
+        self._clock = context.clock
+        self._cluster = context.cluster
+        self._heartbeats = context.heartbeats
+        self._forecast = context.forecast
         self._quotas = quotas
         self._preemption = preemption
+        self._machine_drain = machine_drain
         self._machine_transfer = machine_transfer
         self._failures = failures
-        self._capacity_cache = forecast.new_cache()
-        self._resume: dict[int, str] = {}
-        # set when a round ran out of time, cleared by whoever begins the next
-        self.is_unfinished = False
-        # of this round: kinds of tasks for which no room is left; rooms only fill up meanwhile
-        self._full: set[tuple[object, ...]] = set()
+        self._capacity_cache = context.forecast.new_cache()
+        # by shard, the job with which the next round begins
+        self._resume_at: dict[int, str] = {}
+        # whether a round ran out of time; cleared by `start_rounds`
+        self._is_unfinished = False
+        # of this round: what the teams use, attempts to be stopped, and shapes that fit nowhere
+        # any more (capacity only shrinks during a round)
+        self._usage: UsageByTeam = {}
         self._stops: list[PlannedAttempt] = []
+        self._shapes_without_capacity: set[_TaskShape] = set()
+
+    @property
+    def is_unfinished(self) -> bool:
+        """Whether a round ran out of time, so that the next ones should follow at once."""
+        return self._is_unfinished
 
-    def _usable(self, machine: Machine, own_now: float) -> bool:
+    def start_rounds(self) -> None:
+        """Starts the rounds of all shards: `is_unfinished` refers to these from now on."""
+        self._is_unfinished = False
+
+    def place(
+        self, shard: int, ownership: ShardOwnership, machines: list[Machine], edits: PlanEdits
+    ) -> list[PlannedAttempt]:
+        """Adds starts of the shard's waiting tasks to `edits`.
+
+        Returns the attempts to be stopped, either for waiting tasks or to drain a machine.
+        """
+        self._stops = []
+        self._preemption.drop_expired_claims()
+        self._quotas.start_round(shard)
+        self._shapes_without_capacity.clear()
+        queue = self._forecast.waiting(shard)
+        if not queue:
+            return list(
+                self._machine_drain.drain(
+                    shard, ownership, lambda: self._schedulable_capacities(machines)
+                )
+            )
+        started_at = self._clock.now()
+        capacities = self._schedulable_capacities(machines)
+        self._usage = self._quotas.usage(shard)
+        for job in self._resumed(shard, queue):
+            if self._clock.now() - started_at > self._settings.scheduling_time_budget_s:
+                self._resume_at[shard] = job.id
+                self._is_unfinished = True
+                break
+            if job.spec is not None:
+                self._place_job(job, job.spec, capacities, edits)
+        return self._stops
+
+    def _resumed(self, shard: int, queue: list[Job]) -> list[Job]:
+        """Returns the queue, rotated to where the last round ran out of time."""
+        resume_at = self._resume_at.pop(shard, None)
+        if resume_at is None:
+            return queue
+        start = next((i for i, job in enumerate(queue) if job.id == resume_at), 0)
+        return queue[start:] + queue[:start]
+
+    # -- which machines --------------------------------------------------------------
+
+    def _is_schedulable(self, machine: Machine, now: float) -> bool:
+        """Whether tasks may be placed on the machine."""
         view = self._heartbeats.find_view(machine.id)
         return (
             view is not None
             and not machine.retiring
-            and view.is_fresh(own_now, self._settings.heartbeat_timeout_s)
+            and view.is_fresh(now, self._settings.heartbeat_timeout_s)
             and view.notice_at is None
             and not self._failures.is_faulty(machine.id)
-            and machine.id not in self._preemption.draining
+            and not self._machine_drain.is_draining(machine.id)
             and not self._machine_transfer.is_leaving(machine.id)
             and not self._heartbeats.is_transferring(machine.id)
         )
 
-    def _capacities(self, machines: list[Machine]) -> list[FreeCapacity]:
+    def _schedulable_capacities(self, machines: list[Machine]) -> list[FreeCapacity]:
         now = self._clock.now()
-        usable = [
+        schedulable = [
             (machine, kind)
             for machine in machines
             if (kind := self._cluster.catalog.get(machine.type)) is not None
-            and self._usable(machine, now)
+            and self._is_schedulable(machine, now)
         ]
-        return self._forecast.cached_capacities(self._capacity_cache, usable)
+        return self._forecast.cached_capacities(self._capacity_cache, schedulable)
 
-    def place(
-        self, shard: int, ownership: ShardOwnership, machines: list[Machine], edits: PlanEdits
-    ) -> list[PlannedAttempt]:
-        """Plans starts of the shard's waiting tasks into `edits`; returns the attempts to be
-        stopped to make room, or to empty a machine.
+    def _fitting(self, spec: JobSpec, capacities: list[FreeCapacity]) -> list[FreeCapacity]:
+        """Returns the capacities where at least one such task fits.
+
+        Most waiting jobs have the same shape as others, and most machines are full: shapes that
+        fit nowhere are not checked again in the same round.
         """
-        self._stops = []
-        self._preemption.drop_expired_claims()
-        self._quotas.start_round(shard)
-        self._full.clear()
-        queue = self._forecast.waiting(shard)
-        if not queue:
-            return list(
-                self._preemption.drain(shard, ownership, lambda: self._capacities(machines))
-            )
-        started = self._clock.now()
-        capacities = self._capacities(machines)
-        usage = self._quotas.usage(shard)
-        # a round that ran out of time goes on where it stopped
-        resume = self._resume.pop(shard, None)
-        if resume is not None:
-            start = next((i for i, job in enumerate(queue) if job.id == resume), 0)
-            queue = queue[start:] + queue[:start]
-        for job in queue:
-            if self._clock.now() - started > self._settings.scheduling_time_budget_s:
-                self._resume[shard] = job.id
-                self.is_unfinished = True
-                break
-            self._place_job(job, capacities, usage, edits)
-        return self._stops
+        shape = _TaskShape(spec.cpus, spec.gpus, spec.memory_gb, spec.types, spec.zone, spec.spot)
+        if shape in self._shapes_without_capacity:
+            return []
+        fitting = [
+            capacity
+            for capacity in capacities
+            if capacity.fits(spec) and is_allowed(spec, capacity.type, capacity.zone, capacity.spot)
+        ]
+        if not fitting:
+            self._shapes_without_capacity.add(shape)
+        return fitting
 
-    def _within_limit(self, spec: JobSpec, usage: ResourceUsage) -> int:
-        team = self._settings.team(spec.team)
-        now = usage.setdefault(spec.team, [0.0, 0.0])
-        count = spec.tasks
-        if team is None:
-            return 0
-        for most, held, each in (
-            (team.cpus_max, now[0], spec.cpus),
-            (team.gpus_max, now[1], spec.gpus),
-        ):
-            if most > 0 and each > 0:
-                count = min(count, int((most - held + 1e-6) / each))
-        return max(0, count)
+    def _available_to(
+        self, job: Job, failures: JobFailures | None, capacities: list[FreeCapacity]
+    ) -> list[FreeCapacity]:
+        """Returns the capacities not reserved for other jobs, where the job has not failed yet."""
+        excluded = failures.machines if failures is not None else ()
+        return [
+            capacity
+            for capacity in capacities
+            if capacity.machine not in excluded and self._preemption.is_available_to(capacity, job)
+        ]
+
+    # -- one job ---------------------------------------------------------------------
 
     def _place_job(
-        self,
-        job: Job,
-        capacities: list[FreeCapacity],
-        usage: ResourceUsage,
-        edits: PlanEdits,
+        self, job: Job, spec: JobSpec, capacities: list[FreeCapacity], edits: PlanEdits
     ) -> None:
-        spec = job.spec
-        assert spec is not None
+        usage = self._usage.setdefault(spec.team, ResourceUsage())
         failures = self._failures.of(job.id)
-        wanted = min(job.waiting_task_count(), self._within_limit(spec, usage))
-        if failures is not None and failures.not_before > self._clock.now():
-            return
-        if failures is not None and failures.is_suspect:
-            wanted = min(wanted, 1 - job.planned_task_count())
-        if wanted <= 0:
+        tasks = self._tasks_to_place(job, spec, failures, usage)
+        if tasks <= 0:
             return
         zones = ZoneAllowance(spec, self._cluster.machines.task_counts_by_zone(job))
-        bad = failures.machines if failures is not None else set()
-        free = self._free(spec, capacities)
-        free = [
-            r for r in free if r.machine not in bad and self._preemption.is_available_to(r, job)
-        ]
-        if spec.kind == "gang" and not self._whole(job, spec, wanted, free):
+        request = _PlacementRequest(job, spec, tasks, zones)
+        free = self._available_to(job, failures, self._fitting(spec, capacities))
+        if spec.is_gang and not self._fits_whole_gang(request, free):
             return
-        # a replica that ended with its machine says nothing against the job: only failures of
-        # its own keep it from taking others' room. Arrays take it once, for their guarantee:
-        # for each task anew they would stop one another's work over and over
-        blameless = failures is None or (spec.kind == "service" and failures.failures == 0)
-        if blameless and self._preemption.can_preempt_for(job, usage):
-            capacities = [
-                r
-                for r in capacities
-                if r.machine not in bad and self._preemption.is_available_to(r, job)
-            ]
-        else:
-            blameless, capacities = False, free
-            if not free:
-                return
-        taken = self._find_capacity(job, spec, wanted, free, capacities, zones, usage, blameless)
-        if not taken:
+        request.may_preempt = self._may_preempt(job, spec, failures)
+        if not request.may_preempt and not free:
             return
-        slots = [capacity.machine for capacity, number in taken for _ in range(number)]
-        for index, machine_id in zip(self._unclaimed(job), slots, strict=False):
-            self._start(job, index, machine_id, edits)
-        usage[spec.team][0] += len(slots) * spec.cpus
-        usage[spec.team][1] += len(slots) * spec.gpus
-
-    def _free(self, spec: JobSpec, capacities: list[FreeCapacity]) -> list[FreeCapacity]:
-        """Rooms where at least one such task fits. Most jobs that wait are like others that
-        wait, and most rooms are full: it is asked once for all that are alike.
-        """
-        kind = (spec.cpus, spec.gpus, spec.memory_gb, spec.types, spec.zone, spec.spot)
-        if kind in self._full:
-            return []
-        free = [
-            capacity
-            for capacity in capacities
-            if capacity.fits(spec) and is_allowed(spec, capacity.type, capacity.zone, capacity.spot)
-        ]
-        if not free:
-            self._full.add(kind)
-        return free
+        preemptible = self._available_to(job, failures, capacities) if request.may_preempt else free
+        slots = _slots(self._find_capacity(request, free, preemptible))
+        if not slots:
+            return
+        for index, machine_id in zip(self._placeable_tasks(job, spec), slots, strict=False):
+            self._plan_start(job, index, machine_id, edits)
+        usage.add(spec, len(slots))
 
-    def _whole(self, job: Job, spec: JobSpec, wanted: int, capacities: list[FreeCapacity]) -> bool:
-        """A gang's tasks wait for one another, so they are placed together or not at all."""
+    def _tasks_to_place(
+        self, job: Job, spec: JobSpec, failures: JobFailures | None, usage: ResourceUsage
+    ) -> int:
+        """Returns how many tasks may be placed now, within limits and after failures."""
+        tasks = min(job.waiting_task_count(), self._tasks_within_limit(spec, usage))
+        if failures is None:
+            return tasks
+        if failures.not_before > self._clock.now():
+            return 0
+        return min(tasks, 1 - job.planned_task_count()) if failures.is_suspect else tasks
+
+    def _tasks_within_limit(self, spec: JobSpec, usage: ResourceUsage) -> int:
+        """Returns how many more tasks of the job the team's limits allow."""
+        team = self._settings.team(spec.team)
+        if team is None:
+            return 0
+        tasks = spec.tasks
+        for limit, used, per_task in (
+            (team.cpus_max, usage.cpus, spec.cpus),
+            (team.gpus_max, usage.gpus, spec.gpus),
+        ):
+            if limit > 0 and per_task > 0:
+                tasks = min(tasks, int((limit - used + LIMIT_TOLERANCE) / per_task))
+        return max(0, tasks)
+
+    def _fits_whole_gang(self, request: _PlacementRequest, capacities: list[FreeCapacity]) -> bool:
+        """Whether all tasks of the gang fit: they are placed together or not at all."""
+        job, spec = request.job, request.spec
         if job.planned_task_count():
             return False
         trial = [replace(capacity, images=dict(capacity.images)) for capacity in capacities]
         zones = ZoneAllowance(spec, self._cluster.machines.task_counts_by_zone(job))
-        found = sum(n for _, n in assign_tasks(spec, wanted, trial, zones))
-        return found == job.waiting_task_count()
+        taken = assign_tasks(spec, request.tasks, trial, zones)
+        return sum(task_count for _, task_count in taken) == job.waiting_task_count()
+
+    def _may_preempt(self, job: Job, spec: JobSpec, failures: JobFailures | None) -> bool:
+        """Whether other tasks may be stopped for the job.
+
+        A replica that ended with its machine is no failure of the job: only failures of its own
+        bar a service from preemption. An array preempts only until its first task has ended: for
+        each task again, two arrays would stop one another's tasks in turn.
+        """
+        has_own_failures = failures is not None and (not spec.is_service or failures.failures != 0)
+        return not has_own_failures and self._preemption.can_preempt_for(job, self._usage)
 
     def _find_capacity(
         self,
-        job: Job,
-        spec: JobSpec,
-        wanted: int,
+        request: _PlacementRequest,
         free: list[FreeCapacity],
-        capacities: list[FreeCapacity],
-        zones: ZoneAllowance,
-        usage: ResourceUsage,
-        may_preempt: bool,
+        preemptible: list[FreeCapacity],
     ) -> list[tuple[FreeCapacity, int]]:
-        """FreeCapacity that is free; but a class that must start soon rather gets the place of
-        lesser
-        work where its image is than a free one where it would wait for the image.
+        """Takes free capacity for the tasks, and requests preemptions for the others.
+
+        A class that must start soon is rather given the capacity of preempted tasks on a machine
+        that has its image than free capacity where it would wait for the image.
         """
+        job, spec = request.job, request.spec
         start_objective_s = (
-            self._settings.start_objective_s(spec.job_class) if spec.kind == "service" else None
+            self._settings.start_objective_s(spec.job_class) if spec.is_service else None
         )
+        # a failed claim is not repeated: then any capacity will do
+        has_failed_claim = self._preemption.has_failed_claim(job)
         taken: list[tuple[FreeCapacity, int]] = []
-        # a claim that came to nothing is not repeated: then any room will do
-        again = self._preemption.has_failed_claim(job)
-        if start_objective_s is not None and not again:
-            # room made for the job counts wherever it is, or it would stand empty until the
-            # claim ends
-            def near(capacity: FreeCapacity) -> bool:
-                return capacity.delay_s(
-                    spec
-                ) < 0.75 * start_objective_s or self._preemption.is_reserved_for(capacity, job)
-
-            taken = assign_tasks(
-                spec,
-                wanted,
-                list(filter(near, free)),
-                zones,
-                self._settings.max_replica_share_per_machine,
-            )
-            wanted -= sum(number for _, number in taken)
-            if wanted and may_preempt:
+        if start_objective_s is not None and not has_failed_claim:
+            max_delay_s = MAX_IMAGE_DELAY_SHARE * start_objective_s
+
+            def starts_in_time(capacity: FreeCapacity) -> bool:
+                # reserved capacity counts wherever it is, or it would stay unused until the
+                # claim ends
+                return capacity.delay_s(spec) < max_delay_s or self._preemption.is_reserved_for(
+                    capacity, job
+                )
+
+            taken = self._assign(request, list(filter(starts_in_time, free)))
+            if request.tasks and request.may_preempt:
                 if self._preemption.has_claim(job):
                     return taken
-                stops, covered = self._preemption.preempt(
-                    job, wanted, list(filter(near, capacities)), zones, usage
-                )
-                self._stops.extend(stops)
-                wanted -= covered
-        more = (
-            assign_tasks(spec, wanted, free, zones, self._settings.max_replica_share_per_machine)
-            if wanted
-            else []
+                self._preempt(request, list(filter(starts_in_time, preemptible)))
+        if request.tasks:
+            taken += self._assign(request, free)
+        if request.tasks and request.may_preempt and not has_failed_claim:
+            self._preempt(request, preemptible)
+        return taken
+
+    def _assign(
+        self, request: _PlacementRequest, capacities: list[FreeCapacity]
+    ) -> list[tuple[FreeCapacity, int]]:
+        """Takes free capacity for as many of the tasks as fit."""
+        taken = assign_tasks(
+            request.spec,
+            request.tasks,
+            capacities,
+            request.zones,
+            self._settings.max_replica_share_per_machine,
         )
-        wanted -= sum(number for _, number in more)
-        if wanted and may_preempt and not again:
-            stops, _ = self._preemption.preempt(job, wanted, capacities, zones, usage)
-            self._stops.extend(stops)
-        return taken + more
-
-    def _waiting(self, job: Job) -> list[int]:
-        """Tasks with no attempt in the plan and no outcome, lowest first, bounded."""
-        assert job.spec is not None
+        request.tasks -= sum(task_count for _, task_count in taken)
+        return taken
+
+    def _preempt(self, request: _PlacementRequest, capacities: list[FreeCapacity]) -> None:
+        """Requests stops of other tasks for the tasks left."""
+        preempted = self._preemption.preempt(
+            request.job, request.tasks, capacities, request.zones, self._usage
+        )
+        self._stops.extend(preempted.attempts)
+        request.tasks -= preempted.tasks_covered
+
+    # -- its tasks -------------------------------------------------------------------
+
+    def _waiting_tasks(self, job: Job, spec: JobSpec) -> list[int]:
+        """Returns indexes of tasks with neither an attempt nor a result, lowest first, bounded."""
         layout = self._cluster.layout
-        result: list[int] = []
-        for where in layout.chunks(job.spec.tasks, job.chunks):
-            chunk = job.chunks.get(where.name)
-            for index in range(where.first, where.end):
-                if chunk is None or (
-                    index not in chunk.attempts and not chunk.done >> (index - where.first) & 1
-                ):
-                    result.append(index)
-            if len(result) >= layout.legacy_tasks:
+        indexes: list[int] = []
+        for chunk_range in layout.chunks(spec.tasks, job.chunks):
+            chunk = job.chunks.get(chunk_range.name)
+            first = chunk_range.first
+            indexes.extend(
+                index
+                for index in range(first, chunk_range.end)
+                if chunk is None
+                or (index not in chunk.attempts and not chunk.done >> (index - first) & 1)
+            )
+            if len(indexes) >= layout.legacy_tasks:
                 break
-        return result
+        return indexes
 
-    def _unclaimed(self, job: Job) -> list[int]:
-        """Those of the waiting tasks that no worker runs without a plan."""
+    def _placeable_tasks(self, job: Job, spec: JobSpec) -> list[int]:
+        """Returns those waiting tasks that no worker runs without a plan."""
         gate = self._heartbeats.gate
-        waiting = self._waiting(job)
-        return waiting if gate is None else [i for i in waiting if not gate.is_claimed(job.id, i)]
+        waiting = self._waiting_tasks(job, spec)
+        if gate is None:
+            return waiting
+        return [index for index in waiting if not gate.is_claimed(job.id, index)]
 
-    def _start(self, job: Job, index: int, machine_id: str, edits: PlanEdits) -> None:
+    def _plan_start(self, job: Job, index: int, machine_id: str, edits: PlanEdits) -> None:
+        """Adds the start of the task on the machine to the edits, if the write has space for it."""
         view = self._heartbeats.find_view(machine_id)
         name = self._cluster.layout.chunk_of(index, job.chunks).name
         edit = edit_of(edits, job, name)
-        most = self._cluster.limits.machines_per_txn
-        if view is None or len({r.machine for r in edit.starts}) >= most:
+        max_machines = self._cluster.limits.machines_per_txn
+        if view is None or len({start.machine for start in edit.starts}) >= max_machines:
             return
-        attempt = edit.base.next if edit.base else 1
-        if job.spec is not None and job.spec.kind != "gang":
+        number = edit.base.next if edit.base else 1
+        if job.spec is not None and not job.spec.is_gang:
             # a gang's tasks find one another by a common attempt number
-            attempt += len(edit.starts)
+            number += len(edit.starts)
         machine = self._cluster.machines[machine_id]
-        edit.start(PlannedAttempt(job.id, index, attempt, machine_id, view.session), machine)
-        cached = job.spec is not None and job.spec.image in machine.images
+        edit.start(PlannedAttempt(job.id, index, number, machine_id, view.session), machine)
+        is_cached = job.spec is not None and job.spec.image in machine.images
         log.info(
             "task placed job=%s task=%d attempt=%d machine=%s cached=%s",
             job.id,
             index,
-            attempt,
+            number,
             machine_id,
-            cached,
+            is_cached,
         )
--- a/crossmill/jobs/plan_migration.py
+++ b/crossmill/jobs/plan_migration.py
@@ -1,9 +1,10 @@
-"""Moves plans from legacy chunks into segments that fit the state service's next limits.
+"""Migration of plans from legacy chunks into segments that fit the state service's next limits.
 
-The segments are first written as copies, which nobody heeds while the legacy chunk exists; its
-deletion, in a transaction that rests on the version that was copied, puts them in force at once.
-Where the copies fit beside the deletion, that is one transaction. At no time does a task seem free
-that is planned, and an end of the process between two steps leaves the legacy chunk in force.
+The segments are first written as staged copies, which have no effect while the legacy chunk exists.
+The chunk's deletion, in a transaction conditional on the version that was copied, makes all of them
+effective at once. Where the copies fit beside the deletion, that is one transaction. At no time
+does a planned task seem to be free, and a crash between two steps leaves the legacy chunk in
+effect. Called by the scheduling loop and the plan writer; owns no state.
 """
 
 import logging
@@ -23,8 +24,8 @@
 log = logging.getLogger(__name__)
 
 
-class _Change(NamedTuple):
-    """A copy to be written (or deleted, if it holds nothing) where `version` stands now."""
+class _CopyChange(NamedTuple):
+    """A staged copy to be written, or deleted if `copy` is None, at its key's present version."""
 
     name: str
     copy: PlanChunk | None
@@ -32,40 +33,44 @@
 
 
 class PlanMigration:
-    """Which legacy chunks have to be moved, and the next step of each."""
+    """Tells which legacy chunks have to be migrated, and makes the next step of each."""
 
     def __init__(self, cluster: ClusterState, membership: Membership) -> None:
         self._cluster = cluster
         self._membership = membership
 
     def is_due(self, job: Job, name: str) -> bool:
-        """Whether the chunk is a legacy one that could outgrow a segment."""
+        """Whether the chunk is a legacy one that covers more tasks than a segment."""
         layout = self._cluster.layout
         if layout.segment_tasks is None or (job.id, name) not in self._cluster.plans.legacy_chunks:
             return False
-        where = layout.parse(name)
-        tasks = job.spec.tasks if job.spec is not None else where.end
-        return min(where.end, tasks) - where.first > layout.segment_tasks
+        chunk_range = layout.parse(name)
+        tasks = job.spec.tasks if job.spec is not None else chunk_range.end
+        return min(chunk_range.end, tasks) - chunk_range.first > layout.segment_tasks
 
     def steps(self, shard: int, ownership: ShardOwnership) -> list[WriteIntent]:
-        """The next transaction for each chunk of the shard that has to be moved."""
+        """Returns the next transaction for each chunk of the shard that has to be migrated."""
         intents: list[WriteIntent] = []
         for (_, name), job in list(self._cluster.plans.legacy_chunks.items()):
             if len(intents) >= self._cluster.limits.txn_ops:
                 break
-            is_empty = job.end != ACTIVE and not job.chunks[name].attempts
-            if job.shard == shard and not is_empty and self.is_due(job, name):
+            is_obsolete = job.end != ACTIVE and not job.chunks[name].attempts
+            if job.shard == shard and not is_obsolete and self.is_due(job, name):
                 intents.append(self._step(job, name, shard, ownership))
         return intents
 
     def _step(self, job: Job, name: str, shard: int, ownership: ShardOwnership) -> WriteIntent:
+        """Returns a transaction with as many changes of copies as fit.
+
+        It deletes the legacy chunk too if that fits beside all changes that are left.
+        """
         legacy = job.chunks[name]
         legacy_key = keys.plan(job.id, name)
         changes = self._changes(job, self._cluster.layout.parse(name), legacy)
-        most = self._cluster.limits.txn_ops
-        is_last = len(changes) < most
+        max_ops = self._cluster.limits.txn_ops
+        is_last = len(changes) < max_ops
         txn = Txn({legacy_key: legacy.version})
-        for change in changes[: most - 1 if is_last else most]:
+        for change in changes[: max_ops - 1 if is_last else max_ops]:
             key = keys.plan(job.id, change.name)
             txn.conditions[key] = change.version
             if change.copy is None:
@@ -77,34 +82,43 @@
             log.info("plan moved into segments job=%s chunk=%s", job.id, name)
         return shard_intent(self._membership, shard, ownership, WriteRank.PLACEMENT, txn)
 
-    def _changes(self, job: Job, where: ChunkRange, legacy: PlanChunk) -> list[_Change]:
-        """Where the copies differ from what they have to be."""
-        wanted = self._copies(where, legacy, job.spec.tasks if job.spec is not None else where.end)
-        changes: list[_Change] = []
-        for name, copy in wanted.items():
+    def _changes(self, job: Job, legacy_range: ChunkRange, legacy: PlanChunk) -> list[_CopyChange]:
+        """Returns the differences between the staged copies and what they have to be."""
+        tasks = job.spec.tasks if job.spec is not None else legacy_range.end
+        copies = self._copies(legacy_range, legacy, tasks)
+        changes: list[_CopyChange] = []
+        for name, copy in copies.items():
             staged = job.staged.get(name)
             if staged is None:
-                changes.append(_Change(name, copy, 0))
+                changes.append(_CopyChange(name, copy, 0))
             elif encode_chunk(staged) != encode_chunk(copy):
-                changes.append(_Change(name, copy, staged.version))
-        for name, staged in job.staged.items():
-            if where.first <= staged.first < where.end and name not in wanted:
-                changes.append(_Change(name, None, staged.version))
+                changes.append(_CopyChange(name, copy, staged.version))
+        changes.extend(
+            _CopyChange(name, None, staged.version)
+            for name, staged in job.staged.items()
+            if legacy_range.first <= staged.first < legacy_range.end and name not in copies
+        )
         return changes
 
-    def _copies(self, where: ChunkRange, legacy: PlanChunk, tasks: int) -> dict[str, PlanChunk]:
-        """The legacy chunk cut into segments. Each goes on counting attempts where the whole
-        stands, so that no attempt number comes twice.
+    def _copies(
+        self, legacy_range: ChunkRange, legacy: PlanChunk, tasks: int
+    ) -> dict[str, PlanChunk]:
+        """Returns the legacy chunk cut into segments, by name.
+
+        Each segment continues with the next attempt number of the whole chunk, so that no attempt
+        number is used twice.
         """
         layout = self._cluster.layout
         copies: dict[str, PlanChunk] = {}
-        index = where.first
-        while index < min(where.end, tasks):
+        index = legacy_range.first
+        while index < min(legacy_range.end, tasks):
             segment = layout.segment_of(index)
             mask = (1 << (segment.end - segment.first)) - 1
-            done = legacy.done >> (segment.first - where.first) & mask
+            done = legacy.done >> (segment.first - legacy_range.first) & mask
             attempts = {
-                i: r for i, r in legacy.attempts.items() if segment.first <= i < segment.end
+                task_index: attempt
+                for task_index, attempt in legacy.attempts.items()
+                if segment.first <= task_index < segment.end
             }
             copies[segment.name] = PlanChunk(legacy.next, done, attempts, 0, segment.first)
             index = segment.end
--- a/crossmill/jobs/record_repair.py
+++ b/crossmill/jobs/record_repair.py
@@ -1,10 +1,12 @@
-"""Contradictory records: a job that waits for one whose record is gone, a plan without its job.
+"""Repair of contradictory records: a job whose dependency is gone, a plan without a job.
 
-No job is archived while another waits for it or a plan of it stands (cluster/dependencies.py,
-jobs/cleanup.py). Earlier versions did not hold to that in every case. The archive says how the
-missing job ended: a waiting job's record is written anew on that, so that all controllers follow
-from one durable fact, and a plan's tasks are ended by whoever owns their machines' shard. What the
-archive does not hold stays as it is, and is logged.
+No job is archived while another depends on it or a plan of it exists (cluster/dependencies.py,
+jobs/cleanup.py). Earlier versions did not ensure that in every case. The archive says how the
+missing job ended: the record of a waiting job is rewritten accordingly, so that all controllers
+derive the same from one durable fact, and the tasks of a plan are ended by whoever owns their
+machines' shard. Records that the archive can't explain stay as they are, and are logged.
+
+Runs as a loop of its own in every controller (crossmill/app.py); owns no state.
 """
 
 import logging
@@ -30,11 +32,9 @@
 
 
 class RecordRepair:
-    """Looks, once in a worker lease, through the waiting jobs of the shards acted for, and through
-    the plans without a job.
-    """
+    """Checks the waiting jobs of owned shards, and plans without a job, once per worker lease."""
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 - wired by the application, shares no group with other parts
         self,
         settings: Settings,
         clock: Clock,
@@ -51,7 +51,7 @@
         self._writer = writer
 
     async def run(self) -> None:
-        """Works for ever."""
+        """Checks periodically until cancelled."""
         while True:
             await curio.sleep(self._settings.worker_lease_s)
             try:
@@ -60,39 +60,45 @@
                 log.debug("archive not read error=%s", exc)
 
     async def step(self) -> None:
-        """One look at all shards acted for."""
+        """Checks all shards that this controller acts for, once.
+
+        Raises:
+            RequestRefusedError: The state service refused a read.
+            OutcomeUnknownError: The state service did not answer.
+        """
         for shard in range(self._settings.shard_count):
-            for job, dependency in list(self._missing(shard)):
+            for job, dependency in list(self._missing_dependencies(shard)):
                 ownership = self._membership.active_ownership(shard)
                 if ownership is not None:
-                    await self._mend_waiting(job, dependency, shard, ownership)
+                    await self._repair_dependent(job, dependency, shard, ownership)
         for job in list(self._cluster.jobs.without_record.values()):
             shard = self._shard_of(job)
             if not job.has_ended and self._membership.active_ownership(shard) is not None:
-                await self._mend_unknown(job, shard)
+                await self._repair_plan_without_job(job, shard)
 
-    def _missing(self, shard: int) -> Iterator[tuple[Job, str]]:
+    def _missing_dependencies(self, shard: int) -> Iterator[tuple[Job, str]]:
+        """Yields waiting jobs, each with the first of its dependencies that has no record."""
         for job in self._cluster.jobs.active[shard].values():
             for dependency in job.unmet_dependencies:
-                if not self._is_known(dependency):
+                if not self._has_record(dependency):
                     yield job, dependency
                     break
 
-    def _is_known(self, dependency: str) -> bool:
-        job = self._cluster.jobs.get(dependency)
+    def _has_record(self, job_id: str) -> bool:
+        job = self._cluster.jobs.get(job_id)
         return job is not None and job.has_record
 
     def _shard_of(self, job: Job) -> int:
-        """The shard of the machines that the plan names; the first, if it names none."""
+        """Returns the shard of the machines that the plan names; the first if it names none."""
         for attempt in job.attempts():
             machine = self._cluster.machines.get(attempt.machine)
             if machine is not None:
                 return machine.shard
         return 0
 
-    async def _mend_unknown(self, job: Job, shard: int) -> None:
+    async def _repair_plan_without_job(self, job: Job, shard: int) -> None:
         if await self._client.get(keys.job(job.id)) is not None:
-            # accepted a moment ago: the watch will show it
+            # accepted recently: the watch will deliver the record
             return
         archived = await self._client.get(keys.archived(job.id))
         if job.id not in self._cluster.jobs.without_record:
@@ -106,18 +112,18 @@
         )
         self._cluster.apply_archived_end(job, end, shard)
 
-    async def _mend_waiting(
+    async def _repair_dependent(
         self, job: Job, dependency: str, shard: int, ownership: ShardOwnership
     ) -> None:
         version = job.version
         if await self._client.get(keys.job(dependency)) is not None:
-            # accepted a moment ago: the watch will show it
+            # accepted recently: the watch will deliver the record
             return
         archived = await self._client.get(keys.archived(dependency))
-        if self._is_known(dependency) or job.spec is None or job.version != version:
+        if self._has_record(dependency) or job.spec is None or job.version != version:
             return
         end = archived.value["end"] if archived is not None else ""
-        record = self._record(job, job.spec, dependency, end)
+        record = self._repaired_record(job, job.spec, dependency, end)
         if record is None:
             log.error("dependency without a record job=%s dependency=%s", job.id, dependency)
             return
@@ -128,13 +134,13 @@
             shard_intent(self._membership, shard, ownership, WriteRank.BACKGROUND, txn)
         )
 
-    def _record(
+    def _repaired_record(
         self, job: Job, spec: JobSpec, dependency: str, end: str
     ) -> dict[str, object] | None:
-        """The waiting job's record once it is known how the missing one ended."""
+        """Returns the job's record that follows from the dependency's end; None if unknown."""
         if end == CANCELLED:
-            most_bytes = self._cluster.limits.record_bytes
-            return encode_end(CANCELLED, spec, self._clock.wall(), most_bytes)
+            max_bytes = self._cluster.limits.record_bytes
+            return encode_end(CANCELLED, spec, self._clock.wall(), max_bytes)
         if end == DONE:
             dependencies = tuple(name for name in job.dependencies if name != dependency)
             return encode_job(spec, job.submitted, dependencies)
--- a/crossmill/jobs/scheduling_loop.py
+++ b/crossmill/jobs/scheduling_loop.py
@@ -1,10 +1,13 @@
-"""SchedulingLoop of decisions for the shards this controller acts for.
+"""The scheduling loop: reconciles the durable plans of the shards this controller acts for.
 
-A round turns findings into plan changes, places waiting tasks, and makes both durable in
-transactions that carry the stamps of all they rest on. Starts are sent only from durable plans.
+A round turns outcomes of tasks into plan changes, places waiting tasks, maintains the machines,
+and makes all of it durable in transactions conditional on the versions it was decided on. Starts
+are sent to workers only from durable plans. The loop runs in every controller (crossmill/app.py);
+it is woken by changes in the state service and by outcomes in heartbeats.
 """
 
 import logging
+from typing import NamedTuple
 
 import curio
 
@@ -22,10 +25,12 @@
 from ..workers.command_sender import CommandSender
 from ..workers.heartbeat_handler import HeartbeatHandler
 from .cleanup import Cleanup
+from .context import SchedulingContext
 from .failures import TaskFailures
+from .machine_drain import MachineDrain
 from .machine_maintenance import MachineMaintenance
 from .machine_transfer import MachineTransfer
-from .outcome_batch import collect, select
+from .outcome_batch import ChunkOutcomes, collect, select
 from .placement import TaskPlacement
 from .plan_migration import PlanMigration
 from .plan_writer import PlanEdits, PlanWriter, edit_of
@@ -35,10 +40,17 @@
 log = logging.getLogger(__name__)
 
 
+class _RoundWrite(NamedTuple):
+    """A write of a round, and the starts that may be sent once it is durable."""
+
+    intent: WriteIntent
+    starts: list[PlannedAttempt]
+
+
 class SchedulingLoop:
     """Runs rounds for each shard, and carries out what they decide."""
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 - wired by the application; grouped right here for its parts
         self,
         settings: Settings,
         clock: Clock,
@@ -51,56 +63,46 @@
         expiry_proof: LeaseExpiryProof,
     ) -> None:
         self._settings = settings
-        self._clock = clock
         self._cluster = cluster
         self._membership = membership
         self._heartbeats = heartbeats
         self._writer = writer
-        self._forecast = forecast
         self._command_sender = command_sender
-        self.estimates = forecast.estimates
+        self._estimates = forecast.estimates
+        context = SchedulingContext(settings, clock, cluster, heartbeats, forecast)
         self._failures = TaskFailures(settings, clock, cluster)
         self._quotas = TeamQuotas(settings, cluster)
-        self._preemption = Preemption(settings, clock, cluster, heartbeats, forecast, self._quotas)
-        self._machine_transfer = MachineTransfer(settings, clock, cluster, heartbeats, forecast)
+        self._preemption = Preemption(context, self._quotas)
+        self._machine_transfer = MachineTransfer(context, membership)
         self._migration = PlanMigration(cluster, membership)
         self._plan_writer = PlanWriter(clock, cluster, membership, self._migration)
         self._cleanup = Cleanup(settings, clock, cluster, membership)
-        # by shard: the writes for ended jobs that are under way
-        self._cleaning: dict[int, list[WriteIntent]] = {}
+        # by shard, the writes for ended jobs that are under way
+        self._cleanup_writes: dict[int, list[WriteIntent]] = {}
+        machine_drain = MachineDrain(context)
         self._maintenance = MachineMaintenance(
-            settings,
-            clock,
-            cluster,
-            membership,
-            heartbeats,
-            forecast,
-            expiry_proof,
-            self._preemption,
-            self._machine_transfer,
-            self._failures,
+            context, membership, expiry_proof, machine_drain, self._failures
         )
         self._placement = TaskPlacement(
-            settings,
-            clock,
-            cluster,
-            heartbeats,
-            forecast,
+            context,
             self._quotas,
             self._preemption,
+            machine_drain,
             self._machine_transfer,
             self._failures,
         )
         self.wake = curio.Event()
 
     async def run(self) -> None:
-        """SchedulingLoop for all shards that this controller acts for, when something has
-        changed.
+        """Runs rounds for all shards that this controller acts for, until cancelled.
+
+        They follow when something has changed or half a heartbeat interval has passed, and at once
+        if the last ones ran out of their time budget.
         """
         while True:
             if not self._placement.is_unfinished:
                 await curio.ignore_after(self._settings.heartbeat_interval_s / 2, self.wake.wait)
-            self._placement.is_unfinished = False
+            self._placement.start_rounds()
             self.wake.clear()
             for shard in range(self._settings.shard_count):
                 ownership = self._membership.active_ownership(shard)
@@ -108,98 +110,111 @@
                     await self.run_round(shard, ownership)
             await curio.sleep(self._settings.scheduling_interval_s)
 
+    async def wait_for_cleanup(self, shard: int) -> None:
+        """Waits until the results of the shard's last writes for ended jobs are known.
+
+        Rounds don't wait for them.
+        """
+        for intent in self._cleanup_writes.get(shard, ()):
+            await intent.future.wait()
+
     # -- one round -------------------------------------------------------------------
 
     async def run_round(self, shard: int, ownership: ShardOwnership) -> None:
-        """One round for a shard: findings, placing, upkeep, and the writes that follow."""
+        """Runs one round for a shard, and waits until its writes are settled."""
         edits: PlanEdits = {}
         machines = list(self._cluster.machines.by_shard[shard].values())
         for machine in machines:
             self._heartbeats.expire_lease(machine, ownership)
-        self._find_released(shard, ownership)
-        self._gather(shard, ownership, edits)
+        self._record_released(shard, ownership)
+        self._add_outcomes(shard, ownership, edits)
         stops = self._place(shard, ownership, machines, edits)
         if stops:
             await self._command_sender.send([], stops)
-        intents, starts = self._plan_writes(shard, ownership, edits)
+        writes = self._plan_writes(shard, ownership, edits)
         if await self._clean_up(shard, ownership):
             self._failures.forget_ended(shard)
-        intents += self._maintenance.maintenance_writes(shard, ownership, machines)
-        moves = self._maintenance.transfer_writes(shard, ownership, machines)
-        intents += moves.values()
-        await self._submit(intents, moves)
-        await self._follow_up(intents, starts)
+        maintenance = self._maintenance.writes(shard, ownership, machines)
+        transfers = self._machine_transfer.writes(shard, ownership, machines)
+        writes += [_RoundWrite(intent, []) for intent in (*maintenance, *transfers.values())]
+        await self._submit(writes, transfers)
+        await self._follow_up(writes)
 
     def _place(
         self, shard: int, ownership: ShardOwnership, machines: list[Machine], edits: PlanEdits
     ) -> list[PlannedAttempt]:
-        """Plans starts into `edits`; returns the attempts to be stopped. Machines to be given are
-        chosen before tasks are placed: a start planned in the same round would follow its
-        machine to a shard that knows nothing of the job.
+        """Adds starts to `edits`; returns the attempts to be stopped.
+
+        Machines for other shards are chosen before tasks are placed: a start planned in the same
+        round would go with its machine to a shard that does not know the job.
         """
         gate = self._heartbeats.gate
         if gate is not None and not gate.may_place(shard):
             return []
-        stops = list(self._machine_transfer.choose_machines(shard, machines))
+        stops = list(self._machine_transfer.choose_machines(shard))
         return stops + self._placement.place(shard, ownership, machines, edits)
 
     def _plan_writes(
         self, shard: int, ownership: ShardOwnership, edits: PlanEdits
-    ) -> tuple[list[WriteIntent], dict[int, list[PlannedAttempt]]]:
-        """The writes of edited plans and finished jobs, and by write the starts that follow it."""
-        starts: dict[int, list[PlannedAttempt]] = {}
-        intents: list[WriteIntent] = []
+    ) -> list[_RoundWrite]:
+        """Returns the writes of edited chunks, finished jobs and plan migrations."""
+        writes: list[_RoundWrite] = []
         for edit in edits.values():
             intent = self._plan_writer.intent(edit, shard, ownership)
             if intent is not None:
-                intents.append(intent)
-                starts[id(intent)] = edit.starts
-        intents += self._plan_writer.finish(shard, ownership)
-        intents += self._migration.steps(shard, ownership)
-        return intents, starts
-
-    async def _submit(self, intents: list[WriteIntent], moves: dict[str, WriteIntent]) -> None:
-        """Queues the writes, and waits for those that move machines: until its fate is known, a
-        machine that moves is not answered.
+                writes.append(_RoundWrite(intent, edit.starts))
+        finished = self._plan_writer.finish(shard, ownership)
+        migrations = self._migration.steps(shard, ownership)
+        writes += [_RoundWrite(intent, []) for intent in (*finished, *migrations)]
+        return writes
+
+    async def _submit(self, writes: list[_RoundWrite], transfers: dict[str, WriteIntent]) -> None:
+        """Queues the writes, and waits for those that transfer machines.
+
+        Until the result of its transfer is known, a machine's heartbeats are not answered: its new
+        owner counts the worker's lease from the transfer.
         """
-        self._heartbeats.begin_transfers(moves)
+        self._heartbeats.begin_transfers(transfers)
         try:
-            for intent in intents:
-                await self._writer.submit(intent)
-            for machine_id, intent in moves.items():
+            for write in writes:
+                await self._writer.submit(write.intent)
+            for machine_id, intent in transfers.items():
                 if await intent.future.wait() == WriteResult.OK:
                     self._heartbeats.forget_machine(machine_id)
                     self._machine_transfer.forget_transferred(machine_id)
                     log.info("machine transferred machine=%s", machine_id)
         finally:
-            self._heartbeats.end_transfers(moves)
+            self._heartbeats.end_transfers(transfers)
 
-    async def _follow_up(
-        self, intents: list[WriteIntent], starts: dict[int, list[PlannedAttempt]]
-    ) -> None:
+    async def _follow_up(self, writes: list[_RoundWrite]) -> None:
         """Sends the starts of plans that are durable now, and logs the jobs that are done."""
-        for intent in intents:
-            if await intent.future.wait() != WriteResult.OK:
+        for write in writes:
+            if await write.intent.future.wait() != WriteResult.OK:
                 continue
-            await self._command_sender.send(starts.get(id(intent), []), [])
-            for put in intent.txn.puts:
+            await self._command_sender.send(write.starts, [])
+            for put in write.intent.txn.puts:
                 if put.key.startswith(keys.JOB):
                     log.info("job done job=%s", put.key[len(keys.JOB) :])
 
     async def _clean_up(self, shard: int, ownership: ShardOwnership) -> bool:
-        """Sends what is due for ended jobs, once all that was sent before is settled. No round
-        waits for it. Returns whether there was anything.
+        """Submits what is due for ended jobs, once all earlier writes for them are settled.
+
+        Returns whether there was anything to write.
         """
-        if not all(intent.future.settled for intent in self._cleaning.get(shard, ())):
+        if not all(intent.future.settled for intent in self._cleanup_writes.get(shard, ())):
             return False
-        intents = self._cleaning[shard] = self._cleanup.intents(shard, ownership)
+        intents = self._cleanup_writes[shard] = self._cleanup.intents(shard, ownership)
         for intent in intents:
             await self._writer.submit(intent)
         return bool(intents)
 
-    def _find_released(self, shard: int, ownership: ShardOwnership) -> None:
-        """The machine's record goes only after its release was confirmed; the write of what
-        follows rests on its absence.
+    # -- outcomes --------------------------------------------------------------------
+
+    def _record_released(self, shard: int, ownership: ShardOwnership) -> None:
+        """Records that attempts on released machines have ended.
+
+        A machine's record is deleted only after the cloud confirmed its release. The write of the
+        outcome is conditional on the absence of the record.
         """
         for attempt in list(self._cluster.machines.orphaned_attempts()):
             job = self._cluster.jobs.get(attempt.job)
@@ -210,11 +225,28 @@
                 )
                 self._heartbeats.outcomes.record(outcome)
 
-    def _gather(self, shard: int, ownership: ShardOwnership, edits: PlanEdits) -> None:
+    def _add_outcomes(self, shard: int, ownership: ShardOwnership, edits: PlanEdits) -> None:
+        """Moves the outcomes that this round writes into `edits`."""
         outcomes = self._heartbeats.outcomes
-        news = collect(self._cluster, outcomes, shard, ownership.term)
-        wanted = {(f.attempt.job, f.attempt.index) for entry in news for f in entry.outcomes}
-        for key in [key for key in outcomes if key not in wanted]:
+        batches = collect(self._cluster, outcomes, shard, ownership.term)
+        self._drop_void_outcomes(shard, batches)
+        max_writes = self._writer.writes_within(self._settings.heartbeat_interval_s)
+        for batch in select(batches, max_writes):
+            edit = edit_of(edits, batch.job, batch.name)
+            for outcome in batch.outcomes:
+                del outcomes[outcome.attempt.job, outcome.attempt.index]
+                self._learn(batch.job, outcome)
+                edit.outcomes.append(outcome)
+
+    def _drop_void_outcomes(self, shard: int, batches: list[ChunkOutcomes]) -> None:
+        """Drops outcomes that no longer match the plan, or whose shard has another owner now."""
+        outcomes = self._heartbeats.outcomes
+        valid = {
+            (outcome.attempt.job, outcome.attempt.index)
+            for batch in batches
+            for outcome in batch.outcomes
+        }
+        for key in [key for key in outcomes if key not in valid]:
             job = self._cluster.jobs.get(key[0])
             if (
                 job is None
@@ -222,14 +254,9 @@
                 or self._membership.active_ownership(job.shard) is None
             ):
                 del outcomes[key]
-        for entry in select(news, self._writer.writes_within(self._settings.heartbeat_interval_s)):
-            edit = edit_of(edits, entry.job, entry.name)
-            for outcome in entry.outcomes:
-                del outcomes[outcome.attempt.job, outcome.attempt.index]
-                self._learn(entry.job, outcome)
-                edit.over.append(outcome)
 
     def _learn(self, job: Job, outcome: AttemptOutcome) -> None:
+        """Logs that an attempt has ended, and updates failures and run time estimates."""
         spec, attempt = job.spec, outcome.attempt
         log.info(
             "task ended job=%s task=%d attempt=%d machine=%s reason=%s",
@@ -244,4 +271,4 @@
         self._heartbeats.forget_stop(attempt)
         self._failures.record(job, outcome)
         if outcome.reason == EndReason.DONE and outcome.run_s is not None:
-            self.estimates.saw(spec.job_class, spec.estimate_s, outcome.run_s)
+            self._estimates.saw(spec.job_class, spec.estimate_s, outcome.run_s)
--- a/crossmill/jobs/shard_writes.py
+++ b/crossmill/jobs/shard_writes.py
@@ -1,4 +1,4 @@
-"""Write intents of a shard's owner: they stand only as long as it owns the shard."""
+"""Write intents of a shard's owner: they are valid only as long as it owns the shard."""
 
 from functools import partial
 
@@ -12,6 +12,9 @@
 def shard_intent(
     membership: Membership, shard: int, ownership: ShardOwnership, rank: WriteRank, txn: Txn
 ) -> WriteIntent:
-    """The transaction as an intent that also rests on the shard's key as this owner wrote it."""
+    """Returns the transaction as an intent, with the shard's ownership added to its conditions.
+
+    The write fails if another controller has acquired the shard since.
+    """
     txn.conditions = {keys.shard(shard): ownership.version, **txn.conditions}
     return WriteIntent(txn, rank, holds=partial(membership.write_authority, shard, ownership.token))
--- a/crossmill/wire/users.py
+++ b/crossmill/wire/users.py
@@ -2,6 +2,7 @@
 
 import re
 from dataclasses import dataclass
+from enum import StrEnum
 from typing import Any, NamedTuple
 
 import orjson
@@ -11,14 +12,27 @@
 
 MAX_TASKS = 100_000
 JOB_ID = re.compile(r"wk-[0-9]{6,18}\Z")
-# gangs stand in the sites' wire tables, though not in the protocol's text: see questions.md
-KINDS = {"array": "array", "service": "service", "gang": "gang"}
 PRIORITIES = {"production": "production", "high": "high", "standard": "normal", "idle": "low"}
 JOBS_PATH = "/v1/jobs"
 WITHDRAW = "withdraw"
 DEPENDENCIES = "awaits"
 
 
+class JobKind(StrEnum):
+    """The kinds of jobs; the values are spelled as on the wire and in stored records."""
+
+    # a job array: independent tasks, each run to its end once
+    ARRAY = "array"
+    # replicas that serve until the job is cancelled
+    SERVICE = "service"
+    # gang-scheduled tasks, which start together or not at all; the sites' wire tables have them,
+    # though not the protocol's text: see questions.md
+    GANG = "gang"
+
+
+KINDS: dict[str, str] = {kind.value: kind.value for kind in JobKind}
+
+
 @dataclass(frozen=True, slots=True)
 class JobSpec:
     """A job as its user submitted it."""
@@ -26,6 +40,7 @@
     id: str
     job_class: str
     team: str
+    # the value of a `JobKind`; the properties below tell which
     kind: str
     priority: str
     tasks: int
@@ -44,6 +59,21 @@
     save_s: float
     deadline_s: float | None
 
+    @property
+    def is_array(self) -> bool:
+        """Whether the job is a job array."""
+        return self.kind == JobKind.ARRAY
+
+    @property
+    def is_service(self) -> bool:
+        """Whether the job's tasks are replicas of a service, which are never done."""
+        return self.kind == JobKind.SERVICE
+
+    @property
+    def is_gang(self) -> bool:
+        """Whether the job's tasks are gang-scheduled."""
+        return self.kind == JobKind.GANG
+
 
 class Submission(NamedTuple):
     """A job as its user submits it, with the jobs that have to be done before it starts."""
--- a/tests/stepped_controller.py
+++ b/tests/stepped_controller.py
@@ -203,9 +203,7 @@
         ownership = self.membership.active_ownership(shard)
         assert ownership is not None
         await self.scheduling_loop.run_round(shard, ownership)
-        # rounds do not wait for these
-        for intent in self.scheduling_loop._cleaning.get(shard, ()):
-            await intent.future.wait()
+        await self.scheduling_loop.wait_for_cleanup(shard)
 
     def token(self, shard: int = 0) -> int:
         return self.membership.ownerships[shard].token
--- a/tests/test_missed_watch_events.py
+++ b/tests/test_missed_watch_events.py
@@ -332,7 +332,7 @@
         await node.sync()
         state.put(keys.cancellation_note("wk-000002"), {"at": clock.wall()})
         unread = state.revision
-        await node.jobs._cancellation._note(JOB, node.cluster.jobs[JOB].version)
+        await node.jobs._cancellation._write_note(JOB, node.cluster.jobs[JOB].version)
         await _let_others_run()
         assert node.cluster.cancellation_notes[JOB][0] > unread
         await node.controller_lease.step()
--- a/tests/test_safety.py
+++ b/tests/test_safety.py
@@ -5,6 +5,7 @@
 
 from crossmill.cluster import keys
 from crossmill.cluster.model import AttemptId, PlannedAttempt
+from crossmill.jobs.machine_transfer import PlannedTransfer
 from crossmill.net.client import NoResponseError
 from crossmill.state.writer import WriteIntent, WriteResult
 from crossmill.wire.state import Put, Txn
@@ -677,7 +678,7 @@
         await node.boot()
         node.report("n-0", 1, 1, node.token())
         await node.round()
-        node.scheduling_loop._machine_transfer._leaving["n-0"] = (1, clock.now() + 9)
+        node.scheduling_loop._machine_transfer._leaving["n-0"] = PlannedTransfer(1, clock.now() + 9)
         state.script["/txn"] = ["refuse"] * 2
         task = await curio.spawn(node.round)
         await curio.sleep(0)
@@ -695,7 +696,7 @@
         node = await _placed(state, clock, nodes)
         giving = node.scheduling_loop._machine_transfer
         machine = node.cluster.machines["n-0"]
-        giving._leaving["n-0"] = (1, clock.now() + 9)
+        giving._leaving["n-0"] = PlannedTransfer(1, clock.now() + 9)
         assert giving.target(machine) is None
         machine.attempts.clear()
         assert giving.target(machine) is None, "the worker still reports a task"
@@ -726,12 +727,12 @@
             await node.controller_lease.step()
             if seq == 8:
                 # all is ready for the machine to be given; now its own shard gets a task too
-                node.scheduling_loop._machine_transfer._looked_at[0] = 0.0
+                node.scheduling_loop._machine_transfer._checked_at[0] = 0.0
                 add_job(state, clock, nameId="wk-000002", sacks=1)
                 await node.sync()
             node.report("n-0", 1, seq, node.token())
             if 1 < seq < 8:
-                node.scheduling_loop._machine_transfer._looked_at[0] = clock.now()
+                node.scheduling_loop._machine_transfer._checked_at[0] = clock.now()
             await node.round()
             machine = node.cluster.machines["n-0"]
             if machine.shard == other:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -15,7 +15,7 @@
 from crossmill.cluster.model import Job, PlanChunk, PlannedAttempt
 from crossmill.cluster.records import encode_chunk
 from crossmill.fleet.forecast import DemandForecast
-from crossmill.jobs.outcome_batch import ChunkNews, select
+from crossmill.jobs.outcome_batch import ChunkOutcomes, select
 from crossmill.net.request_heads import RequestHeads
 from crossmill.planning.free_capacity import FreeCapacity
 from crossmill.settings import Team
@@ -178,10 +178,10 @@
 
 def test_a_round_writes_no_more_chunks_than_the_rate_takes_and_urgent_ones_first() -> None:
     # guards against rounds of many seconds: the next stage of a pipeline waits for each
-    def news(number: int, attempts: int, why: str = "done") -> ChunkNews:
+    def news(number: int, attempts: int, why: str = "done") -> ChunkOutcomes:
         attempt = PlannedAttempt(f"wk-{number:06d}", 0, 1, "n-0", 1)
         chunk = PlanChunk(2, 0, {i: attempt for i in range(attempts)})
-        return ChunkNews(
+        return ChunkOutcomes(
             Job(attempt.job), "0", chunk, [AttemptOutcome(attempt, EndReason(why), term=1)]
         )
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -220,7 +220,8 @@
         job = node.cluster.jobs[JOB]
         assert job.chunks["1"].first == 1024
         assert node.cluster.layout.chunk_of(1030, job.chunks).name == "1"
-        waiting = node.scheduling_loop._placement._waiting(job)
+        assert job.spec is not None
+        waiting = node.scheduling_loop._placement._waiting_tasks(job, job.spec)
         assert 1024 not in waiting
         assert 1025 not in waiting
 
@@ -328,7 +329,8 @@
         await node.sync()
         # the chunk that they were copied from goes last, or its deletion would wake them
         clearable = [
-            name for name, _ in node.scheduling_loop._cleanup._clearable(node.cluster.jobs[JOB])
+            name
+            for name, _ in node.scheduling_loop._cleanup._deletable_chunks(node.cluster.jobs[JOB])
         ]
         assert clearable
         assert "0" not in clearable
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -5,6 +5,7 @@
 
 from crossmill.cluster import keys
 from crossmill.cluster.records import encode_job
+from crossmill.jobs.preemption import StoppableJob, charge_excess
 from crossmill.wire.users import JobSpec
 
 from .fake_services import FakeClock, StateService, make_settings, make_spec, on, submission
@@ -284,13 +285,16 @@
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready(state, clock, nodes, 1, sacks=3)
-        making = node.scheduling_loop._preemption
         rows = list(node.cluster.jobs["wk-000001"].attempts())
-        beyond = {"red": 2.0}
-        assert not making._draw(rows, {"wk-000001": "red"}, beyond)
-        assert making._draw(rows[:2], {"wk-000001": "red"}, beyond)
-        assert not making._draw(rows[2:], {"wk-000001": "red"}, beyond)
-        assert making._draw(rows, {"wk-000001": ""}, beyond), "lesser work may always be stopped"
+        spec = node.cluster.jobs["wk-000001"].spec
+        assert spec is not None
+        excess_gpus = {"red": 2.0}
+        charged = {"wk-000001": StoppableJob(spec, "red")}
+        assert not charge_excess(rows, charged, excess_gpus)
+        assert charge_excess(rows[:2], charged, excess_gpus)
+        assert not charge_excess(rows[2:], charged, excess_gpus)
+        lower_priority = {"wk-000001": StoppableJob(spec)}
+        assert charge_excess(rows, lower_priority, excess_gpus)
         # red is guaranteed 4 GPUs: a job of 3 fits, one of 2 behind it does not
         job = add_job(state, clock, nameId="wk-000002", sacks=2)
         await node.sync()
