--- a/crossmill/jobs/__init__.py
+++ b/crossmill/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs: accepting, querying, withdrawing; plans and final states."""
+"""Jobs: their submission, lookup, cancellation and scheduling, and the writes about them."""
--- a/tests/stepped_controller.py
+++ b/tests/stepped_controller.py
@@ -249,6 +249,24 @@
     return spec.id
 
 
+async def boot_with_job(
+    state: StateService,
+    clock: FakeClock,
+    nodes: dict[str, SteppedController],
+    machines: int,
+    **job: Any,
+) -> SteppedController:
+    """A controller with machines that have reported, after one round that placed a job."""
+    seed(state, clock, machines=machines)
+    add_job(state, clock, **job)
+    node = SteppedController(state, clock, nodes)
+    await node.boot()
+    for number in range(machines):
+        node.report(f"n-{number}", 1, 1, node.token())
+    await node.round()
+    return node
+
+
 def run_scenario(
     scenario: Callable[[StateService, FakeClock, dict[str, SteppedController]], Awaitable[None]],
 ) -> None:
