--- a/crossmill/jobs/machine_drain.py
+++ b/crossmill/jobs/machine_drain.py
@@ -7,7 +7,6 @@
 import logging
 from collections.abc import Callable, Iterator
 from operator import attrgetter
-from typing import NamedTuple
 
 from ..cluster.model import Machine, PlannedAttempt
 from ..cluster.ownership import ShardOwnership
@@ -21,11 +20,14 @@
 MAX_CANDIDATES_CHECKED = 8
 
 
-class _Candidate(NamedTuple):
+class _Candidate:
     """A machine that could be drained, with the price saved for each replica moved."""
 
-    price_per_task: float
-    machine: Machine
+    __slots__ = ("machine", "price_per_task")
+
+    def __init__(self, machine: Machine, price: float) -> None:
+        self.machine = machine
+        self.price_per_task = price / len(machine.attempts)
 
 
 class MachineDrain:
@@ -81,7 +83,7 @@
             machine = self._cluster.machines[capacity.machine]
             kind = self._cluster.catalog.get(machine.type)
             if kind is not None and self._is_drainable(machine):
-                candidates.append(_Candidate(kind.price / len(machine.attempts), machine))
+                candidates.append(_Candidate(machine, kind.price))
         # stable also in reverse: of equal candidates the first stays first
         candidates.sort(key=attrgetter("price_per_task"), reverse=True)
         for candidate in candidates[:MAX_CANDIDATES_CHECKED]:
--- a/crossmill/jobs/machine_transfer.py
+++ b/crossmill/jobs/machine_transfer.py
@@ -7,7 +7,6 @@
 
 import logging
 from collections.abc import Iterator
-from typing import NamedTuple
 
 from ..cluster import keys
 from ..cluster.membership import Membership
@@ -24,11 +23,14 @@
 log = logging.getLogger(__name__)
 
 
-class PlannedTransfer(NamedTuple):
+class PlannedTransfer:
     """The shard that a machine goes to once it is empty, and until when that is tried."""
 
-    shard: int
-    until: float
+    __slots__ = ("shard", "until")
+
+    def __init__(self, shard: int, until: float) -> None:
+        self.shard = shard
+        self.until = until
 
 
 class MachineTransfer:
--- a/crossmill/jobs/outcome_batch.py
+++ b/crossmill/jobs/outcome_batch.py
@@ -6,21 +6,24 @@
 """
 
 from collections.abc import Mapping
-from dataclasses import dataclass, field
 
 from ..cluster.cluster_state import ClusterState
 from ..cluster.model import ACTIVE, Job, PlanChunk
 from ..workers.attempt_outcomes import AttemptOutcome, EndReason, Key
 
 
-@dataclass(slots=True, eq=False)
 class ChunkOutcomes:
     """The outcomes proved for the tasks of one plan chunk, which are written together."""
 
-    job: Job
-    name: str
-    chunk: PlanChunk
-    outcomes: list[AttemptOutcome] = field(default_factory=list)
+    __slots__ = ("chunk", "job", "name", "outcomes")
+
+    def __init__(
+        self, job: Job, name: str, chunk: PlanChunk, outcomes: list[AttemptOutcome] | None = None
+    ) -> None:
+        self.job = job
+        self.name = name
+        self.chunk = chunk
+        self.outcomes = outcomes if outcomes is not None else []
 
     @property
     def is_urgent(self) -> bool:
--- a/crossmill/jobs/plan_writer.py
+++ b/crossmill/jobs/plan_writer.py
@@ -3,7 +3,6 @@
 Called by the scheduling loop with a round's edits; owns no state.
 """
 
-from dataclasses import dataclass, field
 from typing import Any
 
 from ..cluster import keys
@@ -23,27 +22,25 @@
 from .shard_writes import shard_intent
 
 
-@dataclass(slots=True, eq=False)
 class PlanEdit:
     """A round's changes to one chunk of a job's plan, with the versions they were decided on.
 
-    The write fails if any of these versions has changed since.
+    It begins empty, with the chunk as the mirror has it now. The write fails if any of the versions
+    has changed since.
     """
 
-    job: Job
-    chunk: str
-    base: PlanChunk | None
-    job_version: int
-    # attempts that have ended
-    outcomes: list[AttemptOutcome] = field(default_factory=list)
-    starts: list[PlannedAttempt] = field(default_factory=list)
-    # versions of the records of the machines that the starts are on
-    machines: dict[str, int] = field(default_factory=dict)
-
-    @classmethod
-    def begin(cls, job: Job, chunk: str) -> "PlanEdit":
-        """Returns an empty edit of the chunk as the mirror has it now."""
-        return cls(job, chunk, job.chunks.get(chunk), job.version)
+    __slots__ = ("base", "chunk", "job", "job_version", "machines", "outcomes", "starts")
+
+    def __init__(self, job: Job, chunk: str) -> None:
+        self.job = job
+        self.chunk = chunk
+        self.base: PlanChunk | None = job.chunks.get(chunk)
+        self.job_version = job.version
+        # attempts that have ended
+        self.outcomes: list[AttemptOutcome] = []
+        self.starts: list[PlannedAttempt] = []
+        # versions of the records of the machines that the starts are on
+        self.machines: dict[str, int] = {}
 
     def start(self, attempt: PlannedAttempt, machine: Machine) -> None:
         """Adds the start of an attempt on the machine as the mirror has it now."""
@@ -59,7 +56,7 @@
     """Returns the round's edit of the chunk, a new one if there is none yet."""
     edit = edits.get((job.id, chunk))
     if edit is None:
-        edit = edits[job.id, chunk] = PlanEdit.begin(job, chunk)
+        edit = edits[job.id, chunk] = PlanEdit(job, chunk)
     return edit
 
 
--- a/crossmill/jobs/preemption.py
+++ b/crossmill/jobs/preemption.py
@@ -20,26 +20,36 @@
 log = logging.getLogger(__name__)
 
 
-class StoppableJob(NamedTuple):
+class StoppableJob:
     """A job whose tasks may be stopped for another job."""
 
-    spec: JobSpec
-    # the team whose use in excess of its quota the stops reduce; None for work of lower priority
-    charged_team: str | None = None
+    __slots__ = ("charged_team", "spec")
 
+    def __init__(self, spec: JobSpec, charged_team: str | None = None) -> None:
+        self.spec = spec
+        # the team whose use in excess of its quota the stops reduce; None for work of lower
+        # priority
+        self.charged_team = charged_team
 
-class Preempted(NamedTuple):
+
+class Preempted:
     """The result of one preemption: attempts to be stopped, and how many tasks fit after that."""
 
-    attempts: list[PlannedAttempt]
-    tasks_covered: int
+    __slots__ = ("attempts", "tasks_covered")
+
+    def __init__(self, attempts: list[PlannedAttempt], tasks_covered: int) -> None:
+        self.attempts = attempts
+        self.tasks_covered = tasks_covered
 
 
-class _Reservation(NamedTuple):
+class _Reservation:
     """A machine reserved for the job for which its tasks were stopped."""
 
-    job_id: str
-    until: float
+    __slots__ = ("job_id", "until")
+
+    def __init__(self, job_id: str, until: float) -> None:
+        self.job_id = job_id
+        self.until = until
 
 
 class _PreemptorClass(NamedTuple):
@@ -52,14 +62,23 @@
     may_stop_replicas: bool
 
 
-class _Option(NamedTuple):
+class _Option:
     """Attempts whose stops let one task start on a machine, with what decides among options."""
 
-    contention_cost: int
-    needs_image_fetch: bool
-    lost_runtime_s: float
-    capacity: FreeCapacity
-    victims: list[PlannedAttempt]
+    __slots__ = ("capacity", "contention_cost", "lost_runtime_s", "needs_image_fetch", "victims")
+
+    def __init__(
+        self,
+        spec: JobSpec,
+        capacity: FreeCapacity,
+        victims: list[PlannedAttempt],
+        lost_runtime_s: float,
+    ) -> None:
+        self.contention_cost = capacity.contention_cost(spec)
+        self.needs_image_fetch = spec.image not in capacity.images
+        self.lost_runtime_s = lost_runtime_s
+        self.capacity = capacity
+        self.victims = victims
 
 
 _cost = attrgetter("contention_cost", "needs_image_fetch", "lost_runtime_s")
@@ -167,14 +186,8 @@
                 continue
             victims = self._victims(spec, capacity, stoppable)
             if victims is not None:
-                option = _Option(
-                    capacity.contention_cost(spec),
-                    spec.image not in capacity.images,
-                    sum(self._lost_runtime_s(victim, stoppable) for victim in victims),
-                    capacity,
-                    victims,
-                )
-                options.append(option)
+                lost_s = sum(self._lost_runtime_s(victim, stoppable) for victim in victims)
+                options.append(_Option(spec, capacity, victims, lost_s))
         options.sort(key=_cost)
         return options
 
--- a/crossmill/jobs/scheduling_loop.py
+++ b/crossmill/jobs/scheduling_loop.py
@@ -7,7 +7,6 @@
 """
 
 import logging
-from typing import NamedTuple
 
 import curio
 
@@ -40,11 +39,14 @@
 log = logging.getLogger(__name__)
 
 
-class _RoundWrite(NamedTuple):
+class _RoundWrite:
     """A write of a round, and the starts that may be sent once it is durable."""
 
-    intent: WriteIntent
-    starts: list[PlannedAttempt]
+    __slots__ = ("intent", "starts")
+
+    def __init__(self, intent: WriteIntent, starts: list[PlannedAttempt]) -> None:
+        self.intent = intent
+        self.starts = starts
 
 
 class SchedulingLoop:
