--- a/tests/stepped_controller.py
+++ b/tests/stepped_controller.py
@@ -192,9 +192,7 @@
         ownership = self.membership.active_ownership(shard)
         assert ownership is not None
         await self.scheduling_loop.run_round(shard, ownership)
-        # rounds do not wait for these
-        for intent in self.scheduling_loop._cleaning.get(shard, ()):
-            await intent.future.wait()
+        await self.scheduling_loop.wait_for_cleanup(shard)
 
     def token(self, shard: int = 0) -> int:
         return self.membership.ownerships[shard].token
@@ -240,6 +238,24 @@
     return spec.id
 
 
+async def boot_with_job(
+    state: StateService,
+    clock: FakeClock,
+    nodes: dict[str, SteppedController],
+    machines: int,
+    **job: Any,
+) -> SteppedController:
+    """A controller with machines that have reported, after one round that placed a job."""
+    seed(state, clock, machines=machines)
+    add_job(state, clock, **job)
+    node = SteppedController(state, clock, nodes)
+    await node.boot()
+    for number in range(machines):
+        node.report(f"n-{number}", 1, 1, node.token())
+    await node.round()
+    return node
+
+
 def run_scenario(
     scenario: Callable[[StateService, FakeClock, dict[str, SteppedController]], Awaitable[None]],
 ) -> None:
--- a/tests/test_missed_watch_events.py
+++ b/tests/test_missed_watch_events.py
@@ -233,7 +233,7 @@
         await node.sync()
         state.put(keys.cancellation_note("wk-000002"), {"at": clock.wall()})
         unread = state.revision
-        await node.jobs._cancellation._note(JOB, node.cluster.jobs[JOB].version)
+        await node.jobs._cancellation._write_note(JOB, node.cluster.jobs[JOB].version)
         await _run_other_tasks()
         assert node.cluster.cancellation_notes[JOB][0] > unread
         await node.controller_lease.step()
