--- a/crossmill/cluster/cluster_state.py
+++ b/crossmill/cluster/cluster_state.py
@@ -15,7 +15,7 @@
 from .job_index import JobIndex
 from .layout import PlanLayout
 from .machine_index import MachineIndex
-from .model import CancellationNote, Job, Level, OwnershipRecord
+from .model import CancellationNote, Job, JobEnd, Level, OwnershipRecord
 from .plan_index import PlanIndex
 from .records import decode_catalog, decode_job, decode_level
 
@@ -79,12 +79,16 @@
             if job.spec is not None and job.spec.kind != "service" and not job.is_blocked
         )
 
+    def use_catalog(self, catalog: dict[str, MachineType]) -> None:
+        """Uses the cloud's catalog, by type name, until one is read from the state service."""
+        self.catalog = catalog
+
     def apply_archived_end(self, job: Job, end: str, shard: int) -> None:
         """Applies how an archived job ended, of which only a plan is known.
 
         From then on the shard's owner stops its tasks and deletes the plan.
         """
-        job.end, job.shard = end, shard
+        job.end, job.shard = JobEnd(end), shard
         self.jobs.update_sets(job)
 
     def _machine_type(self, name: str) -> MachineType | None:
--- a/crossmill/cluster/model.py
+++ b/crossmill/cluster/model.py
@@ -2,11 +2,22 @@
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
+from enum import StrEnum
 from typing import NamedTuple
 
 from ..wire.users import JobSpec
 
-ACTIVE, DONE, CANCELLED = "", "done", "cancelled"
+
+class JobEnd(StrEnum):
+    """Whether and how a job has ended, as it is spelled in stored records."""
+
+    ACTIVE = ""
+    DONE = "done"
+    CANCELLED = "cancelled"
+
+
+# short names of the ends, which are compared in many places
+ACTIVE, DONE, CANCELLED = JobEnd.ACTIVE, JobEnd.DONE, JobEnd.CANCELLED
 
 
 class AttemptId(NamedTuple):
@@ -62,8 +73,8 @@
 
     id: str
     version: int = 0
-    end: str = ACTIVE
-    recorded: str = ACTIVE
+    end: JobEnd = ACTIVE
+    recorded: JobEnd = ACTIVE
     spec: JobSpec | None = None
     submitted: float = 0.0
     ended_at: float = 0.0
--- a/crossmill/cluster/records.py
+++ b/crossmill/cluster/records.py
@@ -16,6 +16,7 @@
     ACTIVE,
     ControllerRecord,
     Job,
+    JobEnd,
     Level,
     Machine,
     PlanChunk,
@@ -27,7 +28,7 @@
 class JobRecord(NamedTuple):
     """A job's stored record."""
 
-    end: str
+    end: JobEnd
     spec: JobSpec
     submitted: float
     ended_at: float
@@ -95,7 +96,7 @@
     return value
 
 
-def encode_end(end: str, spec: JobSpec, ended_at: float, most_bytes: int) -> dict[str, Any]:
+def encode_end(end: JobEnd, spec: JobSpec, ended_at: float, most_bytes: int) -> dict[str, Any]:
     """Encodes an ended job.
 
     The spec is kept, since a cancelled job's tasks use capacity until they are proved to have
@@ -111,7 +112,7 @@
 def decode_job(value: dict[str, Any]) -> JobRecord:
     """Decodes a job's record in any version's format."""
     return JobRecord(
-        value["end"],
+        JobEnd(value["end"]),
         _decode_spec(value["spec"]),
         value.get("at", 0.0),
         value.get("ended", 0.0),
--- a/crossmill/fleet/provisioner.py
+++ b/crossmill/fleet/provisioner.py
@@ -112,7 +112,7 @@
         catalog = await self._cloud.catalog()
         self._catalog_at = self._clock.now()
         if not self._cluster.catalog:
-            self._cluster.catalog = catalog
+            self._cluster.use_catalog(catalog)
         version = self._membership.leadership_version()
         if version is None or stored_catalog(catalog) == self._cluster.mirror.value(keys.CATALOG):
             return
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -3,6 +3,7 @@
 import pytest
 
 from crossmill.cluster import keys
+from crossmill.cluster.model import CANCELLED, DONE
 from crossmill.cluster.records import encode_end, encode_job
 from crossmill.planning.pipelines import PipelineStage, plan_pipeline, topological_order
 from crossmill.planning.split import MachineOption, Stage, _path_ends, split
@@ -136,7 +137,7 @@
         await other.boot()
         assert other.forecast.queue_place(jobs[first])[0][1] == pytest.approx(end)
         # the heir is cancelled: inheritance ends
-        state.put(keys.job(last), encode_end("cancelled", final, clock.wall(), RECORD_BYTES))
+        state.put(keys.job(last), encode_end(CANCELLED, final, clock.wall(), RECORD_BYTES))
         await node.sync()
         assert forecast.queue_place(jobs[first])[0][0] == 3
 
@@ -154,7 +155,7 @@
             name = f"wk-00000{number}"
             after = make_spec(nameId=name, dueS=due or None, grindS=0.0)
             state.put(keys.job(name), encode_job(after, at, ("wk-000001",)))
-        state.put(keys.job("wk-000001"), encode_end("done", spec, at + 50.0, RECORD_BYTES))
+        state.put(keys.job("wk-000001"), encode_end(DONE, spec, at + 50.0, RECORD_BYTES))
         node = SteppedController(state, clock, nodes)
         await node.boot()
         ends = [node.forecast.queue_place(node.cluster.jobs[f"wk-00000{n}"])[0][1] for n in (2, 3)]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -8,7 +8,7 @@
 
 from crossmill.cluster import keys
 from crossmill.cluster.layout import PlanLayout
-from crossmill.cluster.model import Level
+from crossmill.cluster.model import DONE, Level
 from crossmill.cluster.records import decode_job, encode_chunk, encode_end, encode_job, encode_level
 from crossmill.settings import SettingsError, StateLimits, parse
 from crossmill.state.writer import WriteIntent, WriteResult
@@ -96,7 +96,7 @@
     # unknown fields of a later version end nobody
     later = {**PRODUCTION_JOB, "new": 1, "spec": {**PRODUCTION_SPEC, "new": 1}}
     assert decode_job(later).spec == spec
-    assert set(encode_end("done", spec, 7.0, RECORD_BYTES)) == {"end", "spec", "ended"}
+    assert set(encode_end(DONE, spec, 7.0, RECORD_BYTES)) == {"end", "spec", "ended"}
 
 
 @pytest.mark.parametrize("upgraded", [(), ("node-1",), ("node-1", "node-2")])
