--- a/tests/test_derivation.py
+++ b/tests/test_derivation.py
@@ -63,6 +63,7 @@
         )()
 
     def accept(self) -> None:
+        """Accepts a job with up to two dependencies."""
         job, unfinished = f"wk-{next(self.numbers):06d}", self._unfinished()
         dependencies = self.rng.sample(
             unfinished, min(len(unfinished), self.rng.choice([0, 0, 1, 2]))
@@ -77,6 +78,7 @@
         return all(n not in records or records[n]["end"] == DONE for n in self.dependencies[job])
 
     def plan(self) -> None:
+        """Rewrites one segment of a ready job's plan."""
         ready = [job for job in self._unfinished() if self._is_ready(job)]
         machines = self._machines()
         if not ready or not machines:
@@ -93,6 +95,7 @@
         self.state.put(name, {"next": old["next"] + SEGMENT, "done": f"{done:x}", "rows": rows})
 
     def end(self) -> None:
+        """Ends a ready job, done or cancelled."""
         ready = [job for job in self._unfinished() if self._is_ready(job)]
         if not ready:
             return
@@ -119,12 +122,14 @@
         return [job for job, record in self._records().items() if record["end"]]
 
     def clear(self) -> None:
+        """Deletes some plans of ended jobs."""
         for job in self._ended():
             for name in self._plans(job):
                 if self.rng.random() < 0.5:
                     self.state.delete(name)
 
     def archive(self) -> None:
+        """Archives some ended jobs that have no plan and no unfinished dependents."""
         for job in self._ended():
             is_depended_on = any(job in self.dependencies[other] for other in self._unfinished())
             if not self._plans(job) and not is_depended_on and self.rng.random() < 0.5:
@@ -132,6 +137,7 @@
                 self.state.delete(keys.job(job))
 
     def machine(self) -> None:
+        """Deletes an idle machine, or adds or changes one."""
         machines = self._machines()
         used = {
             row[2]
--- a/tests/test_owner_selection.py
+++ b/tests/test_owner_selection.py
@@ -115,8 +115,9 @@
 
 
 def test_workers_are_answered_soon_after_a_release_past_an_absent_controller() -> None:
-    """Between the release by the old owner and the acquisition by the new one, workers tried the
-    next
+    """Workers wait for an answer no longer than three heartbeats while their shard changes owner.
+
+    Between the release by the old owner and the acquisition by the new one, workers tried the next
     controllers by themselves, of which one was down and one stalled; 39 tasks ended with their
     workers' leases.
     """
--- a/tests/test_partition_keepalive.py
+++ b/tests/test_partition_keepalive.py
@@ -32,13 +32,20 @@
 RUNNING = on("wk-000001", 0, 1, "running")
 
 
-class UnreachableServer:
-    """A server to which no connection can be made."""
+class PartitionableLink:
+    """A link to the state service that can be cut."""
+
+    def __init__(self, state: StateService) -> None:
+        self._state = state
+        self.is_cut = False
 
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
-        raise ConnectionFailedError(path)
+        """Passes the request on; raises ConnectionFailedError while the link is cut."""
+        if self.is_cut:
+            raise ConnectionFailedError(path)
+        return await self._state.request(method, path, body, timeout_s)
 
 
 class PartitionScenario:
@@ -49,9 +56,11 @@
 
     def __init__(self, state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         self.state, self.clock, self.nodes = state, clock, nodes
+        self.link = PartitionableLink(state)
         self.seq = 10
 
     async def begin(self) -> None:
+        """Starts both controllers, and has the owner start the task on the machine."""
         seed(self.state, self.clock, machines=1)
         self.job = add_job(self.state, self.clock, sacks=1, cut="service", grindS=0.0, dueS=None)
         self.owner = SteppedController(self.state, self.clock, self.nodes, "node-1")
@@ -67,13 +76,12 @@
         assert [command.op for command in self.owner.report("n-0", 1, 3, token).commands] == [
             "start"
         ]
-        self.zone_controller = SteppedController(self.state, self.clock, self.nodes, "node-0")
+        self.zone_controller = SteppedController(self.link, self.clock, self.nodes, "node-0")
         await self.zone_controller.boot()
         self.s = self.zone_controller.settings
 
     async def pass_time(self, seconds: float, to: SteppedController | None = None) -> None:
-        """Passes time while the machine sends heartbeats to one controller, and the owner
-        decides."""
+        """Passes time: the machine sends heartbeats to one controller, the owner decides."""
         end = self.clock.time + seconds
         while self.clock.time < end:
             self.clock.time += 0.5
@@ -92,14 +100,12 @@
 
     def cut(self) -> None:
         """Partitions the north: node-0 reaches neither the state service nor the south."""
-        self.zone_controller.client._http = self.zone_controller.client._watch_http = (
-            UnreachableServer()
-        )
+        self.link.is_cut = True
         self.nodes["node-0"].cut = self.nodes["node-1"].cut = True
 
     def heal(self) -> None:
         """Ends the partition."""
-        self.zone_controller.client._http = self.zone_controller.client._watch_http = self.state
+        self.link.is_cut = False
         self.nodes["node-0"].cut = self.nodes["node-1"].cut = False
 
     def planned_on_machine(self) -> int:
@@ -304,7 +310,9 @@
 
 
 def test_no_machine_is_retired_while_a_zone_falls_silent_and_comes_back_one_by_one() -> None:
-    """The first to fall silent were retired before the rest were silent, and the last to come back
+    """A zone's machines that fall silent one by one are not retired.
+
+    The first to fall silent were retired before the rest were silent, and the last to come back
     as soon as most others had.
     """
 
@@ -338,7 +346,7 @@
         await it.owner.partition_protocol.step()
         assert it.owner.partition_protocol.expiry_proof._attestations
         # node-0 ends; its new process does not know of the attestation, and keeps workers alive
-        it.zone_controller = SteppedController(it.state, it.clock, it.nodes, "node-0")
+        it.zone_controller = SteppedController(it.link, it.clock, it.nodes, "node-0")
         await it.zone_controller.boot(waited=False)
         await it.zone_controller.partition_protocol.step()
         it.cut()
@@ -425,7 +433,9 @@
 
 
 def test_a_cancellation_accounts_for_a_task_that_moves_to_another_zone_meanwhile() -> None:
-    """Only the controllers of zones with tasks of the job are told; before the write a task may be
+    """A cancellation is refused, or announced to the zone that a task was moved to meanwhile.
+
+    Only the controllers of zones with tasks of the job are told; before the write a task may be
     moved to a zone whose controllers were not.
     """
 
@@ -452,7 +462,9 @@
 
 
 def test_an_owner_counts_the_worker_lease_from_its_last_keepalive() -> None:
-    """Its authority as owner had ended and its lease outlasted the outage: it then counted from its
+    """A worker's lease counts from the last answer, also from one without authority as owner.
+
+    The owner's authority had ended and its lease outlasted the outage: it then counted from its
     last answer as owner, and the task was placed again while it ran (lot 2060).
     """
 
