--- a/crossmill/cluster/__init__.py
+++ b/crossmill/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""Who is entitled to act: controllers, their leases, shards, tokens, the leader."""
+"""The stored state of the cluster, and which controller has the authority to act on it."""
