--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -8,7 +8,7 @@
 
 from crossmill.cluster import keys
 from crossmill.cluster.layout import PlanLayout
-from crossmill.cluster.model import Level
+from crossmill.cluster.model import DONE, Level
 from crossmill.cluster.records import decode_job, encode_chunk, encode_end, encode_job, encode_level
 from crossmill.settings import SettingsError, StateLimits, parse
 from crossmill.state.writer import WriteIntent, WriteResult
@@ -98,7 +98,7 @@
 
 def test_the_end_of_a_job_has_no_more_fields_than_production_reads() -> None:
     spec = make_spec(nameId=JOB)
-    assert set(encode_end("done", spec, 7.0, RECORD_BYTES)) == {"end", "spec", "ended"}
+    assert set(encode_end(DONE, spec, 7.0, RECORD_BYTES)) == {"end", "spec", "ended"}
 
 
 def test_an_end_that_production_wrote_has_no_time() -> None:
