--- a/crossmill/workers/attempt_outcomes.py
+++ b/crossmill/workers/attempt_outcomes.py
@@ -34,15 +34,15 @@
     STOPPED = "stopped"
     ERROR = "error"
     # the worker refused the start: no free capacity, the task is there already, or is not known
-    NO_ROOM = "no_room"
-    BUSY = "busy"
+    NO_CAPACITY = "no_room"
+    TASK_EXISTS = "busy"
     UNKNOWN = "unknown"
     # a gang-scheduled task that lost its peers
     PEERS = "peers"
     # the worker began a new session and has lost its earlier tasks
-    SESSION_OVER = "session over"
+    SESSION_ENDED = "session over"
     # nobody can have answered the worker for as long as its lease lasts
-    LEASE_OVER = "lease over"
+    LEASE_EXPIRED = "lease over"
     # a newer heartbeat lacks the attempt, and no start of it can arrive any more
     NOT_STARTED = "not started"
     # the cloud confirmed that the machine is gone
--- a/crossmill/workers/lease_expiry.py
+++ b/crossmill/workers/lease_expiry.py
@@ -47,7 +47,10 @@
             if _is_covered(attempt, view):
                 self._outcomes.record(
                     AttemptOutcome(
-                        attempt, EndReason.LEASE_OVER, ownership.term, preconditions=preconditions
+                        attempt,
+                        EndReason.LEASE_EXPIRED,
+                        ownership.term,
+                        preconditions=preconditions,
                     )
                 )
 
--- a/crossmill/workers/reconciliation.py
+++ b/crossmill/workers/reconciliation.py
@@ -155,7 +155,7 @@
         """Handles a planned attempt that the worker does not have."""
         if attempt.session < view.session:
             self.unacknowledged_starts.drop_start(machine.id, attempt.id)
-            self.outcomes.record(AttemptOutcome(attempt, EndReason.SESSION_OVER, ownership.term))
+            self.outcomes.record(AttemptOutcome(attempt, EndReason.SESSION_ENDED, ownership.term))
             return None
         if (attempt.job, attempt.index) in view.tasks or attempt.session != view.session:
             return None
