--- a/crossmill/workers/command_sender.py
+++ b/crossmill/workers/command_sender.py
@@ -21,8 +21,6 @@
 from ..wire.workers import (
     COMMANDS_PATH,
     MAX_COMMANDS,
-    Command,
-    CommandKind,
     commands_body,
     parse_heartbeat,
 )
@@ -99,7 +97,8 @@
         if not view.has_confirmed_token:
             return
         starts = starts[: MAX_COMMANDS - len(stops)]
-        commands = self._commands(starts, stops)
+        commands = [self._reconciler.stop_command(attempt) for attempt in stops]
+        commands += [self._reconciler.start_command(attempt) for attempt in starts]
         if self._heartbeats.is_transferring(machine_id):
             return
         token = self._heartbeats.command_token(machine, ownership)
@@ -114,14 +113,6 @@
             and self._reconciler.may_start(attempt, machine)
         )
 
-    def _commands(self, starts: list[PlannedAttempt], stops: list[PlannedAttempt]) -> list[Command]:
-        commands = [self._reconciler.stop_command(attempt) for attempt in stops]
-        commands.extend(
-            Command(CommandKind.START, f"{attempt.job}/{attempt.index}", attempt.number)
-            for attempt in starts
-        )
-        return commands
-
     def _client(self, address: str) -> Http | None:
         """Returns the client for a worker's address; None if the address is malformed."""
         client = self._clients.get(address)
--- a/crossmill/workers/reconciliation.py
+++ b/crossmill/workers/reconciliation.py
@@ -71,6 +71,12 @@
             return False
         return attempt.id not in self.stop_requests
 
+    @staticmethod
+    def start_command(attempt: PlannedAttempt) -> Command:
+        """Returns the command that starts a planned attempt."""
+        name = _task_name(attempt.job, attempt.index)
+        return Command(CommandKind.START, name, attempt.number)
+
     def stop_command(self, attempt: PlannedAttempt) -> Command:
         """Returns the command that stops a planned attempt, with time to save if it can."""
         job = self._cluster.jobs.get(attempt.job)
@@ -162,8 +168,7 @@
         if not self._is_job_known(attempt):
             return None
         if self.may_start(attempt, machine):
-            name = _task_name(attempt.job, attempt.index)
-            return Command(CommandKind.START, name, attempt.number)
+            return self.start_command(attempt)
         if self._may_start_arrive(machine, attempt.id) or is_command_response:
             # the response to a direct command was made while the answer to the last heartbeat,
             # which may contain the start, was still on its way
