--- a/crossmill/cluster/model.py
+++ b/crossmill/cluster/model.py
@@ -15,6 +15,14 @@
     DONE = "done"
     CANCELLED = "cancelled"
 
+    @classmethod
+    def _missing_(cls, value: object) -> "JobEnd":
+        """Reads an end that a later version may have written: the job has ended, somehow."""
+        end = str.__new__(cls, value)
+        end._name_ = "OTHER"
+        end._value_ = str(value)
+        return end
+
 
 # short names of the ends, which are compared in many places
 ACTIVE, DONE, CANCELLED = JobEnd.ACTIVE, JobEnd.DONE, JobEnd.CANCELLED
--- a/crossmill/state/writer.py
+++ b/crossmill/state/writer.py
@@ -25,8 +25,14 @@
     TransactionTooLargeError,
 )
 from .mirror import Mirror
-from .write_batch import WriteBatch, merged_transaction
-from .write_intent import Authority, WriteIntent, WriteRank, WriteResult
+from .write_intent import (
+    Authority,
+    WriteBatch,
+    WriteIntent,
+    WriteRank,
+    WriteResult,
+    merged_transaction,
+)
 
 __all__ = ["Authority", "WriteIntent", "WriteRank", "WriteResult", "Writer"]
 
--- a/crossmill/workers/command_sender.py
+++ b/crossmill/workers/command_sender.py
@@ -14,15 +14,13 @@
 from ..cluster.cluster_state import ClusterState
 from ..cluster.membership import Membership
 from ..cluster.model import Machine, PlannedAttempt
-from ..net import http_status
+from ..net import HttpStatus
 from ..net.client import Client, ConnectionFailedError, Http, NoResponseError
 from ..settings import Endpoint, Settings
 from ..wire.checks import MalformedMessageError, load_object
 from ..wire.workers import (
     COMMANDS_PATH,
     MAX_COMMANDS,
-    Command,
-    CommandKind,
     commands_body,
     parse_heartbeat,
 )
@@ -32,7 +30,7 @@
 log = logging.getLogger(__name__)
 
 # a worker answers with its status, whether it has taken the commands or refused them
-STATUSES_WITH_HEARTBEAT = (http_status.OK, http_status.CONFLICT)
+STATUSES_WITH_HEARTBEAT = (HttpStatus.OK, HttpStatus.CONFLICT)
 
 
 class MachineCommands(NamedTuple):
@@ -100,7 +98,8 @@
         if not view.has_confirmed_token:
             return
         starts = starts[: MAX_COMMANDS - len(stops)]
-        commands = self._commands(starts, stops)
+        commands = [self._reconciler.stop_command(attempt) for attempt in stops]
+        commands += [self._reconciler.start_command(attempt) for attempt in starts]
         if self._heartbeats.is_transferring(machine_id):
             return
         token = self._heartbeats.command_token(machine, ownership)
@@ -115,14 +114,6 @@
             and self._reconciler.may_start(attempt, machine)
         )
 
-    def _commands(self, starts: list[PlannedAttempt], stops: list[PlannedAttempt]) -> list[Command]:
-        commands = [self._reconciler.stop_command(attempt) for attempt in stops]
-        commands.extend(
-            Command(CommandKind.START, f"{attempt.job}/{attempt.index}", attempt.number)
-            for attempt in starts
-        )
-        return commands
-
     def _client(self, address: str) -> Http | None:
         """Returns the client for a worker's address; None if the address is malformed."""
         client = self._clients.get(address)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -8,7 +8,7 @@
 
 from crossmill.cluster import keys
 from crossmill.cluster.layout import PlanLayout
-from crossmill.cluster.model import DONE, Level
+from crossmill.cluster.model import ACTIVE, CANCELLED, DONE, Level
 from crossmill.cluster.records import decode_job, encode_chunk, encode_end, encode_job, encode_level
 from crossmill.settings import SettingsError, StateLimits, parse
 from crossmill.state.writer import WriteIntent, WriteResult
@@ -505,3 +505,9 @@
         assert (stored["spec"]["team"], stored["spec"]["gpus"]) == ("red", 1.0)
 
     run_scenario(scenario)
+
+
+def test_an_end_that_this_version_does_not_know_is_read_as_an_end() -> None:
+    record = decode_job({**PRODUCTION_JOB, "end": "expired"})
+    assert record.end == "expired"
+    assert record.end not in (ACTIVE, DONE, CANCELLED)
