--- a/crossmill/jobs/placement.py
+++ b/crossmill/jobs/placement.py
@@ -5,51 +5,21 @@
 """
 
 import logging
-from dataclasses import replace
-from typing import NamedTuple
 
 from ..cluster.model import Job, Machine, PlannedAttempt
 from ..cluster.ownership import ShardOwnership
-from ..planning.free_capacity import FreeCapacity, ZoneAllowance, assign_tasks, is_allowed
+from ..planning.free_capacity import FreeCapacity, ZoneAllowance
 from ..wire.users import JobSpec
+from .capacity_selection import CapacitySelection, PlacementRequest
 from .context import SchedulingContext
 from .failures import JobFailures, TaskFailures
 from .machine_drain import MachineDrain
 from .machine_transfer import MachineTransfer
 from .plan_writer import PlanEdits, edit_of
-from .preemption import Preemption
 from .team_quotas import LIMIT_TOLERANCE, ResourceUsage, TeamQuotas, UsageByTeam
 
 log = logging.getLogger(__name__)
 
-# the image fetch may take this share of the time in which a service's replicas should start
-MAX_IMAGE_DELAY_SHARE = 0.75
-
-
-class _TaskShape(NamedTuple):
-    """What decides on which machines a task fits."""
-
-    cpus: float
-    gpus: float
-    memory_gb: float
-    types: tuple[str, ...] | None
-    zone: str | None
-    spot: bool
-
-
-class _PlacementRequest:
-    """The tasks of one job that this round tries to place."""
-
-    __slots__ = ("job", "may_preempt", "spec", "tasks", "usage", "zones")
-
-    def __init__(self, job: Job, spec: JobSpec, tasks: int, zones: ZoneAllowance) -> None:
-        self.job = job
-        self.spec = spec
-        # how many tasks neither have a machine yet nor are covered by a preemption
-        self.tasks = tasks
-        self.zones = zones
-        self.may_preempt = False
-
 
 def _slots(taken: list[tuple[FreeCapacity, int]]) -> list[str]:
     """Returns the machine for each of the tasks."""
@@ -63,7 +33,7 @@
         self,
         context: SchedulingContext,
         quotas: TeamQuotas,
-        preemption: Preemption,
+        selection: CapacitySelection,
         machine_drain: MachineDrain,
         machine_transfer: MachineTransfer,
         failures: TaskFailures,
@@ -74,7 +44,7 @@
         self._heartbeats = context.heartbeats
         self._forecast = context.forecast
         self._quotas = quotas
-        self._preemption = preemption
+        self._selection = selection
         self._machine_drain = machine_drain
         self._machine_transfer = machine_transfer
         self._failures = failures
@@ -83,11 +53,8 @@
         self._resume_at: dict[int, str] = {}
         # whether a round ran out of time; cleared by `start_rounds`
         self._is_unfinished = False
-        # of this round: what the teams use, attempts to be stopped, and shapes that fit nowhere
-        # any more (capacity only shrinks during a round)
+        # of this round, with what it has placed
         self._usage: UsageByTeam = {}
-        self._stops: list[PlannedAttempt] = []
-        self._shapes_without_capacity: set[_TaskShape] = set()
 
     @property
     def is_unfinished(self) -> bool:
@@ -105,10 +72,8 @@
 
         Returns the attempts to be stopped, either for waiting tasks or to drain a machine.
         """
-        self._stops = []
-        self._preemption.drop_expired_claims()
+        stops = self._selection.start_round()
         self._quotas.start_round(shard)
-        self._shapes_without_capacity.clear()
         queue = self._forecast.waiting(shard)
         if not queue:
             return list(
@@ -126,7 +91,7 @@
                 break
             if job.spec is not None:
                 self._place_job(job, job.spec, capacities, edits)
-        return self._stops
+        return stops
 
     def _resumed(self, shard: int, queue: list[Job]) -> list[Job]:
         """Returns the queue, rotated to where the last round ran out of time."""
@@ -162,35 +127,6 @@
         ]
         return self._forecast.cached_capacities(self._capacity_cache, schedulable)
 
-    def _fitting(self, spec: JobSpec, capacities: list[FreeCapacity]) -> list[FreeCapacity]:
-        """Returns the capacities where at least one such task fits.
-
-        Most waiting jobs have the same shape as others, and most machines are full: shapes that
-        fit nowhere are not checked again in the same round.
-        """
-        shape = _TaskShape(spec.cpus, spec.gpus, spec.memory_gb, spec.types, spec.zone, spec.spot)
-        if shape in self._shapes_without_capacity:
-            return []
-        fitting = [
-            capacity
-            for capacity in capacities
-            if capacity.fits(spec) and is_allowed(spec, capacity.type, capacity.zone, capacity.spot)
-        ]
-        if not fitting:
-            self._shapes_without_capacity.add(shape)
-        return fitting
-
-    def _available_to(
-        self, job: Job, failures: JobFailures | None, capacities: list[FreeCapacity]
-    ) -> list[FreeCapacity]:
-        """Returns the capacities not reserved for other jobs, where the job has not failed yet."""
-        excluded = failures.machines if failures is not None else ()
-        return [
-            capacity
-            for capacity in capacities
-            if capacity.machine not in excluded and self._preemption.is_available_to(capacity, job)
-        ]
-
     # -- one job ---------------------------------------------------------------------
 
     def _place_job(
@@ -202,15 +138,8 @@
         if tasks <= 0:
             return
         zones = ZoneAllowance(spec, self._cluster.machines.task_counts_by_zone(job))
-        request = _PlacementRequest(job, spec, tasks, zones)
-        free = self._available_to(job, failures, self._fitting(spec, capacities))
-        if spec.is_gang and not self._fits_whole_gang(request, free):
-            return
-        request.may_preempt = self._may_preempt(job, spec, failures)
-        if not request.may_preempt and not free:
-            return
-        preemptible = self._available_to(job, failures, capacities) if request.may_preempt else free
-        slots = _slots(self._find_capacity(request, free, preemptible))
+        request = PlacementRequest(job, spec, tasks, zones, self._usage)
+        slots = _slots(self._selection.take(request, failures, capacities))
         if not slots:
             return
         for index, machine_id in zip(self._placeable_tasks(job, spec), slots, strict=False):
@@ -242,87 +171,6 @@
                 tasks = min(tasks, int((limit - used + LIMIT_TOLERANCE) / per_task))
         return max(0, tasks)
 
-    def _fits_whole_gang(self, request: _PlacementRequest, capacities: list[FreeCapacity]) -> bool:
-        """Whether all tasks of the gang fit: they are placed together or not at all."""
-        job, spec = request.job, request.spec
-        if job.planned_task_count():
-            return False
-        trial = [replace(capacity, images=dict(capacity.images)) for capacity in capacities]
-        zones = ZoneAllowance(spec, self._cluster.machines.task_counts_by_zone(job))
-        taken = assign_tasks(spec, request.tasks, trial, zones)
-        return sum(task_count for _, task_count in taken) == job.waiting_task_count()
-
-    def _may_preempt(self, job: Job, spec: JobSpec, failures: JobFailures | None) -> bool:
-        """Whether other tasks may be stopped for the job.
-
-        A replica that ended with its machine is no failure of the job: only failures of its own
-        bar a service from preemption. An array preempts only until its first task has ended: for
-        each task again, two arrays would stop one another's tasks in turn.
-        """
-        has_own_failures = failures is not None and (not spec.is_service or failures.failures != 0)
-        return not has_own_failures and self._preemption.can_preempt_for(job, self._usage)
-
-    def _find_capacity(
-        self,
-        request: _PlacementRequest,
-        free: list[FreeCapacity],
-        preemptible: list[FreeCapacity],
-    ) -> list[tuple[FreeCapacity, int]]:
-        """Takes free capacity for the tasks, and requests preemptions for the others.
-
-        A class that must start soon is rather given the capacity of preempted tasks on a machine
-        that has its image than free capacity where it would wait for the image.
-        """
-        job, spec = request.job, request.spec
-        start_objective_s = (
-            self._settings.start_objective_s(spec.job_class) if spec.is_service else None
-        )
-        # a failed claim is not repeated: then any capacity will do
-        has_failed_claim = self._preemption.has_failed_claim(job)
-        taken: list[tuple[FreeCapacity, int]] = []
-        if start_objective_s is not None and not has_failed_claim:
-            max_delay_s = MAX_IMAGE_DELAY_SHARE * start_objective_s
-
-            def starts_in_time(capacity: FreeCapacity) -> bool:
-                # reserved capacity counts wherever it is, or it would stay unused until the
-                # claim ends
-                return capacity.delay_s(spec) < max_delay_s or self._preemption.is_reserved_for(
-                    capacity, job
-                )
-
-            taken = self._assign(request, list(filter(starts_in_time, free)))
-            if request.tasks and request.may_preempt:
-                if self._preemption.has_claim(job):
-                    return taken
-                self._preempt(request, list(filter(starts_in_time, preemptible)))
-        if request.tasks:
-            taken += self._assign(request, free)
-        if request.tasks and request.may_preempt and not has_failed_claim:
-            self._preempt(request, preemptible)
-        return taken
-
-    def _assign(
-        self, request: _PlacementRequest, capacities: list[FreeCapacity]
-    ) -> list[tuple[FreeCapacity, int]]:
-        """Takes free capacity for as many of the tasks as fit."""
-        taken = assign_tasks(
-            request.spec,
-            request.tasks,
-            capacities,
-            request.zones,
-            self._settings.max_replica_share_per_machine,
-        )
-        request.tasks -= sum(task_count for _, task_count in taken)
-        return taken
-
-    def _preempt(self, request: _PlacementRequest, capacities: list[FreeCapacity]) -> None:
-        """Requests stops of other tasks for the tasks left."""
-        preempted = self._preemption.preempt(
-            request.job, request.tasks, capacities, request.zones, self._usage
-        )
-        self._stops.extend(preempted.attempts)
-        request.tasks -= preempted.tasks_covered
-
     # -- its tasks -------------------------------------------------------------------
 
     def _waiting_tasks(self, job: Job, spec: JobSpec) -> list[int]:
--- a/crossmill/jobs/scheduling_loop.py
+++ b/crossmill/jobs/scheduling_loop.py
@@ -23,6 +23,7 @@
 from ..workers.attempt_outcomes import AttemptOutcome, EndReason
 from ..workers.command_sender import CommandSender
 from ..workers.heartbeat_handler import HeartbeatHandler
+from .capacity_selection import CapacitySelection
 from .cleanup import Cleanup
 from .context import SchedulingContext
 from .failures import TaskFailures
@@ -74,7 +75,7 @@
         context = SchedulingContext(settings, clock, cluster, heartbeats, forecast)
         self._failures = TaskFailures(settings, clock, cluster)
         self._quotas = TeamQuotas(settings, cluster)
-        self._preemption = Preemption(context, self._quotas)
+        preemption = Preemption(context, self._quotas)
         self._machine_transfer = MachineTransfer(context, membership)
         self._migration = PlanMigration(cluster, membership)
         self._plan_writer = PlanWriter(clock, cluster, membership, self._migration)
@@ -88,7 +89,7 @@
         self._placement = TaskPlacement(
             context,
             self._quotas,
-            self._preemption,
+            CapacitySelection(context, preemption),
             machine_drain,
             self._machine_transfer,
             self._failures,
--- a/tests/trace_adapter.py
+++ b/tests/trace_adapter.py
@@ -17,7 +17,7 @@
 
 from crossmill.cluster import keys
 from crossmill.cluster.model import PlannedAttempt
-from crossmill.jobs import placement
+from crossmill.jobs import capacity_selection
 from crossmill.net.client import ConnectionFailedError, Http, NoResponseError
 from crossmill.net.server import Request, Response
 from crossmill.planning.free_capacity import FreeCapacity, assign_tasks
@@ -652,5 +652,5 @@
     ) -> Any:
         return assign_tasks(spec, tasks, capacities[1:] or capacities, *rest)
 
-    with _replaced(placement, "assign_tasks", changed_assign):
+    with _replaced(capacity_selection, "assign_tasks", changed_assign):
         yield
