--- a/crossmill/app.py
+++ b/crossmill/app.py
@@ -19,6 +19,7 @@
 from .cluster.partition_protocol import PartitionProtocol
 from .fleet.cloud import Cloud
 from .fleet.forecast import DemandForecast
+from .fleet.machine_records import MachineRecords
 from .fleet.provisioner import FleetProvisioner
 from .jobs.api import JobApi
 from .jobs.record_repair import RecordRepair
@@ -109,11 +110,9 @@
             settings,
             clock,
             self.cluster,
-            self.membership,
             self.forecast,
-            Cloud(settings, clock),
-            self.writer,
-            lambda: os.urandom(8).hex(),
+            Cloud(settings, clock, lambda: os.urandom(8).hex()),
+            MachineRecords(self.cluster, self.membership, self.writer),
         )
         self.jobs = JobApi(
             settings,
--- /dev/null
+++ b/crossmill/fleet/arrivals.py
@@ -0,0 +1,118 @@
+"""Expects demand from the jobs that arrived recently.
+
+`Arrivals` owns, in memory, the submissions of the last `arrival_window_s` seconds by shard and job
+class. The demand forecast records them and adds the expected demand to its capacity plans.
+"""
+
+from dataclasses import replace
+from math import inf
+from typing import NamedTuple
+
+from ..cluster.cluster_state import ClusterState
+from ..planning.demand import TaskDemand
+from ..planning.estimates import Estimates
+from ..planning.free_capacity import ZoneAllowance
+from ..settings import Settings
+from ..wire.users import JobSpec
+from .capacity import FleetCapacity
+
+# expected replicas are rounded up, so that at least one is expected of each class that arrived
+ROUND_UP = 0.5
+
+
+class _Arrival(NamedTuple):
+    """A submission: when, how many tasks, and their estimated run time in all."""
+
+    submitted: float
+    tasks: int
+    work_s: float
+
+
+class _ClassArrivals:
+    """Recent submissions of a job class to a shard, and the newest one's spec."""
+
+    __slots__ = ("arrivals", "shard", "spec")
+
+    def __init__(self, shard: int, spec: JobSpec) -> None:
+        self.shard = shard
+        self.spec = spec
+        self.arrivals: list[_Arrival] = []
+
+
+class Arrivals:
+    """Recent submissions, and the demand that is expected from them."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        cluster: ClusterState,
+        capacity: FleetCapacity,
+        estimates: Estimates,
+    ) -> None:
+        self._settings = settings
+        self._cluster = cluster
+        self._capacity = capacity
+        self._estimates = estimates
+        self._classes: dict[tuple[int, str], _ClassArrivals] = {}
+        # the order of acceptance of the newest job that was recorded
+        self._newest_order = 0
+
+    def record(self, wall: float) -> None:
+        """Record the jobs that arrived since the last call, and drop the old ones."""
+        newest = self._newest_order
+        for shard, jobs in self._cluster.jobs.active.items():
+            for job in jobs.values():
+                spec = job.spec
+                if job.order <= self._newest_order or spec is None:
+                    continue
+                newest = max(newest, job.order)
+                entry = self._classes.setdefault(
+                    (shard, spec.job_class), _ClassArrivals(shard, spec)
+                )
+                work_s = spec.tasks * spec.estimate_s
+                entry.arrivals.append(_Arrival(job.submitted, spec.tasks, work_s))
+                entry.spec = spec
+        self._newest_order = newest
+        horizon = wall - self._settings.arrival_window_s
+        for entry in self._classes.values():
+            entry.arrivals = [a for a in entry.arrivals if a.submitted >= horizon]
+
+    def expected_replicas(self, shard: int) -> list[TaskDemand]:
+        """Return the replicas likely to arrive while a machine boots; capacity is kept for them."""
+        demands: list[TaskDemand] = []
+        for entry in self._classes.values():
+            spec = entry.spec
+            if entry.shard != shard or spec.kind != "service":
+                continue
+            machine_types = self._capacity.allowed_types(spec)
+            if not machine_types:
+                continue
+            boot_s = min(machine_type.boot_s for machine_type in machine_types)
+            tasks = sum(arrival.tasks for arrival in entry.arrivals)
+            arrivals_per_s = tasks / self._settings.arrival_window_s
+            number = round(arrivals_per_s * boot_s * self._settings.headroom + ROUND_UP)
+            if number > 0:
+                demands.append(TaskDemand(spec, number, ZoneAllowance(spec, {}), inf, 0.0))
+        return demands
+
+    def baseline_arrays(self, shard: int) -> list[TaskDemand]:
+        """Return the arrays' tasks that run at a time on average, as demand for spot machines.
+
+        Arrays that find no capacity can't wait until a spot machine has booted, so a baseline of
+        spot machines is rented ahead and kept.
+        """
+        demands: list[TaskDemand] = []
+        for entry in self._classes.values():
+            spec = entry.spec
+            if entry.shard != shard or spec.kind == "service" or not spec.spot:
+                continue
+            estimated_s = sum(arrival.work_s for arrival in entry.arrivals)
+            work_s = self._estimates.task_s(spec.job_class, estimated_s)
+            running = work_s / self._settings.arrival_window_s
+            number = round(running * self._settings.spot_baseline_ratio)
+            if number > 0:
+                # any image may be needed, and the cheapest machines are kept
+                generic = replace(spec, image="", image_gb=0.0, one_zone=False, tasks=number)
+                zones = ZoneAllowance(generic, {})
+                demands.append(TaskDemand(generic, number, zones, inf, 0.0, spot_only=True))
+        return demands
--- /dev/null
+++ b/crossmill/fleet/capacity.py
@@ -0,0 +1,178 @@
+"""The capacity of the fleet: what is free on its machines, and what the cloud can still provide.
+
+`FleetCapacity` owns, in memory, what follows from the catalog, the sources without capacity, the
+footprints of GPU tasks and the boot times. The demand forecast plans with it, placement reads the
+free capacity of machines, and the fleet provisioner reports sources without capacity.
+"""
+
+from collections.abc import Iterable
+from math import inf
+
+from ..cluster.cluster_state import ClusterState
+from ..cluster.model import Machine
+from ..net.clock import Clock
+from ..planning.demand import MachineSource, MachineSourceKey, empty_capacity, slots_on
+from ..planning.free_capacity import FreeCapacity, is_allowed
+from ..planning.gpu_footprints import GpuFootprints, gpu_footprints
+from ..settings import Settings
+from ..wire.cloud import MAX_RENT, MachineType
+from ..wire.users import JobSpec
+from .boot_times import BootTimes
+from .capacity_cache import CapacityCache
+
+
+class FleetCapacity:
+    """Free capacity of machines, and the sources that machines can be rented from."""
+
+    def __init__(self, settings: Settings, clock: Clock, cluster: ClusterState) -> None:
+        self._settings = settings
+        self._clock = clock
+        self._cluster = cluster
+        self._boot_times = BootTimes(settings, cluster.mirror)
+        # the catalog that the next two were derived from
+        self._catalog: dict[str, MachineType] | None = None
+        self._limited_zones: set[str] = set()
+        self._sources: list[MachineSource] = []
+        # until when sources are not asked again, in monotonic time
+        self._no_capacity_until: dict[MachineSourceKey, float] = {}
+        self._footprints = GpuFootprints(None, {})
+        self._footprints_at = -inf
+        self._cache = self.new_cache()
+
+    # -- sources ---------------------------------------------------------------------
+
+    def sources(self) -> list[MachineSource]:
+        """Return all types, zones and kinds (on demand, spot) of machines of the catalog."""
+        self._apply_catalog()
+        return self._sources
+
+    def limit(self, source: MachineSource) -> int:
+        """Return the most machines of the source that may be requested now."""
+        blocked_until = self._no_capacity_until.get(source.key, 0.0)
+        return 0 if blocked_until > self._clock.now() else MAX_RENT
+
+    def note_no_capacity(self, source: MachineSourceKey) -> None:
+        """Request no machine of the source for a while: the cloud had too few."""
+        self._no_capacity_until[source] = self._clock.now() + self._settings.no_capacity_backoff_s
+
+    def is_exhausted_for(self, spec: JobSpec) -> bool:
+        """Return whether the cloud has no machine at present that the job may use."""
+        return not any(
+            self.limit(source) > 0
+            for source in self.sources()
+            if is_allowed(spec, source.type.name, source.zone, source.spot)
+            and slots_on(spec, source.type) > 0
+        )
+
+    def has_few_types(self, zone: str) -> bool:
+        """Return whether the zone offers fewer machine types than another one.
+
+        Replicas that are spread over the zones find least capacity there.
+        """
+        self._apply_catalog()
+        return zone in self._limited_zones
+
+    def allowed_types(self, spec: JobSpec) -> list[MachineType]:
+        """Return the machine types of the catalog that the job may use."""
+        return [
+            machine_type
+            for name, machine_type in self._cluster.catalog.items()
+            if spec.types is None or name in spec.types
+        ]
+
+    def _apply_catalog(self) -> None:
+        """Derive what depends on the catalog alone, once for each catalog.
+
+        It is asked for every machine and task, and took most of a controller's time on a large
+        fleet.
+        """
+        catalog = self._cluster.catalog
+        if catalog is self._catalog:
+            return
+        self._catalog = catalog
+        type_counts = dict.fromkeys(self._settings.zones, 0)
+        for machine_type in catalog.values():
+            for zone in machine_type.zones:
+                type_counts[zone] = type_counts.get(zone, 0) + 1
+        most = max(type_counts.values(), default=0)
+        self._limited_zones = {zone for zone, number in type_counts.items() if number < most}
+        # among equal sources the first is taken: zones that offer all types come first
+        self._sources = [
+            MachineSource(machine_type, zone, spot)
+            for machine_type in catalog.values()
+            for zone in sorted(machine_type.zones, key=self._limited_zones.__contains__)
+            for spot in (False, True)
+        ]
+
+    # -- machines --------------------------------------------------------------------
+
+    def has_boot_failed(self, machine: Machine, machine_type: MachineType, wall: float) -> bool:
+        """Return whether a machine that still boots is unlikely to come up any more."""
+        return self._boot_times.has_failed(machine, machine_type, wall)
+
+    def new_cache(self) -> CapacityCache:
+        """Return a cache for a caller that reads the machines' free capacity repeatedly."""
+        return CapacityCache(self._cluster.machines, self.free_capacity)
+
+    def cached_capacities(
+        self, cache: CapacityCache, machines: Iterable[tuple[Machine, MachineType]]
+    ) -> list[FreeCapacity]:
+        """Return what is free on the machines, valid until the cache is asked again."""
+        self._apply_catalog()
+        footprints = self._gpu_footprints()
+        capacities = [cache.capacity(machine, machine_type) for machine, machine_type in machines]
+        for capacity in capacities:
+            capacity.typical_gpu_task = footprints.typical
+            capacity.exclusive_gpu_task = footprints.exclusive_to(capacity)
+        return capacities
+
+    def free_capacity(self, machine: Machine, machine_type: MachineType) -> FreeCapacity:
+        """Return what the planned tasks leave free on a machine."""
+        capacity = empty_capacity(machine.id, machine_type, machine.zone, machine.spot)
+        capacity.cpus -= machine.cpus
+        capacity.gpus -= machine.gpus
+        capacity.memory_gb -= machine.memory_gb
+        capacity.images = dict(machine.images)
+        capacity.is_used = bool(machine.attempts)
+        capacity.in_limited_zone = self.has_few_types(machine.zone)
+        footprints = self._gpu_footprints()
+        capacity.typical_gpu_task = footprints.typical
+        capacity.exclusive_gpu_task = footprints.exclusive_to(capacity)
+        return capacity
+
+    def shard_capacities(self, shard: int, wall: float) -> list[FreeCapacity]:
+        """Return what is free on the shard's machines, those expected to come up included."""
+        machines = [
+            (machine, machine_type)
+            for machine in self._cluster.machines.by_shard[shard].values()
+            if (machine_type := self._expected_type(machine, wall)) is not None
+        ]
+        return self.cached_capacities(self._cache, machines)
+
+    def empty_spot_capacities(self, shard: int, wall: float) -> list[FreeCapacity]:
+        """Return the capacity that the shard's spot machines would have if they were empty."""
+        return [
+            empty_capacity(machine.id, machine_type, machine.zone, True)
+            for machine in self._cluster.machines.by_shard[shard].values()
+            if machine.spot and (machine_type := self._expected_type(machine, wall)) is not None
+        ]
+
+    def _expected_type(self, machine: Machine, wall: float) -> MachineType | None:
+        """Return the machine's type if the machine is up or is expected to come up."""
+        machine_type = self._cluster.catalog.get(machine.type)
+        if machine_type is None or machine.retiring:
+            return None
+        if not machine.up and not self._boot_times.is_expected(machine, machine_type, wall):
+            return None
+        return machine_type
+
+    def _gpu_footprints(self) -> GpuFootprints:
+        """Return the footprints of GPU tasks, computed anew once in a worker lease."""
+        now = self._clock.now()
+        if now - self._footprints_at > self._settings.worker_lease_s:
+            self._footprints_at = now
+            active = (job for jobs in self._cluster.jobs.active.values() for job in jobs.values())
+            specs = [job.spec for job in active if job.spec is not None and job.spec.gpus > 0]
+            if specs:
+                self._footprints = gpu_footprints(specs, self._cluster.catalog.values())
+        return self._footprints
--- a/crossmill/fleet/cloud.py
+++ b/crossmill/fleet/cloud.py
@@ -1,6 +1,11 @@
-"""Typed calls to the cloud, all paced below its rate."""
+"""Client of the cloud's API. All requests are paced below the cloud's rate limit.
+
+`Cloud` owns the pacer and the names of rental requests. Only the fleet provisioner calls it.
+"""
 
 from collections.abc import Callable
+from itertools import count
+from typing import NamedTuple
 
 import curio
 import orjson
@@ -8,95 +13,150 @@
 from ..net.client import Client, ConnectionFailedError, Http, NoResponseError
 from ..net.clock import Clock
 from ..net.pacer import Pacer
+from ..planning.demand import MachineSourceKey
 from ..settings import Settings
 from ..wire import cloud as wire
 from ..wire.checks import load_object
+from . import FleetError
+
+MAX_SOCKETS = 4
+# a response is awaited for the time of this many requests at the rate limit, and for at least
+# MIN_TIMEOUT_S
+TIMEOUT_REQUESTS, MIN_TIMEOUT_S = 8, 4.0
+
+STATUS_OK, STATUS_TOO_MANY_REQUESTS, STATUS_UNAVAILABLE = 200, 429, 503
+# the body of a 503 that says that no machine of the source is available
+NO_CAPACITY_BODY = b"no capacity"
 
 
-class CloudError(Exception):
-    """RequestRefusedError, not reached or not answered; it may be carried out late."""
+class CloudError(FleetError):
+    """A request was refused, was not sent, or got no response. It may still be carried out.
+
+    `status` is the HTTP status of the refusal; None without a response.
+    """
+
+    def __init__(self, message: str, status: int | None = None) -> None:
+        super().__init__(message)
+        self.status = status
 
 
 class NotLeaderError(CloudError):
-    """The right to rent and return ended before the request could be sent."""
+    """The controller stopped leading before the request could be sent."""
+
+
+class NoCapacityError(FleetError):
+    """The cloud has no machine of the source at present."""
+
+    def __init__(self, source: MachineSourceKey) -> None:
+        super().__init__(f"no capacity for {source.type_name} in {source.zone}")
+        self.source = source
+
+
+class _Response(NamedTuple):
+    """The status and body of a response."""
+
+    status: int
+    body: bytes
 
 
-class NoCapacityError(Exception):
-    """None of this type, zone and kind is to be had now."""
+def _always() -> bool:
+    return True
 
 
 class Cloud:
-    """Typed calls to the cloud, paced below its limit."""
+    """Typed requests to the cloud, paced below its rate limit."""
 
-    def __init__(self, settings: Settings, clock: Clock, http: Http | None = None) -> None:
-        self._http = http or Client(settings.cloud, max_sockets=4)
+    def __init__(
+        self,
+        settings: Settings,
+        clock: Clock,
+        unique: Callable[[], str],
+        http: Http | None = None,
+    ) -> None:
+        self._http = http or Client(settings.cloud, max_sockets=MAX_SOCKETS)
         self._pacer = Pacer(clock, settings.cloud_request_rate, settings.cloud_request_rate)
-        self._timeout_s = max(4.0, 8 / settings.cloud_rps)
+        self._timeout_s = max(MIN_TIMEOUT_S, TIMEOUT_REQUESTS / settings.cloud_rps)
+        self._request_names = (f"{settings.label}-{unique()}-{n}" for n in count(1))
+
+    def new_request_name(self) -> str:
+        """Return a name for a rental that no other process or incarnation ever uses.
+
+        A rental that is repeated under its name rents nothing twice.
+        """
+        return next(self._request_names)
+
+    async def catalog(self) -> dict[str, wire.MachineType]:
+        """Fetch the machine types, with the current prices."""
+        response = await self._request("GET", wire.CATALOG_PATH)
+        return wire.parse_catalog(load_object(response.body))
 
-    async def _call(
+    async def rent(
+        self,
+        request_name: str,
+        source: MachineSourceKey,
+        number: int,
+        may_send: Callable[[], bool],
+    ) -> list[str]:
+        """Rent up to so many machines and return their ids.
+
+        Raises:
+            NoCapacityError: The cloud has none of the source.
+            CloudError: The request failed, or `may_send` was false when it was due.
+        """
+        body = wire.rent_body(request_name, *source, min(number, wire.MAX_RENT))
+        response = await self._request("POST", wire.MACHINES_PATH, body, may_send)
+        if response.status == STATUS_UNAVAILABLE:
+            raise NoCapacityError(source)
+        return wire.parse_rented(load_object(response.body))
+
+    async def release(self, machines: list[str], may_send: Callable[[], bool]) -> None:
+        """Return machines to the cloud; they have ended when this returns.
+
+        Raises:
+            CloudError: The request failed, or `may_send` was false when it was due.
+        """
+        await self._request("POST", wire.RELEASE_PATH, wire.release_body(machines), may_send)
+
+    async def list_machines(self) -> list[wire.Listed]:
+        """Fetch the cloud's list of machines, page by page. The list may lag."""
+        machines: list[wire.Listed] = []
+        after = ""
+        while True:
+            response = await self._request("GET", wire.list_path(after))
+            page, has_more = wire.parse_list(load_object(response.body))
+            machines.extend(page)
+            if not has_more or not page:
+                return machines
+            after = page[-1].id
+
+    async def _request(
         self,
         method: str,
         path: str,
         body: bytes = b"",
-        holds: Callable[[], bool] = lambda: True,
-    ) -> tuple[int, bytes]:
-        """Sends a request once the pace allows it, if `holds` is still true then: the wait may have
-        lasted, and the process may have stood still in it.
+        may_send: Callable[[], bool] = _always,
+    ) -> _Response:
+        """Send a request as soon as the pacer allows it.
+
+        `may_send` is asked right before: the wait may have been long, and the process may have been
+        suspended meanwhile.
         """
         while not self._pacer.take():
             await curio.sleep(self._pacer.wait_s())
-        if not holds():
+        if not may_send():
             raise NotLeaderError(f"{method} {path}: not sent")
         try:
             status, data = await self._http.request(method, path, body, self._timeout_s)
         except (ConnectionFailedError, NoResponseError) as exc:
             raise CloudError(str(exc)) from exc
-        if status == 429:
+        if status == STATUS_TOO_MANY_REQUESTS:
             self._pacer.drain()
-        if status != 200 and not (status == 503 and b"no capacity" in data):
-            raise CloudError(f"{method} {path}: {status}")
-        return status, data
-
-    async def catalog(self) -> dict[str, wire.MachineType]:
-        """The machine types, with the current prices."""
-        _, data = await self._call("GET", wire.CATALOG_PATH)
-        return wire.parse_catalog(load_object(data))
-
-    async def rent(
-        self,
-        request: str,
-        type_name: str,
-        zone: str,
-        spot: bool,
-        number: int,
-        holds: Callable[[], bool],
-    ) -> list[str]:
-        """Rents up to so many machines under a request name, if `holds` at the sending; raises
-        NoCapacityError or CloudError.
-        """
-        body = wire.rent_body(request, type_name, zone, spot, min(number, wire.MAX_RENT))
-        status, data = await self._call("POST", wire.MACHINES_PATH, body, holds)
-        if status == 503:
-            raise NoCapacityError
-        return wire.parse_rented(load_object(data))
-
-    async def release(self, machines: list[str], holds: Callable[[], bool]) -> None:
-        """Returns machines, if `holds` at the sending; after it they are gone."""
-        await self._call("POST", wire.RELEASE_PATH, wire.release_body(machines), holds)
-
-    async def machines(self) -> list[wire.Listed]:
-        """All machines that the cloud lists."""
-        rows: list[wire.Listed] = []
-        after = ""
-        while True:
-            _, data = await self._call("GET", wire.list_path(after))
-            page, more = wire.parse_list(load_object(data))
-            rows.extend(page)
-            if not more or not page:
-                return rows
-            after = page[-1].id
+        has_no_capacity = status == STATUS_UNAVAILABLE and NO_CAPACITY_BODY in data
+        if status != STATUS_OK and not has_no_capacity:
+            raise CloudError(f"{method} {path}: {status}", status)
+        return _Response(status, data)
 
 
 def stored_catalog(catalog: dict[str, wire.MachineType]) -> list[dict[str, object]]:
-    """The catalog as it is stored."""
-    return [orjson.loads(orjson.dumps(t._asdict())) for t in catalog.values()]
+    """Return the catalog in the form in which it is stored."""
+    return [orjson.loads(orjson.dumps(entry._asdict())) for entry in catalog.values()]
--- a/crossmill/fleet/pipelines.py
+++ b/crossmill/fleet/pipelines.py
@@ -1,8 +1,9 @@
 """Each job's place in the queue, as a stage of its pipeline.
 
-Budgets are kept until something of the pipeline changes: a stage is added, done, cancelled or
-late. They are counted from the durable time of the last change, so that every controller that has
-a stage of the pipeline works out the same.
+`PipelineBudgets` owns the pipelines' plans in memory. A plan is kept until the pipeline changes: a
+stage is added, done, cancelled or late. Budgets count from the durable time of the last change, so
+that every controller that owns a stage of the pipeline computes the same. The demand forecast asks
+it for the order of the queue.
 """
 
 from typing import NamedTuple
@@ -13,34 +14,37 @@
 from ..planning.demand import slots_on
 from ..planning.estimates import Estimates
 from ..planning.pipelines import PipelineStage, StagePlan, plan_pipeline
-from ..planning.queue import PRIORITY, budget_end
+from ..planning.queue import PRIORITY, QueuePlace, budget_end, place_in_queue
 from ..planning.split import MachineOption
 from ..settings import Settings
 from ..wire.users import JobSpec
+from . import FleetError
 
-# a replica runs until it is cancelled; its stage is over as soon as it has begun
+# a replica runs until it is cancelled; its stage is done as soon as it has started
 REPLICA_S = 1.0
+# keeps throughputs finite for tasks that are expected to take no time
+MIN_TASK_S = 1e-3
 # the option of a stage whose allowed types are not in the catalog now
 UNKNOWN_TYPE = "unknown"
 
 
-class QueuePlace(NamedTuple):
-    """Where a job stands in the queue: by priority (0 is the highest), then by budget end."""
+class MissingSpecError(FleetError):
+    """A job whose record is not known has no place in the queue."""
 
-    priority: int
-    budget_end: float
-    has_deadline: bool
+    def __init__(self, job_id: str) -> None:
+        super().__init__(f"{job_id}: the record is not known")
+        self.job_id = job_id
 
 
-class _Planned(NamedTuple):
-    """A pipeline's plan, when it was made, and who is in it."""
+class _PipelinePlan(NamedTuple):
+    """The plans of a pipeline's stages by job id, and when they were made, in wall time."""
 
     stages: dict[str, StagePlan]
     planned_at: float
 
 
 class PipelineBudgets:
-    """Plans pipelines when they change, and answers for single jobs directly."""
+    """Places of jobs in the queue; pipelines are planned when they change."""
 
     def __init__(
         self, settings: Settings, clock: Clock, cluster: ClusterState, estimates: Estimates
@@ -49,10 +53,10 @@
         self._clock = clock
         self._cluster = cluster
         self._estimates = estimates
-        self._plans: dict[str, _Planned] = {}
+        self._plans: dict[str, _PipelinePlan] = {}
 
     def place(self, job: Job) -> QueuePlace:
-        """Where the job stands now."""
+        """Return where the job stands in the queue now."""
         if self._cluster.jobs.graph.is_single(job):
             return self._single(job)
         self._drop_changed()
@@ -70,7 +74,7 @@
         return QueuePlace(stage.priority, stage.budget_end, True)
 
     def priority(self, job: Job) -> int:
-        """The job's own priority, or a higher one of an unfinished job that needs it."""
+        """Return the highest priority of the job and the unfinished jobs that depend on it."""
         if job.spec is not None and self._cluster.jobs.graph.is_single(job):
             return PRIORITY[job.spec.priority]
         return self.place(job).priority
@@ -83,8 +87,8 @@
                 for name in plan.stages:
                     self._plans.pop(name, None)
 
-    def _is_late(self, job: Job, plan: _Planned) -> bool:
-        """A stage past its budget is planned anew, at most once in a replanning interval."""
+    def _is_late(self, job: Job, plan: _PipelinePlan) -> bool:
+        """Return whether the stage is past its budget and the plan is old enough to be replaced."""
         end = plan.stages[job.id].budget_end
         now = self._clock.wall()
         return (
@@ -94,47 +98,48 @@
         )
 
     def _single(self, job: Job) -> QueuePlace:
-        spec = job.spec
-        assert spec is not None
+        """Return the place of a job that is a pipeline by itself."""
+        spec = _spec(job)
         margin_s = self._estimates.margin_s(spec.job_class, spec.estimate_s)
         end = budget_end(
             spec, job.submitted, job.ready_at, margin_s, self._settings.default_queue_wait_s
         )
-        return QueuePlace(PRIORITY[spec.priority], end, spec.deadline_s is not None)
+        return place_in_queue(spec, end)
 
     def _members(self, job: Job) -> dict[str, Job]:
-        """The unfinished jobs that are joined to this one."""
+        """Return the unfinished jobs of this one's pipeline, by id."""
         graph = self._cluster.jobs.graph
         members = {job.id: job}
         pending = [job]
         while pending:
             current = pending.pop()
-            for other in (
-                *graph.unfinished_dependencies(current),
-                *graph.unfinished_dependents(current.id),
-            ):
+            dependencies = graph.unfinished_dependencies(current)
+            for other in (*dependencies, *graph.unfinished_dependents(current.id)):
                 if other.id not in members and other.end == ACTIVE:
                     members[other.id] = other
                     pending.append(other)
         return members
 
-    def _plan(self, members: dict[str, Job]) -> _Planned:
-        # durable times only, and for late stages the interval that has begun
-        base = max(job.ready_at for job in members.values())
+    def _plan(self, members: dict[str, Job]) -> _PipelinePlan:
+        """Plan a pipeline, as of the last durable time at which one of its stages became ready.
+
+        If a stage is late, the plan is made as of the current replanning interval's begin.
+        """
+        ready_at = max(job.ready_at for job in members.values())
         wall = self._clock.wall()
-        last_interval = wall - wall % self._settings.replan_interval_s
+        interval_start = wall - wall % self._settings.replan_interval_s
         stages = {name: self._stage(job) for name, job in members.items()}
-        planned = plan_pipeline(stages, base)
-        if any(p.budget_end is not None and wall > p.budget_end for p in planned.values()):
-            planned = plan_pipeline(stages, max(base, last_interval))
-        result = _Planned(planned, wall)
+        planned = plan_pipeline(stages, ready_at)
+        ends = [stage.budget_end for stage in planned.values() if stage.budget_end is not None]
+        if any(wall > end for end in ends):
+            planned = plan_pipeline(stages, max(ready_at, interval_start))
+        result = _PipelinePlan(planned, wall)
         for name in members:
             self._plans[name] = result
         return result
 
     def _stage(self, job: Job) -> PipelineStage:
-        spec = job.spec
-        assert spec is not None
+        spec = _spec(job)
         deadline = None if spec.deadline_s is None else job.submitted + spec.deadline_s
         return PipelineStage(
             job.id,
@@ -142,18 +147,26 @@
             spec.tasks,
             self._options(spec),
             self._estimates.margin_s(spec.job_class, spec.estimate_s),
-            tuple(before.id for before in self._cluster.jobs.graph.unfinished_dependencies(job)),
+            tuple(job.id for job in self._cluster.jobs.graph.unfinished_dependencies(job)),
             deadline,
         )
 
     def _options(self, spec: JobSpec) -> tuple[MachineOption, ...]:
-        """The machine types that the stage may use: the image's fetch and one task's run."""
+        """Return the machine types that the stage may use; a finish is image fetch and one task."""
         estimate_s = spec.estimate_s if spec.kind == "array" else REPLICA_S
-        task_s = max(self._estimates.task_s(spec.job_class, estimate_s), 1e-3)
+        task_s = max(self._estimates.task_s(spec.job_class, estimate_s), MIN_TASK_S)
         options: list[MachineOption] = []
-        for kind in self._cluster.catalog.values():
-            slots = slots_on(spec, kind)
-            if slots and (spec.types is None or kind.name in spec.types):
-                finish_s = spec.image_gb / kind.fetch_gb_per_s + task_s
-                options.append(MachineOption(kind.name, kind.price, slots / task_s, finish_s))
+        for machine_type in self._cluster.catalog.values():
+            slots = slots_on(spec, machine_type)
+            if slots and (spec.types is None or machine_type.name in spec.types):
+                finish_s = spec.image_gb / machine_type.fetch_gb_per_s + task_s
+                options.append(
+                    MachineOption(machine_type.name, machine_type.price, slots / task_s, finish_s)
+                )
         return tuple(options) or (MachineOption(UNKNOWN_TYPE, 1.0, 1.0 / task_s, task_s),)
+
+
+def _spec(job: Job) -> JobSpec:
+    if job.spec is None:
+        raise MissingSpecError(job.id)
+    return job.spec
--- a/crossmill/fleet/provisioner.py
+++ b/crossmill/fleet/provisioner.py
@@ -1,277 +1,289 @@
-"""The leader's work: catalog, renting, adopting, releasing."""
+"""Scales the fleet out and in while this controller leads, and refreshes the catalog.
+
+`FleetProvisioner.run` is one of the controller's tasks. It rents what the demand forecast requests,
+returns the machines that are marked as retiring, and reconciles the machine records with the
+cloud's list. It owns only what it remembers of the list; durable state is written by
+`MachineRecords`.
+"""
 
 import logging
-from collections.abc import Callable
-from itertools import count
+from typing import NamedTuple
 
 import curio
 
-from ..cluster import keys
 from ..cluster.cluster_state import ClusterState
-from ..cluster.membership import Membership
 from ..net.clock import Clock
-from ..planning.demand import MachineRequest
+from ..planning.demand import MachineRequest, MachineSourceKey
 from ..settings import Settings
-from ..state.writer import WriteIntent, Writer, WriteRank, WriteResult
 from ..wire.cloud import MAX_RELEASE, Listed
-from ..wire.state import Put, Txn
-from .cloud import Cloud, CloudError, NoCapacityError, NotLeaderError, stored_catalog
+from .cloud import Cloud, CloudError, NoCapacityError, NotLeaderError
 from .forecast import DemandForecast
+from .machine_records import MachineRecords
 
 log = logging.getLogger(__name__)
 
+# the state of a listed machine, and the reason for its return
+FAILED = "failed"
+# how old the catalog may become, in heartbeat intervals
+MAX_CATALOG_AGE_HEARTBEATS = 30
+# how long a released machine is remembered, in worker leases: the list shows it for a while
+RELEASED_MEMORY_LEASES = 60
+# a machine is adopted when it was listed without a record this many times
+ADOPTION_SIGHTINGS = 2
+# and is older than this many times the list's lag, beside a worker lease
+ADOPTION_LIST_LAGS = 3
+
 
 class FleetProvisioner:
     """Rents, adopts and returns machines while this controller leads."""
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 - each is one service that the provisioner calls, none a group
         self,
         settings: Settings,
         clock: Clock,
         cluster: ClusterState,
-        membership: Membership,
         forecast: DemandForecast,
         cloud: Cloud,
-        writer: Writer,
-        unique: Callable[[], str],
+        records: MachineRecords,
     ) -> None:
         self._settings = settings
         self._clock = clock
         self._cluster = cluster
-        self._membership = membership
         self._forecast = forecast
         self._cloud = cloud
-        self._writer = writer
-        # no incarnation ever uses a name of another: the prefix is drawn anew at each start
-        self._names = (f"{settings.label}-{unique()}-{n}" for n in count(1))
+        self._records = records
         self._catalog_at: float | None = None
         self._list_at: float | None = None
-        self._unlisted: dict[str, int] = {}
-        # released machines go on being listed for a while
-        self._gone: dict[str, float] = {}
+        # how often a machine without a record was listed
+        self._sightings: dict[str, int] = {}
+        # when machines were released
+        self._released_at: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Steps until the controller ends; trouble with the cloud only pauses it."""
+        """Provision until the controller ends; a failed request to the cloud only delays it."""
         while True:
-            if self._membership.leadership_version() is not None or not self._cluster.catalog:
+            if self._records.is_leader() or not self._cluster.catalog:
                 try:
-                    await self._step()
+                    await self.run_once()
                 except CloudError as exc:
-                    # spending pauses; what runs goes on
+                    # nothing is rented or returned meanwhile; running work is not affected
                     log.info("cloud request failed error=%s", exc)
                     await curio.sleep(self._settings.heartbeat_interval_s)
             await curio.sleep(self._settings.heartbeat_interval_s / 2)
 
-    async def _step(self) -> None:
+    async def run_once(self) -> None:
+        """Refresh the catalog if it is old; if this controller leads, scale in and out.
+
+        Raises:
+            CloudError: A request to the cloud failed.
+        """
         now = self._clock.now()
-        stale = (
-            self._catalog_at is None
-            or now - self._catalog_at > 30 * self._settings.heartbeat_interval_s
-        )
-        if stale:
+        if self._is_catalog_old(now):
             await self._refresh_catalog()
-        if self._membership.leadership_version() is None:
+        if not self._records.is_leader():
             return
-        await self._release()
-        await self._rent()
+        await self.scale_in()
+        await self.scale_out()
         if self._list_at is None or now - self._list_at >= self._settings.cloud_list_interval_s:
             self._list_at = now
-            await self._look_at_list(await self._cloud.machines())
-
-    def _summarize(self) -> None:
-        """The fleet in a few lines, so that an operator sees what the money goes to."""
-        groups: dict[tuple[int, str, bool], list[float]] = {}
-        for machine in self._cluster.machines.values():
-            kind = self._cluster.catalog.get(machine.type)
-            if kind is None:
-                continue
-            entry = groups.setdefault((machine.shard, machine.type, machine.spot), [0.0] * 6)
-            empty, load = not machine.attempts, machine.cpus / kind.cpus
-            shown: tuple[float, ...]
-            shown = (1.0, float(not machine.up), float(empty), load, machine.gpus, kind.gpus)
-            for i, value in enumerate(shown):
-                entry[i] += value
-        for (shard, name, spot), (number, booting, idle, busy, gpus, most) in groups.items():
-            log.info(
-                "fleet shard=%d type=%s spot=%s machines=%d booting=%d empty=%d cpus=%.0f%% "
-                "gpus=%d/%d",
-                shard,
-                name,
-                spot,
-                number,
-                booting,
-                idle,
-                100 * busy / number,
-                gpus,
-                most,
-            )
+            await self.reconcile_with_list()
+
+    # -- catalog ---------------------------------------------------------------------
+
+    def _is_catalog_old(self, now: float) -> bool:
+        max_age_s = MAX_CATALOG_AGE_HEARTBEATS * self._settings.heartbeat_interval_s
+        return self._catalog_at is None or now - self._catalog_at > max_age_s
 
     async def _refresh_catalog(self) -> None:
-        self._summarize()
+        _log_fleet(self._cluster)
         catalog = await self._cloud.catalog()
         self._catalog_at = self._clock.now()
         if not self._cluster.catalog:
             self._cluster.catalog = catalog
-        version = self._membership.leadership_version()
-        if version is None or stored_catalog(catalog) == self._cluster.mirror.value(keys.CATALOG):
-            return
-        txn = Txn({keys.LEADER: version}, [Put(keys.CATALOG, stored_catalog(catalog))])
-        await self._commit([WriteIntent(txn, WriteRank.BACKGROUND, holds=self._leads)])
-
-    def _leads(self) -> bool:
-        return self._membership.leadership_version() is not None
+        await self._records.store_catalog(catalog)
 
-    async def _commit(self, intents: list[WriteIntent]) -> int:
-        for intent in intents:
-            await self._writer.submit(intent)
-        return sum([await i.future.wait() == WriteResult.OK for i in intents])
+    # -- scale-out -------------------------------------------------------------------
 
-    # -- renting ---------------------------------------------------------------------
-
-    async def _rent(self) -> None:
+    async def scale_out(self) -> None:
+        """Rent the machines that the shards' capacity plans request."""
         for shard in range(self._settings.shard_count):
-            for need in list(self._forecast.plan(shard).machine_requests.values()):
-                if self._membership.leadership_version() is None:
+            for request in list(self._forecast.plan(shard).machine_requests.values()):
+                if not self._records.is_leader():
                     return
-                await self._rent_one(shard, need)
+                await self.rent(shard, request)
+
+    async def rent(self, shard: int, request: MachineRequest) -> None:
+        """Rent machines for a shard and write their records.
 
-    async def _rent_one(self, shard: int, need: MachineRequest) -> None:
-        source = need.source
-        name = next(self._names)
-        key = (source.type.name, source.zone, source.spot)
+        Raises:
+            CloudError: The request failed twice.
+        """
+        source = request.source.key
         asked_at = self._clock.wall()
-        for last in (False, True):
-            try:
-                rented = await self._cloud.rent(name, *key, need.number, self._leads)
-                break
-            except NoCapacityError:
-                self._forecast.blocked[key] = (
-                    self._clock.now() + self._settings.no_capacity_backoff_s
-                )
-                log.info("cloud capacity unavailable type=%s zone=%s spot=%s", *key)
-                return
-            except NotLeaderError:
-                raise
-            except CloudError:
-                # the same name again rents nothing twice; what comes late is adopted
-                if last:
-                    raise
-                await curio.sleep(self._settings.heartbeat_interval_s)
+        try:
+            rented = await self._rent_with_retry(source, request.number)
+        except NoCapacityError:
+            self._forecast.capacity.note_no_capacity(source)
+            log.info("cloud capacity unavailable type=%s zone=%s spot=%s", *source)
+            return
         log.info(
             "machines rented shard=%d type=%s zone=%s spot=%s asked=%d got=%d first=%s",
             shard,
-            *key,
-            need.number,
+            *source,
+            request.number,
             len(rented),
             rented[0] if rented else "",
         )
-        if len(rented) < need.number:
-            self._forecast.blocked[key] = self._clock.now() + self._settings.no_capacity_backoff_s
-        await self._record([(m, *key) for m in rented], [shard] * len(rented), asked_at)
+        if len(rented) < request.number:
+            self._forecast.capacity.note_no_capacity(source)
+        await self._records.add(rented, source, shard, asked_at)
 
-    async def _record(
-        self, machines: list[tuple[str, str, str, bool]], shards: list[int], at: float
-    ) -> None:
-        version = self._membership.leadership_version()
-        if version is None:
-            return
-        intents = []
-        for (machine, type_name, zone, spot), shard in zip(machines, shards, strict=True):
-            key = keys.machine(machine)
-            value = {
-                "type": type_name,
-                "zone": zone,
-                "spot": spot,
-                "shard": shard,
-                "at": at,
-                "retiring": "",
-                "up": False,
-            }
-            txn = Txn({keys.LEADER: version, key: 0}, [Put(key, value)])
-            intents.append(WriteIntent(txn, WriteRank.PLACEMENT, holds=self._leads))
-        await self._commit(intents)
-
-    # -- the list --------------------------------------------------------------------
-
-    async def _look_at_list(self, listed: list[Listed]) -> None:
-        """Lists lag and may go back: a machine is adopted only when it is listed and has been
-        unknown for longer than a rental's answer and its record take.
+    async def _rent_with_retry(self, source: MachineSourceKey, number: int) -> list[str]:
+        """Rent machines; a request that fails is sent once more.
+
+        The retry has the same name and so rents nothing twice. Machines of a request whose response
+        is lost are adopted from the list.
         """
-        fresh: list[Listed] = []
-        for row in listed:
-            known = self._cluster.machines.get(row.id)
-            if known is not None:
-                self._unlisted.pop(row.id, None)
-                if row.state == "failed" and not known.retiring:
-                    await self._retire(row.id, "failed")
-                continue
-            if (
-                row.age_s > 3 * self._settings.list_lag_s + self._settings.worker_lease_s
-                and row.id not in self._gone
-            ):
-                self._unlisted[row.id] = self._unlisted.get(row.id, 0) + 1
-                if self._unlisted[row.id] >= 2:
-                    fresh.append(row)
-        if fresh:
-            await self._adopt(fresh)
-
-    async def _adopt(self, rows: list[Listed]) -> None:
-        """Machines nobody expected are taken in; those not needed go the way of idle ones."""
-        needy = max(
-            range(self._settings.shard_count), key=lambda k: self._forecast.plan(k).unplaced_tasks
-        )
-        for row in rows:
-            log.info("machine adopted machine=%s shard=%d", row.id, needy)
-            await self._record(
-                [(row.id, row.type, row.zone, row.spot)],
-                [needy],
-                self._clock.wall() - row.age_s,
-            )
-            if row.state == "failed":
-                await self._retire(row.id, "failed")
-
-    async def _retire(self, machine_id: str, why: str) -> None:
-        machine, version = (
-            self._cluster.machines.get(machine_id),
-            self._membership.leadership_version(),
+        name = self._cloud.new_request_name()
+        try:
+            return await self._cloud.rent(name, source, number, self._records.is_leader)
+        except NotLeaderError:
+            raise
+        except CloudError:
+            await curio.sleep(self._settings.heartbeat_interval_s)
+        return await self._cloud.rent(name, source, number, self._records.is_leader)
+
+    # -- the cloud's list ------------------------------------------------------------
+
+    async def reconcile_with_list(self) -> None:
+        """Retire machines that the cloud lists as failed, and adopt those without a record."""
+        unknown: list[Listed] = []
+        for listed in await self._cloud.list_machines():
+            machine = self._cluster.machines.get(listed.id)
+            if machine is not None:
+                self._sightings.pop(listed.id, None)
+                if listed.state == FAILED and not machine.retiring:
+                    await self._retire(listed.id, FAILED)
+            elif self._is_to_be_adopted(listed):
+                unknown.append(listed)
+        if unknown:
+            await self._adopt(unknown)
+
+    def _is_to_be_adopted(self, listed: Listed) -> bool:
+        """Count the sighting of a machine without a record; return whether to adopt it.
+
+        The list lags and may go back in time. A machine is adopted only if it has been unknown for
+        longer than a rental's response and the write of its record take.
+        """
+        min_age_s = ADOPTION_LIST_LAGS * self._settings.list_lag_s + self._settings.worker_lease_s
+        if listed.age_s <= min_age_s or listed.id in self._released_at:
+            return False
+        self._sightings[listed.id] = self._sightings.get(listed.id, 0) + 1
+        return self._sightings[listed.id] >= ADOPTION_SIGHTINGS
+
+    async def _adopt(self, machines: list[Listed]) -> None:
+        """Write records for unknown machines; those not needed are returned as idle ones are."""
+        shard = max(
+            range(self._settings.shard_count),
+            key=lambda shard: self._forecast.plan(shard).unplaced_tasks,
         )
-        if machine is None or version is None:
+        for listed in machines:
+            log.info("machine adopted machine=%s shard=%d", listed.id, shard)
+            source = MachineSourceKey(listed.type, listed.zone, listed.spot)
+            await self._records.add([listed.id], source, shard, self._clock.wall() - listed.age_s)
+            if listed.state == FAILED:
+                await self._retire(listed.id, FAILED)
+
+    async def _retire(self, machine_id: str, reason: str) -> None:
+        machine = self._cluster.machines.get(machine_id)
+        if machine is None or not self._records.is_leader():
             return
-        log.info("machine retired machine=%s reason=%s", machine_id, why)
-        key = keys.machine(machine_id)
-        txn = Txn(
-            {keys.LEADER: version, key: machine.version},
-            [Put(key, machine.encode(retiring=why))],
-        )
-        await self._commit([WriteIntent(txn, WriteRank.BACKGROUND, holds=self._leads)])
+        log.info("machine retired machine=%s reason=%s", machine_id, reason)
+        await self._records.retire(machine, reason)
+
+    # -- scale-in --------------------------------------------------------------------
 
-    # -- releasing -------------------------------------------------------------------
+    async def scale_in(self) -> None:
+        """Return the machines that are durably marked as retiring.
 
-    async def _release(self) -> None:
-        """Only what is durably retiring is released; the record goes after the 200, when the
-        machine and all on it are gone.
+        A record is deleted after the cloud's response, when the machine and all tasks on it have
+        ended.
+
+        Raises:
+            CloudError: The request failed.
         """
-        going = [m for m in self._cluster.machines.values() if m.retiring][:MAX_RELEASE]
-        if not going:
+        retiring = [machine for machine in self._cluster.machines.values() if machine.retiring]
+        machines = retiring[:MAX_RELEASE]
+        if not machines:
             return
-        await self._cloud.release([m.id for m in going], self._leads)
-        version = self._membership.leadership_version()
-        if version is None:
+        await self._cloud.release([machine.id for machine in machines], self._records.is_leader)
+        if not self._records.is_leader():
             return
-        log.info("machines released machines=%d first=%s", len(going), going[0].id)
+        log.info("machines released machines=%d first=%s", len(machines), machines[0].id)
+        self._remember_released([machine.id for machine in machines])
+        await self._records.remove(machines)
+
+    def _remember_released(self, machine_ids: list[str]) -> None:
         now = self._clock.now()
-        self._gone = {
-            m: at for m, at in self._gone.items() if now - at < 60 * self._settings.worker_lease_s
+        memory_s = RELEASED_MEMORY_LEASES * self._settings.worker_lease_s
+        self._released_at = {
+            machine_id: released_at
+            for machine_id, released_at in self._released_at.items()
+            if now - released_at < memory_s
         }
-        self._gone.update((m.id, now) for m in going)
-        intents = [
-            WriteIntent(
-                Txn(
-                    {keys.LEADER: version, keys.machine(m.id): m.version}, [], [keys.machine(m.id)]
-                ),
-                WriteRank.BACKGROUND,
-                holds=self._leads,
-            )
-            for m in going
-        ]
-        await self._commit(intents)
+        self._released_at.update((machine_id, now) for machine_id in machine_ids)
+
+
+class _FleetGroup(NamedTuple):
+    """Machines that the fleet's log lines summarize together."""
+
+    shard: int
+    type_name: str
+    spot: bool
+
+
+class _FleetGroupUsage:
+    """How many machines a group has, and how much of them is in use."""
+
+    __slots__ = ("booting", "cpu_load", "empty", "gpus_total", "gpus_used", "machines")
+
+    def __init__(self) -> None:
+        self.machines = 0
+        self.booting = 0
+        self.empty = 0
+        # the sum of the machines' shares of CPUs in use
+        self.cpu_load = 0.0
+        self.gpus_used = 0.0
+        self.gpus_total = 0.0
+
+
+def _log_fleet(cluster: ClusterState) -> None:
+    """Log what the fleet consists of, so that operators see what is paid for."""
+    for group, usage in _fleet_usage(cluster).items():
+        log.info(
+            "fleet shard=%d type=%s spot=%s machines=%d booting=%d empty=%d cpus=%.0f%% gpus=%d/%d",
+            *group,
+            usage.machines,
+            usage.booting,
+            usage.empty,
+            100 * usage.cpu_load / usage.machines,
+            usage.gpus_used,
+            usage.gpus_total,
+        )
+
+
+def _fleet_usage(cluster: ClusterState) -> dict[_FleetGroup, _FleetGroupUsage]:
+    usages: dict[_FleetGroup, _FleetGroupUsage] = {}
+    for machine in cluster.machines.values():
+        machine_type = cluster.catalog.get(machine.type)
+        if machine_type is None:
+            continue
+        group = _FleetGroup(machine.shard, machine.type, machine.spot)
+        usage = usages.setdefault(group, _FleetGroupUsage())
+        usage.machines += 1
+        usage.booting += not machine.up
+        usage.empty += not machine.attempts
+        usage.cpu_load += machine.cpus / machine_type.cpus
+        usage.gpus_used += machine.gpus
+        usage.gpus_total += machine_type.gpus
+    return usages
--- a/crossmill/jobs/machine_maintenance.py
+++ b/crossmill/jobs/machine_maintenance.py
@@ -183,7 +183,7 @@
                 # an earlier owner has heard it: half a fleet was once taken for never come up
                 # by whoever took over while its zone was cut off
                 return "silent"
-            has_failed = self._forecast.boot_times.has_failed(machine, kind, self._clock.wall())
+            has_failed = self._forecast.capacity.has_boot_failed(machine, kind, self._clock.wall())
             return "never-up" if has_failed else ""
         if not view.is_fresh(now, patience):
             return "silent"
--- a/crossmill/jobs/machine_transfer.py
+++ b/crossmill/jobs/machine_transfer.py
@@ -140,7 +140,7 @@
             kind = self._cluster.catalog.get(machine.type)
             if kind is None or machine.retiring or not machine.up:
                 continue
-            if bool(machine.attempts) is not stop or demand.zones.open(machine.zone) <= 0:
+            if bool(machine.attempts) is not stop or demand.zones.remaining(machine.zone) <= 0:
                 continue
             if not is_allowed(spec, machine.type, machine.zone, machine.spot):
                 continue
--- a/crossmill/jobs/placement.py
+++ b/crossmill/jobs/placement.py
@@ -8,7 +8,13 @@
 from ..cluster.ownership import ShardOwnership
 from ..fleet.forecast import DemandForecast
 from ..net.clock import Clock
-from ..planning.free_capacity import FreeCapacity, ZoneAllowance, assign_tasks, is_allowed
+from ..planning.free_capacity import (
+    FreeCapacity,
+    TaskAssignment,
+    ZoneAllowance,
+    assign_tasks,
+    is_allowed,
+)
 from ..settings import Settings
 from ..wire.users import JobSpec
 from ..workers.heartbeat_handler import HeartbeatHandler
@@ -45,7 +51,7 @@
         self._preemption = preemption
         self._machine_transfer = machine_transfer
         self._failures = failures
-        self._capacity_cache = forecast.new_cache()
+        self._capacity_cache = forecast.capacity.new_cache()
         self._resume: dict[int, str] = {}
         # set when a round ran out of time, cleared by whoever begins the next
         self.is_unfinished = False
@@ -74,7 +80,7 @@
             if (kind := self._cluster.catalog.get(machine.type)) is not None
             and self._usable(machine, now)
         ]
-        return self._forecast.cached_capacities(self._capacity_cache, usable)
+        return self._forecast.capacity.cached_capacities(self._capacity_cache, usable)
 
     def place(
         self, shard: int, ownership: ShardOwnership, machines: list[Machine], edits: PlanEdits
@@ -86,7 +92,7 @@
         self._preemption.drop_expired_claims()
         self._quotas.start_round(shard)
         self._full.clear()
-        queue = self._forecast.waiting(shard)
+        queue = self._forecast.waiting_jobs(shard)
         if not queue:
             return list(
                 self._preemption.drain(shard, ownership, lambda: self._capacities(machines))
@@ -204,7 +210,7 @@
         zones: ZoneAllowance,
         usage: ResourceUsage,
         may_preempt: bool,
-    ) -> list[tuple[FreeCapacity, int]]:
+    ) -> list[TaskAssignment]:
         """FreeCapacity that is free; but a class that must start soon rather gets the place of
         lesser
         work where its image is than a free one where it would wait for the image.
@@ -212,14 +218,14 @@
         start_objective_s = (
             self._settings.start_objective_s(spec.job_class) if spec.kind == "service" else None
         )
-        taken: list[tuple[FreeCapacity, int]] = []
+        taken: list[TaskAssignment] = []
         # a claim that came to nothing is not repeated: then any room will do
         again = self._preemption.has_failed_claim(job)
         if start_objective_s is not None and not again:
             # room made for the job counts wherever it is, or it would stand empty until the
             # claim ends
             def near(capacity: FreeCapacity) -> bool:
-                return capacity.delay_s(
+                return capacity.image_delay_s(
                     spec
                 ) < 0.75 * start_objective_s or self._preemption.is_reserved_for(capacity, job)
 
--- a/crossmill/jobs/preemption.py
+++ b/crossmill/jobs/preemption.py
@@ -131,9 +131,9 @@
         for _, _, _, capacity, victims in best:
             if covered >= tasks:
                 break
-            if zones.open(capacity.zone) <= 0 or not self._draw(victims, stoppable, beyond):
+            if zones.remaining(capacity.zone) <= 0 or not self._draw(victims, stoppable, beyond):
                 continue
-            zones.take(capacity.zone, 1)
+            zones.reserve(capacity.zone, 1)
             covered += 1
             chosen.extend(victims)
             machines.append(capacity.machine)
--- a/crossmill/jobs/scheduling_loop.py
+++ b/crossmill/jobs/scheduling_loop.py
@@ -244,4 +244,4 @@
         self._heartbeats.forget_stop(attempt)
         self._failures.record(job, outcome)
         if outcome.reason == EndReason.DONE and outcome.run_s is not None:
-            self.estimates.saw(spec.job_class, spec.estimate_s, outcome.run_s)
+            self.estimates.record_run(spec.job_class, spec.estimate_s, outcome.run_s)
--- a/crossmill/planning/__init__.py
+++ b/crossmill/planning/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions as pure functions: no input or output, no clock."""
+"""Planning decisions as pure functions: no input or output, no clock."""
--- a/crossmill/planning/demand.py
+++ b/crossmill/planning/demand.py
@@ -1,22 +1,50 @@
-"""Which machines waiting and expected tasks need beyond those there are."""
+"""Works out which machines waiting and expected tasks need beyond those there are.
+
+The functions are pure and own no state. The demand forecast calls `plan_capacity` for each shard;
+the fleet provisioner rents what the resulting plan requests.
+"""
 
 from collections.abc import Callable, Sequence
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from functools import partial
 from math import isinf
 from typing import NamedTuple
 
 from ..wire.cloud import MachineType
 from ..wire.users import JobSpec
-from .fill import MachineOffer, fill
-from .free_capacity import FreeCapacity, ZoneAllowance, assign_tasks, is_allowed, tasks_fitting
+from .fill import MachineCount, MachineOffer, fill
+from .free_capacity import (
+    FreeCapacity,
+    ZoneAllowance,
+    assign_tasks,
+    assign_tasks_beside_gpu_tasks,
+    is_allowed,
+    tasks_fitting,
+)
 from .split import MachineOption, Stage, split
 
+# how often machines of another source are tried for the tasks of one demand
+MAX_SOURCE_CHOICES = 64
+# a machine's size is its number of GPUs, or its CPUs in units of this many if that is more
+CPUS_PER_SIZE_UNIT = 8
+# keeps throughputs finite for tasks that are expected to take no time
+MIN_TASK_S = 1e-3
+# how far a budget is raised above the finish time of the chosen option, against rounding
+BUDGET_TOLERANCE_S = 1e-6
+
 
 @dataclass(slots=True, eq=False)
 class TaskDemand:
-    """Tasks that need room: how long until their budget ends, and how many of them running
-    tasks will make room for in time.
+    """Tasks of one job that need capacity.
+
+    Attributes:
+        spec: The job.
+        tasks: How many of its tasks need capacity.
+        zones: How many of them each zone may get.
+        budget_s: Seconds until the job's budget ends; infinite without a deadline.
+        task_s: Seconds that a task is expected to run.
+        covered_by_running: How many of the tasks can use slots that running tasks free in time.
+        spot_only: Whether only spot machines are requested for the tasks.
     """
 
     spec: JobSpec
@@ -24,60 +52,90 @@
     zones: ZoneAllowance
     budget_s: float
     task_s: float
-    covered: int = 0
+    covered_by_running: int = 0
     spot_only: bool = False
 
 
-class MachineSource(NamedTuple):
-    """A kind of machine that can be asked for."""
+class MachineSourceKey(NamedTuple):
+    """Identifies a kind of machine that the cloud rents out."""
 
-    type: MachineType
+    type_name: str
     zone: str
     spot: bool
 
+
+class MachineSource:
+    """A kind of machine that can be rented: its type, its zone and whether it is a spot machine.
+
+    `key` and `name` identify it; they are made once, since every demand compares all sources.
+    """
+
+    __slots__ = ("key", "name", "spot", "type", "zone")
+
+    def __init__(self, machine_type: MachineType, zone: str, spot: bool) -> None:
+        self.type = machine_type
+        self.zone = zone
+        self.spot = spot
+        self.key = MachineSourceKey(machine_type.name, zone, spot)
+        self.name = f"{machine_type.name}/{zone}/{spot}"
+
     def price(self) -> float:
-        """Spot takes its steady type's weight in the split; money decides among sources."""
+        """Return what a machine costs.
+
+        The latency split uses the on-demand price for spot machines as well; this is the price
+        that decides among the sources that meet the budget.
+        """
         return self.type.spot_price if self.spot else self.type.price
 
 
-@dataclass(slots=True, eq=False)
 class MachineRequest:
-    """How many machines of a source are asked for."""
+    """How many machines of a source are requested."""
 
-    source: MachineSource
-    number: int = 0
+    __slots__ = ("number", "source")
+
+    def __init__(self, source: MachineSource, number: int = 0) -> None:
+        self.source = source
+        self.number = number
 
 
-@dataclass(slots=True, eq=False)
 class CapacityPlan:
-    """What the tasks need beyond the machines there are, and what they leave unused."""
+    """What the tasks need beyond the machines there are, and what they leave unused.
 
-    machine_requests: dict[tuple[str, str, bool], MachineRequest] = field(default_factory=dict)
-    spare_machines: set[str] = field(default_factory=set)
-    unplaced_tasks: int = 0
+    Attributes:
+        machine_requests: The machines to be rented, by source.
+        spare_machines: Ids of the machines that no task uses.
+        unplaced_tasks: How many tasks find neither a machine nor a source.
+    """
+
+    __slots__ = ("machine_requests", "spare_machines", "unplaced_tasks")
 
+    def __init__(self) -> None:
+        self.machine_requests: dict[MachineSourceKey, MachineRequest] = {}
+        self.spare_machines: set[str] = set()
+        self.unplaced_tasks = 0
 
-def empty_capacity(machine: str, kind: MachineType, zone: str, spot: bool) -> FreeCapacity:
-    """An empty machine's room."""
+
+def empty_capacity(machine: str, machine_type: MachineType, zone: str, spot: bool) -> FreeCapacity:
+    """Return the free capacity of an empty machine."""
     return FreeCapacity(
         machine,
-        kind.name,
+        machine_type.name,
         zone,
         spot,
-        kind.cpus,
-        kind.gpus,
-        kind.memory_gb,
-        kind.price,
-        max(kind.gpus, kind.cpus / 8),
-        kind.gpus > 0,
-        kind.fetch_gb_per_s,
-        slots=partial(slots_on, kind=kind),
+        machine_type.cpus,
+        machine_type.gpus,
+        machine_type.memory_gb,
+        machine_type.price,
+        max(machine_type.gpus, machine_type.cpus / CPUS_PER_SIZE_UNIT),
+        machine_type.gpus > 0,
+        machine_type.fetch_gb_per_s,
+        slots_when_empty=partial(slots_on, machine_type=machine_type),
     )
 
 
-def slots_on(spec: JobSpec, kind: MachineType) -> int:
-    """How many tasks like this fit on an empty machine of the type."""
-    return tasks_fitting(spec, kind.cpus, kind.gpus, kind.memory_gb)
+def slots_on(spec: JobSpec, machine_type: MachineType) -> int:
+    """Count how many tasks like this fit on an empty machine of the type."""
+    return tasks_fitting(spec, machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
 
 
 def plan_capacity(
@@ -86,137 +144,168 @@
     sources: Sequence[MachineSource],
     limit: Callable[[MachineSource], int],
 ) -> CapacityPlan:
-    """Wants in queue order are fitted into the rooms there are (those still booting included);
-    what does not fit asks for whole machines in the design's fill order.
+    """Fit demands, given in queue order, into the machines and request what is missing.
+
+    `capacities` include machines that still boot; they are changed, and requested machines are
+    appended. `limit` gives the most machines that may be requested of a source. Whole machines
+    are requested in DESIGN's fill order.
     """
-    capacity_plan = CapacityPlan()
-    for capacity in capacities:
-        capacity.used = False
-    real = {capacity.machine for capacity in capacities}
-    asked: dict[tuple[str, str, bool], int] = {}
-    plain = [source for source in sources if source.type.gpus == 0]
+    planner = _CapacityPlanner(capacities, sources, limit)
     for demand in demands:
-        left = demand.tasks - demand.covered
-        if demand.spec.gpus == 0 and plain:
-            # these are started wherever there is room; a machine without GPUs must be asked
-            # for as soon as they would take GPU tasks' places, or it never is
-            left -= _fit(demand, left, capacities, only_beside_gpu_tasks=True)
-            left = _ask(demand, left, capacities, plain, asked, limit, capacity_plan)
-        left -= _fit(demand, left, capacities)
-        capacity_plan.unplaced_tasks += max(
-            0, _ask(demand, left, capacities, sources, asked, limit, capacity_plan)
-        )
-    capacity_plan.spare_machines = {
-        r.machine for r in capacities if r.machine in real and not r.used
-    }
-    return capacity_plan
+        planner.add(demand)
+    return planner.finish()
 
 
-def _fit(
-    demand: TaskDemand,
-    tasks: int,
-    capacities: list[FreeCapacity],
-    only_beside_gpu_tasks: bool = False,
-) -> int:
-    if tasks <= 0:
-        return 0
-    taken = assign_tasks(
-        demand.spec, tasks, capacities, demand.zones, only_beside_gpu_tasks=only_beside_gpu_tasks
-    )
-    return sum(number for _, number in taken)
+class _SourceCandidate(NamedTuple):
+    """A source that could serve a demand, as the latency split and as the fill order see it."""
 
+    source: MachineSource
+    option: MachineOption
+    offer: MachineOffer
 
-def _ask(
-    demand: TaskDemand,
-    left: int,
-    capacities: list[FreeCapacity],
-    sources: Sequence[MachineSource],
-    asked: dict[tuple[str, str, bool], int],
-    limit: Callable[[MachineSource], int],
-    capacity_plan: CapacityPlan,
-) -> int:
-    """Adds to the needs what these tasks take; how many of them find no source."""
-    turns = 0
-    while left > 0 and turns < 64:
-        turns += 1
-        picked = _pick(demand, left, sources, asked, limit)
-        if picked is None:
-            break
-        source, number = picked
-        key = (source.type.name, source.zone, source.spot)
-        need = capacity_plan.machine_requests.setdefault(key, MachineRequest(source))
-        before = left
-        for _ in range(number):
-            need.number += 1
-            asked[key] = asked.get(key, 0) + 1
-            capacity = empty_capacity(
-                f"new/{len(capacities)}", source.type, source.zone, source.spot
-            )
-            capacities.append(capacity)
-            placed = _fit(demand, left, [capacity])
-            left -= placed * _rounds(demand, source)
-            if left <= 0:
-                break
-        if left == before:
-            break
-    return left
 
+class _CapacityPlanner:
+    """Adds one demand after the other to a capacity plan."""
 
-def _setup_s(demand: TaskDemand, source: MachineSource) -> float:
-    return source.type.boot_s + demand.spec.image_gb / source.type.fetch_gb_per_s
+    def __init__(
+        self,
+        capacities: list[FreeCapacity],
+        sources: Sequence[MachineSource],
+        limit: Callable[[MachineSource], int],
+    ) -> None:
+        self._capacities = capacities
+        self._sources = sources
+        self._sources_without_gpus = [source for source in sources if source.type.gpus == 0]
+        self._limit = limit
+        self._plan = CapacityPlan()
+        self._existing = {capacity.machine for capacity in capacities}
+        for capacity in capacities:
+            capacity.is_used = False
 
+    def add(self, demand: TaskDemand) -> None:
+        """Assign the demand's tasks to machines, and request machines for the others."""
+        remaining = demand.tasks - demand.covered_by_running
+        if demand.spec.gpus == 0 and self._sources_without_gpus:
+            # such tasks start wherever there is room. A machine without GPUs has to be requested
+            # as soon as they would take GPU tasks' places, or it would never be
+            remaining -= self._assign_beside_gpu_tasks(demand, remaining)
+            remaining = self._request(demand, remaining, self._sources_without_gpus)
+        remaining -= _assign(demand, remaining, self._capacities)
+        remaining = self._request(demand, remaining, self._sources)
+        self._plan.unplaced_tasks += max(0, remaining)
 
-def _rounds(demand: TaskDemand, source: MachineSource) -> int:
-    if isinf(demand.budget_s):
-        return 1
-    if demand.spec.kind == "service" or demand.task_s <= 0:
-        return 1
-    return max(1, int((demand.budget_s - _setup_s(demand, source)) / demand.task_s))
+    def finish(self) -> CapacityPlan:
+        """Return the plan, with the machines that no demand uses."""
+        self._plan.spare_machines = {
+            capacity.machine
+            for capacity in self._capacities
+            if capacity.machine in self._existing and not capacity.is_used
+        }
+        return self._plan
 
+    def _assign_beside_gpu_tasks(self, demand: TaskDemand, tasks: int) -> int:
+        if tasks <= 0:
+            return 0
+        assignments = assign_tasks_beside_gpu_tasks(
+            demand.spec, tasks, self._capacities, demand.zones
+        )
+        return sum(assignment.tasks for assignment in assignments)
 
-def _pick(
-    demand: TaskDemand,
-    left: int,
-    sources: Sequence[MachineSource],
-    asked: dict[tuple[str, str, bool], int],
-    limit: Callable[[MachineSource], int],
-) -> tuple[MachineSource, int] | None:
-    """The split names the option a stage aims at; the fill order takes it from there."""
-    spec = demand.spec
-    options: dict[str, MachineOption] = {}
-    offers: dict[str, tuple[MachineOffer, MachineSource]] = {}
-    for source in sources:
-        open_tasks = demand.zones.open(source.zone)
+    def _request(self, demand: TaskDemand, remaining: int, sources: Sequence[MachineSource]) -> int:
+        """Request machines for the tasks; return how many of them find no source."""
+        for _ in range(MAX_SOURCE_CHOICES):
+            if remaining <= 0:
+                break
+            choice = self._choose_source(demand, remaining, sources)
+            if choice is None:
+                break
+            before = remaining
+            remaining = self._add_machines(demand, remaining, choice)
+            if remaining == before:
+                break
+        return remaining
+
+    def _add_machines(self, demand: TaskDemand, remaining: int, choice: MachineRequest) -> int:
+        """Request machines one by one until the tasks fit; return how many do not."""
+        source = choice.source
+        request = self._plan.machine_requests.setdefault(source.key, MachineRequest(source))
+        for _ in range(choice.number):
+            request.number += 1
+            machine = f"new/{len(self._capacities)}"
+            capacity = empty_capacity(machine, source.type, source.zone, source.spot)
+            self._capacities.append(capacity)
+            placed = _assign(demand, remaining, [capacity])
+            remaining -= placed * _tasks_per_slot(demand, source)
+            if remaining <= 0:
+                break
+        return remaining
+
+    def _choose_source(
+        self, demand: TaskDemand, remaining: int, sources: Sequence[MachineSource]
+    ) -> MachineRequest | None:
+        """Choose the source to request next and the most machines to request of it.
+
+        The latency split names the option that the stage aims at; the fill order chooses among
+        the sources that are as fast or within the stage's budget.
+        """
+        candidates = {
+            source.name: c for source in sources if (c := self._candidate(demand, source))
+        }
+        if not candidates:
+            return None
+        options = tuple(candidate.option for candidate in candidates.values())
+        share = split([Stage(remaining, options)], demand.budget_s)[0]
+        longest_s = max(share.budget_s, share.option.finish_s)
+        offers = [c.offer for c in candidates.values() if c.option.finish_s <= longest_s]
+        budget_s = max(demand.budget_s, share.option.finish_s + BUDGET_TOLERANCE_S)
+        filled: list[MachineCount] = fill(remaining, offers, budget_s)
+        if not filled:
+            return None
+        return MachineRequest(candidates[filled[0].offer.name].source, filled[0].number)
+
+    def _candidate(self, demand: TaskDemand, source: MachineSource) -> _SourceCandidate | None:
+        """Describe what the source can do for the demand; None if the demand may not use it."""
+        spec = demand.spec
+        zone_limit = demand.zones.remaining(source.zone)
         if demand.spot_only and not source.spot:
-            continue
-        if open_tasks <= 0 or not is_allowed(spec, source.type.name, source.zone, source.spot):
-            continue
-        key = (source.type.name, source.zone, source.spot)
-        capacity = limit(source) - asked.get(key, 0)
+            return None
+        if zone_limit <= 0 or not is_allowed(spec, source.type.name, source.zone, source.spot):
+            return None
+        request = self._plan.machine_requests.get(source.key)
+        available = self._limit(source) - (request.number if request is not None else 0)
         slots = slots_on(spec, source.type)
-        if capacity <= 0 or slots <= 0:
-            continue
-        task_s = demand.task_s if spec.kind == "array" else 1.0
+        if available <= 0 or slots <= 0:
+            return None
+        is_array = spec.kind == "array"
+        task_s = demand.task_s if is_array else 1.0
         setup_s = _setup_s(demand, source)
-        name = "/".join(map(str, key))
-        # "its fill's rounds": one whole machine's worth at a time is the shortest fill
-        finish_s = setup_s + (demand.task_s if spec.kind == "array" else 0.0)
-        options[name] = MachineOption(name, source.type.price, slots / max(task_s, 1e-3), finish_s)
-        offers[name] = (
-            MachineOffer(name, source.price(), slots, setup_s, task_s, min(capacity, open_tasks)),
+        # one whole machine's worth of tasks at a time is the shortest fill
+        finish_s = setup_s + (demand.task_s if is_array else 0.0)
+        throughput = slots / max(task_s, MIN_TASK_S)
+        return _SourceCandidate(
             source,
+            MachineOption(source.name, source.type.price, throughput, finish_s),
+            MachineOffer(
+                source.name, source.price(), slots, setup_s, task_s, min(available, zone_limit)
+            ),
         )
-    if not options:
-        return None
-    share = split([Stage(left, tuple(options.values()))], demand.budget_s)[0]
-    aimed = share.option
-    meeting = [
-        offer
-        for name, (offer, _) in offers.items()
-        if options[name].finish_s <= max(share.budget_s, aimed.finish_s)
-    ]
-    plan = fill(left, meeting, max(demand.budget_s, aimed.finish_s + 1e-6))
-    if not plan:
-        return None
-    offer, number = plan[0]
-    return offers[offer.name][1], number
+
+
+def _assign(demand: TaskDemand, tasks: int, capacities: list[FreeCapacity]) -> int:
+    """Assign up to so many tasks to the machines; return how many fit."""
+    if tasks <= 0:
+        return 0
+    assignments = assign_tasks(demand.spec, tasks, capacities, demand.zones)
+    return sum(assignment.tasks for assignment in assignments)
+
+
+def _setup_s(demand: TaskDemand, source: MachineSource) -> float:
+    """Return the seconds from a rental until a task can run: boot and image fetch."""
+    return source.type.boot_s + demand.spec.image_gb / source.type.fetch_gb_per_s
+
+
+def _tasks_per_slot(demand: TaskDemand, source: MachineSource) -> int:
+    """Return how many tasks one slot of a new machine runs in sequence within the budget."""
+    if isinf(demand.budget_s) or demand.spec.kind == "service" or demand.task_s <= 0:
+        return 1
+    return max(1, int((demand.budget_s - _setup_s(demand, source)) / demand.task_s))
--- a/crossmill/planning/estimates.py
+++ b/crossmill/planning/estimates.py
@@ -1,46 +1,66 @@
-"""How wrong the owners' estimates have been of late: a factor and a margin for each class."""
+"""Corrects the run times that users estimate by those observed for the job class.
+
+`Estimates` owns the recent ratios of observed to estimated run times in memory. The scheduling loop
+records runs, the demand forecast and the pipeline budgets read from it.
+"""
 
 from collections import deque
-from dataclasses import dataclass, field
 
-RECENT = 64
+# how many recent runs of a class are remembered
+RECENT_RUNS = 64
+# a class with fewer runs than this is estimated by the defaults
+MIN_RUNS = 8
+MEDIAN, DEFAULT_MEDIAN = 0.5, 1.0
+HIGH_QUANTILE, DEFAULT_HIGH_QUANTILE = 0.8, 1.3
+
+
+class _RunHistory:
+    """The ratios of observed to estimated run times of a job class."""
 
+    __slots__ = ("_ratios", "_sorted")
 
-@dataclass(slots=True, eq=False)
-class _Class:
-    """Observed run times of a job class."""
+    def __init__(self) -> None:
+        self._ratios: deque[float] = deque(maxlen=RECENT_RUNS)
+        self._sorted: list[float] | None = None
+
+    def add(self, ratio: float) -> None:
+        """Remember the ratio of a run."""
+        self._ratios.append(ratio)
+        self._sorted = None
 
-    ratios: deque[float] = field(default_factory=lambda: deque(maxlen=RECENT))
-    sorted: list[float] | None = None
+    def quantile(self, share: float, default: float) -> float:
+        """Return a quantile of the ratios, or the default if there are too few."""
+        if len(self._ratios) < MIN_RUNS:
+            return default
+        if self._sorted is None:
+            self._sorted = sorted(self._ratios)
+        return self._sorted[min(len(self._sorted) - 1, int(share * len(self._sorted)))]
 
 
 class Estimates:
-    """Fed with observed over estimated run times; plans aim at the deadline less the margin."""
+    """Expected run times and safety margins by job class."""
 
     def __init__(self) -> None:
-        self._classes: dict[str, _Class] = {}
+        self._histories: dict[str, _RunHistory] = {}
 
-    def saw(self, job_class: str, estimate_s: float, took_s: float) -> None:
-        """A task of the class took this long where its owner had estimated that."""
-        if estimate_s <= 0 or took_s <= 0:
+    def record_run(self, job_class: str, estimate_s: float, run_s: float) -> None:
+        """Record how long a task of the class ran, and how long its user had estimated."""
+        if estimate_s <= 0 or run_s <= 0:
             return
-        entry = self._classes.setdefault(job_class, _Class())
-        entry.ratios.append(took_s / estimate_s)
-        entry.sorted = None
-
-    def _quantile(self, job_class: str, share: float, default: float) -> float:
-        entry = self._classes.get(job_class)
-        if entry is None or len(entry.ratios) < 8:
-            return default
-        if entry.sorted is None:
-            entry.sorted = sorted(entry.ratios)
-        return entry.sorted[min(len(entry.sorted) - 1, int(share * len(entry.sorted)))]
+        self._histories.setdefault(job_class, _RunHistory()).add(run_s / estimate_s)
 
     def task_s(self, job_class: str, estimate_s: float) -> float:
-        """How long a task is expected to run, by what its class has shown."""
-        return estimate_s * self._quantile(job_class, 0.5, 1.0)
+        """Return how many seconds a task with this estimate is expected to run."""
+        return estimate_s * self._quantile(job_class, MEDIAN, DEFAULT_MEDIAN)
 
     def margin_s(self, job_class: str, estimate_s: float) -> float:
-        """What four in five of the recent tasks would have needed beyond the middle one."""
-        high = self._quantile(job_class, 0.8, 1.3)
-        return estimate_s * max(0.0, high - self._quantile(job_class, 0.5, 1.0))
+        """Return the safety margin in seconds that plans subtract from a deadline.
+
+        Four in five recent tasks of the class took at most this much longer than the median.
+        """
+        high = self._quantile(job_class, HIGH_QUANTILE, DEFAULT_HIGH_QUANTILE)
+        return estimate_s * max(0.0, high - self._quantile(job_class, MEDIAN, DEFAULT_MEDIAN))
+
+    def _quantile(self, job_class: str, share: float, default: float) -> float:
+        history = self._histories.get(job_class)
+        return default if history is None else history.quantile(share, default)
--- a/crossmill/planning/fill.py
+++ b/crossmill/planning/fill.py
@@ -1,13 +1,26 @@
-"""Filling a stage's tasks into whole machines (the paper's algorithm 1, DESIGN's fill order)."""
+"""Fills a stage's tasks into whole machines: algorithm 1 of the paper, DESIGN's fill order.
+
+The functions are pure. Capacity planning calls `fill` to choose which machines to rent next.
+"""
 
 import math
 from collections.abc import Sequence
 from typing import NamedTuple
 
+# keeps values finite for tasks that are expected to take no time
+MIN_TASK_S = 1e-9
+
 
 class MachineOffer(NamedTuple):
-    """A machine type as a stage sees it: how long until it can run, tasks side by side, and
-    how many machines there may be.
+    """A machine type as a stage sees it.
+
+    Attributes:
+        name: Identifies the offer.
+        price: Price of one machine.
+        slots: How many tasks run side by side on one machine.
+        setup_s: Seconds until the first task can run.
+        task_s: Seconds that one task runs.
+        limit: The most machines that may be rented.
     """
 
     name: str
@@ -18,47 +31,77 @@
     limit: int
 
     def rounds(self, budget_s: float) -> int:
-        """How many tasks one slot runs one after the other within the budget."""
+        """Return how many tasks one slot runs in sequence within the budget."""
         if self.task_s <= 0 or math.isinf(budget_s):
             return 1
         return int((budget_s - self.setup_s) / self.task_s)
 
     def value(self) -> float:
-        """Throughput per price."""
-        return self.slots / (self.price * max(self.task_s, 1e-9))
+        """Return the throughput per price."""
+        return self.slots / (self.price * max(self.task_s, MIN_TASK_S))
+
+
+class MachineCount(NamedTuple):
+    """How many machines of an offer are taken."""
+
+    offer: MachineOffer
+    number: int
+
+
+class _UsableOffer(NamedTuple):
+    """An offer and how many tasks one machine of it does."""
 
+    offer: MachineOffer
+    tasks_per_machine: int
 
-def fill(
-    tasks: int, offers: Sequence[MachineOffer], budget_s: float
-) -> list[tuple[MachineOffer, int]]:
-    """Whole machines of the best throughput per price first; the next offers that still meet
-    the budget take what is left; when none meets it, the soonest takes all.
+    def cost(self, tasks: int) -> float:
+        """Return the price of the whole machines that the tasks need."""
+        return self.offer.price * math.ceil(tasks / self.tasks_per_machine)
+
+
+def fill(tasks: int, offers: Sequence[MachineOffer], budget_s: float) -> list[MachineCount]:
+    """Choose whole machines for the tasks, those with the best throughput per price first.
+
+    The next offers that still meet the budget take what is left. If no offer meets the budget,
+    the one that finishes soonest takes all tasks.
     """
-    order = sorted((o for o in offers if o.slots > 0 and o.limit > 0), key=lambda o: -o.value())
-    meeting = [o for o in order if o.rounds(budget_s) >= 1]
-    late = not meeting
-    if late:
-        meeting = sorted(order, key=lambda o: (o.setup_s + o.task_s, -o.value()))
-    plan: list[tuple[MachineOffer, int]] = []
-    left = tasks
-    for position, offer in enumerate(meeting):
-        each = offer.slots * (1 if late else offer.rounds(budget_s))
-        number = min(left // each, offer.limit)
+    plan: list[MachineCount] = []
+    usable = _usable_offers(offers, budget_s)
+    remaining = tasks
+    for position, current in enumerate(usable):
+        offer, tasks_per_machine = current
+        number = min(remaining // tasks_per_machine, offer.limit)
         if number:
-            plan.append((offer, number))
-            left -= number * each
+            plan.append(MachineCount(offer, number))
+            remaining -= number * tasks_per_machine
         spare = offer.limit - number
-        if left and spare:
-            # the rest of a machine: a later offer takes it only if it costs less for it
-            here = offer.price * math.ceil(left / each)
-            rest = [
-                o.price * math.ceil(left / (o.slots * (1 if late else o.rounds(budget_s))))
-                for o in meeting[position + 1 :]
-            ]
-            if not rest or here <= min(rest):
-                more = min(math.ceil(left / each), spare)
-                plan.append((offer, more))
-                left -= more * each
-        if left <= 0:
+        if remaining and spare and _is_cheapest(current, usable[position + 1 :], remaining):
+            number = min(math.ceil(remaining / tasks_per_machine), spare)
+            plan.append(MachineCount(offer, number))
+            remaining -= number * tasks_per_machine
+        if remaining <= 0:
             break
     return plan
+
+
+def _usable_offers(offers: Sequence[MachineOffer], budget_s: float) -> list[_UsableOffer]:
+    """Return the offers that meet the budget by value, or all by finish time if none does."""
+    by_value = sorted(
+        (offer for offer in offers if offer.slots > 0 and offer.limit > 0),
+        key=lambda offer: -offer.value(),
+    )
+    usable = [
+        _UsableOffer(offer, offer.slots * rounds)
+        for offer in by_value
+        if (rounds := offer.rounds(budget_s)) >= 1
+    ]
+    if usable:
+        return usable
+    by_finish = sorted(by_value, key=lambda offer: (offer.setup_s + offer.task_s, -offer.value()))
+    return [_UsableOffer(offer, offer.slots) for offer in by_finish]
+
+
+def _is_cheapest(current: _UsableOffer, later: Sequence[_UsableOffer], tasks: int) -> bool:
+    """Return whether no later offer costs less for tasks that do not fill a whole machine."""
+    cost = current.cost(tasks)
+    return all(cost <= offer.cost(tasks) for offer in later)
--- a/crossmill/planning/free_capacity.py
+++ b/crossmill/planning/free_capacity.py
@@ -1,20 +1,30 @@
-"""Which machine takes which task: free room, allowed types and zones, spread, images."""
+"""Assigns tasks to machines: free capacity, allowed types and zones, spread, cached images.
 
-from collections.abc import Callable
+The functions are pure: they change only the `FreeCapacity` and `ZoneAllowance` objects that the
+caller passes in. Placement calls them to plan attempts, the demand forecast to find out how many
+machines are missing, and preemption to find out what room it would make.
+"""
+
+from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
 from ..wire.users import MAX_TASKS, JobSpec
 
+# tolerance for sums of fractional resources
 EPS = 1e-6
+# rounds a share of a job's tasks up to whole tasks
+ROUND_UP = 0.999
 
 
 def tasks_fitting(spec: JobSpec, cpus: float, gpus: float, memory_gb: float) -> int:
-    """How many tasks like this fit; not bounded by the job's own number, since a machine
-    that one job fills in part is shared with others, and costs each its share.
+    """Count how many tasks like this fit into the given resources.
+
+    The count is not bounded by the number of tasks of the job: a machine that one job fills in
+    part is shared with others, and each pays for its share.
     """
     cpus, gpus, memory_gb = cpus + EPS, gpus + EPS, memory_gb + EPS
-    # most rooms asked about are full; this is asked of every room for every waiting job
+    # this is asked for every machine and waiting job, and most machines are full
     if gpus < spec.gpus or cpus < spec.cpus or memory_gb < spec.memory_gb:
         return 0
     count = MAX_TASKS
@@ -28,14 +38,14 @@
 
 
 class TaskFootprint(NamedTuple):
-    """What a typical task that uses GPUs takes of its machine."""
+    """The resources that a typical GPU task takes of its machine."""
 
     cpus: float
     gpus: float
     memory_gb: float
 
     def fits(self, cpus: float, gpus: float, memory_gb: float) -> int:
-        """How many of them a machine with this much free has room for."""
+        """Count how many such tasks fit into the given resources."""
         count = MAX_TASKS
         for free, each in ((gpus, self.gpus), (cpus, self.cpus), (memory_gb, self.memory_gb)):
             if each > 0:
@@ -43,10 +53,34 @@
         return max(0, count)
 
 
+def _one_slot(_spec: JobSpec) -> int:
+    return 1
+
+
 @dataclass(slots=True, eq=False)
 class FreeCapacity:
-    """What is free on a machine; `price` is its type's, whole, and `slots` tells how many
-    tasks like the one given fit on an empty one.
+    """The resources that are free on one machine, and what ranks it among others.
+
+    Attributes:
+        machine: Id of the machine.
+        type: Name of its machine type.
+        zone: Its zone.
+        spot: Whether it is a spot machine.
+        cpus: Free CPUs.
+        gpus: Free GPUs.
+        memory_gb: Free memory.
+        price: Price of a whole machine of the type.
+        size: Size of an empty machine in GPUs, or in units of 8 CPUs if that is more.
+        has_gpus: Whether an empty machine of the type has GPUs.
+        fetch_gb_per_s: Rate at which the machine fetches images.
+        in_limited_zone: Whether the zone offers fewer machine types than another one.
+        slots_when_empty: How many tasks like the one given fit on an empty machine.
+        images: Size in GB of each image that the machine has or fetches.
+        is_used: Whether any task is planned on the machine.
+        typical_gpu_task: Footprint of a typical GPU task of the shard, if there is any.
+        exclusive_gpu_task: Footprint of a job class that fits on this machine type only; None if
+            there is no such class.
+        has_new_tasks: Whether tasks were assigned since the object was made.
     """
 
     machine: str
@@ -58,62 +92,73 @@
     memory_gb: float
     price: float
     size: float
-    accelerated: bool = False
+    has_gpus: bool = False
     fetch_gb_per_s: float = 1.0
-    narrow: bool = False
-    slots: Callable[[JobSpec], int] = lambda spec: 1
+    in_limited_zone: bool = False
+    slots_when_empty: Callable[[JobSpec], int] = _one_slot
     images: dict[str, float] = field(default_factory=dict)
-    used: bool = False
-    typical: TaskFootprint | None = None
-    # what a task takes that fits on this type alone; None if there is no such class
-    bound: TaskFootprint | None = None
-    # whether a task was planned into it
-    taken: bool = False
+    is_used: bool = False
+    typical_gpu_task: TaskFootprint | None = None
+    exclusive_gpu_task: TaskFootprint | None = None
+    has_new_tasks: bool = False
 
     def fits_beside_gpu_tasks(self, spec: JobSpec) -> int:
-        """How many tasks without GPUs fit beside the GPU tasks that the machine still has room
-        for. Filled up with small tasks, its GPUs would be paid for and serve nobody.
+        """Count how many tasks fit without taking the place of a GPU task.
+
+        Tasks without GPUs could fill a GPU machine up, and its GPUs would be paid for but unused.
         """
-        if not self.accelerated or spec.gpus > 0:
+        if not self.has_gpus or spec.gpus > 0:
             return MAX_TASKS
-        shares = (share for share in (self.typical, self.bound) if share is not None)
-        return min((self._beside(share, spec) for share in shares), default=MAX_TASKS)
+        footprints = (self.typical_gpu_task, self.exclusive_gpu_task)
+        return min(
+            (
+                self._fits_beside(footprint, spec)
+                for footprint in footprints
+                if footprint is not None
+            ),
+            default=MAX_TASKS,
+        )
 
-    def _beside(self, share: TaskFootprint, spec: JobSpec) -> int:
-        slots = share.fits(self.cpus, self.gpus, self.memory_gb)
-        cpus, memory_gb = self.cpus - slots * share.cpus, self.memory_gb - slots * share.memory_gb
+    def _fits_beside(self, footprint: TaskFootprint, spec: JobSpec) -> int:
+        slots = footprint.fits(self.cpus, self.gpus, self.memory_gb)
+        cpus = self.cpus - slots * footprint.cpus
+        memory_gb = self.memory_gb - slots * footprint.memory_gb
         return tasks_fitting(spec, cpus, 0.0, memory_gb)
 
     def contention_cost(self, spec: JobSpec) -> int:
-        """How far a task would hold what others need: without GPUs, it would keep a GPU machine
-        rented when all else on it has ended, and on the only type that some class fits on it
-        would take that class's place.
+        """Rate from 0 to 2 how far a task would occupy resources that other jobs need.
+
+        A task without GPUs keeps a GPU machine rented when all else on it has ended. If some job
+        class fits on this machine type only, the task takes that class's place as well.
         """
-        return 0 if spec.gpus > 0 else self.accelerated + (self.bound is not None)
+        return 0 if spec.gpus > 0 else self.has_gpus + (self.exclusive_gpu_task is not None)
 
     def fits(self, spec: JobSpec) -> int:
-        """How many tasks like this fit into what is free."""
+        """Count how many tasks like this fit into what is free."""
         return tasks_fitting(spec, self.cpus, self.gpus, self.memory_gb)
 
-    def delay_s(self, spec: JobSpec) -> float:
-        """How long a task waits here for its image."""
+    def image_delay_s(self, spec: JobSpec) -> float:
+        """Estimate how many seconds a task waits here for its image."""
         return 0.0 if spec.image in self.images else spec.image_gb / self.fetch_gb_per_s
 
-    def price_for(self, spec: JobSpec) -> float:
-        """The weight of one task's share: a type short of memory for it gives few slots."""
-        return self.price / max(1, self.slots(spec))
+    def price_per_task(self, spec: JobSpec) -> float:
+        """Return one task's part of the machine's price.
 
-    def take(self, spec: JobSpec, tasks: int = 1) -> None:
-        """Takes the room of so many tasks."""
+        A machine type that is short of memory for the task has few slots, hence a high price.
+        """
+        return self.price / max(1, self.slots_when_empty(spec))
+
+    def reserve(self, spec: JobSpec, tasks: int = 1) -> None:
+        """Reserve the resources of so many tasks."""
         self.cpus -= tasks * spec.cpus
         self.gpus -= tasks * spec.gpus
         self.memory_gb -= tasks * spec.memory_gb
-        self.used = self.taken = True
+        self.is_used = self.has_new_tasks = True
         self.images[spec.image] = spec.image_gb
 
 
 def is_allowed(spec: JobSpec, type_name: str, zone: str, spot: bool) -> bool:
-    """Whether the job may run on this type, in this zone, on this kind of machine."""
+    """Return whether the job may run on this type, in this zone, on spot or not."""
     if spot and not spec.spot:
         return False
     if spec.types is not None and type_name not in spec.types:
@@ -122,89 +167,155 @@
 
 
 class ZoneAllowance:
-    """How many of a job's tasks may yet go to a zone, given where the others are."""
+    """How many more tasks of a job each zone may get, given where its other tasks are."""
 
     def __init__(self, spec: JobSpec, placed: dict[str, int]) -> None:
         self._spec = spec
         self._placed = dict(placed)
-        self._most = (spec.tasks + 1) // 2
+        # a spread job puts at most half of its tasks into one zone
+        self._max_spread = (spec.tasks + 1) // 2
 
-    def open(self, zone: str) -> int:
-        """How many more tasks may go to the zone."""
+    def remaining(self, zone: str) -> int:
+        """Return how many more tasks may go to the zone; zero or less means none."""
         if self._spec.one_zone and any(n for z, n in self._placed.items() if z != zone):
             return 0
         if self._spec.spread:
-            return self._most - self._placed.get(zone, 0)
+            return self._max_spread - self._placed.get(zone, 0)
         return self._spec.tasks
 
-    def take(self, zone: str, tasks: int) -> None:
-        """So many tasks go to the zone."""
+    def reserve(self, zone: str, tasks: int) -> None:
+        """Count so many more tasks in the zone."""
         self._placed[zone] = self._placed.get(zone, 0) + tasks
 
 
+class TaskAssignment(NamedTuple):
+    """How many tasks a machine gets."""
+
+    capacity: FreeCapacity
+    tasks: int
+
+
+class _TaskAssigner:
+    """Assigns the tasks of one job in several passes over the ranked machines."""
+
+    def __init__(self, spec: JobSpec, tasks: int, zones: ZoneAllowance) -> None:
+        self._spec = spec
+        self._zones = zones
+        self.unassigned = tasks
+        self.assignments: list[TaskAssignment] = []
+
+    def assign(self, ranked: list[FreeCapacity], limit: int, beside_gpu_tasks: bool) -> bool:
+        """Make one pass with at most `limit` tasks a machine; return whether none is left."""
+        spec, zones = self._spec, self._zones
+        for capacity in ranked:
+            zone_limit = max(0, zones.remaining(capacity.zone))
+            number = min(capacity.fits(spec), self.unassigned, limit, zone_limit)
+            if beside_gpu_tasks and number > 0:
+                number = min(number, capacity.fits_beside_gpu_tasks(spec))
+            if number > 0:
+                capacity.reserve(spec, number)
+                zones.reserve(capacity.zone, number)
+                self.assignments.append(TaskAssignment(capacity, number))
+                self.unassigned -= number
+            if self.unassigned <= 0:
+                return True
+        return False
+
+
 def assign_tasks(
     spec: JobSpec,
     tasks: int,
-    capacities: list[FreeCapacity],
+    capacities: Sequence[FreeCapacity],
     zones: ZoneAllowance,
-    together: float = 1.0,
-    only_beside_gpu_tasks: bool = False,
-) -> list[tuple[FreeCapacity, int]]:
-    """Machines for up to this many tasks. Cheapest room for the task first (throughput per
-    price), machines that have the image, or fetch it sooner, before the others, full ones before
-    empty ones. Services are dealt out, at most `together` of a job's tasks on one machine,
-    so that one loss hurts little, as long as there is other room.
+    max_share_per_machine: float = 1.0,
+) -> list[TaskAssignment]:
+    """Assign up to this many tasks to machines and reserve their resources.
+
+    The machines are taken in the order of `_sort_key`. At most `max_share_per_machine` of a
+    service's tasks go to one machine as long as others have room, so that the loss of a machine
+    hurts little. Tasks without GPUs first go where they take no GPU task's place.
     """
+    ranked = _ranked_capacities(spec, capacities, zones)
+    assigner = _TaskAssigner(spec, tasks, zones)
+    limits = _limits_per_machine(spec, tasks, max_share_per_machine)
+    passes = (True, False) if spec.gpus == 0 else (False,)
+    for beside_gpu_tasks in passes:
+        for limit in limits:
+            if assigner.assign(ranked, limit, beside_gpu_tasks):
+                return assigner.assignments
+    return assigner.assignments
+
+
+def assign_tasks_beside_gpu_tasks(
+    spec: JobSpec, tasks: int, capacities: Sequence[FreeCapacity], zones: ZoneAllowance
+) -> list[TaskAssignment]:
+    """Assign up to this many tasks, none of which takes the place of a GPU task."""
+    ranked = _ranked_capacities(spec, capacities, zones)
+    assigner = _TaskAssigner(spec, tasks, zones)
+    for limit in _limits_per_machine(spec, tasks, 1.0):
+        if assigner.assign(ranked, limit, beside_gpu_tasks=True):
+            break
+    return assigner.assignments
+
+
+def _limits_per_machine(spec: JobSpec, tasks: int, max_share_per_machine: float) -> tuple[int, ...]:
+    """Return the most tasks that a machine may get in each pass."""
+    if spec.kind != "service":
+        return (tasks,)
+    limit = max(1, int(spec.tasks * max_share_per_machine + ROUND_UP))
+    return (limit, tasks) if limit < tasks else (tasks,)
+
+
+def _ranked_capacities(
+    spec: JobSpec, capacities: Sequence[FreeCapacity], zones: ZoneAllowance
+) -> list[FreeCapacity]:
+    """Return the machines that a task of the job may use and fits on, best first."""
     fitting = [
-        (capacity, count)
+        capacity
         for capacity in capacities
-        if (count := capacity.fits(spec)) > 0
-        and is_allowed(spec, capacity.type, capacity.zone, capacity.spot)
+        if capacity.fits(spec) > 0 and is_allowed(spec, capacity.type, capacity.zone, capacity.spot)
     ]
-    if spec.one_zone and not any(zones.open(r.zone) == 0 for r, _ in fitting):
-        best = max({r.zone for r, _ in fitting}, default="", key=lambda z: _fit(fitting, z))
-        fitting = [(r, c) for r, c in fitting if r.zone == best]
+    if spec.one_zone and not any(zones.remaining(c.zone) == 0 for c in fitting):
+        # no task of the job runs yet: take the zone that has room for most of them
+        zone = max(
+            {capacity.zone for capacity in fitting},
+            default="",
+            key=lambda zone: sum(c.fits(spec) for c in fitting if c.zone == zone),
+        )
+        fitting = [capacity for capacity in fitting if capacity.zone == zone]
+    fitting.sort(key=_sort_key(spec))
+    return fitting
 
+
+def _sort_key(
+    spec: JobSpec,
+) -> Callable[[FreeCapacity], tuple[int, bool, int, bool, float, float]]:
+    """Return the sort key of machines for tasks of the job, lowest first.
+
+    The key is a plain tuple, since tuples of a subclass sort more slowly and this runs for every
+    fitting machine of every waiting job. Its elements are: contention cost; whether the zone
+    offers few machine types, since it is kept for the replicas that must go there; the wait for
+    the image in whole seconds; for a service whether the machine is empty, for an array whether
+    it is not a spot machine (spot machines can't serve jobs that may not use them); the price per
+    task; and the free share of the machine.
+    """
     prices: dict[str, float] = {}
+    is_service = spec.kind == "service"
 
-    def rank(entry: tuple[FreeCapacity, int]) -> tuple[int, bool, float, bool, float, float]:
-        capacity, _ = entry
-        delay_s = round(capacity.delay_s(spec))
+    def key(capacity: FreeCapacity) -> tuple[int, bool, int, bool, float, float]:
         price = prices.get(capacity.type)
         if price is None:
-            price = prices[capacity.type] = capacity.price_for(spec)
-        share = max(
+            price = prices[capacity.type] = capacity.price_per_task(spec)
+        free_share = max(
             spec.gpus and capacity.gpus / capacity.size, spec.cpus and capacity.cpus / capacity.size
         )
-        # a zone that offers fewer types is kept for the replicas that must go there
-        pins = capacity.contention_cost(spec)
-        if spec.kind == "service":
-            return (pins, capacity.narrow, delay_s, not capacity.used, price, share)
-        # spot room can't serve those who may not use it, so the others go there first
-        return (pins, capacity.narrow, delay_s, not capacity.spot, price, share)
-
-    fitting.sort(key=rank)
-    result: list[tuple[FreeCapacity, int]] = []
-    left = tasks
-    cap = max(1, int(spec.tasks * together + 0.999)) if spec.kind == "service" else tasks
-    limits = (cap, tasks) if cap < tasks else (tasks,)
-    # tasks without GPUs first go where they take no GPU task's place
-    passes = (True,) if only_beside_gpu_tasks else (True, False) if spec.gpus == 0 else (False,)
-    for gentle in passes:
-        for limit in limits:
-            for capacity, _ in fitting:
-                number = min(capacity.fits(spec), left, limit, max(0, zones.open(capacity.zone)))
-                if gentle and number > 0:
-                    number = min(number, capacity.fits_beside_gpu_tasks(spec))
-                if number > 0:
-                    capacity.take(spec, number)
-                    zones.take(capacity.zone, number)
-                    result.append((capacity, number))
-                    left -= number
-                if left <= 0:
-                    return result
-    return result
-
-
-def _fit(fitting: list[tuple[FreeCapacity, int]], zone: str) -> int:
-    return sum(count for capacity, count in fitting if capacity.zone == zone)
+        return (
+            capacity.contention_cost(spec),
+            capacity.in_limited_zone,
+            round(capacity.image_delay_s(spec)),
+            not (capacity.is_used if is_service else capacity.spot),
+            price,
+            free_share,
+        )
+
+    return key
--- a/crossmill/planning/gpu_footprints.py
+++ b/crossmill/planning/gpu_footprints.py
@@ -1,4 +1,7 @@
-"""What tasks on GPUs take of a machine, so that tasks without GPUs leave them their place."""
+"""Resources that GPU tasks take of a machine, so that tasks without GPUs leave room for them.
+
+The functions are pure. The demand forecast calls `gpu_footprints` for the active jobs of a shard.
+"""
 
 from collections.abc import Collection, Iterable
 from typing import NamedTuple
@@ -9,29 +12,35 @@
 from .free_capacity import FreeCapacity, TaskFootprint
 
 
-class _Bound(NamedTuple):
-    """The share of a class that fits on one type alone, and whether it may use spot machines."""
+class ExclusiveFootprint(NamedTuple):
+    """The footprint of a class that fits on one type only, and whether it may use spot machines."""
 
-    share: TaskFootprint
+    footprint: TaskFootprint
     spot: bool
 
 
 class GpuFootprints(NamedTuple):
-    """The share of a task of the class with the most tasks; and by type that of the class with the
-    most tasks among those that fit on this type alone, if that does not hold for all classes.
+    """Footprints of the job classes that use GPUs.
+
+    Attributes:
+        typical: The footprint of the class with the most tasks; None if there is no class.
+        exclusive: By machine type, the footprint of the class with the most tasks among those that
+            fit on this type only. Empty if the class with the most tasks fits on one type only.
     """
 
     typical: TaskFootprint | None
-    bound: dict[str, _Bound]
+    exclusive: dict[str, ExclusiveFootprint]
 
-    def bound_to(self, capacity: FreeCapacity) -> TaskFootprint | None:
-        """The share of the class that has only such machines."""
-        bound = self.bound.get(capacity.type)
-        return None if bound is None or (capacity.spot and not bound.spot) else bound.share
+    def exclusive_to(self, capacity: FreeCapacity) -> TaskFootprint | None:
+        """Return the footprint of the class that can only use machines like this one."""
+        found = self.exclusive.get(capacity.type)
+        if found is None or (capacity.spot and not found.spot):
+            return None
+        return found.footprint
 
 
 def gpu_footprints(specs: Iterable[JobSpec], catalog: Collection[MachineType]) -> GpuFootprints:
-    """The shares of the classes of these jobs, all of which use GPUs."""
+    """Return the footprints of the classes of these jobs, all of which use GPUs."""
     tasks: dict[str, int] = {}
     newest: dict[str, JobSpec] = {}
     for spec in specs:
@@ -39,22 +48,24 @@
         newest[spec.job_class] = spec
     order = sorted(tasks, key=lambda name: (-tasks[name], name))
     most = max(tasks, key=lambda name: (tasks[name], name))
-    bound: dict[str, _Bound] = {}
+    exclusive: dict[str, ExclusiveFootprint] = {}
     types = {name: _types_of(newest[name], catalog) for name in order}
     if len(types[most]) > 1:
         for name in order:
             if len(types[name]) == 1:
                 spec = newest[name]
-                bound.setdefault(types[name][0], _Bound(_share(spec), spec.spot))
-    return GpuFootprints(_share(newest[most]), bound)
+                exclusive.setdefault(
+                    types[name][0], ExclusiveFootprint(_footprint(spec), spec.spot)
+                )
+    return GpuFootprints(_footprint(newest[most]), exclusive)
 
 
-def _share(spec: JobSpec) -> TaskFootprint:
+def _footprint(spec: JobSpec) -> TaskFootprint:
     return TaskFootprint(spec.cpus, spec.gpus, spec.memory_gb)
 
 
 def _types_of(spec: JobSpec, catalog: Collection[MachineType]) -> list[str]:
-    """The types that a task of the job fits on."""
+    """Return the names of the types that a task of the job fits on."""
     return [
         kind.name
         for kind in catalog
--- a/crossmill/planning/pipelines.py
+++ b/crossmill/planning/pipelines.py
@@ -1,7 +1,8 @@
-"""Budgets and priorities of the stages of a pipeline: jobs joined by dependencies.
+"""Budgets and priorities of the stages of a pipeline, that is of jobs joined by dependencies.
 
-The paper's split (section III-C) is made over all of the pipeline that is not done, with the time
-left to its deadline. Pure: the same facts give the same budgets on every controller.
+The paper's latency split (section III-C) is made over the unfinished part of the pipeline, with the
+time left to its deadline. The functions are pure: the same records give the same budgets on every
+controller. `fleet.pipelines` calls them when a pipeline changes.
 """
 
 from collections.abc import Mapping, Sequence
@@ -11,8 +12,16 @@
 
 
 class PipelineStage(NamedTuple):
-    """An unfinished job of a pipeline. `needs` names unfinished jobs only; `deadline` is when it
-    has to be done, None if its user gave no deadline.
+    """An unfinished job of a pipeline.
+
+    Attributes:
+        id: Id of the job.
+        priority: Its own priority; 0 is the highest.
+        tasks: How many tasks it has.
+        options: The machine types that it may use.
+        margin_s: Safety margin for the error of its estimate.
+        dependencies: Ids of the unfinished jobs that it depends on.
+        deadline: When it has to be done, in wall time; None if its user gave no deadline.
     """
 
     id: str
@@ -25,8 +34,11 @@
 
 
 class StagePlan(NamedTuple):
-    """A stage's place: the highest priority among it and all that need it, and when its budget
-    ends (None without any deadline).
+    """Where a stage stands in the queue.
+
+    Attributes:
+        priority: The highest priority among the stage and all that depend on it.
+        budget_end: When its budget ends, in wall time; None without any deadline.
     """
 
     priority: int
@@ -34,8 +46,11 @@
 
 
 def topological_order(stages: Mapping[str, PipelineStage]) -> list[str]:
-    """Every stage after those it needs."""
-    missing = {name: sum(n in stages for n in s.dependencies) for name, s in stages.items()}
+    """Order the stages so that each comes after those it depends on."""
+    missing = {
+        name: sum(dependency in stages for dependency in stage.dependencies)
+        for name, stage in stages.items()
+    }
     dependents: dict[str, list[str]] = {name: [] for name in stages}
     for name, stage in stages.items():
         for dependency in stage.dependencies:
@@ -51,13 +66,14 @@
 
 
 def plan_pipeline(stages: Mapping[str, PipelineStage], now: float) -> dict[str, StagePlan]:
-    """The plan of every stage, with the split made as of `now`."""
+    """Plan every stage, with the latency split made as of `now` in wall time."""
     order = topological_order(stages)
     priorities = _inherited_priorities(stages, order)
     ends: dict[str, float] = {}
     for name in order:
-        if stages[name].deadline is not None:
-            for stage, end in _split_towards(stages, order, name, now).items():
+        deadline = stages[name].deadline
+        if deadline is not None:
+            for stage, end in _budget_ends(stages, order, name, deadline, now).items():
                 ends[stage] = min(end, ends.get(stage, end))
     return {name: StagePlan(priorities[name], ends.get(name)) for name in order}
 
@@ -65,6 +81,7 @@
 def _inherited_priorities(
     stages: Mapping[str, PipelineStage], order: Sequence[str]
 ) -> dict[str, int]:
+    """Return the highest priority among each stage and those that depend on it."""
     priorities = {name: stages[name].priority for name in order}
     for name in reversed(order):
         for dependency in stages[name].dependencies:
@@ -73,8 +90,8 @@
     return priorities
 
 
-def _before(stages: Mapping[str, PipelineStage], last: str) -> set[str]:
-    """The stage and all that it needs, directly or through others."""
+def _with_dependencies(stages: Mapping[str, PipelineStage], last: str) -> set[str]:
+    """Return the stage and all that it depends on, directly or through others."""
     found = {last}
     pending = [last]
     while pending:
@@ -85,28 +102,30 @@
     return found
 
 
-def _split_towards(
-    stages: Mapping[str, PipelineStage], order: Sequence[str], last: str, now: float
+def _budget_ends(
+    stages: Mapping[str, PipelineStage],
+    order: Sequence[str],
+    last: str,
+    deadline: float,
+    now: float,
 ) -> dict[str, float]:
-    """When the budgets end of all that has to be done for `last` to meet its deadline."""
-    members = _before(stages, last)
+    """Return when the budgets end of all stages that `last` needs to meet the deadline."""
+    members = _with_dependencies(stages, last)
     names = [name for name in order if name in members]
-    places = {name: place for place, name in enumerate(names)}
+    positions = {name: position for position, name in enumerate(names)}
     margins: list[float] = []
     split_stages: list[Stage] = []
     for name in names:
         stage = stages[name]
         after = tuple(
-            places[dependency] for dependency in stage.dependencies if dependency in places
+            positions[dependency] for dependency in stage.dependencies if dependency in positions
         )
         split_stages.append(Stage(stage.tasks, stage.options, after))
-        margins.append(stage.margin_s + max((margins[place] for place in after), default=0.0))
-    deadline = stages[last].deadline
-    assert deadline is not None
-    # a deadline that has passed leaves a negative time, which keeps the order among late ones
+        margins.append(stage.margin_s + max((margins[position] for position in after), default=0.0))
+    # a deadline that has passed leaves a negative time, which keeps the order among late stages
     shares = split(split_stages, deadline - margins[-1] - now)
     ends: list[float] = []
     for split_stage, share in zip(split_stages, shares, strict=True):
-        begin = max((ends[place] for place in split_stage.after), default=now)
+        begin = max((ends[position] for position in split_stage.after), default=now)
         ends.append(begin + share.budget_s)
     return dict(zip(names, ends, strict=True))
--- a/crossmill/planning/split.py
+++ b/crossmill/planning/split.py
@@ -1,8 +1,9 @@
-"""The paper's latency split (its section III-C) over the stages of a pipeline.
+"""The paper's latency split (its section III-C): divides a deadline among a pipeline's stages.
 
-A stage is a job; an option is a machine type. Every stage starts on its fastest, costliest
-option; the switch that saves most cost per second of finish time added is made as long as the
-pipeline keeps its deadline.
+A stage is a job; an option is a machine type. Every stage starts on its fastest, costliest option.
+Then, as long as the pipeline keeps its deadline, the switch to another option that saves most cost
+per added second of finish time is made. The functions are pure; pipeline planning and capacity
+planning call `split`.
 """
 
 from collections.abc import Iterator, Sequence
@@ -11,8 +12,13 @@
 
 
 class MachineOption(NamedTuple):
-    """`throughput` is tasks per second of one whole machine, `finish_s` the stage's estimated
-    finish on this option, `price` the weight of the type (spot: its steady type's).
+    """A machine type that a stage may use.
+
+    Attributes:
+        name: Identifies the option.
+        price: Price of one machine; for a spot machine that of its on-demand type.
+        throughput: Tasks per second of one whole machine.
+        finish_s: Seconds until the stage is estimated to finish on this option.
     """
 
     name: str
@@ -21,16 +27,12 @@
     finish_s: float
 
     def cost(self, tasks: float) -> float:
-        """What so many tasks cost on this option."""
+        """Return what so many tasks cost on this option."""
         return self.price * tasks / self.throughput
 
-    def value(self) -> float:
-        """Throughput per price."""
-        return self.throughput / self.price
-
 
 class Stage(NamedTuple):
-    """A stage's tasks, its options, and the positions of the stages before it."""
+    """A stage's tasks, its options, and the positions of the stages that it depends on."""
 
     tasks: float
     options: tuple[MachineOption, ...]
@@ -38,7 +40,7 @@
 
 
 class StageBudget(NamedTuple):
-    """The option chosen for a stage, and its part of the deadline."""
+    """The option chosen for a stage, and its part of the deadline in seconds."""
 
     option: MachineOption
     budget_s: float
@@ -53,7 +55,7 @@
 
 
 def _path_ends(stages: Sequence[Stage], chosen: Sequence[MachineOption]) -> list[float]:
-    """Longest path up to and with each stage; stages stand after those they need."""
+    """Return the length of the longest path that ends with each stage, in seconds."""
     ends: list[float] = []
     for stage, option in zip(stages, chosen, strict=True):
         ends.append(option.finish_s + max((ends[i] for i in stage.after), default=0.0))
@@ -61,18 +63,19 @@
 
 
 def _path_through(stages: Sequence[Stage], chosen: Sequence[MachineOption]) -> list[float]:
-    """The longest path through each stage."""
+    """Return the length of the longest path through each stage, in seconds."""
     ends = _path_ends(stages, chosen)
+    # the longest path that begins after each stage
     tails = [0.0] * len(stages)
     for index in range(len(stages) - 1, -1, -1):
-        below = tails[index] + chosen[index].finish_s
-        for before in stages[index].after:
-            tails[before] = max(tails[before], below)
-    return [e + t for e, t in zip(ends, tails, strict=True)]
+        length = tails[index] + chosen[index].finish_s
+        for dependency in stages[index].after:
+            tails[dependency] = max(tails[dependency], length)
+    return [end + tail for end, tail in zip(ends, tails, strict=True)]
 
 
 def _switches(stage: Stage, index: int, old: MachineOption, slack_s: float) -> Iterator[_Switch]:
-    """The cheaper options that add no more than the slack of the paths through the stage."""
+    """Yield the cheaper options that add no more than the slack of the paths through the stage."""
     cost = old.cost(stage.tasks)
     for new in stage.options:
         saved = cost - new.cost(stage.tasks)
@@ -84,10 +87,14 @@
 
 
 def _choose(stages: Sequence[Stage], deadline_s: float) -> list[MachineOption]:
-    """Every stage's option. A switch lengthens only the paths through its stage, so that one
-    pass over the edges serves all candidates of a step.
+    """Choose every stage's option.
+
+    A switch lengthens only the paths through its stage, so that one pass over the edges serves all
+    candidates of a step.
     """
-    chosen = [min(s.options, key=lambda o: (o.finish_s, -o.price)) for s in stages]
+    chosen = [
+        min(stage.options, key=lambda option: (option.finish_s, -option.price)) for stage in stages
+    ]
     while True:
         paths = _path_through(stages, chosen)
         # from the fastest options on, a pipeline that is too long can't be made shorter
@@ -105,7 +112,11 @@
 
 
 def split(stages: Sequence[Stage], deadline_s: float) -> list[StageBudget]:
-    """Each stage's option and budget, stages given after those they need."""
+    """Return each stage's option and budget.
+
+    Stages are given in topological order. The deadline is divided in proportion to the finish
+    times along the longest path through each stage.
+    """
     chosen = _choose(stages, deadline_s)
     paths = _path_through(stages, chosen)
     return [
--- a/tests/stepped_controller.py
+++ b/tests/stepped_controller.py
@@ -17,6 +17,7 @@
 from crossmill.cluster.records import encode_job
 from crossmill.fleet.cloud import Cloud, stored_catalog
 from crossmill.fleet.forecast import DemandForecast
+from crossmill.fleet.machine_records import MachineRecords
 from crossmill.fleet.provisioner import FleetProvisioner
 from crossmill.jobs.api import JobApi
 from crossmill.jobs.record_repair import RecordRepair
@@ -160,11 +161,9 @@
             s,
             clock,
             self.cluster,
-            self.membership,
             self.forecast,
-            Cloud(s, clock, self.cloud),
-            self.writer,
-            lambda: unique,
+            Cloud(s, clock, lambda: unique, self.cloud),
+            MachineRecords(self.cluster, self.membership, self.writer),
         )
         self.jobs = JobApi(
             s,
--- a/tests/test_capacity_cache.py
+++ b/tests/test_capacity_cache.py
@@ -23,7 +23,7 @@
 
 
 def _facts(capacity: FreeCapacity) -> dict[str, Any]:
-    skipped = {"slots", "taken"}
+    skipped = {"slots_when_empty", "has_new_tasks"}
     return {f.name: getattr(capacity, f.name) for f in fields(capacity) if f.name not in skipped}
 
 
@@ -36,7 +36,7 @@
         self.mirror.revision = 0
         self.cluster = ClusterState(self.mirror, make_settings())
         self.forecast = DemandForecast(make_settings(), FakeClock(), self.cluster)
-        self.cache = self.forecast.new_cache()
+        self.cache = self.forecast.capacity.new_cache()
         self.attempt = 0
         self.put(keys.CATALOG, stored_catalog(parse_catalog(CATALOG)))
 
@@ -79,7 +79,7 @@
         assign_tasks(spec, 2, self.capacities(), ZoneAllowance(spec, {}))
 
     def capacities(self) -> list[FreeCapacity]:
-        return self.forecast.cached_capacities(self.cache, self._machines())
+        return self.forecast.capacity.cached_capacities(self.cache, self._machines())
 
     def _machines(self) -> list[tuple[Any, MachineType]]:
         catalog = self.cluster.catalog
@@ -88,7 +88,10 @@
     def step(self) -> None:
         changes = (self._change_machine, self._change_job, self._change_plan, self._plan_tasks)
         self.rng.choice(changes)()
-        fresh = [self.forecast.free_capacity(machine, kind) for machine, kind in self._machines()]
+        fresh = [
+            self.forecast.capacity.free_capacity(machine, kind)
+            for machine, kind in self._machines()
+        ]
         assert [_facts(r) for r in self.capacities()] == [_facts(r) for r in fresh]
 
 
--- a/tests/test_controller_outages.py
+++ b/tests/test_controller_outages.py
@@ -234,9 +234,9 @@
         node = SteppedController(state, clock, nodes)
         await node.boot()
         leader = node.provisioner
-        need = MachineRequest(node.forecast.sources()[0], 2)
+        need = MachineRequest(node.forecast.capacity.sources()[0], 2)
         leader._cloud._pacer.drain()
-        begun = leader._rent_one(0, need) if step == "rent" else leader._release()
+        begun = leader.rent(0, need) if step == "rent" else leader.scale_in()
         task = await curio.spawn(begun, daemon=True)
         await curio.sleep(0.05)
         clock.time += 25.0 if stands_still else 0.5
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -102,7 +102,7 @@
         node.scheduling_loop._quotas.start_round(0)
         # red is guaranteed four GPUs: one and three fit, the four that wait do not count
         assert node.scheduling_loop._quotas.is_within_quota(job)
-        assert [j.id for j in node.forecast.waiting(0)] == [A, C]
+        assert [j.id for j in node.forecast.waiting_jobs(0)] == [A, C]
 
     run_scenario(scenario)
 
--- a/tests/test_multihost_service.py
+++ b/tests/test_multihost_service.py
@@ -262,7 +262,7 @@
             assert answer.commands == ()
             await node.round()
             if node.membership.leadership_version() is not None:
-                await node.provisioner._step()
+                await node.provisioner.run_once()
         assert not node.cluster.machines["m-0"].attempts
         assert len(node.cluster.machines["n-0"].attempts) > 0
         # that its ordinary worker reports is noted, and nothing else
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -122,23 +122,23 @@
         node = SteppedController(state, clock, nodes)
         await node.boot()
         forecast, jobs = node.forecast, node.cluster.jobs
-        (priority, end), _ = forecast.queue_place(jobs[first])
+        priority, end, _ = forecast.queue_rank(jobs[first])
         assert priority == 3
         assert end == pytest.approx(at + node.settings.default_queue_wait_s)
         final = make_spec(nameId=last, precedence="high", dueS=300.0, grindS=10.0)
         state.put(keys.job(last), encode_job(final, clock.wall(), (middle,)))
         await node.sync()
-        (priority, end), _ = forecast.queue_place(jobs[first])
+        priority, end, _ = forecast.queue_rank(jobs[first])
         assert priority == 1
         assert at < end < at + 300.0
         # a later stage of another team has what is left, by the same function
         other = SteppedController(state, clock, nodes, "node-1")
         await other.boot()
-        assert other.forecast.queue_place(jobs[first])[0][1] == pytest.approx(end)
+        assert other.forecast.queue_rank(jobs[first])[1] == pytest.approx(end)
         # the heir is cancelled: inheritance ends
         state.put(keys.job(last), encode_end("cancelled", final, clock.wall(), RECORD_BYTES))
         await node.sync()
-        assert forecast.queue_place(jobs[first])[0][0] == 3
+        assert forecast.queue_rank(jobs[first])[0] == 3
 
     run_scenario(scenario)
 
@@ -157,7 +157,7 @@
         state.put(keys.job("wk-000001"), encode_end("done", spec, at + 50.0, RECORD_BYTES))
         node = SteppedController(state, clock, nodes)
         await node.boot()
-        ends = [node.forecast.queue_place(node.cluster.jobs[f"wk-00000{n}"])[0][1] for n in (2, 3)]
+        ends = [node.forecast.queue_rank(node.cluster.jobs[f"wk-00000{n}"])[1] for n in (2, 3)]
         assert ends == pytest.approx([at + 50.0 + node.settings.default_queue_wait_s, at + 300.0])
 
     run_scenario(scenario)
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -13,7 +13,7 @@
     assign_tasks,
 )
 from crossmill.planning.gpu_footprints import gpu_footprints
-from crossmill.planning.queue import budget_end, place_in_queue
+from crossmill.planning.queue import QueuePlace, budget_end, place_in_queue
 from crossmill.planning.split import MachineOption, Stage, split
 from crossmill.wire.cloud import MachineType, parse_catalog
 
@@ -78,7 +78,7 @@
     estimates = Estimates()
     before = estimates.margin_s("chat", 100.0)
     for ratio in [1.0] * 6 + [1.5] * 4:
-        estimates.saw("chat", 100.0, 100.0 * ratio)
+        estimates.record_run("chat", 100.0, 100.0 * ratio)
     assert before == pytest.approx(30.0)
     assert estimates.task_s("chat", 10.0) == pytest.approx(10.0)
     assert estimates.margin_s("chat", 10.0) == pytest.approx(5.0)
@@ -160,8 +160,8 @@
     """They filled GPU machines up, and the GPUs served nobody while more were rented."""
     small = make_spec(cut="service", sacks=12, cards=0.0, cpus=4.0, ramGb=2.0)
     capacities = [
-        FreeCapacity(name, "g4", "north", False, 32, 4, 256, 12.0, 4, accelerated=True,
-             typical=TaskFootprint(5.0, 1.0, 35.0))
+        FreeCapacity(name, "g4", "north", False, 32, 4, 256, 12.0, 4, has_gpus=True,
+             typical_gpu_task=TaskFootprint(5.0, 1.0, 35.0))
         for name in ("a", "b")
     ]  # fmt: skip
     taken = assign_tasks(small, 6, capacities, ZoneAllowance(small, {}))
@@ -177,7 +177,7 @@
     still begin once their budgets end, since what comes later has a later end.
     """
     slots, default_queue_wait_s, number = 8, 45.0, 90
-    waiting: list[tuple[tuple[int, float], str, int]] = []
+    waiting: list[tuple[QueuePlace, str, int]] = []
     done_at: list[int] = []
     for second in range(250):
         arrivals = [("small", make_spec(dueS=30.0), 5)] * 2
@@ -205,8 +205,8 @@
 def _room(machine: str, kind: str, bound: TaskFootprint | None = None) -> FreeCapacity:
     share = TaskFootprint(5.0, 1.0, 35.0)
     return FreeCapacity(
-        machine, kind, "north", False, 64, 8, 512, 15.0, 8, accelerated=True, typical=share,
-        bound=bound,
+        machine, kind, "north", False, 64, 8, 512, 15.0, 8, has_gpus=True, typical_gpu_task=share,
+        exclusive_gpu_task=bound,
     )  # fmt: skip
 
 
@@ -229,13 +229,13 @@
     lesser = KINDS["g4"]._replace(name="g2", memory_gb=64.0)
     shares = gpu_footprints([wide, tall, tall], [KINDS["g4"], lesser])
     assert shares.typical == TaskFootprint(4.0, 1.0, 16.0)
-    assert shares.bound_to(empty_capacity("a", KINDS["g4"], "north", False)) == TaskFootprint(
+    assert shares.exclusive_to(empty_capacity("a", KINDS["g4"], "north", False)) == TaskFootprint(
         8.0, 4.0, 200.0
     )
     # neither on spot machines, which the class may not use, nor on another type
-    assert shares.bound_to(empty_capacity("a", KINDS["g4"], "north", True)) is None
+    assert shares.exclusive_to(empty_capacity("a", KINDS["g4"], "north", True)) is None
     # where a class fits on one type, as all others do, nothing is bound
-    assert gpu_footprints([wide, tall], [KINDS["g4"]]).bound == {}
+    assert gpu_footprints([wide, tall], [KINDS["g4"]]).exclusive == {}
 
 
 def test_a_task_without_gpus_pins_a_gpu_machine_and_more_so_the_only_type_of_a_class() -> None:
@@ -246,7 +246,7 @@
         gpus.contention_cost(small),
         gpus.contention_cost(large),
     ) == (0, 1, 0)
-    gpus.bound = TaskFootprint(8.0, 2.0, 40.0)
+    gpus.exclusive_gpu_task = TaskFootprint(8.0, 2.0, 40.0)
     assert (gpus.contention_cost(small), gpus.contention_cost(large)) == (2, 0)
 
 
--- a/tests/test_safety.py
+++ b/tests/test_safety.py
@@ -135,11 +135,11 @@
         await node.controller_lease.step()
         await node.membership.step()
         assert node.membership.leadership_version() is not None
-        await node.provisioner._look_at_list(await node.provisioner._cloud.machines())
+        await node.provisioner.reconcile_with_list()
         await node.round()
         assert node.cluster.machines["n-0"].retiring == "failed"
         assert node.cluster.jobs["wk-000001"].planned_task_count() == 1
-        await node.provisioner._release()
+        await node.provisioner.scale_in()
         assert node.cloud.released == ["n-0"]
         await node.round()
         assert node.cluster.jobs["wk-000001"].planned_task_count() == 0
@@ -534,10 +534,10 @@
             await node.membership.step()
         assert node.membership.leadership_version() is not None
         node.cloud.script = ["lose"]
-        await node.provisioner._rent()
+        await node.provisioner.scale_out()
         assert len(node.cloud.requests) == 1
         assert len(node.cluster.machines) == 1
-        await node.provisioner._rent()
+        await node.provisioner.scale_out()
         assert len(node.cloud.requests) == 1
 
     run_scenario(scenario)
