--- a/crossmill/planning/demand.py
+++ b/crossmill/planning/demand.py
@@ -186,7 +186,8 @@
         """Assign the demand's tasks to machines, and request machines for the others."""
         remaining = demand.tasks - demand.covered_by_running
         if demand.spec.gpus == 0 and self._sources_without_gpus:
-            # such tasks start wherever there is room. A machine without GPUs has to be requested
+            # such tasks start on any machine they fit on. A machine without GPUs has to be
+            # requested
             # as soon as they would take GPU tasks' places, or it would never be
             remaining -= self._assign_beside_gpu_tasks(demand, remaining)
             remaining = self._request(demand, remaining, self._sources_without_gpus)
@@ -254,10 +255,10 @@
         if not candidates:
             return None
         options = tuple(candidate.option for candidate in candidates.values())
-        share = split([Stage(remaining, options)], demand.budget_s)[0]
-        longest_s = max(share.budget_s, share.option.finish_s)
+        stage = split([Stage(remaining, options)], demand.budget_s)[0]
+        longest_s = max(stage.budget_s, stage.option.finish_s)
         offers = [c.offer for c in candidates.values() if c.option.finish_s <= longest_s]
-        budget_s = max(demand.budget_s, share.option.finish_s + BUDGET_TOLERANCE_S)
+        budget_s = max(demand.budget_s, stage.option.finish_s + BUDGET_TOLERANCE_S)
         filled: list[MachineCount] = fill(remaining, offers, budget_s)
         if not filled:
             return None
--- a/crossmill/planning/estimates.py
+++ b/crossmill/planning/estimates.py
@@ -28,13 +28,13 @@
         self._ratios.append(ratio)
         self._sorted = None
 
-    def quantile(self, share: float, default: float) -> float:
+    def quantile(self, position: float, default: float) -> float:
         """Return a quantile of the ratios, or the default if there are too few."""
         if len(self._ratios) < MIN_RUNS:
             return default
         if self._sorted is None:
             self._sorted = sorted(self._ratios)
-        return self._sorted[min(len(self._sorted) - 1, int(share * len(self._sorted)))]
+        return self._sorted[min(len(self._sorted) - 1, int(position * len(self._sorted)))]
 
 
 class Estimates:
@@ -61,6 +61,6 @@
         high = self._quantile(job_class, HIGH_QUANTILE, DEFAULT_HIGH_QUANTILE)
         return estimate_s * max(0.0, high - self._quantile(job_class, MEDIAN, DEFAULT_MEDIAN))
 
-    def _quantile(self, job_class: str, share: float, default: float) -> float:
+    def _quantile(self, job_class: str, position: float, default: float) -> float:
         history = self._histories.get(job_class)
-        return default if history is None else history.quantile(share, default)
+        return default if history is None else history.quantile(position, default)
--- a/crossmill/planning/free_capacity.py
+++ b/crossmill/planning/free_capacity.py
@@ -2,7 +2,7 @@
 
 The functions are pure: they change only the `FreeCapacity` and `ZoneAllowance` objects that the
 caller passes in. Placement calls them to plan attempts, the demand forecast to find out how many
-machines are missing, and preemption to find out what room it would make.
+machines are missing, and preemption to find out what it would free.
 """
 
 from collections.abc import Callable, Sequence
--- a/crossmill/planning/gpu_footprints.py
+++ b/crossmill/planning/gpu_footprints.py
@@ -67,7 +67,8 @@
 def _types_of(spec: JobSpec, catalog: Collection[MachineType]) -> list[str]:
     """Return the names of the types that a task of the job fits on."""
     return [
-        kind.name
-        for kind in catalog
-        if (spec.types is None or kind.name in spec.types) and slots_on(spec, kind) > 0
+        machine_type.name
+        for machine_type in catalog
+        if (spec.types is None or machine_type.name in spec.types)
+        and slots_on(spec, machine_type) > 0
     ]
--- a/crossmill/planning/pipelines.py
+++ b/crossmill/planning/pipelines.py
@@ -123,9 +123,9 @@
         split_stages.append(Stage(stage.tasks, stage.options, after))
         margins.append(stage.margin_s + max((margins[position] for position in after), default=0.0))
     # a deadline that has passed leaves a negative time, which keeps the order among late stages
-    shares = split(split_stages, deadline - margins[-1] - now)
+    budgets = split(split_stages, deadline - margins[-1] - now)
     ends: list[float] = []
-    for split_stage, share in zip(split_stages, shares, strict=True):
+    for split_stage, budget in zip(split_stages, budgets, strict=True):
         begin = max((ends[position] for position in split_stage.after), default=now)
-        ends.append(begin + share.budget_s)
+        ends.append(begin + budget.budget_s)
     return dict(zip(names, ends, strict=True))
--- a/crossmill/settings/__init__.py
+++ b/crossmill/settings/__init__.py
@@ -1,8 +1,9 @@
-"""The settings file, checked, and the ratios derived from it."""
+"""The settings file: reading and checking it, and the values derived from it."""
 
+from .deployment import Endpoint, Objective, Peer, Team
 from .limits import StateLimits
 from .loader import load, parse
-from .model import Endpoint, Objective, Peer, Settings, Team
+from .model import Settings
 from .table import SettingsError
 
 __all__ = [
--- a/crossmill/settings/loader.py
+++ b/crossmill/settings/loader.py
@@ -1,42 +1,53 @@
-"""Reads the settings file: TOML into checked settings."""
+"""Reads the settings file: TOML into checked settings.
+
+The field names of the file are those of the operators' pages; they are mapped to the terms of the
+code here. The command line calls `load`.
+"""
 
 import tomllib
 from typing import Any
 
+from .deployment import Objective, Peer, Team
 from .limits import StateLimits
-from .model import Objective, Peer, Settings, Team
+from .model import Settings
 from .table import SettingsError, Table
 
 KIB = 1024
 
 
 def parse(data: dict[str, Any]) -> Settings:
-    """The settings from the file's table; raises SettingsError with the field's name."""
+    """Return the settings that the file's table describes.
+
+    Raises:
+        SettingsError: A field is missing or wrong; the message names it.
+    """
     top = Table(data, "")
-    params = top.table("settings")
+    general = top.table("settings")
     external = top.table("external")
-    workers, state = params.table("workers"), params.table("state")
-    cloud, limits = params.table("cloud"), params.table("resources")
-    now = _limits(state)
+    workers, state = general.table("workers"), general.table("state")
+    cloud, limits = general.table("cloud"), general.table("resources")
+    state_limits = _limits(state)
     settings = Settings(
         label=top.text("label"),
         zone=top.text("site"),
         bind=top.endpoint("bind"),
         peer_listen=top.endpoint("peer_listen"),
         peers=tuple(
-            Peer(p.text("label"), p.text("site"), p.endpoint("endpoint"))
-            for p in top.tables("members")
+            Peer(peer.text("label"), peer.text("site"), peer.endpoint("endpoint"))
+            for peer in top.tables("members")
         ),
         cloud=external.endpoint("cloud"),
         state=external.endpoint("state"),
-        zones=params.texts("zones"),
-        teams=tuple(_team(t) for t in params.tables("teams")),
-        objectives=tuple(_objective(o) for o in params.tables("objectives")),
+        zones=general.texts("zones"),
+        teams=tuple(_team(table) for table in general.tables("teams")),
+        objectives=tuple(_objective(table) for table in general.tables("objectives")),
         heartbeat_interval_s=workers.number("report_s", 0.01),
         worker_lease_s=workers.number("lease_s", 0.1),
         cancellation_deadline_s=workers.number("cancel_s", 0.1),
-        state_limits=now,
-        next_state_limits=_limits(state.table("next"), now) if "next" in state.data else None,
+        state_limits=state_limits,
+        next_state_limits=(
+            _limits(state.table("next"), state_limits) if state.has("next") else None
+        ),
         cloud_rps=cloud.number("rps", 0.01),
         list_lag_s=cloud.number("list_lag_s", 0),
         fd_limit=int(limits.number("fd_limit", 32)),
@@ -47,44 +58,55 @@
     return settings
 
 
-def _limits(t: Table, default: StateLimits | None = None) -> StateLimits:
-    """Limits of the state service; what `default` has and the table lacks does not change."""
+def _limits(table: Table, default: StateLimits | None = None) -> StateLimits:
+    """Return the limits of the state service; a missing field has the value of `default`."""
     rps = write_rps = value_kb = txn_ops = None
     if default is not None:
         rps, write_rps, txn_ops = default.rps, default.write_rps, default.txn_ops
         value_kb = default.value_bytes / KIB
     return StateLimits(
-        rps=t.number("rps", 1, rps),
-        write_rps=t.number("write_rps", 1, write_rps),
-        value_bytes=int(t.number("value_kb", 1, value_kb) * KIB),
-        txn_ops=int(t.number("txn_ops", 4, txn_ops)),
+        rps=table.number("rps", 1, rps),
+        write_rps=table.number("write_rps", 1, write_rps),
+        value_bytes=int(table.number("value_kb", 1, value_kb) * KIB),
+        txn_ops=int(table.number("txn_ops", 4, txn_ops)),
     )
 
 
-def _team(t: Table) -> Team:
+def _team(table: Table) -> Team:
     return Team(
-        t.text("name"),
-        *(t.number(f, 0, 0.0) for f in ("cpus", "cpus_max", "gpus", "gpus_max")),
+        name=table.text("name"),
+        cpus=table.number("cpus", 0, 0.0),
+        cpus_max=table.number("cpus_max", 0, 0.0),
+        gpus=table.number("gpus", 0, 0.0),
+        gpus_max=table.number("gpus_max", 0, 0.0),
     )
 
 
-def _objective(o: Table) -> Objective:
+def _objective(table: Table) -> Objective:
     return Objective(
-        kind=o.text("kind"),
-        job_class=str(o.data.get("class", "")),
-        within_s=o.number("within_s", 0, 0.0),
-        share=o.number("share", 0, 0.0),
-        times=o.number("times", 0, 1.0),
+        kind=table.text("kind"),
+        job_class=table.optional_text("class"),
+        within_s=table.number("within_s", 0, 0.0),
+        share=table.number("share", 0, 0.0),
+        times=table.number("times", 0, 1.0),
     )
 
 
 def load(path: str) -> Settings:
-    """Reads and checks the settings file; raises SettingsError."""
+    """Read and check the settings file.
+
+    Raises:
+        SettingsError: The file can't be read, or a field is wrong.
+    """
     return parse(read_toml(path))
 
 
 def read_toml(path: str) -> dict[str, Any]:
-    """The file's table; raises SettingsError with the reason if it can't be read."""
+    """Return the table of a TOML file.
+
+    Raises:
+        SettingsError: The file can't be read or is not TOML; the message says why.
+    """
     try:
         with open(path, "rb") as file:
             return tomllib.load(file)
--- a/crossmill/settings/table.py
+++ b/crossmill/settings/table.py
@@ -1,80 +1,104 @@
-"""Checked access to the fields of a TOML table."""
+"""Checked access to the fields of a TOML table.
+
+The loaders of the settings files read through `Table`, so that every error names its field.
+"""
 
 import math
 from typing import Any
 
-from .model import Endpoint
+from .deployment import Endpoint
+
+MAX_PORT = 65535
 
 
 class SettingsError(ValueError):
-    """The settings can't be used; the text names the field."""
+    """The settings can't be used. The message names the field or the file.
+
+    It is the base of all errors of this package and of the subsystems' settings.
+    """
 
 
 class Table:
-    """A TOML table whose fields are read with checks that name them."""
+    """A TOML table; `path` names it in errors and is empty for the whole file.
+
+    Every method that reads a field raises SettingsError if the field has the wrong form.
+    """
 
-    def __init__(self, data: Any, where: str) -> None:
+    def __init__(self, data: Any, path: str) -> None:
         if not isinstance(data, dict):
-            raise SettingsError(f"{where or 'file'}: a table is needed")
-        self.data = data
-        self.where = where
+            raise SettingsError(f"{path or 'file'}: a table is needed")
+        self._data = data
+        self._path = path
 
     def _name(self, field: str) -> str:
-        return f"{self.where}.{field}" if self.where else field
+        return f"{self._path}.{field}" if self._path else field
+
+    def has(self, field: str) -> bool:
+        """Return whether the table has the field."""
+        return field in self._data
 
     def table(self, field: str) -> "Table":
-        """A table in a field."""
-        return Table(self.data.get(field), self._name(field))
+        """Return the table in a field."""
+        return Table(self._data.get(field), self._name(field))
 
     def tables(self, field: str) -> list["Table"]:
-        """A list of tables; none if the field is absent."""
-        attempts = self.data.get(field, [])
-        if not isinstance(attempts, list):
+        """Return the list of tables in a field; an empty one if the field is absent."""
+        tables = self._data.get(field, [])
+        if not isinstance(tables, list):
             raise SettingsError(f"{self._name(field)}: a list of tables is needed")
-        return [Table(r, f"{self._name(field)}[{i}]") for i, r in enumerate(attempts)]
+        return [Table(table, f"{self._name(field)}[{i}]") for i, table in enumerate(tables)]
 
     def text(self, field: str) -> str:
-        """A non-empty string."""
-        value = self.data.get(field)
+        """Return a non-empty string."""
+        value = self._data.get(field)
         if not isinstance(value, str) or not value:
             raise SettingsError(f"{self._name(field)}: a non-empty string is needed")
         return value
 
+    def optional_text(self, field: str) -> str:
+        """Return the field as a string, whatever its form; an empty one if it is absent."""
+        return str(self._data.get(field, ""))
+
     def number(self, field: str, low: float, default: float | None = None) -> float:
-        """A finite number of at least `low`."""
-        value = self.data.get(field, default)
-        ok = isinstance(value, int | float) and not isinstance(value, bool)
-        if not ok or not math.isfinite(value) or value < low:
+        """Return a finite number of at least `low`."""
+        value = self._data.get(field, default)
+        is_number = isinstance(value, int | float) and not isinstance(value, bool)
+        if not is_number or not math.isfinite(value) or value < low:
             raise SettingsError(f"{self._name(field)}: a number of at least {low:g} is needed")
         return float(value)
 
     def flag(self, field: str, default: bool) -> bool:
-        """True or false."""
-        value = self.data.get(field, default)
+        """Return true or false."""
+        value = self._data.get(field, default)
         if not isinstance(value, bool):
             raise SettingsError(f"{self._name(field)}: true or false is needed")
         return value
 
     def expect_only(self, *fields: str) -> None:
-        """Refuses fields beyond these: in a file that an operator writes, a name that is not known
-        is a mistake, and what it was to change would stay as it is.
+        """Check that the table has no field beside these.
+
+        In a file that an operator writes, an unknown name is a mistake: the value that it was to
+        set would keep its default.
+
+        Raises:
+            SettingsError: There is another field.
         """
-        for field in self.data:
+        for field in self._data:
             if field not in fields:
                 raise SettingsError(
                     f"{self._name(field)}: not a field, those are {', '.join(fields)}"
                 )
 
     def endpoint(self, field: str) -> Endpoint:
-        """An address in the form HOST:PORT."""
+        """Return an address given as HOST:PORT."""
         host, _, port = self.text(field).rpartition(":")
-        if not host or not port.isdigit() or not 0 < int(port) < 65536:
+        if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
             raise SettingsError(f"{self._name(field)}: HOST:PORT is needed")
         return Endpoint(host, int(port))
 
     def texts(self, field: str) -> tuple[str, ...]:
-        """A list of non-empty strings."""
-        value = self.data.get(field)
-        if not isinstance(value, list) or not all(isinstance(v, str) and v for v in value):
+        """Return a list of non-empty strings."""
+        value = self._data.get(field)
+        if not isinstance(value, list) or not all(isinstance(text, str) and text for text in value):
             raise SettingsError(f"{self._name(field)}: a list of strings is needed")
         return tuple(value)
--- a/tests/test_boot_times.py
+++ b/tests/test_boot_times.py
@@ -1,4 +1,4 @@
-"""Machines that come up late, never, or at once: who is counted on, and who is given up."""
+"""Machines that come up late or never: which count as capacity, and which have failed."""
 
 import curio
 import pytest
@@ -17,8 +17,8 @@
 BOOT_S = 30.0
 
 
-class Boots:
-    """Machines of one type, rented at second 0 unless said."""
+class BootingFleet:
+    """Machines of one type, rented at second 0 by default."""
 
     def __init__(self) -> None:
         self.mirror = Mirror()
@@ -33,91 +33,91 @@
         value |= {"retiring": "", "up": boot_s is not None, "boot_s": boot_s}
         self.mirror.written(keys.machine(machine), value, self._revision)
 
-    def expected(self, machine: str, boots: float) -> bool:
-        kind = self.cluster.catalog["g4"]
-        return self.times.is_expected(self.cluster.machines[machine], kind, boots * BOOT_S)
+    def is_expected(self, machine: str, age: float) -> bool:
+        machine_type = self.cluster.catalog["g4"]
+        return self.times.is_expected(self.cluster.machines[machine], machine_type, age * BOOT_S)
 
-    def failed(self, machine: str, boots: float) -> bool:
-        kind = self.cluster.catalog["g4"]
-        return self.times.has_failed(self.cluster.machines[machine], kind, boots * BOOT_S)
+    def has_failed(self, machine: str, age: float) -> bool:
+        machine_type = self.cluster.catalog["g4"]
+        return self.times.has_failed(self.cluster.machines[machine], machine_type, age * BOOT_S)
 
 
-def test_a_machine_that_others_overtook_is_late_and_then_given_up() -> None:
-    boots = Boots()
-    boots.write("n-0")
-    boots.write("n-1")
-    boots.write("n-2", rented=10.0, boot_s=BOOT_S)
-    assert [boots.expected("n-0", age) for age in (1.5, 2.0)] == [True, False]
-    assert [boots.failed("n-0", age) for age in (3.0, 4.0)] == [False, True]
+def test_a_machine_that_others_overtook_is_late_and_then_failed() -> None:
+    fleet = BootingFleet()
+    fleet.write("n-0")
+    fleet.write("n-1")
+    fleet.write("n-2", rented=10.0, boot_s=BOOT_S)
+    assert [fleet.is_expected("n-0", age) for age in (1.5, 2.0)] == [True, False]
+    assert [fleet.has_failed("n-0", age) for age in (3.0, 4.0)] == [False, True]
 
 
-def test_machines_that_are_late_together_are_waited_for_and_half_of_them_counted_on() -> None:
-    boots = Boots()
+def test_machines_that_are_late_together_do_not_fail_and_half_of_them_are_expected() -> None:
+    fleet = BootingFleet()
     for number in range(4):
-        boots.write(f"n-{number}")
-    assert [boots.expected(f"n-{number}", 3.0) for number in range(4)] == [True, False] * 2
-    assert not any(boots.failed(f"n-{number}", 6.0) for number in range(4))
-    # the wait ends: machines that never come up are not paid for for ever
-    assert all(boots.failed(f"n-{number}", 9.0) for number in range(4))
+        fleet.write(f"n-{number}")
+    assert [fleet.is_expected(f"n-{number}", 3.0) for number in range(4)] == [True, False] * 2
+    assert not any(fleet.has_failed(f"n-{number}", 6.0) for number in range(4))
+    # they are not paid for indefinitely
+    assert all(fleet.has_failed(f"n-{number}", 9.0) for number in range(4))
 
 
-def test_a_machine_alone_is_given_up_at_the_usual_bound() -> None:
-    boots = Boots()
-    boots.write("n-0")
-    assert [boots.failed("n-0", age) for age in (3.0, 4.0)] == [False, True]
+def test_a_single_late_machine_fails_after_the_usual_time() -> None:
+    fleet = BootingFleet()
+    fleet.write("n-0")
+    assert [fleet.has_failed("n-0", age) for age in (3.0, 4.0)] == [False, True]
 
 
-def test_boots_seen_move_the_bounds_and_quick_ones_move_them_back() -> None:
-    boots = Boots()
-    boots.write("n-0", boot_s=4 * BOOT_S)
-    boots.write("n-1", rented=-10.0)
-    assert [boots.expected("n-1", age) for age in (4.5, 6.0)] == [True, False]
-    assert [boots.failed("n-1", age) for age in (7.0, 9.0)] == [False, True]
+def test_slow_boots_lengthen_the_timeouts_and_quick_ones_shorten_them() -> None:
+    fleet = BootingFleet()
+    fleet.write("n-0", boot_s=4 * BOOT_S)
+    fleet.write("n-1", rented=-10.0)
+    assert [fleet.is_expected("n-1", age) for age in (4.5, 6.0)] == [True, False]
+    assert [fleet.has_failed("n-1", age) for age in (7.0, 9.0)] == [False, True]
     for number in range(2, 10):
-        boots.write(f"n-{number}", rented=5.0, boot_s=BOOT_S)
-    assert not boots.expected("n-1", 3.0)
-    assert boots.failed("n-1", 4.0)
+        fleet.write(f"n-{number}", rented=5.0, boot_s=BOOT_S)
+    assert not fleet.is_expected("n-1", 3.0)
+    assert fleet.has_failed("n-1", 4.0)
 
 
 def test_a_boot_counts_once_however_often_the_record_is_written() -> None:
-    boots = Boots()
-    boots.write("n-0", boot_s=4 * BOOT_S)
+    fleet = BootingFleet()
+    fleet.write("n-0", boot_s=4 * BOOT_S)
     for number in range(2, 10):
-        boots.write(f"n-{number}", rented=5.0, boot_s=BOOT_S)
+        fleet.write(f"n-{number}", rented=5.0, boot_s=BOOT_S)
     # the slow one moves to another shard, or is retired, long after
-    boots.write("n-0", boot_s=4 * BOOT_S)
-    boots.write("n-1")
-    assert not boots.expected("n-1", 3.0)
-    assert boots.failed("n-1", 4.0)
+    fleet.write("n-0", boot_s=4 * BOOT_S)
+    fleet.write("n-1")
+    assert not fleet.is_expected("n-1", 3.0)
+    assert fleet.has_failed("n-1", 4.0)
 
 
-def test_records_of_earlier_versions_say_nothing_of_boots() -> None:
-    boots = Boots()
+def test_records_of_earlier_versions_count_as_no_boot() -> None:
+    fleet = BootingFleet()
     value = {"type": "g4", "zone": "north", "spot": False, "shard": 0, "at": 0.0}
-    boots.mirror.written(keys.machine("n-0"), value | {"retiring": "", "up": True}, 2)
-    boots.write("n-1")
-    assert boots.cluster.machines["n-0"].boot_s is None
-    assert boots.failed("n-1", 4.0)
+    fleet.mirror.written(keys.machine("n-0"), value | {"retiring": "", "up": True}, 2)
+    fleet.write("n-1")
+    assert fleet.cluster.machines["n-0"].boot_s is None
+    assert fleet.has_failed("n-1", 4.0)
 
 
 @pytest.mark.parametrize("slow", [4.0, 6.0])
-def test_machines_that_all_boot_slowly_join_instead_of_being_rented_anew(slow: float) -> None:
+def test_machines_that_all_boot_slowly_join_and_are_not_replaced(slow: float) -> None:
     async def scenario(region: Region) -> None:
         await region.begin(machines=0)
         await region.lead_everywhere()
         rented_at: dict[str, float] = {}
 
         def boots(machine: str) -> bool:
-            begun = rented_at.setdefault(machine, region.clock.now())
-            return region.clock.now() - begun > slow * BOOT_S
+            first_asked_at = rented_at.setdefault(machine, region.clock.now())
+            return region.clock.now() - first_asked_at > slow * BOOT_S
 
         region.boots = boots
         assert await region.submit("node-0", "wk-000001", 10.0, crew="blue", sacks=16) == 201
         await region.until(lambda: region.finished("wk-000001", 16), 600.0)
-        # they were waited for: those that were rented first did the work
+        # the machines that were rented first did the work
         assert not {"n-000000", "n-000001"} & set(region.cloud.released)
         assert len(region.cloud.machines) <= 12
-        # how long they booted is known to all
+        # every controller knows how long they booted
         await curio.sleep(5.0)
         for node in region.nodes.values():
             took = [m.boot_s for m in node.cluster.machines.values() if m.up]
--- a/tests/test_capacity_cache.py
+++ b/tests/test_capacity_cache.py
@@ -1,4 +1,4 @@
-"""Kept rooms are what would be worked out anew, after every event."""
+"""Cached free capacity equals what would be computed anew, after every event."""
 
 import random
 from dataclasses import fields
@@ -27,8 +27,8 @@
     return {f.name: getattr(capacity, f.name) for f in fields(capacity) if f.name not in skipped}
 
 
-class _Story:
-    """A cluster that changes at random, as the watch tells of it."""
+class _RandomCluster:
+    """A cluster that changes at random, by watch events."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -74,7 +74,7 @@
         self.put(keys.plan(name, "0"), None if self.rng.random() < 0.2 else value)
 
     def _plan_tasks(self) -> None:
-        """What a round does with the rooms that it gets."""
+        """Assign tasks to the capacities, as a scheduling round does."""
         spec = make_spec(nameId="wk-999999", sacks=3)
         assign_tasks(spec, 2, self.capacities(), ZoneAllowance(spec, {}))
 
@@ -92,25 +92,25 @@
             self.forecast.capacity.free_capacity(machine, kind)
             for machine, kind in self._machines()
         ]
-        assert [_facts(r) for r in self.capacities()] == [_facts(r) for r in fresh]
+        assert [_facts(capacity) for capacity in self.capacities()] == [_facts(c) for c in fresh]
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_rooms_are_as_if_made_anew_after_every_event(seed: int) -> None:
-    # guards against placing tasks by what was free before a start, an end or a machine's change
-    scenario = _Story(seed)
+def test_cached_capacity_is_as_if_computed_anew_after_every_event(seed: int) -> None:
+    # stale entries would place tasks by what was free before an attempt or machine changed
+    changing = _RandomCluster(seed)
     for _ in range(300):
-        scenario.step()
+        changing.step()
 
 
-def test_an_unchanged_machine_keeps_its_room_and_gone_ones_are_dropped() -> None:
-    scenario = _Story(0)
+def test_an_unchanged_machine_keeps_its_entry_and_those_of_deleted_ones_are_dropped() -> None:
+    changing = _RandomCluster(0)
     value = {"type": "g4", "zone": "north", "spot": False, "shard": 0, "at": 0.0}
     value.update(retiring="", up=True)
-    scenario.put(keys.machine("n-kept"), value)
-    kept = scenario.capacities()[0]
+    changing.put(keys.machine("n-kept"), value)
+    kept = changing.capacities()[0]
     for number in range(2 * SPARE_ENTRIES):
-        scenario.put(keys.machine(f"n-{number}"), value)
-        assert scenario.capacities()[0] is kept
-        scenario.put(keys.machine(f"n-{number}"), None)
-    assert len(scenario.cache) <= SPARE_ENTRIES + 1
+        changing.put(keys.machine(f"n-{number}"), value)
+        assert changing.capacities()[0] is kept
+        changing.put(keys.machine(f"n-{number}"), None)
+    assert len(changing.cache) <= SPARE_ENTRIES + 1
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -15,9 +15,13 @@
 
 
 def _stage(
-    name: str, *needs: str, priority: int = 3, deadline: float | None = None, margin_s: float = 0.0
+    name: str,
+    *dependencies: str,
+    priority: int = 3,
+    deadline: float | None = None,
+    margin_s: float = 0.0,
 ) -> PipelineStage:
-    return PipelineStage(name, priority, 4, (FAST, SLOW), margin_s, needs, deadline)
+    return PipelineStage(name, priority, 4, (FAST, SLOW), margin_s, dependencies, deadline)
 
 
 def _diamond() -> dict[str, PipelineStage]:
@@ -30,33 +34,67 @@
     return {stage.id: stage for stage in stages}
 
 
-def test_order_puts_each_stage_after_those_it_needs() -> None:
+def test_order_puts_each_stage_after_those_it_depends_on() -> None:
     order = topological_order(_diamond())
     assert order[0] == "first"
     assert order[-1] == "last"
 
 
-def test_priority_is_inherited_and_the_deadline_is_shared_out() -> None:
+def test_stages_inherit_the_highest_priority_of_those_that_depend_on_them() -> None:
     plans = plan_pipeline(_diamond(), 10.0)
     assert {plan.priority for plan in plans.values()} == {1}
-    # ninety seconds over three stages in a row, all on the slow option in the end
-    ends = {name: plan.budget_end for name, plan in plans.items()}
+
+
+def test_the_time_to_the_deadline_is_divided_among_the_stages() -> None:
+    # ninety seconds over three stages in sequence, all on the slow option in the end
+    ends = {name: plan.budget_end for name, plan in plan_pipeline(_diamond(), 10.0).items()}
     assert ends == pytest.approx({"first": 40.0, "left": 70.0, "right": 70.0, "last": 100.0})
-    # a margin is kept on the longest path
+
+
+def test_the_margin_of_the_longest_path_is_kept() -> None:
     late = {**_diamond(), "left": _stage("left", "first", margin_s=30.0)}
     assert plan_pipeline(late, 10.0)["last"].budget_end == pytest.approx(70.0)
-    # past the deadline the order among late ones stays
-    past = plan_pipeline(_diamond(), 130.0)["first"].budget_end
-    later = plan_pipeline(_diamond(), 160.0)["first"].budget_end
-    assert past is not None
-    assert later is not None
-    assert past > 100.0 - 30.0
-    # without any deadline there is no budget
-    free = {"a": _stage("a"), "b": _stage("b", "a")}
-    assert plan_pipeline(free, 0.0)["a"].budget_end is None
-
-
-def test_split_takes_the_same_switches_as_trying_each_on_all_paths() -> None:
+
+
+@pytest.mark.parametrize("now", [130.0, 160.0])
+def test_a_pipeline_past_its_deadline_still_has_budgets(now: float) -> None:
+    assert plan_pipeline(_diamond(), now)["first"].budget_end is not None
+
+
+def test_the_budget_of_a_pipeline_past_its_deadline_ends_after_its_planned_end() -> None:
+    end = plan_pipeline(_diamond(), 130.0)["first"].budget_end
+    assert end is not None
+    assert end > 100.0 - 30.0
+
+
+def test_without_any_deadline_there_is_no_budget() -> None:
+    stages = {"a": _stage("a"), "b": _stage("b", "a")}
+    assert plan_pipeline(stages, 0.0)["a"].budget_end is None
+
+
+def _split_by_trying_all_paths(stages: list[Stage], deadline_s: float) -> list[MachineOption]:
+    """Split in the plain way: each switch is tried on all paths before one is made."""
+    chosen = [min(s.options, key=lambda o: (o.finish_s, -o.price)) for s in stages]
+    while True:
+        best: tuple[float, int, MachineOption] | None = None
+        for index, stage in enumerate(stages):
+            for new in stage.options:
+                old = chosen[index]
+                saved = old.cost(stage.tasks) - new.cost(stage.tasks)
+                tried = [*chosen[:index], new, *chosen[index + 1 :]]
+                if saved <= 0 or max(_path_ends(stages, tried)) > deadline_s:
+                    continue
+                added = new.finish_s - old.finish_s
+                gain = saved / added if added > 0 else float("inf")
+                if best is None or gain > best[0]:
+                    best = (gain, index, new)
+        if best is None:
+            return chosen
+        chosen[best[1]] = best[2]
+
+
+@pytest.mark.parametrize("deadline_s", range(10, 90, 3))
+def test_split_takes_the_same_switches_as_trying_each_on_all_paths(deadline_s: int) -> None:
     options = (
         MachineOption("a", 4.0, 1.0, 5.0),
         MachineOption("b", 2.0, 1.0, 9.0),
@@ -69,25 +107,8 @@
         Stage(2, options, (0,)),
         Stage(5, options[1:], (1, 2)),
     ]
-    for deadline_s in range(10, 90, 3):
-        chosen = [min(s.options, key=lambda o: (o.finish_s, -o.price)) for s in stages]
-        while True:
-            best: tuple[float, int, MachineOption] | None = None
-            for index, stage in enumerate(stages):
-                for new in stage.options:
-                    old = chosen[index]
-                    saved = old.cost(stage.tasks) - new.cost(stage.tasks)
-                    tried = [*chosen[:index], new, *chosen[index + 1 :]]
-                    if saved <= 0 or max(_path_ends(stages, tried)) > deadline_s:
-                        continue
-                    added = new.finish_s - old.finish_s
-                    gain = saved / added if added > 0 else float("inf")
-                    if best is None or gain > best[0]:
-                        best = (gain, index, new)
-            if best is None:
-                break
-            chosen[best[1]] = best[2]
-        assert [s.option for s in split(stages, float(deadline_s))] == chosen
+    expected = _split_by_trying_all_paths(stages, deadline_s)
+    assert [budget.option for budget in split(stages, float(deadline_s))] == expected
 
 
 def test_a_wide_pipeline_is_split_in_passes_over_its_edges(
@@ -109,8 +130,8 @@
     assert passes <= 205
 
 
-def test_a_pipelines_place_follows_what_is_durable() -> None:
-    # inheritance begins when the last stage comes and ends with it; other jobs stay as they are
+def test_a_pipelines_place_follows_the_durable_records() -> None:
+    # priority is inherited from when the last stage is submitted until it is cancelled
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock)
         first, middle, last = (f"wk-00000{n}" for n in (1, 2, 3))
@@ -131,11 +152,11 @@
         priority, end, _ = forecast.queue_rank(jobs[first])
         assert priority == 1
         assert at < end < at + 300.0
-        # a later stage of another team has what is left, by the same function
+        # another controller computes the same
         other = SteppedController(state, clock, nodes, "node-1")
         await other.boot()
         assert other.forecast.queue_rank(jobs[first])[1] == pytest.approx(end)
-        # the heir is cancelled: inheritance ends
+        # the stage that priority was inherited from is cancelled
         state.put(keys.job(last), encode_end("cancelled", final, clock.wall(), RECORD_BYTES))
         await node.sync()
         assert forecast.queue_rank(jobs[first])[0] == 3
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,3 +1,5 @@
+"""Reading the settings file, its errors, and the ratios derived from it."""
+
 from pathlib import Path
 from typing import Any
 
@@ -9,7 +11,12 @@
 from .fake_services import make_settings, settings_table
 
 
-def test_unknown_fields_are_ignored_and_labels_sorted() -> None:
+def test_unknown_fields_are_ignored() -> None:
+    table = settings_table("node-1")
+    assert parse({**table, "novelty": {"x": 1}}) == parse(table)
+
+
+def test_labels_are_sorted() -> None:
     settings = parse(settings_table("node-1", novelty={"x": 1}))
     assert settings.labels == ("node-0", "node-1", "node-2")
 
@@ -30,14 +37,19 @@
 
 
 def test_crash_and_takeover_fit_into_the_workers_lease() -> None:
-    s = make_settings()
-    # lease end, the state service's 100 ms, one renewal's length for the takeover itself, and
-    # the worker's second to the next node and back
+    settings = make_settings()
+    state_service_s, worker_move_s = 0.1, 2.0
+    # expiry is noticed within one renewal interval, and the takeover takes another
+    takeover_s = 2 * settings.lease_renewal_interval_s
     assert (
-        s.controller_lease_ttl_s + 0.1 + 2 * s.lease_renewal_interval_s + 2.0
-        < s.worker_lease_s - s.heartbeat_interval_s
+        settings.controller_lease_ttl_s + state_service_s + takeover_s + worker_move_s
+        < settings.worker_lease_s - settings.heartbeat_interval_s
     )
-    assert s.worker_lease_expiry_s > s.worker_lease_s * 1.0005
+
+
+def test_a_worker_lease_has_expired_only_after_the_drift_of_two_clocks() -> None:
+    settings = make_settings()
+    assert settings.worker_lease_expiry_s > settings.worker_lease_s * 1.0005
 
 
 def test_bad_file_ends_with_one_line(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
@@ -49,20 +61,22 @@
     assert "settings" in error
 
 
-def test_cancel_and_its_alias_take_a_job(capsys: pytest.CaptureFixture[str]) -> None:
-    for verb in ("cancel", "withdraw"):
-        assert main([verb, "wk-000001", "--server", "nowhere"]) == 2
-        assert "HOST:PORT" in capsys.readouterr().err
+@pytest.mark.parametrize("verb", ["cancel", "withdraw"])
+def test_cancel_and_its_alias_take_a_job(verb: str, capsys: pytest.CaptureFixture[str]) -> None:
+    assert main([verb, "wk-000001", "--server", "nowhere"]) == 2
+    assert "HOST:PORT" in capsys.readouterr().err
 
 
-def test_the_bound_on_answers_still_serves_where_cancel_s_is_little_more_than_two_leases() -> None:
-    """Reads come at each lease renewal; a bound within a controller lease ends answers early."""
+def test_lease_extensions_are_useful_if_cancel_s_is_little_more_than_two_worker_leases() -> None:
+    """Reads come at each lease renewal; an extension shorter than a controller lease is no use."""
     table = settings_table()
     workers = table["settings"]["workers"]
     workers["cancel_s"] = 2.1 * workers["lease_s"]
-    s = parse(table)
-    assert s.max_lease_extension_s > 2 * s.controller_lease_ttl_s
+    settings = parse(table)
+    assert settings.max_lease_extension_s > 2 * settings.controller_lease_ttl_s
     assert (
-        s.max_lease_extension_s + s.worker_lease_expiry_s + s.heartbeat_interval_s
-        <= s.cancellation_deadline_s
+        settings.max_lease_extension_s
+        + settings.worker_lease_expiry_s
+        + settings.heartbeat_interval_s
+        <= settings.cancellation_deadline_s
     )
