--- a/crossmill/fleet/arrivals.py
+++ b/crossmill/fleet/arrivals.py
@@ -5,8 +5,6 @@
 """
 
 from dataclasses import replace
-from math import inf
-from typing import NamedTuple
 
 from ..cluster.cluster_state import ClusterState
 from ..planning.demand import TaskDemand
@@ -20,12 +18,15 @@
 ROUND_UP = 0.5
 
 
-class _Arrival(NamedTuple):
+class _Arrival:
     """A submission: when, how many tasks, and their estimated run time in all."""
 
-    submitted: float
-    tasks: int
-    work_s: float
+    __slots__ = ("submitted", "tasks", "work_s")
+
+    def __init__(self, submitted: float, tasks: int, work_s: float) -> None:
+        self.submitted = submitted
+        self.tasks = tasks
+        self.work_s = work_s
 
 
 class _ClassArrivals:
@@ -92,7 +93,7 @@
             arrivals_per_s = tasks / self._settings.arrival_window_s
             number = round(arrivals_per_s * boot_s * self._settings.headroom + ROUND_UP)
             if number > 0:
-                demands.append(TaskDemand(spec, number, ZoneAllowance(spec, {}), inf, 0.0))
+                demands.append(TaskDemand(spec, number, ZoneAllowance(spec, {})))
         return demands
 
     def baseline_arrays(self, shard: int) -> list[TaskDemand]:
@@ -113,6 +114,7 @@
             if number > 0:
                 # any image may be needed, and the cheapest machines are kept
                 generic = replace(spec, image="", image_gb=0.0, one_zone=False, tasks=number)
-                zones = ZoneAllowance(generic, {})
-                demands.append(TaskDemand(generic, number, zones, inf, 0.0, spot_only=True))
+                demand = TaskDemand(generic, number, ZoneAllowance(generic, {}))
+                demand.spot_only = True
+                demands.append(demand)
         return demands
--- a/crossmill/fleet/cloud.py
+++ b/crossmill/fleet/cloud.py
@@ -5,7 +5,6 @@
 
 from collections.abc import Callable
 from itertools import count
-from typing import NamedTuple
 
 import curio
 import orjson
@@ -52,11 +51,14 @@
         self.source = source
 
 
-class _Response(NamedTuple):
+class _Response:
     """The status and body of a response."""
 
-    status: int
-    body: bytes
+    __slots__ = ("body", "status")
+
+    def __init__(self, status: int, body: bytes) -> None:
+        self.status = status
+        self.body = body
 
 
 def _always() -> bool:
--- a/crossmill/fleet/forecast.py
+++ b/crossmill/fleet/forecast.py
@@ -174,7 +174,8 @@
             placed = sum(assignment.tasks for assignment in assignments)
             remaining = demand.tasks - placed - demand.covered_by_running
             if remaining > 0 and self._cluster.jobs[demand.spec.id].ready_at < ready_before:
-                unplaced.append(replace(demand, tasks=remaining, covered_by_running=0))
+                demand.tasks, demand.covered_by_running = remaining, 0
+                unplaced.append(demand)
         return unplaced
 
     def is_redundant(self, shard: int, machine: Machine, capacities: list[FreeCapacity]) -> bool:
--- a/crossmill/planning/demand.py
+++ b/crossmill/planning/demand.py
@@ -5,9 +5,8 @@
 """
 
 from collections.abc import Callable, Sequence
-from dataclasses import dataclass
 from functools import partial
-from math import isinf
+from math import inf, isinf
 from typing import NamedTuple
 
 from ..wire.cloud import MachineType
@@ -33,7 +32,6 @@
 BUDGET_TOLERANCE_S = 1e-6
 
 
-@dataclass(slots=True, eq=False)
 class TaskDemand:
     """Tasks of one job that need capacity.
 
@@ -42,18 +40,36 @@
         tasks: How many of its tasks need capacity.
         zones: How many of them each zone may get.
         budget_s: Seconds until the job's budget ends; infinite without a deadline.
-        task_s: Seconds that a task is expected to run.
+        task_s: Seconds that a task is expected to run; 0 if that is of no matter.
         covered_by_running: How many of the tasks can use slots that running tasks free in time.
         spot_only: Whether only spot machines are requested for the tasks.
     """
 
-    spec: JobSpec
-    tasks: int
-    zones: ZoneAllowance
-    budget_s: float
-    task_s: float
-    covered_by_running: int = 0
-    spot_only: bool = False
+    __slots__ = (
+        "budget_s",
+        "covered_by_running",
+        "spec",
+        "spot_only",
+        "task_s",
+        "tasks",
+        "zones",
+    )
+
+    def __init__(
+        self,
+        spec: JobSpec,
+        tasks: int,
+        zones: ZoneAllowance,
+        budget_s: float = inf,
+        task_s: float = 0.0,
+    ) -> None:
+        self.spec = spec
+        self.tasks = tasks
+        self.zones = zones
+        self.budget_s = budget_s
+        self.task_s = task_s
+        self.covered_by_running = 0
+        self.spot_only = False
 
 
 class MachineSourceKey(NamedTuple):
@@ -156,12 +172,15 @@
     return planner.finish()
 
 
-class _SourceCandidate(NamedTuple):
+class _SourceCandidate:
     """A source that could serve a demand, as the latency split and as the fill order see it."""
 
-    source: MachineSource
-    option: MachineOption
-    offer: MachineOffer
+    __slots__ = ("offer", "option", "source")
+
+    def __init__(self, source: MachineSource, option: MachineOption, offer: MachineOffer) -> None:
+        self.source = source
+        self.option = option
+        self.offer = offer
 
 
 class _CapacityPlanner:
--- a/crossmill/planning/fill.py
+++ b/crossmill/planning/fill.py
@@ -48,11 +48,14 @@
     number: int
 
 
-class _UsableOffer(NamedTuple):
+class _UsableOffer:
     """An offer and how many tasks one machine of it does."""
 
-    offer: MachineOffer
-    tasks_per_machine: int
+    __slots__ = ("offer", "tasks_per_machine")
+
+    def __init__(self, offer: MachineOffer, tasks_per_machine: int) -> None:
+        self.offer = offer
+        self.tasks_per_machine = tasks_per_machine
 
     def cost(self, tasks: int) -> float:
         """Return the price of the whole machines that the tasks need."""
@@ -69,7 +72,7 @@
     usable = _usable_offers(offers, budget_s)
     remaining = tasks
     for position, current in enumerate(usable):
-        offer, tasks_per_machine = current
+        offer, tasks_per_machine = current.offer, current.tasks_per_machine
         number = min(remaining // tasks_per_machine, offer.limit)
         if number:
             plan.append(MachineCount(offer, number))
--- a/crossmill/settings/deployment.py
+++ b/crossmill/settings/deployment.py
@@ -56,13 +56,26 @@
     times: float
 
 
-class _ShardLoad(NamedTuple):
-    """The guarantees of the teams that a shard has so far; the least loaded one sorts first."""
+class _ShardLoad:
+    """The guarantees of the teams that a shard has so far."""
 
-    gpus: float
-    cpus: float
-    teams: int
-    shard: int
+    __slots__ = ("cpus", "gpus", "shard", "teams")
+
+    def __init__(self, shard: int) -> None:
+        self.shard = shard
+        self.gpus = 0.0
+        self.cpus = 0.0
+        self.teams = 0
+
+    def rank(self) -> tuple[float, float, int, int]:
+        """Return the sort key; the least loaded shard comes first."""
+        return self.gpus, self.cpus, self.teams, self.shard
+
+    def add(self, team: Team) -> None:
+        """Add a team's guarantees."""
+        self.gpus += team.gpus
+        self.cpus += team.cpus
+        self.teams += 1
 
 
 def assign_teams_to_shards(teams: tuple[Team, ...], shards: int) -> dict[str, int]:
@@ -72,14 +85,12 @@
     far. With fewer teams than shards some shards get none.
     """
     order = sorted(enumerate(teams), key=lambda entry: (-entry[1].gpus, -entry[1].cpus, entry[0]))
-    loads = [_ShardLoad(0.0, 0.0, 0, shard) for shard in range(shards)]
+    loads = [_ShardLoad(shard) for shard in range(shards)]
     result: dict[str, int] = {}
     for _, team in order:
-        load = min(loads)
+        load = min(loads, key=_ShardLoad.rank)
         result.setdefault(team.name, load.shard)
-        loads[load.shard] = _ShardLoad(
-            load.gpus + team.gpus, load.cpus + team.cpus, load.teams + 1, load.shard
-        )
+        load.add(team)
     return result
 
 
--- a/crossmill/settings/limits.py
+++ b/crossmill/settings/limits.py
@@ -3,7 +3,7 @@
 `StateLimits` is part of the settings; the writer and the plan encoding read it.
 """
 
-from dataclasses import dataclass
+from typing import NamedTuple
 
 # the longest encoding of one planned task in a legacy chunk and in a segment, and the share of a
 # value that a plan may fill
@@ -17,8 +17,7 @@
 OTHER_CONDITIONS = 8
 
 
-@dataclass(frozen=True, slots=True)
-class StateLimits:
+class StateLimits(NamedTuple):
     """The state service's limits at one time.
 
     Attributes:
