--- a/crossmill/app.py
+++ b/crossmill/app.py
@@ -20,6 +20,7 @@
 from .cluster.state_access import StateAccess
 from .fleet.cloud import Cloud
 from .fleet.forecast import DemandForecast
+from .fleet.machine_records import MachineRecords
 from .fleet.provisioner import FleetProvisioner
 from .jobs.api import JobApi
 from .jobs.record_repair import RecordRepair
@@ -164,11 +165,9 @@
             settings,
             clock,
             self.cluster,
-            self.membership,
             self.forecast,
-            Cloud(settings, clock),
-            self.writer,
-            _unique_name,
+            Cloud(settings, clock, _unique_name),
+            MachineRecords(self.cluster, self.membership, self.writer),
         )
         self.jobs = JobApi(
             settings,
--- a/crossmill/jobs/capacity_selection.py
+++ b/crossmill/jobs/capacity_selection.py
@@ -8,7 +8,13 @@
 from typing import NamedTuple
 
 from ..cluster.model import Job, PlannedAttempt
-from ..planning.free_capacity import FreeCapacity, ZoneAllowance, assign_tasks, is_allowed
+from ..planning.free_capacity import (
+    FreeCapacity,
+    TaskAssignment,
+    ZoneAllowance,
+    assign_tasks,
+    is_allowed,
+)
 from ..wire.users import JobSpec
 from .context import SchedulingContext
 from .failures import JobFailures
@@ -72,7 +78,7 @@
         request: PlacementRequest,
         failures: JobFailures | None,
         capacities: list[FreeCapacity],
-    ) -> list[tuple[FreeCapacity, int]]:
+    ) -> list[TaskAssignment]:
         """Takes free capacity for the request's tasks, and requests preemptions for the others.
 
         Returns the capacities with the number of tasks placed on each. Tasks for which others are
@@ -143,7 +149,7 @@
         request: PlacementRequest,
         free: list[FreeCapacity],
         preemptible: list[FreeCapacity],
-    ) -> list[tuple[FreeCapacity, int]]:
+    ) -> list[TaskAssignment]:
         """Takes capacity and requests preemptions, in the order that suits the job.
 
         A class that must start soon is rather given the capacity of preempted tasks on a machine
@@ -155,16 +161,16 @@
         )
         # a failed claim is not repeated: then any capacity will do
         has_failed_claim = self._preemption.has_failed_claim(job)
-        taken: list[tuple[FreeCapacity, int]] = []
+        taken: list[TaskAssignment] = []
         if start_objective_s is not None and not has_failed_claim:
             max_delay_s = MAX_IMAGE_DELAY_SHARE * start_objective_s
 
             def starts_in_time(capacity: FreeCapacity) -> bool:
                 # reserved capacity counts wherever it is, or it would stay unused until the
                 # claim ends
-                return capacity.delay_s(spec) < max_delay_s or self._preemption.is_reserved_for(
-                    capacity, job
-                )
+                return capacity.image_delay_s(
+                    spec
+                ) < max_delay_s or self._preemption.is_reserved_for(capacity, job)
 
             taken = self._assign(request, list(filter(starts_in_time, free)))
             if request.tasks and request.may_preempt:
@@ -179,7 +185,7 @@
 
     def _assign(
         self, request: PlacementRequest, capacities: list[FreeCapacity]
-    ) -> list[tuple[FreeCapacity, int]]:
+    ) -> list[TaskAssignment]:
         """Takes free capacity for as many of the tasks as fit."""
         taken = assign_tasks(
             request.spec,
--- a/crossmill/jobs/machine_maintenance.py
+++ b/crossmill/jobs/machine_maintenance.py
@@ -205,7 +205,7 @@
             # an earlier owner has heard it. Without this check, a controller that took a shard
             # over while its zone was partitioned took half a fleet for never come up
             return RetireReason.SILENT
-        has_failed = self._forecast.boot_times.has_failed(machine, kind, self._clock.wall())
+        has_failed = self._forecast.capacity.has_boot_failed(machine, kind, self._clock.wall())
         return RetireReason.NEVER_UP if has_failed else None
 
     def _reason_when_empty(
--- a/crossmill/jobs/machine_transfer.py
+++ b/crossmill/jobs/machine_transfer.py
@@ -214,7 +214,7 @@
         kind = self._cluster.catalog.get(machine.type)
         if kind is None or machine.retiring or not machine.up:
             return False
-        if bool(machine.attempts) is not is_busy or demand.zones.open(machine.zone) <= 0:
+        if bool(machine.attempts) is not is_busy or demand.zones.remaining(machine.zone) <= 0:
             return False
         if not is_allowed(spec, machine.type, machine.zone, machine.spot):
             return False
--- a/crossmill/jobs/placement.py
+++ b/crossmill/jobs/placement.py
@@ -8,7 +8,7 @@
 
 from ..cluster.model import Job, Machine, PlannedAttempt
 from ..cluster.ownership import ShardOwnership
-from ..planning.free_capacity import FreeCapacity, ZoneAllowance
+from ..planning.free_capacity import FreeCapacity, TaskAssignment, ZoneAllowance
 from ..wire.users import JobSpec
 from .capacity_selection import CapacitySelection, PlacementRequest
 from .context import SchedulingContext
@@ -21,7 +21,7 @@
 log = logging.getLogger(__name__)
 
 
-def _slots(taken: list[tuple[FreeCapacity, int]]) -> list[str]:
+def _slots(taken: list[TaskAssignment]) -> list[str]:
     """Returns the machine for each of the tasks."""
     return [capacity.machine for capacity, task_count in taken for _ in range(task_count)]
 
@@ -48,7 +48,7 @@
         self._machine_drain = machine_drain
         self._machine_transfer = machine_transfer
         self._failures = failures
-        self._capacity_cache = context.forecast.new_cache()
+        self._capacity_cache = context.forecast.capacity.new_cache()
         # by shard, the job with which the next round begins
         self._resume_at: dict[int, str] = {}
         # whether a round ran out of time; cleared by `start_rounds`
@@ -74,7 +74,7 @@
         """
         stops = self._selection.start_round()
         self._quotas.start_round(shard)
-        queue = self._forecast.waiting(shard)
+        queue = self._forecast.waiting_jobs(shard)
         if not queue:
             return list(
                 self._machine_drain.drain(
@@ -125,7 +125,7 @@
             if (kind := self._cluster.catalog.get(machine.type)) is not None
             and self._is_schedulable(machine, now)
         ]
-        return self._forecast.cached_capacities(self._capacity_cache, schedulable)
+        return self._forecast.capacity.cached_capacities(self._capacity_cache, schedulable)
 
     # -- one job ---------------------------------------------------------------------
 
--- a/crossmill/jobs/preemption.py
+++ b/crossmill/jobs/preemption.py
@@ -209,8 +209,8 @@
             if len(chosen) >= tasks:
                 break
             zone = option.capacity.zone
-            if zones.open(zone) > 0 and charge_excess(option.victims, stoppable, excess_gpus):
-                zones.take(zone, 1)
+            if zones.remaining(zone) > 0 and charge_excess(option.victims, stoppable, excess_gpus):
+                zones.reserve(zone, 1)
                 chosen.append(option)
         return chosen
 
--- a/tests/stepped_controller.py
+++ b/tests/stepped_controller.py
@@ -18,6 +18,7 @@
 from crossmill.cluster.state_access import StateAccess
 from crossmill.fleet.cloud import Cloud, stored_catalog
 from crossmill.fleet.forecast import DemandForecast
+from crossmill.fleet.machine_records import MachineRecords
 from crossmill.fleet.provisioner import FleetProvisioner
 from crossmill.jobs.api import JobApi
 from crossmill.jobs.record_repair import RecordRepair
@@ -149,11 +150,9 @@
             s,
             clock,
             self.cluster,
-            self.membership,
             self.forecast,
-            Cloud(s, clock, self.cloud),
-            self.writer,
-            lambda: unique,
+            Cloud(s, clock, lambda: unique, self.cloud),
+            MachineRecords(self.cluster, self.membership, self.writer),
         )
         self.jobs = JobApi(
             s,
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -108,7 +108,7 @@
         node.scheduling_loop._quotas.start_round(0)
         # red has a quota of four GPUs: one and three fit, the four of the blocked job do not count
         assert node.scheduling_loop._quotas.is_within_quota(job)
-        assert [j.id for j in node.forecast.waiting(0)] == [A, C]
+        assert [j.id for j in node.forecast.waiting_jobs(0)] == [A, C]
 
     run_scenario(scenario)
 
