--- a/crossmill/app.py
+++ b/crossmill/app.py
@@ -165,21 +165,14 @@
     def _add_recovery(self, recovery: "RecoverySettings", clock: Clock) -> None:
         """Holds back what differs when a shard is taken: there before the first report comes."""
         from .recovery.api import RecoveryApi
+        from .recovery.context import RecoveryContext
         from .recovery.service import RecoveryService
 
-        service = RecoveryService(
-            self.settings,
-            recovery,
-            clock,
-            self.cluster,
-            self.membership,
-            self.watcher,
-            self.writer,
-            self.forecast.priority_of,
-        )
-        api = RecoveryApi(
-            self.settings, recovery, clock, self.cluster, self.watcher, self.writer, service
+        context = RecoveryContext(
+            self.settings, recovery, clock, self.cluster, self.watcher, self.writer
         )
+        service = RecoveryService(context, self.membership, self.forecast.priority_of)
+        api = RecoveryApi(context, service)
         self.heartbeats.gate = service
         self._recovery_handler = api.handle
         self._loops.append(service.run)
--- a/crossmill/recovery/__init__.py
+++ b/crossmill/recovery/__init__.py
@@ -1,5 +1,8 @@
-"""Calm reconciliation after controllers fail (docs/recovery.md): differences between the stored
-state and the workers' reports are settled in a known order, at a bounded rate, with a brake.
+"""Recovery of shards after controllers fail (docs/recovery.md).
 
-Loaded only with `serve --recovery FILE`.
+When a controller acquires a shard, the stored plans and the workers' heartbeats may differ. This
+package decides when and how fast those differences are resolved: in a fixed order, at a limited
+rate, in batches, and behind a circuit breaker that stops mass actions until an operator approves.
+
+It is loaded only with `serve --recovery FILE`.
 """
--- a/crossmill/recovery/brake.py
+++ b/crossmill/recovery/circuit_breaker.py
@@ -1,4 +1,4 @@
-"""The brake: no mass action without an operator's approval."""
+"""The circuit breaker: a mass action needs an operator's approval."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -10,7 +10,7 @@
 
 
 class Impact(NamedTuple):
-    """What recovery would do, and has done since the shard was taken, to how many known."""
+    """What a shard's recovery would do and has done, and to how many tasks and machines in all."""
 
     stops: int
     restarts: int
@@ -20,20 +20,25 @@
 
 
 def is_mass_action(impact: Impact, settings: RecoverySettings) -> bool:
-    """Whether more than the permitted share of the tasks or of the machines is touched."""
-    tasks = impact.stops + impact.restarts
-    return _exceeds(tasks, impact.tasks_known, settings) or _exceeds(
+    """Whether more than the permitted share of the tasks or of the machines is affected."""
+    affected_tasks = impact.stops + impact.restarts
+    return _exceeds_limit(affected_tasks, impact.tasks_known, settings) or _exceeds_limit(
         impact.releases, impact.machines_known, settings
     )
 
 
-def _exceeds(touched: int, known: int, settings: RecoverySettings) -> bool:
-    return touched > max(settings.brake_least, settings.brake_share * known)
+def _exceeds_limit(affected: int, known: int, settings: RecoverySettings) -> bool:
+    return affected > max(settings.brake_least, settings.brake_share * known)
 
 
 def digest_of(differences: Iterable[Difference], machines: Iterable[str]) -> str:
-    """Names what would be done: an approval is for exactly that."""
-    # loaded only once something is held back: a start is not to wait for it
+    """Identifies a set of actions, so that an approval is for exactly those.
+
+    Args:
+        differences: the differences that would be resolved by orders
+        machines: the machines that would be released
+    """
+    # imported only when the breaker has tripped, so that a start does not load it
     from hashlib import blake2b
 
     lines = sorted(f"{d.machine} {d.job}/{d.index} {d.attempt} {d.task_class}" for d in differences)
--- a/crossmill/recovery/classification.py
+++ b/crossmill/recovery/classification.py
@@ -1,101 +1,102 @@
-"""What a difference between stored state and reports means: pure, and total.
+"""Classifies the differences between stored state and heartbeats.
 
-Each task that is stored or reported, and each machine that is stored, listed or reported, has
-exactly one class; a class has one rule (docs/recovery.md has the table). What is ordered for a
-class is worked out by `workers/reports.py` as ever; the rules say what it takes, and how urgent
-it is.
+The functions are pure and defined for all input. Each task that is stored or reported, and each
+machine that is stored, listed or reported, has
+exactly one class; a class has one rule (docs/recovery.md has the table). The commands themselves
+are derived by the heartbeat handler; the rules only say on what evidence and how soon they may be
+sent.
 """
 
 from enum import IntEnum, StrEnum
 from typing import NamedTuple
 
 
-class JobStanding(StrEnum):
-    """What the stored state says of a task's job."""
+class JobStatus(StrEnum):
+    """What the stored state says about a task's job."""
 
     ACTIVE = "active"
     # done or cancelled
-    OVER = "over"
-    # no record of it is at hand
+    ENDED = "ended"
+    # the job's record is missing
     UNKNOWN = "unknown"
 
 
-class Contact(StrEnum):
-    """What is known of a worker."""
+class WorkerContact(StrEnum):
+    """What is known about a worker's liveness."""
 
-    # a report under this owner's token has come, and not long ago
-    HEARD = "heard"
-    # it may be alive, out of reach, or answered by a deputy
-    SILENT = "silent"
-    # its lease is proven to have ended
-    ENDED = "ended"
+    # it sent a heartbeat with this owner's token recently
+    REPORTING = "reporting"
+    # no recent heartbeat; it may be alive, unreachable, or answered by another controller
+    UNRESPONSIVE = "unresponsive"
+    # its lease is proven to have expired
+    LEASE_EXPIRED = "lease expired"
 
 
 class StoredAttempt(NamedTuple):
-    """An attempt that a durable plan holds; `here` if on this machine."""
+    """An attempt that a durable plan contains; `is_here` if it is planned onto this machine."""
 
     attempt: int
     session: int
-    here: bool
+    is_here: bool
 
 
 class ReportedAttempt(NamedTuple):
-    """An attempt that a worker reports."""
+    """An attempt in a worker's heartbeat."""
 
     attempt: int
-    exited: bool
+    has_exited: bool
 
 
 class TaskClass(StrEnum):
-    """What one task on one machine is."""
+    """The class of one task on one machine; the values are stored in records and digests."""
 
     # stored and reported alike
     HEALTHY = "healthy"
     # stored, and reported to have exited
     EXITED = "exited"
-    # its job is done or cancelled, and it is still there
-    JOB_OVER = "job-over"
-    # stored, and not reported by a worker in the same session
+    # its job is done or cancelled, and the task still runs
+    JOB_ENDED = "job-over"
+    # stored, but not reported by a worker in the same session
     ABSENT = "absent"
-    # the same, but its job is over: it can't begin any more
+    # absent, and its job has ended: it can't start any more
     NOT_STARTED = "not-started"
     # stored for an earlier session of the worker
-    SESSION_OVER = "session-over"
-    # stored, its worker is silent
-    SILENT = "silent"
-    # stored, its worker's lease is proven to have ended
-    LEASE_OVER = "lease-over"
-    # reported, and the stored state holds no attempt of the task
+    SESSION_ENDED = "session-over"
+    # stored, and its worker is unresponsive
+    UNRESPONSIVE = "silent"
+    # stored, and its worker's lease is proven to have expired
+    LEASE_EXPIRED = "lease-over"
+    # reported, and the stored state has no attempt of the task
     NEVER_STORED = "never-stored"
     # reported with an attempt lower than the stored one
     SUPERSEDED = "superseded"
-    # reported with an attempt higher than the stored one, or stored elsewhere: what is stored may
-    # be old
+    # reported with a higher attempt than the stored one, or stored for another machine: the stored
+    # plan may be outdated
     OTHER_ATTEMPT = "other-attempt"
     # reported to have exited, and not stored: its outcome is durable
-    LEFT_OVER = "left-over"
+    EXITED_UNPLANNED = "left-over"
     # stored without a record of its job
     JOB_UNKNOWN = "job-unknown"
-    # not there, and not to be there
-    NOTHING = "nothing"
+    # neither stored for this machine nor reported by it
+    NOT_PRESENT = "nothing"
 
 
 class MachineClass(StrEnum):
-    """What one machine is."""
+    """The class of one machine; the values are stored in records."""
 
-    # stored, listed and heard
+    # stored, listed by the cloud and reporting
     HEALTHY = "healthy"
-    # stored and not heard, whatever the list says
-    SILENT = "silent"
-    # stored and heard, but not listed: the list lags
+    # stored and not reporting, whether listed or not
+    UNRESPONSIVE = "silent"
+    # stored and reporting, but not listed: the list is behind
     UNLISTED = "unlisted"
     # listed or reported, and not stored
     UNKNOWN = "unknown"
-    # marked to be returned
+    # marked for return to the cloud
     RETIRING = "retiring"
 
 
-class Action(StrEnum):
+class RecoveryAction(StrEnum):
     """What is done about a difference."""
 
     NONE = "none"
@@ -103,131 +104,165 @@
     START = "start"
     STOP = "stop"
     FORGET = "forget"
-    # its end is written; what waits is placed anew by the ordinary path
-    CONCLUDE = "conclude"
-    GIVE_UP = "give-up"
+    # the attempt's end is written; the scheduler places the task again if it has to
+    RECORD_END = "record end"
+    # the machine is marked for return to the cloud
+    RETIRE = "retire"
+    # the machine's record is written
     ADOPT = "adopt"
+    # the machine is returned to the cloud
     RELEASE = "release"
 
 
-class Proof(StrEnum):
-    """What an action rests on."""
+class ActionEvidence(StrEnum):
+    """The evidence that has to exist before an action is taken."""
 
     NONE = "none"
-    # the worker's own report, under this owner's token
-    REPORT = "report"
-    # a read of the state service that was sent after the report came
+    # the worker's own heartbeat, with this owner's token
+    HEARTBEAT = "heartbeat"
+    # a read of the state service that was sent after the heartbeat arrived
     FRESH_READ = "fresh read"
-    # the end of the job or attempt is durable
+    # a durable record that the job or attempt has ended
     DURABLE_END = "durable end"
-    # nobody has answered the worker for a lease
-    LEASE = "lease"
-    # the cloud's list
-    LIST = "list"
+    # no controller has answered the worker for the length of its lease
+    LEASE_EXPIRY = "lease expiry"
+    # the cloud's list of machines
+    CLOUD_LIST = "cloud list"
 
 
 class Urgency(IntEnum):
-    """In which order differences are settled; the lowest first."""
+    """The order in which differences are resolved; the lowest first."""
 
-    # passes pace and brake: a cancellation has its bound, and an attempt is never there twice
+    # exempt from rate limits and circuit breaker: cancellations have a deadline, and no two
+    # attempts of a task may run
     FENCE = 0
     RESTORE = 1
     CLEAN_UP = 2
 
 
 class Rule(NamedTuple):
-    """What is done about a class, on what proof, how soon; `is_braked` if it counts as a mass
-    action when it is done to many at once.
+    """What is done about a class, on what evidence, and how soon.
+
+    `needs_breaker` if the circuit breaker counts it: done to many at once it is a mass action.
     """
 
-    action: Action
-    proof: Proof
+    action: RecoveryAction
+    evidence: ActionEvidence
     urgency: Urgency
-    is_braked: bool = False
+    needs_breaker: bool = False
 
 
 TASK_RULES: dict[TaskClass, Rule] = {
-    TaskClass.HEALTHY: Rule(Action.NONE, Proof.REPORT, Urgency.CLEAN_UP),
-    TaskClass.EXITED: Rule(Action.CONCLUDE, Proof.REPORT, Urgency.RESTORE),
-    TaskClass.JOB_OVER: Rule(Action.STOP, Proof.DURABLE_END, Urgency.FENCE),
-    TaskClass.ABSENT: Rule(Action.START, Proof.REPORT, Urgency.RESTORE, is_braked=True),
-    TaskClass.NOT_STARTED: Rule(Action.CONCLUDE, Proof.REPORT, Urgency.RESTORE),
-    TaskClass.SESSION_OVER: Rule(Action.CONCLUDE, Proof.REPORT, Urgency.RESTORE),
-    TaskClass.SILENT: Rule(Action.WAIT, Proof.NONE, Urgency.CLEAN_UP),
-    TaskClass.LEASE_OVER: Rule(Action.CONCLUDE, Proof.LEASE, Urgency.RESTORE),
-    TaskClass.NEVER_STORED: Rule(Action.STOP, Proof.FRESH_READ, Urgency.CLEAN_UP, is_braked=True),
-    TaskClass.SUPERSEDED: Rule(Action.STOP, Proof.DURABLE_END, Urgency.FENCE),
-    TaskClass.OTHER_ATTEMPT: Rule(Action.STOP, Proof.FRESH_READ, Urgency.CLEAN_UP, is_braked=True),
-    TaskClass.LEFT_OVER: Rule(Action.FORGET, Proof.DURABLE_END, Urgency.CLEAN_UP),
-    TaskClass.JOB_UNKNOWN: Rule(Action.WAIT, Proof.NONE, Urgency.CLEAN_UP),
-    TaskClass.NOTHING: Rule(Action.NONE, Proof.NONE, Urgency.CLEAN_UP),
+    TaskClass.HEALTHY: Rule(RecoveryAction.NONE, ActionEvidence.HEARTBEAT, Urgency.CLEAN_UP),
+    TaskClass.EXITED: Rule(RecoveryAction.RECORD_END, ActionEvidence.HEARTBEAT, Urgency.RESTORE),
+    TaskClass.JOB_ENDED: Rule(RecoveryAction.STOP, ActionEvidence.DURABLE_END, Urgency.FENCE),
+    TaskClass.ABSENT: Rule(
+        RecoveryAction.START, ActionEvidence.HEARTBEAT, Urgency.RESTORE, needs_breaker=True
+    ),
+    TaskClass.NOT_STARTED: Rule(
+        RecoveryAction.RECORD_END, ActionEvidence.HEARTBEAT, Urgency.RESTORE
+    ),
+    TaskClass.SESSION_ENDED: Rule(
+        RecoveryAction.RECORD_END, ActionEvidence.HEARTBEAT, Urgency.RESTORE
+    ),
+    TaskClass.UNRESPONSIVE: Rule(RecoveryAction.WAIT, ActionEvidence.NONE, Urgency.CLEAN_UP),
+    TaskClass.LEASE_EXPIRED: Rule(
+        RecoveryAction.RECORD_END, ActionEvidence.LEASE_EXPIRY, Urgency.RESTORE
+    ),
+    TaskClass.NEVER_STORED: Rule(
+        RecoveryAction.STOP, ActionEvidence.FRESH_READ, Urgency.CLEAN_UP, needs_breaker=True
+    ),
+    TaskClass.SUPERSEDED: Rule(RecoveryAction.STOP, ActionEvidence.DURABLE_END, Urgency.FENCE),
+    TaskClass.OTHER_ATTEMPT: Rule(
+        RecoveryAction.STOP, ActionEvidence.FRESH_READ, Urgency.CLEAN_UP, needs_breaker=True
+    ),
+    TaskClass.EXITED_UNPLANNED: Rule(
+        RecoveryAction.FORGET, ActionEvidence.DURABLE_END, Urgency.CLEAN_UP
+    ),
+    TaskClass.JOB_UNKNOWN: Rule(RecoveryAction.WAIT, ActionEvidence.NONE, Urgency.CLEAN_UP),
+    TaskClass.NOT_PRESENT: Rule(RecoveryAction.NONE, ActionEvidence.NONE, Urgency.CLEAN_UP),
 }
 
 MACHINE_RULES: dict[MachineClass, Rule] = {
-    MachineClass.HEALTHY: Rule(Action.NONE, Proof.REPORT, Urgency.CLEAN_UP),
-    MachineClass.SILENT: Rule(Action.GIVE_UP, Proof.LEASE, Urgency.CLEAN_UP, is_braked=True),
-    MachineClass.UNLISTED: Rule(Action.NONE, Proof.REPORT, Urgency.CLEAN_UP),
-    MachineClass.UNKNOWN: Rule(Action.ADOPT, Proof.LIST, Urgency.RESTORE),
-    MachineClass.RETIRING: Rule(Action.RELEASE, Proof.DURABLE_END, Urgency.CLEAN_UP),
+    MachineClass.HEALTHY: Rule(RecoveryAction.NONE, ActionEvidence.HEARTBEAT, Urgency.CLEAN_UP),
+    MachineClass.UNRESPONSIVE: Rule(
+        RecoveryAction.RETIRE, ActionEvidence.LEASE_EXPIRY, Urgency.CLEAN_UP, needs_breaker=True
+    ),
+    MachineClass.UNLISTED: Rule(RecoveryAction.NONE, ActionEvidence.HEARTBEAT, Urgency.CLEAN_UP),
+    MachineClass.UNKNOWN: Rule(RecoveryAction.ADOPT, ActionEvidence.CLOUD_LIST, Urgency.RESTORE),
+    MachineClass.RETIRING: Rule(
+        RecoveryAction.RELEASE, ActionEvidence.DURABLE_END, Urgency.CLEAN_UP
+    ),
 }
 
 
 def classify_task(
-    job: JobStanding,
-    contact: Contact,
+    job: JobStatus,
+    contact: WorkerContact,
     session: int,
     stored: StoredAttempt | None,
     reported: ReportedAttempt | None,
 ) -> TaskClass:
-    """The class of a task on a machine. `session` is the worker's newest; `stored` the attempt that
-    a durable plan holds, here or on another machine; `reported` what the worker's newest report
-    says, None if the task is not in it or no report has come.
+    """Returns the class of a task on a machine.
+
+    Args:
+        job: the status of the task's job
+        contact: the liveness of the machine's worker
+        session: the worker's newest session
+        stored: the attempt that a durable plan contains, for this machine or for another
+        reported: the attempt in the worker's newest heartbeat; None if the task is not in it or
+            no heartbeat has arrived
     """
-    if contact is not Contact.HEARD:
-        return _classify_unheard(contact, stored)
+    if contact is not WorkerContact.REPORTING:
+        return _classify_without_heartbeat(contact, stored)
     if reported is None:
-        return _classify_absent(job, session, stored)
-    is_planned = (
-        stored is not None
-        and stored.here
-        and (stored.attempt, stored.session) == (reported.attempt, session)
-    )
-    if reported.exited:
-        return TaskClass.EXITED if is_planned else TaskClass.LEFT_OVER
+        return _classify_not_reported(job, session, stored)
+    is_planned = _is_planned(session, stored, reported)
+    if reported.has_exited:
+        return TaskClass.EXITED if is_planned else TaskClass.EXITED_UNPLANNED
     if is_planned:
-        return _PLANNED[job]
-    return _classify_unplanned(job, stored, reported)
+        return _CLASS_OF_RUNNING_PLANNED[job]
+    return _classify_running_unplanned(job, stored, reported)
 
 
-# a plan without its job's record is left as it is: nothing says what is to become of it
-_PLANNED = {
-    JobStanding.ACTIVE: TaskClass.HEALTHY,
-    JobStanding.OVER: TaskClass.JOB_OVER,
-    JobStanding.UNKNOWN: TaskClass.JOB_UNKNOWN,
+def _is_planned(session: int, stored: StoredAttempt | None, reported: ReportedAttempt) -> bool:
+    """Whether the reported attempt is the very one that is planned onto this machine."""
+    if stored is None or not stored.is_here:
+        return False
+    return (stored.attempt, stored.session) == (reported.attempt, session)
+
+
+# A plan without its job's record is not changed: nothing says what should happen to its tasks.
+_CLASS_OF_RUNNING_PLANNED = {
+    JobStatus.ACTIVE: TaskClass.HEALTHY,
+    JobStatus.ENDED: TaskClass.JOB_ENDED,
+    JobStatus.UNKNOWN: TaskClass.JOB_UNKNOWN,
 }
 
 
-def _classify_unheard(contact: Contact, stored: StoredAttempt | None) -> TaskClass:
-    if stored is None or not stored.here:
-        return TaskClass.NOTHING
-    return TaskClass.SILENT if contact is Contact.SILENT else TaskClass.LEASE_OVER
+def _classify_without_heartbeat(contact: WorkerContact, stored: StoredAttempt | None) -> TaskClass:
+    if stored is None or not stored.is_here:
+        return TaskClass.NOT_PRESENT
+    return (
+        TaskClass.UNRESPONSIVE if contact is WorkerContact.UNRESPONSIVE else TaskClass.LEASE_EXPIRED
+    )
 
 
-def _classify_absent(job: JobStanding, session: int, stored: StoredAttempt | None) -> TaskClass:
-    if stored is None or not stored.here or stored.session > session:
-        return TaskClass.NOTHING
+def _classify_not_reported(job: JobStatus, session: int, stored: StoredAttempt | None) -> TaskClass:
+    if stored is None or not stored.is_here or stored.session > session:
+        return TaskClass.NOT_PRESENT
     if stored.session < session:
-        return TaskClass.SESSION_OVER
-    if job is JobStanding.UNKNOWN:
+        return TaskClass.SESSION_ENDED
+    if job is JobStatus.UNKNOWN:
         return TaskClass.JOB_UNKNOWN
-    return TaskClass.ABSENT if job is JobStanding.ACTIVE else TaskClass.NOT_STARTED
+    return TaskClass.ABSENT if job is JobStatus.ACTIVE else TaskClass.NOT_STARTED
 
 
-def _classify_unplanned(
-    job: JobStanding, stored: StoredAttempt | None, reported: ReportedAttempt
+def _classify_running_unplanned(
+    job: JobStatus, stored: StoredAttempt | None, reported: ReportedAttempt
 ) -> TaskClass:
-    if job is JobStanding.OVER:
-        return TaskClass.JOB_OVER
+    if job is JobStatus.ENDED:
+        return TaskClass.JOB_ENDED
     if stored is None:
         return TaskClass.NEVER_STORED
     if reported.attempt < stored.attempt:
@@ -236,15 +271,21 @@
 
 
 def classify_machine(
-    is_stored: bool, is_listed: bool | None, is_retiring: bool, contact: Contact
+    is_stored: bool, is_listed: bool | None, is_retiring: bool, contact: WorkerContact
 ) -> MachineClass:
-    """The class of a machine. `is_listed` says whether the newest list of the cloud has it; None
-    where no list is at hand: only the leader reads it.
+    """Returns the class of a machine.
+
+    Args:
+        is_stored: whether the machine has a record
+        is_listed: whether the cloud's newest list contains it; None where no list is available,
+            since only the leader reads it
+        is_retiring: whether the machine is marked for return
+        contact: the liveness of the machine's worker
     """
     if not is_stored:
         return MachineClass.UNKNOWN
     if is_retiring:
         return MachineClass.RETIRING
-    if contact is not Contact.HEARD:
-        return MachineClass.SILENT
+    if contact is not WorkerContact.REPORTING:
+        return MachineClass.UNRESPONSIVE
     return MachineClass.UNLISTED if is_listed is False else MachineClass.HEALTHY
--- a/crossmill/recovery/differences.py
+++ b/crossmill/recovery/differences.py
@@ -1,4 +1,4 @@
-"""What differs on one machine between the stored plans and its newest report."""
+"""Finds the differences between the stored plans of one machine and its newest heartbeat."""
 
 from dataclasses import dataclass
 
@@ -7,13 +7,13 @@
 from ..workers.views import WorkerView
 from .classification import (
     TASK_RULES,
-    Action,
-    Contact,
-    JobStanding,
+    JobStatus,
+    RecoveryAction,
     ReportedAttempt,
     Rule,
     StoredAttempt,
     TaskClass,
+    WorkerContact,
     classify_task,
 )
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """A task of a machine that an order is needed for."""
+    """A task of a machine for which the worker needs an order."""
 
     machine: str
     job: str
@@ -32,64 +32,70 @@
 
     @property
     def rule(self) -> Rule:
-        """What is done about it."""
+        """What is done about the difference."""
         return TASK_RULES[self.task_class]
 
     @property
     def key(self) -> TaskKey:
-        """The task."""
+        """The task that differs."""
         return self.job, self.index
 
 
-# what an order to the worker settles
-ORDERED = frozenset({Action.START, Action.STOP, Action.FORGET})
+# the actions that consist of an order to the worker
+ORDER_ACTIONS = frozenset({RecoveryAction.START, RecoveryAction.STOP, RecoveryAction.FORGET})
 
 
-def job_standing(job: Job | None) -> JobStanding:
-    """What the stored state says of the job."""
+def job_status(job: Job | None) -> JobStatus:
+    """Returns what the stored state says about the job; None stands for a job without record."""
     if job is not None and job.has_ended:
-        return JobStanding.OVER
+        return JobStatus.ENDED
     if job is None or not job.has_record:
-        return JobStanding.UNKNOWN
-    return JobStanding.ACTIVE
+        return JobStatus.UNKNOWN
+    return JobStatus.ACTIVE
 
 
 def stored_attempt(cluster: ClusterState, machine: Machine, key: TaskKey) -> StoredAttempt | None:
-    """The attempt of the task that a durable plan holds, on this machine or on another."""
+    """Returns the attempt of the task in a durable plan, on this machine or on another."""
     attempt = machine.attempts.get(key)
     if attempt is not None:
-        return StoredAttempt(attempt.number, attempt.session, here=True)
+        return StoredAttempt(attempt.number, attempt.session, is_here=True)
     job = cluster.jobs.get(key[0])
     if job is None or not job.chunks:
         return None
     chunk = job.chunks.get(cluster.layout.chunk_of(key[1], job.chunks).name)
     attempt = None if chunk is None else chunk.attempts.get(key[1])
-    return None if attempt is None else StoredAttempt(attempt.number, attempt.session, here=False)
+    return (
+        None if attempt is None else StoredAttempt(attempt.number, attempt.session, is_here=False)
+    )
 
 
 def classify_machine_tasks(
     cluster: ClusterState, machine: Machine, view: WorkerView
 ) -> dict[TaskKey, TaskClass]:
-    """The class of each task that is planned onto the machine or that its newest report, which
-    has to be trusted, speaks of.
+    """Returns the class of each task that is planned onto the machine or reported by it.
+
+    The view's newest heartbeat must carry this owner's token: an older one says nothing about the
+    present.
     """
     classes: dict[TaskKey, TaskClass] = {}
     for key in {*machine.attempts, *view.tasks}:
         task = view.tasks.get(key)
         reported = None if task is None else ReportedAttempt(task.attempt, task.state == "exited")
         stored = stored_attempt(cluster, machine, key)
-        standing = job_standing(cluster.jobs.get(key[0]))
-        classes[key] = classify_task(standing, Contact.HEARD, view.session, stored, reported)
+        status = job_status(cluster.jobs.get(key[0]))
+        classes[key] = classify_task(
+            status, WorkerContact.REPORTING, view.session, stored, reported
+        )
     return classes
 
 
-def differences(
+def find_differences(
     machine: Machine, view: WorkerView, classes: dict[TaskKey, TaskClass]
 ) -> list[Difference]:
-    """Those of the tasks that an order is needed for."""
+    """Returns the differences for which the worker needs an order, given the tasks' classes."""
     found = []
     for key, task_class in classes.items():
-        if TASK_RULES[task_class].action not in ORDERED:
+        if TASK_RULES[task_class].action not in ORDER_ACTIONS:
             continue
         attempt = view.tasks[key].attempt if key in view.tasks else machine.attempts[key].number
         found.append(Difference(machine.id, *key, attempt, task_class))
--- a/crossmill/recovery/keys.py
+++ b/crossmill/recovery/keys.py
@@ -1,31 +1,40 @@
-"""Names of recovery's keys in the state service. Versions that do not know them ignore them."""
+"""The keys of recovery in the state service; versions that do not know them ignore them."""
+
+from typing import NamedTuple
 
 from ..cluster import keys as cluster_keys
 
 PREFIX = cluster_keys.ROOT + "r/"
-BRAKED = PREFIX + "b/"
+BREAKER = PREFIX + "b/"
 APPROVAL = PREFIX + "a/"
 RECORD = PREFIX + "h/"
 
 
-def braked(shard: int) -> str:
-    """What a shard's brake holds back."""
-    return f"{BRAKED}{shard}"
+def breaker(shard: int) -> str:
+    """Returns the key of what a shard's open circuit breaker holds back."""
+    return f"{BREAKER}{shard}"
 
 
 def approval(shard: int) -> str:
-    """The operator's approval for a shard."""
+    """Returns the key of the operator's approval for a shard."""
     return f"{APPROVAL}{shard}"
 
 
 def record(shard: int, token: int) -> str:
-    """The record of the recovery that began under the token."""
+    """Returns the key of the record of the recovery that began under the token."""
     return f"{RECORD}{shard}/{token}"
 
 
-def parse_record(key: str) -> tuple[int, int] | None:
-    """The shard and the token of a record's key; None for one that another version wrote."""
+class RecordKey(NamedTuple):
+    """The parts of a record's key."""
+
+    shard: int
+    token: int
+
+
+def parse_record(key: str) -> RecordKey | None:
+    """Returns the parts of a record's key; None for a key that another version wrote."""
     shard, _, token = key[len(RECORD) :].partition("/")
     if not (shard.isdecimal() and token.isdecimal()):
         return None
-    return int(shard), int(token)
+    return RecordKey(int(shard), int(token))
--- a/crossmill/recovery/phases.py
+++ b/crossmill/recovery/phases.py
@@ -1,46 +1,86 @@
-"""The phases of a shard's recovery and the transitions between them."""
+"""The phases of a shard's recovery, and the transitions between them."""
 
 from enum import StrEnum
 
+from ..net.clock import Clock
 
-class Phase(StrEnum):
-    """Where the recovery of a shard is."""
 
-    # the shard is taken, the writes of earlier owners are being read
+class RecoveryPhase(StrEnum):
+    """A phase in the recovery of a shard; the values appear in records and log lines."""
+
+    # the shard was acquired; the writes of earlier owners are being read
     LOADING = "loading"
-    # workers are answered; those that were up are waited for, within a bound
+    # workers are answered; machines that were up may report, within a time limit
     OBSERVING = "observing"
-    # what differs is known; the brake decides whether it may be settled
+    # the differences are known; the circuit breaker decides whether they may be resolved
     CLASSIFYING = "classifying"
-    # differences are settled, in batches and at a bounded rate
+    # differences are resolved, in batches and at a limited rate
     SETTLING = "settling"
-    # nothing differs any more: the ordinary path alone
+    # no differences are left; the scheduler works without restrictions
     STEADY = "steady"
 
 
-class IllegalTransition(ValueError):
-    """A recovery can't go from the one phase to the other."""
+class RecoveryError(Exception):
+    """The base class of the errors that recovery raises."""
+
+
+class RecoveryTransitionError(RecoveryError):
+    """A recovery can't go from the old phase to the new one."""
 
-    def __init__(self, old: Phase, new: Phase) -> None:
+    def __init__(self, old: RecoveryPhase, new: RecoveryPhase) -> None:
         super().__init__(f"a recovery that is {old} can't become {new}")
         self.old = old
         self.new = new
 
 
-TRANSITIONS: dict[Phase, frozenset[Phase]] = {
-    Phase.LOADING: frozenset({Phase.OBSERVING}),
-    Phase.OBSERVING: frozenset({Phase.CLASSIFYING}),
-    Phase.CLASSIFYING: frozenset({Phase.SETTLING}),
-    # machines that come late may bring so many differences that the brake decides again
-    Phase.SETTLING: frozenset({Phase.CLASSIFYING, Phase.STEADY}),
-    Phase.STEADY: frozenset(),
+TRANSITIONS: dict[RecoveryPhase, frozenset[RecoveryPhase]] = {
+    RecoveryPhase.LOADING: frozenset({RecoveryPhase.OBSERVING}),
+    RecoveryPhase.OBSERVING: frozenset({RecoveryPhase.CLASSIFYING}),
+    RecoveryPhase.CLASSIFYING: frozenset({RecoveryPhase.SETTLING}),
+    # machines that report late may bring so many differences that the breaker trips again
+    RecoveryPhase.SETTLING: frozenset({RecoveryPhase.CLASSIFYING, RecoveryPhase.STEADY}),
+    RecoveryPhase.STEADY: frozenset(),
 }
 
-# until then nothing is placed: tasks that no plan holds may be on machines not heard yet
-BEFORE_PLACING = frozenset({Phase.LOADING, Phase.OBSERVING, Phase.CLASSIFYING})
+# In these phases nothing is placed: machines that have not reported yet may run tasks that no plan
+# contains.
+PHASES_BEFORE_PLACEMENT = frozenset(
+    {RecoveryPhase.LOADING, RecoveryPhase.OBSERVING, RecoveryPhase.CLASSIFYING}
+)
+# In these phases differences are resolved.
+RESOLVING_PHASES = frozenset({RecoveryPhase.SETTLING, RecoveryPhase.STEADY})
 
 
-def check_transition(old: Phase, new: Phase) -> None:
-    """Raises IllegalTransition unless a recovery may go from the one phase to the other."""
+def check_transition(old: RecoveryPhase, new: RecoveryPhase) -> None:
+    """Raises RecoveryTransitionError unless a recovery may go from the old phase to the new one."""
     if new not in TRANSITIONS[old]:
-        raise IllegalTransition(old, new)
+        raise RecoveryTransitionError(old, new)
+
+
+class PhaseTracker:
+    """The present phase of a shard's recovery, and the time spent in the earlier ones."""
+
+    def __init__(self, clock: Clock) -> None:
+        self._clock = clock
+        self._entered_at = clock.now()
+        self.current = RecoveryPhase.LOADING
+        # seconds spent in each phase that was left; a phase may be entered more than once
+        self.durations_s: dict[RecoveryPhase, float] = {}
+
+    def enter(self, phase: RecoveryPhase) -> float:
+        """Enters a phase and returns the seconds spent in the one before.
+
+        Raises:
+            RecoveryTransitionError: if the phase can't follow the present one.
+        """
+        check_transition(self.current, phase)
+        now = self._clock.now()
+        spent_s = now - self._entered_at
+        self.durations_s[self.current] = self.durations_s.get(self.current, 0.0) + spent_s
+        self.current = phase
+        self._entered_at = now
+        return spent_s
+
+    def elapsed_s(self) -> float:
+        """Seconds since the present phase was entered."""
+        return self._clock.now() - self._entered_at
--- a/crossmill/recovery/service.py
+++ b/crossmill/recovery/service.py
@@ -1,82 +1,78 @@
-"""Recovery on one controller: a `ShardRecovery` for each shard that it has taken, their reads and
-their records.
+"""Recovery on one controller: a `ShardRecovery` for each shard that it owns.
+
+The service is the gate that heartbeat handler, placement and machine maintenance ask before they
+act. Its loop advances the recoveries, and writes their records and open circuit breakers.
 """
 
 import logging
 from collections.abc import Callable
+from typing import Any
 
 import curio
 
-from ..cluster.cluster_state import ClusterState
 from ..cluster.membership import Membership
 from ..cluster.model import Machine
 from ..cluster.ownership import ShardOwnership
 from ..jobs.shard_writes import shard_intent
-from ..net.clock import Clock
-from ..settings import Settings
-from ..state.watcher import StateWatcher
-from ..state.writer import Writer, WriteRank, WriteResult
+from ..state.writer import WriteRank
 from ..wire.recovery import PhaseReport
 from ..wire.state import Put, Txn
 from ..wire.workers import Command
 from ..workers.views import WorkerView
 from . import keys
-from .records import RecordIndex, StoredNotes, encode_braked, encode_record
-from .settings import RecoverySettings
-from .shard_recovery import RELEASE, ShardRecovery
+from .context import RecoveryContext
+from .records import RecordIndex, StoredNotes, encode_breaker, encode_record
+from .shard_recovery import ShardRecovery
+from .statistics import RELEASE_ORDER
 
 log = logging.getLogger(__name__)
 
 
 class RecoveryService:
-    """The gate that reports, rounds and upkeep ask, and the loop that moves recoveries on."""
+    """Holds back commands, placements and releases of shards that recover, and advances them."""
 
     def __init__(
         self,
-        settings: Settings,
-        recovery: RecoverySettings,
-        clock: Clock,
-        cluster: ClusterState,
+        context: RecoveryContext,
         membership: Membership,
-        watcher: StateWatcher,
-        writer: Writer,
-        priority: Callable[[str], int],
+        priority_of: Callable[[str], int],
     ) -> None:
-        self._settings = settings
-        self._recovery = recovery
-        self._clock = clock
-        self._cluster = cluster
+        self._context = context
+        self._settings = context.settings
+        self._recovery = context.recovery
+        self._clock = context.clock
+        self._mirror = context.cluster.mirror
         self._membership = membership
-        self._watcher = watcher
-        self._writer = writer
-        self._priority = priority
+        self._priority_of = priority_of
         self._shards: dict[int, ShardRecovery] = {}
+        # the shards whose record was written
         self._recorded: set[int] = set()
-        self.records = RecordIndex(cluster.mirror)
-        self.notes = StoredNotes(cluster.mirror)
+        self.records = RecordIndex(self._mirror)
+        self.notes = StoredNotes(self._mirror)
         membership.on_lost.append(self._forget)
 
     def _forget(self, shard: int) -> None:
-        """The next owner begins anew, from durable facts and reports."""
+        # the next owner starts again from the stored state and the workers' heartbeats
         if self._shards.pop(shard, None) is not None:
             self._recorded.discard(shard)
 
     # -- the gate --------------------------------------------------------------------
 
     def screen(
-        self, machine: Machine, view: WorkerView, ownership: ShardOwnership, orders: list[Command]
+        self, machine: Machine, view: WorkerView, ownership: ShardOwnership, commands: list[Command]
     ) -> list[Command]:
-        """Which of the orders that answer a report may be sent now."""
+        """Returns the commands that may answer a heartbeat now, the most urgent ones first."""
         recovery = self._recovery_of(machine.shard, ownership)
-        recovery.note(machine, view)
-        if not orders:
-            return orders
-        admitted = [order for order in orders if recovery.admits(machine, order)]
+        recovery.note_heartbeat(machine, view)
+        if not commands:
+            return commands
+        admitted = [command for command in commands if recovery.admit(machine, command)]
         if self._recovery.dry_run:
-            recovery.let_through.update(order.op for order in orders if order not in admitted)
-            return orders
-        # an answer may not have room for all: what stops a task is what may be urgent
-        return sorted(admitted, key=lambda order: order.op != "stop")
+            withheld = (command.op for command in commands if command not in admitted)
+            recovery.statistics.withheld_in_dry_run.update(withheld)
+            return commands
+        # an answer has a maximum length, and only commands that stop a task may be urgent
+        return sorted(admitted, key=lambda command: command.op != "stop")
 
     def may_place(self, shard: int) -> bool:
         """Whether waiting tasks of the shard may be placed."""
@@ -84,26 +80,25 @@
         return recovery is None or recovery.may_place or self._recovery.dry_run
 
     def is_claimed(self, job: str, index: int) -> bool:
-        """Whether a worker runs the task though no plan holds it."""
+        """Whether a worker runs the task although no plan contains it."""
         if self._recovery.dry_run:
             return False
-        return any(recovery.is_claimed((job, index)) for recovery in self._shards.values())
+        return any(r.is_running_unplanned((job, index)) for r in self._shards.values())
 
-    def may_give_up(self, machine: Machine, why: str) -> bool:
-        """Whether the machine may be marked to be returned."""
+    def may_give_up(self, machine: Machine, why: str) -> bool:  # noqa: ARG002 (the gate's interface)
+        """Whether the machine may be marked for return to the cloud."""
         recovery = self._shards.get(machine.shard)
-        if recovery is None or recovery.may_give_up(machine):
+        if recovery is None or recovery.admit_release(machine):
             return True
         if self._recovery.dry_run:
-            recovery.let_through[RELEASE] += 1
+            recovery.statistics.withheld_in_dry_run[RELEASE_ORDER] += 1
         return self._recovery.dry_run
 
     def _recovery_of(self, shard: int, ownership: ShardOwnership) -> ShardRecovery:
+        """Returns the shard's recovery; begins it if the ownership is new."""
         recovery = self._shards.get(shard)
         if recovery is None or recovery.term != ownership.term:
-            recovery = ShardRecovery(
-                shard, ownership, self._recovery, self._clock, self._cluster, self._priority
-            )
+            recovery = ShardRecovery(shard, ownership, self._context, self._priority_of)
             self._shards[shard] = recovery
             self._recorded.discard(shard)
             recovery.advance(ownership)
@@ -112,8 +107,10 @@
     # -- the loop --------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Moves the recoveries on until the controller ends. Between them it looks as often as a
-        lease is renewed for shards that were taken and of which no machine has reported yet.
+        """Advances the recoveries until the controller ends.
+
+        While none is in progress it only looks for newly acquired shards, as often as a lease is
+        renewed.
         """
         while True:
             await self.step()
@@ -125,116 +122,119 @@
             await curio.sleep(pause_s)
 
     async def step(self) -> None:
-        """One look at all shards that this controller owns."""
+        """Advances the recovery of each shard that this controller owns."""
         for shard, ownership in list(self._membership.ownerships.items()):
             recovery = self._recovery_of(shard, ownership)
             is_done = recovery.has_ended and shard in self._recorded
             if is_done or self._membership.active_ownership(shard) is None:
                 continue
             recovery.advance(ownership)
-            await self._look(recovery, shard, ownership)
+            await self._process(recovery, ownership)
 
-    async def _look(self, recovery: ShardRecovery, shard: int, ownership: ShardOwnership) -> None:
+    async def _process(self, recovery: ShardRecovery, ownership: ShardOwnership) -> None:
+        """Does the reads and writes that a recovery needs now."""
         if recovery.needs_read:
-            sent = self._clock.now()
-            if await self._watcher.sync(self._settings.lease_renewal_interval_s):
-                recovery.read_at = sent
-        self._take_approval(recovery)
-        await self._note_brake(recovery, shard, ownership)
-        if recovery.is_settled and shard not in self._recorded:
-            self._recorded.add(shard)
-            await self._write_record(recovery, shard, ownership)
-
-    def _take_approval(self, recovery: ShardRecovery) -> None:
-        if not recovery.is_braked or self._recovery.dry_run:
+            sent_at = self._clock.now()
+            if await self._context.watcher.sync(self._settings.lease_renewal_interval_s):
+                recovery.last_read_sent_at = sent_at
+        self._apply_approval(recovery)
+        await self._store_breaker(recovery, ownership)
+        if recovery.is_settled and recovery.shard not in self._recorded:
+            self._recorded.add(recovery.shard)
+            await self._write_record(recovery, ownership)
+
+    def _apply_approval(self, recovery: ShardRecovery) -> None:
+        if not recovery.is_breaker_open or self._recovery.dry_run:
             return
-        approval = self.notes.approval(recovery.shard)
-        if (
-            approval is not None
-            and approval.token == recovery.term
-            and approval.digest == recovery.digest()
-            and self._clock.wall() < approval.until
-        ):
+        if self._is_approved(recovery):
             recovery.approve()
 
-    async def _note_brake(
-        self, recovery: ShardRecovery, shard: int, ownership: ShardOwnership
-    ) -> None:
-        """What the brake holds back is durable, so that an operator can ask any controller."""
-        key = keys.braked(shard)
-        stored = self._cluster.mirror.value(key)
-        is_braked = recovery.is_braked and not self._recovery.dry_run
-        wanted = encode_braked(recovery) if is_braked else None
-        self.notes.braked(shard)
-        if stored == wanted or (wanted is None and self.notes.is_foreign(key)):
+    def _is_approved(self, recovery: ShardRecovery) -> bool:
+        """Whether a valid approval covers exactly what is held back under this ownership."""
+        approval = self.notes.approval(recovery.shard)
+        if approval is None or approval.token != recovery.term:
+            return False
+        return approval.digest == recovery.digest() and self._clock.wall() < approval.until
+
+    async def _store_breaker(self, recovery: ShardRecovery, ownership: ShardOwnership) -> None:
+        """Stores what the breaker holds back, so that operators can ask any controller."""
+        shard = recovery.shard
+        key = keys.breaker(shard)
+        stored = self._mirror.value(key)
+        is_open = recovery.is_breaker_open and not self._recovery.dry_run
+        wanted = encode_breaker(recovery) if is_open else None
+        # warns if another version wrote the stored value
+        self.notes.breaker(shard)
+        if stored == wanted or (wanted is None and self.notes.is_unreadable(key)):
             return
-        version = self._cluster.mirror.version(key)
+        conditions = {key: self._mirror.version(key)}
         if wanted is None:
             log.info("recovery brake released shard=%d token=%d", shard, ownership.term)
-            txn = Txn({key: version}, [], [key, *self._stale_approval(shard)])
+            txn = Txn(conditions, [], [key, *self._stored_approval_keys(shard)])
         else:
-            log.warning(
-                "recovery braked shard=%d token=%d digest=%s stops=%d restarts=%d releases=%d "
-                "tasks=%d machines=%d",
-                shard,
-                ownership.term,
-                wanted["digest"],
-                *recovery.impact(),
-            )
-            txn = Txn({key: version}, [Put(key, wanted)])
+            self._log_open_breaker(recovery, ownership, wanted)
+            txn = Txn(conditions, [Put(key, wanted)])
         await self._commit(shard, ownership, txn)
 
-    def _stale_approval(self, shard: int) -> list[str]:
+    def _log_open_breaker(
+        self, recovery: ShardRecovery, ownership: ShardOwnership, stored: dict[str, Any]
+    ) -> None:
+        log.warning(
+            "recovery braked shard=%d token=%d digest=%s stops=%d restarts=%d releases=%d "
+            "tasks=%d machines=%d",
+            recovery.shard,
+            ownership.term,
+            stored["digest"],
+            *recovery.impact(),
+        )
+
+    def _stored_approval_keys(self, shard: int) -> list[str]:
         key = keys.approval(shard)
-        return [key] if self._cluster.mirror.value(key) is not None else []
+        return [key] if self._mirror.value(key) is not None else []
 
-    async def _write_record(
-        self, recovery: ShardRecovery, shard: int, ownership: ShardOwnership
-    ) -> None:
-        controller, wall = self._settings.label, self._clock.wall()
-        record = encode_record(recovery, controller, wall, self._recovery.dry_run)
+    async def _write_record(self, recovery: ShardRecovery, ownership: ShardOwnership) -> None:
+        """Writes the record of a finished recovery and deletes surplus ones."""
+        shard, dry_run = recovery.shard, self._recovery.dry_run
+        record = encode_record(recovery, self._settings.label, self._clock.wall(), dry_run)
         log.info(
             "recovery finished shard=%d token=%d after_s=%.2f machines=%d tasks=%d orders=%d "
             "dry_run=%s let_through=%d",
             shard,
             ownership.term,
             self._clock.now() - recovery.begun_at,
-            recovery.machines_known,
-            recovery.tasks_known,
-            recovery.orders.total(),
-            self._recovery.dry_run,
-            recovery.let_through.total(),
+            recovery.statistics.machines_known,
+            recovery.statistics.tasks_known,
+            recovery.statistics.orders.total(),
+            dry_run,
+            recovery.statistics.withheld_in_dry_run.total(),
         )
         surplus = self.records.surplus(shard, self._recovery.kept_records - 1)
         txn = Txn({}, [Put(keys.record(shard, ownership.term), record)], surplus)
         await self._commit(shard, ownership, txn)
 
-    async def _commit(self, shard: int, ownership: ShardOwnership, txn: Txn) -> bool:
+    async def _commit(self, shard: int, ownership: ShardOwnership, txn: Txn) -> None:
+        """Commits a write under the ownership; one that fails is derived again in a later step."""
         intent = shard_intent(self._membership, shard, ownership, WriteRank.BACKGROUND, txn)
-        return await self._writer.commit(intent) == WriteResult.OK
+        await self._context.writer.commit(intent)
+
+    # -- state -----------------------------------------------------------------------
 
     def is_steady(self, shard: int) -> bool:
-        """Whether this controller acts for the shard, and its recovery is over."""
+        """Whether this controller acts for the shard and its recovery has ended."""
         ownership = self._membership.active_ownership(shard)
         recovery = self._shards.get(shard)
-        return (
-            ownership is not None
-            and recovery is not None
-            and recovery.term == ownership.term
-            and recovery.has_ended
-            and shard in self._recorded
-        )
+        if ownership is None or recovery is None or recovery.term != ownership.term:
+            return False
+        return recovery.has_ended and shard in self._recorded
 
     def recoveries(self) -> list[ShardRecovery]:
-        """Those that go on."""
+        """Returns the recoveries in progress."""
         return [recovery for recovery in self._shards.values() if not recovery.has_ended]
 
-    # -- for operators ---------------------------------------------------------------
-
     def phases(self) -> list[PhaseReport]:
-        """Where the recoveries of this controller's shards are."""
+        """Returns the phases of the recoveries in progress, by shard, for operators."""
         dry_run = self._recovery.dry_run
         return [
-            PhaseReport(r.shard, r.term, str(r.phase), r.waits_for(), r.is_braked, dry_run)
+            PhaseReport(r.shard, r.term, str(r.phase), r.waits_for(), r.is_breaker_open, dry_run)
             for r in sorted(self.recoveries(), key=lambda recovery: recovery.shard)
         ]
--- a/crossmill/recovery/settings.py
+++ b/crossmill/recovery/settings.py
@@ -1,4 +1,4 @@
-"""The recovery file (see deploy/recovery.toml), checked, and what is derived from it."""
+"""Reads and checks the recovery file (see deploy/recovery.toml), and derives values from it."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -23,25 +23,25 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoverySettings:
-    """The checked settings of recovery, with what follows from them for one shard."""
+    """The checked settings of recovery, and the limits of one shard that follow from them."""
 
-    # orders a second that recovery may give in the whole region
+    # orders per second that recovery may send in the whole region
     orders_per_s: float
-    # orders that recovery may give one worker within the workers' lease
+    # orders that recovery may send to one worker within the workers' lease
     orders_per_worker: float
-    # report intervals that a shard waits for its machines
+    # heartbeat intervals for which a shard waits for its machines to report
     observe_reports: float
-    # the part of the tasks or machines known that recovery may touch without an approval
+    # the share of the known tasks or machines that recovery may affect without an approval
     brake_share: float
-    # so few are never a mass action
+    # so few tasks or machines are never a mass action
     brake_least: int
-    # machines settled in the first batch; each further one is twice as large
+    # machines in the first batch; each further batch is twice as large
     first_batch: int
-    # how long an operator's approval holds
+    # seconds for which an operator's approval is valid
     approval_s: float
-    # how many records of recoveries are kept for each shard
+    # records of recoveries that are kept for each shard
     kept_records: int
-    # whether all is let through, and only noted what would have been held back
+    # whether nothing is withheld, and what would have been is only counted
     dry_run: bool
     nodes: int
     heartbeat_interval_s: float
@@ -49,39 +49,41 @@
 
     @property
     def shard_orders_per_s(self) -> float:
-        """A shard's part of the region's rate. It goes with the shard, which has one owner at a
-        time: however many controllers end or return, the parts never add up to more.
+        """A shard's share of the region's rate, in orders per second.
+
+        The share belongs to the shard, which has one owner at a time. So the shares never add up to
+        more than the region's rate, however many controllers end or return.
         """
         return self.orders_per_s / self.nodes
 
     @property
     def shard_burst(self) -> float:
-        """Orders that a shard may give at once: what it may give in a report interval."""
+        """Orders that a shard may send at once: its share of one heartbeat interval."""
         return max(1.0, self.shard_orders_per_s * self.heartbeat_interval_s)
 
     @property
     def worker_orders_per_s(self) -> float:
-        """How fast a worker's part is filled again."""
+        """A worker's rate limit, in orders per second."""
         return self.orders_per_worker / self.worker_lease_s
 
     @property
     def observe_s(self) -> float:
-        """A shard is observed for at most this long."""
+        """Seconds for which a shard waits for its machines to report."""
         return self.observe_reports * self.heartbeat_interval_s
 
     @property
     def batch_s(self) -> float:
-        """A batch that is not settled by then is given up, and the next is small again."""
+        """Seconds after which a batch that is not resolved is postponed."""
         return self.worker_lease_s
 
     @property
     def read_s(self) -> float:
-        """How often the state service is read for attempts that it has not shown."""
+        """Seconds between steps of a recovery, and so between reads of the state service."""
         return self.heartbeat_interval_s / 2
 
 
 def parse(data: dict[str, Any], settings: Settings) -> RecoverySettings:
-    """Reads the table; raises SettingsError with the name of the field that is wrong."""
+    """Checks the parsed file; raises SettingsError with the name of the invalid field."""
     Table(data, "").expect_only("recovery")
     table = Table(data, "").table("recovery")
     table.expect_only(*FIELDS)
@@ -89,7 +91,7 @@
     if share > 1:
         raise SettingsError("recovery.brake_share: a number from 0 to 1 is needed")
     return RecoverySettings(
-        # what an order leads to is written: faster than that nothing is gained
+        # each order leads to a write, so a rate above the write limit gains nothing
         orders_per_s=table.number("orders_per_s", 0.1, settings.lowest_state_limits.write_rps),
         orders_per_worker=table.number("orders_per_worker", 1, 8.0),
         observe_reports=table.number("observe_reports", 1, 2.0),
@@ -106,5 +108,5 @@
 
 
 def load(path: str, settings: Settings) -> RecoverySettings:
-    """Reads and checks the file; raises SettingsError."""
+    """Reads and checks the recovery file; raises SettingsError."""
     return parse(read_toml(path), settings)
--- a/crossmill/recovery/shard_recovery.py
+++ b/crossmill/recovery/shard_recovery.py
@@ -1,305 +1,321 @@
-"""The recovery of one shard under one ownership: its phases, and what may be ordered when."""
+"""The recovery of one shard under one ownership: its phases, and which orders may be sent when.
+
+`RecoveryService` creates one for each shard that the controller acquires, passes it the heartbeats
+and advances it. It keeps all of its state in memory: the next owner starts again from the stored
+state and the workers' heartbeats.
+"""
 
 import logging
-from collections import Counter
 from collections.abc import Callable
 
-from ..cluster.cluster_state import ClusterState
 from ..cluster.model import AttemptId, Machine
 from ..cluster.ownership import ShardOwnership
-from ..net.clock import Clock
-from ..net.pacer import Pacer
 from ..wire.workers import Command
 from ..workers.views import WorkerView
-from .batches import Batches, batches_of
-from .brake import Impact, digest_of, is_mass_action
+from .circuit_breaker import Impact, digest_of, is_mass_action
 from .classification import (
     MACHINE_RULES,
-    Contact,
+    ActionEvidence,
     MachineClass,
-    Proof,
     TaskClass,
     Urgency,
+    WorkerContact,
     classify_machine,
 )
-from .differences import Difference, TaskKey, classify_machine_tasks, differences
-from .open_differences import OpenDifferences
-from .phases import BEFORE_PLACING, Phase, check_transition
-from .releases import Releases
-from .settings import RecoverySettings
+from .context import RecoveryContext
+from .differences import Difference, TaskKey, classify_machine_tasks, find_differences
+from .pacing import MachineBatches, OrderRateLimiter, count_batches
+from .phases import PHASES_BEFORE_PLACEMENT, RESOLVING_PHASES, PhaseTracker, RecoveryPhase
+from .release_tracker import ReleaseTracker
+from .statistics import RELEASE_ORDER, RecoveryStatistics
+from .unresolved_differences import UnresolvedDifferences
 
 log = logging.getLogger(__name__)
 
-# the kind under which given up machines are counted among the orders
-RELEASE = "release"
-
 
 class ShardRecovery:
-    """What differs between plans and reports when a shard is taken, until it is settled.
+    """Resolves what differs between plans and heartbeats after a shard was acquired.
 
-    Only what a machine's first report under the new token shows is recovery's matter, however late
-    it comes; whatever comes to differ later is the ordinary path's.
+    It covers only the differences that a machine's first heartbeat under the new token shows,
+    however late that arrives. Later differences are not restricted by recovery.
     """
 
     def __init__(
         self,
         shard: int,
         ownership: ShardOwnership,
-        settings: RecoverySettings,
-        clock: Clock,
-        cluster: ClusterState,
-        priority: Callable[[str], int],
+        context: RecoveryContext,
+        priority_of: Callable[[str], int],
     ) -> None:
+        settings, clock = context.recovery, context.clock
         self.shard = shard
         self.term = ownership.term
-        self.phase = Phase.LOADING
         self.begun_at = clock.now()
-        self.spent_s: dict[Phase, float] = {}
-        self.classes: Counter[TaskClass] = Counter()
-        self.machine_classes: Counter[MachineClass] = Counter()
-        self.orders: Counter[str] = Counter()
-        # in a dry run, by kind: what was let through and would have been held back
-        self.let_through: Counter[str] = Counter()
-        self.machines_known = 0
-        self.tasks_known = 0
-        # when the newest read was sent that showed all that was durable
-        self.read_at: float | None = None
-        self._entered_at = self.begun_at
+        self.statistics = RecoveryStatistics()
+        # when the newest read that showed all durable writes was sent
+        self.last_read_sent_at: float | None = None
         self._settings = settings
         self._clock = clock
-        self._cluster = cluster
-        self._priority = priority
-        self._open = OpenDifferences()
-        self._releases = Releases()
-        self._heard: set[str] = set()
-        # machines that may run something and have not reported under this token
-        self._unheard: set[str] = set()
-        # an owner that takes over has saved up nothing: see `RecoverySettings.shard_orders_per_s`
-        self._pace = Pacer(clock, settings.shard_orders_per_s, settings.shard_burst)
-        self._pace.drain()
-        self._worker_paces: dict[str, Pacer] = {}
-        self._batches = Batches(clock, settings.first_batch, settings.batch_s)
-        self._settle_s = 0.0
-
-    # -- what others ask -------------------------------------------------------------
+        self._cluster = context.cluster
+        self._priority_of = priority_of
+        self._phases = PhaseTracker(clock)
+        self._differences = UnresolvedDifferences()
+        self._releases = ReleaseTracker()
+        self._reported: set[str] = set()
+        # machines that may run tasks and have not reported under this token
+        self._not_reported: set[str] = set()
+        self._rate_limiter = OrderRateLimiter(clock, settings)
+        self._batches = MachineBatches(clock, settings.first_batch, settings.batch_s)
+        self._resolving_timeout_s = 0.0
+
+    # -- state -----------------------------------------------------------------------
+
+    @property
+    def phase(self) -> RecoveryPhase:
+        """The present phase."""
+        return self._phases.current
+
+    @property
+    def phase_durations_s(self) -> dict[RecoveryPhase, float]:
+        """Seconds spent in each phase that was left."""
+        return self._phases.durations_s
 
     @property
     def is_settled(self) -> bool:
-        """Whether nothing differs any more on the machines that were heard."""
-        return self.phase is Phase.STEADY
+        """Whether the last phase is reached: machines that have reported are not waited for."""
+        return self.phase is RecoveryPhase.STEADY
 
     @property
     def has_ended(self) -> bool:
-        """Whether nothing is left to be watched: those that were silent have come, or are gone."""
-        return self.is_settled and not self._unheard and not self._open.count
+        """Whether nothing is left to do: all machines have reported or are gone, none differs."""
+        return self.is_settled and not self._not_reported and not self._differences.count
 
     @property
     def may_place(self) -> bool:
-        """Whether waiting tasks may be placed: not before the machines have been heard."""
-        return self.phase not in BEFORE_PLACING
+        """Whether waiting tasks may be placed: only after the machines could report."""
+        return self.phase not in PHASES_BEFORE_PLACEMENT
 
-    def is_claimed(self, key: TaskKey) -> bool:
-        """Whether a worker of the shard runs the task though no plan holds it."""
-        return self._open.is_claimed(key)
+    def is_running_unplanned(self, key: TaskKey) -> bool:
+        """Whether a worker of the shard runs the task although no plan contains it."""
+        return self._differences.is_running_unplanned(key)
 
     @property
     def needs_read(self) -> bool:
-        """Whether an order waits for a read that is newer than the report it rests on."""
-        return self._open.needs_read(self.read_at)
+        """Whether an order needs a read that was sent after the heartbeat it follows from."""
+        return self._differences.needs_read(self.last_read_sent_at)
+
+    def waits_for(self) -> str:
+        """Returns what the present phase waits for, as text for an operator."""
+        if self.phase is RecoveryPhase.LOADING:
+            return "a read of all that earlier owners wrote"
+        if self.phase is RecoveryPhase.OBSERVING:
+            return f"reports of {len(self._not_reported)} machines"
+        if self.is_breaker_open:
+            return "reports that resolve it, or an approval"
+        if self.phase is RecoveryPhase.SETTLING:
+            return f"{self._differences.count} differences to be settled"
+        return f"{len(self._not_reported)} silent machines" if self._not_reported else "nothing"
+
+    # -- the circuit breaker ---------------------------------------------------------
 
     def impact(self) -> Impact:
-        """What would be touched, and has been, apart from what was approved."""
-        return self._open.impact(self._releases.counted, self.tasks_known, self.machines_known)
+        """Returns what recovery would do and has done without an approval."""
+        return self._differences.impact(
+            self._releases.unapproved_count,
+            self.statistics.tasks_known,
+            self.statistics.machines_known,
+        )
 
     @property
-    def is_braked(self) -> bool:
-        """Whether settling waits for reports that resolve it, or for an operator."""
+    def is_breaker_open(self) -> bool:
+        """Whether a mass action is held back until heartbeats or an operator resolve it."""
         return is_mass_action(self.impact(), self._settings)
 
     def digest(self) -> str:
-        """Names what is held back while the brake is on."""
-        return digest_of(self._open.held_back(), self._releases.held_back())
+        """Identifies what is held back while the breaker is open."""
+        return digest_of(self._differences.held_back(), self._releases.held_back())
 
     def approve(self) -> None:
-        """An operator approved what the present digest names."""
-        self._open.approve()
+        """Permits what the present digest identifies."""
+        self._differences.approve()
         self._releases.approve()
         log.info("recovery approved shard=%d token=%d", self.shard, self.term)
 
-    def waits_for(self) -> str:
-        """What the phase waits for, in words for an operator."""
-        if self.phase is Phase.LOADING:
-            return "a read of all that earlier owners wrote"
-        if self.phase is Phase.OBSERVING:
-            return f"reports of {len(self._unheard)} machines"
-        if self.is_braked:
-            return "reports that resolve it, or an approval"
-        if self.phase is Phase.SETTLING:
-            return f"{self._open.count} differences to be settled"
-        return f"{len(self._unheard)} silent machines" if self._unheard else "nothing"
-
     # -- phases ----------------------------------------------------------------------
 
     def advance(self, ownership: ShardOwnership) -> None:
-        """One look: the phases that are over are left."""
-        self._forget_gone()
-        if self.phase is Phase.LOADING and ownership.ready:
-            self._observe()
-        if self.phase is Phase.OBSERVING and self._is_observed():
-            self._enter(Phase.CLASSIFYING)
+        """Enters the next phases as far as their conditions hold."""
+        self._forget_departed_machines()
+        if self.phase is RecoveryPhase.LOADING and ownership.ready:
+            self._start_observing()
+        if self.phase is RecoveryPhase.OBSERVING and self._is_observing_finished():
+            self._enter(RecoveryPhase.CLASSIFYING)
             self._count_machines()
-        if self.phase is Phase.CLASSIFYING and not self.is_braked:
-            self._enter(Phase.SETTLING)
-            self._settle_s = self._settling_bound_s()
-        if self.phase is Phase.SETTLING:
-            self._settle()
-
-    def _enter(self, phase: Phase) -> None:
-        check_transition(self.phase, phase)
-        now = self._clock.now()
-        spent_s = now - self._entered_at
-        self.spent_s[self.phase] = self.spent_s.get(self.phase, 0.0) + spent_s
+        if self.phase is RecoveryPhase.CLASSIFYING and not self.is_breaker_open:
+            self._enter(RecoveryPhase.SETTLING)
+            self._resolving_timeout_s = self._estimate_resolving_s()
+        if self.phase is RecoveryPhase.SETTLING:
+            self._advance_resolving()
+
+    def _enter(self, phase: RecoveryPhase) -> None:
+        previous = self.phase
+        spent_s = self._phases.enter(phase)
         log.info(
             "recovery phase shard=%d token=%d from=%s to=%s after_s=%.2f differences=%d "
             "without_heartbeat=%d",
             self.shard,
             self.term,
-            self.phase,
+            previous,
             phase,
             spent_s,
-            self._open.count,
-            len(self._unheard),
+            self._differences.count,
+            len(self._not_reported),
         )
-        self.phase, self._entered_at = phase, now
 
-    def _observe(self) -> None:
+    def _start_observing(self) -> None:
         machines = self._cluster.machines.by_shard[self.shard].values()
         expected = {m.id for m in machines if (m.up or m.attempts) and not m.retiring}
-        self._unheard = expected - self._heard
-        self.machines_known = len(machines)
-        self._enter(Phase.OBSERVING)
+        self._not_reported = expected - self._reported
+        self.statistics.machines_known = len(machines)
+        self._enter(RecoveryPhase.OBSERVING)
 
-    def _is_observed(self) -> bool:
-        waited_s = self._clock.now() - self._entered_at
-        return not self._unheard or waited_s >= self._settings.observe_s
+    def _is_observing_finished(self) -> bool:
+        return not self._not_reported or self._phases.elapsed_s() >= self._settings.observe_s
 
     def _count_machines(self) -> None:
         for machine in self._cluster.machines.by_shard[self.shard].values():
-            self.machine_classes[self._class_of(machine)] += 1
-            if machine.id in self._unheard:
-                self.classes[TaskClass.SILENT] += len(machine.attempts)
+            self.statistics.machine_classes[self._class_of(machine)] += 1
+            if machine.id in self._not_reported:
+                self.statistics.task_classes[TaskClass.UNRESPONSIVE] += len(machine.attempts)
 
     def _class_of(self, machine: Machine) -> MachineClass:
-        contact = Contact.HEARD if machine.id in self._heard else Contact.SILENT
+        has_reported = machine.id in self._reported
+        contact = WorkerContact.REPORTING if has_reported else WorkerContact.UNRESPONSIVE
         return classify_machine(True, None, bool(machine.retiring), contact)
 
-    def _settle(self) -> None:
-        if self.is_braked:
-            self._enter(Phase.CLASSIFYING)
-        elif not self._open.count:
-            self._enter(Phase.STEADY)
-        elif self._clock.now() - self._entered_at > self._settle_s:
-            # what would not settle keeps its pace, but no other waits for it any more
-            self._enter(Phase.STEADY)
-        elif self._batches.is_due(differing := set(self._open.machines())):
-            self._batches.begin(self._by_urgency(differing))
-
-    def _settling_bound_s(self) -> float:
-        machines = self._open.machines()
-        most = max((len(self._open.of(machine_id)) for machine_id in machines), default=0)
-        batches = batches_of(len(machines), self._settings.first_batch)
-        paced_s = self._open.count / self._settings.shard_orders_per_s
-        worker_s = most / self._settings.worker_orders_per_s
-        return max(paced_s, worker_s) + (batches + 1) * self._settings.batch_s
-
-    def _by_urgency(self, machines: set[str]) -> list[str]:
-        """Machines whose tasks restore service come first, by priority."""
-        places = {
+    def _advance_resolving(self) -> None:
+        if self.is_breaker_open:
+            self._enter(RecoveryPhase.CLASSIFYING)
+        elif not self._differences.count:
+            self._enter(RecoveryPhase.STEADY)
+        elif self._phases.elapsed_s() > self._resolving_timeout_s:
+            # what remains stays rate limited, but no other machine waits for it any more
+            self._enter(RecoveryPhase.STEADY)
+        elif self._batches.is_next_due(differing := set(self._differences.machines())):
+            self._batches.begin_next(self._sort_by_urgency(differing))
+
+    def _estimate_resolving_s(self) -> float:
+        """Seconds in which all differences can be resolved under the rate limits, in batches."""
+        machines = self._differences.machines()
+        largest = max((len(self._differences.of_machine(m)) for m in machines), default=0)
+        batches = count_batches(len(machines), self._settings.first_batch)
+        by_shard_rate_s = self._differences.count / self._settings.shard_orders_per_s
+        by_worker_rate_s = largest / self._settings.worker_orders_per_s
+        return max(by_shard_rate_s, by_worker_rate_s) + (batches + 1) * self._settings.batch_s
+
+    def _sort_by_urgency(self, machines: set[str]) -> list[str]:
+        """Sorts machines by their most urgent difference and the priority of its job."""
+        ranks = {
             machine_id: min(
-                (difference.rule.urgency, self._priority(difference.job))
-                for difference in self._open.of(machine_id).values()
+                (difference.rule.urgency, self._priority_of(difference.job))
+                for difference in self._differences.of_machine(machine_id).values()
             )
             for machine_id in machines
         }
-        return sorted(places, key=lambda machine_id: (places[machine_id], machine_id))
+        return sorted(ranks, key=lambda machine_id: (ranks[machine_id], machine_id))
 
-    def _forget_gone(self) -> None:
-        self._heard &= self._cluster.machines.keys()
-        for machine_id in [m for m in (*self._unheard, *self._open.machines()) if self._is_gone(m)]:
-            self._unheard.discard(machine_id)
-            self._open.drop(machine_id)
+    def _forget_departed_machines(self) -> None:
+        self._reported &= self._cluster.machines.keys()
+        watched = (*self._not_reported, *self._differences.machines())
+        for machine_id in [m for m in watched if self._has_departed(m)]:
+            self._not_reported.discard(machine_id)
+            self._differences.drop_machine(machine_id)
 
-    def _is_gone(self, machine_id: str) -> bool:
+    def _has_departed(self, machine_id: str) -> bool:
         machine = self._cluster.machines.get(machine_id)
         return machine is None or machine.shard != self.shard or bool(machine.retiring)
 
-    # -- reports and orders ----------------------------------------------------------
-
-    def note(self, machine: Machine, view: WorkerView) -> None:
-        """A trusted report. A machine's first says what differs; later ones, what still does."""
-        if machine.id in self._heard:
-            if self._open.of(machine.id):
-                classes = classify_machine_tasks(self._cluster, machine, view)
-                found = differences(machine, view, classes)
-                self._open.keep(machine.id, found, self._clock.now())
-            return
-        self._heard.add(machine.id)
-        self._unheard.discard(machine.id)
+    # -- heartbeats and orders -------------------------------------------------------
+
+    def note_heartbeat(self, machine: Machine, view: WorkerView) -> None:
+        """Takes in a heartbeat with this owner's token.
+
+        A machine's first heartbeat shows what differs, a later one what still does.
+        """
+        if machine.id not in self._reported:
+            self._note_first_heartbeat(machine, view)
+        elif self._differences.of_machine(machine.id):
+            classes = classify_machine_tasks(self._cluster, machine, view)
+            found = find_differences(machine, view, classes)
+            self._differences.update(machine.id, found, self._clock.now())
+
+    def _note_first_heartbeat(self, machine: Machine, view: WorkerView) -> None:
+        self._reported.add(machine.id)
+        self._not_reported.discard(machine.id)
         classes = classify_machine_tasks(self._cluster, machine, view)
-        self.tasks_known += len(classes)
-        self.classes.update(classes.values())
-        self._open.first(machine.id, differences(machine, view, classes), self._clock.now())
-
-    def admits(self, machine: Machine, order: Command) -> bool:
-        """Whether an order may be sent now. Whatever is not recovery's matter may."""
-        job, _, index = order.task.rpartition("/")
-        difference = self._open.of(machine.id).get(AttemptId(job, int(index), order.attempt))
+        self.statistics.tasks_known += len(classes)
+        self.statistics.task_classes.update(classes.values())
+        found = find_differences(machine, view, classes)
+        self._differences.add_all(machine.id, found, self._clock.now())
+
+    def admit(self, machine: Machine, command: Command) -> bool:
+        """Decides whether a command may be sent now, and counts it if so.
+
+        A command that does not resolve one of the recovery's differences is always admitted.
+        """
+        job, _, index = command.task.rpartition("/")
+        attempt = AttemptId(job, int(index), command.attempt)
+        difference = self._differences.of_machine(machine.id).get(attempt)
         if difference is None:
             return True
-        if difference.rule.urgency is not Urgency.FENCE and not self._is_due(difference):
+        if difference.rule.urgency is not Urgency.FENCE and not self._take_turn(difference):
             return False
-        self.orders[order.op] += 1
-        self._open.ordered(difference)
+        self.statistics.orders[command.op] += 1
+        self._differences.note_ordered(difference)
         return True
 
-    def _is_due(self, difference: Difference) -> bool:
-        if self.phase not in (Phase.SETTLING, Phase.STEADY):
+    def _take_turn(self, difference: Difference) -> bool:
+        """Takes tokens of the rate limits if the difference may be resolved now."""
+        return self._is_permitted(difference) and self._rate_limiter.take_for_worker(
+            difference.machine
+        )
+
+    def _is_permitted(self, difference: Difference) -> bool:
+        """Whether phase, batch, evidence and breaker permit an order for the difference."""
+        if self.phase not in RESOLVING_PHASES or self._waits_for_batch(difference):
             return False
-        is_batched = difference.rule.urgency is Urgency.CLEAN_UP and self.phase is Phase.SETTLING
-        if is_batched and difference.machine not in self._batches.admitted:
+        if self._lacks_fresh_read(difference):
             return False
-        if difference.rule.proof is Proof.FRESH_READ and not self._open.is_read(
-            difference, self.read_at
-        ):
+        if difference.rule.needs_breaker and self.is_breaker_open:
             return False
-        if difference.rule.is_braked and self.is_braked:
+        # The plan may be older than a move of the task: then it has to end where it runs first.
+        is_start = difference.task_class is TaskClass.ABSENT
+        return not (is_start and self.is_running_unplanned(difference.key))
+
+    def _waits_for_batch(self, difference: Difference) -> bool:
+        is_batched = difference.rule.urgency is Urgency.CLEAN_UP
+        if not is_batched or self.phase is not RecoveryPhase.SETTLING:
             return False
-        if difference.task_class is TaskClass.ABSENT and self.is_claimed(difference.key):
-            # the plan may be of before the task was moved: first it has to end where it runs
+        return difference.machine not in self._batches.admitted
+
+    def _lacks_fresh_read(self, difference: Difference) -> bool:
+        if difference.rule.evidence is not ActionEvidence.FRESH_READ:
             return False
-        worker = self._worker_pace(difference.machine)
-        return worker.available() >= 1 and self._pace.take() and worker.take()
-
-    def _worker_pace(self, machine_id: str) -> Pacer:
-        pace = self._worker_paces.get(machine_id)
-        if pace is None:
-            settings = self._settings
-            pace = Pacer(self._clock, settings.worker_orders_per_s, settings.orders_per_worker)
-            self._worker_paces[machine_id] = pace
-        return pace
-
-    def may_give_up(self, machine: Machine) -> bool:
-        """Whether the machine may be marked to be returned."""
+        return not self._differences.has_fresh_read(difference, self.last_read_sent_at)
+
+    def admit_release(self, machine: Machine) -> bool:
+        """Decides whether the machine may be marked for return to the cloud, and counts it."""
         if self.has_ended:
             return True
-        if self.phase not in (Phase.SETTLING, Phase.STEADY):
+        if self.phase not in RESOLVING_PHASES:
             return False
-        if not MACHINE_RULES[self._class_of(machine)].is_braked:
+        if not MACHINE_RULES[self._class_of(machine)].needs_breaker:
             return True
-        if self._releases.demand(machine.id):
+        self._releases.request(machine.id)
+        if self._releases.is_permitted(machine.id):
             return True
-        if self.is_braked or not self._pace.take():
+        if self.is_breaker_open or not self._rate_limiter.take_for_shard():
             return False
-        self._releases.do(machine.id)
-        self.orders[RELEASE] += 1
+        self._releases.permit(machine.id)
+        self.statistics.orders[RELEASE_ORDER] += 1
         return True
--- /dev/null
+++ b/crossmill/recovery/unresolved_differences.py
@@ -0,0 +1,153 @@
+"""The unresolved differences of a shard, and totals over all of them.
+
+The totals are updated with each change, so the cost of a heartbeat does not depend on how many
+differences other machines have.
+"""
+
+from collections import Counter
+
+from ..cluster.model import AttemptId
+from .circuit_breaker import Impact
+from .classification import ActionEvidence, RecoveryAction, TaskClass
+from .differences import Difference, TaskKey
+
+# classes of tasks that run without a plan: meanwhile they may not be placed elsewhere
+RUNNING_UNPLANNED_CLASSES = frozenset({TaskClass.NEVER_STORED, TaskClass.OTHER_ATTEMPT})
+
+AttemptDifferences = dict[AttemptId, Difference]
+
+
+class UnresolvedDifferences:
+    """The unresolved differences by machine, and what the circuit breaker counts.
+
+    The breaker also counts differences that recovery's own orders have resolved.
+    """
+
+    def __init__(self) -> None:
+        self._by_machine: dict[str, AttemptDifferences] = {}
+        self.count = 0
+        self._running_unplanned: Counter[TaskKey] = Counter()
+        # by attempt whose order needs a fresh read: when the difference was first reported
+        self._reported_at: dict[AttemptId, float] = {}
+        # what the breaker counts: differences that are unresolved or were resolved by an order
+        self._counted: set[Difference] = set()
+        self._actions: Counter[RecoveryAction] = Counter()
+        self._ordered: set[Difference] = set()
+
+    def machines(self) -> list[str]:
+        """Returns the machines with differences."""
+        return list(self._by_machine)
+
+    def of_machine(self, machine_id: str) -> AttemptDifferences:
+        """Returns the differences of a machine."""
+        return self._by_machine.get(machine_id, {})
+
+    def add_all(self, machine_id: str, found: list[Difference], now: float) -> None:
+        """Adds the differences that a machine's first heartbeat shows."""
+        for difference in found:
+            self._add(machine_id, difference, now)
+
+    def update(self, machine_id: str, found: list[Difference], now: float) -> None:
+        """Compares a machine's differences with those that a later heartbeat shows.
+
+        A difference that the heartbeat no longer shows is resolved. The class of one that remains
+        may have changed, for example because its job was cancelled. New ones are not added: only
+        those of a machine's first heartbeat belong to the recovery.
+        """
+        remaining = {_attempt_id(difference): difference for difference in found}
+        for attempt, difference in list(self.of_machine(machine_id).items()):
+            present = remaining.get(attempt)
+            if present == difference:
+                continue
+            self._remove(machine_id, difference)
+            if present is not None:
+                self._add(machine_id, present, now)
+
+    def drop_machine(self, machine_id: str) -> None:
+        """Drops the differences of a machine that is gone or belongs to another shard."""
+        for difference in list(self.of_machine(machine_id).values()):
+            self._remove(machine_id, difference)
+
+    def _add(self, machine_id: str, difference: Difference, now: float) -> None:
+        attempt = _attempt_id(difference)
+        self._by_machine.setdefault(machine_id, {})[attempt] = difference
+        self.count += 1
+        if difference.task_class in RUNNING_UNPLANNED_CLASSES:
+            self._running_unplanned[difference.key] += 1
+        if difference.rule.evidence is ActionEvidence.FRESH_READ:
+            self._reported_at[attempt] = now
+        if difference.rule.needs_breaker:
+            self._counted.add(difference)
+            self._actions[difference.rule.action] += 1
+
+    def _remove(self, machine_id: str, difference: Difference) -> None:
+        attempt = _attempt_id(difference)
+        differences = self._by_machine[machine_id]
+        del differences[attempt]
+        if not differences:
+            del self._by_machine[machine_id]
+        self.count -= 1
+        if difference.task_class in RUNNING_UNPLANNED_CLASSES:
+            self._running_unplanned[difference.key] -= 1
+        self._reported_at.pop(attempt, None)
+        if difference not in self._ordered:
+            self._stop_counting(difference)
+
+    def _stop_counting(self, difference: Difference) -> None:
+        if difference in self._counted:
+            self._counted.discard(difference)
+            self._actions[difference.rule.action] -= 1
+
+    # -- evidence --------------------------------------------------------------------
+
+    def needs_read(self, last_read_sent_at: float | None) -> bool:
+        """Whether an order needs a read that was sent after the heartbeat it follows from."""
+        return any(
+            last_read_sent_at is None or reported_at >= last_read_sent_at
+            for reported_at in self._reported_at.values()
+        )
+
+    def has_fresh_read(self, difference: Difference, last_read_sent_at: float | None) -> bool:
+        """Whether the last read was sent after the difference was first reported."""
+        reported_at = self._reported_at.get(_attempt_id(difference))
+        if reported_at is None or last_read_sent_at is None:
+            return False
+        return last_read_sent_at > reported_at
+
+    def is_running_unplanned(self, key: TaskKey) -> bool:
+        """Whether some machine runs the task although no plan contains it."""
+        return self._running_unplanned[key] > 0
+
+    # -- the circuit breaker ---------------------------------------------------------
+
+    def note_ordered(self, difference: Difference) -> None:
+        """Notes that an order was sent, so that the breaker keeps counting the difference."""
+        self._ordered.add(difference)
+
+    def approve(self) -> None:
+        """Excludes from the count what the breaker counts now: an operator approved it."""
+        for difference in list(self._counted):
+            self._stop_counting(difference)
+
+    def held_back(self) -> list[Difference]:
+        """Returns the unresolved differences that the breaker counts."""
+        return [
+            difference
+            for differences in self._by_machine.values()
+            for difference in differences.values()
+            if difference in self._counted
+        ]
+
+    def impact(self, releases: int, tasks_known: int, machines_known: int) -> Impact:
+        """Returns what recovery would do and has done without an approval."""
+        return Impact(
+            stops=self._actions[RecoveryAction.STOP],
+            restarts=self._actions[RecoveryAction.START],
+            releases=releases,
+            tasks_known=tasks_known,
+            machines_known=machines_known,
+        )
+
+
+def _attempt_id(difference: Difference) -> AttemptId:
+    return AttemptId(difference.job, difference.index, difference.attempt)
--- a/crossmill/recovery/verbs.py
+++ b/crossmill/recovery/verbs.py
@@ -1,4 +1,4 @@
-"""The client verbs about recoveries."""
+"""The command line's verbs for recoveries: `recovery show` and `recovery approve`."""
 
 import argparse
 from collections.abc import Callable
@@ -11,7 +11,7 @@
     parser: argparse.ArgumentParser,
     add_client_options: Callable[[argparse.ArgumentParser, str, str, str], None],
 ) -> None:
-    """The verbs under `recovery`."""
+    """Adds the verbs of `recovery` to the command line's parser."""
     verbs = parser.add_subparsers(dest="recovery_verb", required=True, metavar="VERB")
     show = verbs.add_parser("show", help="shards that recover, brakes, and past recoveries")
     approve = verbs.add_parser("approve", help="let a braked shard go on with what was shown")
@@ -24,7 +24,7 @@
 
 
 def request_of(args: argparse.Namespace) -> ClientRequest:
-    """The request of a verb; raises BadUsage."""
+    """Returns the request for a verb; raises BadUsage for an invalid shard."""
     if args.recovery_verb == "show":
         return ClientRequest("GET", RECOVERY_PATH)
     if args.shard < 0:
@@ -33,5 +33,5 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Sends the request of a verb and prints the answer; the exit code."""
+    """Sends the verb's request, prints the answer and returns the exit code."""
     return run_verb(args, request_of)
--- a/crossmill/wire/checks.py
+++ b/crossmill/wire/checks.py
@@ -1,19 +1,32 @@
-"""Checks of untrusted JSON values shared by every message."""
+"""Checks of the fields of untrusted JSON objects, shared by all messages.
+
+Each check returns the field's value with its proper type, or raises MalformedMessageError.
+"""
 
 import math
-from typing import Any
+from typing import Any, TypeVar
 
 import orjson
 
 U64 = 1 << 64
 
+_Value = TypeVar("_Value")
+
 
 class MalformedMessageError(ValueError):
-    """A message that is not what the protocol says."""
+    """A received message does not have the form that the protocol gives it.
+
+    The sender is told the text. `field` is the name of the invalid field on the wire; None if the
+    message as a whole is malformed.
+    """
+
+    def __init__(self, problem: str, field: str | None = None) -> None:
+        super().__init__(problem if field is None else f"{field}: {problem}")
+        self.field = field
 
 
 def load_object(body: bytes) -> dict[str, Any]:
-    """A JSON object; raises MalformedMessageError."""
+    """Returns the JSON object in a body; raises MalformedMessageError."""
     try:
         value = orjson.loads(body)
     except orjson.JSONDecodeError as exc:
@@ -24,51 +37,67 @@
 
 
 def text(data: dict[str, Any], name: str) -> str:
-    """A field with a non-empty string; raises MalformedMessageError."""
+    """Returns a field with a non-empty string."""
     value = data.get(name)
     if type(value) is not str or not value:
-        raise MalformedMessageError(f"{name}: a non-empty string is needed")
+        raise MalformedMessageError("a non-empty string is needed", name)
     return value
 
 
 def optional_text(data: dict[str, Any], name: str) -> str | None:
-    """The same, or None if it is null or missing."""
+    """Returns a field with a non-empty string; None if it is null or missing."""
     return None if data.get(name) is None else text(data, name)
 
 
 def amount(data: dict[str, Any], name: str) -> float:
-    """A field with a finite number of at least 0; raises MalformedMessageError."""
+    """Returns a field with a finite number of at least 0."""
     value: Any = data.get(name)
-    # bool is an int in Python, and would pass as an amount of one
+    # bool is a subclass of int, so isinstance would accept true as 1
     if type(value) not in (int, float) or not math.isfinite(value) or value < 0:
-        raise MalformedMessageError(f"{name}: an amount of at least 0 is needed")
+        raise MalformedMessageError("an amount of at least 0 is needed", name)
     return float(value)
 
 
 def optional_amount(data: dict[str, Any], name: str) -> float | None:
-    """The same, or None if it is null or missing."""
+    """Returns a field with a finite number of at least 0; None if it is null or missing."""
     return None if data.get(name) is None else amount(data, name)
 
 
 def count(data: dict[str, Any], name: str, low: int = 0, high: int = U64 - 1) -> int:
-    """A field with a whole number within bounds; raises MalformedMessageError."""
+    """Returns a field with an integer from `low` to `high`."""
     value = data.get(name)
     if type(value) is not int or not low <= value <= high:
-        raise MalformedMessageError(f"{name}: a whole number from {low} to {high} is needed")
+        raise MalformedMessageError(f"a whole number from {low} to {high} is needed", name)
     return value
 
 
 def flag(data: dict[str, Any], name: str) -> bool:
-    """A field with true or false; raises MalformedMessageError."""
+    """Returns a field with true or false."""
     value = data.get(name)
     if type(value) is not bool:
-        raise MalformedMessageError(f"{name}: true or false is needed")
+        raise MalformedMessageError("true or false is needed", name)
     return value
 
 
 def one_of(data: dict[str, Any], name: str, known: dict[str, str]) -> str:
-    """What a field's known spelling stands for; raises MalformedMessageError."""
+    """Returns the internal name of a field's value; `known` maps the wire names to it."""
     value = data.get(name)
     if type(value) is not str or value not in known:
-        raise MalformedMessageError(f"{name}: one of {', '.join(known)} is needed")
+        raise MalformedMessageError(f"one of {', '.join(known)} is needed", name)
     return known[value]
+
+
+def list_of(data: dict[str, Any], name: str, kind: type[_Value], description: str) -> list[_Value]:
+    """Returns a field with a list whose elements are of one JSON type.
+
+    Args:
+        data: the message
+        name: the field's name
+        kind: the elements' exact type
+        description: the elements in the plural, for the error's text
+    """
+    values: Any = data.get(name)
+    # the exact type, since bool is a subclass of int
+    if type(values) is not list or not all(type(value) is kind for value in values):
+        raise MalformedMessageError(f"a list of {description} is needed", name)
+    return list(values)
--- a/crossmill/wire/cloud.py
+++ b/crossmill/wire/cloud.py
@@ -1,4 +1,4 @@
-"""Messages to and from the cloud."""
+"""Messages to and from the cloud (PROTOCOL, "Controller nodes -> cloud")."""
 
 from typing import Any, NamedTuple
 
@@ -9,14 +9,19 @@
 CATALOG_PATH = "/catalog"
 MACHINES_PATH = "/hosts"
 RELEASE_PATH = "/hosts/release"
+# the most machines in one rental request, in one release, and in one page of the list
 MAX_RENT = 50
 MAX_RELEASE = 100
 MAX_LIST = 500
+# a machine's state by its spelling on the wire
 _STATES = {"starting": "booting", "running": "running", "failed": "failed"}
 
 
 class MachineType(NamedTuple):
-    """A machine type of the cloud's catalog."""
+    """A machine type of the cloud's catalog (GET /catalog).
+
+    The catalog is stored with these field names. Prices are per hour; `boot_s` is nominal.
+    """
 
     name: str
     cpus: float
@@ -31,7 +36,7 @@
 
 
 class Listed(NamedTuple):
-    """A machine in the cloud's list."""
+    """A machine in the cloud's list (GET /hosts); `age_s` counts from the rental request."""
 
     id: str
     address: str
@@ -42,15 +47,27 @@
     age_s: float
 
 
+class MachinePage(NamedTuple):
+    """A page of the machine list (GET /hosts)."""
+
+    machines: list[Listed]
+    has_next: bool
+
+
 def parse_catalog(data: dict[str, Any]) -> dict[str, MachineType]:
-    """The machine types by name."""
+    """Returns the machine types by name (GET /catalog).
+
+    Raises:
+        MalformedMessageError: if a field does not have the form that the protocol gives it.
+        KeyError: if a machine type has no name.
+    """
     types = data.get("frames")
     if type(types) is not list:
-        raise checks.MalformedMessageError("frames: a list is needed")
-    return {t["sku"]: _machine_type(t) for t in types if type(t) is dict}
+        raise checks.MalformedMessageError("a list is needed", "frames")
+    return {entry["sku"]: _parse_machine_type(entry) for entry in types if type(entry) is dict}
 
 
-def _machine_type(data: dict[str, Any]) -> MachineType:
+def _parse_machine_type(data: dict[str, Any]) -> MachineType:
     return MachineType(
         name=checks.text(data, "sku"),
         cpus=checks.amount(data, "cpus"),
@@ -66,31 +83,40 @@
 
 
 def rent_body(request: str, type_name: str, zone: str, spot: bool, number: int) -> bytes:
-    """A rental request."""
+    """Encodes a rental request (POST /hosts).
+
+    Args:
+        request: a name that was never used before; the cloud answers a repeated one the same way
+            and rents nothing
+        type_name: the machine type
+        zone: the zone
+        spot: whether spot machines are rented
+        number: how many machines, up to MAX_RENT
+    """
     return orjson.dumps(
         {"hireSlip": request, "frame": type_name, "yard": zone, "loaners": spot, "number": number}
     )
 
 
 def parse_rented(data: dict[str, Any]) -> list[str]:
-    """The machines that were rented."""
+    """Returns the machines that were rented, which may be fewer than requested (POST /hosts)."""
     return [m for m in data.get("stones") or () if type(m) is str]
 
 
 def release_body(machines: list[str]) -> bytes:
-    """A request to return machines."""
+    """Encodes a request to return up to MAX_RELEASE machines (POST /hosts/release)."""
     return orjson.dumps({"stones": machines})
 
 
 def list_path(after: str) -> str:
-    """The path of a page of the machine list."""
+    """Returns the path of the page that follows the machine `after`; empty for the first."""
     cursor = f"after={after}&" if after else ""
     return f"{MACHINES_PATH}?{cursor}limit={MAX_LIST}"
 
 
-def parse_list(data: dict[str, Any]) -> tuple[list[Listed], bool]:
-    """A page of the machine list, and whether there is another."""
-    rows = [
+def parse_list(data: dict[str, Any]) -> MachinePage:
+    """Parses a page of the machine list (GET /hosts); raises MalformedMessageError."""
+    machines = [
         Listed(
             id=checks.text(m, "nameId"),
             address=checks.optional_text(m, "address") or "",
@@ -102,4 +128,4 @@
         )
         for m in data.get("stones") or ()
     ]
-    return rows, data.get("hasNext") is True
+    return MachinePage(machines, data.get("hasNext") is True)
--- a/crossmill/wire/peers.py
+++ b/crossmill/wire/peers.py
@@ -1,4 +1,9 @@
-"""What controllers say to one another."""
+"""Messages between controllers.
+
+PROTOCOL leaves them to the service (section "Controller nodes <-> controller nodes");
+docs/safety.md
+says what they are for. The paths and field names are part of the interface between versions.
+"""
 
 from typing import NamedTuple
 
@@ -13,85 +18,92 @@
 
 
 class ExtensionRequest(NamedTuple):
-    """A controller that can't renew its lease asks that its shards be left alone."""
+    """A request of a controller that can't renew its lease: peers should not acquire its shards."""
 
     label: str
     shards: tuple[int, ...]
 
 
-def _shards(data: dict[str, object]) -> tuple[int, ...]:
-    shards = data.get("shards")
-    if type(shards) is not list or not all(type(s) is int for s in shards):
-        raise checks.MalformedMessageError("shards: a list of numbers is needed")
-    return tuple(shards)
+def _parse_shards(data: dict[str, object]) -> tuple[int, ...]:
+    return tuple(checks.list_of(data, "shards", int, "numbers"))
 
 
-def extension_request_body(claim: ExtensionRequest) -> bytes:
-    """A request for promises."""
-    return orjson.dumps(claim._asdict())
+def extension_request_body(request: ExtensionRequest) -> bytes:
+    """Encodes a request for a lease extension."""
+    return orjson.dumps(request._asdict())
 
 
 def parse_extension_request(body: bytes) -> ExtensionRequest:
-    """A request for promises, checked."""
+    """Parses a request for a lease extension; raises MalformedMessageError."""
     data = checks.load_object(body)
-    return ExtensionRequest(checks.text(data, "label"), _shards(data))
+    return ExtensionRequest(checks.text(data, "label"), _parse_shards(data))
 
 
 def extension_grant_body(served_ago_s: float | None) -> bytes:
-    """How long ago the state service last served whoever promises, if it ever did."""
+    """Encodes the grant of a lease extension.
+
+    Args:
+        served_ago_s: seconds since the state service last served the granting controller; None if
+            it never did
+    """
     return orjson.dumps({"servedAgoS": served_ago_s})
 
 
 def parse_extension_grant(body: bytes) -> float | None:
-    """How long ago the state service last served whoever promises."""
+    """Returns how long ago the state service last served the granting controller, in seconds.
+
+    Raises:
+        MalformedMessageError: if the body is no grant.
+    """
     return checks.optional_amount(checks.load_object(body), "servedAgoS")
 
 
 def owned_shards_body(shards: list[int]) -> bytes:
-    """The shards that a controller acts for or takes."""
+    """Encodes the shards that a controller owns or is acquiring."""
     return orjson.dumps({"shards": shards})
 
 
 def parse_owned_shards(body: bytes) -> tuple[int, ...]:
-    """The shards that a controller acts for or takes, checked."""
-    return _shards(checks.load_object(body))
-
-
-def _names(body: bytes, field: str) -> tuple[str, ...]:
-    names = checks.load_object(body).get(field)
-    if type(names) is not list or not all(type(n) is str for n in names):
-        raise checks.MalformedMessageError(f"{field}: a list of names is needed")
-    return tuple(names)
+    """Returns the shards that a controller owns or is acquiring; raises MalformedMessageError."""
+    return _parse_shards(checks.load_object(body))
 
 
 def machines_body(machines: list[str]) -> bytes:
-    """Machines not heard of: who has kept them alive, and will it be left?"""
+    """Encodes a request for attestations: since when has nobody answered these machines?"""
     return orjson.dumps({"machines": machines})
 
 
 def parse_machines(body: bytes) -> tuple[str, ...]:
-    """The machines that are asked about."""
-    return _names(body, "machines")
+    """Returns the machines that a request for attestations names; raises MalformedMessageError."""
+    return tuple(checks.list_of(checks.load_object(body), "machines", str, "names"))
 
 
-def attestations_body(quiet_s: list[float]) -> bytes:
-    """For each machine asked about, how long it has not been answered for certain."""
-    return orjson.dumps({"quietS": quiet_s})
+def attestations_body(unanswered_s: list[float]) -> bytes:
+    """Encodes, for each machine asked about, for how many seconds it was certainly not answered."""
+    return orjson.dumps({"quietS": unanswered_s})
 
 
 def parse_attestations(body: bytes) -> list[float]:
-    """For how long each machine has certainly not been answered."""
-    spans = checks.load_object(body).get("quietS")
-    if type(spans) is not list or not all(type(s) in (int, float) and s >= 0 for s in spans):
-        raise checks.MalformedMessageError("quietS: a list of times is needed")
-    return [float(s) for s in spans]
+    """Returns, for each machine, for how many seconds it was certainly not answered.
+
+    Raises:
+        MalformedMessageError: if the body contains no list of spans.
+    """
+    spans_s = checks.load_object(body).get("quietS")
+    if type(spans_s) is not list or not all(_is_span(span_s) for span_s in spans_s):
+        raise checks.MalformedMessageError("a list of times is needed", "quietS")
+    return [float(span_s) for span_s in spans_s]
+
+
+def _is_span(value: object) -> bool:
+    return type(value) in (int, float) and value >= 0  # type: ignore[operator]
 
 
 def cancellation_body(job: str) -> bytes:
-    """A job about to be withdrawn."""
+    """Encodes the announcement that a job is about to be cancelled."""
     return orjson.dumps({"jobs": [job]})
 
 
 def parse_cancellations(body: bytes) -> tuple[str, ...]:
-    """The jobs that are about to be cancelled."""
-    return _names(body, "jobs")
+    """Returns the jobs that are about to be cancelled; raises MalformedMessageError."""
+    return tuple(checks.list_of(checks.load_object(body), "jobs", str, "names"))
--- a/crossmill/wire/recovery.py
+++ b/crossmill/wire/recovery.py
@@ -1,4 +1,8 @@
-"""What operators and controllers say about recoveries."""
+"""Messages between operators and controllers about recoveries.
+
+They are not part of PROTOCOL; docs/recovery-operations.md describes them. The fields of the named
+tuples are the fields of the messages, so they keep their names.
+"""
 
 from typing import NamedTuple
 
@@ -11,14 +15,14 @@
 
 
 class Approval(NamedTuple):
-    """An operator lets a braked shard go on with exactly what the digest names."""
+    """An operator's approval of exactly the actions that the digest identifies."""
 
     shard: int
     digest: str
 
 
-class BrakedReport(NamedTuple):
-    """What a shard would do, and does not."""
+class BreakerReport(NamedTuple):
+    """What the open circuit breaker of a shard holds back; also stored in this form."""
 
     shard: int
     token: int
@@ -31,43 +35,50 @@
 
 
 class PhaseReport(NamedTuple):
-    """Where the recovery of a shard that the answering controller owns is."""
+    """The state of a recovery in progress on the answering controller."""
 
     shard: int
     token: int
     phase: str
     waits_for: str
     is_braked: bool
-    # whether all is let through, and this is only what would be
+    # whether nothing is withheld, and `is_braked` only says what would be
     is_dry_run: bool
 
 
 def approval_body(approval: Approval) -> bytes:
-    """A request of an operator."""
+    """Encodes an operator's approval."""
     return orjson.dumps(approval._asdict())
 
 
 def parse_approval(body: bytes) -> Approval:
-    """A request of an operator, checked; raises MalformedMessageError."""
+    """Parses an operator's approval; raises MalformedMessageError."""
     data = checks.load_object(body)
     shard = data.get("shard")
     if type(shard) is not int or shard < 0:
-        raise checks.MalformedMessageError("shard: a number is needed")
+        raise checks.MalformedMessageError("a number is needed", "shard")
     return Approval(shard, checks.text(data, "digest"))
 
 
 def overview_body(
     controller: str,
     phases: list[PhaseReport],
-    braked: list[BrakedReport],
+    breakers: list[BreakerReport],
     records: list[dict[str, object]],
 ) -> bytes:
-    """What an operator is shown."""
+    """Encodes the overview for operators, indented to be read.
+
+    Args:
+        controller: the label of the answering controller
+        phases: the recoveries in progress on it
+        breakers: the open circuit breakers of all shards
+        records: the stored records of past recoveries
+    """
     return orjson.dumps(
         {
             "controller": controller,
             "recovering": [phase._asdict() for phase in phases],
-            "braked": [report._asdict() for report in braked],
+            "braked": [report._asdict() for report in breakers],
             "records": records,
         },
         option=orjson.OPT_INDENT_2,
@@ -75,5 +86,5 @@
 
 
 def error_body(text: str) -> bytes:
-    """Why a request was refused."""
+    """Encodes the reason why a request was refused."""
     return orjson.dumps({"error": text})
--- a/crossmill/wire/state.py
+++ b/crossmill/wire/state.py
@@ -1,15 +1,24 @@
-"""Messages to and from the state service."""
+"""Messages to and from the state service (PROTOCOL, "Controller nodes -> state service").
+
+The state service is trusted: its answers are decoded without checks. An answer that lacks a field
+raises KeyError.
+"""
 
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
 import orjson
 
-MAX_ROWS = 1000
+LEASES_PATH = "/holds"
+TXN_PATH = "/txn"
+# the most keys in one page of a list
+MAX_KEYS = 1000
+# the status of a transaction with a condition that does not hold
+CONFLICT = 409
 
 
 class KeyValue(NamedTuple):
-    """A key with its value and version."""
+    """A key with its value and version (GET /keys)."""
 
     key: str
     value: Any
@@ -17,7 +26,7 @@
 
 
 class Event(NamedTuple):
-    """A change of a key."""
+    """A change of a key (GET /changes)."""
 
     key: str
     value: Any
@@ -25,9 +34,31 @@
     deleted: bool
 
 
+class KeyPage(NamedTuple):
+    """A page of a list of keys (GET /keys?prefix=)."""
+
+    keys: list[KeyValue]
+    has_next: bool
+    revision: int
+
+
+class ChangeBatch(NamedTuple):
+    """All changes up to a revision (GET /changes)."""
+
+    revision: int
+    events: list[Event]
+
+
+class TransactionAnswer(NamedTuple):
+    """The revision of a transaction, and the keys whose conditions failed (POST /txn)."""
+
+    revision: int
+    failed_keys: list[str]
+
+
 @dataclass(slots=True, eq=False)
 class Put:
-    """A write of a key, attached to a lease if one is given."""
+    """A write of a key in a transaction, attached to a lease if one is given (POST /txn)."""
 
     key: str
     value: Any
@@ -36,7 +67,11 @@
 
 @dataclass(slots=True, eq=False)
 class Txn:
-    """Changes that are made together if all conditions hold."""
+    """A compare-and-swap transaction (POST /txn).
+
+    All changes are made together if each key in `conditions` has the given version; version 0
+    stands for a key that does not exist.
+    """
 
     conditions: dict[str, int] = field(default_factory=dict)
     puts: list[Put] = field(default_factory=list)
@@ -44,75 +79,74 @@
 
 
 def txn_body(txn: Txn) -> bytes:
-    """A transaction as it is sent."""
-    apply: list[dict[str, Any]] = []
-    for put in txn.puts:
-        entry: dict[str, Any] = {"write": put.key, "data": put.value}
-        if put.lease is not None:
-            entry["tenure"] = put.lease
-        apply.append(entry)
-    apply.extend({"delete": key} for key in txn.deletes)
-    when = [{"k": key, "stamp": version} for key, version in txn.conditions.items()]
-    return orjson.dumps({"when": when, "apply": apply})
+    """Encodes a transaction (POST /txn)."""
+    changes = [_put_entry(put) for put in txn.puts]
+    changes.extend({"delete": key} for key in txn.deletes)
+    conditions = [{"k": key, "stamp": version} for key, version in txn.conditions.items()]
+    return orjson.dumps({"when": conditions, "apply": changes})
+
+
+def _put_entry(put: Put) -> dict[str, Any]:
+    entry = {"write": put.key, "data": put.value}
+    if put.lease is not None:
+        entry["tenure"] = put.lease
+    return entry
 
 
-def parse_txn(status: int, data: dict[str, Any]) -> tuple[int, list[str]]:
-    """(revision, keys whose condition failed)"""
-    return int(data["ledgerRev"]), list(data["failed"]) if status == 409 else []
+def parse_txn(status: int, data: dict[str, Any]) -> TransactionAnswer:
+    """Parses the answer to a transaction, which has the status 200 or CONFLICT (POST /txn)."""
+    failed_keys = list(data["failed"]) if status == CONFLICT else []
+    return TransactionAnswer(int(data["ledgerRev"]), failed_keys)
 
 
 def list_path(prefix: str, after: str) -> str:
-    """The path of a page of keys."""
+    """Returns the path of the page of keys that follows the key `after`; empty for the first."""
     cursor = f"&after={after}" if after else ""
-    return f"/keys?prefix={prefix}{cursor}&limit={MAX_ROWS}"
+    return f"/keys?prefix={prefix}{cursor}&limit={MAX_KEYS}"
 
 
-def parse_list(data: dict[str, Any]) -> tuple[list[KeyValue], bool, int]:
-    """A page of keys, whether there is another, and the revision."""
-    rows = [KeyValue(r["k"], r["data"], r["stamp"]) for r in data["rows"]]
-    return rows, data["hasNext"] is True, int(data["ledgerRev"])
+def parse_list(data: dict[str, Any]) -> KeyPage:
+    """Parses a page of keys (GET /keys?prefix=)."""
+    keys = [KeyValue(row["k"], row["data"], row["stamp"]) for row in data["rows"]]
+    return KeyPage(keys, data["hasNext"] is True, int(data["ledgerRev"]))
 
 
 def key_path(key: str) -> str:
-    """The path of one key."""
+    """Returns the path of one key."""
     return f"/keys/{key}"
 
 
 def parse_key_value(data: dict[str, Any]) -> KeyValue:
-    """One key with its value and version."""
+    """Parses one key with its value and version (GET /keys/{key})."""
     return KeyValue(data["k"], data["data"], data["stamp"])
 
 
 def changes_path(prefix: str, after: int, wait_ms: int) -> str:
-    """The path of the changes after a revision."""
+    """Returns the path of the changes after a revision, waited for up to `wait_ms`."""
     return f"/changes?prefix={prefix}&after={after}&holdMs={wait_ms}"
 
 
-def parse_changes(data: dict[str, Any]) -> tuple[int, list[Event]]:
-    """The revision reached, and the changes up to it."""
+def parse_changes(data: dict[str, Any]) -> ChangeBatch:
+    """Parses the changes up to a revision (GET /changes)."""
     events = [
         Event(e["delete"], None, e["stamp"], True)
         if "delete" in e
         else Event(e["write"], e["data"], e["stamp"], False)
         for e in data["log"]
     ]
-    return int(data["ledgerRev"]), events
+    return ChangeBatch(int(data["ledgerRev"]), events)
 
 
 def acquire_lease_body(ttl_s: float) -> bytes:
-    """A request for a lease."""
+    """Encodes a request for a lease with the given time to live (POST /holds)."""
     return orjson.dumps({"ttlMs": int(ttl_s * 1000)})
 
 
 def parse_acquired_lease(data: dict[str, Any]) -> int:
-    """The new lease."""
+    """Returns the id of the new lease (POST /holds)."""
     return int(data["tenure"])
 
 
-LEASES_PATH = "/holds"
-TXN_PATH = "/txn"
-
-
 def renew_lease_path(lease: int) -> str:
-    """The path that renews a lease."""
-    return f"/holds/{lease}/renew"
+    """Returns the path that renews a lease (POST /holds/{id}/renew)."""
+    return f"{LEASES_PATH}/{lease}/renew"
--- a/tests/recovery_region.py
+++ b/tests/recovery_region.py
@@ -10,6 +10,7 @@
 
 from crossmill.net.server import Request, Response
 from crossmill.recovery.api import RecoveryApi
+from crossmill.recovery.context import RecoveryContext
 from crossmill.recovery.service import RecoveryService
 from crossmill.recovery.settings import RecoverySettings, parse
 from crossmill.recovery.shard_recovery import ShardRecovery
@@ -31,12 +32,12 @@
 
 def add_recovery(node: SteppedController, recovery: RecoverySettings) -> RecoveryApi:
     """Gives a controller the package's parts, as the application does."""
-    parts = node.settings, recovery, node.clock, node.cluster
-    service = RecoveryService(
-        *parts, node.membership, node.watcher, node.writer, node.forecast.priority_of
+    context = RecoveryContext(
+        node.settings, recovery, node.clock, node.cluster, node.watcher, node.writer
     )
+    service = RecoveryService(context, node.membership, node.forecast.priority_of)
     node.heartbeats.gate = service
-    return RecoveryApi(*parts, node.watcher, node.writer, service)
+    return RecoveryApi(context, service)
 
 
 class RecoveryRegion(Region):
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -12,11 +12,11 @@
 
 from crossmill.cluster import keys
 from crossmill.recovery import keys as recovery_keys
-from crossmill.recovery.open_differences import OpenDifferences
-from crossmill.recovery.phases import Phase
+from crossmill.recovery.phases import RecoveryPhase
 from crossmill.recovery.records import StoredApproval, encode_approval
 from crossmill.recovery.settings import RecoverySettings
 from crossmill.recovery.shard_recovery import ShardRecovery
+from crossmill.recovery.unresolved_differences import UnresolvedDifferences
 from crossmill.wire.recovery import APPROVE_PATH, RECOVERY_PATH, Approval, approval_body
 from crossmill.wire.workers import MAX_ORDERS, WorkerHeartbeat
 from crossmill.workers.views import HeartbeatVerdict, WorkerView
@@ -476,8 +476,8 @@
 # -- failures in the middle of a recovery --------------------------------------------
 
 
-@pytest.mark.parametrize("phase", list(Phase))
-def test_all_end_again_in_each_phase(phase: Phase) -> None:
+@pytest.mark.parametrize("phase", list(RecoveryPhase))
+def test_all_end_again_in_each_phase(phase: RecoveryPhase) -> None:
     async def scenario(region: RecoveryRegion) -> None:
         await _busy_region(region)
         odd = [w for w in region.workers.values() if w.tasks][:4]
@@ -486,12 +486,12 @@
         others = [w for w in region.workers.values() if w not in odd]
         await region.end_all()
         await curio.sleep(1.0)
-        seen: set[Phase] = set()
+        seen: set[RecoveryPhase] = set()
         await region.start_all()
 
         def is_reached() -> bool:
             seen.update(recovery.phase for recovery in region.recoveries())
-            if phase is Phase.STEADY:
+            if phase is RecoveryPhase.STEADY:
                 return region.steady()
             return phase in seen or region.steady()
 
@@ -575,11 +575,13 @@
         give_unplanned(odd, "wk-000001", 70, 9)
         others = [w for w in region.workers.values() if w is not odd]
         await region.restart_all(1.0)
-        await region.until(lambda: any(r.phase is Phase.SETTLING for r in region.recoveries()))
+        await region.until(
+            lambda: any(r.phase is RecoveryPhase.SETTLING for r in region.recoveries())
+        )
         label = next(
             r_label
             for r_label, service in region.services.items()
-            if any(r.phase is Phase.SETTLING for r in service.recoveries())
+            if any(r.phase is RecoveryPhase.SETTLING for r in service.recoveries())
         )
         region.still_until[label] = region.clock.now() + 8.0
         await curio.sleep(12.0)
@@ -684,7 +686,7 @@
 
 
 def test_a_missing_brake_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ShardRecovery, "is_braked", property(lambda self: False))
+    monkeypatch.setattr(ShardRecovery, "is_breaker_open", property(lambda self: False))
     with pytest.raises(AssertionError):
         test_nothing_is_torn_down_after_the_state_came_back_older_until_it_is_approved()
 
@@ -699,7 +701,7 @@
 def test_a_claim_that_is_not_honoured_is_caught(
     scenario: Callable[[], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(ShardRecovery, "is_claimed", lambda self, key: False)
+    monkeypatch.setattr(ShardRecovery, "is_running_unplanned", lambda self, key: False)
     with pytest.raises(AssertionError):
         scenario()
 
@@ -724,7 +726,9 @@
 
 
 def test_a_stop_without_a_fresh_read_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(OpenDifferences, "is_read", lambda self, difference, read_at: True)
+    monkeypatch.setattr(
+        UnresolvedDifferences, "has_fresh_read", lambda self, difference, last_read_sent_at: True
+    )
     with pytest.raises(AssertionError):
         test_a_task_never_recorded_is_stopped_only_after_a_read_newer_than_its_report()
 
--- a/tests/test_recovery_decisions.py
+++ b/tests/test_recovery_decisions.py
@@ -8,23 +8,28 @@
 from crossmill.cluster import keys
 from crossmill.cluster.model import CANCELLED, PlanChunk, PlannedAttempt
 from crossmill.cluster.records import encode_chunk, encode_end
-from crossmill.recovery.batches import Batches, batches_of
-from crossmill.recovery.brake import Impact, digest_of, is_mass_action
+from crossmill.recovery.circuit_breaker import Impact, digest_of, is_mass_action
 from crossmill.recovery.classification import (
     MACHINE_RULES,
     TASK_RULES,
-    Action,
-    Contact,
-    JobStanding,
+    JobStatus,
     MachineClass,
+    RecoveryAction,
     ReportedAttempt,
     StoredAttempt,
     TaskClass,
+    WorkerContact,
     classify_machine,
     classify_task,
 )
 from crossmill.recovery.differences import Difference, classify_machine_tasks
-from crossmill.recovery.phases import TRANSITIONS, IllegalTransition, Phase, check_transition
+from crossmill.recovery.pacing import MachineBatches, count_batches
+from crossmill.recovery.phases import (
+    TRANSITIONS,
+    RecoveryPhase,
+    RecoveryTransitionError,
+    check_transition,
+)
 from crossmill.settings import SettingsError
 from crossmill.wire.checks import MalformedMessageError
 from crossmill.wire.recovery import Approval, approval_body, parse_approval
@@ -34,67 +39,97 @@
 from .recovery_region import recovery_settings
 from .stepped_controller import RECORD_BYTES, SteppedController, add_job, run_scenario, seed
 
-HEARD, SILENT, ENDED = Contact.HEARD, Contact.SILENT, Contact.ENDED
-ACTIVE, OVER, UNKNOWN = JobStanding.ACTIVE, JobStanding.OVER, JobStanding.UNKNOWN
+REPORTING = WorkerContact.REPORTING
+UNRESPONSIVE = WorkerContact.UNRESPONSIVE
+EXPIRED = WorkerContact.LEASE_EXPIRED
+ACTIVE, ENDED, UNKNOWN = JobStatus.ACTIVE, JobStatus.ENDED, JobStatus.UNKNOWN
 SESSION = 2
 
 
 def test_every_other_transition_is_refused() -> None:
-    for old in Phase:
-        for new in Phase:
+    for old in RecoveryPhase:
+        for new in RecoveryPhase:
             if new in TRANSITIONS[old]:
                 check_transition(old, new)
             else:
-                with pytest.raises(IllegalTransition):
+                with pytest.raises(RecoveryTransitionError):
                     check_transition(old, new)
 
 
 def _here(attempt: int = 1, session: int = SESSION) -> StoredAttempt:
-    return StoredAttempt(attempt, session, here=True)
+    return StoredAttempt(attempt, session, is_here=True)
 
 
 def _runs(attempt: int = 1) -> ReportedAttempt:
-    return ReportedAttempt(attempt, exited=False)
+    return ReportedAttempt(attempt, has_exited=False)
 
 
-ELSEWHERE = StoredAttempt(2, SESSION, here=False)
+ELSEWHERE = StoredAttempt(2, SESSION, is_here=False)
 
 TASK_TABLE: list[
-    tuple[JobStanding, Contact, StoredAttempt | None, ReportedAttempt | None, TaskClass, Action]
+    tuple[
+        JobStatus,
+        WorkerContact,
+        StoredAttempt | None,
+        ReportedAttempt | None,
+        TaskClass,
+        RecoveryAction,
+    ]
 ] = [
-    (ACTIVE, HEARD, _here(), _runs(), TaskClass.HEALTHY, Action.NONE),
-    (ACTIVE, HEARD, _here(), ReportedAttempt(1, True), TaskClass.EXITED, Action.CONCLUDE),
-    (OVER, HEARD, _here(), _runs(), TaskClass.JOB_OVER, Action.STOP),
-    (OVER, HEARD, None, _runs(), TaskClass.JOB_OVER, Action.STOP),
-    (UNKNOWN, HEARD, _here(), _runs(), TaskClass.JOB_UNKNOWN, Action.WAIT),
-    (UNKNOWN, HEARD, _here(), None, TaskClass.JOB_UNKNOWN, Action.WAIT),
-    (ACTIVE, HEARD, _here(), None, TaskClass.ABSENT, Action.START),
-    (OVER, HEARD, _here(), None, TaskClass.NOT_STARTED, Action.CONCLUDE),
-    (ACTIVE, HEARD, _here(session=1), None, TaskClass.SESSION_OVER, Action.CONCLUDE),
-    (UNKNOWN, HEARD, _here(session=1), None, TaskClass.SESSION_OVER, Action.CONCLUDE),
-    (ACTIVE, HEARD, _here(session=3), None, TaskClass.NOTHING, Action.NONE),
-    (ACTIVE, HEARD, None, _runs(), TaskClass.NEVER_STORED, Action.STOP),
-    (UNKNOWN, HEARD, None, _runs(), TaskClass.NEVER_STORED, Action.STOP),
-    (ACTIVE, HEARD, _here(2), _runs(1), TaskClass.SUPERSEDED, Action.STOP),
-    (ACTIVE, HEARD, ELSEWHERE, _runs(1), TaskClass.SUPERSEDED, Action.STOP),
-    (ACTIVE, HEARD, _here(1), _runs(2), TaskClass.OTHER_ATTEMPT, Action.STOP),
-    (ACTIVE, HEARD, ELSEWHERE, _runs(2), TaskClass.OTHER_ATTEMPT, Action.STOP),
-    (ACTIVE, HEARD, None, ReportedAttempt(1, True), TaskClass.LEFT_OVER, Action.FORGET),
-    (ACTIVE, HEARD, ELSEWHERE, None, TaskClass.NOTHING, Action.NONE),
-    (ACTIVE, SILENT, _here(), None, TaskClass.SILENT, Action.WAIT),
-    (ACTIVE, ENDED, _here(), None, TaskClass.LEASE_OVER, Action.CONCLUDE),
-    (ACTIVE, SILENT, None, None, TaskClass.NOTHING, Action.NONE),
+    (ACTIVE, REPORTING, _here(), _runs(), TaskClass.HEALTHY, RecoveryAction.NONE),
+    (
+        ACTIVE,
+        REPORTING,
+        _here(),
+        ReportedAttempt(1, True),
+        TaskClass.EXITED,
+        RecoveryAction.RECORD_END,
+    ),
+    (ENDED, REPORTING, _here(), _runs(), TaskClass.JOB_ENDED, RecoveryAction.STOP),
+    (ENDED, REPORTING, None, _runs(), TaskClass.JOB_ENDED, RecoveryAction.STOP),
+    (UNKNOWN, REPORTING, _here(), _runs(), TaskClass.JOB_UNKNOWN, RecoveryAction.WAIT),
+    (UNKNOWN, REPORTING, _here(), None, TaskClass.JOB_UNKNOWN, RecoveryAction.WAIT),
+    (ACTIVE, REPORTING, _here(), None, TaskClass.ABSENT, RecoveryAction.START),
+    (ENDED, REPORTING, _here(), None, TaskClass.NOT_STARTED, RecoveryAction.RECORD_END),
+    (ACTIVE, REPORTING, _here(session=1), None, TaskClass.SESSION_ENDED, RecoveryAction.RECORD_END),
+    (
+        UNKNOWN,
+        REPORTING,
+        _here(session=1),
+        None,
+        TaskClass.SESSION_ENDED,
+        RecoveryAction.RECORD_END,
+    ),
+    (ACTIVE, REPORTING, _here(session=3), None, TaskClass.NOT_PRESENT, RecoveryAction.NONE),
+    (ACTIVE, REPORTING, None, _runs(), TaskClass.NEVER_STORED, RecoveryAction.STOP),
+    (UNKNOWN, REPORTING, None, _runs(), TaskClass.NEVER_STORED, RecoveryAction.STOP),
+    (ACTIVE, REPORTING, _here(2), _runs(1), TaskClass.SUPERSEDED, RecoveryAction.STOP),
+    (ACTIVE, REPORTING, ELSEWHERE, _runs(1), TaskClass.SUPERSEDED, RecoveryAction.STOP),
+    (ACTIVE, REPORTING, _here(1), _runs(2), TaskClass.OTHER_ATTEMPT, RecoveryAction.STOP),
+    (ACTIVE, REPORTING, ELSEWHERE, _runs(2), TaskClass.OTHER_ATTEMPT, RecoveryAction.STOP),
+    (
+        ACTIVE,
+        REPORTING,
+        None,
+        ReportedAttempt(1, True),
+        TaskClass.EXITED_UNPLANNED,
+        RecoveryAction.FORGET,
+    ),
+    (ACTIVE, REPORTING, ELSEWHERE, None, TaskClass.NOT_PRESENT, RecoveryAction.NONE),
+    (ACTIVE, UNRESPONSIVE, _here(), None, TaskClass.UNRESPONSIVE, RecoveryAction.WAIT),
+    (ACTIVE, EXPIRED, _here(), None, TaskClass.LEASE_EXPIRED, RecoveryAction.RECORD_END),
+    (ACTIVE, UNRESPONSIVE, None, None, TaskClass.NOT_PRESENT, RecoveryAction.NONE),
 ]
 
 
 @pytest.mark.parametrize(("job", "contact", "stored", "reported", "wanted", "action"), TASK_TABLE)
 def test_the_table_of_tasks(
-    job: JobStanding,
-    contact: Contact,
+    job: JobStatus,
+    contact: WorkerContact,
     stored: StoredAttempt | None,
     reported: ReportedAttempt | None,
     wanted: TaskClass,
-    action: Action,
+    action: RecoveryAction,
 ) -> None:
     assert classify_task(job, contact, SESSION, stored, reported) is wanted
     assert TASK_RULES[wanted].action is action
@@ -108,18 +143,18 @@
 @pytest.mark.parametrize(
     ("stored", "listed", "retiring", "contact", "wanted"),
     [
-        (True, True, False, HEARD, MachineClass.HEALTHY),
-        (True, None, False, HEARD, MachineClass.HEALTHY),
-        (True, False, False, HEARD, MachineClass.UNLISTED),
-        (True, True, False, SILENT, MachineClass.SILENT),
-        (True, False, False, ENDED, MachineClass.SILENT),
-        (True, True, True, HEARD, MachineClass.RETIRING),
-        (False, True, False, SILENT, MachineClass.UNKNOWN),
-        (False, False, False, HEARD, MachineClass.UNKNOWN),
+        (True, True, False, REPORTING, MachineClass.HEALTHY),
+        (True, None, False, REPORTING, MachineClass.HEALTHY),
+        (True, False, False, REPORTING, MachineClass.UNLISTED),
+        (True, True, False, UNRESPONSIVE, MachineClass.UNRESPONSIVE),
+        (True, False, False, EXPIRED, MachineClass.UNRESPONSIVE),
+        (True, True, True, REPORTING, MachineClass.RETIRING),
+        (False, True, False, UNRESPONSIVE, MachineClass.UNKNOWN),
+        (False, False, False, REPORTING, MachineClass.UNKNOWN),
     ],
 )
 def test_the_table_of_machines(
-    stored: bool, listed: bool | None, retiring: bool, contact: Contact, wanted: MachineClass
+    stored: bool, listed: bool | None, retiring: bool, contact: WorkerContact, wanted: MachineClass
 ) -> None:
     assert classify_machine(stored, listed, retiring, contact) is wanted
 
@@ -127,7 +162,7 @@
 # -- the classes agree with what the ordinary path does -------------------------------
 
 TASKS = 6
-JOBS = {"wk-000001": ACTIVE, "wk-000002": OVER, "wk-000003": UNKNOWN}
+JOBS = {"wk-000001": ACTIVE, "wk-000002": ENDED, "wk-000003": UNKNOWN}
 
 
 def _draw(rng: random.Random) -> tuple[dict[str, list[PlannedAttempt]], list[dict[str, Any]]]:
@@ -174,7 +209,7 @@
     return node, list(answer.commands)
 
 
-OPS = {Action.START: "start", Action.STOP: "stop", Action.FORGET: "forget"}
+OPS = {RecoveryAction.START: "start", RecoveryAction.STOP: "stop", RecoveryAction.FORGET: "forget"}
 
 
 @pytest.mark.parametrize("first", range(0, 200, 20))
@@ -205,7 +240,7 @@
             concluded = row is not None and node.heartbeats.outcomes.is_concluded(row)
             # beside another attempt of it, a row of an earlier session is over as well
             session_over = row is not None and row.session < SESSION and row.number != attempt
-            assert concluded == (action is Action.CONCLUDE or session_over), (drawn, key)
+            assert concluded == (action is RecoveryAction.RECORD_END or session_over), (drawn, key)
         assert ordered == expected, drawn
 
     run_scenario(scenario)
@@ -216,23 +251,23 @@
 
 def test_batches_rise_while_they_settle_and_begin_small_after_one_that_does_not() -> None:
     clock = FakeClock()
-    batches = Batches(clock, 1, 10.0)
+    batches = MachineBatches(clock, 1, 10.0)
     machines = [f"n-{n}" for n in range(10)]
     sizes = []
     while machines:
-        assert batches.is_due(machines)
-        batches.begin(machines)
+        assert batches.is_next_due(machines)
+        batches.begin_next(machines)
         sizes.append(len(batches.admitted))
-        assert not batches.is_due(machines)
+        assert not batches.is_next_due(machines)
         machines = [m for m in machines if m not in batches.admitted]
     assert sizes == [1, 2, 4, 3]
-    assert batches_of(10, 1) == len(sizes)
+    assert count_batches(10, 1) == len(sizes)
     stubborn = ["a", "b", "c"]
-    batches.begin(stubborn)
+    batches.begin_next(stubborn)
     clock.time += 11.0
-    assert batches.is_due(stubborn)
+    assert batches.is_next_due(stubborn)
     stubborn.append("d")
-    batches.begin(stubborn)
+    batches.begin_next(stubborn)
     assert batches.admitted == {"d"}
 
 
--- a/tests/test_recovery_dry_run.py
+++ b/tests/test_recovery_dry_run.py
@@ -114,7 +114,7 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     later = {
-        keys.braked(0): {"shard": 0, "token": 1, "digest": "ab", "zones": {}},
+        keys.breaker(0): {"shard": 0, "token": 1, "digest": "ab", "zones": {}},
         keys.approval(0): {"token": 1, "digest": "ab", "until": 1e12, "by": "somebody"},
         keys.RECORD + "0/by-zone/7": {"shard": 0},
         keys.record(0, 7): {"shard": 0, "token": 7, "zones": {}},
@@ -137,7 +137,7 @@
     with caplog.at_level("WARNING"):
         simulate_recovery(scenario, recovery_settings(), is_unplanned)
     said = [record.getMessage() for record in caplog.records]
-    for key in (keys.braked(0), keys.RECORD + "0/by-zone/7"):
+    for key in (keys.breaker(0), keys.RECORD + "0/by-zone/7"):
         assert any(key in message for message in said), key
 
 
@@ -156,4 +156,4 @@
     mirror.written(keys.approval(0), value, 1)
     notes = StoredNotes(mirror)
     assert (notes.approval(0) is not None) is is_read
-    assert notes.is_foreign(keys.approval(0)) is not is_read
+    assert notes.is_unreadable(keys.approval(0)) is not is_read
