--- a/tests/measure_recovery.py
+++ b/tests/measure_recovery.py
@@ -136,8 +136,8 @@
         await _fill(region, case.workers)
         await curio.sleep(draw.random())
         tasks = sum(len(worker.tasks) for worker in region.workers.values())
-        region.forget_orders()
-        await region.end_all()
+        region.clear_orders()
+        await region.kill_all()
         odd = _make_trouble(region, case.scenario, draw)
         strays = sum(len(w.tasks) for w in region.workers.values()) - tasks
         ended_at, outage_s = region.clock.now(), draw.uniform(0.5, 3.5)
--- a/tests/recovery_region.py
+++ b/tests/recovery_region.py
@@ -1,12 +1,15 @@
-"""The simulated region with recovery on: every controller has the package's service, and the orders
-that workers get are counted.
+"""The simulated region with recovery on: each controller has the package's service.
+
+The tests of recovery share its helpers: filling a region with work, restarting all controllers,
+restoring the state service, and counting the orders that workers get.
 """
 
 from collections.abc import Awaitable, Callable, Iterable
 from copy import deepcopy
-from typing import Any
+from typing import Any, NamedTuple
 
 import curio
+import orjson
 
 from crossmill.net.server import Request, Response
 from crossmill.recovery.api import RecoveryApi
@@ -14,6 +17,7 @@
 from crossmill.recovery.service import RecoveryService
 from crossmill.recovery.settings import RecoverySettings, parse
 from crossmill.recovery.shard_recovery import ShardRecovery
+from crossmill.wire.recovery import APPROVE_PATH, RECOVERY_PATH, Approval, approval_body
 
 from .fake_services import FakeClock, make_settings
 from .simulated_region import Region
@@ -21,12 +25,20 @@
 from .stepped_controller import SteppedController
 from .virtual_time import run_under_virtual_time
 
-# of every five jobs one is of the team with a limit, which the stories stay below
-CREWS = ("blue", "green", "blue", "green", "red")
-RED_JOBS = 5
+# the teams of successive jobs; the number of red ones is limited, since that team has a quota
+TEAMS = ("blue", "green", "blue", "green", "red")
+JOBS_WITH_RED = 5 * len(TEAMS)
+
+# a region that is small, but has work in each shard and each zone
+FEW_WORKERS = 18
+FEW_SERVICES = 12
+
+# what a fixed rate may be exceeded by, for the rounding of floats
+RATE_TOLERANCE = 1e-6
 
 
 def recovery_settings(**changes: Any) -> RecoverySettings:
+    """Returns settings with the given fields of the recovery file."""
     return parse({"recovery": changes}, make_settings())
 
 
@@ -41,7 +53,7 @@
 
 
 class RecoveryRegion(Region):
-    """`recovery` of None leaves the ordinary path alone."""
+    """A region whose controllers have recovery; with `recovery` of None they have not."""
 
     def __init__(self, clock: FakeClock, recovery: RecoverySettings | None) -> None:
         super().__init__(clock)
@@ -50,6 +62,7 @@
         self.apis: dict[str, RecoveryApi] = {}
 
     def more_parts(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
+        """Adds recovery to a controller that starts, and returns its loop."""
         if self.recovery is None:
             return []
         label = node.settings.label
@@ -57,51 +70,127 @@
         self.services[label], self.apis[label] = api.service, api
         return [api.service.run]
 
-    # -- troubles --------------------------------------------------------------------
+    # -- work ------------------------------------------------------------------------
+
+    async def begin_with_workers(self, workers: int) -> None:
+        """Starts the controllers, and workers in all shards and both zones."""
+        await self.begin(machines=0)
+        for number in range(workers):
+            zone = ("north", "south")[number % 2]
+            await self.add_worker(f"n-{number:03d}", zone, number % 3)
+
+    async def begin_busy(
+        self, workers: int = FEW_WORKERS, services: int = FEW_SERVICES
+    ) -> list[str]:
+        """Starts a region that runs services, spread services and long arrays.
+
+        Returns:
+            The ids of the services.
+        """
+        await self.begin_with_workers(workers)
+        await curio.sleep(8.0)
+        jobs = await self.start_services(services)
+        for number in range(services // 4):
+            job = f"wk-{900000 + number}"
+            label = self.LABELS[number % 3]
+            fields = {"crew": "green", "sacks": 3, "cards": 0.0}
+            await self.submit_until_accepted(label, job, 400.0, **fields)
+        await curio.sleep(10.0)
+        if self.recovery is not None:
+            await self.until(self.is_steady, 120.0)
+        self.clear_orders()
+        return jobs
 
-    async def end_all(self) -> None:
+    async def submit_until_accepted(
+        self, label: str, job: str, run_s: float | None, **fields: Any
+    ) -> None:
+        """Submits a job again while it is answered 503, as PROTOCOL says for users."""
+        while (status := await self.submit(label, job, run_s, **fields)) not in (200, 201):
+            assert status == 503, status
+            await curio.sleep(1.0)
+
+    async def start_services(self, number: int, tasks: int = 3) -> list[str]:
+        """Submits services, every third of them spread, and waits until all their tasks run."""
+        jobs = [f"wk-{n:06d}" for n in range(number)]
+        for n, job in enumerate(jobs):
+            team = TEAMS[n % len(TEAMS)] if n < JOBS_WITH_RED else TEAMS[n % 2]
+            label = self.LABELS[n % len(self.LABELS)]
+            fields = {"crew": team, "sacks": tasks, "spread": n % 3 == 0}
+            await self.submit_until_accepted(label, job, None, **fields)
+        await self.until(lambda: all(self.has_running(j, tasks) for j in jobs), 120.0)
+        return jobs
+
+    # -- faults ----------------------------------------------------------------------
+
+    async def kill_all(self) -> None:
+        """Ends all controllers."""
         for label in list(self.nodes):
             await self.kill(label)
 
     async def start_all(self, apart_s: float = 0.0) -> None:
+        """Starts the controllers that do not run, one after another."""
         for label in self.LABELS:
             if label not in self.nodes:
                 await self.start(label)
                 await curio.sleep(apart_s)
 
     async def restart_all(self, outage_s: float, apart_s: float = 0.0) -> None:
-        await self.end_all()
+        """Ends all controllers and starts them again."""
+        await self.kill_all()
         await curio.sleep(outage_s)
         await self.start_all(apart_s)
 
-    def remember(self) -> dict[str, Any]:
-        """What the state service holds, to be restored later. Leases are not: they will be over."""
+    def copy_state(self) -> dict[str, Any]:
+        """Copies the keys of the state service, apart from those attached to leases."""
         return {
             key: deepcopy(value) for key, (value, _, lease) in self.state.keys.items() if not lease
         }
 
-    async def come_back_older(self, remembered: dict[str, Any]) -> None:
-        """While no controller is there, the state service is restored from an older copy."""
+    async def restore_state(self, copy: dict[str, Any]) -> None:
+        """Restores the state service from a copy; no controller may run meanwhile."""
         assert not self.nodes
         for key in list(self.state.keys):
             self.state.delete(key)
         self.state.leases.clear()
-        for key, value in remembered.items():
+        for key, value in copy.items():
             self.state.put(key, value)
 
-    # -- looks -----------------------------------------------------------------------
+    # -- state -----------------------------------------------------------------------
 
     def orders(self, workers: Iterable[Worker] | None = None) -> dict[str, list[str]]:
-        """By worker, the verbs of the orders that it got; those that got none are left out."""
+        """Returns the verbs of the orders by worker; workers without orders are left out."""
         chosen = self.workers.values() if workers is None else workers
         return {w.machine: [o[2]["verb"] for o in w.orders] for w in chosen if w.orders}
 
-    def forget_orders(self) -> None:
+    def clear_orders(self) -> None:
+        """Forgets the orders that workers got so far."""
         for worker in self.workers.values():
             worker.orders.clear()
 
+    def stop_times(self, since: float) -> list[float]:
+        """Returns when workers got orders to stop tasks."""
+        return [
+            at
+            for worker in self.workers.values()
+            for at, _, order in worker.orders
+            if order["verb"] == "kill" and at >= since
+        ]
+
+    def running_tasks(self) -> dict[str, Any]:
+        """Returns the tasks by machine."""
+        return {worker.machine: dict(worker.tasks) for worker in self.workers.values()}
+
+    def has_running(self, job: str, tasks: int) -> bool:
+        """Whether exactly so many tasks of the job run."""
+        return tasks == sum(
+            task.state == "running"
+            for worker in self.running(job)
+            for key, task in worker.tasks.items()
+            if key[0] == job
+        )
+
     def recoveries(self) -> list[ShardRecovery]:
-        """Those that go on in living controllers."""
+        """Returns the recoveries in progress on running controllers."""
         return [
             recovery
             for label, service in self.services.items()
@@ -109,52 +198,72 @@
             for recovery in service.recoveries()
         ]
 
-    def steady(self) -> bool:
+    def is_steady(self) -> bool:
+        """Whether each shard has an owner that has finished its recovery."""
         owners = self.owners()
         return len(owners) == len(self.LABELS) and all(
             label in self.nodes and self.services[label].is_steady(shard)
             for shard, label in owners.items()
         )
 
+    # -- operators -------------------------------------------------------------------
+
     async def request(self, label: str, method: str, path: str, body: bytes = b"") -> Response:
+        """Sends an operator's request to a controller."""
         return await self.apis[label].handle(Request(method, path, body))
 
-    def is_up(self, job: str, tasks: int) -> bool:
-        """Whether so many tasks of the job run."""
-        return tasks == sum(
-            task.state == "running"
-            for worker in self.running(job)
-            for key, task in worker.tasks.items()
-            if key[0] == job
-        )
+    async def overview(self, label: str = "node-0") -> dict[str, Any]:
+        """Returns the overview of recoveries that a controller shows."""
+        response = await self.request(label, "GET", RECOVERY_PATH)
+        assert response.status == 200, response
+        overview: dict[str, Any] = orjson.loads(response.body)
+        return overview
 
-    async def submit_until_accepted(
-        self, label: str, job: str, run_s: float | None, **fields: Any
-    ) -> None:
-        """A user repeats what was answered 503, as PROTOCOL says; any other refusal is an error."""
-        while (status := await self.submit(label, job, run_s, **fields)) not in (200, 201):
-            assert status == 503, status
-            await curio.sleep(1.0)
+    async def approve(self, label: str, breakers: list[dict[str, Any]]) -> list[int]:
+        """Approves what open circuit breakers hold back; returns the statuses."""
+        bodies = [approval_body(Approval(b["shard"], b["digest"])) for b in breakers]
+        return [(await self.request(label, "POST", APPROVE_PATH, body)).status for body in bodies]
 
-    async def services_running(self, number: int, tasks: int = 3) -> list[str]:
-        """Submits services, every third of them spread, and waits until all their tasks run."""
-        jobs = [f"wk-{n:06d}" for n in range(number)]
-        for n, job in enumerate(jobs):
-            crew = CREWS[n % len(CREWS)] if n < len(CREWS) * RED_JOBS else CREWS[n % 2]
-            label = self.LABELS[n % len(self.LABELS)]
-            fields = {"crew": crew, "sacks": tasks, "spread": n % 3 == 0}
-            await self.submit_until_accepted(label, job, None, **fields)
-        await self.until(lambda: all(self.is_up(j, tasks) for j in jobs), 120.0)
-        return jobs
+
+def disconnect(workers: Iterable[Worker]) -> None:
+    """Cuts workers off: neither heartbeats nor answers nor commands arrive."""
+    for worker in workers:
+        worker.mute = worker.deaf = True
+
+
+def reconnect(workers: Iterable[Worker]) -> None:
+    """Ends what `disconnect` began."""
+    for worker in workers:
+        worker.mute = worker.deaf = False
+
+
+class RateViolation(NamedTuple):
+    """A span of time with more orders than its rate limit allows."""
+
+    begin: float
+    end: float
+    orders: int
+    allowed: float
+
+
+def rate_violations(times: list[float], rate: float, burst: float) -> list[RateViolation]:
+    """Returns the spans with more orders than the rate and one burst allow."""
+    times = sorted(times)
+    spans = [
+        RateViolation(begin, end, last - first + 1, (end - begin) * rate + burst)
+        for first, begin in enumerate(times)
+        for last, end in enumerate(times[first:], first)
+    ]
+    return [span for span in spans if span.orders > span.allowed + RATE_TOLERANCE]
 
 
 def give_unplanned(worker: Worker, job: str, index: int, attempt: int) -> None:
-    """The worker runs a task that the stored state never recorded."""
+    """Makes a worker run a task that no plan contains."""
     worker.tasks[job, index] = Task(attempt, "running", worker.region.clock.now())
 
 
 def is_unplanned(report_violation: str) -> bool:
-    """What the judge says of tasks that the story gave to workers behind the plans' back."""
+    """Whether a violation is about tasks that a test gave to workers without a plan."""
     return " orphaned " in report_violation and report_violation.endswith(": in no plan")
 
 
@@ -163,7 +272,7 @@
     recovery: RecoverySettings | None,
     expected: Callable[[str], bool] = lambda report_violation: False,
 ) -> RecoveryRegion:
-    """Plays a story; rules that break fail it, unless the blame is one that the story expects."""
+    """Plays a scenario; fails if an invariant is violated, apart from expected violations."""
     clock = FakeClock()
     region = RecoveryRegion(clock, recovery)
 
--- a/tests/test_recovery_dry_run.py
+++ b/tests/test_recovery_dry_run.py
@@ -1,5 +1,6 @@
-"""The recovery file's dry run: all goes as without the file, and what would have been held back is
-noted; and what the file does not take.
+"""Recovery's dry run, invalid recovery files, and stored values of other versions.
+
+In a dry run nothing is withheld, and what would have been is counted.
 """
 
 from pathlib import Path
@@ -27,15 +28,15 @@
 
 
 async def _restart_with_differences(region: RecoveryRegion) -> None:
-    """All controllers end; a fifth of the machines then run tasks that no record holds."""
+    """Restarts all controllers; meanwhile a fifth of the machines gets unplanned tasks."""
     await region.begin(machines=0)
     for number in range(20):
         await region.add_worker(f"n-{number:02d}", ("north", "south")[number % 2], number % 3)
-    await region.services_running(10)
-    await region.end_all()
+    await region.start_services(10)
+    await region.kill_all()
     for number in range(0, 20, 5):
         give_unplanned(region.workers[f"n-{number:02d}"], "wk-000000", 90 + number, 7)
-    region.forget_orders()
+    region.clear_orders()
     await curio.sleep(2.0)
     await region.start_all()
     await region.until(lambda: len(region.owners()) == 3, 30.0)
@@ -43,7 +44,7 @@
 
 
 def _timeline(recovery: RecoverySettings | None) -> dict[str, list[tuple[float, str]]]:
-    """By worker, when it got which orders."""
+    """Returns the times and verbs of the orders by worker."""
     region = simulate_recovery(_restart_with_differences, recovery, is_unplanned)
     return {
         worker.machine: [(round(at, 1), order["verb"]) for at, _, order in worker.orders]
@@ -52,15 +53,15 @@
     }
 
 
-def test_a_dry_run_orders_what_the_ordinary_path_orders_and_when() -> None:
+def test_a_dry_run_sends_the_same_orders_at_the_same_times() -> None:
     plain = _timeline(None)
     assert sum(len(orders) for orders in plain.values()) >= 4
     assert _timeline(recovery_settings(dry_run=True)) == plain
-    # with the same file in earnest they wait
+    # without the dry run the orders are delayed
     assert _timeline(recovery_settings()) != plain
 
 
-def test_a_dry_run_says_what_it_would_have_held_back_and_takes_no_approval() -> None:
+def test_a_dry_run_counts_what_it_would_withhold_and_accepts_no_approval() -> None:
     async def scenario(region: RecoveryRegion) -> None:
         await _restart_with_differences(region)
         label = next(iter(region.nodes))
@@ -88,7 +89,7 @@
         ("recovery = 3\n", "recovery"),
     ],
 )
-def test_what_the_file_does_not_take_is_named(
+def test_check_names_what_is_invalid_in_the_file(
     text: str, named: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     config, bad = tmp_path / "settings.toml", tmp_path / "recovery.toml"
@@ -100,7 +101,7 @@
     assert "\n" not in error
 
 
-def test_check_says_that_it_is_a_dry_run(
+def test_check_prints_that_it_is_a_dry_run(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     config, recovery = tmp_path / "settings.toml", tmp_path / "recovery.toml"
@@ -110,7 +111,7 @@
     assert "dry run" in capsys.readouterr().out
 
 
-def test_what_a_later_version_stored_is_left_alone_and_said_so(
+def test_values_of_a_later_version_are_kept_and_logged(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     later = {
@@ -132,13 +133,13 @@
         assert (await region.request(label, "POST", APPROVE_PATH, approval)).status == 409
         stored = {key: region.state.keys[key][0] for key in later}
         assert stored == later
-        await region.until(region.steady, 60.0)
+        await region.until(region.is_steady, 60.0)
 
     with caplog.at_level("WARNING"):
         simulate_recovery(scenario, recovery_settings(), is_unplanned)
-    said = [record.getMessage() for record in caplog.records]
+    messages = [record.getMessage() for record in caplog.records]
     for key in (keys.breaker(0), keys.RECORD + "0/by-zone/7"):
-        assert any(key in message for message in said), key
+        assert any(key in message for message in messages), key
 
 
 @pytest.mark.parametrize(
@@ -151,7 +152,7 @@
         ([1, "ab", 5.0], False),
     ],
 )
-def test_an_approval_counts_only_in_the_form_of_this_version(value: object, is_read: bool) -> None:
+def test_an_approval_is_read_only_in_the_form_of_this_version(value: object, is_read: bool) -> None:
     mirror = Mirror()
     mirror.written(keys.approval(0), value, 1)
     notes = StoredNotes(mirror)
--- a/tests/test_recovery_service.py
+++ b/tests/test_recovery_service.py
@@ -1,6 +1,4 @@
-"""Recovery's ways in: command line, operators' interface, and that nothing of it is loaded without
-the file.
-"""
+"""Recovery's command line and operators' interface, and what a start loads of the package."""
 
 import subprocess
 import sys
@@ -33,7 +31,7 @@
     return str(path)
 
 
-def test_check_says_what_follows_from_the_file(
+def test_check_prints_the_limits_that_follow_from_the_file(
     config: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert main(["check", "--config", config, "--recovery", str(DEPLOY)]) == 0
@@ -43,7 +41,7 @@
 
 
 @pytest.mark.parametrize("verb", ["check", "serve"])
-def test_a_bad_field_is_named_and_ends_it(
+def test_an_invalid_field_is_named_and_ends_the_command(
     verb: str, config: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     bad = tmp_path / "recovery.toml"
@@ -52,7 +50,7 @@
     assert "recovery.brake_share" in capsys.readouterr().err
 
 
-def test_without_the_file_nothing_of_it_is_loaded() -> None:
+def test_a_start_without_the_file_loads_nothing_of_recovery() -> None:
     script = """
 import sys
 import crossmill.cli, crossmill.app
@@ -67,12 +65,12 @@
     assert result.stdout.split() == []
 
 
-def test_with_the_file_reports_are_screened_from_the_start() -> None:
+def test_with_the_file_heartbeats_pass_the_gate_from_the_start() -> None:
     app = App(make_settings(), FakeClock(), recovery=recovery_settings())
     assert isinstance(app.heartbeats.gate, RecoveryService)
 
 
-def test_with_the_file_a_start_loads_nothing_that_can_wait() -> None:
+def test_a_start_with_the_file_does_not_load_hashlib() -> None:
     script = """
 import sys
 from crossmill.lazy_imports import defer_unused
@@ -88,7 +86,7 @@
 @pytest.mark.parametrize(
     "arguments", [["approve", "-1", "ab"], ["approve", "x", "ab"], ["approve", "0"], []]
 )
-def test_bad_arguments_of_the_verbs(arguments: list[str]) -> None:
+def test_invalid_arguments_of_the_verbs_are_rejected(arguments: list[str]) -> None:
     try:
         assert main(["recovery", *arguments]) == BAD_USAGE
     except SystemExit as exc:
@@ -106,7 +104,7 @@
     return api
 
 
-def test_the_operators_interface() -> None:
+def test_the_operators_interface_answers_by_state_and_request() -> None:
     async def scenario(
         state: StateService, clock: FakeClock, nodes: dict[str, SteppedController]
     ) -> None:
@@ -119,7 +117,7 @@
         status, overview = await ask("GET", RECOVERY_PATH)
         assert status == 200
         assert overview["controller"] == "node-0"
-        # a machine that is up has not reported: the shard says that it waits for it
+        # a machine that is up has not reported yet
         waiting = {phase["shard"]: phase["waits_for"] for phase in overview["recovering"]}
         assert waiting[0] == "reports of 1 machines"
         approval = approval_body(Approval(0, "ab"))
--- /dev/null
+++ b/tests/test_recovery_unplanned_tasks.py
@@ -0,0 +1,162 @@
+"""Workers run tasks that no plan contains, or another attempt than the planned one."""
+
+from collections.abc import Callable
+from copy import deepcopy
+
+import curio
+import pytest
+
+from crossmill.cluster import keys
+from crossmill.recovery.shard_recovery import ShardRecovery
+from crossmill.recovery.unresolved_differences import UnresolvedDifferences
+from crossmill.wire.workers import MAX_ORDERS
+
+from .recovery_region import (
+    RecoveryRegion,
+    disconnect,
+    give_unplanned,
+    is_unplanned,
+    rate_violations,
+    reconnect,
+    recovery_settings,
+    simulate_recovery,
+)
+
+
+def test_a_cancellation_is_not_delayed_by_many_differences() -> None:
+    """A worker runs more unplanned tasks than fit into an answer, and one cancelled task."""
+
+    async def scenario(region: RecoveryRegion) -> None:
+        await region.begin_busy()
+        affected = next(w for w in region.workers.values() if w.tasks)
+        job = next(iter(affected.tasks))[0]
+        tasks, affected.tasks = affected.tasks, {}
+        for index in range(2 * MAX_ORDERS):
+            give_unplanned(affected, "wk-000001", 100 + index, 9)
+        affected.tasks.update(tasks)
+        await region.restart_all(1.0)
+        assert await region.cancel_until_told("node-0", job, 30.0)
+        await curio.sleep(3 * region.heartbeat_interval_s)
+        assert not any(key[0] == job and t.state == "running" for key, t in affected.tasks.items())
+
+    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
+
+
+def test_orders_to_a_flapping_worker_are_rate_limited() -> None:
+    async def scenario(region: RecoveryRegion) -> None:
+        await region.begin_busy()
+        affected = next(w for w in region.workers.values() if w.tasks)
+        for index in range(30):
+            give_unplanned(affected, "wk-000001", 100 + index, 9)
+        await region.restart_all(2.0)
+        for _ in range(10):
+            disconnect([affected])
+            await curio.sleep(3.0)
+            reconnect([affected])
+            await curio.sleep(3.0)
+        stop_times = [at for at, _, order in affected.orders if order["verb"] == "kill"]
+        assert len(stop_times) > 0
+        rate, burst = settings.worker_orders_per_s, settings.orders_per_worker
+        assert rate_violations(stop_times, rate, burst) == []
+
+    settings = recovery_settings(orders_per_worker=2, brake_share=1.0)
+    simulate_recovery(scenario, settings, expected=is_unplanned)
+
+
+def test_a_task_missing_from_the_plan_is_not_placed_while_it_runs() -> None:
+    """The stop of the unplanned task waits for the rate limit; meanwhile the plan has no attempt
+    of it."""
+
+    async def scenario(region: RecoveryRegion) -> None:
+        await region.begin_busy()
+        affected = next(w for w in region.workers.values() if w.tasks)
+        job, index = next(iter(affected.tasks))
+        # with a termination notice, nothing is placed on this worker
+        affected.notice_s = 1000.0
+        await region.kill_all()
+        name = next(
+            name
+            for name, (value, _, _) in region.state.keys.items()
+            if name.startswith(keys.plan(job, "")) and index in [row[0] for row in value["rows"]]
+        )
+        plan = deepcopy(region.state.keys[name][0])
+        plan["rows"] = [row for row in plan["rows"] if row[0] != index]
+        region.state.put(name, plan)
+        await curio.sleep(1.0)
+        await region.start_all()
+        await curio.sleep(15.0)
+        assert (job, index) in affected.tasks
+        await region.until(
+            lambda: "kill" in region.orders([affected]).get(affected.machine, []), 90.0
+        )
+        await region.until(lambda: region.has_running(job, 3), 90.0)
+
+    slow = recovery_settings(orders_per_s=0.1)
+    simulate_recovery(scenario, slow, expected=is_unplanned)
+
+
+def test_a_planned_task_is_not_started_while_another_attempt_runs() -> None:
+    """The stored plan is older than a move of the task, which runs on another machine."""
+
+    async def scenario(region: RecoveryRegion) -> None:
+        await region.begin_busy()
+        machines = region.nodes["node-0"].cluster.machines
+        before = next(w for w in region.workers.values() if w.tasks)
+        after = next(
+            worker
+            for worker in region.workers.values()
+            if worker is not before
+            and machines[worker.machine].shard == machines[before.machine].shard
+        )
+        (job, index), task = next(iter(before.tasks.items()))
+        await region.kill_all()
+        del before.tasks[job, index]
+        give_unplanned(after, job, index, task.attempt + 1)
+        await curio.sleep(1.0)
+        await region.start_all()
+        await region.until(lambda: (job, index) in before.tasks, 120.0)
+        assert (job, index) not in after.tasks or after.tasks[job, index].state == "exited"
+
+    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
+
+
+@pytest.mark.parametrize(
+    "scenario",
+    [
+        test_a_task_missing_from_the_plan_is_not_placed_while_it_runs,
+        test_a_planned_task_is_not_started_while_another_attempt_runs,
+    ],
+)
+def test_a_second_start_of_an_unplanned_task_is_detected(
+    scenario: Callable[[], None], monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(ShardRecovery, "is_running_unplanned", lambda self, key: False)
+    with pytest.raises(AssertionError):
+        scenario()
+
+
+def test_an_unplanned_task_is_stopped_only_after_a_read_newer_than_its_heartbeat() -> None:
+    async def scenario(region: RecoveryRegion) -> None:
+        await region.begin_busy()
+        affected = next(w for w in region.workers.values() if w.tasks)
+        give_unplanned(affected, "wk-000001", 70, 9)
+        shard = region.nodes["node-0"].cluster.machines[affected.machine].shard
+        await region.restart_all(1.0)
+        await region.until(lambda: any(r.shard == shard for r in region.recoveries()))
+        # the shard is ready; from now on all reads fail
+        for label in region.LABELS:
+            region.refused[label] = lambda method, path: path.startswith("/changes")
+        await curio.sleep(2.5)
+        assert region.orders([affected]) == {}
+        region.mend()
+        await region.until(lambda: ("wk-000001", 70) not in affected.tasks)
+
+    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
+
+
+def test_a_stop_without_a_fresh_read_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(
+        UnresolvedDifferences, "has_fresh_read", lambda self, difference, last_read_sent_at: True
+    )
+    with pytest.raises(AssertionError):
+        test_an_unplanned_task_is_stopped_only_after_a_read_newer_than_its_heartbeat()
--- a/tests/trace_adapter.py
+++ b/tests/trace_adapter.py
@@ -526,15 +526,15 @@
 
     def remember_state(self) -> dict[str, Any]:
         """A copy of what the state service holds."""
-        return self._region.remember()
+        return self._region.copy_state()
 
     async def restore_state(self, copy: dict[str, Any]) -> None:
         """Restore the state service from a copy, while no controller runs."""
-        await self._region.come_back_older(copy)
+        await self._region.restore_state(copy)
 
     def is_steady(self) -> bool:
         """Whether every shard's owner has recovered it."""
-        return self._region.steady()
+        return self._region.is_steady()
 
     async def approve_all(self, controller: str) -> int:
         """Approve, as an operator, everything that the brake holds back; how many approvals."""
