--- a/crossmill/recovery/records.py
+++ b/crossmill/recovery/records.py
@@ -4,6 +4,7 @@
 """
 
 import logging
+from collections.abc import Mapping
 from typing import Any, NamedTuple, TypeVar, get_type_hints
 
 from ..state.mirror import Mirror
@@ -13,6 +14,8 @@
 
 log = logging.getLogger(__name__)
 
+_Name = TypeVar("_Name", bound=str)
+
 
 class StoredApproval(NamedTuple):
     """An operator's approval of one digest under one token, until a wall clock time in seconds."""
@@ -56,14 +59,19 @@
         "phases_s": {
             str(phase): round(spent_s, 3) for phase, spent_s in recovery.phase_durations_s.items()
         },
-        "machine_classes": {str(name): n for name, n in statistics.machine_classes.items()},
-        "classes": {str(name): n for name, n in statistics.task_classes.items()},
-        "orders": dict(statistics.orders),
+        "machine_classes": _encode_counts(statistics.machine_classes),
+        "classes": _encode_counts(statistics.task_classes),
+        "orders": _encode_counts(statistics.orders),
         "dry_run": dry_run,
-        "let_through": dict(statistics.withheld_in_dry_run),
+        "let_through": _encode_counts(statistics.withheld_in_dry_run),
     }
 
 
+def _encode_counts(counts: Mapping[_Name, int]) -> dict[str, int]:
+    # JSON needs plain strings as keys, not members of a StrEnum
+    return {str(name): number for name, number in counts.items()}
+
+
 _Stored = TypeVar("_Stored", StoredApproval, BreakerReport)
 
 
--- a/crossmill/wire/users.py
+++ b/crossmill/wire/users.py
@@ -1,4 +1,4 @@
-"""What users send and are told."""
+"""Messages between users and controllers (PROTOCOL, "Users -> controller nodes")."""
 
 import re
 from dataclasses import dataclass
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobSpec:
-    """A job as its user submitted it."""
+    """A job as its user submitted it (POST /v1/jobs); resources are per task, spans in seconds."""
 
     id: str
     job_class: str
@@ -46,19 +46,19 @@
 
 
 class Submission(NamedTuple):
-    """A job as its user submits it, with the jobs that have to be done before it starts."""
+    """A submitted job, with the jobs that have to be done before it starts (POST /v1/jobs)."""
 
     spec: JobSpec
     dependencies: tuple[str, ...] = ()
 
 
 def is_job_id(value: str) -> bool:
-    """Whether the value is in the form of a job's id."""
+    """Whether the value has the form of a job's id."""
     return JOB_ID.match(value) is not None
 
 
 def parse_submission(data: dict[str, Any]) -> Submission:
-    """A submission, checked; raises MalformedMessageError."""
+    """Parses a submission (POST /v1/jobs); raises MalformedMessageError."""
     return Submission(parse_spec(data), _parse_dependencies(data))
 
 
@@ -74,7 +74,7 @@
 
 
 def parse_spec(data: dict[str, Any]) -> JobSpec:
-    """A job's fields, checked; raises MalformedMessageError."""
+    """Parses the fields of a submitted job; raises MalformedMessageError."""
     job_id = parse_id(data)
     types = data.get("frames")
     if types is not None and (
@@ -106,7 +106,7 @@
 
 
 def parse_id(data: dict[str, Any]) -> str:
-    """The job's id; raises MalformedMessageError."""
+    """Returns the id of a submitted job; raises MalformedMessageError."""
     job_id = checks.text(data, "nameId")
     if not is_job_id(job_id):
         raise MalformedMessageError("nameId: not in the form of a job id")
@@ -114,7 +114,7 @@
 
 
 def status_body(job_id: str, state: str, done: int | None = None, running: int = 0) -> bytes:
-    """A job's state, with its task counts if they are given."""
+    """Encodes a job's state, with its task counts if they are given (GET /v1/jobs/{id})."""
     body: dict[str, Any] = {
         "nameId": job_id,
         "stage": "withdrawn" if state == "cancelled" else state,
@@ -126,5 +126,5 @@
 
 
 def error_body(why: str) -> bytes:
-    """An error and its reason."""
+    """Encodes the reason why a request was refused."""
     return orjson.dumps({"error": why})
--- a/tests/measure_recovery.py
+++ b/tests/measure_recovery.py
@@ -1,9 +1,10 @@
-"""Measures restarts after all controllers end, and writes figures, plots and a page.
+"""Measures restarts of all controllers, and writes figures, plots and a page.
 
     python -m tests.measure_recovery [--sizes 100:20,1000:20,4000:2] [--out FOLDER]
 
-Three controllers and stand-in workers under virtual time; it needs requirements-measure.txt and is
-no part of the test command. The baseline is the ordinary path, without the package.
+It runs three controllers and simulated workers under virtual time. It needs
+requirements-measure.txt and is no part of the test command. The baseline are controllers without
+recovery.
 """
 
 import argparse
@@ -24,6 +25,7 @@
 
 from .recovery_region import (
     RecoveryRegion,
+    disconnect,
     give_unplanned,
     recovery_settings,
     simulate_recovery,
@@ -31,19 +33,20 @@
 from .report_page import Table, plot, spread, write_page
 from .simulated_worker import Worker
 
-# tasks of a job, and tasks of a worker
-JOB_TASKS, EACH = 8, 2
-# the part of the workers that is silent, and that runs a task never recorded
-ODD_SHARE = 0.05
-# the part of the jobs that a state service which came back older does not hold
+TASKS_PER_JOB = 8
+TASKS_PER_WORKER = 2
+# the share of the workers that is disconnected, and that runs an unplanned task
+AFFECTED_SHARE = 0.05
+# the share of the jobs that an older state of the state service lacks
 LOST_SHARE = 0.5
-WATCHED_S = 25.0
-LOOK_S = 0.05
-STORIES = ("calm", "differing", "older")
+OBSERVED_S = 25.0
+POLL_INTERVAL_S = 0.05
+OK = 200
+SCENARIOS = ("calm", "differing", "older")
 
 
 class Case(NamedTuple):
-    """What is played."""
+    """A restart to be measured."""
 
     scenario: str
     workers: int
@@ -52,7 +55,7 @@
 
 
 class Sample(NamedTuple):
-    """One restart; times in seconds from the last end, None if it did not come about."""
+    """The figures of a restart; times in seconds after the controllers' end, None if never."""
 
     scenario: str
     workers: int
@@ -71,7 +74,7 @@
 
 
 async def _fill(region: RecoveryRegion, workers: int) -> None:
-    """Plans are stored at once, and the ordinary path starts their tasks."""
+    """Stores plans for all workers and waits until the controllers have started their tasks."""
     await region.begin(machines=0)
     for number in range(workers):
         zone = ("north", "south")[number % 2]
@@ -81,11 +84,13 @@
     number = 0
     for shard, team in sorted(team_of.items()):
         mine = [w for w in region.workers.values() if w.number % len(region.LABELS) == shard]
-        filled = mine * EACH
-        for first in range(0, len(filled), JOB_TASKS):
-            _put_job(region, f"wk-{number:06d}", team, filled[first : first + JOB_TASKS])
+        slots = mine * TASKS_PER_WORKER
+        for first in range(0, len(slots), TASKS_PER_JOB):
+            _put_job(region, f"wk-{number:06d}", team, slots[first : first + TASKS_PER_JOB])
             number += 1
-    await region.until(lambda: all(len(w.tasks) == EACH for w in region.workers.values()))
+    await region.until(
+        lambda: all(len(w.tasks) == TASKS_PER_WORKER for w in region.workers.values())
+    )
     await curio.sleep(4.0)
 
 
@@ -93,30 +98,28 @@
     fields = {"crew": team, "sacks": len(workers), "cards": 0.0, "cpus": 1.0, "ramGb": 1.0}
     spec = parse_spec(region.expect(job, None, **fields))
     region.checker.jobs[job].accepted = region.clock.now()
-    rows = {}
-    for index, worker in enumerate(workers):
-        rows[index] = PlannedAttempt(job, index, 1, worker.machine, worker.session)
     layout = region.nodes["node-0"].cluster.layout
     by_chunk: dict[str, dict[int, PlannedAttempt]] = {}
-    for index, row in rows.items():
-        by_chunk.setdefault(layout.chunk_of(index, ()).name, {})[index] = row
-    for name, chunk_rows in by_chunk.items():
-        region.state.put(keys.plan(job, name), encode_chunk(PlanChunk(2, 0, chunk_rows)))
+    for index, worker in enumerate(workers):
+        attempt = PlannedAttempt(job, index, 1, worker.machine, worker.session)
+        by_chunk.setdefault(layout.chunk_of(index, ()).name, {})[index] = attempt
+    for name, attempts in by_chunk.items():
+        region.state.put(keys.plan(job, name), encode_chunk(PlanChunk(2, 0, attempts)))
     record = encode_job(spec, region.clock.wall())
     region.state.put(keys.job(job), orjson.loads(orjson.dumps(record)))
 
 
-def _make_trouble(region: RecoveryRegion, scenario: str, draw: Random) -> set[str]:
-    """Whatever differs when the controllers return; the machines that it is about."""
+def _inject_differences(region: RecoveryRegion, scenario: str, draw: Random) -> set[str]:
+    """Makes state and workers differ, and returns the affected machines."""
     workers = list(region.workers.values())
     if scenario == "differing":
-        odd = draw.sample(workers, max(2, int(2 * ODD_SHARE * len(workers))))
-        for number, worker in enumerate(odd):
+        affected = draw.sample(workers, max(2, int(2 * AFFECTED_SHARE * len(workers))))
+        for number, worker in enumerate(affected):
             if number % 2:
-                worker.mute = worker.deaf = True
+                disconnect([worker])
             else:
                 give_unplanned(worker, "wk-000000", 500 + number, 9)
-        return {worker.machine for worker in odd}
+        return {worker.machine for worker in affected}
     if scenario == "older":
         jobs = sorted(region.checker.jobs)
         lost = set(draw.sample(jobs, int(LOST_SHARE * len(jobs))))
@@ -128,7 +131,7 @@
 
 
 def measure(case: Case) -> Sample:
-    """One restart of all controllers."""
+    """Measures one restart of all controllers."""
     results: list[Sample] = []
 
     async def scenario(region: RecoveryRegion) -> None:
@@ -138,13 +141,13 @@
         tasks = sum(len(worker.tasks) for worker in region.workers.values())
         region.clear_orders()
         await region.kill_all()
-        odd = _make_trouble(region, case.scenario, draw)
-        strays = sum(len(w.tasks) for w in region.workers.values()) - tasks
+        affected = _inject_differences(region, case.scenario, draw)
+        unplanned = sum(len(w.tasks) for w in region.workers.values()) - tasks
         ended_at, outage_s = region.clock.now(), draw.uniform(0.5, 3.5)
         calls, puts = len(region.state.calls), region.state.puts
         await curio.sleep(outage_s)
         await region.start_all(draw.uniform(0.0, 0.5))
-        times = await _watch(region, ended_at)
+        times = await _measure_times(region, ended_at)
         orders = [(at, o["verb"]) for w in region.workers.values() for at, _, o in w.orders]
         seconds = Counter(int(at) for at, _ in orders)
         left = sum(len(worker.tasks) for worker in region.workers.values())
@@ -154,39 +157,44 @@
                 round(outage_s, 2),
                 *times,
                 dict(Counter(verb for _, verb in orders)),
-                sum(len(w.orders) for w in region.workers.values() if w.machine not in odd),
+                sum(len(w.orders) for w in region.workers.values() if w.machine not in affected),
                 max(seconds.values(), default=0),
-                max(0, tasks + strays - left),
+                max(0, tasks + unplanned - left),
                 len(region.state.calls) - calls,
                 region.state.puts - puts,
             )
         )
 
     settings = recovery_settings() if case.with_recovery else None
-    simulate_recovery(scenario, settings, expected=lambda report_violation: True)
+    simulate_recovery(scenario, settings, expected=lambda _: True)
     return results[0]
 
 
-async def _watch(
-    region: RecoveryRegion, ended_at: float
-) -> tuple[float | None, float | None, float | None]:
-    """When the first and the last worker, and a user, were answered again."""
+class AnswerTimes(NamedTuple):
+    """When workers and users were answered again, in seconds after the end; None if never."""
+
+    first_worker_s: float | None
+    all_workers_s: float | None
+    first_user_s: float | None
+
+
+async def _measure_times(region: RecoveryRegion, ended_at: float) -> AnswerTimes:
     first_worker: float | None = None
     all_workers: float | None = None
     first_user: float | None = None
     job = min(region.checker.jobs)
-    while region.clock.now() - ended_at < WATCHED_S:
-        await curio.sleep(LOOK_S)
+    while region.clock.now() - ended_at < OBSERVED_S:
+        await curio.sleep(POLL_INTERVAL_S)
         passed_s = round(region.clock.now() - ended_at, 2)
-        heard = [w for w in region.workers.values() if not w.mute]
-        answered = sum(worker.answered > ended_at + LOOK_S for worker in heard)
+        connected = [w for w in region.workers.values() if not w.mute]
+        answered = sum(worker.answered > ended_at + POLL_INTERVAL_S for worker in connected)
         if first_worker is None and answered:
             first_worker = passed_s
-        if all_workers is None and answered == len(heard):
+        if all_workers is None and answered == len(connected):
             all_workers = passed_s
-        if first_user is None and await region.show("node-0", job) == 200:
+        if first_user is None and await region.show("node-0", job) == OK:
             first_user = passed_s
-    return first_worker, all_workers, first_user
+    return AnswerTimes(first_worker, all_workers, first_user)
 
 
 # -- the report ------------------------------------------------------------------------
@@ -198,7 +206,7 @@
 def _groups(samples: list[dict[str, Any]]) -> dict[tuple[str, int, bool], list[dict[str, Any]]]:
     groups: dict[tuple[str, int, bool], list[dict[str, Any]]] = {}
     for sample in samples:
-        key = sample["story"], sample["workers"], sample["with_recovery"]
+        key = sample["scenario"], sample["workers"], sample["with_recovery"]
         groups.setdefault(key, []).append(sample)
     return groups
 
@@ -222,7 +230,9 @@
     with plot(path) as axis:
         for with_recovery in (False, True):
             points = [
-                s for s in samples if (s["story"], s["with_recovery"]) == (scenario, with_recovery)
+                s
+                for s in samples
+                if (s["scenario"], s["with_recovery"]) == (scenario, with_recovery)
             ]
             axis.plot(
                 [s["workers"] for s in points],
@@ -234,29 +244,29 @@
         axis.set_xscale("log")
         axis.set_yscale("symlog")
         axis.set_xlabel("workers")
-        axis.set_ylabel(f"orders in {WATCHED_S:g} s")
+        axis.set_ylabel(f"orders in {OBSERVED_S:g} s")
         axis.legend()
 
 
 def write_report(figures: dict[str, Any], out: Path) -> None:
-    """Writes figures, plots and the page."""
+    """Writes the figures, the plots and the page."""
     out.mkdir(parents=True, exist_ok=True)
     (out / "figures.json").write_text(json.dumps(figures, indent=1) + "\n")
     samples = figures["samples"]
-    for scenario in STORIES:
+    for scenario in SCENARIOS:
         _plot(samples, scenario, out / f"{scenario}.svg")
     text = (
-        f"Three controllers end at once and return within 0.5 to 5 s; {WATCHED_S:g} s from the "
-        f"end. Differing: {ODD_SHARE:.0%} of the workers silent, {ODD_SHARE:.0%} with a task "
-        f"never recorded. Older: the state service has lost {LOST_SHARE:.0%} of the jobs."
+        f"Three controllers end at once and return within 0.5 to 5 s; {OBSERVED_S:g} s from the "
+        f"end. Differing: {AFFECTED_SHARE:.0%} of the workers silent, {AFFECTED_SHARE:.0%} with "
+        f"a task never recorded. Older: the state service has lost {LOST_SHARE:.0%} of the jobs."
     )
-    tables = [_table(samples, scenario) for scenario in STORIES]
+    tables = [_table(samples, scenario) for scenario in SCENARIOS]
     title = "Restart after all controllers end, measured"
     write_page(out / "index.html", title, text, "tests.measure_recovery", tables)
 
 
 def main() -> None:
-    """Runs all measurements and writes the results."""
+    """Runs all measurements and writes the report."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument(
         "--sizes", default="100:20,1000:20,4000:2", help="numbers of workers, and of seeds for each"
@@ -268,7 +278,7 @@
     cases = [
         Case(scenario, size, with_recovery, seed)
         for size, seeds in sizes
-        for scenario in STORIES
+        for scenario in SCENARIOS
         for with_recovery in (False, True)
         for seed in range(seeds)
     ]
--- a/tests/recovery_region.py
+++ b/tests/recovery_region.py
@@ -33,6 +33,10 @@
 FEW_WORKERS = 18
 FEW_SERVICES = 12
 
+OK = 200
+ACCEPTED = (OK, 201)
+UNAVAILABLE = 503
+
 # what a fixed rate may be exceeded by, for the rounding of floats
 RATE_TOLERANCE = 1e-6
 
@@ -105,8 +109,8 @@
         self, label: str, job: str, run_s: float | None, **fields: Any
     ) -> None:
         """Submits a job again while it is answered 503, as PROTOCOL says for users."""
-        while (status := await self.submit(label, job, run_s, **fields)) not in (200, 201):
-            assert status == 503, status
+        while (status := await self.submit(label, job, run_s, **fields)) not in ACCEPTED:
+            assert status == UNAVAILABLE, status
             await curio.sleep(1.0)
 
     async def start_services(self, number: int, tasks: int = 3) -> list[str]:
@@ -215,7 +219,7 @@
     async def overview(self, label: str = "node-0") -> dict[str, Any]:
         """Returns the overview of recoveries that a controller shows."""
         response = await self.request(label, "GET", RECOVERY_PATH)
-        assert response.status == 200, response
+        assert response.status == OK, response
         overview: dict[str, Any] = orjson.loads(response.body)
         return overview
 
@@ -270,7 +274,7 @@
 def simulate_recovery(
     scenario: Callable[[RecoveryRegion], Awaitable[None]],
     recovery: RecoverySettings | None,
-    expected: Callable[[str], bool] = lambda report_violation: False,
+    expected: Callable[[str], bool] = lambda _: False,
 ) -> RecoveryRegion:
     """Plays a scenario; fails if an invariant is violated, apart from expected violations."""
     clock = FakeClock()
--- a/tests/report_page.py
+++ b/tests/report_page.py
@@ -1,4 +1,8 @@
-"""What reports of measurements share: summaries, tables, plots and the HTML page."""
+"""Summaries, tables, plots and the HTML page of reports on measurements.
+
+The measuring programs of recovery and multi-machine replicas use it. It needs
+requirements-measure.txt.
+"""
 
 import statistics
 from collections.abc import Iterator, Mapping, Sequence
@@ -13,6 +17,8 @@
 import matplotlib.pyplot as plt
 from jinja2 import Environment
 
+P95 = 0.95
+
 PAGE = """<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>{{ title }}</title>
 <style>body{font:15px/1.5 sans-serif;max-width:60em;margin:2em auto}
@@ -32,7 +38,7 @@
 
 
 class Table(NamedTuple):
-    """A table of the page; `plot` is the file of a plot below it, empty if there is none."""
+    """A table of the page; `plot` is the file of the plot below it, empty if there is none."""
 
     title: str
     text: str
@@ -42,36 +48,39 @@
 
 
 def summary(values: Sequence[float]) -> dict[str, float]:
-    """Median, a high quantile and the largest."""
+    """Returns the median, the 95th percentile and the largest value."""
     ordered = sorted(values)
-    high = ordered[min(len(ordered) - 1, int(0.95 * len(ordered)))]
+    p95 = ordered[min(len(ordered) - 1, int(P95 * len(ordered)))]
     return {
         "median": round(statistics.median(ordered), 2),
-        "p95": round(high, 2),
+        "p95": round(p95, 2),
         "largest": round(ordered[-1], 2),
     }
 
 
 def spread(samples: Sequence[Mapping[str, Any]], field: str) -> str:
-    """A field of samples in a table's cell; None stands for what did not come about."""
+    """Returns a table's cell with the summary of a field; None in a sample is a missing value."""
     values = [s[field] for s in samples if s[field] is not None]
     if not values:
         return "none"
-    s = summary(values)
+    figures = summary(values)
     missing = len(samples) - len(values)
-    lacking = f" ({missing} did not come)" if missing else ""
-    return f"{s['median']} / {s['p95']} / {s['largest']}{lacking}"
+    note = f" ({missing} did not come)" if missing else ""
+    return f"{figures['median']} / {figures['p95']} / {figures['largest']}{note}"
 
 
 def plain_table(title: str, text: str, rows: Sequence[Mapping[str, Any]]) -> Table:
-    """A table of figures as they are."""
+    """Returns a table with a column for each field of the rows."""
     heads = list(rows[0])
     return Table(title, text, heads, [[row[h] for h in heads] for row in rows])
 
 
 @contextmanager
 def plot(path: Path, columns: int = 1, width: float = 7.0) -> Iterator[Any]:
-    """Axes of a plot that is written to the file afterwards, the same for the same figures."""
+    """Gives the axes of a plot, and writes it to the file afterwards.
+
+    The same figures give the same file.
+    """
     plt.rcParams["svg.hashsalt"] = "crossmill"
     figure, axes = plt.subplots(1, columns, figsize=(width, 3.6), sharey=True)
     yield axes
@@ -81,6 +90,6 @@
 
 
 def write_page(path: Path, title: str, text: str, module: str, tables: Sequence[Table]) -> None:
-    """Writes the page."""
+    """Writes the page; `module` is the program that made it."""
     template = Environment(autoescape=True).from_string(PAGE)
     path.write_text(template.render(title=title, text=text, module=module, tables=tables))
--- a/tests/test_recovery_classification.py
+++ b/tests/test_recovery_classification.py
@@ -1,5 +1,4 @@
-"""Recovery's classification of tasks and machines, and that it agrees with the heartbeat
-handler."""
+"""Recovery's classification of tasks and machines; it agrees with the heartbeat handler."""
 
 import random
 from typing import Any, NamedTuple
@@ -168,8 +167,7 @@
 async def _start_with_heartbeat(
     state: StateService, clock: FakeClock, drawn: DrawnState
 ) -> tuple[SteppedController, list[Command]]:
-    """Starts a controller; returns it with its commands after the first heartbeat with its
-    token."""
+    """Starts a controller and returns it with its commands after a heartbeat with its token."""
     _store(state, clock, drawn)
     node = SteppedController(state, clock, {})
     await node.boot()
--- a/tests/test_recovery_failures.py
+++ b/tests/test_recovery_failures.py
@@ -134,8 +134,7 @@
 
 
 def test_a_controller_with_an_outdated_view_stops_nothing_that_another_planned() -> None:
-    """One controller gets no changes, so its view of the plans is outdated when it acquires a
-    shard."""
+    """One controller gets no changes, so it acquires a shard with an outdated view of the plans."""
 
     async def scenario(region: RecoveryRegion) -> None:
         await region.begin_busy()
--- a/tests/test_recovery_restart.py
+++ b/tests/test_recovery_restart.py
@@ -44,8 +44,7 @@
 
 
 def test_only_workers_that_differ_get_orders_after_a_restart() -> None:
-    """Five workers are disconnected, one runs an unplanned task, and jobs are cancelled at the
-    start."""
+    """Five workers are disconnected, one runs an unplanned task, and jobs are cancelled."""
 
     async def scenario(region: RecoveryRegion) -> None:
         jobs = await region.begin_busy(MANY_WORKERS, MANY_SERVICES)
--- a/tests/test_recovery_restored_state.py
+++ b/tests/test_recovery_restored_state.py
@@ -93,8 +93,7 @@
 
 
 def test_an_empty_state_service_leads_to_no_orders() -> None:
-    """No machine has a record, so no worker may be answered, and PROTOCOL has no other way to keep
-    its tasks."""
+    """No machine has a record, and a worker without one may not be answered (PROTOCOL)."""
 
     async def scenario(region: RecoveryRegion) -> None:
         await region.begin_busy()
@@ -178,8 +177,7 @@
 
 
 def _stop_times_without_breaker(settings: RecoverySettings) -> list[float]:
-    """Returns when tasks were stopped after a state restore, with settings that disable the
-    breaker."""
+    """Returns when tasks were stopped after a state restore; the settings disable the breaker."""
     times: list[float] = []
 
     async def scenario(region: RecoveryRegion) -> None:
--- a/tests/test_recovery_service.py
+++ b/tests/test_recovery_service.py
@@ -88,9 +88,11 @@
 )
 def test_invalid_arguments_of_the_verbs_are_rejected(arguments: list[str]) -> None:
     try:
-        assert main(["recovery", *arguments]) == BAD_USAGE
+        code: object = main(["recovery", *arguments])
     except SystemExit as exc:
-        assert exc.code == BAD_USAGE
+        # the parser itself exits where an argument is missing or has the wrong type
+        code = exc.code
+    assert code == BAD_USAGE
 
 
 async def _api(
--- a/tests/test_recovery_unplanned_tasks.py
+++ b/tests/test_recovery_unplanned_tasks.py
@@ -64,8 +64,7 @@
 
 
 def test_a_task_missing_from_the_plan_is_not_placed_while_it_runs() -> None:
-    """The stop of the unplanned task waits for the rate limit; meanwhile the plan has no attempt
-    of it."""
+    """The task's stop waits for the rate limit, while the plan has no attempt of the task."""
 
     async def scenario(region: RecoveryRegion) -> None:
         await region.begin_busy()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,3 +1,5 @@
+"""Parsing of submissions and heartbeats, and the encoding of answers to workers."""
+
 from typing import Any
 
 import pytest
@@ -38,20 +40,20 @@
         {"crew": ""},
     ],
 )
-def test_invalid_fields_are_malformed(change: dict[str, Any]) -> None:
+def test_an_invalid_field_of_a_submission_is_malformed(change: dict[str, Any]) -> None:
     with pytest.raises(MalformedMessageError):
         parse_submission(submission(**change))
 
 
 @pytest.mark.parametrize("field", sorted(set(submission()) - {"frames", "yard", "dueS"}))
-def test_missing_fields_are_malformed(field: str) -> None:
+def test_a_missing_field_of_a_submission_is_malformed(field: str) -> None:
     data = submission()
     del data[field]
     with pytest.raises(MalformedMessageError):
         parse_submission(data)
 
 
-def test_nullable_fields_may_be_missing_and_unknown_ones_stand() -> None:
+def test_nullable_fields_may_be_missing_and_unknown_ones_are_ignored() -> None:
     data = submission(novel=[1])
     for field in ("frames", "yard", "dueS"):
         del data[field]
@@ -60,16 +62,16 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"[]", b'"x"', b'{"cpus": NaN}', b"\xff{}"])
-def test_bodies_that_are_no_objects(body: bytes) -> None:
+def test_a_body_that_is_no_object_is_malformed(body: bytes) -> None:
     with pytest.raises(MalformedMessageError):
         load_object(body)
 
 
-def test_report_and_orders_keep_wire_spellings_out() -> None:
-    report = parse_heartbeat(
+def test_heartbeats_and_commands_use_internal_names() -> None:
+    heartbeat = parse_heartbeat(
         load_object(beat("n-1", 2, 7, 41, on("wk-1", 3, 2, "exited", "halted")))
     )
-    task = report.tasks[0]
+    task = heartbeat.tasks[0]
     assert (task.job, task.index, task.attempt, task.why) == ("wk-1", 3, 2, "stopped")
     assert load_object(answer_body(41, [Command("forget", "wk-1/3", 2)])) == {
         "warrant": 41,
@@ -77,8 +79,8 @@
     }
 
 
-def test_the_largest_answer_fits_the_line_limit() -> None:
-    """Answers to a worker may have no line over 64 KiB."""
+def test_the_longest_answer_fits_the_line_limit() -> None:
+    """PROTOCOL limits a line of an answer to a worker to 64 KiB."""
     longest = Command("stop", "wk-" + "9" * 18 + "/99999", 2**64 - 1, 123456.789)
     assert len(answer_body(2**64 - 1, [longest] * MAX_ORDERS)) < 64 * 1024
     assert len(commands_body(2**64 - 1, 2**64 - 1, [longest] * MAX_ORDERS)) < 64 * 1024
@@ -87,12 +89,12 @@
 @pytest.mark.parametrize(
     "change", [{"turn": True}, {"turn": 1.0}, {"turn": [1]}, {"stage": {}}, {"cause": []}]
 )
-def test_a_kept_task_report_stands_for_no_other(change: dict[str, Any]) -> None:
-    # guards against a table of kept reports taking true, or 1.0, for the 1 that it holds
+def test_a_cached_task_status_is_not_used_for_another_task(change: dict[str, Any]) -> None:
+    # true and 1.0 equal the cached 1, but are malformed
     task = on("wk-000001", 0, 1, "running")
     read = cached_task_status_reader(8)
-    kept = parse_heartbeat(load_object(beat("n-0", 1, 1, 1, task)), read)
+    cached = parse_heartbeat(load_object(beat("n-0", 1, 1, 1, task)), read)
     again = parse_heartbeat(load_object(beat("n-0", 1, 2, 1, task)), read)
-    assert again.tasks[0] is kept.tasks[0]
+    assert again.tasks[0] is cached.tasks[0]
     with pytest.raises(MalformedMessageError):
         parse_heartbeat(load_object(beat("n-0", 1, 3, 1, {**task, **change})), read)
