--- a/crossmill/recovery/api.py
+++ b/crossmill/recovery/api.py
@@ -25,7 +25,7 @@
 
 RETRY_AFTER_S = 1
 UNAVAILABLE = Response(503, error_body("the state service is not reached"), RETRY_AFTER_S)
-NOT_BRAKED = Response(409, error_body("the shard's brake is off, or holds back something else"))
+NOT_APPROVABLE = Response(409, error_body("the shard's brake is off, or holds back something else"))
 
 
 class RecoveryApi:
@@ -80,7 +80,7 @@
             return UNAVAILABLE
         report = self._open_breaker(approval.shard)
         if report is None or report.digest != approval.digest:
-            return NOT_BRAKED
+            return NOT_APPROVABLE
         return await self._store_approval(approval, report)
 
     async def _store_approval(self, approval: Approval, report: BreakerReport) -> Response:
@@ -96,4 +96,4 @@
         result = await self._writer.commit(WriteIntent(txn, WriteRank.URGENT, until=deadline))
         if result == WriteResult.EXPIRED:
             return UNAVAILABLE
-        return Response(200) if result == WriteResult.OK else NOT_BRAKED
+        return Response(200) if result == WriteResult.OK else NOT_APPROVABLE
--- a/crossmill/recovery/service.py
+++ b/crossmill/recovery/service.py
@@ -68,8 +68,9 @@
             return commands
         admitted = [command for command in commands if recovery.admit(machine, command)]
         if self._recovery.dry_run:
-            withheld = (command.op for command in commands if command not in admitted)
-            recovery.statistics.withheld_in_dry_run.update(withheld)
+            recovery.statistics.note_withheld_in_dry_run(
+                command.op for command in commands if command not in admitted
+            )
             return commands
         # an answer has a maximum length, and only commands that stop a task may be urgent
         return sorted(admitted, key=lambda command: command.op != "stop")
@@ -91,7 +92,7 @@
         if recovery is None or recovery.admit_release(machine):
             return True
         if self._recovery.dry_run:
-            recovery.statistics.withheld_in_dry_run[RELEASE_ORDER] += 1
+            recovery.statistics.note_withheld_in_dry_run([RELEASE_ORDER])
         return self._recovery.dry_run
 
     def _recovery_of(self, shard: int, ownership: ShardOwnership) -> ShardRecovery:
@@ -109,7 +110,7 @@
     async def run(self) -> None:
         """Advances the recoveries until the controller ends.
 
-        While none is in progress it only looks for newly acquired shards, as often as a lease is
+        While none is in progress it only checks for newly acquired shards, as often as a lease is
         renewed.
         """
         while True:
@@ -136,7 +137,7 @@
         if recovery.needs_read:
             sent_at = self._clock.now()
             if await self._context.watcher.sync(self._settings.lease_renewal_interval_s):
-                recovery.last_read_sent_at = sent_at
+                recovery.note_read(sent_at)
         self._apply_approval(recovery)
         await self._store_breaker(recovery, ownership)
         if recovery.is_settled and recovery.shard not in self._recorded:
@@ -162,18 +163,18 @@
         key = keys.breaker(shard)
         stored = self._mirror.value(key)
         is_open = recovery.is_breaker_open and not self._recovery.dry_run
-        wanted = encode_breaker(recovery) if is_open else None
+        present = encode_breaker(recovery) if is_open else None
         # warns if another version wrote the stored value
         self.notes.breaker(shard)
-        if stored == wanted or (wanted is None and self.notes.is_unreadable(key)):
+        if stored == present or (present is None and self.notes.is_unreadable(key)):
             return
         conditions = {key: self._mirror.version(key)}
-        if wanted is None:
+        if present is None:
             log.info("recovery brake released shard=%d token=%d", shard, ownership.term)
             txn = Txn(conditions, [], [key, *self._stored_approval_keys(shard)])
         else:
-            self._log_open_breaker(recovery, ownership, wanted)
-            txn = Txn(conditions, [Put(key, wanted)])
+            self._log_open_breaker(recovery, ownership, present)
+            txn = Txn(conditions, [Put(key, present)])
         await self._commit(shard, ownership, txn)
 
     def _log_open_breaker(
@@ -213,7 +214,10 @@
         await self._commit(shard, ownership, txn)
 
     async def _commit(self, shard: int, ownership: ShardOwnership, txn: Txn) -> None:
-        """Commits a write under the ownership; one that fails is derived again in a later step."""
+        """Commits a write under the ownership.
+
+        A failure is not reported: the next step stores the breaker again, and a record may be lost.
+        """
         intent = shard_intent(self._membership, shard, ownership, WriteRank.BACKGROUND, txn)
         await self._context.writer.commit(intent)
 
--- a/crossmill/recovery/shard_recovery.py
+++ b/crossmill/recovery/shard_recovery.py
@@ -53,7 +53,7 @@
         self.begun_at = clock.now()
         self.statistics = RecoveryStatistics()
         # when the newest read that showed all durable writes was sent
-        self.last_read_sent_at: float | None = None
+        self._last_read_sent_at: float | None = None
         self._settings = settings
         self._clock = clock
         self._cluster = context.cluster
@@ -102,7 +102,7 @@
     @property
     def needs_read(self) -> bool:
         """Whether an order needs a read that was sent after the heartbeat it follows from."""
-        return self._differences.needs_read(self.last_read_sent_at)
+        return self._differences.needs_read(self._last_read_sent_at)
 
     def waits_for(self) -> str:
         """Returns what the present phase waits for, as text for an operator."""
@@ -144,7 +144,7 @@
     # -- phases ----------------------------------------------------------------------
 
     def advance(self, ownership: ShardOwnership) -> None:
-        """Enters the next phases as far as their conditions hold."""
+        """Enters each next phase whose conditions are met."""
         self._forget_departed_machines()
         if self.phase is RecoveryPhase.LOADING and ownership.ready:
             self._start_observing()
@@ -237,6 +237,10 @@
 
     # -- heartbeats and orders -------------------------------------------------------
 
+    def note_read(self, sent_at: float) -> None:
+        """Notes a read, sent at this time, that showed all durable writes."""
+        self._last_read_sent_at = sent_at
+
     def note_heartbeat(self, machine: Machine, view: WorkerView) -> None:
         """Takes in a heartbeat with this owner's token.
 
@@ -301,7 +305,7 @@
     def _lacks_fresh_read(self, difference: Difference) -> bool:
         if difference.rule.evidence is not ActionEvidence.FRESH_READ:
             return False
-        return not self._differences.has_fresh_read(difference, self.last_read_sent_at)
+        return not self._differences.has_fresh_read(difference, self._last_read_sent_at)
 
     def admit_release(self, machine: Machine) -> bool:
         """Decides whether the machine may be marked for return to the cloud, and counts it."""
--- a/crossmill/recovery/statistics.py
+++ b/crossmill/recovery/statistics.py
@@ -1,6 +1,7 @@
 """Counts that a recovery collects for its record and its log lines."""
 
 from collections import Counter
+from collections.abc import Iterable
 
 from .classification import MachineClass, TaskClass
 
@@ -29,3 +30,7 @@
         self.withheld_in_dry_run: Counter[str] = Counter()
         self.machines_known = 0
         self.tasks_known = 0
+
+    def note_withheld_in_dry_run(self, kinds: Iterable[str]) -> None:
+        """Counts orders that were sent in a dry run and would otherwise have been withheld."""
+        self.withheld_in_dry_run.update(kinds)
--- a/crossmill/wire/checks.py
+++ b/crossmill/wire/checks.py
@@ -8,6 +8,7 @@
 
 import orjson
 
+# one more than the largest unsigned integer of 64 bits
 U64 = 1 << 64
 
 _Value = TypeVar("_Value")
--- a/crossmill/wire/state.py
+++ b/crossmill/wire/state.py
@@ -13,7 +13,7 @@
 TXN_PATH = "/txn"
 # the most keys in one page of a list
 MAX_KEYS = 1000
-# the status of a transaction with a condition that does not hold
+# the status of a transaction of which a condition has failed
 CONFLICT = 409
 
 
--- a/tests/test_recovery_classification.py
+++ b/tests/test_recovery_classification.py
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize(
-    ("stored", "listed", "retiring", "contact", "wanted"),
+    ("stored", "listed", "retiring", "contact", "expected"),
     [
         (True, True, False, REPORTING, MachineClass.HEALTHY),
         (True, None, False, REPORTING, MachineClass.HEALTHY),
@@ -120,9 +120,13 @@
     ],
 )
 def test_the_class_of_a_machine(
-    stored: bool, listed: bool | None, retiring: bool, contact: WorkerContact, wanted: MachineClass
+    stored: bool,
+    listed: bool | None,
+    retiring: bool,
+    contact: WorkerContact,
+    expected: MachineClass,
 ) -> None:
-    assert classify_machine(stored, listed, retiring, contact) is wanted
+    assert classify_machine(stored, listed, retiring, contact) is expected
 
 
 # -- the classes agree with the commands and outcomes of the heartbeat handler ---------
