--- a/crossmill/app.py
+++ b/crossmill/app.py
@@ -106,27 +106,14 @@
     def _build_recovery(self, recovery: "RecoverySettings") -> "RecoveryApi":
         """Holds back what differs when a shard is acquired, before the first heartbeat comes."""
         from .recovery.api import RecoveryApi
+        from .recovery.context import RecoveryContext
         from .recovery.service import RecoveryService
 
-        service = RecoveryService(
-            self.settings,
-            recovery,
-            self._clock,
-            self.cluster,
-            self.membership,
-            self.watcher,
-            self.writer,
-            self.forecast.priority_of,
-        )
-        return RecoveryApi(
-            self.settings,
-            recovery,
-            self._clock,
-            self.cluster,
-            self.watcher,
-            self.writer,
-            service,
+        context = RecoveryContext(
+            self.settings, recovery, self._clock, self.cluster, self.watcher, self.writer
         )
+        service = RecoveryService(context, self.membership, self.forecast.priority_of)
+        return RecoveryApi(context, service)
 
     def _build_workers(self, work_available: curio.Event) -> None:
         """What answers workers' heartbeats and sends them commands."""
