--- a/crossmill/multihost/agents.py
+++ b/crossmill/multihost/agents.py
@@ -18,7 +18,7 @@
     # a late copy of an earlier one, or one that overtook it
     STALE = "stale"
     # made before the agent had an answer of this owner: nothing in it is believed
-    GREETING = "greeting"
+    UNVERIFIED = "greeting"
     NEW = "new"
 
 
@@ -42,7 +42,7 @@
     # reports of the newest heartbeat that contradict the plan or one another
     rejected: int = 0
 
-    def has_none_of(self, replica: str) -> bool:
+    def runs_no_member_of(self, replica: str) -> bool:
         """Whether the machine runs no member of the replica, nor has been ordered to."""
         if replica in self.members or self.alive_at is None:
             return False
@@ -86,7 +86,7 @@
         """An answer sent now orders a member of the replica to be started."""
         self._views[machine].start_sent_at[replica] = sent_at
 
-    def silent_since(self, moment: float) -> Iterator[AgentView]:
+    def heartbeats_before(self, moment: float) -> Iterator[AgentView]:
         """The views of machines not heard since the moment, oldest first; looks no further than
         the first that was.
         """
@@ -95,29 +95,31 @@
                 return
             yield view
 
-    def note(self, beat: AgentHeartbeat, token: int, now: float) -> Freshness:
+    def note(self, heartbeat: AgentHeartbeat, token: int, now: float) -> Freshness:
         """Takes a heartbeat in. It is believed if it returns a proof of this process, made under
         the owner's token, and is the newest of its agent.
         """
-        view = self._views.get(beat.machine)
+        view = self._views.get(heartbeat.machine)
         if view is None:
-            view = self._views[beat.machine] = AgentView(beat.machine, last_heartbeat_at=now)
-        if (beat.session, beat.sequence) <= (view.session, view.sequence):
+            view = self._views[heartbeat.machine] = AgentView(
+                heartbeat.machine, last_heartbeat_at=now
+            )
+        if (heartbeat.session, heartbeat.sequence) <= (view.session, view.sequence):
             return Freshness.STALE
-        proof = beat.proof
-        if proof is None or proof.process != self.process or beat.token != token:
-            return Freshness.GREETING
+        proof = heartbeat.proof
+        if proof is None or proof.process != self.process or heartbeat.token != token:
+            return Freshness.UNVERIFIED
         is_newer = view.alive_at is None or proof.sent > view.alive_at
-        view.session, view.sequence = beat.session, beat.sequence
+        view.session, view.sequence = heartbeat.session, heartbeat.sequence
         if is_newer:
             # a heartbeat that was long under way shows only that the machine lived then
             view.alive_at = proof.sent
             view.last_heartbeat_at = now
-            self._views.move_to_end(beat.machine)
+            self._views.move_to_end(heartbeat.machine)
             view.start_sent_at = {
                 replica: at for replica, at in view.start_sent_at.items() if at > proof.sent
             }
-        view.address = beat.address
-        view.notice_at = None if beat.notice_s is None else now + beat.notice_s
-        view.images = frozenset(beat.images)
+        view.address = heartbeat.address
+        view.notice_at = None if heartbeat.notice_s is None else now + heartbeat.notice_s
+        view.images = frozenset(heartbeat.images)
         return Freshness.NEW
--- a/crossmill/multihost/api.py
+++ b/crossmill/multihost/api.py
@@ -28,15 +28,20 @@
 )
 from ..wire.state import Put, Txn
 from . import keys
-from .declaration import InvalidDeclaration, Unplaceable, check_placeable, parse_declaration
+from .declaration import (
+    InvalidDeclarationError,
+    UnplaceableError,
+    check_placeable,
+    parse_declaration,
+)
 from .model import PoolMachine, Replica, ReplicaId, ReplicaSet, ReplicaSetSpec
-from .phases import Phase
+from .phases import ReplicaPhase
 from .pool import PoolState
 from .records import encode_machine, encode_set
 from .settings import MultihostSettings
-from .writes import PoolWriter, advanced
+from .writes import PoolWriter, after_transition
 
-ATTEMPTS = 3
+MAX_WRITE_ATTEMPTS = 3
 RETRY_AFTER_S = 1
 UNAVAILABLE = Response(503, error_body("the state service is not reached"), RETRY_AFTER_S)
 NO_SUCH_SET = Response(404, error_body("no such replica set"))
@@ -127,7 +132,7 @@
         replicas = self._pool.replicas_of.get(stored.spec.name, {})
         data = encode_set(stored)
         data["resources"] = stored.spec.resources._asdict()
-        data["ready"] = sum(r.phase is Phase.READY for r in replicas.values())
+        data["ready"] = sum(r.phase is ReplicaPhase.READY for r in replicas.values())
         data["known"] = len(replicas)
         return data
 
@@ -186,9 +191,9 @@
             check_placeable(spec, self._pool.placeable())
         except checks.MalformedMessageError as exc:
             return Response(400, error_body(str(exc)))
-        except InvalidDeclaration as exc:
+        except InvalidDeclarationError as exc:
             return Response(400, error_body(str(exc), exc.field))
-        except Unplaceable as exc:
+        except UnplaceableError as exc:
             return Response(422, error_body(str(exc), "members"))
         return await self._store(name, lambda stored: self._declared(spec, stored))
 
@@ -216,7 +221,7 @@
         self, name: str, change: Callable[[ReplicaSet | None], ReplicaSet | Response]
     ) -> Response:
         """Changes a set's record; the pool's owner may be writing it too."""
-        for _ in range(ATTEMPTS):
+        for _ in range(MAX_WRITE_ATTEMPTS):
             stored = self._pool.sets.get(name)
             after = change(stored)
             if isinstance(after, Response):
@@ -247,11 +252,13 @@
         replica = self._pool.replicas.get(replica_id)
         if replica is None:
             return NO_SUCH_REPLICA
-        after_phase = Phase.PENDING if replica.phase is Phase.FAILED else Phase.REPAIRING
-        if replica.phase not in (Phase.FAILED, Phase.READY, Phase.STARTING):
+        after_phase = (
+            ReplicaPhase.PENDING if replica.phase is ReplicaPhase.FAILED else ReplicaPhase.REPAIRING
+        )
+        if replica.phase not in (ReplicaPhase.FAILED, ReplicaPhase.READY, ReplicaPhase.STARTING):
             return Response(409, error_body(f"a replica that is {replica.phase} is not restarted"))
-        after = advanced(replica, after_phase, self._clock.wall(), RESTARTED)
-        if after_phase is Phase.PENDING:
+        after = after_transition(replica, after_phase, self._clock.wall(), RESTARTED)
+        if after_phase is ReplicaPhase.PENDING:
             after.restarts = ()
         if not all(await self._writes.submit([self._writes.transition(ownership, replica, after)])):
             return UNAVAILABLE
--- a/crossmill/multihost/coordinator.py
+++ b/crossmill/multihost/coordinator.py
@@ -18,38 +18,38 @@
 from .due_times import DueTimes
 from .failure_scores import FailureScores
 from .lifecycle import (
-    Action,
-    Decision,
+    DecisionTime,
     MemberStatus,
-    Moment,
+    ReplicaAction,
+    ReplicaDecision,
     decide,
     first_contact_s,
-    is_silent,
+    is_heartbeat_overdue,
     recent_restarts,
 )
 from .model import PoolMachine, Replica, ReplicaId, ReplicaSet
-from .phases import Phase
+from .observations import ReplicaObserver
+from .phases import ReplicaPhase
 from .pool import PoolState
 from .registration import Registration
 from .scheduling import Scheduler
 from .serving import ServingLeases
-from .set_rounds import SetRounds
+from .set_reconciler import SetReconciler
 from .sets import PREEMPTED
 from .settings import MultihostSettings
-from .situations import Situations
-from .writes import PoolWriter, advanced
+from .writes import PoolWriter, after_transition
 
 log = logging.getLogger(__name__)
 
 # the phase that follows from an action that changes nothing else
-PHASE_OF = {
-    Action.CONFIRM: Phase.READY,
-    Action.REPAIR: Phase.REPAIRING,
-    Action.RELEASE: Phase.PENDING,
-    Action.DRAIN: Phase.DRAINING,
-    Action.STOP: Phase.STOPPED,
-    Action.FAIL: Phase.FAILED,
-    Action.RETRY: Phase.PENDING,
+PHASE_AFTER = {
+    ReplicaAction.CONFIRM: ReplicaPhase.READY,
+    ReplicaAction.REPAIR: ReplicaPhase.REPAIRING,
+    ReplicaAction.RELEASE: ReplicaPhase.PENDING,
+    ReplicaAction.DRAIN: ReplicaPhase.DRAINING,
+    ReplicaAction.STOP: ReplicaPhase.STOPPED,
+    ReplicaAction.FAIL: ReplicaPhase.FAILED,
+    ReplicaAction.RETRY: ReplicaPhase.PENDING,
 }
 
 
@@ -76,23 +76,23 @@
         self._writes = writes
         self._registration = registration
         self._failures = FailureScores(settings.failure_half_life_s)
-        self._situations = Situations(settings, pool, agents, leases)
+        self._situations = ReplicaObserver(settings, pool, agents, leases)
         self._scheduler = Scheduler(settings, pool, agents, self._failures)
-        self._sets = SetRounds(pool, agents, self._scheduler, writes)
+        self._sets = SetReconciler(pool, agents, self._scheduler, writes)
         self._wake = curio.Event()
         # the token under which the present ownership began
         self._term: int | None = None
         self._due = DueTimes()
-        self._silent: set[str] = set()
+        self._overdue_machines: set[str] = set()
         # ranks whose machines are left out when their replica is repaired
         self._suspects: dict[ReplicaId, frozenset[int]] = {}
         # how often a replica was looked at, since the start
-        self.looks = 0
+        self.replicas_examined = 0
         membership.on_lost.append(self._lost)
 
     # -- what wakes a round ----------------------------------------------------------
 
-    async def wake_if_news(self) -> None:
+    async def wake_if_changed(self) -> None:
         """Ends the nap between two rounds if there is something to look at."""
         if self._pool.changes:
             await self._wake.set()
@@ -103,7 +103,7 @@
             ownership = self._membership.command_ownership(self._settings.pool_shard)
             if ownership is not None:
                 await self.round(ownership)
-            await curio.sleep(self._settings.heartbeat_s / 20)
+            await curio.sleep(self._settings.heartbeat_interval_s / 20)
             if ownership is None or not self._pool.changes:
                 await curio.ignore_after(self._nap_s(), self._wake.wait)
             self._wake.clear()
@@ -112,9 +112,9 @@
         """Until something is due. A silent machine is noticed by looking each half heartbeat; where
         no agent is heard, none can fall silent, and the first heartbeat ends the nap.
         """
-        longest = self._settings.heartbeat_s / 2
+        longest = self._settings.heartbeat_interval_s / 2
         if len(self._agents) == 0:
-            longest = self._settings.idle_nap_s
+            longest = self._settings.idle_poll_interval_s
         due_at = self._due.next_at()
         if due_at is None:
             return longest
@@ -131,7 +131,7 @@
         self._situations.clear()
         self._scheduler.clear()
         self._due.clear()
-        self._silent.clear()
+        self._overdue_machines.clear()
         self._suspects.clear()
 
     def _begin_term(self, ownership: ShardOwnership) -> None:
@@ -149,9 +149,9 @@
             len(self._pool.replicas),
         )
 
-    def moment(self, ownership: ShardOwnership) -> Moment:
+    def moment(self, ownership: ShardOwnership) -> DecisionTime:
         """Now, as decisions see it."""
-        return Moment(self._clock.now(), self._clock.wall(), ownership.acquired_at)
+        return DecisionTime(self._clock.now(), self._clock.wall(), ownership.acquired_at)
 
     # -- one round -------------------------------------------------------------------
 
@@ -180,18 +180,18 @@
             await self._writes.clear(ownership, replica, record_too)
         await self._place(ownership, moment)
 
-    def _notice_silence(self, moment: Moment) -> None:
+    def _notice_silence(self, moment: DecisionTime) -> None:
         """Machines that have just been silent for too long: their replicas are looked at."""
-        for view in self._agents.silent_since(moment.now - self._settings.detection_s):
-            is_new = view.machine not in self._silent
-            if is_new and is_silent(view, moment, self._settings):
-                self._silent.add(view.machine)
+        for view in self._agents.heartbeats_before(moment.now - self._settings.failure_detection_s):
+            is_new = view.machine not in self._overdue_machines
+            if is_new and is_heartbeat_overdue(view, moment, self._settings):
+                self._overdue_machines.add(view.machine)
                 log.info("agent heartbeats missed machine=%s", view.machine)
                 self._touch_machine(view.machine)
-        for machine in list(self._silent):
+        for machine in list(self._overdue_machines):
             view_now = self._agents.get(machine)
-            if view_now is None or not is_silent(view_now, moment, self._settings):
-                self._silent.discard(machine)
+            if view_now is None or not is_heartbeat_overdue(view_now, moment, self._settings):
+                self._overdue_machines.discard(machine)
                 log.info("agent heartbeats resumed machine=%s", machine)
                 self._touch_machine(machine)
 
@@ -221,7 +221,7 @@
         ]
         for machine_id in gone:
             self._agents.forget(machine_id)
-            self._silent.discard(machine_id)
+            self._overdue_machines.discard(machine_id)
             log.info("machine left the pool machine=%s", machine_id)
         intents = [self._writes.deletion_of_machine(ownership, m) for m in gone]
         for machine_id in set(changed) - set(gone):
@@ -243,34 +243,34 @@
     def _step(
         self,
         ownership: ShardOwnership,
-        moment: Moment,
+        moment: DecisionTime,
         replica: Replica,
         may_stop: bool,
         intents: list[WriteIntent],
         to_clear: list[tuple[Replica, bool]],
     ) -> None:
-        self.looks += 1
+        self.replicas_examined += 1
         stored = self._pool.sets.get(replica.id.set_name)
         if replica.version == 0 or stored is None:
             # a record that was read before, or is gone after, the one that it belongs to
             return
         situation = self._situations.of(replica, stored, moment, may_stop)
         decision = decide(replica, stored.spec, situation, moment, self._settings)
-        if decision.look_at is not None:
-            self._due.add(replica.id, decision.look_at)
-        if MemberStatus.UNHEARD in situation.statuses.values():
+        if decision.recheck_at is not None:
+            self._due.add(replica.id, decision.recheck_at)
+        if MemberStatus.UNKNOWN in situation.statuses.values():
             first_contact = moment.owned_since + first_contact_s(self._settings)
-            self._due.add(replica.id, first_contact + self._settings.heartbeat_s / 20)
-        if decision.action is Action.PLACE:
+            self._due.add(replica.id, first_contact + self._settings.heartbeat_interval_s / 20)
+        if decision.action is ReplicaAction.PLACE:
             self._scheduler.add(replica.id, moment.now)
             return
         self._scheduler.remove(replica.id)
         match decision.action:
-            case Action.WAIT:
+            case ReplicaAction.WAIT:
                 return
-            case Action.CLEAR:
+            case ReplicaAction.CLEAR:
                 to_clear.append((replica, False))
-            case Action.DELETE:
+            case ReplicaAction.DELETE:
                 self._leases.forget(replica.id)
                 self._suspects.pop(replica.id, None)
                 to_clear.append((replica, True))
@@ -280,13 +280,15 @@
     def _transition(
         self,
         ownership: ShardOwnership,
-        moment: Moment,
+        moment: DecisionTime,
         replica: Replica,
         stored: ReplicaSet,
-        decision: Decision,
+        decision: ReplicaDecision,
     ) -> WriteIntent:
-        after = advanced(replica, PHASE_OF[decision.action], moment.wall, decision.reason)
-        if decision.action is Action.REPAIR:
+        after = after_transition(
+            replica, PHASE_AFTER[decision.action], moment.wall, decision.reason
+        )
+        if decision.action is ReplicaAction.REPAIR:
             recent = recent_restarts(replica, stored.spec, moment.wall)
             after.restarts = (*recent, moment.wall)
         if decision.suspects:
@@ -294,7 +296,7 @@
             for member in replica.members():
                 if member.rank in decision.suspects:
                     self._failures.note_failure(member.machine, moment.now)
-        elif decision.action is Action.CONFIRM:
+        elif decision.action is ReplicaAction.CONFIRM:
             self._suspects.pop(replica.id, None)
         log.info(
             "replica phase replica=%s from=%s to=%s generation=%d reason=%s",
@@ -308,7 +310,7 @@
 
     # -- placing ---------------------------------------------------------------------
 
-    async def _place(self, ownership: ShardOwnership, moment: Moment) -> None:
+    async def _place(self, ownership: ShardOwnership, moment: DecisionTime) -> None:
         """Reserves machines for those that wait, one replica after another in the total order."""
         for choice in self._scheduler.choose(moment, self._suspects):
             if self._term != ownership.term:
@@ -332,14 +334,14 @@
                     "replica placed replica=%s generation=%d members=%d kept=%d load_s=%.1f",
                     choice.replica_id,
                     after.generation,
-                    len(choice.placement.places),
+                    len(choice.placement.members),
                     choice.placement.kept,
                     choice.placement.ready_s,
                 )
 
     def _must_wait_for_another(self, replica: Replica) -> bool:
         """Whether the reservation would be begun in steps while another one is open."""
-        if replica.phase is not Phase.PENDING:
+        if replica.phase is not ReplicaPhase.PENDING:
             return False
         members = self._pool.sets[replica.id.set_name].spec.members
         takes_steps = members > self._writes.members_per_chunk()
--- a/crossmill/multihost/declaration.py
+++ b/crossmill/multihost/declaration.py
@@ -12,7 +12,7 @@
 MAX_REPLICAS = 4096
 
 
-class InvalidDeclaration(ValueError):
+class InvalidDeclarationError(ValueError):
     """A field of a declaration is wrong."""
 
     def __init__(self, field: str, problem: str) -> None:
@@ -20,7 +20,7 @@
         self.field = field
 
 
-class Unplaceable(ValueError):
+class UnplaceableError(ValueError):
     """No zone of the pool can ever hold a replica of the set."""
 
 
@@ -30,9 +30,9 @@
     try:
         value = checks.amount(data, name)
     except checks.MalformedMessageError as exc:
-        raise InvalidDeclaration(name, f"a number of at least {low:g} is needed") from exc
+        raise InvalidDeclarationError(name, f"a number of at least {low:g} is needed") from exc
     if value < low:
-        raise InvalidDeclaration(name, f"a number of at least {low:g} is needed")
+        raise InvalidDeclarationError(name, f"a number of at least {low:g} is needed")
     return value
 
 
@@ -42,33 +42,35 @@
     try:
         return checks.count(data, name, low, high)
     except checks.MalformedMessageError as exc:
-        raise InvalidDeclaration(name, f"a whole number from {low} to {high} is needed") from exc
+        raise InvalidDeclarationError(
+            name, f"a whole number from {low} to {high} is needed"
+        ) from exc
 
 
 def _flag(data: dict[str, Any], name: str, default: bool) -> bool:
     value = data.get(name, default)
     if type(value) is not bool:
-        raise InvalidDeclaration(name, "true or false is needed")
+        raise InvalidDeclarationError(name, "true or false is needed")
     return value
 
 
 def _zones(data: dict[str, Any], known: Iterable[str]) -> tuple[str, ...]:
     value = data.get("zones", [])
     if type(value) is not list or not all(type(z) is str for z in value):
-        raise InvalidDeclaration("zones", "a list of zones is needed")
+        raise InvalidDeclarationError("zones", "a list of zones is needed")
     unknown = sorted(set(value) - set(known))
     if unknown:
-        raise InvalidDeclaration("zones", f"no such zone: {', '.join(unknown)}")
+        raise InvalidDeclarationError("zones", f"no such zone: {', '.join(unknown)}")
     return tuple(value)
 
 
 def parse_declaration(name: str, data: dict[str, Any], zones: Iterable[str]) -> ReplicaSetSpec:
-    """The declaration, checked; raises InvalidDeclaration with the field's name."""
+    """The declaration, checked; raises InvalidDeclarationError with the field's name."""
     if not NAME.fullmatch(name):
-        raise InvalidDeclaration("name", "up to 63 of a-z, 0-9 and - are needed")
+        raise InvalidDeclarationError("name", "up to 63 of a-z, 0-9 and - are needed")
     image = data.get("image")
     if type(image) is not str or not image or " " in image:
-        raise InvalidDeclaration("image", "a name without spaces is needed")
+        raise InvalidDeclarationError("image", "a name without spaces is needed")
     spec = ReplicaSetSpec(
         name=name,
         members=_count(data, "members", 1, MAX_MEMBERS),
@@ -90,19 +92,19 @@
         hold_s=_number(data, "hold_s", 0, 30.0),
     )
     if spec.min_ready > spec.replicas:
-        raise InvalidDeclaration("min_ready", "no more than the replicas are needed")
+        raise InvalidDeclarationError("min_ready", "no more than the replicas are needed")
     return spec
 
 
 def check_placeable(spec: ReplicaSetSpec, machines: Iterable[PoolMachine]) -> None:
-    """Raises Unplaceable if the empty pool could not hold one replica."""
+    """Raises UnplaceableError if the empty pool could not hold one replica."""
     fitting: dict[str, int] = {}
     for machine in machines:
-        if spec.allows_zone(machine.zone) and machine.capacity.holds(spec.resources):
+        if spec.allows_zone(machine.zone) and machine.capacity.can_fit(spec.resources):
             fitting[machine.zone] = fitting.get(machine.zone, 0) + 1
     most = max(fitting.values(), default=0) if spec.one_zone else sum(fitting.values())
     if most < spec.members:
         where = "one zone" if spec.one_zone else "all zones together"
-        raise Unplaceable(
+        raise UnplaceableError(
             f"a replica needs {spec.members} machines in {where}, the pool has {most} that fit"
         )
--- a/crossmill/multihost/failure_scores.py
+++ b/crossmill/multihost/failure_scores.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 # below this a score is as good as none
-NEGLIGIBLE = 0.05
+NEGLIGIBLE_SCORE = 0.05
 
 
 class _Score(NamedTuple):
@@ -26,7 +26,7 @@
         if known is None:
             return 0.0
         value = float(known.value * 0.5 ** ((now - known.at) / self._half_life_s))
-        if value < NEGLIGIBLE:
+        if value < NEGLIGIBLE_SCORE:
             del self._scores[machine]
             return 0.0
         return value
--- a/crossmill/multihost/heartbeats.py
+++ b/crossmill/multihost/heartbeats.py
@@ -13,16 +13,16 @@
 from ..wire.multihost import (
     AgentHeartbeat,
     AgentHeartbeatResponse,
+    LivenessProof,
     MemberReport,
     MemberState,
-    Op,
     Order,
+    OrderKind,
     PeerAddress,
-    Proof,
 )
 from .agents import Agents, AgentView, Freshness
 from .model import Member, Replica, ReplicaId
-from .phases import RUNNING_PHASES, Phase
+from .phases import RUNNING_PHASES, ReplicaPhase
 from .pool import PoolState
 from .serving import ServingLeases, all_alive_at
 from .settings import MultihostSettings
@@ -32,7 +32,7 @@
 FRONT_RANK = 0
 
 
-class Reply(NamedTuple):
+class HeartbeatReply(NamedTuple):
     """How a heartbeat is answered: with orders, or with a status and the pool's owner."""
 
     status: int
@@ -65,52 +65,54 @@
         # reports that contradict the plan, since the start
         self.rejected = 0
 
-    def handle(self, beat: AgentHeartbeat) -> Reply:
+    def handle(self, heartbeat: AgentHeartbeat) -> HeartbeatReply:
         """The answer to a heartbeat."""
         shard = self._settings.pool_shard
         standing = self._membership.heartbeat_authority(shard)
         if standing is None:
-            return Reply(421, owner=self._owner_of(shard))
+            return HeartbeatReply(421, owner=self._owner_of(shard))
         ownership, may_order = standing
-        if beat.token > ownership.token:
+        if heartbeat.token > ownership.token:
             # the agent would drop an answer of ours
             self._membership.request_higher_token(shard)
-            return Reply(503)
+            return HeartbeatReply(503)
         now = self._clock.now()
-        if beat.machine not in self._pool.machines:
-            self.joining[beat.machine] = beat
-            self._pool.note_news(beat.machine, ())
-            return Reply(503)
-        known = self._agents.get(beat.machine)
+        if heartbeat.machine not in self._pool.machines:
+            self.joining[heartbeat.machine] = heartbeat
+            self._pool.note_agent_change(heartbeat.machine, ())
+            return HeartbeatReply(503)
+        known = self._agents.get(heartbeat.machine)
         had_notice = known is not None and known.notice_at is not None
-        if self._pool.machines[beat.machine].has_left:
-            return Reply(410)
-        freshness = self._agents.note(beat, ownership.token, now)
+        if self._pool.machines[heartbeat.machine].has_left:
+            return HeartbeatReply(410)
+        freshness = self._agents.note(heartbeat, ownership.token, now)
         orders: list[Order] = []
         if freshness is Freshness.NEW:
-            view = self._agents.get(beat.machine)
+            view = self._agents.get(heartbeat.machine)
             assert view is not None
-            self._compare(beat, view)
+            self._compare(heartbeat, view)
             if (view.notice_at is not None) != had_notice:
-                self._pool.note_news(beat.machine, self._pool.machines[beat.machine].planned)
+                self._pool.note_agent_change(
+                    heartbeat.machine, self._pool.machines[heartbeat.machine].planned
+                )
             if may_order:
-                orders += self._orders(beat, view)
+                orders += self._orders(heartbeat, view)
             orders += self._grants(view, now)
         sent_at = self._clock.now()
         for order in orders:
-            if order.op is Op.START:
-                self._agents.note_start(beat.machine, order.replica, sent_at)
-        proof = Proof(self._agents.process, sent_at)
-        return Reply(200, AgentHeartbeatResponse(ownership.token, proof, tuple(orders)))
+            if order.op is OrderKind.START:
+                self._agents.note_start(heartbeat.machine, order.replica, sent_at)
+        proof = LivenessProof(self._agents.process, sent_at)
+        return HeartbeatReply(200, AgentHeartbeatResponse(ownership.token, proof, tuple(orders)))
 
     # -- what is reported ------------------------------------------------------------
 
-    def _compare(self, beat: AgentHeartbeat, view: AgentView) -> None:
+    def _compare(self, heartbeat: AgentHeartbeat, view: AgentView) -> None:
         """Takes over what the agent says of its members; what can't be true is left out."""
         members: dict[str, MemberReport] = {}
         view.rejected = 0
-        for report in beat.members:
-            problem = self._problem(beat.machine, report, members)
+        for report in heartbeat.members:
+            problem = self._problem(heartbeat.machine, report, members)
             if problem:
                 view.rejected += 1
                 self.rejected += 1
@@ -119,7 +121,7 @@
                     report.replica,
                     report.rank,
                     report.generation,
-                    beat.machine,
+                    heartbeat.machine,
                     problem,
                 )
                 # it takes room all the same, and is to be stopped
@@ -133,7 +135,7 @@
         }
         view.members = members
         if news:
-            self._pool.note_news(beat.machine, news)
+            self._pool.note_agent_change(heartbeat.machine, news)
 
     def _problem(self, machine_id: str, report: MemberReport, seen: dict[str, MemberReport]) -> str:
         if report.replica in seen:
@@ -165,10 +167,10 @@
                 wanted[str(replica_id)] = (replica, member)
         return wanted
 
-    def _orders(self, beat: AgentHeartbeat, view: AgentView) -> list[Order]:
-        wanted = self._wanted(beat.machine)
+    def _orders(self, heartbeat: AgentHeartbeat, view: AgentView) -> list[Order]:
+        wanted = self._wanted(heartbeat.machine)
         orders: list[Order] = []
-        for report in beat.members:
+        for report in heartbeat.members:
             entry = wanted.get(report.replica)
             is_right = entry is not None and (
                 (entry[0].generation, entry[1].rank, entry[1].session)
@@ -176,12 +178,12 @@
             )
             is_older = entry is not None and report.generation < entry[0].generation
             if not is_right and not is_older:
-                orders.append(Order(Op.STOP, report.replica, report.rank, report.generation))
+                orders.append(Order(OrderKind.STOP, report.replica, report.rank, report.generation))
         for name, (replica, member) in wanted.items():
             reported = view.members.get(name)
             runs = reported is not None and reported.generation == replica.generation
             refused = reported is not None and reported.state is MemberState.REFUSED
-            is_starting = replica.phase is Phase.STARTING and member.session == view.session
+            is_starting = replica.phase is ReplicaPhase.STARTING and member.session == view.session
             if is_starting and (not runs or refused):
                 order = self._start(replica, member)
                 if order is not None:
@@ -201,7 +203,7 @@
             peers.append(PeerAddress(other.rank, view.address))
         spec = stored.spec
         return Order(
-            Op.START,
+            OrderKind.START,
             str(replica.id),
             member.rank,
             replica.generation,
@@ -218,13 +220,21 @@
         orders: list[Order] = []
         for replica_id, member in self._pool.machines[view.machine].planned.items():
             replica = self._pool.replicas.get(replica_id)
-            if member.rank != FRONT_RANK or replica is None or replica.phase is not Phase.READY:
+            if (
+                member.rank != FRONT_RANK
+                or replica is None
+                or replica.phase is not ReplicaPhase.READY
+            ):
                 continue
             lease_s = self._grant(replica, member, now)
             if lease_s > 0:
                 orders.append(
                     Order(
-                        Op.SERVE, str(replica_id), FRONT_RANK, replica.generation, lease_s=lease_s
+                        OrderKind.SERVE,
+                        str(replica_id),
+                        FRONT_RANK,
+                        replica.generation,
+                        lease_s=lease_s,
                     )
                 )
         return orders
--- a/crossmill/multihost/model.py
+++ b/crossmill/multihost/model.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from .phases import Phase
+from .phases import ReplicaPhase
 
 
 class Resources(NamedTuple):
@@ -25,7 +25,7 @@
             self.cpus - other.cpus, self.gpus - other.gpus, self.memory_gb - other.memory_gb
         )
 
-    def holds(self, other: "Resources") -> bool:
+    def can_fit(self, other: "Resources") -> bool:
         """Whether the other fits into this."""
         return (
             self.cpus >= other.cpus
@@ -34,7 +34,7 @@
         )
 
 
-NOTHING = Resources(0.0, 0.0, 0.0)
+NO_RESOURCES = Resources(0.0, 0.0, 0.0)
 
 
 class ReplicaId(NamedTuple):
@@ -103,7 +103,7 @@
 class PhaseChange(NamedTuple):
     """An entry of a replica's history."""
 
-    phase: Phase
+    phase: ReplicaPhase
     at: float
     reason: str
 
@@ -122,7 +122,7 @@
     """A replica as its records say. `since` is when it entered its phase, in wall time."""
 
     id: ReplicaId
-    phase: Phase = Phase.PENDING
+    phase: ReplicaPhase = ReplicaPhase.PENDING
     generation: int = 0
     chunk_count: int = 0
     since: float = 0.0
--- a/crossmill/multihost/situations.py
+++ b/crossmill/multihost/observations.py
@@ -3,9 +3,9 @@
 from collections.abc import Mapping
 
 from .agents import Agents
-from .lifecycle import MemberStatus, Moment, Situation, member_status, start_limit_s
+from .lifecycle import DecisionTime, MemberStatus, ReplicaObservation, member_status, start_limit_s
 from .model import Member, Replica, ReplicaSet
-from .phases import Phase
+from .phases import ReplicaPhase
 from .pool import PoolState
 from .rendezvous import Rendezvous
 from .serving import ServingLeases
@@ -15,7 +15,7 @@
 AGENT_LEASE_MARGIN = 1.1
 
 
-class Situations:
+class ReplicaObserver:
     """Knows which replicas' members have all confirmed; all else is looked up."""
 
     def __init__(
@@ -35,7 +35,9 @@
         """The ownership has ended."""
         self._rendezvous.clear()
 
-    def of(self, replica: Replica, stored: ReplicaSet, moment: Moment, may_stop: bool) -> Situation:
+    def of(
+        self, replica: Replica, stored: ReplicaSet, moment: DecisionTime, may_stop: bool
+    ) -> ReplicaObservation:
         """The situation of a replica; `may_stop` is what its set's disruption budget says."""
         members = replica.members()
         statuses = {m.rank: self._status(m, replica, moment) for m in members}
@@ -54,7 +56,7 @@
             ),
             default=1.0,
         )
-        return Situation(
+        return ReplicaObservation(
             statuses,
             unreachable & statuses.keys(),
             self._have_met(replica, members, statuses, moment),
@@ -69,22 +71,22 @@
         replica: Replica,
         members: list[Member],
         statuses: Mapping[int, MemberStatus],
-        moment: Moment,
+        moment: DecisionTime,
     ) -> bool:
-        is_starting = replica.phase is Phase.STARTING
+        is_starting = replica.phase is ReplicaPhase.STARTING
         if not is_starting or any(s is not MemberStatus.LOADED for s in statuses.values()):
             self._rendezvous.forget(replica.id)
             return False
         views = [self._agents.get(m.machine) for m in members]
-        return self._rendezvous.have_met(replica, members, views, moment.now)
+        return self._rendezvous.is_rendezvous_complete(replica, members, views, moment.now)
 
-    def _status(self, member: Member, replica: Replica, moment: Moment) -> MemberStatus:
+    def _status(self, member: Member, replica: Replica, moment: DecisionTime) -> MemberStatus:
         if member.machine not in self._pool.machines:
             return MemberStatus.LOST
         view = self._agents.get(member.machine)
         return member_status(member, replica, view, moment, self._settings)
 
-    def _all_gone(self, replica: Replica, moment: Moment) -> bool:
+    def _all_gone(self, replica: Replica, moment: DecisionTime) -> bool:
         """Whether no agent can still run a member: it says so, or must have stopped it."""
         for member in replica.all_members():
             if member.machine not in self._pool.machines:
@@ -92,7 +94,7 @@
             view = self._agents.get(member.machine)
             last = moment.owned_since
             if view is not None and view.is_trusted:
-                if view.has_none_of(str(replica.id)):
+                if view.runs_no_member_of(str(replica.id)):
                     continue
                 last = max(last, view.last_heartbeat_at)
             if moment.now - last <= self._settings.agent_lease_s * AGENT_LEASE_MARGIN:
--- a/crossmill/multihost/phases.py
+++ b/crossmill/multihost/phases.py
@@ -3,7 +3,7 @@
 from enum import StrEnum
 
 
-class Phase(StrEnum):
+class ReplicaPhase(StrEnum):
     """Where a replica is in its life."""
 
     # it has no machines and waits for room
@@ -23,54 +23,66 @@
     FAILED = "failed"
 
 
-class IllegalTransition(ValueError):
+class IllegalPhaseTransitionError(ValueError):
     """A replica can't go from the one phase to the other."""
 
-    def __init__(self, old: Phase, new: Phase) -> None:
+    def __init__(self, old: ReplicaPhase, new: ReplicaPhase) -> None:
         super().__init__(f"a replica that is {old} can't become {new}")
         self.old = old
         self.new = new
 
 
-TRANSITIONS: dict[Phase, frozenset[Phase]] = {
-    Phase.PENDING: frozenset({Phase.RESERVING, Phase.STARTING, Phase.STOPPED}),
-    Phase.RESERVING: frozenset({Phase.STARTING, Phase.PENDING, Phase.DRAINING}),
-    Phase.STARTING: frozenset({Phase.READY, Phase.REPAIRING, Phase.DRAINING, Phase.FAILED}),
-    Phase.READY: frozenset({Phase.REPAIRING, Phase.DRAINING, Phase.FAILED}),
-    Phase.REPAIRING: frozenset({Phase.STARTING, Phase.PENDING, Phase.DRAINING, Phase.FAILED}),
-    Phase.DRAINING: frozenset({Phase.STOPPED}),
-    Phase.STOPPED: frozenset(),
-    Phase.FAILED: frozenset({Phase.PENDING, Phase.DRAINING}),
+TRANSITIONS: dict[ReplicaPhase, frozenset[ReplicaPhase]] = {
+    ReplicaPhase.PENDING: frozenset(
+        {ReplicaPhase.RESERVING, ReplicaPhase.STARTING, ReplicaPhase.STOPPED}
+    ),
+    ReplicaPhase.RESERVING: frozenset(
+        {ReplicaPhase.STARTING, ReplicaPhase.PENDING, ReplicaPhase.DRAINING}
+    ),
+    ReplicaPhase.STARTING: frozenset(
+        {ReplicaPhase.READY, ReplicaPhase.REPAIRING, ReplicaPhase.DRAINING, ReplicaPhase.FAILED}
+    ),
+    ReplicaPhase.READY: frozenset(
+        {ReplicaPhase.REPAIRING, ReplicaPhase.DRAINING, ReplicaPhase.FAILED}
+    ),
+    ReplicaPhase.REPAIRING: frozenset(
+        {ReplicaPhase.STARTING, ReplicaPhase.PENDING, ReplicaPhase.DRAINING, ReplicaPhase.FAILED}
+    ),
+    ReplicaPhase.DRAINING: frozenset({ReplicaPhase.STOPPED}),
+    ReplicaPhase.STOPPED: frozenset(),
+    ReplicaPhase.FAILED: frozenset({ReplicaPhase.PENDING, ReplicaPhase.DRAINING}),
 }
 
 # a step into one of these begins a new generation: whatever belongs to an older one is fenced off
 RAISES_GENERATION = frozenset(
     {
-        (Phase.PENDING, Phase.RESERVING),
-        (Phase.PENDING, Phase.STARTING),
-        (Phase.STARTING, Phase.REPAIRING),
-        (Phase.READY, Phase.REPAIRING),
-        (Phase.STARTING, Phase.FAILED),
-        (Phase.READY, Phase.FAILED),
-        (Phase.READY, Phase.DRAINING),
-        (Phase.STARTING, Phase.DRAINING),
+        (ReplicaPhase.PENDING, ReplicaPhase.RESERVING),
+        (ReplicaPhase.PENDING, ReplicaPhase.STARTING),
+        (ReplicaPhase.STARTING, ReplicaPhase.REPAIRING),
+        (ReplicaPhase.READY, ReplicaPhase.REPAIRING),
+        (ReplicaPhase.STARTING, ReplicaPhase.FAILED),
+        (ReplicaPhase.READY, ReplicaPhase.FAILED),
+        (ReplicaPhase.READY, ReplicaPhase.DRAINING),
+        (ReplicaPhase.STARTING, ReplicaPhase.DRAINING),
     }
 )
 
 # members of the current generation are to run
-RUNNING_PHASES = frozenset({Phase.STARTING, Phase.READY})
+RUNNING_PHASES = frozenset({ReplicaPhase.STARTING, ReplicaPhase.READY})
 # machines are being reserved, and what is reserved counts against the bound on holding it
-PLACING_PHASES = frozenset({Phase.RESERVING, Phase.REPAIRING})
-ENDED_PHASES = frozenset({Phase.DRAINING, Phase.STOPPED})
+PLACING_PHASES = frozenset({ReplicaPhase.RESERVING, ReplicaPhase.REPAIRING})
+ENDED_PHASES = frozenset({ReplicaPhase.DRAINING, ReplicaPhase.STOPPED})
 
 
-def check_transition(old: Phase, new: Phase) -> None:
-    """Raises IllegalTransition unless a replica may go from the one phase to the other."""
+def check_transition(old: ReplicaPhase, new: ReplicaPhase) -> None:
+    """Raises IllegalPhaseTransitionError unless a replica may go from the one phase to the
+    other.
+    """
     if new not in TRANSITIONS[old]:
-        raise IllegalTransition(old, new)
+        raise IllegalPhaseTransitionError(old, new)
 
 
-def next_generation(generation: int, old: Phase, new: Phase) -> int:
+def next_generation(generation: int, old: ReplicaPhase, new: ReplicaPhase) -> int:
     """The generation after the transition."""
     check_transition(old, new)
     return generation + 1 if (old, new) in RAISES_GENERATION else generation
--- a/crossmill/multihost/placement.py
+++ b/crossmill/multihost/placement.py
@@ -29,7 +29,7 @@
         return spec.image_gb / max(self.fetch_gb_per_s, 1e-3)
 
 
-class Place(NamedTuple):
+class MemberPlacement(NamedTuple):
     """The machine chosen for a rank."""
 
     rank: int
@@ -40,7 +40,7 @@
 class ReplicaPlacement(NamedTuple):
     """Machines for all members of a replica."""
 
-    places: tuple[Place, ...]
+    members: tuple[MemberPlacement, ...]
     # when the last member has its weights
     ready_s: float
     kept: int
@@ -48,7 +48,7 @@
     @property
     def machines(self) -> frozenset[str]:
         """All machines that it takes."""
-        return frozenset(p.machine for p in self.places)
+        return frozenset(p.machine for p in self.members)
 
 
 def zone_limit(spec: ReplicaSetSpec) -> int:
@@ -60,11 +60,12 @@
     spec: ReplicaSetSpec,
     kept: Mapping[int, str],
     candidates: Iterable[Candidate],
-    in_zone: Mapping[str, int],
+    replicas_by_zone: Mapping[str, int],
     excluded: Collection[str] = (),
 ) -> ReplicaPlacement | None:
     """Machines for every rank, or None. `kept` names the machines of ranks that may stay; their
-    room is counted as free for them in `candidates`. `in_zone` counts the set's other replicas by
+    room is counted as free for them in `candidates`. `replicas_by_zone` counts the set's other
+    replicas by
     zone; a machine that is excluded takes no new member.
     """
     by_zone: dict[str, list[Candidate]] = {}
@@ -76,13 +77,13 @@
         return _fill(spec, kept, everywhere, excluded)
     best: tuple[tuple[float, float, int, str], ReplicaPlacement] | None = None
     for zone, group in by_zone.items():
-        if spec.spread and in_zone.get(zone, 0) >= zone_limit(spec):
+        if spec.spread and replicas_by_zone.get(zone, 0) >= zone_limit(spec):
             continue
         placement = _fill(spec, kept, group, excluded)
         if placement is None:
             continue
         # sooner back first; among equals the zone with fewer of the set's replicas, fewer moves
-        others = in_zone.get(zone, 0) if spec.spread else 0
+        others = replicas_by_zone.get(zone, 0) if spec.spread else 0
         order = (round(placement.ready_s, 3), float(others), -placement.kept, zone)
         if best is None or order < best[0]:
             best = (order, placement)
@@ -102,19 +103,21 @@
     free = [
         c
         for c in candidates
-        if c.machine not in taken and c.machine not in excluded and c.free.holds(spec.resources)
+        if c.machine not in taken and c.machine not in excluded and c.free.can_fit(spec.resources)
     ]
     if len(free) < len(missing):
         return None
     # weights at hand first, then the tightest room, so that large rooms stay for large members
     free.sort(key=lambda c: (c.avoided, c.load_s(spec), c.free, c.machine))
     chosen = {**staying, **dict(zip(missing, free, strict=False))}
-    places = tuple(Place(rank, c.machine, c.session) for rank, c in sorted(chosen.items()))
+    members = tuple(
+        MemberPlacement(rank, c.machine, c.session) for rank, c in sorted(chosen.items())
+    )
     ready_s = max((c.load_s(spec) for c in chosen.values()), default=0.0)
-    return ReplicaPlacement(places, ready_s, len(staying))
+    return ReplicaPlacement(members, ready_s, len(staying))
 
 
-class Waiting(NamedTuple):
+class QueuePosition(NamedTuple):
     """A replica that waits for room, in the total order in which all are served."""
 
     priority: int
@@ -131,7 +134,7 @@
 def earmark(
     spec: ReplicaSetSpec,
     candidates: Iterable[Candidate],
-    in_zone: Mapping[str, int],
+    replicas_by_zone: Mapping[str, int],
     most: int,
 ) -> frozenset[str]:
     """Free machines kept for a replica that finds too few: in the zone that has most of them, up
@@ -139,12 +142,12 @@
     """
     by_zone: dict[str, list[Candidate]] = {}
     for c in candidates:
-        if spec.allows_zone(c.zone) and c.free.holds(spec.resources):
+        if spec.allows_zone(c.zone) and c.free.can_fit(spec.resources):
             by_zone.setdefault(c.zone if spec.one_zone else "", []).append(c)
     open_zones = {
         zone: group
         for zone, group in by_zone.items()
-        if not spec.spread or in_zone.get(zone, 0) < zone_limit(spec)
+        if not spec.spread or replicas_by_zone.get(zone, 0) < zone_limit(spec)
     }
     if not open_zones:
         return frozenset()
@@ -168,7 +171,7 @@
     spec: ReplicaSetSpec,
     candidates: Iterable[Candidate],
     victims: Iterable[Victim],
-    in_zone: Mapping[str, int],
+    replicas_by_zone: Mapping[str, int],
 ) -> tuple[Victim, ...]:
     """Whole replicas whose machines, with what is free, hold the replica: of the lowest priority,
     the fewest members lost, the youngest. Empty if there are none.
@@ -181,14 +184,14 @@
     chosen: list[Victim] = []
     for victim in lesser:
         chosen.append(victim)
-        if choose(spec, {}, _freed(pool, chosen), in_zone) is not None:
+        if choose(spec, {}, _freed(pool, chosen), replicas_by_zone) is not None:
             break
     else:
         return ()
     # those that turned out not to be needed stay
     for victim in list(chosen[:-1]):
         fewer = [v for v in chosen if v is not victim]
-        if choose(spec, {}, _freed(pool, fewer), in_zone) is not None:
+        if choose(spec, {}, _freed(pool, fewer), replicas_by_zone) is not None:
             chosen = fewer
     return tuple(chosen)
 
--- a/crossmill/multihost/pool.py
+++ b/crossmill/multihost/pool.py
@@ -8,7 +8,7 @@
 from ..state.mirror import Mirror
 from . import keys
 from .model import (
-    NOTHING,
+    NO_RESOURCES,
     MemberChunk,
     PoolMachine,
     Replica,
@@ -49,22 +49,22 @@
         self.replicas_of: dict[str, dict[int, Replica]] = {}
         self.machines: dict[str, PoolMachine] = {}
         # members planned on machines that have no record, by machine
-        self._homeless: dict[str, dict[ReplicaId, Any]] = {}
+        self._members_without_machine: dict[str, dict[ReplicaId, Any]] = {}
         self.changes = Changes()
         mirror.listen(self._on_key)
 
     # -- reading ---------------------------------------------------------------------
 
-    def spec_resources(self, replica_id: ReplicaId) -> Resources:
+    def member_resources(self, replica_id: ReplicaId) -> Resources:
         """What a member of the replica takes."""
         stored = self.sets.get(replica_id.set_name)
-        return stored.spec.resources if stored is not None else NOTHING
+        return stored.spec.resources if stored is not None else NO_RESOURCES
 
     def free(self, machine: PoolMachine) -> Resources:
         """What the plan leaves free on the machine."""
         free = machine.capacity
         for replica_id in machine.planned:
-            free = free.minus(self.spec_resources(replica_id))
+            free = free.minus(self.member_resources(replica_id))
         return free
 
     def placeable(self) -> list[PoolMachine]:
@@ -80,7 +80,7 @@
         """The version of the machine's ordinary record: a reservation rests on it."""
         return self.mirror.version(cluster_keys.machine(machine_id))
 
-    def note_news(self, machine: str, replicas: Iterable[ReplicaId]) -> None:
+    def note_agent_change(self, machine: str, replicas: Iterable[ReplicaId]) -> None:
         """An agent's heartbeat brought something new about its machine and these replicas."""
         self.changes.machines.add(machine)
         self.changes.replicas.update(replicas)
@@ -160,7 +160,7 @@
             if machine is not None:
                 machine.planned[replica_id] = member
             else:
-                self._homeless.setdefault(member.machine, {})[replica_id] = member
+                self._members_without_machine.setdefault(member.machine, {})[replica_id] = member
 
     def _unplan(self, replica_id: ReplicaId, chunk: MemberChunk) -> None:
         for member in chunk.members:
@@ -168,20 +168,22 @@
             if machine is not None:
                 machine.planned.pop(replica_id, None)
                 self.changes.machines.add(machine.id)
-            elif member.machine in self._homeless:
-                self._homeless[member.machine].pop(replica_id, None)
-                if not self._homeless[member.machine]:
-                    del self._homeless[member.machine]
+            elif member.machine in self._members_without_machine:
+                self._members_without_machine[member.machine].pop(replica_id, None)
+                if not self._members_without_machine[member.machine]:
+                    del self._members_without_machine[member.machine]
 
     def _on_machine(self, machine_id: str, value: Any, version: int) -> None:
         self.changes.machines.add(machine_id)
         old = self.machines.pop(machine_id, None)
         if value is None:
             if old is not None and old.planned:
-                self._homeless[machine_id] = old.planned
+                self._members_without_machine[machine_id] = old.planned
             return
         machine = decode_machine(machine_id, value, version)
-        machine.planned = old.planned if old is not None else self._homeless.pop(machine_id, {})
+        machine.planned = (
+            old.planned if old is not None else self._members_without_machine.pop(machine_id, {})
+        )
         self.machines[machine_id] = machine
 
 
--- a/crossmill/multihost/records.py
+++ b/crossmill/multihost/records.py
@@ -17,7 +17,7 @@
     ReplicaSetSpec,
     Resources,
 )
-from .phases import Phase
+from .phases import ReplicaPhase
 
 # entries of a replica's history that are kept
 HISTORY_LENGTH = 8
@@ -88,14 +88,14 @@
     """A replica from its record; its members are read from records of their own."""
     return Replica(
         replica_id,
-        Phase(value["phase"]),
+        ReplicaPhase(value["phase"]),
         value["generation"],
         value["chunks"],
         value["since"],
         value["reason"],
         value["leaving"],
         tuple(value["restarts"]),
-        tuple(PhaseChange(Phase(p), at, reason) for p, at, reason in value["history"]),
+        tuple(PhaseChange(ReplicaPhase(p), at, reason) for p, at, reason in value["history"]),
         version=version,
     )
 
--- a/crossmill/multihost/registration.py
+++ b/crossmill/multihost/registration.py
@@ -49,39 +49,41 @@
             return
         joining, self._heartbeats.joining = self._heartbeats.joining, {}
         intents = [
-            i for beat in joining.values() if (i := self._intent(ownership, beat)) is not None
+            i
+            for heartbeat in joining.values()
+            if (i := self._intent(ownership, heartbeat)) is not None
         ]
         for intent in intents:
             await self._writer.submit(intent)
         for intent in intents:
             await intent.future.wait()
 
-    def _intent(self, ownership: ShardOwnership, beat: AgentHeartbeat) -> WriteIntent | None:
-        if beat.machine in self._pool.machines or not self._may_join(beat):
+    def _intent(self, ownership: ShardOwnership, heartbeat: AgentHeartbeat) -> WriteIntent | None:
+        if heartbeat.machine in self._pool.machines or not self._may_join(heartbeat):
             return None
-        offer = beat.offer
+        offer = heartbeat.offer
         machine = PoolMachine(
-            beat.machine,
+            heartbeat.machine,
             offer.zone,
             Resources(offer.cpus, offer.gpus, offer.memory_gb),
             offer.fetch_gb_per_s,
         )
-        ordinary, pooled = cluster_keys.machine(beat.machine), keys.machine(beat.machine)
-        txn = Txn({pooled: 0, ordinary: self._pool.record_version(beat.machine)})
+        ordinary, pooled = cluster_keys.machine(heartbeat.machine), keys.machine(heartbeat.machine)
+        txn = Txn({pooled: 0, ordinary: self._pool.record_version(heartbeat.machine)})
         txn.puts.append(Put(pooled, encode_machine(machine)))
-        known = self._cluster.machines.get(beat.machine)
+        known = self._cluster.machines.get(heartbeat.machine)
         if known is None or not is_reserved_type(known.type):
             rented = self._clock.wall() if known is None else known.rented
             record = reservation_record(offer.type, offer.zone, offer.spot, self._shard, rented)
             txn.puts.append(Put(ordinary, record))
-        log.info("machine joins the pool machine=%s zone=%s", beat.machine, offer.zone)
+        log.info("machine joins the pool machine=%s zone=%s", heartbeat.machine, offer.zone)
         return shard_intent(self._membership, self._shard, ownership, WriteRank.PLACEMENT, txn)
 
-    def _may_join(self, beat: AgentHeartbeat) -> bool:
-        known = self._cluster.machines.get(beat.machine)
+    def _may_join(self, heartbeat: AgentHeartbeat) -> bool:
+        known = self._cluster.machines.get(heartbeat.machine)
         if known is None:
             return True
         if known.retiring or known.attempts or known.shard != self._shard:
-            log.debug("machine may not join yet machine=%s", beat.machine)
+            log.debug("machine may not join yet machine=%s", heartbeat.machine)
             return False
         return True
--- a/crossmill/multihost/rendezvous.py
+++ b/crossmill/multihost/rendezvous.py
@@ -33,7 +33,7 @@
         """The members are not all there, or the replica has gone on."""
         self._confirmed.pop(replica_id, None)
 
-    def have_met(
+    def is_rendezvous_complete(
         self,
         replica: Replica,
         members: Iterable[Member],
--- a/crossmill/multihost/service.py
+++ b/crossmill/multihost/service.py
@@ -105,11 +105,11 @@
 
     async def _heartbeat(self, request: Request) -> Response:
         try:
-            beat = parse_agent_heartbeat(request.body)
+            heartbeat = parse_agent_heartbeat(request.body)
         except MalformedMessageError as exc:
             return Response(400, error_body(str(exc)))
-        reply = self.heartbeats.handle(beat)
-        await self.coordinator.wake_if_news()
+        reply = self.heartbeats.handle(heartbeat)
+        await self.coordinator.wake_if_changed()
         if reply.answer is not None:
             return Response(200, answer_body(reply.answer))
         return Response(reply.status, redirect_body(reply.owner))
--- a/crossmill/multihost/serving.py
+++ b/crossmill/multihost/serving.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Grant:
+class ServingGrant:
     """The last grant of a replica's serving lease."""
 
     machine: str
@@ -38,7 +38,7 @@
 
     def __init__(self, settings: MultihostSettings) -> None:
         self._settings = settings
-        self._grants: dict[ReplicaId, Grant] = {}
+        self._grants: dict[ReplicaId, ServingGrant] = {}
 
     def clear(self) -> None:
         """The ownership has ended; the next owner waits out whatever was granted."""
@@ -60,7 +60,9 @@
         known = self._grants.get(replica.id)
         if known is not None and known.generation == replica.generation:
             until = max(until, known.until)
-        self._grants[replica.id] = Grant(front.machine, front.session, replica.generation, until)
+        self._grants[replica.id] = ServingGrant(
+            front.machine, front.session, replica.generation, until
+        )
         return lease_s
 
     def fenced_at(
--- a/crossmill/multihost/set_rounds.py
+++ b/crossmill/multihost/set_reconciler.py
@@ -7,7 +7,7 @@
 from ..cluster.ownership import ShardOwnership
 from ..state.writer import WriteIntent
 from .agents import Agents
-from .lifecycle import Moment
+from .lifecycle import DecisionTime
 from .model import Replica, ReplicaId
 from .pool import PoolState
 from .scheduling import Scheduler
@@ -17,7 +17,7 @@
 log = logging.getLogger(__name__)
 
 
-class SetRounds:
+class SetReconciler:
     """Turns the plans of sets into writes."""
 
     def __init__(
@@ -31,7 +31,7 @@
     def look(
         self,
         ownership: ShardOwnership,
-        moment: Moment,
+        moment: DecisionTime,
         names: Iterable[str],
         intents: list[WriteIntent],
     ) -> set[ReplicaId]:
@@ -44,14 +44,14 @@
             if stored is None:
                 continue
             replicas = self._pool.replicas_of.get(name, {})
-            in_vain = self._scheduler.waits_in_vain(name, moment.now)
+            in_vain = self._scheduler.has_overdue_placement(name, moment.now)
             plan = plan_set(stored, replicas, self._evacuated(replicas.values()), in_vain)
             allowed |= plan.may_stop
             for replica_id, reason in plan.leaving.items():
                 self.mark_leaving(ownership, replica_id, reason, intents)
             if plan.create:
                 intents.append(self._writes.creation(ownership, stored, plan.create, moment.wall))
-            if plan.is_over:
+            if plan.delete_set:
                 intents.append(self._writes.deletion_of_set(ownership, stored))
         return allowed
 
--- a/crossmill/multihost/sets.py
+++ b/crossmill/multihost/sets.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from .model import Replica, ReplicaId, ReplicaSet
-from .phases import ENDED_PHASES, Phase
+from .phases import ENDED_PHASES, ReplicaPhase
 
 REMOVED = "the set was removed"
 SURPLUS = "more replicas than declared"
@@ -23,17 +23,18 @@
     # replicas that leave and may be stopped now
     may_stop: frozenset[ReplicaId]
     # the set's record itself is to be deleted
-    is_over: bool
+    delete_set: bool
 
 
 def plan_set(
     stored: ReplicaSet,
     replicas: Mapping[int, Replica],
     evacuated: Mapping[ReplicaId, str],
-    no_room: bool,
+    is_placement_overdue: bool,
 ) -> SetPlan:
     """What the set needs now. `evacuated` are replicas with a member on a machine that is to be
-    emptied, with the reason; `no_room` says that a replica of the set waits for room in vain.
+    emptied, with the reason; `is_placement_overdue` says that a replica of the set waits for room
+    in vain.
     """
     spec = stored.spec
     alive = [r for r in replicas.values() if r.version and r.phase not in ENDED_PHASES]
@@ -48,14 +49,14 @@
     return SetPlan(
         create=max(0, wanted - len(staying)),
         leaving=leaving,
-        may_stop=_may_stop(stored, alive, leaving, wanted, no_room),
-        is_over=stored.removed and not replicas,
+        may_stop=_may_stop(stored, alive, leaving, wanted, is_placement_overdue),
+        delete_set=stored.removed and not replicas,
     )
 
 
 def _surplus(staying: list[Replica], wanted: int) -> list[Replica]:
     """The replicas too many: those that do not serve first, then the newest."""
-    order = sorted(staying, key=lambda r: (r.phase is Phase.READY, -r.id.number))
+    order = sorted(staying, key=lambda r: (r.phase is ReplicaPhase.READY, -r.id.number))
     return order[: max(0, len(staying) - wanted)]
 
 
@@ -64,12 +65,12 @@
     alive: list[Replica],
     leaving: Mapping[ReplicaId, str],
     wanted: int,
-    no_room: bool,
+    is_placement_overdue: bool,
 ) -> frozenset[ReplicaId]:
     """The replicas that leave and whose stop keeps the set at its minimum. A replacement is
     waited for, unless it finds no room.
     """
-    ready = [r for r in alive if r.phase is Phase.READY]
+    ready = [r for r in alive if r.phase is ReplicaPhase.READY]
     going = [r for r in ready if r.leaving or r.id in leaving]
     if stored.removed:
         return frozenset(r.id for r in going)
@@ -78,7 +79,7 @@
     for replica in sorted(going, key=lambda r: r.id):
         left = len(ready) - len(allowed) - 1
         reason = replica.leaving or leaving[replica.id]
-        at_once = no_room or reason.startswith(PREEMPTED)
+        at_once = is_placement_overdue or reason.startswith(PREEMPTED)
         if left >= stored.spec.min_ready and (left >= wanted or staying >= wanted or at_once):
             allowed.append(replica.id)
     return frozenset(allowed)
--- a/crossmill/multihost/settings.py
+++ b/crossmill/multihost/settings.py
@@ -20,18 +20,18 @@
     listen: Endpoint
     # the shard whose owner owns the pool
     pool_shard: int
-    heartbeat_s: float
+    heartbeat_interval_s: float
     idle_ratio: float
 
     @property
-    def detection_s(self) -> float:
+    def failure_detection_s(self) -> float:
         """A machine without a heartbeat for this long is lost to its replicas."""
-        return 3 * self.heartbeat_s
+        return 3 * self.heartbeat_interval_s
 
     @property
     def serving_lease_s(self) -> float:
         """The front member answers for at most this long after every member was last alive."""
-        return 5 * self.heartbeat_s
+        return 5 * self.heartbeat_interval_s
 
     @property
     def fence_s(self) -> float:
@@ -41,58 +41,58 @@
     @property
     def agent_lease_s(self) -> float:
         """An agent that no controller has answered for this long stops all its members."""
-        return 10 * self.heartbeat_s
+        return 10 * self.heartbeat_interval_s
 
     @property
-    def idle_nap_s(self) -> float:
+    def idle_poll_interval_s(self) -> float:
         """How often a controller that hears no agent looks whether it owns the pool."""
-        return 4 * self.heartbeat_s
+        return 4 * self.heartbeat_interval_s
 
     @property
     def answer_timeout_s(self) -> float:
         """An agent drops answers that come later than this."""
-        return 2 * self.heartbeat_s
+        return 2 * self.heartbeat_interval_s
 
     @property
-    def start_slack_s(self) -> float:
+    def start_overhead_s(self) -> float:
         """What a start may take beside the fetch of the weights."""
-        return 10 * self.heartbeat_s
+        return 10 * self.heartbeat_interval_s
 
     @property
-    def first_backoff_s(self) -> float:
+    def initial_backoff_s(self) -> float:
         """The wait before a second restart in a row; it doubles with each further one."""
-        return 2 * self.heartbeat_s
+        return 2 * self.heartbeat_interval_s
 
     @property
-    def longest_backoff_s(self) -> float:
+    def max_backoff_s(self) -> float:
         """The longest wait before a restart."""
-        return 32 * self.heartbeat_s
+        return 32 * self.heartbeat_interval_s
 
     @property
     def failure_half_life_s(self) -> float:
         """How fast a machine's failures are forgotten."""
-        return 120 * self.heartbeat_s
+        return 120 * self.heartbeat_interval_s
 
     @property
-    def failures_avoided(self) -> float:
+    def max_failure_score(self) -> float:
         """A machine with a higher failure score is used only where no other is left."""
         return 1.5
 
     @property
     def preempt_after_s(self) -> float:
         """A replica that finds no room takes that of lesser ones after this long."""
-        return 5 * self.heartbeat_s
+        return 5 * self.heartbeat_interval_s
 
     def repair_bound_s(self, load_s: float, write_s: float) -> float:
         """Within this time of a member's death the replica serves again, if there is room and no
         back-off is due: `load_s` is what the slowest fetch takes, `write_s` a durable write. Also
         the bound for several deaths, counted from the last one.
         """
-        noticed = self.detection_s + 2 * self.heartbeat_s
+        noticed = self.failure_detection_s + 2 * self.heartbeat_interval_s
         fenced = max(self.fence_s, noticed)
-        placed = 2 * write_s + self.heartbeat_s
-        loaded = load_s + 2 * self.heartbeat_s
-        granted = write_s + 2 * self.heartbeat_s
+        placed = 2 * write_s + self.heartbeat_interval_s
+        loaded = load_s + 2 * self.heartbeat_interval_s
+        granted = write_s + 2 * self.heartbeat_interval_s
         return fenced + placed + loaded + granted
 
 
@@ -114,7 +114,7 @@
     return MultihostSettings(
         listen=Endpoint(settings.peer_listen.host, port),
         pool_shard=shard,
-        heartbeat_s=table.number("heartbeat_s", 0.05, settings.heartbeat_interval_s),
+        heartbeat_interval_s=table.number("heartbeat_s", 0.05, settings.heartbeat_interval_s),
         idle_ratio=ratio,
     )
 
--- a/crossmill/multihost/writes.py
+++ b/crossmill/multihost/writes.py
@@ -6,7 +6,7 @@
 
 import logging
 from collections.abc import Sequence
-from dataclasses import replace as with_changes
+from dataclasses import replace
 
 from ..cluster import keys as cluster_keys
 from ..cluster.membership import Membership
@@ -16,7 +16,7 @@
 from ..wire.state import Put, Txn
 from . import keys
 from .model import Member, PhaseChange, PoolMachine, Replica, ReplicaId, ReplicaSet
-from .phases import Phase, next_generation
+from .phases import ReplicaPhase, next_generation
 from .placement import ReplicaPlacement
 from .pool import PoolState
 from .records import (
@@ -31,13 +31,13 @@
 log = logging.getLogger(__name__)
 
 # the longest encoding of a member in a record
-MEMBER_BYTES = 96
+MAX_MEMBER_RECORD_BYTES = 96
 
 
-def advanced(replica: Replica, phase: Phase, wall: float, reason: str) -> Replica:
-    """The replica after a transition; raises IllegalTransition."""
+def after_transition(replica: Replica, phase: ReplicaPhase, wall: float, reason: str) -> Replica:
+    """The replica after a transition; raises IllegalPhaseTransitionError."""
     change = PhaseChange(phase, wall, reason)
-    return with_changes(
+    return replace(
         replica,
         phase=phase,
         generation=next_generation(replica.generation, replica.phase, phase),
@@ -81,7 +81,7 @@
         key = keys.replica(replica.id)
         rank = (
             WriteRank.PLACEMENT
-            if after.phase in (Phase.PENDING, Phase.STOPPED)
+            if after.phase in (ReplicaPhase.PENDING, ReplicaPhase.STOPPED)
             else WriteRank.URGENT
         )
         return self._intent(
@@ -100,7 +100,7 @@
         txn = Txn({set_key: stored.version}, [Put(set_key, encode_set(after))])
         for index in range(stored.next_index, after.next_index):
             replica_id = ReplicaId(stored.spec.name, index)
-            history = (PhaseChange(Phase.PENDING, wall, "declared"),)
+            history = (PhaseChange(ReplicaPhase.PENDING, wall, "declared"),)
             replica = Replica(replica_id, since=wall, reason="declared", history=history)
             key = keys.replica(replica_id)
             txn.conditions[key] = 0
@@ -124,7 +124,7 @@
         pool's record stays until the machine is gone, so that its agent is not taken in anew.
         """
         key, ordinary = keys.machine(machine.id), cluster_keys.machine(machine.id)
-        value = encode_machine(with_changes(machine, has_left=True))
+        value = encode_machine(replace(machine, has_left=True))
         record = returned_record(self._pool.mirror.value(ordinary))
         txn = Txn({key: machine.version, ordinary: self._pool.record_version(machine.id)})
         txn.puts += [Put(key, value), Put(ordinary, record)]
@@ -156,7 +156,7 @@
     def members_per_chunk(self) -> int:
         """How many members one transaction reserves, with a condition on each machine."""
         limits = self._writer.limits
-        by_size = limits.record_bytes // MEMBER_BYTES
+        by_size = limits.record_bytes // MAX_MEMBER_RECORD_BYTES
         return max(1, min(limits.machines_per_txn, by_size))
 
     def _split(self, replica: Replica, members: Sequence[Member]) -> list[tuple[Member, ...]]:
@@ -202,7 +202,7 @@
     def _members(replica: Replica, placement: ReplicaPlacement) -> list[Member]:
         before = {m.rank: m for m in replica.all_members()}
         members = []
-        for rank, machine, session in placement.places:
+        for rank, machine, session in placement.members:
             old = before.get(rank)
             attempt = 1 if old is None else old.attempt + (old.machine != machine)
             members.append(Member(rank, machine, session, attempt))
@@ -216,7 +216,7 @@
         wall: float,
         reason: str,
     ) -> bool:
-        after = advanced(replica, Phase.STARTING, wall, reason)
+        after = after_transition(replica, ReplicaPhase.STARTING, wall, reason)
         after.chunk_count = 1
         txn = self._reservation(replica, 0, after.generation, members)
         txn.puts.append(Put(keys.replica(replica.id), encode_replica(after)))
@@ -230,8 +230,8 @@
         wall: float,
         reason: str,
     ) -> bool:
-        if replica.phase is Phase.PENDING:
-            after = advanced(replica, Phase.RESERVING, wall, reason)
+        if replica.phase is ReplicaPhase.PENDING:
+            after = after_transition(replica, ReplicaPhase.RESERVING, wall, reason)
             after.chunk_count = len(chunks)
             if not all(await self.submit([self.transition(ownership, replica, after)])):
                 return False
@@ -245,7 +245,7 @@
             if not await self._commit(ownership, WriteRank.PLACEMENT, txn):
                 return False
         replica = self._pool.replicas[replica.id]
-        after = advanced(replica, Phase.STARTING, wall, reason)
+        after = after_transition(replica, ReplicaPhase.STARTING, wall, reason)
         after.chunk_count = len(chunks)
         key = keys.replica(replica.id)
         txn = Txn({key: replica.version}, [Put(key, encode_replica(after))])
--- a/crossmill/wire/multihost.py
+++ b/crossmill/wire/multihost.py
@@ -35,7 +35,7 @@
     REFUSED = "refused"
 
 
-class Op(StrEnum):
+class OrderKind(StrEnum):
     """What an agent is ordered to do."""
 
     START = "start"
@@ -43,7 +43,7 @@
     SERVE = "serve"
 
 
-class Proof(NamedTuple):
+class LivenessProof(NamedTuple):
     """Names an answer of a controller: the process that sent it and when, by that process's steady
     clock. A heartbeat that returns it was sent after that answer had arrived.
     """
@@ -63,7 +63,7 @@
     unreachable: tuple[int, ...] = ()
 
 
-class Offer(NamedTuple):
+class AgentOffer(NamedTuple):
     """What a machine brings into the pool."""
 
     type: str
@@ -80,11 +80,11 @@
 
     machine: str
     address: str
-    offer: Offer
+    offer: AgentOffer
     session: int
     sequence: int
     token: int
-    proof: Proof | None
+    proof: LivenessProof | None
     notice_s: float | None
     images: tuple[str, ...]
     members: tuple[MemberReport, ...]
@@ -102,7 +102,7 @@
     that the order answers.
     """
 
-    op: Op
+    op: OrderKind
     replica: str
     rank: int
     generation: int
@@ -117,7 +117,7 @@
     """A controller's answer to a heartbeat."""
 
     token: int
-    proof: Proof
+    proof: LivenessProof
     orders: tuple[Order, ...]
 
 
@@ -165,15 +165,15 @@
     return tuple(value)
 
 
-def _encode_proof(proof: Proof | None) -> dict[str, Any] | None:
+def _encode_proof(proof: LivenessProof | None) -> dict[str, Any] | None:
     return None if proof is None else proof._asdict()
 
 
-def _parse_proof(data: dict[str, Any]) -> Proof | None:
+def _parse_proof(data: dict[str, Any]) -> LivenessProof | None:
     if data.get("proof") is None:
         return None
     proof = _object(data, "proof")
-    return Proof(checks.text(proof, "process"), checks.amount(proof, "sent"))
+    return LivenessProof(checks.text(proof, "process"), checks.amount(proof, "sent"))
 
 
 def _parse_member(data: dict[str, Any]) -> MemberReport:
@@ -187,21 +187,21 @@
     )
 
 
-def heartbeat_body(beat: AgentHeartbeat) -> bytes:
+def heartbeat_body(heartbeat: AgentHeartbeat) -> bytes:
     """A heartbeat as it is sent."""
     return orjson.dumps(
         {
             "version": PROTOCOL_VERSION,
-            "machine": beat.machine,
-            "address": beat.address,
-            "offer": beat.offer._asdict(),
-            "session": beat.session,
-            "sequence": beat.sequence,
-            "token": beat.token,
-            "proof": _encode_proof(beat.proof),
-            "notice_s": beat.notice_s,
-            "images": list(beat.images),
-            "members": [m._asdict() for m in beat.members],
+            "machine": heartbeat.machine,
+            "address": heartbeat.address,
+            "offer": heartbeat.offer._asdict(),
+            "session": heartbeat.session,
+            "sequence": heartbeat.sequence,
+            "token": heartbeat.token,
+            "proof": _encode_proof(heartbeat.proof),
+            "notice_s": heartbeat.notice_s,
+            "images": list(heartbeat.images),
+            "members": [m._asdict() for m in heartbeat.members],
         }
     )
 
@@ -214,7 +214,7 @@
     return AgentHeartbeat(
         machine=checks.text(data, "machine"),
         address=checks.text(data, "address"),
-        offer=Offer(
+        offer=AgentOffer(
             type=checks.text(offer, "type"),
             zone=checks.text(offer, "zone"),
             spot=checks.flag(offer, "spot"),
@@ -252,7 +252,7 @@
 
 
 def _parse_order(data: dict[str, Any]) -> Order:
-    ops = {op.value: op.value for op in Op}
+    ops = {op.value: op.value for op in OrderKind}
     resources = data.get("resources")
     if type(resources) is not list or len(resources) != 3:
         raise checks.MalformedMessageError("resources: three amounts are needed")
@@ -261,7 +261,7 @@
         for p in _objects(data, "peers", checks.U64)
     )
     return Order(
-        op=Op(checks.one_of(data, "op", ops)),
+        op=OrderKind(checks.one_of(data, "op", ops)),
         replica=checks.text(data, "replica"),
         rank=checks.count(data, "rank"),
         generation=checks.count(data, "generation"),
--- a/tests/measure_multihost.py
+++ b/tests/measure_multihost.py
@@ -208,7 +208,7 @@
             await region.declare(f"small-{number}", members=2, image_gb=0.0)
         await region.until(lambda: sum(_has_served(region, n) for n in range(8)) == 8)
         await region.declare("large", members=6, image_gb=0.0)
-        begun, idle, looks, number = region.clock.now(), 0.0, 0, 8
+        begun, idle, replicas_examined, number = region.clock.now(), 0.0, 0, 8
         while region.clock.now() - begun < 600.0 and not region.serving("large/0"):
             # a small set ends and another one comes, so that room is freed two machines at a time
             names = sorted(k[len(keys.SET) :] for k in region.state.keys if keys.SET in k)
@@ -219,11 +219,11 @@
             for _ in range(10):
                 used = region.checker.planned_use()
                 idle += 1 - len(used) / 16
-                looks += 1
+                replicas_examined += 1
                 await curio.sleep(0.5)
         result["waited_s"] = round(region.clock.now() - begun, 1)
         result["placed"] = float(bool(region.serving("large/0")))
-        result["idle"] = round(idle / max(1, looks), 3)
+        result["idle"] = round(idle / max(1, replicas_examined), 3)
 
     simulate_multihost(scenario)
     return {"idle_ratio": idle_ratio, **result}
@@ -256,13 +256,13 @@
         begun = time.process_time()
         all_beat(node, service, machines, 2)
         result["heartbeat_us"] = (time.process_time() - begun) / machines * 1e6
-        looks = service.coordinator.looks
+        replicas_examined = service.coordinator.replicas_examined
         with mock.patch.object(scheduling.Scheduler, "_candidate", counted):
             begun = time.process_time()
             for _ in range(20):
                 await service.coordinator.round(own)
             result["idle_round_us"] = (time.process_time() - begun) / 20 * 1e6
-        result["looks_idle_round"] = service.coordinator.looks - looks
+        result["looks_idle_round"] = service.coordinator.replicas_examined - replicas_examined
         result["candidates_idle_round"] = counts["candidates"]
 
     run_scenario(scenario)
--- a/tests/multihost_agents.py
+++ b/tests/multihost_agents.py
@@ -12,14 +12,14 @@
     HEARTBEAT_PATH,
     AgentHeartbeat,
     AgentHeartbeatResponse,
+    AgentOffer,
+    LivenessProof,
     MemberReport,
     MemberState,
-    Offer,
-    Op,
     Order,
+    OrderKind,
     PeerAddress,
     Ping,
-    Proof,
     heartbeat_body,
     parse_answer,
     parse_ping,
@@ -65,7 +65,7 @@
         self.capacity = (32.0, 4.0, 256.0)
         self.fetch_gb_per_s = 1.0
         self.session, self.sequence, self.token = 1, 0, 0
-        self.proof: Proof | None = None
+        self.proof: LivenessProof | None = None
         self.members: dict[str, AgentMember] = {}
         self.highest: dict[str, int] = {}
         self.images: dict[str, float] = {}
@@ -148,11 +148,11 @@
             self.orders.append((self.region.clock.now(), order))
             self.region.checker.ordered(self, order)
             match order.op:
-                case Op.START:
+                case OrderKind.START:
                     self._start(order)
-                case Op.STOP:
+                case OrderKind.STOP:
                     self._stop(order)
-                case Op.SERVE:
+                case OrderKind.SERVE:
                     member = self.members.get(order.replica)
                     if member is not None and member.generation == order.generation:
                         begin = self.now() if self.lease_from_receipt else sent
@@ -198,7 +198,7 @@
         return AgentHeartbeat(
             self.machine,
             self.address,
-            Offer("g4", self.zone, False, *self.capacity, self.fetch_gb_per_s),
+            AgentOffer("g4", self.zone, False, *self.capacity, self.fetch_gb_per_s),
             self.session,
             self.sequence,
             self.token,
@@ -254,11 +254,15 @@
         """Until the next heartbeat: sooner if a member's weights come before."""
         loads = [m.loaded_at - self.now() for m in self.members.values()]
         soon = [max(0.2, s + 0.01) for s in loads if s > -0.2]
-        return min(self.region.multihost.heartbeat_s, *soon, self.region.multihost.heartbeat_s)
+        return min(
+            self.region.multihost.heartbeat_interval_s,
+            *soon,
+            self.region.multihost.heartbeat_interval_s,
+        )
 
     async def _run_pings(self) -> None:
         while not self.dead:
-            await curio.sleep(self.region.multihost.heartbeat_s / 2)
+            await curio.sleep(self.region.multihost.heartbeat_interval_s / 2)
             for name, member in list(self.members.items()):
                 if member.rank == 0 and not self.hung:
                     for peer in member.peers:
--- a/tests/multihost_pool.py
+++ b/tests/multihost_pool.py
@@ -11,7 +11,7 @@
     ReplicaSetSpec,
     Resources,
 )
-from crossmill.multihost.phases import Phase
+from crossmill.multihost.phases import ReplicaPhase
 from crossmill.multihost.records import (
     encode_chunk,
     encode_machine,
@@ -20,7 +20,13 @@
     reservation_record,
 )
 from crossmill.multihost.service import MultihostService
-from crossmill.wire.multihost import AgentHeartbeat, MemberReport, MemberState, Offer, Proof
+from crossmill.wire.multihost import (
+    AgentHeartbeat,
+    AgentOffer,
+    LivenessProof,
+    MemberReport,
+    MemberState,
+)
 
 from .fake_services import FakeClock, StateService
 from .multihost_region import SETTINGS
@@ -32,7 +38,7 @@
 def add_ready_pairs(state: StateService, clock: FakeClock, number: int) -> None:
     """A set of ready replicas of two members, on the machines of a pool in order."""
     for index in range(number):
-        replica = Replica(ReplicaId("chat", index), Phase.READY, 1, 1, since=clock.wall())
+        replica = Replica(ReplicaId("chat", index), ReplicaPhase.READY, 1, 1, since=clock.wall())
         members = tuple(Member(r, f"m-{2 * index + r}", 1, 1) for r in range(2))
         state.put(keys.replica(replica.id), encode_replica(replica))
         state.put(keys.members(replica.id, 0), encode_chunk(1, members))
@@ -77,8 +83,8 @@
 def heartbeat_of(
     node: SteppedController, machine: int, sequence: int, *members: MemberReport
 ) -> AgentHeartbeat:
-    proof = Proof("process", node.clock.now())
-    offer = Offer("g4", "north", False, 32.0, 4.0, 256.0, 1.0)
+    proof = LivenessProof("process", node.clock.now())
+    offer = AgentOffer("g4", "north", False, 32.0, 4.0, 256.0, 1.0)
     token = node.token(SETTINGS.pool_shard)
     name, address = f"m-{machine}", f"127.0.0.1:{30000 + machine}"
     return AgentHeartbeat(name, address, offer, 1, sequence, token, proof, None, (), members)
--- a/tests/multihost_region.py
+++ b/tests/multihost_region.py
@@ -14,7 +14,7 @@
 from crossmill.multihost.settings import MultihostSettings
 from crossmill.net.server import Request
 from crossmill.settings import Endpoint
-from crossmill.wire.multihost import Op, Order
+from crossmill.wire.multihost import Order, OrderKind
 
 from .fake_services import FakeClock, StateService
 from .multihost_agents import Agent, heartbeat_request
@@ -59,7 +59,7 @@
         replica_id = ReplicaId.parse(order.replica)
         assert replica_id is not None
         row = self.region.state.keys.get(keys.replica(replica_id))
-        if order.op is Op.START and (row is None or row[0]["generation"] < order.generation):
+        if order.op is OrderKind.START and (row is None or row[0]["generation"] < order.generation):
             self.report_violation(f"ordered_early {order.replica} generation {order.generation}")
 
     def look(self) -> None:
--- a/tests/test_multihost_decisions.py
+++ b/tests/test_multihost_decisions.py
@@ -11,8 +11,8 @@
 
 from crossmill.multihost.agents import Agents, AgentView, Freshness
 from crossmill.multihost.declaration import (
-    InvalidDeclaration,
-    Unplaceable,
+    InvalidDeclarationError,
+    UnplaceableError,
     check_placeable,
     parse_declaration,
 )
@@ -31,8 +31,8 @@
 from crossmill.multihost.phases import (
     RAISES_GENERATION,
     TRANSITIONS,
-    IllegalTransition,
-    Phase,
+    IllegalPhaseTransitionError,
+    ReplicaPhase,
     next_generation,
 )
 from crossmill.multihost.placement import Candidate, Victim, choose, choose_victims, earmark
@@ -54,13 +54,13 @@
 from crossmill.wire.multihost import (
     AgentHeartbeat,
     AgentHeartbeatResponse,
+    AgentOffer,
+    LivenessProof,
     MemberReport,
     MemberState,
-    Offer,
-    Op,
     Order,
+    OrderKind,
     PeerAddress,
-    Proof,
     answer_body,
     heartbeat_body,
     parse_agent_heartbeat,
@@ -83,19 +83,22 @@
 # -- phases --------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize(("old", "new"), itertools.product(Phase, Phase))
-def test_every_transition_outside_the_table_raises(old: Phase, new: Phase) -> None:
+@pytest.mark.parametrize(("old", "new"), itertools.product(ReplicaPhase, ReplicaPhase))
+def test_every_transition_outside_the_table_raises(old: ReplicaPhase, new: ReplicaPhase) -> None:
     if new in TRANSITIONS[old]:
         raised = (old, new) in RAISES_GENERATION
         assert next_generation(3, old, new) == 3 + raised
     else:
-        with pytest.raises(IllegalTransition):
+        with pytest.raises(IllegalPhaseTransitionError):
             next_generation(3, old, new)
 
 
 def test_whatever_ends_service_or_begins_a_start_raises_the_generation() -> None:
-    ends = {(Phase.READY, new) for new in TRANSITIONS[Phase.READY]}
-    begins = {(Phase.PENDING, Phase.STARTING), (Phase.PENDING, Phase.RESERVING)}
+    ends = {(ReplicaPhase.READY, new) for new in TRANSITIONS[ReplicaPhase.READY]}
+    begins = {
+        (ReplicaPhase.PENDING, ReplicaPhase.STARTING),
+        (ReplicaPhase.PENDING, ReplicaPhase.RESERVING),
+    }
     assert ends | begins <= RAISES_GENERATION
 
 
@@ -130,14 +133,14 @@
 )
 def test_a_wrong_field_of_a_declaration_is_named(field: str, value: Any) -> None:
     assert parse_declaration("chat", DECLARED, ["north"]).members == 2
-    with pytest.raises(InvalidDeclaration) as caught:
+    with pytest.raises(InvalidDeclarationError) as caught:
         parse_declaration("chat", DECLARED | {field: value}, ["north"])
     assert caught.value.field == field
 
 
 @pytest.mark.parametrize("name", ["", "Chat", "a/b", "a b", "-a", "x" * 64])
 def test_a_wrong_name_is_refused(name: str) -> None:
-    with pytest.raises(InvalidDeclaration):
+    with pytest.raises(InvalidDeclarationError):
         parse_declaration(name, DECLARED, ["north"])
 
 
@@ -154,7 +157,7 @@
         SPEC._replace(members=1, resources=Resources(17.0, 0.0, 0.0)),
         SPEC._replace(members=2, zones=("west",)),
     ):
-        with pytest.raises(Unplaceable):
+        with pytest.raises(UnplaceableError):
             check_placeable(spec, machines)
 
 
@@ -166,7 +169,7 @@
     placement = choose(SPEC, {}, _candidates("north", 3), {})
     assert placement is not None
     assert len(placement.machines) == 3
-    assert [p.rank for p in placement.places] == [0, 1, 2]
+    assert [p.rank for p in placement.members] == [0, 1, 2]
     assert choose(SPEC._replace(one_zone=False), {}, _candidates("a", 2) + _candidates("b", 1), {})
 
 
@@ -247,19 +250,21 @@
     waits = [backoff_s(n, SETTINGS) for n in range(40)]
     assert waits[:5] == [0.0, 0.0, 2.0, 4.0, 8.0]
     assert waits == sorted(waits)
-    assert waits[-1] == SETTINGS.longest_backoff_s
+    assert waits[-1] == SETTINGS.max_backoff_s
 
 
 # -- sets ----------------------------------------------------------------------------
 
 
-def _replica(number: int, phase: Phase = Phase.READY, leaving: str = "") -> Replica:
+def _replica(number: int, phase: ReplicaPhase = ReplicaPhase.READY, leaving: str = "") -> Replica:
     return Replica(ReplicaId("chat", number), phase, 1, leaving=leaving, version=1)
 
 
-def _plan(min_ready: int, *replicas: Replica, removed: bool = False, no_room: bool = False) -> Any:
+def _plan(
+    min_ready: int, *replicas: Replica, removed: bool = False, is_placement_overdue: bool = False
+) -> Any:
     stored = ReplicaSet(SPEC._replace(min_ready=min_ready), removed)
-    return plan_set(stored, {r.id.number: r for r in replicas}, {}, no_room)
+    return plan_set(stored, {r.id.number: r for r in replicas}, {}, is_placement_overdue)
 
 
 def test_a_leaving_replica_is_replaced_before_it_may_stop() -> None:
@@ -267,7 +272,7 @@
     before = _plan(2, leaving, _replica(1))
     assert before.create == 1
     assert not before.may_stop
-    starting = _plan(2, leaving, _replica(1), _replica(2, Phase.STARTING))
+    starting = _plan(2, leaving, _replica(1), _replica(2, ReplicaPhase.STARTING))
     assert starting.create == 0
     assert not starting.may_stop
     after = _plan(2, leaving, _replica(1), _replica(2))
@@ -278,23 +283,23 @@
     leaving = _replica(0, leaving="drained")
     preempted = _replica(0, leaving=f"{PREEMPTED} x/0")
     # an involuntary loss counts against the budget
-    lost = _replica(1, Phase.REPAIRING)
-    assert not _plan(1, leaving, lost, no_room=True).may_stop
+    lost = _replica(1, ReplicaPhase.REPAIRING)
+    assert not _plan(1, leaving, lost, is_placement_overdue=True).may_stop
     assert not _plan(1, preempted, lost).may_stop
     assert _plan(1, preempted, _replica(1)).may_stop == {preempted.id}
-    assert _plan(1, leaving, _replica(1), no_room=True).may_stop == {leaving.id}
-    two = _plan(1, leaving, _replica(1, leaving="drained"), no_room=True)
+    assert _plan(1, leaving, _replica(1), is_placement_overdue=True).may_stop == {leaving.id}
+    two = _plan(1, leaving, _replica(1, leaving="drained"), is_placement_overdue=True)
     assert len(two.may_stop) == 1
 
 
 def test_surplus_replicas_leave_those_that_do_not_serve_first() -> None:
-    plan = _plan(0, _replica(0), _replica(1, Phase.STARTING), _replica(2))
+    plan = _plan(0, _replica(0), _replica(1, ReplicaPhase.STARTING), _replica(2))
     assert set(plan.leaving) == {ReplicaId("chat", 1)}
     removed = _plan(2, _replica(0), _replica(1), removed=True)
     assert len(removed.leaving) == 2
     assert len(removed.may_stop) == 2
     assert removed.create == 0
-    assert _plan(0, removed=True).is_over
+    assert _plan(0, removed=True).delete_set
 
 
 # -- serving -------------------------------------------------------------------------
@@ -306,7 +311,7 @@
 
 def _ready(generation: int = 2) -> Replica:
     members = tuple(Member(r, f"m-{r}", 1, 1) for r in range(3))
-    replica = Replica(ReplicaId("chat", 0), Phase.READY, generation, version=1)
+    replica = Replica(ReplicaId("chat", 0), ReplicaPhase.READY, generation, version=1)
     replica.chunks = {0: MemberChunk(generation, members)}
     return replica
 
@@ -344,11 +349,11 @@
 BEAT = AgentHeartbeat(
     "m-1",
     "127.0.0.1:9",
-    Offer("g4", "north", False, 32.0, 4.0, 256.0, 1.0),
+    AgentOffer("g4", "north", False, 32.0, 4.0, 256.0, 1.0),
     1,
     7,
     41,
-    Proof("here", 100.0),
+    LivenessProof("here", 100.0),
     None,
     ("weights",),
     (MemberReport("chat/0", 1, 3, MemberState.LOADED, (2,)),),
@@ -358,7 +363,7 @@
 def test_a_late_heartbeat_proves_only_when_it_was_sent() -> None:
     agents = Agents("here")
     assert agents.note(BEAT, 41, 101.0) is Freshness.NEW
-    late = BEAT._replace(sequence=8, proof=Proof("here", 100.5))
+    late = BEAT._replace(sequence=8, proof=LivenessProof("here", 100.5))
     assert agents.note(late, 41, 500.0) is Freshness.NEW
     view = agents.get("m-1")
     assert view is not None
@@ -367,11 +372,11 @@
 
 
 @pytest.mark.parametrize(
-    "change", [{"proof": None}, {"proof": Proof("another", 100.0)}, {"token": 40}]
+    "change", [{"proof": None}, {"proof": LivenessProof("another", 100.0)}, {"token": 40}]
 )
 def test_what_was_not_made_under_this_owner_is_not_believed(change: dict[str, Any]) -> None:
     agents = Agents("here")
-    assert agents.note(BEAT._replace(**change), 41, 101.0) is Freshness.GREETING
+    assert agents.note(BEAT._replace(**change), 41, 101.0) is Freshness.UNVERIFIED
     view = agents.get("m-1")
     assert view is not None
     assert not view.is_trusted
@@ -381,9 +386,17 @@
 def test_messages_come_through_as_they_were_sent_and_unknown_fields_are_ignored() -> None:
     assert parse_agent_heartbeat(heartbeat_body(BEAT)) == BEAT
     order = Order(
-        Op.START, "chat/0", 1, 3, "weights", 2.0, (1.0, 2.0, 3.0), (PeerAddress(0, "a:1"),), 5.0
+        OrderKind.START,
+        "chat/0",
+        1,
+        3,
+        "weights",
+        2.0,
+        (1.0, 2.0, 3.0),
+        (PeerAddress(0, "a:1"),),
+        5.0,
     )
-    answer = AgentHeartbeatResponse(41, Proof("here", 1.5), (order,))
+    answer = AgentHeartbeatResponse(41, LivenessProof("here", 1.5), (order,))
     assert parse_answer(answer_body(answer)) == answer
     wider = orjson.loads(heartbeat_body(BEAT)) | {"later": 1}
     assert parse_agent_heartbeat(orjson.dumps(wider)) == BEAT
@@ -421,7 +434,7 @@
     value = orjson.loads(orjson.dumps(encode_set(stored) | {"later": 1}))
     again = decode_set(value, 9)
     assert (again.spec, again.removed, again.next_index) == (stored.spec, True, 4)
-    replica = _replica(3, Phase.REPAIRING, "drained")
+    replica = _replica(3, ReplicaPhase.REPAIRING, "drained")
     value = orjson.loads(orjson.dumps(encode_replica(replica) | {"later": 1}))
     assert encode_replica(decode_replica(replica.id, value, 1)) == encode_replica(replica)
     members = (Member(0, "m-0", 1, 1), Member(1, "m-1", 2, 3))
@@ -452,8 +465,8 @@
 def test_the_deploy_file_is_good_and_time_spans_follow_from_the_heartbeat() -> None:
     settings = load(str(ROOT / "deploy" / "multihost.toml"), make_settings())
     assert settings.listen.port == 8091
-    assert settings.heartbeat_s == make_settings().heartbeat_interval_s
-    assert settings.detection_s < settings.serving_lease_s < settings.agent_lease_s
+    assert settings.heartbeat_interval_s == make_settings().heartbeat_interval_s
+    assert settings.failure_detection_s < settings.serving_lease_s < settings.agent_lease_s
 
 
 def test_without_the_flag_nothing_of_it_is_loaded() -> None:
--- a/tests/test_multihost_failures.py
+++ b/tests/test_multihost_failures.py
@@ -10,7 +10,13 @@
 import pytest
 
 from crossmill.cluster import keys as cluster_keys
-from crossmill.wire.multihost import AgentHeartbeatResponse, MemberReport, MemberState, Op, Proof
+from crossmill.wire.multihost import (
+    AgentHeartbeatResponse,
+    LivenessProof,
+    MemberReport,
+    MemberState,
+    OrderKind,
+)
 
 from .multihost_agents import Agent
 from .multihost_region import SETTINGS, MultihostRegion, simulate_multihost
@@ -165,7 +171,7 @@
         await region.declare("chat", image_gb=LOAD_S)
         await region.until_serving("chat/0")
         agent = region.agents_of("chat/0")[1]
-        start = next(o for _, o in agent.orders if o.op is Op.START)
+        start = next(o for _, o in agent.orders if o.op is OrderKind.START)
         old_copy = agent.copies[-1]
         agent.restart()
         await curio.sleep(90.0)
@@ -173,7 +179,9 @@
         generation = region.generation("chat/0")
         assert generation > start.generation
         # the old order reaches the machine past all its guards, the old report the owner
-        agent.obey(AgentHeartbeatResponse(agent.token, Proof("late", 0.0), (start,)), agent.now())
+        agent.obey(
+            AgentHeartbeatResponse(agent.token, LivenessProof("late", 0.0), (start,)), agent.now()
+        )
         await region.deliver_heartbeat(agent, region.owner(), old_copy)
         await curio.sleep(20.0)
         assert region.generation("chat/0") == generation
@@ -236,7 +244,7 @@
         await curio.sleep(30.0)
         assert region.generation("chat/0") == 1
         assert len(region.serving("chat/0")) == 1
-        starts = [o for a in region.agents.values() for _, o in a.orders if o.op is Op.START]
+        starts = [o for a in region.agents.values() for _, o in a.orders if o.op is OrderKind.START]
         assert len(starts) == 4
 
     simulate_multihost(scenario)
@@ -287,7 +295,7 @@
         for agent in dead:
             agent.dead = True
         await region.until(lambda: region.phase("chat/0") == "repairing")
-        await curio.sleep(10.0 + 2 * SETTINGS.heartbeat_s)
+        await curio.sleep(10.0 + 2 * SETTINGS.heartbeat_interval_s)
         assert region.phase("chat/0") == "pending"
         assert not region.agents_of("chat/0")
         # three machines are left: two of them serve the other set
--- a/tests/test_multihost_loopback.py
+++ b/tests/test_multihost_loopback.py
@@ -18,7 +18,7 @@
 from .multihost_region import SETTINGS, MultihostRegion
 from .stepped_controller import SteppedController
 
-FAST = replace(SETTINGS, heartbeat_s=0.3)
+FAST = replace(SETTINGS, heartbeat_interval_s=0.3)
 LOAD_S = 0.5
 # a busy machine may stall all of it for a while
 SLACK_S = 10.0
--- a/tests/test_multihost_random.py
+++ b/tests/test_multihost_random.py
@@ -10,14 +10,14 @@
 from crossmill.multihost import agents, keys, serving
 from crossmill.multihost.model import ReplicaSetSpec
 from crossmill.multihost.settings import MultihostSettings
-from crossmill.wire.multihost import AgentHeartbeat, Op, Order
+from crossmill.wire.multihost import AgentHeartbeat, Order, OrderKind
 
 from .multihost_fault_injection import MultihostFaults
 from .multihost_region import SETTINGS, MultihostRegion, simulate_multihost
 
 SPAN_S = 120.0
 # longest back-off, then detection, fence, load and grant; a lesser set may wait for room
-RECOVERY_S = SETTINGS.longest_backoff_s + 2 * SETTINGS.repair_bound_s(24.0, 1.0)
+RECOVERY_S = SETTINGS.max_backoff_s + 2 * SETTINGS.repair_bound_s(24.0, 1.0)
 
 
 def play_by_lot(seed: int) -> MultihostRegion:
@@ -146,9 +146,9 @@
     """The mutation of controllers: the receipt of a heartbeat taken for proof of life."""
     real = agents.Agents.note
 
-    def mutated(self: agents.Agents, beat: AgentHeartbeat, token: int, now: float) -> Any:
-        result = real(self, beat, token, now)
-        view = self.get(beat.machine)
+    def mutated(self: agents.Agents, heartbeat: AgentHeartbeat, token: int, now: float) -> Any:
+        result = real(self, heartbeat, token, now)
+        view = self.get(heartbeat.machine)
         if view is not None and view.alive_at is not None:
             view.alive_at = view.last_heartbeat_at = now
         return result
@@ -164,9 +164,9 @@
             front.members["chat/0"].peer_alive_at[peer.rank] = front.now() + 1000.0
         held = [victim.heartbeat() for _ in range(4)]
         victim.dead = True
-        for beat in held:
+        for heartbeat in held:
             await curio.sleep(1.5)
-            _deliver_past_death(region, beat)
+            _deliver_past_death(region, heartbeat)
         await curio.sleep(5.0)
 
     monkeypatch.setattr(agents.Agents, "note", mutated)
@@ -177,10 +177,10 @@
     assert not simulate_multihost(scenario, judged=False).checker.violations
 
 
-def _deliver_past_death(region: MultihostRegion, beat: AgentHeartbeat) -> None:
+def _deliver_past_death(region: MultihostRegion, heartbeat: AgentHeartbeat) -> None:
     """A heartbeat sent before its machine died arrives after it."""
     for service in region.services.values():
-        service.heartbeats.handle(beat)
+        service.heartbeats.handle(heartbeat)
 
 
 Breach = Callable[[MultihostRegion], None]
@@ -216,7 +216,7 @@
 
 def _orders_early(region: MultihostRegion) -> None:
     agent = region.agents_of("chat/0")[1]
-    region.checker.ordered(agent, Order(Op.START, "chat/0", 1, 2))
+    region.checker.ordered(agent, Order(OrderKind.START, "chat/0", 1, 2))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_multihost_service.py
+++ b/tests/test_multihost_service.py
@@ -14,7 +14,7 @@
 from crossmill.cluster import keys as cluster_keys
 from crossmill.multihost import keys, scheduling
 from crossmill.multihost.model import Member, Replica, ReplicaId
-from crossmill.multihost.phases import Phase
+from crossmill.multihost.phases import ReplicaPhase
 from crossmill.multihost.records import encode_chunk, encode_replica, reservation_record
 from crossmill.multihost.service import MultihostService
 from crossmill.net.server import Server
@@ -146,11 +146,11 @@
         node, service = await booted_pool(state, clock, nodes, machines)
 
         async def round_looks() -> int:
-            before = service.coordinator.looks
+            before = service.coordinator.replicas_examined
             ownership = node.membership.command_ownership(SETTINGS.pool_shard)
             assert ownership is not None
             await service.coordinator.round(ownership)
-            return service.coordinator.looks - before
+            return service.coordinator.replicas_examined - before
 
         all_beat(node, service, machines, 1)
         assert await round_looks() == machines // 2
@@ -232,7 +232,7 @@
         record = reservation_record("g4", "north", False, 0, clock.wall())
         state.put(cluster_keys.machine("m-0"), record)
         state.put(keys.machine("m-0"), {"zone": "north"})
-        replica = Replica(ReplicaId("chat", 0), Phase.READY, 1, 1)
+        replica = Replica(ReplicaId("chat", 0), ReplicaPhase.READY, 1, 1)
         state.put(keys.replica(replica.id), encode_replica(replica))
         state.put(keys.members(replica.id, 0), encode_chunk(1, (Member(0, "m-0", 1, 1),)))
         add_job(state, clock, sacks=9)
