--- a/crossmill/app.py
+++ b/crossmill/app.py
@@ -190,18 +190,13 @@
         """
         await self.watcher.ready.wait()
         await curio.sleep(self.settings.controller_lease_ttl_s)
+        from .multihost.context import ControllerContext
         from .multihost.service import MultihostService
 
-        service = MultihostService(
-            self.settings,
-            multihost,
-            clock,
-            self.cluster,
-            self.membership,
-            self.watcher,
-            self.writer,
-            os.urandom(8).hex(),
+        controller = ControllerContext(
+            self.settings, clock, self.cluster, self.membership, self.watcher, self.writer
         )
+        service = MultihostService(multihost, controller, os.urandom(8).hex())
         for run in service.loops:
             await curio.spawn(_guard, run, daemon=True)
         await curio.Event().wait()
--- a/crossmill/multihost/__init__.py
+++ b/crossmill/multihost/__init__.py
@@ -1,4 +1,4 @@
-"""Model replicas whose members stand on several machines, each handled as one unit.
+"""Model replicas whose members run on several machines, each replica handled as one unit.
 
 Loaded only when a controller is started with a multihost file; see docs/multihost.md.
 """
--- a/crossmill/multihost/agents.py
+++ b/crossmill/multihost/agents.py
@@ -1,5 +1,6 @@
-"""What the pool's owner knows of the machines from their agents' heartbeats.
+"""What the pool's owner knows about the machines from their agents' heartbeats.
 
+The heartbeat handler applies heartbeats here; the reconcilers and the scheduler read the views.
 Everything here ends with the ownership: the next owner believes only agents that it has itself
 answered.
 """
@@ -13,18 +14,18 @@
 
 
 class Freshness(Enum):
-    """What a heartbeat is worth."""
+    """How a heartbeat compares to what is already known of its machine."""
 
-    # a late copy of an earlier one, or one that overtook it
+    # a late copy of an earlier heartbeat, or one that a newer one has overtaken
     STALE = "stale"
-    # made before the agent had an answer of this owner: nothing in it is believed
+    # sent before the agent had an answer of this owner: nothing in it is believed
     UNVERIFIED = "greeting"
     NEW = "new"
 
 
 @dataclass(slots=True, eq=False)
 class AgentView:
-    """A machine as its newest believed heartbeat shows it."""
+    """A machine as its newest verified heartbeat shows it; times are of the steady clock."""
 
     machine: str
     last_heartbeat_at: float = 0.0
@@ -33,6 +34,7 @@
     session: int = 0
     sequence: int = -1
     address: str = ""
+    # when the machine is taken away by the cloud; None without a notice
     notice_at: float | None = None
     images: frozenset[str] = frozenset()
     members: dict[str, MemberReport] = field(default_factory=dict)
@@ -43,7 +45,7 @@
     rejected: int = 0
 
     def runs_no_member_of(self, replica: str) -> bool:
-        """Whether the machine runs no member of the replica, nor has been ordered to."""
+        """Return whether the machine runs no member of the replica, nor has been ordered to."""
         if replica in self.members or self.alive_at is None:
             return False
         return self.alive_at >= self.start_sent_at.get(replica, self.alive_at)
@@ -51,19 +53,19 @@
     @property
     def is_empty(self) -> bool:
         """Whether the machine runs no member, nor has been ordered to."""
-        return self.is_trusted and not self.members and not self.start_sent_at
+        return self.is_verified and not self.members and not self.start_sent_at
 
     @property
-    def is_trusted(self) -> bool:
-        """Whether a heartbeat was believed since the ownership began."""
+    def is_verified(self) -> bool:
+        """Whether the agent has returned an answer of this owner since the ownership began."""
         return self.alive_at is not None
 
 
 class Agents:
-    """The views of all machines, the one heard longest ago first."""
+    """The views of all machines, by the time of their last heartbeat, oldest first."""
 
     def __init__(self, process: str) -> None:
-        # names this process in the proofs that it hands out
+        # names this process in the proofs of liveness that agents return
         self.process = process
         self._views: OrderedDict[str, AgentView] = OrderedDict()
 
@@ -71,55 +73,78 @@
         return len(self._views)
 
     def get(self, machine: str) -> AgentView | None:
-        """The machine's view, if it was heard."""
+        """Return the machine's view; None before its first heartbeat."""
         return self._views.get(machine)
 
+    def view(self, machine: str) -> AgentView:
+        """Return the view of a machine that has sent a heartbeat.
+
+        Raises:
+            KeyError: The machine has sent none.
+        """
+        return self._views[machine]
+
     def clear(self) -> None:
-        """The ownership has ended."""
+        """Forget all views, when the ownership of the pool ends."""
         self._views.clear()
 
     def forget(self, machine: str) -> None:
-        """The machine has left the pool."""
+        """Forget a machine that has left the pool."""
         self._views.pop(machine, None)
 
     def note_start(self, machine: str, replica: str, sent_at: float) -> None:
-        """An answer sent now orders a member of the replica to be started."""
+        """Note that an answer sent at this time orders to start a member of the replica."""
         self._views[machine].start_sent_at[replica] = sent_at
 
-    def heartbeats_before(self, moment: float) -> Iterator[AgentView]:
-        """The views of machines not heard since the moment, oldest first; looks no further than
-        the first that was.
+    def heartbeats_before(self, time: float) -> Iterator[AgentView]:
+        """Iterate over the machines whose last heartbeat came before the time, oldest first.
+
+        The views are ordered, so that this stops at the first machine with a later heartbeat.
         """
         for view in self._views.values():
-            if view.last_heartbeat_at >= moment:
+            if view.last_heartbeat_at >= time:
                 return
             yield view
 
-    def note(self, heartbeat: AgentHeartbeat, token: int, now: float) -> Freshness:
-        """Takes a heartbeat in. It is believed if it returns a proof of this process, made under
-        the owner's token, and is the newest of its agent.
+    def apply_heartbeat(self, heartbeat: AgentHeartbeat, token: int, now: float) -> Freshness:
+        """Take over what a heartbeat says about its machine, but not about members.
+
+        It is believed if it returns a proof of this process, made under the owner's fencing token,
+        and is the newest of its agent.
+
+        Args:
+            heartbeat: The heartbeat.
+            token: The fencing token of this owner.
+            now: The time of its receipt.
+
+        Returns:
+            Whether it was believed; only then the view has changed.
         """
         view = self._views.get(heartbeat.machine)
         if view is None:
-            view = self._views[heartbeat.machine] = AgentView(
-                heartbeat.machine, last_heartbeat_at=now
-            )
+            view = AgentView(heartbeat.machine, last_heartbeat_at=now)
+            self._views[heartbeat.machine] = view
         if (heartbeat.session, heartbeat.sequence) <= (view.session, view.sequence):
             return Freshness.STALE
         proof = heartbeat.proof
         if proof is None or proof.process != self.process or heartbeat.token != token:
             return Freshness.UNVERIFIED
-        is_newer = view.alive_at is None or proof.sent > view.alive_at
         view.session, view.sequence = heartbeat.session, heartbeat.sequence
-        if is_newer:
-            # a heartbeat that was long under way shows only that the machine lived then
-            view.alive_at = proof.sent
-            view.last_heartbeat_at = now
-            self._views.move_to_end(heartbeat.machine)
-            view.start_sent_at = {
-                replica: at for replica, at in view.start_sent_at.items() if at > proof.sent
-            }
+        if view.alive_at is None or proof.sent > view.alive_at:
+            self._note_alive(view, proof.sent, now)
         view.address = heartbeat.address
         view.notice_at = None if heartbeat.notice_s is None else now + heartbeat.notice_s
         view.images = frozenset(heartbeat.images)
         return Freshness.NEW
+
+    def _note_alive(self, view: AgentView, alive_at: float, now: float) -> None:
+        """Note that the machine was alive when the answer that its heartbeat returns was sent.
+
+        A heartbeat that was long under way shows no more than this.
+        """
+        view.alive_at = alive_at
+        view.last_heartbeat_at = now
+        self._views.move_to_end(view.machine)
+        view.start_sent_at = {
+            replica: at for replica, at in view.start_sent_at.items() if at > alive_at
+        }
--- a/crossmill/multihost/api.py
+++ b/crossmill/multihost/api.py
@@ -1,22 +1,17 @@
 """The operators' interface: declaring replica sets, watching replicas, emptying machines.
 
-Any controller answers reads and takes declarations; what only the pool's owner can do is answered
-by the others with 421 and the owner's name.
+`OperatorApi` is called by the service and has no state of its own. Any controller answers reads and
+takes declarations; what only the pool's owner can do is answered by the others with 421 and the
+owner's label.
 """
 
 from collections.abc import Awaitable, Callable
 from dataclasses import replace
-from typing import Any
 
 import orjson
 
-from ..cluster.cluster_state import ClusterState
-from ..cluster.membership import Membership
-from ..net.clock import Clock
 from ..net.server import Request, Response
-from ..settings import Settings
-from ..state.watcher import StateWatcher
-from ..state.writer import WriteIntent, Writer, WriteRank, WriteResult
+from ..state.writer import WriteIntent, WriteRank, WriteResult
 from ..wire import checks
 from ..wire.multihost import (
     BASE_PATH,
@@ -28,18 +23,21 @@
 )
 from ..wire.state import Put, Txn
 from . import keys
+from .context import ControllerContext, PoolContext
 from .declaration import (
     InvalidDeclarationError,
     UnplaceableError,
     check_placeable,
     parse_declaration,
 )
-from .model import PoolMachine, Replica, ReplicaId, ReplicaSet, ReplicaSetSpec
+from .model import ReplicaId, ReplicaSet, ReplicaSetSpec
 from .phases import ReplicaPhase
-from .pool import PoolState
 from .records import encode_machine, encode_set
-from .settings import MultihostSettings
-from .writes import PoolWriter, after_transition
+from .representations import describe_machine, describe_replica, describe_set
+from .writes import after_transition
+
+# the paths that this interface answers
+OPERATOR_PATHS = (SETS_PATH, REPLICAS_PATH, MACHINES_PATH)
 
 MAX_WRITE_ATTEMPTS = 3
 RETRY_AFTER_S = 1
@@ -50,38 +48,35 @@
 NO_SUCH_PATH = Response(404, error_body("no such path"))
 RESTARTED = "restarted by an operator"
 RELEASED = "it leaves the pool"
+DEFAULT_DRAIN_REASON = "by an operator"
+NOT_DRAINED = ""
 
 # what a declaration may change while replicas run
 CHANGEABLE = ("replicas", "priority", "min_ready", "restart_budget", "restart_window_s", "hold_s")
+# an operator may restart a replica in one of these phases, and this is the phase after it
+PHASE_AFTER_RESTART = {
+    ReplicaPhase.FAILED: ReplicaPhase.PENDING,
+    ReplicaPhase.READY: ReplicaPhase.REPAIRING,
+    ReplicaPhase.STARTING: ReplicaPhase.REPAIRING,
+}
+
+_Handler = Callable[[], Awaitable[Response]]
 
 
 class OperatorApi:
     """Routes and answers operators' requests."""
 
-    def __init__(
-        self,
-        settings: Settings,
-        multihost: MultihostSettings,
-        clock: Clock,
-        cluster: ClusterState,
-        membership: Membership,
-        watcher: StateWatcher,
-        writer: Writer,
-        pool: PoolState,
-        writes: PoolWriter,
-    ) -> None:
-        self._settings = settings
-        self._multihost = multihost
-        self._clock = clock
-        self._cluster = cluster
-        self._membership = membership
-        self._watcher = watcher
-        self._writer = writer
-        self._pool = pool
-        self._writes = writes
+    def __init__(self, controller: ControllerContext, context: PoolContext) -> None:
+        self._settings = controller.settings
+        self._watcher = controller.watcher
+        self._state_writer = controller.writer
+        self._clock = context.clock
+        self._ownership = context.ownership
+        self._pool = context.pool
+        self._pool_writer = context.writer
 
     async def handle(self, request: Request) -> Response:
-        """The answer to a request."""
+        """Return the answer to a request."""
         handler = self._route(request)
         if handler is None:
             return NO_SUCH_PATH
@@ -89,106 +84,88 @@
             return UNAVAILABLE
         return await handler()
 
-    def _route(self, request: Request) -> Callable[[], Awaitable[Response]] | None:
-        parts = request.path.removeprefix(BASE_PATH).strip("/").split("/")
+    # -- routes ----------------------------------------------------------------------
+
+    def _route(self, request: Request) -> _Handler | None:
+        """Return the handler of a request; None if there is no such path or method."""
+        resource, *parts = request.path.removeprefix(BASE_PATH).strip("/").split("/")
+        match resource:
+            case "replica-sets":
+                return self._route_sets(request, parts)
+            case "replicas":
+                return self._route_replicas(request, parts)
+            case "machines":
+                return self._route_machines(request, parts)
+        return None
+
+    def _route_sets(self, request: Request, parts: list[str]) -> _Handler | None:
         match request.method, parts:
-            case "GET", ["replica-sets"]:
+            case "GET", []:
                 return self._list_sets
-            case "GET", ["replica-sets", name]:
+            case "GET", [name]:
                 return lambda: self._show_set(name)
-            case "PUT", ["replica-sets", name]:
+            case "PUT", [name]:
                 return lambda: self._declare(name, request.body)
-            case "DELETE", ["replica-sets", name]:
+            case "DELETE", [name]:
                 return lambda: self._remove(name)
-            case "GET", ["replicas"]:
+        return None
+
+    def _route_replicas(self, request: Request, parts: list[str]) -> _Handler | None:
+        match request.method, parts:
+            case "GET", []:
                 return self._list_replicas
-            case "GET", ["replicas", name, number] if number.isdecimal():
+            case "GET", [name, number] if number.isdecimal():
                 return lambda: self._show_replica(ReplicaId(name, int(number)))
-            case "POST", ["replicas", name, number, "restart"] if number.isdecimal():
+            case "POST", [name, number, "restart"] if number.isdecimal():
                 return lambda: self._restart(ReplicaId(name, int(number)))
-            case "GET", ["machines"]:
+        return None
+
+    def _route_machines(self, request: Request, parts: list[str]) -> _Handler | None:
+        match request.method, parts:
+            case "GET", []:
                 return self._list_machines
-            case "POST", ["machines", machine, "drain"]:
+            case "POST", [machine, "drain"]:
                 return lambda: self._drain(machine, request.body)
-            case "POST", ["machines", machine, "undrain"]:
-                return lambda: self._set_draining(machine, "")
-            case "POST", ["machines", machine, "release"]:
-                return lambda: self._set_draining(machine, RELEASED, leaving=True)
+            case "POST", [machine, "undrain"]:
+                return lambda: self._set_drain_reason(machine, NOT_DRAINED)
+            case "POST", [machine, "release"]:
+                return lambda: self._set_drain_reason(machine, RELEASED, is_released=True)
         return None
 
     # -- reads -----------------------------------------------------------------------
 
     async def _list_sets(self) -> Response:
-        sets = [self._describe_set(s) for _, s in sorted(self._pool.sets.items())]
+        sets = [describe_set(self._pool, s) for _, s in sorted(self._pool.sets.items())]
         return Response(200, orjson.dumps({"replica_sets": sets}))
 
     async def _show_set(self, name: str) -> Response:
         stored = self._pool.sets.get(name)
         if stored is None:
             return NO_SUCH_SET
-        return Response(200, orjson.dumps(self._describe_set(stored)))
-
-    def _describe_set(self, stored: ReplicaSet) -> dict[str, Any]:
-        replicas = self._pool.replicas_of.get(stored.spec.name, {})
-        data = encode_set(stored)
-        data["resources"] = stored.spec.resources._asdict()
-        data["ready"] = sum(r.phase is ReplicaPhase.READY for r in replicas.values())
-        data["known"] = len(replicas)
-        return data
+        return Response(200, orjson.dumps(describe_set(self._pool, stored)))
 
     async def _list_replicas(self) -> Response:
-        replicas = [self._describe(r) for _, r in sorted(self._pool.replicas.items())]
+        wall = self._clock.wall()
+        replicas = [describe_replica(r, wall) for _, r in sorted(self._pool.replicas.items())]
         return Response(200, orjson.dumps({"replicas": replicas}))
 
     async def _show_replica(self, replica_id: ReplicaId) -> Response:
         replica = self._pool.replicas.get(replica_id)
         if replica is None:
             return NO_SUCH_REPLICA
-        return Response(200, orjson.dumps(self._describe(replica)))
-
-    def _describe(self, replica: Replica) -> dict[str, Any]:
-        return {
-            "replica": str(replica.id),
-            "phase": replica.phase.value,
-            "generation": replica.generation,
-            "reason": replica.reason,
-            "leaving": replica.leaving,
-            "in_phase_s": round(self._clock.wall() - replica.since, 3),
-            "restarts": len(replica.restarts),
-            "members": [m._asdict() for m in replica.members()],
-            "history": self._history(replica),
-        }
-
-    def _history(self, replica: Replica) -> list[dict[str, Any]]:
-        """The last phases, with the time spent in each."""
-        ends = [c.at for c in replica.history[1:]] + [self._clock.wall()]
-        return [
-            {"phase": c.phase.value, "at": c.at, "for_s": round(end - c.at, 3), "reason": c.reason}
-            for c, end in zip(replica.history, ends, strict=True)
-        ]
+        return Response(200, orjson.dumps(describe_replica(replica, self._clock.wall())))
 
     async def _list_machines(self) -> Response:
-        machines = [self._describe_machine(m) for _, m in sorted(self._pool.machines.items())]
+        machines = [describe_machine(self._pool, m) for _, m in sorted(self._pool.machines.items())]
         return Response(200, orjson.dumps({"machines": machines}))
 
-    def _describe_machine(self, machine: PoolMachine) -> dict[str, Any]:
-        return {
-            "machine": machine.id,
-            "zone": machine.zone,
-            "draining": machine.draining,
-            "has_left": machine.has_left,
-            "capacity": machine.capacity._asdict(),
-            "free": self._pool.free(machine)._asdict(),
-            "replicas": sorted(str(r) for r in machine.planned),
-        }
-
     # -- declarations ----------------------------------------------------------------
 
     async def _declare(self, name: str, body: bytes) -> Response:
         try:
             data = checks.load_object(body)
             spec = parse_declaration(name, data, self._settings.zones)
-            check_placeable(spec, self._pool.placeable())
+            check_placeable(spec, self._pool.present_machines())
         except checks.MalformedMessageError as exc:
             return Response(400, error_body(str(exc)))
         except InvalidDeclarationError as exc:
@@ -220,7 +197,12 @@
     async def _store(
         self, name: str, change: Callable[[ReplicaSet | None], ReplicaSet | Response]
     ) -> Response:
-        """Changes a set's record; the pool's owner may be writing it too."""
+        """Change a set's record, and try again where the pool's owner has written it meanwhile.
+
+        Args:
+            name: The name of the set.
+            change: Returns the set after the change, or the answer that says why it can't change.
+        """
         for _ in range(MAX_WRITE_ATTEMPTS):
             stored = self._pool.sets.get(name)
             after = change(stored)
@@ -235,55 +217,52 @@
         return UNAVAILABLE
 
     async def _write(self, txn: Txn) -> bool:
+        """Write a transaction within the time of a submission; return whether it was committed."""
         until = self._clock.now() + self._settings.submission_timeout_s
-        return (
-            await self._writer.commit(WriteIntent(txn, WriteRank.URGENT, until=until))
-            == WriteResult.OK
-        )
+        intent = WriteIntent(txn, WriteRank.URGENT, until=until)
+        return await self._state_writer.commit(intent) == WriteResult.OK
 
-    # -- by hand ---------------------------------------------------------------------
+    # -- operations ------------------------------------------------------------------
 
     async def _restart(self, replica_id: ReplicaId) -> Response:
-        shard = self._multihost.pool_shard
-        ownership = self._membership.command_ownership(shard)
+        ownership = self._ownership.command_ownership()
         if ownership is None:
-            known = self._cluster.shard_owners.get(shard)
-            return Response(421, redirect_body(known.owner if known is not None else None))
+            return Response(421, redirect_body(self._ownership.owner()))
         replica = self._pool.replicas.get(replica_id)
         if replica is None:
             return NO_SUCH_REPLICA
-        after_phase = (
-            ReplicaPhase.PENDING if replica.phase is ReplicaPhase.FAILED else ReplicaPhase.REPAIRING
-        )
-        if replica.phase not in (ReplicaPhase.FAILED, ReplicaPhase.READY, ReplicaPhase.STARTING):
+        phase = PHASE_AFTER_RESTART.get(replica.phase)
+        if phase is None:
             return Response(409, error_body(f"a replica that is {replica.phase} is not restarted"))
-        after = after_transition(replica, after_phase, self._clock.wall(), RESTARTED)
-        if after_phase is ReplicaPhase.PENDING:
+        wall = self._clock.wall()
+        after = after_transition(replica, phase, wall, RESTARTED)
+        if phase is ReplicaPhase.PENDING:
+            # the operator's restart of a failed replica renews its budget
             after.restarts = ()
-        if not all(await self._writes.submit([self._writes.transition(ownership, replica, after)])):
+        intent = self._pool_writer.transition(ownership, replica, after)
+        if not all(await self._pool_writer.submit([intent])):
             return UNAVAILABLE
-        return Response(200, orjson.dumps(self._describe(self._pool.replicas[replica_id])))
+        return Response(200, orjson.dumps(describe_replica(self._pool.replicas[replica_id], wall)))
 
     async def _drain(self, machine_id: str, body: bytes) -> Response:
         try:
             data = checks.load_object(body) if body else {}
-            reason = checks.optional_text(data, "reason") or "by an operator"
+            reason = checks.optional_text(data, "reason") or DEFAULT_DRAIN_REASON
         except checks.MalformedMessageError as exc:
             return Response(400, error_body(str(exc), "reason"))
-        return await self._set_draining(machine_id, reason)
+        return await self._set_drain_reason(machine_id, reason)
 
-    async def _set_draining(self, machine_id: str, reason: str, leaving: bool = False) -> Response:
+    async def _set_drain_reason(
+        self, machine_id: str, reason: str, is_released: bool = False
+    ) -> Response:
         machine = self._pool.machines.get(machine_id)
         if machine is None:
             return NO_SUCH_MACHINE
         if machine.has_left:
             return Response(409, error_body("the machine has left the pool"))
         key = keys.machine(machine_id)
-        value = encode_machine(replace(machine, draining=reason, leaving=leaving))
-        if not await self._write(Txn({key: machine.version}, [Put(key, value)])):
+        after = replace(machine, drain_reason=reason, is_released=is_released)
+        if not await self._write(Txn({key: machine.version}, [Put(key, encode_machine(after))])):
             return UNAVAILABLE
-        return Response(200, orjson.dumps(self._describe_machine(self._pool.machines[machine_id])))
-
-
-# the paths that this interface answers
-OPERATOR_PATHS = (SETS_PATH, REPLICAS_PATH, MACHINES_PATH)
+        stored = self._pool.machines[machine_id]
+        return Response(200, orjson.dumps(describe_machine(self._pool, stored)))
--- a/crossmill/multihost/declaration.py
+++ b/crossmill/multihost/declaration.py
@@ -1,18 +1,26 @@
-"""Checks an operator's declaration of a replica set."""
+"""Checks an operator's declaration of a replica set.
+
+Pure functions, called by the operators' interface; the scheduler also asks whether the pool as it
+is could ever take a replica.
+"""
 
 import re
 from collections.abc import Iterable
 from typing import Any
 
 from ..wire import checks
+from .errors import MultihostError
 from .model import PoolMachine, ReplicaSetSpec, Resources
 
 NAME = re.compile(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?")
 MAX_MEMBERS = 4096
 MAX_REPLICAS = 4096
+MAX_PRIORITY = 1000
+MAX_RESTART_BUDGET = 1000
+MIN_RESTART_WINDOW_S = 1
 
 
-class InvalidDeclarationError(ValueError):
+class InvalidDeclarationError(MultihostError):
     """A field of a declaration is wrong."""
 
     def __init__(self, field: str, problem: str) -> None:
@@ -20,8 +28,16 @@
         self.field = field
 
 
-class UnplaceableError(ValueError):
-    """No zone of the pool can ever hold a replica of the set."""
+class UnplaceableError(MultihostError):
+    """No zone of the pool can ever take a replica of the set."""
+
+    def __init__(self, spec: ReplicaSetSpec, fitting: int) -> None:
+        where = "one zone" if spec.one_zone else "all zones together"
+        super().__init__(
+            f"a replica needs {spec.members} machines in {where}, the pool has {fitting} that fit"
+        )
+        self.needed = spec.members
+        self.fitting = fitting
 
 
 def _number(data: dict[str, Any], name: str, low: float, default: float | None = None) -> float:
@@ -65,7 +81,16 @@
 
 
 def parse_declaration(name: str, data: dict[str, Any], zones: Iterable[str]) -> ReplicaSetSpec:
-    """The declaration, checked; raises InvalidDeclarationError with the field's name."""
+    """Return the declaration after checking it.
+
+    Args:
+        name: The name of the set.
+        data: The declaration's fields as the operator gave them.
+        zones: The zones of the site.
+
+    Raises:
+        InvalidDeclarationError: A field is wrong; the error names it.
+    """
     if not NAME.fullmatch(name):
         raise InvalidDeclarationError("name", "up to 63 of a-z, 0-9 and - are needed")
     image = data.get("image")
@@ -82,13 +107,13 @@
         ),
         image=image,
         image_gb=_number(data, "image_gb", 0),
-        priority=_count(data, "priority", 0, 1000, 0),
+        priority=_count(data, "priority", 0, MAX_PRIORITY, 0),
         zones=_zones(data, zones),
         one_zone=_flag(data, "one_zone", True),
         spread=_flag(data, "spread", False),
         min_ready=_count(data, "min_ready", 0, MAX_REPLICAS, 0),
-        restart_budget=_count(data, "restart_budget", 0, 1000, 5),
-        restart_window_s=_number(data, "restart_window_s", 1, 600.0),
+        restart_budget=_count(data, "restart_budget", 0, MAX_RESTART_BUDGET, 5),
+        restart_window_s=_number(data, "restart_window_s", MIN_RESTART_WINDOW_S, 600.0),
         hold_s=_number(data, "hold_s", 0, 30.0),
     )
     if spec.min_ready > spec.replicas:
@@ -97,14 +122,15 @@
 
 
 def check_placeable(spec: ReplicaSetSpec, machines: Iterable[PoolMachine]) -> None:
-    """Raises UnplaceableError if the empty pool could not hold one replica."""
+    """Check that the pool could take one replica if it were empty.
+
+    Raises:
+        UnplaceableError: It has too few machines that fit.
+    """
     fitting: dict[str, int] = {}
     for machine in machines:
         if spec.allows_zone(machine.zone) and machine.capacity.can_fit(spec.resources):
             fitting[machine.zone] = fitting.get(machine.zone, 0) + 1
     most = max(fitting.values(), default=0) if spec.one_zone else sum(fitting.values())
     if most < spec.members:
-        where = "one zone" if spec.one_zone else "all zones together"
-        raise UnplaceableError(
-            f"a replica needs {spec.members} machines in {where}, the pool has {most} that fit"
-        )
+        raise UnplaceableError(spec, most)
--- a/crossmill/multihost/due_times.py
+++ b/crossmill/multihost/due_times.py
@@ -1,42 +1,54 @@
-"""When replicas are to be looked at again though nothing has changed."""
+"""The times at which replicas are to be reconciled again though nothing has changed."""
 
 import heapq
 from itertools import count
+from typing import NamedTuple
 
 from .model import ReplicaId
 
 
+class _DueEntry(NamedTuple):
+    """A replica in the heap; the number keeps entries of the same time in the order of adding."""
+
+    at: float
+    number: int
+    replica_id: ReplicaId
+
+
 class DueTimes:
-    """The earliest time for each replica."""
+    """The earliest due time of each replica, by the controller's steady clock.
+
+    Owned by the replica reconciler; empty whenever this controller doesn't own the pool.
+    """
 
     def __init__(self) -> None:
-        # with a number that keeps replicas due at the same time in the order of their coming
-        self._heap: list[tuple[float, int, ReplicaId]] = []
+        self._heap: list[_DueEntry] = []
         self._due_at: dict[ReplicaId, float] = {}
         self._numbers = count()
 
     def add(self, replica_id: ReplicaId, at: float) -> None:
-        """The replica is due at this time, or sooner if it was already."""
+        """Make the replica due at this time, or sooner if it was already."""
         known = self._due_at.get(replica_id)
         if known is None or at < known:
             self._due_at[replica_id] = at
-            heapq.heappush(self._heap, (at, next(self._numbers), replica_id))
+            heapq.heappush(self._heap, _DueEntry(at, next(self._numbers), replica_id))
 
-    def take(self, now: float) -> set[ReplicaId]:
-        """The replicas that are due by now; they are no longer after this."""
+    def pop_due(self, now: float) -> set[ReplicaId]:
+        """Remove and return the replicas that are due by now."""
         due: set[ReplicaId] = set()
-        while self._heap and self._heap[0][0] <= now:
-            at, _, replica_id = heapq.heappop(self._heap)
-            if self._due_at.get(replica_id) == at:
-                del self._due_at[replica_id]
-                due.add(replica_id)
+        while self._heap and self._heap[0].at <= now:
+            entry = heapq.heappop(self._heap)
+            # an entry that was replaced by an earlier one stays in the heap
+            if self._due_at.get(entry.replica_id) == entry.at:
+                del self._due_at[entry.replica_id]
+                due.add(entry.replica_id)
         return due
 
     def next_at(self) -> float | None:
-        """When something is due next; now and then too early."""
-        return self._heap[0][0] if self._heap else None
+        """Return a time before which nothing is due; None if nothing is due at all."""
+        return self._heap[0].at if self._heap else None
 
     def clear(self) -> None:
-        """Nothing is due."""
+        """Remove all due times."""
         self._heap.clear()
         self._due_at.clear()
--- a/crossmill/multihost/failure_scores.py
+++ b/crossmill/multihost/failure_scores.py
@@ -1,9 +1,10 @@
-"""Machines that fail again and again are avoided; with time their failures are forgotten."""
+"""Failure scores of machines, so that those that fail repeatedly are avoided for a while."""
 
 from typing import NamedTuple
 
-# below this a score is as good as none
+# a score below this counts as none
 NEGLIGIBLE_SCORE = 0.05
+SCORE_OF_A_FAILURE = 1.0
 
 
 class _Score(NamedTuple):
@@ -12,8 +13,10 @@
 
 
 class FailureScores:
-    """A score for each machine: one more with each failure, halved in each half-life. Kept by the
-    pool's owner alone: a new owner begins with none.
+    """A score for each machine: one more with each failure, halved in each half-life.
+
+    Kept in the memory of the pool's owner alone: a new owner begins with none. Times are of the
+    controller's steady clock.
     """
 
     def __init__(self, half_life_s: float) -> None:
@@ -21,7 +24,7 @@
         self._scores: dict[str, _Score] = {}
 
     def score(self, machine: str, now: float) -> float:
-        """The machine's score now."""
+        """Return the machine's score now."""
         known = self._scores.get(machine)
         if known is None:
             return 0.0
@@ -32,9 +35,9 @@
         return value
 
     def note_failure(self, machine: str, now: float) -> None:
-        """A member on the machine was lost, or did not start there."""
-        self._scores[machine] = _Score(self.score(machine, now) + 1.0, now)
+        """Count a member on the machine that was lost, or did not start there."""
+        self._scores[machine] = _Score(self.score(machine, now) + SCORE_OF_A_FAILURE, now)
 
     def clear(self) -> None:
-        """The ownership has ended."""
+        """Forget all scores, when the ownership of the pool ends."""
         self._scores.clear()
--- a/crossmill/multihost/lifecycle.py
+++ b/crossmill/multihost/lifecycle.py
@@ -1,35 +1,31 @@
-"""What happens next to a replica: pure decisions from its records and its members' state."""
+"""Decides what happens next to a replica, from its records and its members' state.
+
+Pure functions without state. `observations` gathers their input, and `replica_reconciler` carries
+the decisions out. Every decision depends only on durable records and on what agents report, so that
+the next owner of the pool comes to the same ones.
+"""
 
 from collections.abc import Mapping
 from enum import Enum
 from typing import NamedTuple
 
-from ..wire.multihost import MemberState
-from .agents import AgentView
-from .model import Member, Replica, ReplicaSetSpec
+from .member_status import DecisionTime, MemberStatus
+from .model import FRONT_RANK, Replica, ReplicaSetSpec
 from .phases import ReplicaPhase
 from .settings import MultihostSettings
 
 # a start may take so many times what its fetch should take: rates differ, and fetches share them
 FETCH_TIME_FACTOR = 3.0
-
-
-class MemberStatus(Enum):
-    """A member as far as the owner can tell."""
-
-    # its machine has not been heard since this owner began, and may yet be
-    UNKNOWN = "unheard"
-    # its agent is there and does not run it in this generation
-    ABSENT = "absent"
-    LOADING = "loading"
-    LOADED = "loaded"
-    FAILED = "failed"
-    # its machine is silent or gone, or its agent has begun a new session
-    LOST = "lost"
-
+# a machine's fetch rate counts as at least this, so that no start limit is infinite
+MIN_FETCH_GB_PER_S = 1e-3
+# restarts that are not delayed, and the number of doublings after which the back-off stays
+RESTARTS_WITHOUT_BACKOFF = 1
+MAX_BACKOFF_DOUBLINGS = 16
+# while the members' rendezvous is incomplete it is checked so many times in a heartbeat interval
+RENDEZVOUS_CHECKS_PER_HEARTBEAT = 8
 
 FAILED_STATUSES = frozenset({MemberStatus.LOST, MemberStatus.FAILED})
-# once all have confirmed, a member that no longer does has fallen
+# once all have confirmed the generation, a member that no longer does has failed
 FAILED_STATUSES_WHEN_READY = FAILED_STATUSES | {MemberStatus.ABSENT, MemberStatus.LOADING}
 
 
@@ -39,11 +35,12 @@
     WAIT = "wait"
     # machines are needed
     PLACE = "place"
+    # every member runs: the replica becomes ready
     CONFIRM = "confirm"
     REPAIR = "repair"
-    # give up the machines held and wait as a whole
+    # give up the machines reserved so far and wait for all of them together
     RELEASE = "release"
-    # delete the records of machines that are no longer held
+    # delete the records of members whose machines are no longer reserved
     CLEAR = "clear"
     DRAIN = "drain"
     STOP = "stop"
@@ -54,243 +51,230 @@
 
 
 class ReplicaDecision(NamedTuple):
-    """What is to be done, why, and when to look again if nothing changes."""
+    """What is to be done about a replica, why, and when to decide again if nothing changes.
+
+    Attributes:
+        action: What is to be done.
+        reason: The reason as operators see it.
+        recheck_at: When to decide again, in the controller's steady time.
+        suspects: Ranks whose machines are not used for the next generation.
+    """
 
     action: ReplicaAction
     reason: str = ""
-    # in the controller's steady time
     recheck_at: float | None = None
-    # ranks whose machines are not to be used for the next generation
     suspects: frozenset[int] = frozenset()
 
 
-class DecisionTime(NamedTuple):
-    """When a decision is made, and since when this controller owns the pool."""
+class ReplicaObservation(NamedTuple):
+    """What is known about a replica at the time of a decision.
+
+    Attributes:
+        statuses: The state of each member, by rank.
+        unreachable: Ranks that the front member does not reach.
+        is_rendezvous_complete: Whether every member was alive, in this generation, after the last
+            of them had confirmed it.
+        fenced_at: From this steady time on no serving lease of an earlier generation is valid.
+        start_limit_s: A start that takes longer has failed.
+        may_stop: Whether the disruption budget lets the replica be stopped now.
+        all_stopped: Whether no member of any generation can still run.
+    """
+
+    statuses: Mapping[int, MemberStatus]
+    unreachable: frozenset[int]
+    is_rendezvous_complete: bool
+    fenced_at: float
+    start_limit_s: float
+    may_stop: bool
+    all_stopped: bool
+
+
+class DecisionInput(NamedTuple):
+    """All that a decision about one replica depends on."""
 
-    now: float
-    wall: float
-    owned_since: float
+    replica: Replica
+    spec: ReplicaSetSpec
+    observation: ReplicaObservation
+    time: DecisionTime
+    settings: MultihostSettings
 
-    def steady(self, wall: float) -> float:
-        """The steady time of a wall time."""
-        return self.now + (wall - self.wall)
+    @property
+    def phase_entered_at(self) -> float:
+        """The steady time at which the replica entered its phase."""
+        return self.time.to_steady(self.replica.since)
 
+    @property
+    def restart_count(self) -> int:
+        """The number of restarts that count against the set's budget."""
+        return len(recent_restarts(self.replica, self.spec, self.time.wall))
 
-def first_contact_s(settings: MultihostSettings) -> float:
-    """How long after a change of owner an agent may take to find the new one."""
-    return settings.failure_detection_s + 2 * settings.answer_timeout_s
 
+class _Suspicion(NamedTuple):
+    """The ranks that are to be replaced, and the reason as it is shown."""
 
-def is_heartbeat_overdue(
-    view: AgentView | None, moment: DecisionTime, settings: MultihostSettings
-) -> bool:
-    """Whether the machine has not been heard for so long that it counts as lost. After a change
-    of owner the agents first have to find the new one.
-    """
-    if view is None or not view.is_trusted:
-        return moment.now - moment.owned_since > first_contact_s(settings)
-    return moment.now - view.last_heartbeat_at > settings.failure_detection_s
-
-
-def member_status(
-    member: Member,
-    replica: Replica,
-    view: AgentView | None,
-    moment: DecisionTime,
-    settings: MultihostSettings,
-) -> MemberStatus:
-    """The state of a member of the replica's current generation."""
-    if is_heartbeat_overdue(view, moment, settings):
-        return MemberStatus.LOST
-    if view is None or not view.is_trusted:
-        return MemberStatus.UNKNOWN
-    if view.session != member.session:
-        return MemberStatus.LOST
-    report = view.members.get(str(replica.id))
-    if report is None or report.generation != replica.generation:
-        return MemberStatus.ABSENT
-    match report.state:
-        case MemberState.LOADED:
-            return MemberStatus.LOADED
-        case MemberState.FAILED:
-            return MemberStatus.FAILED
-        case MemberState.REFUSED:
-            return MemberStatus.ABSENT
-        case MemberState.LOADING:
-            return MemberStatus.LOADING
+    ranks: frozenset[int]
+    reason: str
 
 
 def recent_restarts(replica: Replica, spec: ReplicaSetSpec, wall: float) -> tuple[float, ...]:
-    """The restarts that still count against the budget."""
+    """Return the wall times of the restarts that still count against the set's budget."""
     return tuple(at for at in replica.restarts if wall - at <= spec.restart_window_s)
 
 
 def backoff_s(restarts: int, settings: MultihostSettings) -> float:
-    """How long a replica that was restarted so often waits; the first restart waits for nothing."""
-    if restarts <= 1:
+    """Return how long a replica that was restarted so often waits before it is placed again."""
+    if restarts <= RESTARTS_WITHOUT_BACKOFF:
         return 0.0
-    return float(
-        min(settings.max_backoff_s, settings.initial_backoff_s * 2 ** min(restarts - 2, 16))
-    )
+    doublings = min(restarts - RESTARTS_WITHOUT_BACKOFF - 1, MAX_BACKOFF_DOUBLINGS)
+    return float(min(settings.max_backoff_s, settings.initial_backoff_s * 2**doublings))
 
 
-def start_limit_s(spec: ReplicaSetSpec, slowest_fetch: float, settings: MultihostSettings) -> float:
-    """A start that takes longer than this is given up."""
-    return FETCH_TIME_FACTOR * spec.image_gb / max(slowest_fetch, 1e-3) + settings.start_overhead_s
+def start_limit_s(
+    spec: ReplicaSetSpec, slowest_fetch_gb_per_s: float, settings: MultihostSettings
+) -> float:
+    """Return the time after which a start counts as failed."""
+    fetch_s = FETCH_TIME_FACTOR * spec.image_gb / max(slowest_fetch_gb_per_s, MIN_FETCH_GB_PER_S)
+    return fetch_s + settings.start_overhead_s
 
 
-class ReplicaObservation(NamedTuple):
-    """What a decision about one replica rests on."""
+def decide(inputs: DecisionInput) -> ReplicaDecision:
+    """Return the next step of a replica."""
+    return _DECISIONS[inputs.replica.phase](inputs)
 
-    statuses: Mapping[int, MemberStatus]
-    # ranks that the front member does not reach
-    unreachable: frozenset[int]
-    # every member was alive, in this generation, after the last of them had confirmed it
-    is_rendezvous_complete: bool
-    # no grant of an earlier generation holds from this moment on
-    fenced_at: float
-    start_limit_s: float
-    # whether the disruption budget lets the replica be stopped now
-    may_stop: bool
-    # whether every member of any generation is known to be gone
-    all_stopped: bool
 
+# -- by phase ------------------------------------------------------------------------
 
-def _suspects(
-    situation: ReplicaObservation, fallen_states: frozenset[MemberStatus]
-) -> tuple[frozenset[int], str]:
-    """The ranks to be replaced, and the reason as it is shown."""
-    fallen = frozenset(r for r, s in situation.statuses.items() if s in fallen_states)
-    if fallen:
-        how = {situation.statuses[r].value for r in fallen}
-        return fallen, f"member {' and '.join(sorted(how))}: rank {_ranks(fallen)}"
-    unreachable = situation.unreachable
-    if not unreachable:
-        return frozenset(), ""
-    others = len(situation.statuses) - 1
-    if 2 * len(unreachable) > others and others > 1:
-        # one machine that reaches hardly any other is likelier at fault than all the others
-        return frozenset({0}), f"front member reaches no majority: rank {_ranks(unreachable)}"
-    return unreachable, f"not reached by the front member: rank {_ranks(unreachable)}"
-
-
-def _ranks(ranks: frozenset[int]) -> str:
-    return ",".join(str(r) for r in sorted(ranks))
 
-
-def decide(
-    replica: Replica,
-    spec: ReplicaSetSpec,
-    situation: ReplicaObservation,
-    moment: DecisionTime,
-    settings: MultihostSettings,
-) -> ReplicaDecision:
-    """The next step of a replica."""
-    match replica.phase:
-        case ReplicaPhase.PENDING:
-            return _decide_pending(replica)
-        case ReplicaPhase.RESERVING | ReplicaPhase.REPAIRING:
-            return _decide_placing(replica, spec, moment, settings)
-        case ReplicaPhase.STARTING:
-            return _decide_starting(replica, spec, situation, moment, settings)
-        case ReplicaPhase.READY:
-            return _decide_ready(replica, spec, situation, moment)
-        case ReplicaPhase.DRAINING:
-            if situation.all_stopped:
-                return ReplicaDecision(ReplicaAction.STOP, replica.reason)
-            return ReplicaDecision(
-                ReplicaAction.WAIT, recheck_at=moment.now + settings.failure_detection_s
-            )
-        case ReplicaPhase.STOPPED:
-            return ReplicaDecision(ReplicaAction.DELETE)
-        case ReplicaPhase.FAILED:
-            return _decide_failed(replica, spec, moment)
-
-
-def _decide_pending(replica: Replica) -> ReplicaDecision:
+def _decide_pending(inputs: DecisionInput) -> ReplicaDecision:
+    replica = inputs.replica
     if replica.chunks:
         return ReplicaDecision(ReplicaAction.CLEAR)
-    if replica.leaving:
-        return ReplicaDecision(ReplicaAction.STOP, replica.leaving)
+    if replica.stop_reason:
+        return ReplicaDecision(ReplicaAction.STOP, replica.stop_reason)
     return ReplicaDecision(ReplicaAction.PLACE)
 
 
-def _decide_placing(
-    replica: Replica, spec: ReplicaSetSpec, moment: DecisionTime, settings: MultihostSettings
-) -> ReplicaDecision:
-    if replica.leaving:
-        return ReplicaDecision(ReplicaAction.DRAIN, replica.leaving)
-    entered = moment.steady(replica.since)
+def _decide_reserving(inputs: DecisionInput) -> ReplicaDecision:
+    replica, now = inputs.replica, inputs.time.now
+    if replica.stop_reason:
+        return ReplicaDecision(ReplicaAction.DRAIN, replica.stop_reason)
     wait_s = 0.0
     if replica.phase is ReplicaPhase.REPAIRING:
-        wait_s = backoff_s(len(recent_restarts(replica, spec, moment.wall)), settings)
-    if moment.now < entered + wait_s:
-        return ReplicaDecision(ReplicaAction.WAIT, recheck_at=entered + wait_s)
-    if moment.now >= entered + wait_s + spec.hold_s:
+        wait_s = backoff_s(inputs.restart_count, inputs.settings)
+    place_from = inputs.phase_entered_at + wait_s
+    if now < place_from:
+        return ReplicaDecision(ReplicaAction.WAIT, recheck_at=place_from)
+    if now >= place_from + inputs.spec.hold_s:
         return ReplicaDecision(ReplicaAction.RELEASE, "no room within the bound on holding a part")
-    return ReplicaDecision(ReplicaAction.PLACE, recheck_at=entered + wait_s + spec.hold_s)
-
-
-def _decide_failing(
-    replica: Replica,
-    spec: ReplicaSetSpec,
-    suspects: frozenset[int],
-    reason: str,
-    moment: DecisionTime,
-) -> ReplicaDecision:
-    if replica.leaving:
-        return ReplicaDecision(ReplicaAction.DRAIN, f"{replica.leaving}; {reason}")
-    if len(recent_restarts(replica, spec, moment.wall)) >= spec.restart_budget:
-        return ReplicaDecision(
-            ReplicaAction.FAIL, f"restart budget used up; {reason}", suspects=suspects
-        )
-    return ReplicaDecision(ReplicaAction.REPAIR, reason, suspects=suspects)
-
-
-def _decide_starting(
-    replica: Replica,
-    spec: ReplicaSetSpec,
-    situation: ReplicaObservation,
-    moment: DecisionTime,
-    settings: MultihostSettings,
-) -> ReplicaDecision:
-    if replica.leaving:
-        return ReplicaDecision(ReplicaAction.DRAIN, replica.leaving)
-    suspects, reason = _suspects(situation, FAILED_STATUSES)
-    if suspects:
-        return _decide_failing(replica, spec, suspects, reason, moment)
-    if all(s is MemberStatus.LOADED for s in situation.statuses.values()):
-        if not situation.is_rendezvous_complete:
-            return ReplicaDecision(
-                ReplicaAction.WAIT, recheck_at=moment.now + settings.heartbeat_interval_s / 8
-            )
-        if moment.now < situation.fenced_at:
-            return ReplicaDecision(ReplicaAction.WAIT, recheck_at=situation.fenced_at)
-        return ReplicaDecision(ReplicaAction.CONFIRM, "every member has confirmed the generation")
-    limit = moment.steady(replica.since) + situation.start_limit_s
-    if moment.now < limit:
+    return ReplicaDecision(ReplicaAction.PLACE, recheck_at=place_from + inputs.spec.hold_s)
+
+
+def _decide_starting(inputs: DecisionInput) -> ReplicaDecision:
+    if inputs.replica.stop_reason:
+        return ReplicaDecision(ReplicaAction.DRAIN, inputs.replica.stop_reason)
+    suspicion = _suspects(inputs.observation, FAILED_STATUSES)
+    if suspicion.ranks:
+        return _decide_failing(inputs, suspicion)
+    statuses = inputs.observation.statuses
+    not_loaded = frozenset(r for r, s in statuses.items() if s is not MemberStatus.LOADED)
+    if not not_loaded:
+        return _decide_loaded(inputs)
+    limit = inputs.phase_entered_at + inputs.observation.start_limit_s
+    if inputs.time.now < limit:
         return ReplicaDecision(ReplicaAction.WAIT, recheck_at=limit)
-    late = frozenset(r for r, s in situation.statuses.items() if s is not MemberStatus.LOADED)
-    return _decide_failing(replica, spec, late, f"start timed out: rank {_ranks(late)}", moment)
-
-
-def _decide_ready(
-    replica: Replica, spec: ReplicaSetSpec, situation: ReplicaObservation, moment: DecisionTime
-) -> ReplicaDecision:
-    suspects, reason = _suspects(situation, FAILED_STATUSES_WHEN_READY)
-    if suspects:
-        return _decide_failing(replica, spec, suspects, reason, moment)
-    if replica.leaving and situation.may_stop:
-        return ReplicaDecision(ReplicaAction.DRAIN, replica.leaving)
+    timeout = _Suspicion(not_loaded, f"start timed out: rank {_format_ranks(not_loaded)}")
+    return _decide_failing(inputs, timeout)
+
+
+def _decide_loaded(inputs: DecisionInput) -> ReplicaDecision:
+    """Return the next step of a replica all of whose members have their weights."""
+    observation, now = inputs.observation, inputs.time.now
+    if not observation.is_rendezvous_complete:
+        check_s = inputs.settings.heartbeat_interval_s / RENDEZVOUS_CHECKS_PER_HEARTBEAT
+        return ReplicaDecision(ReplicaAction.WAIT, recheck_at=now + check_s)
+    if now < observation.fenced_at:
+        return ReplicaDecision(ReplicaAction.WAIT, recheck_at=observation.fenced_at)
+    return ReplicaDecision(ReplicaAction.CONFIRM, "every member has confirmed the generation")
+
+
+def _decide_ready(inputs: DecisionInput) -> ReplicaDecision:
+    suspicion = _suspects(inputs.observation, FAILED_STATUSES_WHEN_READY)
+    if suspicion.ranks:
+        return _decide_failing(inputs, suspicion)
+    if inputs.replica.stop_reason and inputs.observation.may_stop:
+        return ReplicaDecision(ReplicaAction.DRAIN, inputs.replica.stop_reason)
     return ReplicaDecision(ReplicaAction.WAIT)
 
 
-def _decide_failed(replica: Replica, spec: ReplicaSetSpec, moment: DecisionTime) -> ReplicaDecision:
-    if replica.leaving:
-        return ReplicaDecision(ReplicaAction.DRAIN, replica.leaving)
+def _decide_draining(inputs: DecisionInput) -> ReplicaDecision:
+    if inputs.observation.all_stopped:
+        return ReplicaDecision(ReplicaAction.STOP, inputs.replica.reason)
+    recheck_at = inputs.time.now + inputs.settings.failure_detection_s
+    return ReplicaDecision(ReplicaAction.WAIT, recheck_at=recheck_at)
+
+
+def _decide_stopped(_inputs: DecisionInput) -> ReplicaDecision:
+    return ReplicaDecision(ReplicaAction.DELETE)
+
+
+def _decide_failed(inputs: DecisionInput) -> ReplicaDecision:
+    replica = inputs.replica
+    if replica.stop_reason:
+        return ReplicaDecision(ReplicaAction.DRAIN, replica.stop_reason)
     if replica.chunks:
         return ReplicaDecision(ReplicaAction.CLEAR)
-    retry_at = moment.steady(replica.since) + spec.restart_window_s
-    if moment.now >= retry_at:
+    retry_at = inputs.phase_entered_at + inputs.spec.restart_window_s
+    if inputs.time.now >= retry_at:
         return ReplicaDecision(ReplicaAction.RETRY, "the restart window has passed")
     return ReplicaDecision(ReplicaAction.WAIT, recheck_at=retry_at)
+
+
+_DECISIONS = {
+    ReplicaPhase.PENDING: _decide_pending,
+    ReplicaPhase.RESERVING: _decide_reserving,
+    ReplicaPhase.STARTING: _decide_starting,
+    ReplicaPhase.READY: _decide_ready,
+    ReplicaPhase.REPAIRING: _decide_reserving,
+    ReplicaPhase.DRAINING: _decide_draining,
+    ReplicaPhase.STOPPED: _decide_stopped,
+    ReplicaPhase.FAILED: _decide_failed,
+}
+
+
+# -- members that have failed --------------------------------------------------------
+
+
+def _decide_failing(inputs: DecisionInput, suspicion: _Suspicion) -> ReplicaDecision:
+    """Return the next step of a replica that has lost members."""
+    replica = inputs.replica
+    if replica.stop_reason:
+        return ReplicaDecision(ReplicaAction.DRAIN, f"{replica.stop_reason}; {suspicion.reason}")
+    if inputs.restart_count >= inputs.spec.restart_budget:
+        reason = f"restart budget used up; {suspicion.reason}"
+        return ReplicaDecision(ReplicaAction.FAIL, reason, suspects=suspicion.ranks)
+    return ReplicaDecision(ReplicaAction.REPAIR, suspicion.reason, suspects=suspicion.ranks)
+
+
+def _suspects(
+    observation: ReplicaObservation, failed_statuses: frozenset[MemberStatus]
+) -> _Suspicion:
+    """Return the ranks to be replaced; none if the replica is healthy."""
+    statuses = observation.statuses
+    failed = frozenset(r for r, s in statuses.items() if s in failed_statuses)
+    if failed:
+        how = " and ".join(sorted({statuses[r].value for r in failed}))
+        return _Suspicion(failed, f"member {how}: rank {_format_ranks(failed)}")
+    unreachable = observation.unreachable
+    if not unreachable:
+        return _Suspicion(frozenset(), "")
+    shown = _format_ranks(unreachable)
+    others = len(statuses) - 1
+    if 2 * len(unreachable) > others and others > 1:
+        # one machine that reaches hardly any other is likelier at fault than all the others
+        front = frozenset({FRONT_RANK})
+        return _Suspicion(front, f"front member reaches no majority: rank {shown}")
+    return _Suspicion(unreachable, f"not reached by the front member: rank {shown}")
+
+
+def _format_ranks(ranks: frozenset[int]) -> str:
+    return ",".join(str(r) for r in sorted(ranks))
--- /dev/null
+++ b/crossmill/multihost/machine_reconciler.py
@@ -0,0 +1,96 @@
+"""Reconciles the machines of the pool: overdue heartbeats, machines that leave or are returned.
+
+`MachineReconciler` is called by the coordinator in each pass. It remembers which machines' overdue
+heartbeats it has reported; this ends with the ownership of the pool.
+"""
+
+import logging
+from collections.abc import Iterable
+
+from ..cluster.ownership import ShardOwnership
+from ..state.writer import WriteIntent
+from .context import PoolContext
+from .member_status import DecisionTime, is_heartbeat_overdue
+from .model import PoolMachine, ReplicaId
+
+log = logging.getLogger(__name__)
+
+
+class MachineReconciler:
+    """Watches machines for the pool's owner."""
+
+    def __init__(self, context: PoolContext) -> None:
+        self._settings = context.settings
+        self._pool = context.pool
+        self._agents = context.agents
+        self._writer = context.writer
+        self._overdue: set[str] = set()
+
+    def clear(self) -> None:
+        """Forget overdue heartbeats, when the ownership of the pool ends."""
+        self._overdue.clear()
+
+    def note_changes(self, time: DecisionTime) -> None:
+        """Mark the replicas of all machines that have changed as changed.
+
+        A machine has changed if its records or its agent's reports have, or if its heartbeats have
+        become overdue or have resumed.
+        """
+        self._note_overdue(time)
+        self._note_resumed(time)
+        for machine_id in self._pool.changed_machines():
+            self._mark_replicas_changed(machine_id)
+
+    def _note_overdue(self, time: DecisionTime) -> None:
+        for view in self._agents.heartbeats_before(time.now - self._settings.failure_detection_s):
+            is_new = view.machine not in self._overdue
+            if is_new and is_heartbeat_overdue(view, time, self._settings):
+                self._overdue.add(view.machine)
+                log.info("agent heartbeats missed machine=%s", view.machine)
+                self._mark_replicas_changed(view.machine)
+
+    def _note_resumed(self, time: DecisionTime) -> None:
+        for machine_id in list(self._overdue):
+            view = self._agents.get(machine_id)
+            if view is None or not is_heartbeat_overdue(view, time, self._settings):
+                self._overdue.discard(machine_id)
+                log.info("agent heartbeats resumed machine=%s", machine_id)
+                self._mark_replicas_changed(machine_id)
+
+    def _mark_replicas_changed(self, machine_id: str) -> None:
+        """Mark the replicas that are planned on the machine or reported by its agent as changed."""
+        machine = self._pool.machines.get(machine_id)
+        if machine is not None:
+            self._pool.mark_replicas_changed(machine.planned.keys())
+        view = self._agents.get(machine_id)
+        if view is not None:
+            reported = (ReplicaId.parse(name) for name in view.members)
+            self._pool.mark_replicas_changed(
+                r for r in reported if r is not None and r in self._pool.replicas
+            )
+
+    def reconcile(self, ownership: ShardOwnership, changed: Iterable[str]) -> list[WriteIntent]:
+        """Return the writes for changed machines that leave the pool or were returned."""
+        returned = [m for m in changed if self._is_returned(m)]
+        for machine_id in returned:
+            self._agents.forget(machine_id)
+            self._overdue.discard(machine_id)
+            log.info("machine left the pool machine=%s", machine_id)
+        intents = [self._writer.deletion_of_machine(ownership, m) for m in returned]
+        for machine_id in set(changed) - set(returned):
+            machine = self._pool.machines.get(machine_id)
+            if machine is not None and self._may_leave(machine):
+                log.info("machine leaves the pool empty machine=%s", machine_id)
+                intents.append(self._writer.departure_of_machine(ownership, machine))
+        return intents
+
+    def _is_returned(self, machine_id: str) -> bool:
+        """Return whether the machine's ordinary record is gone, so that it was returned."""
+        return machine_id in self._pool.machines and self._pool.record_version(machine_id) == 0
+
+    def _may_leave(self, machine: PoolMachine) -> bool:
+        """Return whether the machine is to leave the pool and runs no member."""
+        if not machine.is_released or machine.has_left or machine.planned:
+            return False
+        view = self._agents.get(machine.id)
+        return view is not None and view.is_empty
--- /dev/null
+++ b/crossmill/multihost/member_reports.py
@@ -0,0 +1,103 @@
+"""Checks agents' reports about members against the plan, and applies them to the agents' views.
+
+`MemberReports` is called by the heartbeat handler. A report that contradicts the plan is counted,
+and is applied as a refused member of generation 0: it proves nothing, but its resources are in use
+until the agent has stopped it.
+"""
+
+import logging
+from enum import StrEnum
+
+from ..wire.multihost import AgentHeartbeat, MemberReport, MemberState
+from .agents import AgentView
+from .model import ReplicaId
+from .pool import PoolState
+
+log = logging.getLogger(__name__)
+
+# no replica has this generation: it begins at 1
+NO_GENERATION = 0
+
+
+class ReportProblem(StrEnum):
+    """Why a report about a member is rejected, as it is logged."""
+
+    DUPLICATE = "reported twice"
+    MALFORMED_NAME = "no replica's name"
+    UNKNOWN_REPLICA = "unknown replica"
+    UNKNOWN_GENERATION = "unknown generation"
+    NOT_PLANNED = "not planned on this machine"
+    WRONG_RANK = "wrong rank"
+
+
+class MemberReports:
+    """Applies reports for the pool's owner."""
+
+    def __init__(self, pool: PoolState) -> None:
+        self._pool = pool
+        # since the start of the program
+        self.rejected = 0
+
+    def apply(self, heartbeat: AgentHeartbeat, view: AgentView) -> None:
+        """Replace the members of the view by those of its newest heartbeat.
+
+        Replicas of which something has changed are marked as changed.
+        """
+        members: dict[str, MemberReport] = {}
+        view.rejected = 0
+        for report in heartbeat.members:
+            problem = self._problem(heartbeat.machine, report, members)
+            if problem is None:
+                members[report.replica] = report
+                continue
+            view.rejected += 1
+            self.rejected += 1
+            log.info(
+                "member report rejected replica=%s rank=%d generation=%d machine=%s reason=%s",
+                report.replica,
+                report.rank,
+                report.generation,
+                heartbeat.machine,
+                problem,
+            )
+            members[report.replica] = report._replace(
+                state=MemberState.REFUSED, generation=NO_GENERATION
+            )
+        changed = {
+            replica_id
+            for name in members.keys() | view.members.keys()
+            if members.get(name) != view.members.get(name)
+            and (replica_id := ReplicaId.parse(name)) is not None
+        }
+        view.members = members
+        if changed:
+            self._pool.mark_machine_changed(heartbeat.machine)
+            self._pool.mark_replicas_changed(changed)
+
+    def _problem(
+        self, machine_id: str, report: MemberReport, applied: dict[str, MemberReport]
+    ) -> ReportProblem | None:
+        """Return what is wrong with a report; None if it may be true."""
+        if report.replica in applied:
+            return ReportProblem.DUPLICATE
+        replica_id = ReplicaId.parse(report.replica)
+        if replica_id is None:
+            return ReportProblem.MALFORMED_NAME
+        replica = self._pool.replicas.get(replica_id)
+        if replica is None:
+            return ReportProblem.UNKNOWN_REPLICA
+        if report.generation > replica.generation:
+            return ReportProblem.UNKNOWN_GENERATION
+        if report.generation < replica.generation:
+            # it is to be stopped or replaced; nothing else is concluded from it
+            return None
+        return self._planning_problem(machine_id, replica_id, report.rank)
+
+    def _planning_problem(
+        self, machine_id: str, replica_id: ReplicaId, rank: int
+    ) -> ReportProblem | None:
+        """Return how a member of the current generation differs from the plan."""
+        member = self._pool.machines[machine_id].planned.get(replica_id)
+        if member is None:
+            return ReportProblem.NOT_PLANNED
+        return None if member.rank == rank else ReportProblem.WRONG_RANK
--- a/crossmill/multihost/model.py
+++ b/crossmill/multihost/model.py
@@ -1,32 +1,39 @@
-"""Replica sets, replicas, members and the machines of the pool, as the durable records say."""
+"""Replica sets, replicas, members and the machines of the pool, as their durable records say.
+
+Plain types without behaviour of their own. `pool` keeps the objects up to date with the state
+service; everybody else only reads them.
+"""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
 from .phases import ReplicaPhase
 
+# the rank of the front member, which answers requests for the whole replica
+FRONT_RANK = 0
+
 
 class Resources(NamedTuple):
-    """What a member takes of a machine, or what a machine has."""
+    """What a member needs of a machine, or what a machine has."""
 
     cpus: float
     gpus: float
     memory_gb: float
 
     def plus(self, other: "Resources") -> "Resources":
-        """Both together."""
+        """Return the sum of both."""
         return Resources(
             self.cpus + other.cpus, self.gpus + other.gpus, self.memory_gb + other.memory_gb
         )
 
     def minus(self, other: "Resources") -> "Resources":
-        """What is left of this without the other."""
+        """Return what is left of this without the other; amounts may become negative."""
         return Resources(
             self.cpus - other.cpus, self.gpus - other.gpus, self.memory_gb - other.memory_gb
         )
 
     def can_fit(self, other: "Resources") -> bool:
-        """Whether the other fits into this."""
+        """Return whether the other fits into this."""
         return (
             self.cpus >= other.cpus
             and self.gpus >= other.gpus
@@ -48,7 +55,7 @@
 
     @classmethod
     def parse(cls, name: str) -> "ReplicaId | None":
-        """The replica of this name; None if it is no replica's name."""
+        """Return the replica of this name; None if it is not the name of a replica."""
         set_name, _, number = name.rpartition("/")
         if not set_name or not number.isdecimal():
             return None
@@ -56,7 +63,12 @@
 
 
 class ReplicaSetSpec(NamedTuple):
-    """What an operator declares: how many replicas, of how many members each, and where."""
+    """What an operator declares: how many replicas, of how many members each, and where.
+
+    The fields are spelled as in the declaration. `hold_s` is how long a replica may keep a part of
+    its machines reserved while it waits for the rest; `min_ready` is the disruption budget, the
+    number of ready replicas that no voluntary stop goes below.
+    """
 
     name: str
     members: int
@@ -74,7 +86,7 @@
     hold_s: float = 30.0
 
     def allows_zone(self, zone: str) -> bool:
-        """Whether members may stand in the zone."""
+        """Return whether members may run in the zone."""
         return not self.zones or zone in self.zones
 
 
@@ -84,13 +96,16 @@
 
     spec: ReplicaSetSpec
     removed: bool = False
+    # the number of the next replica that is created
     next_index: int = 0
     version: int = 0
 
 
 class Member(NamedTuple):
-    """One machine's part of a replica. It belongs to one session of the machine's agent: an agent
-    that begins a new session has lost it.
+    """One machine's part of a replica.
+
+    It belongs to one session of the machine's agent: an agent that begins a new session has lost
+    it. Stored by position, and shown to operators by its fields' names.
     """
 
     rank: int
@@ -101,7 +116,7 @@
 
 
 class PhaseChange(NamedTuple):
-    """An entry of a replica's history."""
+    """An entry of a replica's history; `at` is a wall time."""
 
     phase: ReplicaPhase
     at: float
@@ -110,7 +125,7 @@
 
 @dataclass(slots=True, eq=False)
 class MemberChunk:
-    """A stored stretch of a replica's members, reserved for one generation."""
+    """Some of a replica's members, stored in one record and reserved for one generation."""
 
     generation: int
     members: tuple[Member, ...]
@@ -119,7 +134,7 @@
 
 @dataclass(slots=True, eq=False)
 class Replica:
-    """A replica as its records say. `since` is when it entered its phase, in wall time."""
+    """A replica as its records say; `since` is the wall time at which it entered its phase."""
 
     id: ReplicaId
     phase: ReplicaPhase = ReplicaPhase.PENDING
@@ -127,8 +142,8 @@
     chunk_count: int = 0
     since: float = 0.0
     reason: str = ""
-    # why it is to be stopped once a replacement serves or the disruption budget allows it
-    leaving: str = ""
+    # if not empty it is to be stopped, once a replacement serves or the disruption budget allows it
+    stop_reason: str = ""
     # wall times of the restarts that count against the budget
     restarts: tuple[float, ...] = ()
     history: tuple[PhaseChange, ...] = ()
@@ -136,26 +151,27 @@
     version: int = 0
 
     def members(self) -> list[Member]:
-        """All members reserved for the current generation, by rank."""
+        """Return all members reserved for the current generation, by rank."""
         current = [c for c in self.chunks.values() if c.generation == self.generation]
         return sorted((m for c in current for m in c.members), key=lambda m: m.rank)
 
     def all_members(self) -> list[Member]:
-        """All members of any generation whose reservation stands."""
+        """Return the members of all generations whose machines are still reserved."""
         return [m for c in self.chunks.values() for m in c.members]
 
 
 @dataclass(slots=True, eq=False)
 class PoolMachine:
-    """A machine whose agent has registered. `draining` says why it is to be emptied."""
+    """A machine whose agent has registered."""
 
     id: str
     zone: str
     capacity: Resources
     fetch_gb_per_s: float
-    draining: str = ""
+    # if not empty, replicas with a member here are to be replaced elsewhere
+    drain_reason: str = ""
     # it is to leave the pool once it is empty, and has left it
-    leaving: bool = False
+    is_released: bool = False
     has_left: bool = False
     version: int = 0
     planned: dict[ReplicaId, Member] = field(default_factory=dict)
--- a/crossmill/multihost/observations.py
+++ b/crossmill/multihost/observations.py
@@ -1,10 +1,15 @@
-"""Gathers what a decision about a replica rests on, from the records and the agents' views."""
+"""Gathers what a decision about a replica depends on, from the records and the agents' views.
+
+`ReplicaObserver` is called by the replica reconciler. It owns the rendezvous of the members of
+starting replicas; all else is looked up.
+"""
 
 from collections.abc import Mapping
 
-from .agents import Agents
-from .lifecycle import DecisionTime, MemberStatus, ReplicaObservation, member_status, start_limit_s
-from .model import Member, Replica, ReplicaSet
+from .agents import Agents, AgentView
+from .lifecycle import ReplicaObservation, start_limit_s
+from .member_status import DecisionTime, MemberStatus, member_status
+from .model import FRONT_RANK, Member, Replica, ReplicaSet
 from .phases import ReplicaPhase
 from .pool import PoolState
 from .rendezvous import Rendezvous
@@ -13,10 +18,12 @@
 
 # an agent counts its lease by its own clock, and answers to it may have been on their way
 AGENT_LEASE_MARGIN = 1.1
+# the fetch rate that is assumed while no member's machine is known
+DEFAULT_FETCH_GB_PER_S = 1.0
 
 
 class ReplicaObserver:
-    """Knows which replicas' members have all confirmed; all else is looked up."""
+    """Observes replicas for the pool's owner."""
 
     def __init__(
         self,
@@ -32,71 +39,86 @@
         self._rendezvous = Rendezvous()
 
     def clear(self) -> None:
-        """The ownership has ended."""
+        """Forget what was observed, when the ownership of the pool ends."""
         self._rendezvous.clear()
 
-    def of(
-        self, replica: Replica, stored: ReplicaSet, moment: DecisionTime, may_stop: bool
+    def observe(
+        self, replica: Replica, stored: ReplicaSet, time: DecisionTime, may_stop: bool
     ) -> ReplicaObservation:
-        """The situation of a replica; `may_stop` is what its set's disruption budget says."""
+        """Return what is known about a replica.
+
+        Args:
+            replica: The replica.
+            stored: The set that it belongs to.
+            time: The time of the decision.
+            may_stop: Whether the set's disruption budget lets the replica be stopped.
+        """
         members = replica.members()
-        statuses = {m.rank: self._status(m, replica, moment) for m in members}
-        front = next((m for m in members if m.rank == 0), None)
-        front_view = self._agents.get(front.machine) if front is not None else None
-        unreachable: frozenset[int] = frozenset()
-        if front_view is not None and statuses.get(0) is MemberStatus.LOADED:
-            unreachable = frozenset(front_view.members[str(replica.id)].unreachable)
-        granted = self._leases.granted_machine(replica.id)
-        granted_view = self._agents.get(granted) if granted is not None else None
-        slowest = min(
-            (
-                self._pool.machines[m.machine].fetch_gb_per_s
-                for m in members
-                if m.machine in self._pool.machines
-            ),
-            default=1.0,
-        )
+        statuses = {m.rank: self._status(m, replica, time) for m in members}
         return ReplicaObservation(
-            statuses,
-            unreachable & statuses.keys(),
-            self._have_met(replica, members, statuses, moment),
-            self._leases.fenced_at(replica, moment.owned_since, granted_view),
-            start_limit_s(stored.spec, slowest, self._settings),
-            may_stop,
-            self._all_gone(replica, moment),
+            statuses=statuses,
+            unreachable=self._unreachable(replica, members, statuses),
+            is_rendezvous_complete=self._is_rendezvous_complete(replica, members, statuses, time),
+            fenced_at=self._leases.fenced_at(replica, time.owned_since, self._grantee(replica)),
+            start_limit_s=start_limit_s(
+                stored.spec, self._slowest_fetch_gb_per_s(members), self._settings
+            ),
+            may_stop=may_stop,
+            all_stopped=self._is_all_stopped(replica, time),
         )
 
-    def _have_met(
+    def _unreachable(
+        self, replica: Replica, members: list[Member], statuses: Mapping[int, MemberStatus]
+    ) -> frozenset[int]:
+        """Return the current ranks that the front member reports as unreachable."""
+        front = next((m for m in members if m.rank == FRONT_RANK), None)
+        view = self._agents.get(front.machine) if front is not None else None
+        if view is None or statuses.get(FRONT_RANK) is not MemberStatus.LOADED:
+            return frozenset()
+        return frozenset(view.members[str(replica.id)].unreachable) & statuses.keys()
+
+    def _grantee(self, replica: Replica) -> AgentView | None:
+        """Return the view of the machine that was granted the replica's last serving lease."""
+        machine = self._leases.granted_machine(replica.id)
+        return self._agents.get(machine) if machine is not None else None
+
+    def _slowest_fetch_gb_per_s(self, members: list[Member]) -> float:
+        machines = (self._pool.machines.get(m.machine) for m in members)
+        rates = (m.fetch_gb_per_s for m in machines if m is not None)
+        return min(rates, default=DEFAULT_FETCH_GB_PER_S)
+
+    def _is_rendezvous_complete(
         self,
         replica: Replica,
         members: list[Member],
         statuses: Mapping[int, MemberStatus],
-        moment: DecisionTime,
+        time: DecisionTime,
     ) -> bool:
         is_starting = replica.phase is ReplicaPhase.STARTING
         if not is_starting or any(s is not MemberStatus.LOADED for s in statuses.values()):
             self._rendezvous.forget(replica.id)
             return False
         views = [self._agents.get(m.machine) for m in members]
-        return self._rendezvous.is_rendezvous_complete(replica, members, views, moment.now)
+        return self._rendezvous.is_complete(replica, members, views, time.now)
 
-    def _status(self, member: Member, replica: Replica, moment: DecisionTime) -> MemberStatus:
+    def _status(self, member: Member, replica: Replica, time: DecisionTime) -> MemberStatus:
         if member.machine not in self._pool.machines:
             return MemberStatus.LOST
         view = self._agents.get(member.machine)
-        return member_status(member, replica, view, moment, self._settings)
-
-    def _all_gone(self, replica: Replica, moment: DecisionTime) -> bool:
-        """Whether no agent can still run a member: it says so, or must have stopped it."""
-        for member in replica.all_members():
-            if member.machine not in self._pool.machines:
-                continue
-            view = self._agents.get(member.machine)
-            last = moment.owned_since
-            if view is not None and view.is_trusted:
-                if view.runs_no_member_of(str(replica.id)):
-                    continue
-                last = max(last, view.last_heartbeat_at)
-            if moment.now - last <= self._settings.agent_lease_s * AGENT_LEASE_MARGIN:
-                return False
-        return True
+        return member_status(member, replica, view, time, self._settings)
+
+    def _is_all_stopped(self, replica: Replica, time: DecisionTime) -> bool:
+        """Return whether no machine can still run a member of the replica."""
+        machines = (m.machine for m in replica.all_members() if m.machine in self._pool.machines)
+        return all(self._has_stopped(machine, replica, time) for machine in machines)
+
+    def _has_stopped(self, machine: str, replica: Replica, time: DecisionTime) -> bool:
+        """Return whether the machine's agent runs no member, or its lease must have expired."""
+        view = self._agents.get(machine)
+        last_contact_at = time.owned_since
+        if view is not None and view.is_verified:
+            if view.runs_no_member_of(str(replica.id)):
+                return True
+            last_contact_at = max(last_contact_at, view.last_heartbeat_at)
+        lease_s = self._settings.agent_lease_s * AGENT_LEASE_MARGIN
+        return time.now - last_contact_at > lease_s
--- a/crossmill/multihost/placement.py
+++ b/crossmill/multihost/placement.py
@@ -1,7 +1,8 @@
-"""Which machines take a replica's members: all of them, or none.
+"""Chooses machines for a replica's members: for all of them, or for none.
 
-Pure functions. Members of one replica stand on different machines; survivors of an earlier
-generation stay where they are, unless the whole replica is back sooner elsewhere.
+Pure functions, called by `scheduling` and `preemption`. Members of one replica run on different
+machines; survivors of an earlier generation stay where they are, unless the whole replica is ready
+sooner elsewhere.
 """
 
 from collections.abc import Collection, Iterable, Mapping
@@ -9,9 +10,16 @@
 
 from .model import ReplicaSetSpec, Resources
 
+# a machine's fetch rate counts as at least this, so that no load time is infinite
+MIN_FETCH_GB_PER_S = 1e-3
+# zones whose load times are the same to this many decimals count as equally fast
+LOAD_TIME_DECIMALS = 3
+# stands for all zones together where a replica may be spread over them
+ALL_ZONES = ""
+
 
 class Candidate(NamedTuple):
-    """A machine that can be counted on now, and what is free on it."""
+    """A machine that can take members now, and what is free on it."""
 
     machine: str
     zone: str
@@ -19,14 +27,14 @@
     free: Resources
     fetch_gb_per_s: float
     images: frozenset[str] = frozenset()
-    # it has failed often of late
+    # it has failed often of late, and is used only where no other is left
     avoided: bool = False
 
     def load_s(self, spec: ReplicaSetSpec) -> float:
-        """How long a member waits here for its weights."""
+        """Return how long a member waits here for its weights."""
         if spec.image in self.images:
             return 0.0
-        return spec.image_gb / max(self.fetch_gb_per_s, 1e-3)
+        return spec.image_gb / max(self.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
 
 
 class MemberPlacement(NamedTuple):
@@ -38,35 +46,87 @@
 
 
 class ReplicaPlacement(NamedTuple):
-    """Machines for all members of a replica."""
+    """Machines for all members of a replica.
+
+    Attributes:
+        members: The machine of each rank.
+        load_s: How long until the last member has its weights.
+        survivor_count: How many members stay where they are.
+    """
 
     members: tuple[MemberPlacement, ...]
-    # when the last member has its weights
-    ready_s: float
-    kept: int
+    load_s: float
+    survivor_count: int
 
     @property
     def machines(self) -> frozenset[str]:
         """All machines that it takes."""
-        return frozenset(p.machine for p in self.members)
+        return frozenset(m.machine for m in self.members)
+
+
+class _CandidateRank(NamedTuple):
+    """The order in which candidates are taken, the smallest first.
+
+    Machines that have the weights come first, then those with the least free, so that large free
+    capacities stay for large members.
+    """
+
+    avoided: bool
+    load_s: float
+    free: Resources
+    machine: str
+
+
+class _ZoneRank(NamedTuple):
+    """The order in which zones are preferred, the smallest first.
+
+    The replica is to be ready soon; among equals the zone with fewer of the set's replicas is
+    taken, then the one where fewer members move.
+    """
+
+    load_s: float
+    other_replicas: int
+    negative_survivors: int
+    zone: str
+
+
+class _RankedPlacement(NamedTuple):
+    rank: _ZoneRank
+    placement: ReplicaPlacement
+
+
+def _candidate_rank(candidate: Candidate, spec: ReplicaSetSpec) -> _CandidateRank:
+    return _CandidateRank(
+        candidate.avoided, candidate.load_s(spec), candidate.free, candidate.machine
+    )
 
 
 def zone_limit(spec: ReplicaSetSpec) -> int:
-    """How many replicas of a set that is spread may stand in one zone."""
+    """Return how many replicas of a set may run in one zone."""
     return (spec.replicas + 1) // 2 if spec.spread else spec.replicas
 
 
-def choose(
+def _is_zone_full(spec: ReplicaSetSpec, zone: str, replicas_by_zone: Mapping[str, int]) -> bool:
+    """Return whether a zone has as many replicas as a set that is spread allows."""
+    return spec.spread and replicas_by_zone.get(zone, 0) >= zone_limit(spec)
+
+
+def choose_placement(
     spec: ReplicaSetSpec,
-    kept: Mapping[int, str],
+    survivors: Mapping[int, str],
     candidates: Iterable[Candidate],
     replicas_by_zone: Mapping[str, int],
     excluded: Collection[str] = (),
 ) -> ReplicaPlacement | None:
-    """Machines for every rank, or None. `kept` names the machines of ranks that may stay; their
-    room is counted as free for them in `candidates`. `replicas_by_zone` counts the set's other
-    replicas by
-    zone; a machine that is excluded takes no new member.
+    """Return machines for every rank; None if there are too few.
+
+    Args:
+        spec: The set's declaration.
+        survivors: The machines of ranks that may stay; what these members use is counted as free
+            in `candidates`.
+        candidates: The machines that can take members.
+        replicas_by_zone: How many other replicas of the set run in each zone.
+        excluded: Machines that take no new member.
     """
     by_zone: dict[str, list[Candidate]] = {}
     for candidate in candidates:
@@ -74,30 +134,31 @@
             by_zone.setdefault(candidate.zone, []).append(candidate)
     if not spec.one_zone:
         everywhere = [c for group in by_zone.values() for c in group]
-        return _fill(spec, kept, everywhere, excluded)
-    best: tuple[tuple[float, float, int, str], ReplicaPlacement] | None = None
+        return _fill(spec, survivors, everywhere, excluded)
+    best: _RankedPlacement | None = None
     for zone, group in by_zone.items():
-        if spec.spread and replicas_by_zone.get(zone, 0) >= zone_limit(spec):
+        if _is_zone_full(spec, zone, replicas_by_zone):
             continue
-        placement = _fill(spec, kept, group, excluded)
+        placement = _fill(spec, survivors, group, excluded)
         if placement is None:
             continue
-        # sooner back first; among equals the zone with fewer of the set's replicas, fewer moves
         others = replicas_by_zone.get(zone, 0) if spec.spread else 0
-        order = (round(placement.ready_s, 3), float(others), -placement.kept, zone)
-        if best is None or order < best[0]:
-            best = (order, placement)
-    return best[1] if best is not None else None
+        load_s = round(placement.load_s, LOAD_TIME_DECIMALS)
+        rank = _ZoneRank(load_s, others, -placement.survivor_count, zone)
+        if best is None or rank < best.rank:
+            best = _RankedPlacement(rank, placement)
+    return best.placement if best is not None else None
 
 
 def _fill(
     spec: ReplicaSetSpec,
-    kept: Mapping[int, str],
+    survivors: Mapping[int, str],
     candidates: list[Candidate],
     excluded: Collection[str],
 ) -> ReplicaPlacement | None:
-    here = {c.machine: c for c in candidates}
-    staying = {rank: here[m] for rank, m in kept.items() if m in here}
+    """Return a placement on these candidates; None if there are too few."""
+    by_machine = {c.machine: c for c in candidates}
+    staying = {rank: by_machine[m] for rank, m in survivors.items() if m in by_machine}
     taken = {c.machine for c in staying.values()}
     missing = [rank for rank in range(spec.members) if rank not in staying]
     free = [
@@ -107,28 +168,13 @@
     ]
     if len(free) < len(missing):
         return None
-    # weights at hand first, then the tightest room, so that large rooms stay for large members
-    free.sort(key=lambda c: (c.avoided, c.load_s(spec), c.free, c.machine))
+    free.sort(key=lambda c: _candidate_rank(c, spec))
     chosen = {**staying, **dict(zip(missing, free, strict=False))}
     members = tuple(
         MemberPlacement(rank, c.machine, c.session) for rank, c in sorted(chosen.items())
     )
-    ready_s = max((c.load_s(spec) for c in chosen.values()), default=0.0)
-    return ReplicaPlacement(members, ready_s, len(staying))
-
-
-class QueuePosition(NamedTuple):
-    """A replica that waits for room, in the total order in which all are served."""
-
-    priority: int
-    since: float
-    set_name: str
-    number: int
-
-    @property
-    def order(self) -> tuple[int, float, str, int]:
-        """Higher priority first, then the one that has waited longer, then its name."""
-        return (-self.priority, self.since, self.set_name, self.number)
+    load_s = max((c.load_s(spec) for c in chosen.values()), default=0.0)
+    return ReplicaPlacement(members, load_s, len(staying))
 
 
 def earmark(
@@ -137,71 +183,26 @@
     replicas_by_zone: Mapping[str, int],
     most: int,
 ) -> frozenset[str]:
-    """Free machines kept for a replica that finds too few: in the zone that has most of them, up
-    to `most`. Those behind it in the queue do not get these machines.
-    """
-    by_zone: dict[str, list[Candidate]] = {}
-    for c in candidates:
-        if spec.allows_zone(c.zone) and c.free.can_fit(spec.resources):
-            by_zone.setdefault(c.zone if spec.one_zone else "", []).append(c)
-    open_zones = {
-        zone: group
-        for zone, group in by_zone.items()
-        if not spec.spread or replicas_by_zone.get(zone, 0) < zone_limit(spec)
-    }
-    if not open_zones:
-        return frozenset()
-    largest = max(open_zones.values(), key=lambda group: (len(group), group[0].zone))
-    largest.sort(key=lambda c: (c.avoided, c.load_s(spec), c.free, c.machine))
-    return frozenset(c.machine for c in largest[: min(most, spec.members)])
-
+    """Return free machines that are kept for a replica that finds too few.
 
-class Victim(NamedTuple):
-    """A whole replica that may be stopped for one of higher priority."""
+    They are in the zone that has most of them. Replicas behind it in the queue do not get them.
 
-    name: str
-    priority: int
-    # when it began to serve: the youngest has least to lose
-    since: float
-    machines: tuple[str, ...]
-    resources: Resources
-
-
-def choose_victims(
-    spec: ReplicaSetSpec,
-    candidates: Iterable[Candidate],
-    victims: Iterable[Victim],
-    replicas_by_zone: Mapping[str, int],
-) -> tuple[Victim, ...]:
-    """Whole replicas whose machines, with what is free, hold the replica: of the lowest priority,
-    the fewest members lost, the youngest. Empty if there are none.
+    Args:
+        spec: The declaration of the replica's set.
+        candidates: The machines that can take members.
+        replicas_by_zone: How many other replicas of the set run in each zone.
+        most: How many machines may be kept at most.
     """
-    pool = list(candidates)
-    lesser = sorted(
-        (v for v in victims if v.priority < spec.priority),
-        key=lambda v: (v.priority, len(v.machines), -v.since, v.name),
-    )
-    chosen: list[Victim] = []
-    for victim in lesser:
-        chosen.append(victim)
-        if choose(spec, {}, _freed(pool, chosen), replicas_by_zone) is not None:
-            break
-    else:
-        return ()
-    # those that turned out not to be needed stay
-    for victim in list(chosen[:-1]):
-        fewer = [v for v in chosen if v is not victim]
-        if choose(spec, {}, _freed(pool, fewer), replicas_by_zone) is not None:
-            chosen = fewer
-    return tuple(chosen)
-
-
-def _freed(pool: list[Candidate], victims: list[Victim]) -> list[Candidate]:
-    freed: dict[str, Resources] = {}
-    for victim in victims:
-        for machine in victim.machines:
-            known = freed.get(machine)
-            freed[machine] = victim.resources if known is None else known.plus(victim.resources)
-    return [
-        c._replace(free=c.free.plus(freed[c.machine])) if c.machine in freed else c for c in pool
+    by_zone: dict[str, list[Candidate]] = {}
+    for candidate in candidates:
+        if spec.allows_zone(candidate.zone) and candidate.free.can_fit(spec.resources):
+            zone = candidate.zone if spec.one_zone else ALL_ZONES
+            by_zone.setdefault(zone, []).append(candidate)
+    open_groups = [
+        group for zone, group in by_zone.items() if not _is_zone_full(spec, zone, replicas_by_zone)
     ]
+    if not open_groups:
+        return frozenset()
+    largest = max(open_groups, key=lambda group: (len(group), group[0].zone))
+    largest.sort(key=lambda c: _candidate_rank(c, spec))
+    return frozenset(c.machine for c in largest[: min(most, spec.members)])
--- /dev/null
+++ b/crossmill/multihost/placement_queue.py
@@ -0,0 +1,120 @@
+"""The queue of replicas that wait for machines.
+
+All replicas wait in one total order. The queue is in the memory of the pool's owner: the replica
+reconciler adds and removes replicas, the scheduler serves them.
+"""
+
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from .model import ReplicaId
+from .phases import ReplicaPhase
+from .pool import PoolState
+from .settings import MultihostSettings
+
+# reservations already begun go first: only one is ever left open, and it is finished or undone
+# before another is begun. Then repairs, which have machines reserved; then all others
+STAGES = {ReplicaPhase.RESERVING: 0, ReplicaPhase.REPAIRING: 1}
+LAST_STAGE = 2
+
+
+@dataclass(slots=True, eq=False)
+class _QueueEntry:
+    """A replica in the queue; times are of the controller's steady clock."""
+
+    waiting_since: float
+    # since when the scheduler has found too few machines for it
+    unplaced_since: float | None = None
+
+
+class QueuePosition(NamedTuple):
+    """The position of a replica in the queue, the smallest first.
+
+    Within a stage the higher priority is served first, then the replica that has waited longer.
+    """
+
+    stage: int
+    negative_priority: int
+    waiting_since: float
+    set_name: str
+    number: int
+
+
+class PlacementQueue:
+    """The replicas that wait for machines, in the order in which they are served."""
+
+    def __init__(self, settings: MultihostSettings, pool: PoolState) -> None:
+        self._settings = settings
+        self._pool = pool
+        self._entries: dict[ReplicaId, _QueueEntry] = {}
+
+    @property
+    def is_empty(self) -> bool:
+        """Whether no replica waits."""
+        return not self._entries
+
+    def clear(self) -> None:
+        """Remove all replicas, when the ownership of the pool ends."""
+        self._entries.clear()
+
+    def add(self, replica_id: ReplicaId, now: float) -> None:
+        """Add a replica that needs machines; one that waits already keeps its time."""
+        self._entries.setdefault(replica_id, _QueueEntry(now))
+
+    def remove(self, replica_id: ReplicaId) -> None:
+        """Remove a replica that needs no machines, or has got them."""
+        self._entries.pop(replica_id, None)
+
+    def note_placed(self, replica_id: ReplicaId) -> None:
+        """Note that the scheduler has found machines for a replica."""
+        self._entries[replica_id].unplaced_since = None
+
+    def note_unplaced(self, replica_id: ReplicaId, now: float) -> None:
+        """Note that the scheduler has found too few machines for a replica."""
+        entry = self._entries[replica_id]
+        if entry.unplaced_since is None:
+            entry.unplaced_since = now
+
+    def is_overdue(self, replica_id: ReplicaId, now: float) -> bool:
+        """Return whether the replica has found too few machines for so long that it may preempt."""
+        unplaced_since = self._entries[replica_id].unplaced_since
+        if unplaced_since is None:
+            return False
+        return now - unplaced_since >= self._settings.preempt_after_s
+
+    def has_overdue_replica(self, set_name: str, now: float) -> bool:
+        """Return whether a replica of the set is overdue."""
+        return any(
+            self.is_overdue(replica_id, now)
+            for replica_id in self._entries
+            if replica_id.set_name == set_name
+        )
+
+    def set_names(self) -> set[str]:
+        """Return the names of the sets of the replicas that wait."""
+        return {replica_id.set_name for replica_id in self._entries}
+
+    def has_open_reservation(self) -> bool:
+        """Return whether a reservation in steps was begun and is neither finished nor undone."""
+        known = (self._pool.replicas.get(replica_id) for replica_id in self._entries)
+        return any(r is not None and r.phase is ReplicaPhase.RESERVING for r in known)
+
+    def is_waiting(self, replica_id: ReplicaId) -> bool:
+        """Return whether the replica is in the queue, and known with its set."""
+        has_records = replica_id in self._pool.replicas and replica_id.set_name in self._pool.sets
+        return replica_id in self._entries and has_records
+
+    def in_order(self) -> list[ReplicaId]:
+        """Return the replicas that wait, in the order in which they are served."""
+        return sorted(filter(self.is_waiting, self._entries), key=self._position)
+
+    def _position(self, replica_id: ReplicaId) -> QueuePosition:
+        replica = self._pool.replicas[replica_id]
+        spec = self._pool.sets[replica_id.set_name].spec
+        return QueuePosition(
+            STAGES.get(replica.phase, LAST_STAGE),
+            -spec.priority,
+            self._entries[replica_id].waiting_since,
+            replica_id.set_name,
+            replica_id.number,
+        )
--- a/crossmill/multihost/pool.py
+++ b/crossmill/multihost/pool.py
@@ -1,4 +1,9 @@
-"""What the state service holds about multi-machine replicas, kept up with the mirror."""
+"""The durable records of multi-machine replicas, kept up to date with the mirror.
+
+`PoolState` owns the decoded records: replica sets, replicas with their members, and machines. Only
+changes of keys in the state service modify them. It also collects what has changed for the pool's
+owner, whose coordinator takes the changes in each pass.
+"""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -9,6 +14,7 @@
 from . import keys
 from .model import (
     NO_RESOURCES,
+    Member,
     MemberChunk,
     PoolMachine,
     Replica,
@@ -17,7 +23,6 @@
     Resources,
 )
 from .records import (
-    RESERVED_TYPE_PREFIX,
     decode_chunk,
     decode_machine,
     decode_replica,
@@ -26,10 +31,8 @@
 
 
 @dataclass(slots=True, eq=False)
-class Changes:
-    """What has changed in the records, or by heartbeats, since the pool's owner last looked; only
-    it takes them away.
-    """
+class PoolChanges:
+    """What has changed in the records, or by heartbeats, since the last pass."""
 
     sets: set[str] = field(default_factory=set)
     replicas: set[ReplicaId] = field(default_factory=set)
@@ -40,63 +43,87 @@
 
 
 class PoolState:
-    """Replica sets, replicas with their members, and machines; only durable facts stand here."""
+    """Replica sets, replicas with their members, and machines, as they are stored."""
 
     def __init__(self, mirror: Mirror) -> None:
-        self.mirror = mirror
+        self._mirror = mirror
         self.sets: dict[str, ReplicaSet] = {}
         self.replicas: dict[ReplicaId, Replica] = {}
         self.replicas_of: dict[str, dict[int, Replica]] = {}
         self.machines: dict[str, PoolMachine] = {}
-        # members planned on machines that have no record, by machine
-        self._members_without_machine: dict[str, dict[ReplicaId, Any]] = {}
-        self.changes = Changes()
+        # members planned on machines whose records are deleted or haven't been read, by machine
+        self._members_without_machine: dict[str, dict[ReplicaId, Member]] = {}
+        self._changes = PoolChanges()
         mirror.listen(self._on_key)
 
     # -- reading ---------------------------------------------------------------------
 
     def member_resources(self, replica_id: ReplicaId) -> Resources:
-        """What a member of the replica takes."""
+        """Return what a member of the replica needs; nothing if its set is not known."""
         stored = self.sets.get(replica_id.set_name)
         return stored.spec.resources if stored is not None else NO_RESOURCES
 
     def free(self, machine: PoolMachine) -> Resources:
-        """What the plan leaves free on the machine."""
+        """Return what the planned members leave free on the machine."""
         free = machine.capacity
         for replica_id in machine.planned:
             free = free.minus(self.member_resources(replica_id))
         return free
 
-    def placeable(self) -> list[PoolMachine]:
-        """The machines that have not left the pool."""
+    def present_machines(self) -> list[PoolMachine]:
+        """Return the machines that have not left the pool."""
         return [m for m in self.machines.values() if not m.has_left]
 
     def is_retiring(self, machine_id: str) -> bool:
-        """Whether the machine is about to be returned, or was."""
-        value = self.mirror.value(cluster_keys.machine(machine_id))
-        return value is None or bool(value["retiring"])
+        """Return whether the machine is about to be returned, or was."""
+        record = self.ordinary_record(machine_id)
+        return record is None or bool(record["retiring"])
+
+    def ordinary_record(self, machine_id: str) -> Any:
+        """Return the record that all versions have of the machine; None if it is deleted."""
+        return self._mirror.value(cluster_keys.machine(machine_id))
 
     def record_version(self, machine_id: str) -> int:
-        """The version of the machine's ordinary record: a reservation rests on it."""
-        return self.mirror.version(cluster_keys.machine(machine_id))
+        """Return the version of the machine's ordinary record, a condition of reservations."""
+        return self._mirror.version(cluster_keys.machine(machine_id))
+
+    # -- changes ---------------------------------------------------------------------
 
-    def note_agent_change(self, machine: str, replicas: Iterable[ReplicaId]) -> None:
-        """An agent's heartbeat brought something new about its machine and these replicas."""
-        self.changes.machines.add(machine)
-        self.changes.replicas.update(replicas)
+    @property
+    def has_changes(self) -> bool:
+        """Whether anything has changed since the last pass."""
+        return bool(self._changes)
 
-    def take_changes(self) -> Changes:
-        """What has changed since this was last called."""
-        changes, self.changes = self.changes, Changes()
+    def changed_machines(self) -> tuple[str, ...]:
+        """Return the machines that have changed since the last pass."""
+        return tuple(self._changes.machines)
+
+    def take_changes(self) -> PoolChanges:
+        """Return what has changed since this was last called."""
+        changes, self._changes = self._changes, PoolChanges()
         return changes
 
+    def mark_machine_changed(self, machine_id: str) -> None:
+        """Have the next pass examine a machine."""
+        self._changes.machines.add(machine_id)
+
+    def mark_replicas_changed(self, replica_ids: Iterable[ReplicaId]) -> None:
+        """Have the next pass examine these replicas."""
+        self._changes.replicas.update(replica_ids)
+
+    def mark_all_changed(self) -> None:
+        """Have the next pass examine everything."""
+        self._changes.replicas |= set(self.replicas)
+        self._changes.sets |= set(self.sets) | set(self.replicas_of)
+        self._changes.machines |= set(self.machines)
+
     # -- changes of keys -------------------------------------------------------------
 
     def _on_key(self, key: str, value: Any, version: int) -> None:
         if key.startswith(cluster_keys.MACHINE):
             machine_id = key[len(cluster_keys.MACHINE) :]
             if machine_id in self.machines:
-                self.changes.machines.add(machine_id)
+                self._changes.machines.add(machine_id)
             return
         if not key.startswith(keys.PREFIX):
             return
@@ -111,19 +138,19 @@
             self._on_machine(key[len(keys.MACHINE) :], value, version)
 
     def _on_set(self, name: str, value: Any, version: int) -> None:
-        self.changes.sets.add(name)
+        self._changes.sets.add(name)
         if value is None:
             self.sets.pop(name, None)
         else:
             self.sets[name] = decode_set(value, version)
 
     def _on_replica(self, replica_id: ReplicaId, value: Any, version: int) -> None:
-        self.changes.replicas.add(replica_id)
-        self.changes.sets.add(replica_id.set_name)
+        self._changes.replicas.add(replica_id)
+        self._changes.sets.add(replica_id.set_name)
         old = self.replicas.get(replica_id)
         chunks = old.chunks if old is not None else {}
         if value is None:
-            # its members' records may be told of later; until then it is a replica without one
+            # the deletion of its members' records may be seen later: until then they stay planned
             self._store(Replica(replica_id, chunks=chunks))
         else:
             replica = decode_replica(replica_id, value, version)
@@ -131,6 +158,7 @@
             self._store(replica)
 
     def _store(self, replica: Replica) -> None:
+        """Index a replica; one that has no records left is removed."""
         siblings = self.replicas_of.setdefault(replica.id.set_name, {})
         if replica.version == 0 and not replica.chunks:
             self.replicas.pop(replica.id, None)
@@ -142,7 +170,7 @@
         siblings[replica.id.number] = replica
 
     def _on_members(self, replica_id: ReplicaId, chunk: int, value: Any, version: int) -> None:
-        self.changes.replicas.add(replica_id)
+        self._changes.replicas.add(replica_id)
         replica = self.replicas.get(replica_id) or Replica(replica_id)
         old = replica.chunks.pop(chunk, None)
         if old is not None:
@@ -150,7 +178,7 @@
         if value is not None:
             replica.chunks[chunk] = decode_chunk(value, version)
         self._store(replica)
-        # a member may have moved from one chunk's machine to another's: all are indexed anew
+        # a member may have moved to a machine of another chunk, so that all are indexed again
         for other in replica.chunks.values():
             self._plan(replica_id, other)
 
@@ -167,14 +195,14 @@
             machine = self.machines.get(member.machine)
             if machine is not None:
                 machine.planned.pop(replica_id, None)
-                self.changes.machines.add(machine.id)
+                self._changes.machines.add(machine.id)
             elif member.machine in self._members_without_machine:
                 self._members_without_machine[member.machine].pop(replica_id, None)
                 if not self._members_without_machine[member.machine]:
                     del self._members_without_machine[member.machine]
 
     def _on_machine(self, machine_id: str, value: Any, version: int) -> None:
-        self.changes.machines.add(machine_id)
+        self._changes.machines.add(machine_id)
         old = self.machines.pop(machine_id, None)
         if value is None:
             if old is not None and old.planned:
@@ -185,8 +213,3 @@
             old.planned if old is not None else self._members_without_machine.pop(machine_id, {})
         )
         self.machines[machine_id] = machine
-
-
-def is_reserved_type(machine_type: str) -> bool:
-    """Whether an ordinary machine record stands for a machine of the pool."""
-    return machine_type.startswith(RESERVED_TYPE_PREFIX)
--- /dev/null
+++ b/crossmill/multihost/preemption.py
@@ -0,0 +1,145 @@
+"""Chooses whole replicas that are stopped for one of higher priority.
+
+The scheduler calls `PreemptionPlanner` for a replica that has waited too long for machines. It
+only reads the pool; the placement executor marks the chosen replicas as stopping.
+"""
+
+from collections.abc import Iterable, Iterator, Mapping
+from typing import NamedTuple
+
+from .model import Replica, ReplicaId, ReplicaSet, ReplicaSetSpec, Resources
+from .phases import ReplicaPhase
+from .placement import Candidate, choose_placement
+from .pool import PoolState
+
+
+class Victim(NamedTuple):
+    """A whole replica that may be stopped for one of higher priority."""
+
+    name: str
+    priority: int
+    # when it entered its phase: the youngest has least to lose
+    since: float
+    machines: tuple[str, ...]
+    resources: Resources
+
+
+class _VictimRank(NamedTuple):
+    """The order in which victims are taken: low priority, few members, young."""
+
+    priority: int
+    member_count: int
+    negative_since: float
+    name: str
+
+
+def _victim_rank(victim: Victim) -> _VictimRank:
+    return _VictimRank(victim.priority, len(victim.machines), -victim.since, victim.name)
+
+
+def choose_victims(
+    spec: ReplicaSetSpec,
+    candidates: Iterable[Candidate],
+    victims: Iterable[Victim],
+    replicas_by_zone: Mapping[str, int],
+) -> tuple[Victim, ...]:
+    """Return whole replicas that make enough machines free; empty if no choice does.
+
+    They are of the lowest priority, with the fewest members lost, and the youngest.
+
+    Args:
+        spec: The declaration of the set whose replica is to be placed.
+        candidates: The machines that can take members, and what is free on them.
+        victims: The replicas that may be stopped.
+        replicas_by_zone: How many other replicas of the set run in each zone.
+    """
+    machines = list(candidates)
+
+    def are_enough(stopped: list[Victim]) -> bool:
+        freed = _with_freed(machines, stopped)
+        return choose_placement(spec, {}, freed, replicas_by_zone) is not None
+
+    chosen: list[Victim] = []
+    for victim in sorted((v for v in victims if v.priority < spec.priority), key=_victim_rank):
+        chosen.append(victim)
+        if are_enough(chosen):
+            break
+    else:
+        return ()
+    # those that turned out not to be needed stay
+    for victim in list(chosen[:-1]):
+        fewer = [v for v in chosen if v is not victim]
+        if are_enough(fewer):
+            chosen = fewer
+    return tuple(chosen)
+
+
+def _with_freed(candidates: list[Candidate], victims: list[Victim]) -> list[Candidate]:
+    """Return the candidates with what the victims' stop makes free."""
+    freed: dict[str, Resources] = {}
+    for victim in victims:
+        for machine in victim.machines:
+            known = freed.get(machine)
+            freed[machine] = victim.resources if known is None else known.plus(victim.resources)
+    return [
+        c._replace(free=c.free.plus(freed[c.machine])) if c.machine in freed else c
+        for c in candidates
+    ]
+
+
+class PreemptionPlanner:
+    """Finds the victims among the replicas of the pool."""
+
+    def __init__(self, pool: PoolState) -> None:
+        self._pool = pool
+
+    def choose(
+        self,
+        spec: ReplicaSetSpec,
+        candidates: list[Candidate],
+        replicas_by_zone: Mapping[str, int],
+    ) -> tuple[ReplicaId, ...]:
+        """Return the replicas to be stopped; empty while others are already being stopped."""
+        if any(r.stop_reason for r in self._lower_priority(spec)):
+            return ()
+        victims = choose_victims(spec, candidates, self._victims(spec), replicas_by_zone)
+        return tuple(i for v in victims if (i := ReplicaId.parse(v.name)) is not None)
+
+    def _lower_priority(self, spec: ReplicaSetSpec) -> Iterator[Replica]:
+        """Iterate over the replicas with machines whose sets have a lower priority."""
+        for name, replicas in self._pool.replicas_of.items():
+            stored = self._pool.sets.get(name)
+            if stored is None or stored.spec.priority >= spec.priority:
+                continue
+            yield from (r for r in replicas.values() if r.all_members())
+
+    def _victims(self, spec: ReplicaSetSpec) -> list[Victim]:
+        """Return the replicas that may be stopped within their sets' disruption budgets."""
+        victims: list[Victim] = []
+        # by set: how many ready replicas may still be stopped
+        budgets: dict[str, int] = {}
+        for replica in self._lower_priority(spec):
+            stored = self._pool.sets[replica.id.set_name]
+            name = stored.spec.name
+            if replica.phase is ReplicaPhase.READY:
+                budget = budgets.setdefault(name, self._disruption_budget(stored))
+                if budget <= 0:
+                    continue
+                budgets[name] = budget - 1
+            victims.append(_victim(replica, stored))
+        return victims
+
+    def _disruption_budget(self, stored: ReplicaSet) -> int:
+        """Return how many ready replicas of the set may be stopped."""
+        replicas = self._pool.replicas_of[stored.spec.name].values()
+        return sum(r.phase is ReplicaPhase.READY for r in replicas) - stored.spec.min_ready
+
+
+def _victim(replica: Replica, stored: ReplicaSet) -> Victim:
+    return Victim(
+        str(replica.id),
+        stored.spec.priority,
+        replica.since,
+        tuple(m.machine for m in replica.all_members()),
+        stored.spec.resources,
+    )
--- a/crossmill/multihost/records.py
+++ b/crossmill/multihost/records.py
@@ -1,7 +1,7 @@
 """Stored formats of replica sets, replicas, members and pool machines, field by field.
 
-Other versions of the program read them, so a format changes only here; unknown fields are
-ignored.
+Pure functions: `pool` decodes, the writers encode. Other versions of the program read the records,
+so the spelling of the stored fields stays whatever the code calls them; unknown fields are ignored.
 """
 
 from typing import Any
@@ -21,13 +21,13 @@
 
 # entries of a replica's history that are kept
 HISTORY_LENGTH = 8
-# what older versions of the program read as a machine type that no catalog has: they put nothing
-# on such a machine and never give it up
+# versions of the program that don't know multi-machine replicas read this as a machine type that no
+# catalog has: they place nothing on such a machine and never return it
 RESERVED_TYPE_PREFIX = "multihost/"
 
 
 def encode_set(stored: ReplicaSet) -> dict[str, Any]:
-    """The record of a declaration."""
+    """Return the record of a declaration."""
     spec = stored.spec
     return {
         "name": spec.name,
@@ -50,7 +50,7 @@
 
 
 def decode_set(value: dict[str, Any], version: int) -> ReplicaSet:
-    """A declaration from its record."""
+    """Return the declaration of a record."""
     spec = ReplicaSetSpec(
         name=value["name"],
         members=value["members"],
@@ -71,21 +71,21 @@
 
 
 def encode_replica(replica: Replica) -> dict[str, Any]:
-    """The record of a replica, without its members."""
+    """Return the record of a replica, without its members."""
     return {
         "phase": replica.phase.value,
         "generation": replica.generation,
         "chunks": replica.chunk_count,
         "since": replica.since,
         "reason": replica.reason,
-        "leaving": replica.leaving,
+        "leaving": replica.stop_reason,
         "restarts": list(replica.restarts),
         "history": [[c.phase.value, c.at, c.reason] for c in replica.history[-HISTORY_LENGTH:]],
     }
 
 
 def decode_replica(replica_id: ReplicaId, value: dict[str, Any], version: int) -> Replica:
-    """A replica from its record; its members are read from records of their own."""
+    """Return the replica of a record; its members have records of their own."""
     return Replica(
         replica_id,
         ReplicaPhase(value["phase"]),
@@ -101,29 +101,29 @@
 
 
 def encode_chunk(generation: int, members: tuple[Member, ...]) -> dict[str, Any]:
-    """The record of a stretch of members."""
+    """Return the record of a chunk of members."""
     return {"generation": generation, "members": [list(m) for m in members]}
 
 
 def decode_chunk(value: dict[str, Any], version: int) -> MemberChunk:
-    """A stretch of members from its record."""
+    """Return the chunk of members of a record."""
     return MemberChunk(value["generation"], tuple(Member(*m) for m in value["members"]), version)
 
 
 def encode_machine(machine: PoolMachine) -> dict[str, Any]:
-    """The record of a pool machine."""
+    """Return the record of a pool machine."""
     return {
         "zone": machine.zone,
         "capacity": list(machine.capacity),
         "fetch_gb_per_s": machine.fetch_gb_per_s,
-        "draining": machine.draining,
-        "leaving": machine.leaving,
+        "draining": machine.drain_reason,
+        "leaving": machine.is_released,
         "left": machine.has_left,
     }
 
 
 def decode_machine(machine_id: str, value: dict[str, Any], version: int) -> PoolMachine:
-    """A pool machine from its record."""
+    """Return the pool machine of a record."""
     return PoolMachine(
         machine_id,
         value["zone"],
@@ -137,18 +137,25 @@
 
 
 def returned_record(record: dict[str, Any]) -> dict[str, Any]:
-    """The ordinary record of a machine that has left the pool: single-machine tasks may use it, and
-    it is given back if nobody does.
+    """Return the ordinary record of a machine that has left the pool.
+
+    Single-machine tasks may use the machine again, and it is returned if nobody does.
     """
     return record | {"type": str(record["type"]).removeprefix(RESERVED_TYPE_PREFIX)}
 
 
+def is_reserved_type(machine_type: str) -> bool:
+    """Return whether an ordinary machine record is that of a machine of the pool."""
+    return machine_type.startswith(RESERVED_TYPE_PREFIX)
+
+
 def reservation_record(
     machine_type: str, zone: str, spot: bool, shard: int, rented: float
 ) -> dict[str, Any]:
-    """The ordinary record of a pool machine, in the format that every version reads. Its type keeps
-    single-machine tasks and the return of idle machines away; it is never counted as up, so that
-    its silence towards the ordinary interface says nothing about its zone.
+    """Return the ordinary record of a pool machine, in the format that every version reads.
+
+    Its type keeps single-machine tasks and the return of idle machines away. It is never counted as
+    up, so that missing heartbeats to the ordinary interface say nothing about its zone.
     """
     return {
         "type": RESERVED_TYPE_PREFIX + machine_type,
--- a/crossmill/multihost/registration.py
+++ b/crossmill/multihost/registration.py
@@ -1,57 +1,63 @@
-"""Takes machines whose agents ask for it into the pool."""
+"""Admits machines into the pool whose agents ask for it.
+
+The heartbeat handler notes requests in `Registration`, and the coordinator has them admitted in its
+next pass. Requests are kept only in memory: an agent that isn't admitted asks again.
+"""
 
 import logging
 
 from ..cluster import keys as cluster_keys
 from ..cluster.cluster_state import ClusterState
-from ..cluster.membership import Membership
 from ..cluster.ownership import ShardOwnership
-from ..jobs.shard_writes import shard_intent
 from ..net.clock import Clock
 from ..state.writer import WriteIntent, Writer, WriteRank
 from ..wire.multihost import AgentHeartbeat
 from ..wire.state import Put, Txn
 from . import keys
-from .heartbeats import AgentHeartbeatHandler
 from .model import PoolMachine, Resources
-from .pool import PoolState, is_reserved_type
-from .records import encode_machine, reservation_record
+from .pool import PoolState
+from .pool_ownership import PoolOwnership
+from .records import encode_machine, is_reserved_type, reservation_record
 
 log = logging.getLogger(__name__)
 
 
 class Registration:
-    """Writes the records of machines that join. A machine that runs ordinary tasks, or belongs to
-    another shard, is left alone; its agent asks again.
+    """Writes the records of machines that join the pool.
+
+    A machine that runs ordinary tasks, is about to be returned, or belongs to another shard is not
+    admitted.
     """
 
     def __init__(
         self,
         clock: Clock,
         cluster: ClusterState,
-        membership: Membership,
+        ownership: PoolOwnership,
         writer: Writer,
         pool: PoolState,
-        heartbeats: AgentHeartbeatHandler,
-        pool_shard: int,
     ) -> None:
         self._clock = clock
         self._cluster = cluster
-        self._membership = membership
+        self._ownership = ownership
         self._writer = writer
         self._pool = pool
-        self._heartbeats = heartbeats
-        self._shard = pool_shard
+        # by machine: the heartbeat with which its agent has asked last
+        self._requests: dict[str, AgentHeartbeat] = {}
+
+    def request(self, heartbeat: AgentHeartbeat) -> None:
+        """Note that a machine that isn't in the pool has sent a heartbeat."""
+        self._requests[heartbeat.machine] = heartbeat
 
     async def admit(self, ownership: ShardOwnership) -> None:
-        """Records all machines that have asked since the last round."""
-        if not self._heartbeats.joining:
+        """Write the records of all machines that have asked since the last call."""
+        if not self._requests:
             return
-        joining, self._heartbeats.joining = self._heartbeats.joining, {}
+        requests, self._requests = self._requests, {}
         intents = [
-            i
-            for heartbeat in joining.values()
-            if (i := self._intent(ownership, heartbeat)) is not None
+            intent
+            for heartbeat in requests.values()
+            if (intent := self._intent(ownership, heartbeat)) is not None
         ]
         for intent in intents:
             await self._writer.submit(intent)
@@ -59,31 +65,30 @@
             await intent.future.wait()
 
     def _intent(self, ownership: ShardOwnership, heartbeat: AgentHeartbeat) -> WriteIntent | None:
-        if heartbeat.machine in self._pool.machines or not self._may_join(heartbeat):
+        """Return the write that admits a machine; None if it may not join."""
+        machine_id, offer = heartbeat.machine, heartbeat.offer
+        if machine_id in self._pool.machines or not self._may_join(machine_id):
             return None
-        offer = heartbeat.offer
-        machine = PoolMachine(
-            heartbeat.machine,
-            offer.zone,
-            Resources(offer.cpus, offer.gpus, offer.memory_gb),
-            offer.fetch_gb_per_s,
-        )
-        ordinary, pooled = cluster_keys.machine(heartbeat.machine), keys.machine(heartbeat.machine)
-        txn = Txn({pooled: 0, ordinary: self._pool.record_version(heartbeat.machine)})
+        capacity = Resources(offer.cpus, offer.gpus, offer.memory_gb)
+        machine = PoolMachine(machine_id, offer.zone, capacity, offer.fetch_gb_per_s)
+        ordinary, pooled = cluster_keys.machine(machine_id), keys.machine(machine_id)
+        txn = Txn({pooled: 0, ordinary: self._pool.record_version(machine_id)})
         txn.puts.append(Put(pooled, encode_machine(machine)))
-        known = self._cluster.machines.get(heartbeat.machine)
+        known = self._cluster.machines.get(machine_id)
         if known is None or not is_reserved_type(known.type):
             rented = self._clock.wall() if known is None else known.rented
-            record = reservation_record(offer.type, offer.zone, offer.spot, self._shard, rented)
+            record = reservation_record(
+                offer.type, offer.zone, offer.spot, self._ownership.shard, rented
+            )
             txn.puts.append(Put(ordinary, record))
-        log.info("machine joins the pool machine=%s zone=%s", heartbeat.machine, offer.zone)
-        return shard_intent(self._membership, self._shard, ownership, WriteRank.PLACEMENT, txn)
+        log.info("machine joins the pool machine=%s zone=%s", machine_id, offer.zone)
+        return self._ownership.write_intent(ownership, WriteRank.PLACEMENT, txn)
 
-    def _may_join(self, heartbeat: AgentHeartbeat) -> bool:
-        known = self._cluster.machines.get(heartbeat.machine)
+    def _may_join(self, machine_id: str) -> bool:
+        known = self._cluster.machines.get(machine_id)
         if known is None:
             return True
-        if known.retiring or known.attempts or known.shard != self._shard:
-            log.debug("machine may not join yet machine=%s", heartbeat.machine)
+        if known.retiring or known.attempts or known.shard != self._ownership.shard:
+            log.debug("machine may not join yet machine=%s", machine_id)
             return False
         return True
--- /dev/null
+++ b/crossmill/multihost/replica_reconciler.py
@@ -0,0 +1,204 @@
+"""Reconciles replicas: observes each one that has changed or is due, and carries decisions out.
+
+`ReplicaReconciler` is called by the coordinator in each pass. It owns the due times of replicas and
+the suspected members of replicas under repair; both end with the ownership of the pool.
+"""
+
+import logging
+from collections.abc import Iterable
+from typing import NamedTuple
+
+from ..cluster.ownership import ShardOwnership
+from ..state.writer import WriteIntent
+from .context import PoolContext
+from .due_times import DueTimes
+from .failure_scores import FailureScores
+from .lifecycle import (
+    DecisionInput,
+    ReplicaAction,
+    ReplicaDecision,
+    ReplicaObservation,
+    decide,
+    recent_restarts,
+)
+from .member_status import DecisionTime, MemberStatus, first_contact_s
+from .model import Replica, ReplicaId, ReplicaSet
+from .observations import ReplicaObserver
+from .phases import ReplicaPhase
+from .placement_queue import PlacementQueue
+from .writes import after_transition
+
+log = logging.getLogger(__name__)
+
+# an agent's first heartbeat may come right at the end of the time for it: this part of a heartbeat
+# interval is added
+FIRST_CONTACT_MARGIN_DIVISOR = 20
+
+PHASE_AFTER = {
+    ReplicaAction.CONFIRM: ReplicaPhase.READY,
+    ReplicaAction.REPAIR: ReplicaPhase.REPAIRING,
+    ReplicaAction.RELEASE: ReplicaPhase.PENDING,
+    ReplicaAction.DRAIN: ReplicaPhase.DRAINING,
+    ReplicaAction.STOP: ReplicaPhase.STOPPED,
+    ReplicaAction.FAIL: ReplicaPhase.FAILED,
+    ReplicaAction.RETRY: ReplicaPhase.PENDING,
+}
+
+
+class _Pass(NamedTuple):
+    """One pass over replicas, under one ownership of the pool."""
+
+    ownership: ShardOwnership
+    time: DecisionTime
+
+
+class RecordDeletion(NamedTuple):
+    """A replica whose members' records are to be deleted, and perhaps its own."""
+
+    replica: Replica
+    includes_replica: bool
+
+
+class ReplicaChanges(NamedTuple):
+    """What the replicas of a pass need: the writes, then the deletions, in order."""
+
+    intents: list[WriteIntent]
+    deletions: list[RecordDeletion]
+
+
+class ReplicaReconciler:
+    """Takes each replica its next step."""
+
+    def __init__(
+        self, context: PoolContext, queue: PlacementQueue, failures: FailureScores
+    ) -> None:
+        self._context = context
+        self._pool = context.pool
+        self._queue = queue
+        self._failures = failures
+        self._observer = ReplicaObserver(
+            context.settings, context.pool, context.agents, context.leases
+        )
+        self._due = DueTimes()
+        # ranks whose machines are avoided when their replica is repaired
+        self._suspects: dict[ReplicaId, frozenset[int]] = {}
+        # how many times a replica was examined, since the start of the program
+        self.examined = 0
+
+    def clear(self) -> None:
+        """Forget everything, when the ownership of the pool ends."""
+        self._observer.clear()
+        self._due.clear()
+        self._suspects.clear()
+
+    def next_due_at(self) -> float | None:
+        """Return a steady time before which no replica is due; None if none is due at all."""
+        return self._due.next_at()
+
+    def pop_due(self, now: float) -> set[ReplicaId]:
+        """Remove and return the replicas that are due by now."""
+        return self._due.pop_due(now)
+
+    def suspects_of(self, replica_id: ReplicaId) -> frozenset[int]:
+        """Return the ranks whose machines caused the replica's restart."""
+        return self._suspects.get(replica_id, frozenset())
+
+    def reconcile(
+        self,
+        ownership: ShardOwnership,
+        time: DecisionTime,
+        replica_ids: Iterable[ReplicaId],
+        may_stop: set[ReplicaId],
+    ) -> ReplicaChanges:
+        """Return what these replicas need.
+
+        Args:
+            ownership: The ownership of the pool.
+            time: The time of the decisions.
+            replica_ids: The replicas that have changed or are due.
+            may_stop: The replicas that their sets' disruption budgets let stop now.
+        """
+        changes = ReplicaChanges([], [])
+        for replica_id in sorted(replica_ids):
+            replica = self._pool.replicas.get(replica_id)
+            if replica is not None:
+                current = _Pass(ownership, time)
+                self._reconcile_one(current, replica, replica_id in may_stop, changes)
+        return changes
+
+    def _reconcile_one(
+        self, current: _Pass, replica: Replica, may_stop: bool, changes: ReplicaChanges
+    ) -> None:
+        self.examined += 1
+        stored = self._pool.sets.get(replica.id.set_name)
+        if replica.version == 0 or stored is None:
+            # its own record, or that of its set, was deleted or hasn't been read yet
+            return
+        time = current.time
+        observation = self._observer.observe(replica, stored, time, may_stop)
+        settings = self._context.settings
+        decision = decide(DecisionInput(replica, stored.spec, observation, time, settings))
+        self._note_due(replica.id, decision, observation, time)
+        if decision.action is ReplicaAction.PLACE:
+            self._queue.add(replica.id, time.now)
+            return
+        self._queue.remove(replica.id)
+        match decision.action:
+            case ReplicaAction.WAIT:
+                return
+            case ReplicaAction.CLEAR:
+                changes.deletions.append(RecordDeletion(replica, includes_replica=False))
+            case ReplicaAction.DELETE:
+                self._forget(replica.id)
+                changes.deletions.append(RecordDeletion(replica, includes_replica=True))
+            case _:
+                changes.intents.append(self._transition(current, replica, stored, decision))
+
+    def _note_due(
+        self,
+        replica_id: ReplicaId,
+        decision: ReplicaDecision,
+        observation: ReplicaObservation,
+        time: DecisionTime,
+    ) -> None:
+        """Note when the replica is to be examined again if nothing changes."""
+        if decision.recheck_at is not None:
+            self._due.add(replica_id, decision.recheck_at)
+        if MemberStatus.UNKNOWN in observation.statuses.values():
+            settings = self._context.settings
+            first_contact_at = time.owned_since + first_contact_s(settings)
+            margin_s = settings.heartbeat_interval_s / FIRST_CONTACT_MARGIN_DIVISOR
+            self._due.add(replica_id, first_contact_at + margin_s)
+
+    def _forget(self, replica_id: ReplicaId) -> None:
+        self._context.leases.forget(replica_id)
+        self._suspects.pop(replica_id, None)
+
+    def _transition(
+        self, current: _Pass, replica: Replica, stored: ReplicaSet, decision: ReplicaDecision
+    ) -> WriteIntent:
+        """Return the write of the phase that follows from the decision."""
+        wall = current.time.wall
+        after = after_transition(replica, PHASE_AFTER[decision.action], wall, decision.reason)
+        if decision.action is ReplicaAction.REPAIR:
+            after.restarts = (*recent_restarts(replica, stored.spec, wall), wall)
+        self._note_suspects(replica, decision, current.time.now)
+        log.info(
+            "replica phase replica=%s from=%s to=%s generation=%d reason=%s",
+            replica.id,
+            replica.phase,
+            after.phase,
+            after.generation,
+            decision.reason,
+        )
+        return self._context.writer.transition(current.ownership, replica, after)
+
+    def _note_suspects(self, replica: Replica, decision: ReplicaDecision, now: float) -> None:
+        """Count the failures of suspected machines; a confirmed generation has no suspects."""
+        if decision.suspects:
+            self._suspects[replica.id] = decision.suspects
+            for member in replica.members():
+                if member.rank in decision.suspects:
+                    self._failures.note_failure(member.machine, now)
+        elif decision.action is ReplicaAction.CONFIRM:
+            self._suspects.pop(replica.id, None)
--- /dev/null
+++ b/crossmill/multihost/reservations.py
@@ -0,0 +1,154 @@
+"""Reserves the machines of all members of a replica, or of none.
+
+`ReservationWriter` is called by the placement executor. A reservation that fits into one
+transaction is atomic. A larger one is made in steps under a durable intent, the replica's phase: a
+controller may end between two steps, and the next owner finishes or undoes the reservation.
+"""
+
+from collections.abc import Sequence
+from dataclasses import dataclass
+
+from ..cluster import keys as cluster_keys
+from ..cluster.ownership import ShardOwnership
+from ..state.writer import WriteRank
+from ..wire.state import Put, Txn
+from . import keys
+from .model import Member, Replica
+from .phases import ReplicaPhase
+from .placement import ReplicaPlacement
+from .pool import PoolState
+from .records import encode_chunk, encode_replica
+from .writes import PoolWriter, after_transition
+
+# the longest encoding of a member in a record
+MAX_MEMBER_RECORD_BYTES = 96
+
+
+@dataclass(slots=True, eq=False)
+class Reservation:
+    """Machines that are to be reserved for a replica, decided under an ownership of the pool."""
+
+    ownership: ShardOwnership
+    replica: Replica
+    placement: ReplicaPlacement
+    # of the decision
+    wall: float
+    reason: str
+
+
+class ReservationWriter:
+    """Writes reservations for the owner of the pool."""
+
+    def __init__(self, writer: PoolWriter, pool: PoolState) -> None:
+        self._writer = writer
+        self._pool = pool
+
+    def members_per_chunk(self) -> int:
+        """Return how many members one transaction reserves, with a condition on each machine."""
+        members_in_a_record = self._writer.max_record_bytes // MAX_MEMBER_RECORD_BYTES
+        return max(1, min(self._writer.max_machines, members_in_a_record))
+
+    async def reserve(self, reservation: Reservation) -> bool:
+        """Reserve all machines and begin the start; return whether this was written."""
+        replica = reservation.replica
+        chunks = self._split(_members(replica, reservation.placement))
+        if len(chunks) == 1 and replica.chunk_count <= 1:
+            return await self._reserve_at_once(reservation, chunks[0])
+        return await self._reserve_in_steps(reservation, chunks)
+
+    def _split(self, members: Sequence[Member]) -> list[tuple[Member, ...]]:
+        """Return the members as they are spread over records."""
+        size = self.members_per_chunk()
+        return [tuple(members[i : i + size]) for i in range(0, len(members), size)]
+
+    async def _reserve_at_once(self, reservation: Reservation, members: tuple[Member, ...]) -> bool:
+        replica = reservation.replica
+        after = after_transition(
+            replica, ReplicaPhase.STARTING, reservation.wall, reservation.reason
+        )
+        after.chunk_count = 1
+        txn = self._chunk_transaction(replica, 0, after.generation, members)
+        txn.puts.append(Put(keys.replica(replica.id), encode_replica(after)))
+        return await self._writer.commit(reservation.ownership, WriteRank.PLACEMENT, txn)
+
+    async def _reserve_in_steps(
+        self, reservation: Reservation, chunks: list[tuple[Member, ...]]
+    ) -> bool:
+        replica = reservation.replica
+        if replica.phase is ReplicaPhase.PENDING:
+            if not await self._begin(reservation, len(chunks)):
+                return False
+            replica = self._pool.replicas[replica.id]
+        if not await self._reserve_chunks(reservation, replica, chunks):
+            return False
+        return await self._finish(reservation, len(chunks))
+
+    async def _begin(self, reservation: Reservation, chunk_count: int) -> bool:
+        """Write the intent to reserve the machines in so many steps."""
+        replica = reservation.replica
+        after = after_transition(
+            replica, ReplicaPhase.RESERVING, reservation.wall, reservation.reason
+        )
+        after.chunk_count = chunk_count
+        intent = self._writer.transition(reservation.ownership, replica, after)
+        return all(await self._writer.submit([intent]))
+
+    async def _reserve_chunks(
+        self, reservation: Reservation, replica: Replica, chunks: list[tuple[Member, ...]]
+    ) -> bool:
+        """Reserve the machines of each chunk that isn't reserved for this generation yet."""
+        for number, members in enumerate(chunks):
+            known = replica.chunks.get(number)
+            if (
+                known is not None
+                and known.generation == replica.generation
+                and known.members == members
+            ):
+                continue
+            txn = self._chunk_transaction(replica, number, replica.generation, members)
+            if not await self._writer.commit(reservation.ownership, WriteRank.PLACEMENT, txn):
+                return False
+        return True
+
+    async def _finish(self, reservation: Reservation, chunk_count: int) -> bool:
+        """Begin the start of a replica whose machines are all reserved."""
+        replica = self._pool.replicas[reservation.replica.id]
+        after = after_transition(
+            replica, ReplicaPhase.STARTING, reservation.wall, reservation.reason
+        )
+        after.chunk_count = chunk_count
+        key = keys.replica(replica.id)
+        txn = Txn({key: replica.version}, [Put(key, encode_replica(after))])
+        # an earlier generation may have had more chunks
+        for number in [n for n in replica.chunks if n >= chunk_count]:
+            txn.deletes.append(keys.members(replica.id, number))
+        return await self._writer.commit(reservation.ownership, WriteRank.PLACEMENT, txn)
+
+    def _chunk_transaction(
+        self, replica: Replica, number: int, generation: int, members: tuple[Member, ...]
+    ) -> Txn:
+        """Return the transaction that reserves the machines of one chunk.
+
+        It fails if a machine's ordinary record has changed, since the machine may be about to be
+        returned.
+        """
+        key = keys.members(replica.id, number)
+        known = replica.chunks.get(number)
+        txn = Txn({key: known.version if known else 0})
+        txn.conditions[keys.replica(replica.id)] = replica.version
+        for member in members:
+            machine_key = cluster_keys.machine(member.machine)
+            txn.conditions[machine_key] = self._pool.record_version(member.machine)
+        txn.puts.append(Put(key, encode_chunk(generation, members)))
+        return txn
+
+
+def _members(replica: Replica, placement: ReplicaPlacement) -> list[Member]:
+    """Return the members at their new places, counting the machines that each rank has been on."""
+    previous = {m.rank: m for m in replica.all_members()}
+    members = []
+    for rank, machine, session in placement.members:
+        known = previous.get(rank)
+        attempt = 1 if known is None else known.attempt + (known.machine != machine)
+        members.append(Member(rank, machine, session, attempt))
+    return members
--- a/crossmill/multihost/scheduling.py
+++ b/crossmill/multihost/scheduling.py
@@ -1,58 +1,71 @@
-"""The queue of replicas that wait for machines, and who gets which.
+"""Decides which of the replicas that wait get which machines.
 
-All wait in one total order. A replica gets all of its machines or none. The first that finds too
-few keeps free machines from those behind it, up to a stated part of the pool.
+`Scheduler` is called by the placement executor in each pass of the coordinator. A replica gets all
+of its machines or none. The first replica that finds too few keeps free machines from those behind
+it in the queue, up to a configured part of the pool. State is kept only within a pass.
 """
 
-from collections.abc import Iterator, Mapping
+from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
-from .agents import Agents
+from .candidates import CandidateFinder
 from .declaration import UnplaceableError, check_placeable
-from .failure_scores import FailureScores
-from .lifecycle import DecisionTime, is_heartbeat_overdue
-from .model import Member, PoolMachine, Replica, ReplicaId, ReplicaSetSpec
-from .phases import PLACING_PHASES, ReplicaPhase
-from .placement import (
-    Candidate,
-    QueuePosition,
-    ReplicaPlacement,
-    Victim,
-    choose,
-    choose_victims,
-    earmark,
-)
+from .member_status import DecisionTime
+from .model import Member, Replica, ReplicaId, ReplicaSetSpec
+from .phases import RESERVING_PHASES, ReplicaPhase
+from .placement import Candidate, ReplicaPlacement, choose_placement, earmark
+from .placement_queue import PlacementQueue
 from .pool import PoolState
+from .preemption import PreemptionPlanner
 from .settings import MultihostSettings
 
+REPAIRED = "repaired"
+PLACED = "placed"
+
 
 @dataclass(slots=True, eq=False)
 class PlacementChoice:
-    """What a replica that waits gets: machines, or the promise of others' machines."""
+    """What a waiting replica gets: machines, or other replicas that are to be stopped for it."""
 
     replica_id: ReplicaId
-    reason: str
+    reason: str = ""
     placement: ReplicaPlacement | None = None
     victims: tuple[ReplicaId, ...] = ()
 
 
 @dataclass(slots=True, eq=False)
-class _QueueEntry:
-    """A replica in the queue."""
-
-    since: float
-    # since when it has found no room
-    unplaced_since: float | None = None
-
-
-@dataclass(slots=True, eq=False)
-class _QueuePass:
+class _SchedulingPass:
     """One pass over the queue: the candidates as earlier choices leave them."""
 
+    time: DecisionTime
     candidates: dict[str, Candidate]
+    # machines kept for the first replica that found too few
     earmarked: set[str] = field(default_factory=set)
 
 
+class _PlacementRequest(NamedTuple):
+    """What is needed to choose machines for one replica.
+
+    Attributes:
+        replica: The replica that waits.
+        spec: The declaration of its set.
+        own_machines: The machines on which it has members.
+        survivors: The machines of ranks that may stay.
+        suspects: Machines that caused its restart.
+        candidates: The candidates; what the replica itself uses is counted as free.
+        replicas_by_zone: How many other replicas of the set run in each zone.
+    """
+
+    replica: Replica
+    spec: ReplicaSetSpec
+    own_machines: set[str]
+    survivors: dict[int, str]
+    suspects: set[str]
+    candidates: list[Candidate]
+    replicas_by_zone: dict[str, int]
+
+
 class Scheduler:
     """Chooses machines for the replicas that wait."""
 
@@ -60,269 +73,160 @@
         self,
         settings: MultihostSettings,
         pool: PoolState,
-        agents: Agents,
-        failures: FailureScores,
+        queue: PlacementQueue,
+        finder: CandidateFinder,
     ) -> None:
         self._settings = settings
         self._pool = pool
-        self._agents = agents
-        self._failures = failures
-        self._queue: dict[ReplicaId, _QueueEntry] = {}
-        # machines kept free for the first in the queue, at the last pass
-        self.earmarked = 0
-
-    def clear(self) -> None:
-        """The ownership has ended."""
-        self._queue.clear()
-        self.earmarked = 0
-
-    def add(self, replica_id: ReplicaId, now: float) -> None:
-        """The replica needs machines."""
-        self._queue.setdefault(replica_id, _QueueEntry(now))
-
-    def remove(self, replica_id: ReplicaId) -> None:
-        """The replica needs no machines, or has got them."""
-        self._queue.pop(replica_id, None)
-
-    def waiting_sets(self) -> set[str]:
-        """The sets of the replicas that wait."""
-        return {replica_id.set_name for replica_id in self._queue}
-
-    def has_open_reservation(self) -> bool:
-        """Whether a reservation in steps was begun and is neither finished nor undone."""
-        known = (self._pool.replicas.get(replica_id) for replica_id in self._queue)
-        return any(r is not None and r.phase is ReplicaPhase.RESERVING for r in known)
-
-    def has_overdue_placement(self, set_name: str, now: float) -> bool:
-        """Whether a replica of the set has found no room for a while."""
-        return any(
-            entry.unplaced_since is not None
-            and now - entry.unplaced_since >= self._settings.preempt_after_s
-            for replica_id, entry in self._queue.items()
-            if replica_id.set_name == set_name
-        )
-
-    # -- one pass --------------------------------------------------------------------
+        self._queue = queue
+        self._finder = finder
+        self._preemption = PreemptionPlanner(pool)
 
     def choose(
-        self, moment: DecisionTime, suspects: Mapping[ReplicaId, frozenset[int]]
+        self, time: DecisionTime, suspects_of: Callable[[ReplicaId], frozenset[int]]
     ) -> Iterator[PlacementChoice]:
-        """What each that waits gets, in order. Costs nothing while nobody waits."""
-        if not self._queue:
-            self.earmarked = 0
+        """Iterate over what the waiting replicas get, in the order of the queue.
+
+        Choices are carried out one by one, and the ownership may end in between. Costs nothing
+        while no replica waits.
+
+        Args:
+            time: The time of the decision.
+            suspects_of: Returns the ranks whose machines caused a replica's restart.
+        """
+        if self._queue.is_empty:
             return
-        state = _QueuePass({c.machine: c for c in self._candidates(moment)})
-        for replica_id in self._order():
-            # choices are carried out one by one, and the ownership may end meanwhile
-            if not self._is_waiting(replica_id):
+        candidates = {c.machine: c for c in self._finder.candidates(time)}
+        current = _SchedulingPass(time, candidates)
+        for replica_id in self._queue.in_order():
+            if not self._queue.is_waiting(replica_id):
                 continue
-            choice = self._choose_one(replica_id, moment, suspects.get(replica_id), state)
+            choice = self._choose_one(replica_id, suspects_of(replica_id), current)
             if choice is not None:
                 yield choice
-        self.earmarked = len(state.earmarked)
-
-    def _order(self) -> list[ReplicaId]:
-        """Reservations already begun go first: only one is ever left open, and finished or undone
-        before another is begun. Then repairs, which hold machines; then the total order.
-        """
-
-        def key(replica_id: ReplicaId) -> tuple[int, tuple[int, float, str, int]]:
-            replica = self._pool.replicas[replica_id]
-            spec = self._pool.sets[replica_id.set_name].spec
-            waiting = QueuePosition(spec.priority, self._queue[replica_id].since, *replica_id)
-            rank = {ReplicaPhase.RESERVING: 0, ReplicaPhase.REPAIRING: 1}.get(replica.phase, 2)
-            return rank, waiting.order
-
-        return sorted(filter(self._is_waiting, self._queue), key=key)
-
-    def _is_waiting(self, replica_id: ReplicaId) -> bool:
-        """Whether the replica is in the queue, and known with its set."""
-        has_records = replica_id in self._pool.replicas and replica_id.set_name in self._pool.sets
-        return replica_id in self._queue and has_records
 
     def _choose_one(
-        self,
-        replica_id: ReplicaId,
-        moment: DecisionTime,
-        suspects: frozenset[int] | None,
-        state: _QueuePass,
+        self, replica_id: ReplicaId, suspects: frozenset[int], current: _SchedulingPass
     ) -> PlacementChoice | None:
-        replica = self._pool.replicas[replica_id]
-        spec = self._pool.sets[replica_id.set_name].spec
-        entry = self._queue[replica_id]
-        kept = self._kept(replica, suspects or frozenset(), state)
-        excluded = self._excluded(replica, suspects or frozenset()) | state.earmarked
-        replicas_by_zone = self._replicas_by_zone(replica)
-        ownership = {m.machine for m in replica.all_members()}
-        candidates = [
-            c._replace(free=c.free.plus(spec.resources)) if c.machine in ownership else c
-            for c in state.candidates.values()
-        ]
-        placement = choose(spec, kept, candidates, replicas_by_zone, excluded)
-        if placement is None and len(excluded) > len(state.earmarked):
-            # better a machine that failed just now than none
-            placement = choose(spec, kept, candidates, replicas_by_zone, state.earmarked)
+        request = self._request(replica_id, suspects, current)
+        placement = _choose_machines(request, current)
         if placement is not None:
-            entry.unplaced_since = None
-            self._take(spec, placement, ownership, state)
-            reason = "repaired" if replica.phase is ReplicaPhase.REPAIRING else "placed"
-            return PlacementChoice(replica_id, reason, placement)
-        if entry.unplaced_since is None:
-            entry.unplaced_since = moment.now
-        self._earmark(spec, replicas_by_zone, state)
-        return self._preempt(replica, spec, entry, moment, replicas_by_zone, candidates)
-
-    def _candidates(self, moment: DecisionTime) -> Iterator[Candidate]:
-        for machine in self._pool.machines.values():
-            candidate = self._candidate(machine, moment)
-            if candidate is not None:
-                yield candidate
-
-    def _candidate(self, machine: PoolMachine, moment: DecisionTime) -> Candidate | None:
-        view = self._agents.get(machine.id)
-        if (
-            view is None
-            or not view.is_trusted
-            or is_heartbeat_overdue(view, moment, self._settings)
-        ):
-            return None
-        if (
-            machine.draining
-            or machine.leaving
-            or view.notice_at is not None
-            or self._pool.is_retiring(machine.id)
-        ):
+            self._queue.note_placed(replica_id)
+            _take(request, placement, current)
+            is_repair = request.replica.phase is ReplicaPhase.REPAIRING
+            return PlacementChoice(replica_id, REPAIRED if is_repair else PLACED, placement)
+        self._queue.note_unplaced(replica_id, current.time.now)
+        self._earmark(request, current)
+        if not self._queue.is_overdue(replica_id, current.time.now):
             return None
-        free = self._pool.free(machine)
-        for name in view.members:
-            # a member that is not planned here takes room until its agent has stopped it
-            replica_id = ReplicaId.parse(name)
-            if replica_id is not None and replica_id not in machine.planned:
-                free = free.minus(self._pool.member_resources(replica_id))
-        score = self._failures.score(machine.id, moment.now)
-        return Candidate(
-            machine.id,
-            machine.zone,
-            view.session,
-            free,
-            machine.fetch_gb_per_s,
-            view.images,
-            score > self._settings.max_failure_score,
+        victims = self._preemption.choose(
+            request.spec, request.candidates, request.replicas_by_zone
         )
+        return PlacementChoice(replica_id, victims=victims) if victims else None
 
-    def _kept(
-        self, replica: Replica, suspects: frozenset[int], state: _QueuePass
-    ) -> dict[int, str]:
-        """Survivors, by rank: members whose machines can be counted on."""
-        if replica.phase not in PLACING_PHASES:
-            return {}
-        return {
-            m.rank: m.machine
-            for m in replica.all_members()
-            if m.machine in state.candidates and not self._is_suspect(m, replica, suspects)
-        }
-
-    @staticmethod
-    def _is_suspect(member: Member, replica: Replica, suspects: frozenset[int]) -> bool:
-        """Whether the member's machine was at fault; one that was chosen since was not."""
-        reserved = {m.rank: m.machine for m in replica.members()}
-        is_new = reserved.get(member.rank) == member.machine
-        return member.rank in suspects and not is_new
-
-    def _excluded(self, replica: Replica, suspects: frozenset[int]) -> set[str]:
-        return {m.machine for m in replica.all_members() if self._is_suspect(m, replica, suspects)}
+    def _request(
+        self, replica_id: ReplicaId, suspects: frozenset[int], current: _SchedulingPass
+    ) -> _PlacementRequest:
+        replica = self._pool.replicas[replica_id]
+        spec = self._pool.sets[replica_id.set_name].spec
+        own_machines = {m.machine for m in replica.all_members()}
+        return _PlacementRequest(
+            replica=replica,
+            spec=spec,
+            own_machines=own_machines,
+            survivors=_survivors(replica, suspects, current),
+            suspects=_suspected_machines(replica, suspects),
+            candidates=[
+                c._replace(free=c.free.plus(spec.resources)) if c.machine in own_machines else c
+                for c in current.candidates.values()
+            ],
+            replicas_by_zone=self._replicas_by_zone(replica),
+        )
 
     def _replicas_by_zone(self, replica: Replica) -> dict[str, int]:
-        """How many other replicas of the set stand in each zone."""
-        replicas_by_zone: dict[str, int] = {}
+        """Return how many other replicas of the set run in each zone."""
+        by_zone: dict[str, int] = {}
         for other in self._pool.replicas_of[replica.id.set_name].values():
             members = other.all_members()
-            if other.id == replica.id or other.leaving or not members:
+            if other.id == replica.id or other.stop_reason or not members:
                 continue
             machine = self._pool.machines.get(members[0].machine)
             if machine is not None:
-                replicas_by_zone[machine.zone] = replicas_by_zone.get(machine.zone, 0) + 1
-        return replicas_by_zone
+                by_zone[machine.zone] = by_zone.get(machine.zone, 0) + 1
+        return by_zone
 
-    @staticmethod
-    def _take(
-        spec: ReplicaSetSpec, placement: ReplicaPlacement, ownership: set[str], state: _QueuePass
-    ) -> None:
-        """What the placement takes is no longer free in this pass. Where the replica stood before,
-        its room is counted as its own already.
-        """
-        for _, machine, _ in placement.members:
-            if machine not in ownership:
-                candidate = state.candidates[machine]
-                room = candidate.free.minus(spec.resources)
-                state.candidates[machine] = candidate._replace(free=room)
-
-    def _earmark(
-        self, spec: ReplicaSetSpec, replicas_by_zone: Mapping[str, int], state: _QueuePass
-    ) -> None:
-        """Keeps free machines for the first that waits in vain, and for it alone; none if the pool
-        as it stands could not hold it even empty.
+    def _earmark(self, request: _PlacementRequest, current: _SchedulingPass) -> None:
+        """Keep free machines for the first replica that finds too few, and for it alone.
+
+        None are kept if the pool as it is could not take the replica even if it were empty.
         """
-        if state.earmarked:
+        if current.earmarked:
             return
+        machines = (self._pool.machines[m] for m in current.candidates)
         try:
-            check_placeable(spec, (self._pool.machines[m] for m in state.candidates))
+            check_placeable(request.spec, machines)
         except UnplaceableError:
             return
-        most = int(self._settings.idle_ratio * len(state.candidates))
-        state.earmarked |= earmark(spec, state.candidates.values(), replicas_by_zone, most)
+        most = int(self._settings.idle_ratio * len(current.candidates))
+        current.earmarked |= earmark(
+            request.spec, current.candidates.values(), request.replicas_by_zone, most
+        )
 
-    # -- preemption ------------------------------------------------------------------
 
-    def _preempt(
-        self,
-        replica: Replica,
-        spec: ReplicaSetSpec,
-        entry: _QueueEntry,
-        moment: DecisionTime,
-        replicas_by_zone: Mapping[str, int],
-        candidates: list[Candidate],
-    ) -> PlacementChoice | None:
-        """Lesser replicas that are to leave for one that has waited in vain."""
-        since = entry.unplaced_since
-        if since is None or moment.now - since < self._settings.preempt_after_s:
-            return None
-        victims = self._victims(spec)
-        if any(v.leaving for v in self._lesser(spec)):
-            # some are on their way out already
-            return None
-        chosen = choose_victims(spec, candidates, victims, replicas_by_zone)
-        ids = tuple(i for v in chosen if (i := ReplicaId.parse(v.name)) is not None)
-        return PlacementChoice(replica.id, "", None, ids) if ids else None
-
-    def _lesser(self, spec: ReplicaSetSpec) -> Iterator[Replica]:
-        for name, replicas in self._pool.replicas_of.items():
-            stored = self._pool.sets.get(name)
-            if stored is None or stored.spec.priority >= spec.priority:
-                continue
-            yield from (r for r in replicas.values() if r.all_members())
-
-    def _victims(self, spec: ReplicaSetSpec) -> list[Victim]:
-        victims: list[Victim] = []
-        budget: dict[str, int] = {}
-        for replica in self._lesser(spec):
-            stored = self._pool.sets[replica.id.set_name]
-            name = stored.spec.name
-            if replica.phase is ReplicaPhase.READY:
-                ready = sum(
-                    r.phase is ReplicaPhase.READY for r in self._pool.replicas_of[name].values()
-                )
-                left = budget.setdefault(name, ready - stored.spec.min_ready)
-                if left <= 0:
-                    continue
-                budget[name] = left - 1
-            victims.append(
-                Victim(
-                    str(replica.id),
-                    stored.spec.priority,
-                    replica.since,
-                    tuple(m.machine for m in replica.all_members()),
-                    stored.spec.resources,
-                )
-            )
-        return victims
+def _choose_machines(
+    request: _PlacementRequest, current: _SchedulingPass
+) -> ReplicaPlacement | None:
+    """Return machines for the replica; suspected ones only where no others are left."""
+
+    def choose_without(excluded: set[str]) -> ReplicaPlacement | None:
+        return choose_placement(
+            request.spec,
+            request.survivors,
+            request.candidates,
+            request.replicas_by_zone,
+            excluded,
+        )
+
+    placement = choose_without(request.suspects | current.earmarked)
+    has_other_suspects = not request.suspects <= current.earmarked
+    if placement is None and has_other_suspects:
+        placement = choose_without(current.earmarked)
+    return placement
+
+
+def _survivors(
+    replica: Replica, suspects: frozenset[int], current: _SchedulingPass
+) -> dict[int, str]:
+    """Return, by rank, the machines of members that may stay."""
+    if replica.phase not in RESERVING_PHASES:
+        return {}
+    return {
+        m.rank: m.machine
+        for m in replica.all_members()
+        if m.machine in current.candidates and not _is_suspect(m, replica, suspects)
+    }
+
+
+def _is_suspect(member: Member, replica: Replica, suspects: frozenset[int]) -> bool:
+    """Return whether the member's machine caused the restart; one chosen since then did not."""
+    reserved = {m.rank: m.machine for m in replica.members()}
+    is_new = reserved.get(member.rank) == member.machine
+    return member.rank in suspects and not is_new
+
+
+def _suspected_machines(replica: Replica, suspects: frozenset[int]) -> set[str]:
+    return {m.machine for m in replica.all_members() if _is_suspect(m, replica, suspects)}
+
+
+def _take(
+    request: _PlacementRequest, placement: ReplicaPlacement, current: _SchedulingPass
+) -> None:
+    """Subtract what the placement takes from the candidates of this pass.
+
+    Where the replica has members already, its records count what they use.
+    """
+    for _, machine, _ in placement.members:
+        if machine not in request.own_machines:
+            candidate = current.candidates[machine]
+            free = candidate.free.minus(request.spec.resources)
+            current.candidates[machine] = candidate._replace(free=free)
--- a/crossmill/multihost/service.py
+++ b/crossmill/multihost/service.py
@@ -1,14 +1,12 @@
-"""Wires the parts of multi-machine replicas together, and serves their address."""
+"""Makes the parts of multi-machine replicas, and serves their address.
+
+`app` makes one `MultihostService` for a controller that is started with a multihost file, and runs
+its loops. The service owns the parts and routes requests; all other state belongs to the parts.
+"""
 
 from collections.abc import Awaitable, Callable
 
-from ..cluster.cluster_state import ClusterState
-from ..cluster.membership import Membership
-from ..net.clock import Clock
 from ..net.server import Request, Response, Server
-from ..settings import Settings
-from ..state.watcher import StateWatcher
-from ..state.writer import Writer
 from ..wire.checks import MalformedMessageError
 from ..wire.multihost import (
     HEARTBEAT_PATH,
@@ -19,9 +17,11 @@
 )
 from .agents import Agents
 from .api import OPERATOR_PATHS, OperatorApi
+from .context import ControllerContext, PoolContext
 from .coordinator import Coordinator
 from .heartbeats import AgentHeartbeatHandler
 from .pool import PoolState
+from .pool_ownership import PoolOwnership
 from .registration import Registration
 from .serving import ServingLeases
 from .settings import MultihostSettings
@@ -29,63 +29,48 @@
 
 
 class MultihostService:
-    """Multi-machine replicas on one controller."""
+    """Multi-machine replicas on one controller.
+
+    Args:
+        settings: The settings of multi-machine replicas.
+        controller: What the controller gives to the service.
+        process: Names this process in the proofs of liveness that agents return; must be unique.
+    """
 
     def __init__(
-        self,
-        settings: Settings,
-        multihost: MultihostSettings,
-        clock: Clock,
-        cluster: ClusterState,
-        membership: Membership,
-        watcher: StateWatcher,
-        writer: Writer,
-        process: str,
+        self, settings: MultihostSettings, controller: ControllerContext, process: str
     ) -> None:
-        shard = multihost.pool_shard
-        self.settings = multihost
-        self.pool = PoolState(cluster.mirror)
+        self.settings = settings
+        self.pool = PoolState(controller.cluster.mirror)
         self.agents = Agents(process)
-        self.leases = ServingLeases(multihost)
-        self.writes = PoolWriter(membership, writer, self.pool, shard)
-
-        def owner_of(index: int) -> str | None:
-            known = cluster.shard_owners.get(index)
-            return None if known is None or known.owner == settings.label else known.owner
-
-        self.heartbeats = AgentHeartbeatHandler(
-            multihost, clock, membership, self.pool, self.agents, self.leases, owner_of
+        ownership = PoolOwnership(
+            controller.membership,
+            controller.cluster,
+            settings.pool_shard,
+            controller.settings.label,
         )
-        registration = Registration(
-            clock, cluster, membership, writer, self.pool, self.heartbeats, shard
-        )
-        self.coordinator = Coordinator(
-            multihost,
-            clock,
-            membership,
-            self.pool,
-            self.agents,
-            self.leases,
-            self.writes,
-            registration,
+        self.writer = PoolWriter(ownership, controller.writer, self.pool)
+        context = PoolContext(
+            settings=settings,
+            clock=controller.clock,
+            ownership=ownership,
+            pool=self.pool,
+            agents=self.agents,
+            leases=ServingLeases(settings),
+            writer=self.writer,
         )
-        self.api = OperatorApi(
-            settings,
-            multihost,
-            clock,
-            cluster,
-            membership,
-            watcher,
-            writer,
-            self.pool,
-            self.writes,
+        registration = Registration(
+            controller.clock, controller.cluster, ownership, controller.writer, self.pool
         )
+        self.heartbeats = AgentHeartbeatHandler(context, registration)
+        self.coordinator = Coordinator(context, registration)
+        self._api = OperatorApi(controller, context)
         self.server = Server(
-            multihost.listen,
+            settings.listen,
             self.handle,
-            settings.server_sockets,
-            settings.idle_connection_timeout_s,
-            settings.max_cached_request_heads,
+            controller.settings.server_sockets,
+            controller.settings.idle_connection_timeout_s,
+            controller.settings.max_cached_request_heads,
         )
 
     @property
@@ -94,13 +79,13 @@
         return (self.server.run, self.coordinator.run)
 
     async def handle(self, request: Request) -> Response:
-        """The answer to a request of an agent or an operator."""
+        """Return the answer to a request of an agent or an operator."""
         if request.path == HEARTBEAT_PATH:
             if request.method != "POST":
                 return Response(405, error_body("wrong method"))
             return await self._heartbeat(request)
         if request.path.startswith(OPERATOR_PATHS):
-            return await self.api.handle(request)
+            return await self._api.handle(request)
         return Response(404, error_body("no such path"))
 
     async def _heartbeat(self, request: Request) -> Response:
--- a/crossmill/multihost/set_reconciler.py
+++ b/crossmill/multihost/set_reconciler.py
@@ -1,89 +1,96 @@
-"""The part of a round that is about replica sets: replicas are created, and marked as leaving."""
+"""Reconciles replica sets: creates replicas and marks those that are to be stopped.
+
+`SetReconciler` is called by the coordinator in each pass, and by the placement executor for
+preemption. It has no state of its own.
+"""
 
 import logging
 from collections.abc import Iterable
 from dataclasses import replace
+from typing import NamedTuple
 
 from ..cluster.ownership import ShardOwnership
 from ..state.writer import WriteIntent
-from .agents import Agents
-from .lifecycle import DecisionTime
+from .context import PoolContext
+from .member_status import DecisionTime
 from .model import Replica, ReplicaId
-from .pool import PoolState
-from .scheduling import Scheduler
+from .placement_queue import PlacementQueue
 from .sets import plan_set
-from .writes import PoolWriter
 
 log = logging.getLogger(__name__)
 
 
+class SetChanges(NamedTuple):
+    """What the sets need.
+
+    Attributes:
+        intents: The writes, in the order in which they are submitted.
+        may_stop: The replicas marked as stopping that the disruption budget lets stop now.
+    """
+
+    intents: list[WriteIntent]
+    may_stop: set[ReplicaId]
+
+
 class SetReconciler:
     """Turns the plans of sets into writes."""
 
-    def __init__(
-        self, pool: PoolState, agents: Agents, scheduler: Scheduler, writes: PoolWriter
-    ) -> None:
-        self._pool = pool
-        self._agents = agents
-        self._scheduler = scheduler
-        self._writes = writes
-
-    def look(
-        self,
-        ownership: ShardOwnership,
-        moment: DecisionTime,
-        names: Iterable[str],
-        intents: list[WriteIntent],
-    ) -> set[ReplicaId]:
-        """Adds the writes that the sets need to `intents`; returns the replicas that leave and that
-        the disruption budget lets stop now.
-        """
-        allowed: set[ReplicaId] = set()
+    def __init__(self, context: PoolContext, queue: PlacementQueue) -> None:
+        self._pool = context.pool
+        self._agents = context.agents
+        self._writer = context.writer
+        self._queue = queue
+
+    def reconcile(
+        self, ownership: ShardOwnership, time: DecisionTime, names: Iterable[str]
+    ) -> SetChanges:
+        """Return what the sets of these names need."""
+        changes = SetChanges([], set())
         for name in sorted(names):
-            stored = self._pool.sets.get(name)
-            if stored is None:
-                continue
-            replicas = self._pool.replicas_of.get(name, {})
-            in_vain = self._scheduler.has_overdue_placement(name, moment.now)
-            plan = plan_set(stored, replicas, self._evacuated(replicas.values()), in_vain)
-            allowed |= plan.may_stop
-            for replica_id, reason in plan.leaving.items():
-                self.mark_leaving(ownership, replica_id, reason, intents)
-            if plan.create:
-                intents.append(self._writes.creation(ownership, stored, plan.create, moment.wall))
-            if plan.delete_set:
-                intents.append(self._writes.deletion_of_set(ownership, stored))
-        return allowed
-
-    def mark_leaving(
-        self,
-        ownership: ShardOwnership,
-        replica_id: ReplicaId,
-        reason: str,
-        intents: list[WriteIntent],
+            self._reconcile_set(ownership, time, name, changes)
+        return changes
+
+    def _reconcile_set(
+        self, ownership: ShardOwnership, time: DecisionTime, name: str, changes: SetChanges
     ) -> None:
-        """Adds the write that marks a replica as leaving."""
+        stored = self._pool.sets.get(name)
+        if stored is None:
+            return
+        replicas = self._pool.replicas_of.get(name, {})
+        is_overdue = self._queue.has_overdue_replica(name, time.now)
+        plan = plan_set(stored, replicas, self._evacuated(replicas.values()), is_overdue)
+        changes.may_stop.update(plan.may_stop)
+        for replica_id, reason in plan.stop_reasons.items():
+            changes.intents.append(self.mark_stopping(ownership, replica_id, reason))
+        if plan.create:
+            changes.intents.append(self._writer.creation(ownership, stored, plan.create, time.wall))
+        if plan.delete_set:
+            changes.intents.append(self._writer.deletion_of_set(ownership, stored))
+
+    def mark_stopping(
+        self, ownership: ShardOwnership, replica_id: ReplicaId, reason: str
+    ) -> WriteIntent:
+        """Return the write that marks a replica as stopping for this reason."""
         replica = self._pool.replicas[replica_id]
         log.info("replica leaves replica=%s reason=%s", replica_id, reason)
-        intents.append(
-            self._writes.transition(ownership, replica, replace(replica, leaving=reason))
-        )
+        return self._writer.transition(ownership, replica, replace(replica, stop_reason=reason))
 
     def _evacuated(self, replicas: Iterable[Replica]) -> dict[ReplicaId, str]:
-        """Replicas with a member on a machine that is to be emptied or will be taken away."""
+        """Return the replicas with a member on a machine that is to be emptied, with the reason."""
         evacuated: dict[ReplicaId, str] = {}
         for replica in replicas:
             for member in replica.all_members():
-                reason = self._leaving_reason(member.machine)
+                reason = self._evacuation_reason(member.machine)
                 if reason:
                     evacuated[replica.id] = reason
         return evacuated
 
-    def _leaving_reason(self, machine_id: str) -> str:
+    def _evacuation_reason(self, machine_id: str) -> str:
+        """Return why the machine is to be emptied; empty if it is not."""
         machine = self._pool.machines.get(machine_id)
         view = self._agents.get(machine_id)
-        if machine is not None and machine.draining:
-            return f"machine {machine_id} is drained: {machine.draining}"
+        if machine is not None and machine.drain_reason:
+            return f"machine {machine_id} is drained: {machine.drain_reason}"
         if view is not None and view.notice_at is not None:
             return f"machine {machine_id} is taken away soon"
         return ""
--- a/crossmill/multihost/sets.py
+++ b/crossmill/multihost/sets.py
@@ -1,6 +1,7 @@
-"""What a replica set needs as a whole: replicas to be created, marked as leaving, or stopped.
+"""Plans what a replica set needs as a whole: replicas to be created, or to be stopped.
 
-Pure functions over the set's replicas; the disruption budget is kept here.
+Pure functions over the set's replicas, called by `set_reconciler`. The disruption budget is
+enforced here: no voluntary stop leaves fewer ready replicas than the declaration's `min_ready`.
 """
 
 from collections.abc import Mapping
@@ -11,75 +12,96 @@
 
 REMOVED = "the set was removed"
 SURPLUS = "more replicas than declared"
-# a replica that leaves for this reason is not waited for by a replacement
+# a replica that is stopped for this reason does not wait for a replacement
 PREEMPTED = "preempted for"
 
 
 class SetPlan(NamedTuple):
-    """Changes of a set's replicas."""
+    """Changes of a set's replicas.
+
+    Attributes:
+        create: How many replicas are to be created.
+        stop_reasons: The replicas that are to be marked as stopping, with the reason.
+        may_stop: The replicas marked as stopping that may be stopped now.
+        delete_set: Whether the set's record itself is to be deleted.
+    """
 
     create: int
-    leaving: dict[ReplicaId, str]
-    # replicas that leave and may be stopped now
+    stop_reasons: dict[ReplicaId, str]
     may_stop: frozenset[ReplicaId]
-    # the set's record itself is to be deleted
     delete_set: bool
 
 
+class _SurplusRank(NamedTuple):
+    """The order in which surplus replicas are stopped: those not ready, then the newest."""
+
+    is_ready: bool
+    negative_number: int
+
+
 def plan_set(
     stored: ReplicaSet,
     replicas: Mapping[int, Replica],
     evacuated: Mapping[ReplicaId, str],
     is_placement_overdue: bool,
 ) -> SetPlan:
-    """What the set needs now. `evacuated` are replicas with a member on a machine that is to be
-    emptied, with the reason; `is_placement_overdue` says that a replica of the set waits for room
-    in vain.
+    """Return what the set needs now.
+
+    Args:
+        stored: The set.
+        replicas: Its replicas by number.
+        evacuated: Replicas with a member on a machine that is to be emptied, with the reason.
+        is_placement_overdue: Whether a replica of the set has waited too long for machines.
     """
-    spec = stored.spec
     alive = [r for r in replicas.values() if r.version and r.phase not in ENDED_PHASES]
-    leaving = {r.id: evacuated[r.id] for r in alive if not r.leaving and r.id in evacuated}
+    stop_reasons = {r.id: evacuated[r.id] for r in alive if not r.stop_reason and r.id in evacuated}
     if stored.removed:
-        leaving = {r.id: REMOVED for r in alive if not r.leaving}
-    staying = [r for r in alive if not r.leaving and r.id not in leaving]
-    wanted = 0 if stored.removed else spec.replicas
+        stop_reasons = {r.id: REMOVED for r in alive if not r.stop_reason}
+    staying = [r for r in alive if not r.stop_reason and r.id not in stop_reasons]
+    wanted = 0 if stored.removed else stored.spec.replicas
     for replica in _surplus(staying, wanted):
-        leaving[replica.id] = SURPLUS
+        stop_reasons[replica.id] = SURPLUS
         staying.remove(replica)
     return SetPlan(
         create=max(0, wanted - len(staying)),
-        leaving=leaving,
-        may_stop=_may_stop(stored, alive, leaving, wanted, is_placement_overdue),
+        stop_reasons=stop_reasons,
+        may_stop=_may_stop(stored, alive, stop_reasons, is_placement_overdue),
         delete_set=stored.removed and not replicas,
     )
 
 
 def _surplus(staying: list[Replica], wanted: int) -> list[Replica]:
-    """The replicas too many: those that do not serve first, then the newest."""
-    order = sorted(staying, key=lambda r: (r.phase is ReplicaPhase.READY, -r.id.number))
-    return order[: max(0, len(staying) - wanted)]
+    """Return the replicas that are more than wanted."""
+
+    def rank(replica: Replica) -> _SurplusRank:
+        return _SurplusRank(replica.phase is ReplicaPhase.READY, -replica.id.number)
+
+    return sorted(staying, key=rank)[: max(0, len(staying) - wanted)]
 
 
 def _may_stop(
     stored: ReplicaSet,
     alive: list[Replica],
-    leaving: Mapping[ReplicaId, str],
-    wanted: int,
+    stop_reasons: Mapping[ReplicaId, str],
     is_placement_overdue: bool,
 ) -> frozenset[ReplicaId]:
-    """The replicas that leave and whose stop keeps the set at its minimum. A replacement is
-    waited for, unless it finds no room.
+    """Return the ready replicas whose stop keeps the set at its minimum.
+
+    A replacement is waited for, unless it finds no machines.
     """
     ready = [r for r in alive if r.phase is ReplicaPhase.READY]
-    going = [r for r in ready if r.leaving or r.id in leaving]
+    stopping = [r for r in ready if r.stop_reason or r.id in stop_reasons]
     if stored.removed:
-        return frozenset(r.id for r in going)
-    staying = len(ready) - len(going)
+        return frozenset(r.id for r in stopping)
+    wanted = stored.spec.replicas
+    is_replaced = len(ready) - len(stopping) >= wanted
     allowed: list[ReplicaId] = []
-    for replica in sorted(going, key=lambda r: r.id):
+    for replica in sorted(stopping, key=lambda r: r.id):
         left = len(ready) - len(allowed) - 1
-        reason = replica.leaving or leaving[replica.id]
-        at_once = is_placement_overdue or reason.startswith(PREEMPTED)
-        if left >= stored.spec.min_ready and (left >= wanted or staying >= wanted or at_once):
+        if left < stored.spec.min_ready:
+            continue
+        reason = replica.stop_reason or stop_reasons[replica.id]
+        needs_no_replacement = is_placement_overdue or reason.startswith(PREEMPTED)
+        if left >= wanted or is_replaced or needs_no_replacement:
             allowed.append(replica.id)
     return frozenset(allowed)
--- a/crossmill/multihost/settings.py
+++ b/crossmill/multihost/settings.py
@@ -1,4 +1,7 @@
-"""The multihost file (see deploy/multihost.toml), checked, and what is derived from it."""
+"""The settings of multi-machine replicas: the multihost file and what is derived from it.
+
+See deploy/multihost.toml. Read once at the start; never changed afterwards.
+"""
 
 from dataclasses import dataclass
 from typing import Any
@@ -7,25 +10,36 @@
 from ..settings.loader import read_toml
 from ..settings.table import Table
 
-# the protocol's drift between two steady clocks, doubled for safety
-DRIFT = 0.002
+# PROTOCOL's drift between two steady clocks, doubled for safety
+CLOCK_DRIFT = 0.002
+
+
+MIN_HEARTBEAT_S = 0.05
+DEFAULT_IDLE_RATIO = 0.25
+PORT_COUNT = 65536
 
 
 @dataclass(frozen=True, slots=True)
 class MultihostSettings:
-    """The checked settings of multi-machine replicas. All time spans follow from the interval of
-    the agents' heartbeats.
+    """The checked settings of multi-machine replicas.
+
+    All time spans follow from the interval of the agents' heartbeats.
+
+    Attributes:
+        listen: Where agents and operators reach the controller.
+        pool_shard: The shard whose owner owns the pool.
+        heartbeat_interval_s: How often an agent sends a heartbeat.
+        idle_ratio: The part of the pool that may be kept free for the first replica that waits.
     """
 
     listen: Endpoint
-    # the shard whose owner owns the pool
     pool_shard: int
     heartbeat_interval_s: float
     idle_ratio: float
 
     @property
     def failure_detection_s(self) -> float:
-        """A machine without a heartbeat for this long is lost to its replicas."""
+        """A machine without a heartbeat for longer than this is lost to its replicas."""
         return 3 * self.heartbeat_interval_s
 
     @property
@@ -35,8 +49,8 @@
 
     @property
     def fence_s(self) -> float:
-        """After this long no grant that an earlier owner can have given still holds."""
-        return self.serving_lease_s * (1 + DRIFT)
+        """After this long every serving lease that an earlier owner has granted has expired."""
+        return self.serving_lease_s * (1 + CLOCK_DRIFT)
 
     @property
     def agent_lease_s(self) -> float:
@@ -45,7 +59,7 @@
 
     @property
     def idle_poll_interval_s(self) -> float:
-        """How often a controller that hears no agent looks whether it owns the pool."""
+        """How often a controller to which no agent reports checks whether it owns the pool."""
         return 4 * self.heartbeat_interval_s
 
     @property
@@ -55,7 +69,7 @@
 
     @property
     def start_overhead_s(self) -> float:
-        """What a start may take beside the fetch of the weights."""
+        """What a start may take besides the fetch of the weights."""
         return 10 * self.heartbeat_interval_s
 
     @property
@@ -70,7 +84,7 @@
 
     @property
     def failure_half_life_s(self) -> float:
-        """How fast a machine's failures are forgotten."""
+        """The time in which a machine's failure score is halved."""
         return 120 * self.heartbeat_interval_s
 
     @property
@@ -80,13 +94,18 @@
 
     @property
     def preempt_after_s(self) -> float:
-        """A replica that finds no room takes that of lesser ones after this long."""
+        """A replica that has found too few machines for this long may preempt others."""
         return 5 * self.heartbeat_interval_s
 
     def repair_bound_s(self, load_s: float, write_s: float) -> float:
-        """Within this time of a member's death the replica serves again, if there is room and no
-        back-off is due: `load_s` is what the slowest fetch takes, `write_s` a durable write. Also
-        the bound for several deaths, counted from the last one.
+        """Return the time within which a replica serves again after a member's death.
+
+        It holds if machines are free and no back-off is due. After several deaths it counts from
+        the last one.
+
+        Args:
+            load_s: What the slowest fetch of the weights takes.
+            write_s: What a durable write takes.
         """
         noticed = self.failure_detection_s + 2 * self.heartbeat_interval_s
         fenced = max(self.fence_s, noticed)
@@ -97,7 +116,15 @@
 
 
 def parse(data: dict[str, Any], settings: Settings) -> MultihostSettings:
-    """Reads the table; raises SettingsError with the name of the field that is wrong."""
+    """Return the settings of the file's contents after checking them.
+
+    Args:
+        data: The contents of the multihost file.
+        settings: The controller's settings, which give the defaults.
+
+    Raises:
+        SettingsError: A field is wrong; the error names it.
+    """
     table = Table(data, "").table("multihost")
     offset = int(table.number("port_offset", 1))
     shard = int(table.number("pool_shard", 0, 0.0))
@@ -106,19 +133,25 @@
             f"multihost.pool_shard: below {settings.controller_count}, the controllers' number"
         )
     port = settings.peer_listen.port + offset
-    if port >= 65536:
+    if port >= PORT_COUNT:
         raise SettingsError("multihost.port_offset: the port is past 65535")
-    ratio = table.number("idle_ratio", 0, 0.25)
+    ratio = table.number("idle_ratio", 0, DEFAULT_IDLE_RATIO)
     if ratio > 1:
         raise SettingsError("multihost.idle_ratio: a number from 0 to 1 is needed")
     return MultihostSettings(
         listen=Endpoint(settings.peer_listen.host, port),
         pool_shard=shard,
-        heartbeat_interval_s=table.number("heartbeat_s", 0.05, settings.heartbeat_interval_s),
+        heartbeat_interval_s=table.number(
+            "heartbeat_s", MIN_HEARTBEAT_S, settings.heartbeat_interval_s
+        ),
         idle_ratio=ratio,
     )
 
 
 def load(path: str, settings: Settings) -> MultihostSettings:
-    """Reads and checks the file; raises SettingsError."""
+    """Read and check the multihost file.
+
+    Raises:
+        SettingsError: It can't be read, or a field is wrong.
+    """
     return parse(read_toml(path), settings)
--- a/crossmill/multihost/verbs.py
+++ b/crossmill/multihost/verbs.py
@@ -1,48 +1,71 @@
-"""The client verbs about multi-machine replicas."""
+"""The client verbs about multi-machine replicas.
+
+The command line adds the verbs to its parser and runs the one that was given. A verb sends one
+request to a controller and prints the answer.
+"""
 
 import argparse
 from collections.abc import Callable
+from typing import NamedTuple
 
 from ..client_command import BadUsage, ClientRequest, read_input, run_verb
 from ..wire.multihost import MACHINES_PATH, REPLICAS_PATH, SETS_PATH
 from .model import ReplicaId
 
 
+class _Argument(NamedTuple):
+    name: str
+    help: str
+
+
+class _Verb(NamedTuple):
+    name: str
+    help: str
+    arguments: tuple[_Argument, ...] = ()
+
+
+_REPLICA = _Argument("replica", "SET/NUMBER")
+_SET = _Argument("set", "its name")
+_MACHINE = _Argument("machine", "the machine's id")
+_FILE = _Argument("file", "the declaration's JSON, or - for standard input")
+_VERBS = (
+    _Verb("list", "all replicas"),
+    _Verb("sets", "all replica sets"),
+    _Verb("machines", "the machines of the pool"),
+    _Verb("show", "one replica", (_REPLICA,)),
+    _Verb("restart", "restart a replica as one, also one that failed", (_REPLICA,)),
+    _Verb("declare", "declare a replica set", (_SET, _FILE)),
+    _Verb("remove", "stop all replicas of a set", (_SET,)),
+    _Verb("drain", "empty a machine, replica by replica", (_MACHINE,)),
+    _Verb("release", "empty a machine and take it out of the pool", (_MACHINE,)),
+    _Verb("undrain", "let replicas stand on a machine again", (_MACHINE,)),
+)
+
+
 def add_replica_verbs(
     parser: argparse.ArgumentParser,
     add_client_options: Callable[[argparse.ArgumentParser, str, str, str], None],
 ) -> None:
-    """The verbs under `replicas`."""
+    """Add the verbs under `replicas` to the command line's parser.
+
+    Args:
+        parser: The parser of `replicas`.
+        add_client_options: Adds the options of all client verbs to a verb's parser: with the
+            variable that names the server, its default, and its meaning.
+    """
     verbs = parser.add_subparsers(dest="replica_verb", required=True, metavar="VERB")
-    arguments: tuple[tuple[str, str, tuple[tuple[str, str], ...]], ...] = (
-        ("list", "all replicas", ()),
-        ("sets", "all replica sets", ()),
-        ("machines", "the machines of the pool", ()),
-        ("show", "one replica", (("replica", "SET/NUMBER"),)),
-        ("restart", "restart a replica as one, also one that failed", (("replica", "SET/NUMBER"),)),
-        (
-            "declare",
-            "declare a replica set",
-            (("set", "its name"), ("file", "the declaration's JSON, or - for standard input")),
-        ),
-        ("remove", "stop all replicas of a set", (("set", "its name"),)),
-        ("drain", "empty a machine, replica by replica", (("machine", "the machine's id"),)),
-        (
-            "release",
-            "empty a machine and take it out of the pool",
-            (("machine", "the machine's id"),),
-        ),
-        ("undrain", "let replicas stand on a machine again", (("machine", "the machine's id"),)),
-    )
-    for name, text, positional in arguments:
-        verb = verbs.add_parser(name, help=text, description=text)
-        for argument, meaning in positional:
-            verb.add_argument(argument, help=meaning)
+    for spec in _VERBS:
+        verb = verbs.add_parser(spec.name, help=spec.help, description=spec.help)
+        for argument in spec.arguments:
+            verb.add_argument(argument.name, help=argument.help)
         add_client_options(
             verb, "CROSSMILL_MULTIHOST", "127.0.0.1:8091", "a controller's multihost address"
         )
 
 
+_LIST_PATHS = {"list": REPLICAS_PATH, "sets": SETS_PATH, "machines": MACHINES_PATH}
+
+
 def _replica_path(name: str) -> str:
     if ReplicaId.parse(name) is None:
         raise BadUsage(f"{name!r} is not SET/NUMBER")
@@ -50,14 +73,17 @@
 
 
 def request_of(args: argparse.Namespace) -> ClientRequest:
-    """The request of a verb; raises BadUsage."""
-    match args.replica_verb:
-        case "list":
-            return ClientRequest("GET", REPLICAS_PATH)
-        case "sets":
-            return ClientRequest("GET", SETS_PATH)
-        case "machines":
-            return ClientRequest("GET", MACHINES_PATH)
+    """Return the request of a verb.
+
+    Raises:
+        BadUsage: An argument is wrong.
+    """
+    verb: str = args.replica_verb
+    if verb in _LIST_PATHS:
+        return ClientRequest("GET", _LIST_PATHS[verb])
+    if verb in ("drain", "undrain", "release"):
+        return ClientRequest("POST", f"{MACHINES_PATH}/{args.machine}/{verb}")
+    match verb:
         case "show":
             return ClientRequest("GET", _replica_path(args.replica))
         case "restart":
@@ -66,11 +92,9 @@
             return ClientRequest("PUT", f"{SETS_PATH}/{args.set}", read_input(args.file))
         case "remove":
             return ClientRequest("DELETE", f"{SETS_PATH}/{args.set}")
-        case "drain" | "undrain" | "release":
-            return ClientRequest("POST", f"{MACHINES_PATH}/{args.machine}/{args.replica_verb}")
-    raise BadUsage(f"{args.replica_verb!r} is no verb")
+    raise BadUsage(f"{verb!r} is no verb")
 
 
 def run(args: argparse.Namespace) -> int:
-    """Sends the request of a verb and prints the answer; the exit code."""
+    """Send the request of a verb, print the answer and return the exit code."""
     return run_verb(args, request_of)
--- a/crossmill/wire/multihost.py
+++ b/crossmill/wire/multihost.py
@@ -1,8 +1,11 @@
 """Messages between controllers, agents and operators about multi-machine replicas.
 
 The protocol is crossmill's own: agents (one a machine) send heartbeats to the controller that owns
-the pool, whose answers carry orders; the front member's agent pings the others. PROTOCOL's
-interfaces know nothing of it. Unknown fields are ignored; another protocol version is refused.
+the pool, whose answers carry orders; the front member's agent pings the others. It is no part of
+PROTOCOL. Unknown fields are ignored; another protocol version is refused.
+
+Pure functions, called by `multihost.service`, the operators' interface and agents. The fields of
+the named tuples are the messages' fields: their names don't change.
 """
 
 from enum import StrEnum
@@ -22,16 +25,18 @@
 
 # more members than one machine runs at a time
 MAX_REPORTED_MEMBERS = 256
+# of an order: CPUs, GPUs and memory in GB
+RESOURCE_COUNT = 3
 
 
 class MemberState(StrEnum):
-    """What an agent says of a member."""
+    """The state of a member as its agent reports it."""
 
     LOADING = "loading"
     # it has its weights and has confirmed its generation
     LOADED = "loaded"
     FAILED = "failed"
-    # the machine has no room for it at the moment
+    # the machine has too little free for it at the moment
     REFUSED = "refused"
 
 
@@ -44,8 +49,13 @@
 
 
 class LivenessProof(NamedTuple):
-    """Names an answer of a controller: the process that sent it and when, by that process's steady
-    clock. A heartbeat that returns it was sent after that answer had arrived.
+    """Names an answer of a controller, so that a heartbeat which returns it proves liveness.
+
+    The heartbeat was sent after that answer had arrived.
+
+    Attributes:
+        process: The process that sent the answer.
+        sent: When it did, by that process's steady clock.
     """
 
     process: str
@@ -53,7 +63,7 @@
 
 
 class MemberReport(NamedTuple):
-    """A member as its agent sees it."""
+    """A member as its agent reports it."""
 
     replica: str
     rank: int
@@ -64,7 +74,7 @@
 
 
 class AgentOffer(NamedTuple):
-    """What a machine brings into the pool."""
+    """What a machine that joins the pool offers."""
 
     type: str
     zone: str
@@ -76,7 +86,12 @@
 
 
 class AgentHeartbeat(NamedTuple):
-    """An agent's report. The larger (session, sequence) is the newer one."""
+    """An agent's heartbeat with the status of its machine and members.
+
+    Of two the one with the larger (session, sequence) is newer. `session` is the incarnation of the
+    agent's process, `token` the highest fencing token that it has seen, `notice_s` the time until
+    the cloud takes the machine away.
+    """
 
     machine: str
     address: str
@@ -91,15 +106,16 @@
 
 
 class PeerAddress(NamedTuple):
-    """Where a member of a replica is reached."""
+    """The address at which a member of a replica is reached."""
 
     rank: int
     address: str
 
 
 class Order(NamedTuple):
-    """What an agent is to do with a member. A lease is counted from the sending of the heartbeat
-    that the order answers.
+    """What an agent is to do with a member.
+
+    A lease is counted from the sending of the heartbeat that the order answers.
     """
 
     op: OrderKind
@@ -114,7 +130,7 @@
 
 
 class AgentHeartbeatResponse(NamedTuple):
-    """A controller's answer to a heartbeat."""
+    """A controller's answer to a heartbeat, with its fencing token."""
 
     token: int
     proof: LivenessProof
@@ -122,7 +138,7 @@
 
 
 class Ping(NamedTuple):
-    """The front member asks another member whether it runs the same generation."""
+    """A question of the front member: whether another member runs the same generation."""
 
     replica: str
     rank: int
@@ -136,12 +152,12 @@
 
 
 def _objects(data: dict[str, Any], name: str, most: int) -> list[dict[str, Any]]:
-    rows = data.get(name)
-    if type(rows) is not list or not all(type(r) is dict for r in rows):
+    value = data.get(name)
+    if type(value) is not list or not all(type(v) is dict for v in value):
         raise checks.MalformedMessageError(f"{name}: a list of objects is needed")
-    if len(rows) > most:
+    if len(value) > most:
         raise checks.MalformedMessageError(f"{name}: {most} at most")
-    return rows
+    return value
 
 
 def _object(data: dict[str, Any], name: str) -> dict[str, Any]:
@@ -188,7 +204,7 @@
 
 
 def heartbeat_body(heartbeat: AgentHeartbeat) -> bytes:
-    """A heartbeat as it is sent."""
+    """Return a heartbeat as it is sent."""
     return orjson.dumps(
         {
             "version": PROTOCOL_VERSION,
@@ -207,7 +223,11 @@
 
 
 def parse_agent_heartbeat(body: bytes) -> AgentHeartbeat:
-    """A heartbeat, checked; raises MalformedMessageError."""
+    """Return a heartbeat after checking it.
+
+    Raises:
+        MalformedMessageError: It is not what the protocol says.
+    """
     data = checks.load_object(body)
     _check_version(data)
     offer = _object(data, "offer")
@@ -240,7 +260,7 @@
 
 
 def answer_body(answer: AgentHeartbeatResponse) -> bytes:
-    """A controller's answer as it is sent."""
+    """Return a controller's answer as it is sent."""
     return orjson.dumps(
         {
             "version": PROTOCOL_VERSION,
@@ -254,7 +274,7 @@
 def _parse_order(data: dict[str, Any]) -> Order:
     ops = {op.value: op.value for op in OrderKind}
     resources = data.get("resources")
-    if type(resources) is not list or len(resources) != 3:
+    if type(resources) is not list or len(resources) != RESOURCE_COUNT:
         raise checks.MalformedMessageError("resources: three amounts are needed")
     peers = tuple(
         PeerAddress(checks.count(p, "rank"), checks.text(p, "address"))
@@ -274,7 +294,11 @@
 
 
 def parse_answer(body: bytes) -> AgentHeartbeatResponse:
-    """A controller's answer, checked; raises MalformedMessageError."""
+    """Return a controller's answer after checking it.
+
+    Raises:
+        MalformedMessageError: It is not what the protocol says.
+    """
     data = checks.load_object(body)
     _check_version(data)
     proof = _parse_proof(data)
@@ -285,22 +309,30 @@
 
 
 def redirect_body(owner: str | None) -> bytes:
-    """Names the controller that an agent should go to, if it is known."""
+    """Return the message that names the pool's owner to an agent, if it is known."""
     return orjson.dumps({} if owner is None else {"owner": owner})
 
 
 def parse_redirect(body: bytes) -> str | None:
-    """The controller that an agent is sent to."""
+    """Return the label of the controller that an agent is sent to; None if it isn't known.
+
+    Raises:
+        MalformedMessageError: The message is not what the protocol says.
+    """
     return checks.optional_text(checks.load_object(body), "owner")
 
 
 def ping_body(ping: Ping) -> bytes:
-    """A ping as it is sent."""
+    """Return a ping as it is sent."""
     return orjson.dumps({"version": PROTOCOL_VERSION, **ping._asdict()})
 
 
 def parse_ping(body: bytes) -> Ping:
-    """A ping, checked; raises MalformedMessageError."""
+    """Return a ping after checking it.
+
+    Raises:
+        MalformedMessageError: It is not what the protocol says.
+    """
     data = checks.load_object(body)
     _check_version(data)
     return Ping(
@@ -309,5 +341,5 @@
 
 
 def error_body(error: str, field: str = "") -> bytes:
-    """An error of the operators' interface; it names the field where one is wrong."""
+    """Return an error of the operators' interface; it names the field where one is wrong."""
     return orjson.dumps({"error": error, "field": field} if field else {"error": error})
