--- a/tests/measure_multihost.py
+++ b/tests/measure_multihost.py
@@ -20,7 +20,7 @@
 
 import curio
 
-from crossmill.multihost import keys, scheduling
+from crossmill.multihost import candidates, keys
 from crossmill.settings import Settings
 
 from .fake_services import FakeClock, StateService
@@ -241,7 +241,7 @@
         state: StateService, clock: FakeClock, nodes: dict[str, SteppedController]
     ) -> None:
         counts: Counter[str] = Counter()
-        real = scheduling.Scheduler._candidate
+        real = candidates.CandidateFinder.candidate
 
         def counted(*args: Any) -> Any:
             counts["candidates"] += 1
@@ -252,15 +252,15 @@
         own = node.membership.command_ownership(SETTINGS.pool_shard)
         assert own is not None
         all_beat(node, service, machines, 1)
-        await service.coordinator.round(own)
+        await service.coordinator.reconcile(own)
         begun = time.process_time()
         all_beat(node, service, machines, 2)
         result["heartbeat_us"] = (time.process_time() - begun) / machines * 1e6
         replicas_examined = service.coordinator.replicas_examined
-        with mock.patch.object(scheduling.Scheduler, "_candidate", counted):
+        with mock.patch.object(candidates.CandidateFinder, "candidate", counted):
             begun = time.process_time()
             for _ in range(20):
-                await service.coordinator.round(own)
+                await service.coordinator.reconcile(own)
             result["idle_round_us"] = (time.process_time() - begun) / 20 * 1e6
         result["looks_idle_round"] = service.coordinator.replicas_examined - replicas_examined
         result["candidates_idle_round"] = counts["candidates"]
@@ -276,14 +276,14 @@
     async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(members + 2)
         service = region.services[region.owner()]
-        before = service.writes.transactions
+        before = service.writer.transactions
         await region.declare("chat", members=members, image_gb=0.0)
         await region.until_serving("chat/0")
-        result["start"] = service.writes.transactions - before
-        before = service.writes.transactions
+        result["start"] = service.writer.transactions - before
+        before = service.writer.transactions
         region.agents_of("chat/0")[1].dead = True
         await region.until(lambda: any(a.serves("chat/0") == 2 for a in region.agents.values()))
-        result["repair"] = service.writes.transactions - before
+        result["repair"] = service.writer.transactions - before
 
     simulate_multihost(scenario)
     return result
--- a/tests/multihost_pool.py
+++ b/tests/multihost_pool.py
@@ -2,6 +2,7 @@
 
 from crossmill.cluster import keys as cluster_keys
 from crossmill.multihost import keys
+from crossmill.multihost.context import ControllerContext
 from crossmill.multihost.model import (
     Member,
     PoolMachine,
@@ -55,6 +56,14 @@
         service.heartbeats.handle(heartbeat_of(node, m, sequence, report))
 
 
+def pool_service(node: SteppedController, process: str) -> MultihostService:
+    """A service for multi-machine replicas on a controller."""
+    controller = ControllerContext(
+        node.settings, node.clock, node.cluster, node.membership, node.watcher, node.writer
+    )
+    return MultihostService(SETTINGS, controller, process)
+
+
 async def booted_pool(
     state: StateService, clock: FakeClock, nodes: dict[str, SteppedController], machines: int
 ) -> tuple[SteppedController, MultihostService]:
@@ -66,16 +75,7 @@
         state.put(keys.machine(machine.id), encode_machine(machine))
         state.put(cluster_keys.machine(machine.id), record)
     node = SteppedController(state, clock, nodes)
-    service = MultihostService(
-        node.settings,
-        SETTINGS,
-        clock,
-        node.cluster,
-        node.membership,
-        node.watcher,
-        node.writer,
-        "process",
-    )
+    service = pool_service(node, "process")
     await node.boot()
     return node, service
 
--- a/tests/multihost_region.py
+++ b/tests/multihost_region.py
@@ -8,6 +8,7 @@
 import orjson
 
 from crossmill.multihost import keys
+from crossmill.multihost.context import ControllerContext
 from crossmill.multihost.model import ReplicaId
 from crossmill.multihost.records import decode_chunk, decode_replica, decode_set
 from crossmill.multihost.service import MultihostService
@@ -205,13 +206,15 @@
     def more_parts(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
         self._processes += 1
         service = MultihostService(
-            node.settings,
             self.multihost,
-            self.clock,
-            node.cluster,
-            node.membership,
-            node.watcher,
-            node.writer,
+            ControllerContext(
+                node.settings,
+                self.clock,
+                node.cluster,
+                node.membership,
+                node.watcher,
+                node.writer,
+            ),
             f"process-{self._processes}",
         )
         self.services[node.settings.label] = service
--- a/tests/test_multihost_decisions.py
+++ b/tests/test_multihost_decisions.py
@@ -35,7 +35,8 @@
     ReplicaPhase,
     next_generation,
 )
-from crossmill.multihost.placement import Candidate, Victim, choose, choose_victims, earmark
+from crossmill.multihost.placement import Candidate, choose_placement, earmark
+from crossmill.multihost.preemption import Victim, choose_victims
 from crossmill.multihost.records import (
     decode_chunk,
     decode_machine,
@@ -165,12 +166,14 @@
 
 
 def test_all_members_get_machines_or_none_does() -> None:
-    assert choose(SPEC, {}, _candidates("north", 2) + _candidates("south", 2), {}) is None
-    placement = choose(SPEC, {}, _candidates("north", 3), {})
+    assert choose_placement(SPEC, {}, _candidates("north", 2) + _candidates("south", 2), {}) is None
+    placement = choose_placement(SPEC, {}, _candidates("north", 3), {})
     assert placement is not None
     assert len(placement.machines) == 3
     assert [p.rank for p in placement.members] == [0, 1, 2]
-    assert choose(SPEC._replace(one_zone=False), {}, _candidates("a", 2) + _candidates("b", 1), {})
+    assert choose_placement(
+        SPEC._replace(one_zone=False), {}, _candidates("a", 2) + _candidates("b", 1), {}
+    )
 
 
 def test_survivors_stay_and_the_whole_moves_only_where_it_is_back_sooner() -> None:
@@ -180,38 +183,38 @@
     survivors = [c._replace(images=warm) for c in north if c.machine != "north-1"]
     cold_spare, warm_spare = north[1], north[1]._replace(images=warm)
     elsewhere = _candidates("south", 3, images=warm)
-    stays = choose(SPEC, kept, [*survivors, warm_spare, *elsewhere], {})
+    stays = choose_placement(SPEC, kept, [*survivors, warm_spare, *elsewhere], {})
     assert stays is not None
-    assert stays.kept == 2
-    assert stays.ready_s == 0
-    moves = choose(SPEC, kept, [*survivors, cold_spare, *elsewhere], {})
+    assert stays.survivor_count == 2
+    assert stays.load_s == 0
+    moves = choose_placement(SPEC, kept, [*survivors, cold_spare, *elsewhere], {})
     assert moves is not None
-    assert moves.kept == 0
-    assert moves.ready_s == 0
-    alone = choose(SPEC, kept, [*survivors, cold_spare], {})
+    assert moves.survivor_count == 0
+    assert moves.load_s == 0
+    alone = choose_placement(SPEC, kept, [*survivors, cold_spare], {})
     assert alone is not None
-    assert alone.kept == 2
-    assert alone.ready_s == 10.0
+    assert alone.survivor_count == 2
+    assert alone.load_s == 10.0
 
 
 def test_weights_at_hand_come_first_and_machines_that_failed_last() -> None:
     plain, warm = _candidates("north", 4), frozenset({"weights"})
     candidates = [plain[0]._replace(avoided=True, images=warm), *plain[1:]]
-    placement = choose(SPEC, {}, candidates, {})
+    placement = choose_placement(SPEC, {}, candidates, {})
     assert placement is not None
     assert "north-0" not in placement.machines
-    assert choose(SPEC, {}, candidates[:3], {}) is not None
-    assert choose(SPEC, {}, candidates[:3], {}, {"north-0"}) is None
+    assert choose_placement(SPEC, {}, candidates[:3], {}) is not None
+    assert choose_placement(SPEC, {}, candidates[:3], {}, {"north-0"}) is None
 
 
 def test_replicas_of_a_spread_set_stand_in_different_zones() -> None:
     spec = SPEC._replace(spread=True)
     candidates = _candidates("north", 3, images=frozenset({"weights"})) + _candidates("south", 3)
-    assert choose(spec, {}, candidates, {}).machines >= {"north-0"}  # type: ignore[union-attr]
-    second = choose(spec, {}, candidates, {"north": 1})
+    assert choose_placement(spec, {}, candidates, {}).machines >= {"north-0"}  # type: ignore[union-attr]
+    second = choose_placement(spec, {}, candidates, {"north": 1})
     assert second is not None
     assert second.machines == {"south-0", "south-1", "south-2"}
-    assert choose(spec, {}, candidates, {"north": 1, "south": 1}) is None
+    assert choose_placement(spec, {}, candidates, {"north": 1, "south": 1}) is None
 
 
 def test_the_first_that_waits_keeps_free_machines_up_to_a_bound() -> None:
@@ -257,7 +260,7 @@
 
 
 def _replica(number: int, phase: ReplicaPhase = ReplicaPhase.READY, leaving: str = "") -> Replica:
-    return Replica(ReplicaId("chat", number), phase, 1, leaving=leaving, version=1)
+    return Replica(ReplicaId("chat", number), phase, 1, stop_reason=leaving, version=1)
 
 
 def _plan(
@@ -294,9 +297,9 @@
 
 def test_surplus_replicas_leave_those_that_do_not_serve_first() -> None:
     plan = _plan(0, _replica(0), _replica(1, ReplicaPhase.STARTING), _replica(2))
-    assert set(plan.leaving) == {ReplicaId("chat", 1)}
+    assert set(plan.stop_reasons) == {ReplicaId("chat", 1)}
     removed = _plan(2, _replica(0), _replica(1), removed=True)
-    assert len(removed.leaving) == 2
+    assert len(removed.stop_reasons) == 2
     assert len(removed.may_stop) == 2
     assert removed.create == 0
     assert _plan(0, removed=True).delete_set
@@ -362,13 +365,13 @@
 
 def test_a_late_heartbeat_proves_only_when_it_was_sent() -> None:
     agents = Agents("here")
-    assert agents.note(BEAT, 41, 101.0) is Freshness.NEW
+    assert agents.apply_heartbeat(BEAT, 41, 101.0) is Freshness.NEW
     late = BEAT._replace(sequence=8, proof=LivenessProof("here", 100.5))
-    assert agents.note(late, 41, 500.0) is Freshness.NEW
+    assert agents.apply_heartbeat(late, 41, 500.0) is Freshness.NEW
     view = agents.get("m-1")
     assert view is not None
     assert view.alive_at == 100.5
-    assert agents.note(BEAT, 41, 501.0) is Freshness.STALE
+    assert agents.apply_heartbeat(BEAT, 41, 501.0) is Freshness.STALE
 
 
 @pytest.mark.parametrize(
@@ -376,10 +379,10 @@
 )
 def test_what_was_not_made_under_this_owner_is_not_believed(change: dict[str, Any]) -> None:
     agents = Agents("here")
-    assert agents.note(BEAT._replace(**change), 41, 101.0) is Freshness.UNVERIFIED
+    assert agents.apply_heartbeat(BEAT._replace(**change), 41, 101.0) is Freshness.UNVERIFIED
     view = agents.get("m-1")
     assert view is not None
-    assert not view.is_trusted
+    assert not view.is_verified
     assert not view.members
 
 
--- a/tests/test_multihost_failures.py
+++ b/tests/test_multihost_failures.py
@@ -10,6 +10,7 @@
 import pytest
 
 from crossmill.cluster import keys as cluster_keys
+from crossmill.multihost.reservations import ReservationWriter
 from crossmill.wire.multihost import (
     AgentHeartbeatResponse,
     LivenessProof,
@@ -325,7 +326,7 @@
         await curio.sleep(LOAD_S + 5.0)
         assert region.phase("chat/0") == "starting"
         assert not region.serving("chat/0")
-        assert region.services[region.owner()].heartbeats.rejected > 0
+        assert region.services[region.owner()].heartbeats.rejected_reports > 0
         agent.lies = []
         await region.until_serving("chat/0")
 
@@ -343,7 +344,7 @@
         region.agents_of("chat/0")[1].lies = [right, right]
         await curio.sleep(LOAD_S + 5.0)
         assert region.phase("chat/0") == "starting"
-        assert region.services[region.owner()].heartbeats.rejected >= 2
+        assert region.services[region.owner()].heartbeats.rejected_reports >= 2
 
     simulate_multihost(scenario)
 
@@ -503,7 +504,7 @@
         await region.declare("large", members=40, image_gb=LOAD_S)
         await region.until_serving("large/0")
         service = region.services[region.owner()]
-        assert service.writes.members_per_chunk() < 40
+        assert ReservationWriter(service.writer, service.pool).members_per_chunk() < 40
         region.agents_of("large/0")[33].dead = True
         await region.until(lambda: region.generation("large/0") == 2)
         await region.until_serving("large/0", BOUND_S + 5.0)
--- a/tests/test_multihost_random.py
+++ b/tests/test_multihost_random.py
@@ -144,7 +144,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The mutation of controllers: the receipt of a heartbeat taken for proof of life."""
-    real = agents.Agents.note
+    real = agents.Agents.apply_heartbeat
 
     def mutated(self: agents.Agents, heartbeat: AgentHeartbeat, token: int, now: float) -> Any:
         result = real(self, heartbeat, token, now)
@@ -169,11 +169,11 @@
             _deliver_past_death(region, heartbeat)
         await curio.sleep(5.0)
 
-    monkeypatch.setattr(agents.Agents, "note", mutated)
+    monkeypatch.setattr(agents.Agents, "apply_heartbeat", mutated)
     assert any(
         "incomplete" in b for b in simulate_multihost(scenario, judged=False).checker.violations
     )
-    monkeypatch.setattr(agents.Agents, "note", real)
+    monkeypatch.setattr(agents.Agents, "apply_heartbeat", real)
     assert not simulate_multihost(scenario, judged=False).checker.violations
 
 
--- a/tests/test_multihost_service.py
+++ b/tests/test_multihost_service.py
@@ -12,17 +12,16 @@
 import pytest
 
 from crossmill.cluster import keys as cluster_keys
-from crossmill.multihost import keys, scheduling
+from crossmill.multihost import candidates, keys
 from crossmill.multihost.model import Member, Replica, ReplicaId
 from crossmill.multihost.phases import ReplicaPhase
 from crossmill.multihost.records import encode_chunk, encode_replica, reservation_record
-from crossmill.multihost.service import MultihostService
 from crossmill.net.server import Server
 from crossmill.settings import Endpoint
 from crossmill.wire.multihost import MemberReport, MemberState
 
 from .fake_services import FakeClock, StateService
-from .multihost_pool import add_ready_pairs, all_beat, booted_pool, heartbeat_of
+from .multihost_pool import add_ready_pairs, all_beat, booted_pool, heartbeat_of, pool_service
 from .multihost_region import SETTINGS, MultihostRegion, simulate_multihost
 from .stepped_controller import SteppedController, add_job, run_scenario, seed
 
@@ -133,13 +132,13 @@
     machines: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     counts: Counter[str] = Counter()
-    real = scheduling.Scheduler._candidate
+    real = candidates.CandidateFinder.candidate
 
     def counted(*args: Any) -> Any:
         counts["candidates"] += 1
         return real(*args)
 
-    monkeypatch.setattr(scheduling.Scheduler, "_candidate", counted)
+    monkeypatch.setattr(candidates.CandidateFinder, "candidate", counted)
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         add_ready_pairs(state, clock, machines // 2)
@@ -149,12 +148,12 @@
             before = service.coordinator.replicas_examined
             ownership = node.membership.command_ownership(SETTINGS.pool_shard)
             assert ownership is not None
-            await service.coordinator.round(ownership)
+            await service.coordinator.reconcile(ownership)
             return service.coordinator.replicas_examined - before
 
         all_beat(node, service, machines, 1)
         assert await round_looks() == machines // 2
-        transactions = service.writes.transactions
+        transactions = service.writer.transactions
         clock.time += 0.9
         await node.live()
         all_beat(node, service, machines, 2)
@@ -167,7 +166,7 @@
         # its record has changed, and it waits for room
         assert await round_looks() == 1
         assert counts["candidates"] == machines
-        assert service.writes.transactions - transactions <= 2
+        assert service.writer.transactions - transactions <= 2
         assert len(service.agents) == machines
 
     run_scenario(scenario)
@@ -191,8 +190,8 @@
             await node.live()
             ownership = node.membership.command_ownership(SETTINGS.pool_shard)
             assert ownership is not None
-            await service.coordinator.round(ownership)
-            await service.coordinator.round(ownership)
+            await service.coordinator.reconcile(ownership)
+            await service.coordinator.reconcile(ownership)
             assert lines() == seen
 
     run_scenario(scenario)
@@ -202,16 +201,7 @@
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         add_ready_pairs(state, clock, 3)
         node, early = await booted_pool(state, clock, nodes, machines=6)
-        late = MultihostService(
-            node.settings,
-            SETTINGS,
-            clock,
-            node.cluster,
-            node.membership,
-            node.watcher,
-            node.writer,
-            "late",
-        )
+        late = pool_service(node, "late")
         assert len(late.pool.replicas) == 3
         assert late.pool.replicas.keys() == early.pool.replicas.keys()
         assert {m: set(x.planned) for m, x in late.pool.machines.items()} == {
@@ -289,7 +279,7 @@
         assert node.cluster.machines["n-0"].attempts
         for machine in ("n-0", "n-1", "n-2"):
             service.heartbeats.handle(heartbeat_of(node, 0, 1)._replace(machine=machine))
-        await service.coordinator.round(ownership)
+        await service.coordinator.reconcile(ownership)
         # the busy one stays; the empty one and the unknown one are taken in
         assert sorted(service.pool.machines) == ["n-1", "n-2"]
         assert state.keys[cluster_keys.machine("n-1")][0]["type"] == "multihost/g4"
