--- a/tests/measure_multihost.py
+++ b/tests/measure_multihost.py
@@ -24,8 +24,8 @@
 from crossmill.settings import Settings
 
 from .fake_services import FakeClock, StateService
-from .multihost_pool import add_ready_pairs, all_beat, booted_pool
-from .multihost_region import LOOK_S, SETTINGS, MultihostRegion, simulate_multihost
+from .multihost_pool import add_ready_pairs, booted_pool, send_all_heartbeats
+from .multihost_region import CHECK_INTERVAL_S, SETTINGS, MultihostRegion, simulate_multihost
 from .report_multihost import write_report
 from .simulated_region import Region, simulate
 from .stepped_controller import SteppedController, run_scenario
@@ -80,7 +80,7 @@
 
 async def _cut(region: MultihostRegion, draw: Random) -> None:
     for agent in region.agents_of("chat/0"):
-        agent.mute = True
+        agent.drops_heartbeats = True
 
 
 FAILURES: dict[str, Failure] = {
@@ -115,12 +115,12 @@
             old = len(fronts) - len(new)
             if old:
                 last_answer[:] = [at]
-                wrong[0] += LOOK_S * (not region.checker.is_complete("chat/0", before))
+                wrong[0] += CHECK_INTERVAL_S * (not region.checker.is_complete("chat/0", before))
             _note(seen, "noticed", at, region.generation("chat/0") > before)
             _note(seen, "placed", at, seen["noticed"] is not None and phase == "starting")
             _note(seen, "ready", at, seen["placed"] is not None and phase == "ready")
             _note(seen, "serving", at, bool(new))
-            await curio.sleep(LOOK_S)
+            await curio.sleep(CHECK_INTERVAL_S)
 
     simulate_multihost(scenario)
     return Sample(
@@ -175,8 +175,8 @@
                 serving = at
                 break
             if 0 in running:
-                wrong, last = wrong + LOOK_S, at
-            await curio.sleep(LOOK_S)
+                wrong, last = wrong + CHECK_INTERVAL_S, at
+            await curio.sleep(CHECK_INTERVAL_S)
         result.append(
             Sample(failure, members, seed, last, None, None, None, serving, round(wrong, 3))
         )
@@ -251,10 +251,10 @@
         node, service = await booted_pool(state, clock, nodes, machines)
         own = node.membership.command_ownership(SETTINGS.pool_shard)
         assert own is not None
-        all_beat(node, service, machines, 1)
+        send_all_heartbeats(node, service, machines, 1)
         await service.coordinator.reconcile(own)
         begun = time.process_time()
-        all_beat(node, service, machines, 2)
+        send_all_heartbeats(node, service, machines, 2)
         result["heartbeat_us"] = (time.process_time() - begun) / machines * 1e6
         replicas_examined = service.coordinator.replicas_examined
         with mock.patch.object(candidates.CandidateFinder, "candidate", counted):
--- a/tests/multihost_agents.py
+++ b/tests/multihost_agents.py
@@ -1,5 +1,6 @@
-"""Stand-in agents of the multihost protocol: one a machine, under virtual time, with a steady clock
-of its own that drifts.
+"""Simulated agents of the multihost protocol, one for each machine, under virtual time.
+
+Each has a steady clock of its own that drifts.
 """
 
 from dataclasses import dataclass, field
@@ -53,8 +54,10 @@
 
 
 class Agent:
-    """A machine's agent. `lease_from_receipt` plants a fault: leases are counted from the receipt
-    of an answer instead of the sending of what it answers.
+    """A machine's agent.
+
+    `lease_from_receipt` plants a fault: leases are counted from the receipt of an answer instead of
+    from the sending of the heartbeat that it answers.
     """
 
     def __init__(self, region: "MultihostRegion", machine: str, number: int, zone: str) -> None:
@@ -73,41 +76,41 @@
         self.dead, self.has_left = False, False
         self.hung = False
         self.notice_s: float | None = None
-        # one-way cuts: whether heartbeats get through, and whether answers do
-        self.mute, self.deaf = False, False
+        # one-way cuts: heartbeats do not reach controllers, or answers do not reach the agent
+        self.drops_heartbeats, self.drops_answers = False, False
         self.lease_from_receipt = False
         self.copies: list[bytes] = []
         self.orders: list[tuple[float, Order]] = []
-        # what is reported in place of the truth, if anything
-        self.lies: list[MemberReport] = []
+        # if not empty, reported instead of the members that run
+        self.forged_reports: list[MemberReport] = []
         self._target = 0
 
     def now(self) -> float:
-        """This machine's steady time."""
+        """Return this machine's steady time."""
         return self.region.clock.now() * self._rate
 
     # -- members ---------------------------------------------------------------------
 
     def state(self, member: AgentMember) -> MemberState:
-        """What the agent says of the member."""
+        """Return the state that the agent reports for the member."""
         if member.refused:
             return MemberState.REFUSED
         return MemberState.LOADED if self.now() >= member.loaded_at else MemberState.LOADING
 
     def runs(self, replica: str, generation: int) -> bool:
-        """Whether a member of the generation is there with its weights."""
+        """Return whether a member of the generation runs with its weights."""
         member = self.members.get(replica)
         if self.dead or self.hung or member is None or member.generation != generation:
             return False
         return self.state(member) is MemberState.LOADED
 
     def serves(self, replica: str) -> int | None:
-        """The generation under which the front member would answer a request at this moment."""
+        """Return the generation in which the front member would answer a request now, if any."""
         member = self.members.get(replica)
         if self.dead or self.hung or member is None or member.rank != 0:
             return None
         now = self.now()
-        if self._lease_over() or now >= member.serve_until:
+        if self._is_lease_expired() or now >= member.serve_until:
             return None
         for peer in member.peers:
             alive_at = member.peer_alive_at.get(peer.rank)
@@ -119,7 +122,7 @@
         if member.rank != 0 or self.state(member) is not MemberState.LOADED:
             return ()
         since = {p.rank: member.peer_alive_at.get(p.rank, member.loaded_at) for p in member.peers}
-        # a peer may load for longer than this one; only what was reached once is missed
+        # a peer may load for longer than this one; only one that was reached before can be lost
         return tuple(
             rank
             for rank, at in since.items()
@@ -127,26 +130,26 @@
         )
 
     def restart(self) -> None:
-        """The agent's process ends and begins anew: it remembers nothing but its session."""
+        """Restart the agent's process, which remembers nothing but its session."""
         self.session += 1
         self.members.clear()
         self.highest.clear()
         self.proof, self.answered_at = None, self.now()
 
-    def _lease_over(self) -> bool:
+    def _is_lease_expired(self) -> bool:
         return self.now() - self.answered_at > self.region.multihost.agent_lease_s
 
     def _tick(self) -> None:
-        if self._lease_over():
+        if self._is_lease_expired():
             self.session += 1
             self.members.clear()
             self.proof, self.answered_at = None, self.now()
 
-    def obey(self, answer: AgentHeartbeatResponse, sent: float) -> None:
-        """Carries out an answer's orders."""
+    def apply_answer(self, answer: AgentHeartbeatResponse, sent: float) -> None:
+        """Carry out an answer's orders."""
         for order in answer.orders:
             self.orders.append((self.region.clock.now(), order))
-            self.region.checker.ordered(self, order)
+            self.region.checker.check_order(order)
             match order.op:
                 case OrderKind.START:
                     self._start(order)
@@ -186,12 +189,12 @@
             del self.members[order.replica]
             self.highest[order.replica] = max(order.generation, self.highest.get(order.replica, 0))
 
-    # -- talking ---------------------------------------------------------------------
+    # -- messages --------------------------------------------------------------------
 
     def heartbeat(self) -> AgentHeartbeat:
-        """The next heartbeat."""
+        """Return the next heartbeat."""
         self.sequence += 1
-        truth = [
+        reports = [
             MemberReport(r, m.rank, m.generation, self.state(m), self._unreachable(m))
             for r, m in self.members.items()
         ]
@@ -205,11 +208,11 @@
             self.proof,
             self.notice_s,
             tuple(self.images),
-            tuple(self.lies or truth),
+            tuple(self.forged_reports or reports),
         )
 
     async def run(self) -> None:
-        """Heartbeats, and pings of the front member, until the machine dies."""
+        """Send heartbeats, and pings as front member, until the machine dies."""
         await curio.spawn(self._run_pings, daemon=True)
         labels = list(self.region.lines)
         self._target = self.number % len(labels)
@@ -218,11 +221,11 @@
                 await curio.sleep(0.1)
                 continue
             self._tick()
-            wait_s = await self._beat(labels)
+            wait_s = await self._send_heartbeat(labels)
             await curio.sleep(wait_s)
 
-    async def _beat(self, labels: list[str]) -> float:
-        """One heartbeat; the time until the next."""
+    async def _send_heartbeat(self, labels: list[str]) -> float:
+        """Send one heartbeat and return the time until the next."""
         label = labels[self._target]
         body, sent, session = heartbeat_body(self.heartbeat()), self.now(), self.session
         self.copies = [*self.copies[-40:], body]
@@ -232,7 +235,7 @@
         timeout_s = self.region.multihost.answer_timeout_s
         while self.hung and not self.dead:
             await curio.sleep(0.1)
-        if reply is None or self.deaf or self.now() - sent > timeout_s:
+        if reply is None or self.drops_answers or self.now() - sent > timeout_s:
             self._target = (self._target + 1) % len(labels)
             return max(0.2, timeout_s - (self.now() - sent))
         status, data = reply
@@ -247,11 +250,11 @@
         answer = parse_answer(data)
         if session == self.session and answer.token >= self.token and not self.dead:
             self.token, self.proof, self.answered_at = answer.token, answer.proof, sent
-            self.obey(answer, sent)
-        return self._next_beat_s()
+            self.apply_answer(answer, sent)
+        return self._next_heartbeat_s()
 
-    def _next_beat_s(self) -> float:
-        """Until the next heartbeat: sooner if a member's weights come before."""
+    def _next_heartbeat_s(self) -> float:
+        """Return the time until the next heartbeat: sooner if a member's weights arrive before."""
         loads = [m.loaded_at - self.now() for m in self.members.values()]
         soon = [max(0.2, s + 0.01) for s in loads if s > -0.2]
         return min(
@@ -278,7 +281,7 @@
             member.peer_alive_at[peer.rank] = max(known, alive_at)
 
     def answer_ping(self, body: bytes) -> bool:
-        """Whether this machine runs the member that is asked for, in that very generation."""
+        """Return whether this machine runs the requested member in exactly that generation."""
         ping = parse_ping(body)
         member = self.members.get(ping.replica)
         is_right = member is not None and member.rank == ping.rank
@@ -286,5 +289,5 @@
 
 
 def heartbeat_request(body: bytes) -> Request:
-    """The request that carries a heartbeat."""
+    """Return the request that carries a heartbeat."""
     return Request("POST", HEARTBEAT_PATH, body)
--- a/tests/multihost_fault_injection.py
+++ b/tests/multihost_fault_injection.py
@@ -1,5 +1,6 @@
-"""MultihostFaults drawn by lot for regions with multi-machine replicas. A seed gives the same story
-everywhere.
+"""Random fault injection for regions with multi-machine replicas.
+
+A seed gives the same faults on every machine and in every run.
 """
 
 from random import Random
@@ -12,7 +13,7 @@
 
 
 class MultihostFaults:
-    """Draws troubles, a few at a time, each of which ends by itself or is mended at the end."""
+    """Injects random faults, a few at a time; each ends by itself or is ended by `mend`."""
 
     def __init__(self, region: MultihostRegion, seed: int) -> None:
         self.region = region
@@ -20,11 +21,11 @@
         region.delay_s = lambda agent: self._delay_s()
 
     def _delay_s(self) -> float:
-        """Messages are now and then slow."""
+        """Return the delay of a message; a few messages are slow."""
         return self.random.uniform(0.0, 1.5) if self.random.random() < 0.05 else 0.0
 
     async def begin(self) -> None:
-        """A pool in two zones, and sets of several sizes that do not all fit when machines fail."""
+        """Begin a pool in two zones, and sets that do not all fit when machines fail."""
         draw = self.random
         await self.region.begin_pool(draw.randint(12, 18), ZONES)
         budget = {"restart_budget": 1000, "restart_window_s": 60.0}
@@ -50,27 +51,27 @@
         )
 
     async def run(self, span_s: float) -> None:
-        """MultihostFaults for so long."""
+        """Inject faults for so long."""
         end = self.region.clock.now() + span_s
         while self.region.clock.now() < end:
-            await self._one()
+            await self._inject_one()
             await curio.sleep(self.random.uniform(0.0, 6.0))
 
-    async def _one(self) -> None:
-        kinds = (
-            self._machine_dies,
-            self._machine_dies,
-            self._agent_restarts,
-            self._machine_hangs,
-            self._one_way_cut,
-            self._machines_parted,
-            self._zone_cut,
-            self._owner_ends,
-            self._state_outage,
-            self._drain,
-            self._late_copies,
+    async def _inject_one(self) -> None:
+        faults = (
+            self.machine_dies,
+            self.machine_dies,
+            self.agent_restarts,
+            self.machine_hangs,
+            self.one_way_cut,
+            self.link_cut,
+            self.zone_cut,
+            self.owner_ends,
+            self.state_outage,
+            self.drain,
+            self.late_copies,
         )
-        await self.random.choice(kinds)()
+        await self.random.choice(faults)()
 
     def _machine(self) -> str:
         return self.random.choice(sorted(self.region.agents))
@@ -78,7 +79,8 @@
     async def _later(self, least_s: float, most_s: float) -> None:
         await curio.sleep(self.random.uniform(least_s, most_s))
 
-    async def _machine_dies(self) -> None:
+    async def machine_dies(self) -> None:
+        """Kill a machine; it comes back after a while."""
         machine = self._machine()
         self.region.agents[machine].dead = True
 
@@ -89,10 +91,12 @@
 
         await curio.spawn(back, daemon=True)
 
-    async def _agent_restarts(self) -> None:
+    async def agent_restarts(self) -> None:
+        """Restart an agent, which forgets its members."""
         self.region.agents[self._machine()].restart()
 
-    async def _machine_hangs(self) -> None:
+    async def machine_hangs(self) -> None:
+        """Freeze a machine for a while."""
         agent = self.region.agents[self._machine()]
         agent.hung = True
 
@@ -102,52 +106,56 @@
 
         await curio.spawn(back, daemon=True)
 
-    async def _one_way_cut(self) -> None:
+    async def one_way_cut(self) -> None:
+        """Lose the heartbeats of a machine, or the answers to it, for a while."""
         agent = self.region.agents[self._machine()]
         if self.random.random() < 0.5:
-            agent.mute = True
+            agent.drops_heartbeats = True
         else:
-            agent.deaf = True
+            agent.drops_answers = True
 
         async def back() -> None:
             await self._later(1.0, 20.0)
-            agent.mute = agent.deaf = False
+            agent.drops_heartbeats = agent.drops_answers = False
 
         await curio.spawn(back, daemon=True)
 
-    async def _machines_parted(self) -> None:
+    async def link_cut(self) -> None:
+        """Cut one machine off from another, in one direction, for a while."""
         pair = (self._machine(), self._machine())
-        self.region.parted.add(pair)
+        self.region.cut_links.add(pair)
 
         async def back() -> None:
             await self._later(1.0, 20.0)
-            self.region.parted.discard(pair)
+            self.region.cut_links.discard(pair)
 
         await curio.spawn(back, daemon=True)
 
-    async def _zone_cut(self) -> None:
-        """No machine of a zone reaches a controller; they reach one another."""
+    async def zone_cut(self) -> None:
+        """Cut a zone's machines off from the controllers, but not from one another."""
         if self.random.random() < 0.6:
             return
         zone = self.random.choice(ZONES)
         for agent in self.region.agents.values():
             if agent.zone == zone:
-                agent.mute = True
+                agent.drops_heartbeats = True
 
         async def back() -> None:
             await self._later(2.0, 25.0)
             for agent in self.region.agents.values():
                 if agent.zone == zone:
-                    agent.mute = False
+                    agent.drops_heartbeats = False
 
         await curio.spawn(back, daemon=True)
 
-    async def _owner_ends(self) -> None:
+    async def owner_ends(self) -> None:
+        """End the pool owner's process, and start it again after a while."""
         owner = self.region.owners().get(SETTINGS.pool_shard)
         if owner in self.region.nodes:
             await self.region.restart(owner, self.random.uniform(0.1, 6.0))
 
-    async def _state_outage(self) -> None:
+    async def state_outage(self) -> None:
+        """Make the state service unavailable for a while."""
         self.region.state.down = True
 
         async def back() -> None:
@@ -156,7 +164,8 @@
 
         await curio.spawn(back, daemon=True)
 
-    async def _drain(self) -> None:
+    async def drain(self) -> None:
+        """Drain a machine, and allow replicas on it again after a while."""
         machine = self._machine()
         await self.region.operate("POST", f"machines/{machine}/drain")
 
@@ -167,8 +176,8 @@
 
         await curio.spawn(back, daemon=True)
 
-    async def _late_copies(self) -> None:
-        """Copies of old heartbeats reach every controller."""
+    async def late_copies(self) -> None:
+        """Deliver copies of old heartbeats to every controller."""
         for agent in self.random.sample(
             sorted(self.region.agents.values(), key=lambda a: a.number), k=2
         ):
@@ -177,13 +186,13 @@
                     await self.region.deliver_heartbeat(agent, label, body)
 
     async def mend(self) -> None:
-        """All troubles are over, and machines that died are back."""
+        """End all faults and bring dead machines back."""
         await curio.sleep(45.0)
         region = self.region
         region.state.down = False
         region.delay_s = lambda agent: 0.0
-        region.parted.clear()
+        region.cut_links.clear()
         for machine, agent in list(region.agents.items()):
-            agent.hung = agent.mute = agent.deaf = False
+            agent.hung = agent.drops_heartbeats = agent.drops_answers = False
             if agent.dead:
                 await region.revive(machine)
--- a/tests/multihost_pool.py
+++ b/tests/multihost_pool.py
@@ -47,7 +47,7 @@
     state.put(keys.replica_set("chat"), encode_set(ReplicaSet(spec, False, number)))
 
 
-def all_beat(
+def send_all_heartbeats(
     node: SteppedController, service: MultihostService, machines: int, sequence: int
 ) -> None:
     """Every machine reports that its member of a pair runs."""
--- a/tests/test_multihost_failures.py
+++ b/tests/test_multihost_failures.py
@@ -147,9 +147,9 @@
         front, *others = region.agents_of("chat/0")
         for other in others:
             if one_way in ("out", "both"):
-                region.parted.add((front.machine, other.machine))
+                region.cut_links.add((front.machine, other.machine))
             if one_way in ("in", "both"):
-                region.parted.add((other.machine, front.machine))
+                region.cut_links.add((other.machine, front.machine))
         await region.until(lambda: not region.serving("chat/0"), SETTINGS.serving_lease_s + 0.5)
         # noticed by the front member only when its lease on the peers has ended
         await region.until_serving("chat/0", SETTINGS.serving_lease_s + BOUND_S)
@@ -161,7 +161,7 @@
 @pytest.mark.parametrize("mute", [True, False])
 def test_the_front_member_is_cut_off_from_controllers_but_not_from_its_peers(mute: bool) -> None:
     async def fault(region: MultihostRegion, agents: list[Agent]) -> None:
-        agents[0].mute, agents[0].deaf = mute, not mute
+        agents[0].drops_heartbeats, agents[0].drops_answers = mute, not mute
 
     _play(fault)
 
@@ -180,7 +180,7 @@
         generation = region.generation("chat/0")
         assert generation > start.generation
         # the old order reaches the machine past all its guards, the old report the owner
-        agent.obey(
+        agent.apply_answer(
             AgentHeartbeatResponse(agent.token, LivenessProof("late", 0.0), (start,)), agent.now()
         )
         await region.deliver_heartbeat(agent, region.owner(), old_copy)
@@ -322,12 +322,12 @@
         await region.declare("chat", image_gb=LOAD_S)
         await region.until(lambda: region.phase("chat/0") == "starting")
         agent = region.agents_of("chat/0")[1]
-        agent.lies = [lie]
+        agent.forged_reports = [lie]
         await curio.sleep(LOAD_S + 5.0)
         assert region.phase("chat/0") == "starting"
         assert not region.serving("chat/0")
         assert region.services[region.owner()].heartbeats.rejected_reports > 0
-        agent.lies = []
+        agent.forged_reports = []
         await region.until_serving("chat/0")
 
     simulate_multihost(scenario)
@@ -340,8 +340,8 @@
         await region.until(lambda: region.phase("chat/0") == "starting")
         right = MemberReport("chat/0", 1, 1, MemberState.LOADED)
         outsider = next(a for a in region.agents.values() if a not in region.agents_of("chat/0"))
-        outsider.lies = [right]
-        region.agents_of("chat/0")[1].lies = [right, right]
+        outsider.forged_reports = [right]
+        region.agents_of("chat/0")[1].forged_reports = [right, right]
         await curio.sleep(LOAD_S + 5.0)
         assert region.phase("chat/0") == "starting"
         assert region.services[region.owner()].heartbeats.rejected_reports >= 2
--- a/tests/test_multihost_loopback.py
+++ b/tests/test_multihost_loopback.py
@@ -72,7 +72,7 @@
         self, agent: Agent, label: str, body: bytes
     ) -> tuple[int, bytes] | None:
         service: MultihostService | None = self.services.get(label)
-        if service is None or agent.mute or agent.dead:
+        if service is None or agent.drops_heartbeats or agent.dead:
             return None
         return await self._post(service.settings.listen, HEARTBEAT_PATH, body)
 
@@ -90,7 +90,7 @@
 
     async def scenario() -> None:
         region = LoopbackRegion()
-        await curio.spawn(region.watch, daemon=True)
+        await curio.spawn(region.run_checks, daemon=True)
         await region.begin_pool(8)
         await region.declare("chat", members=4, image_gb=LOAD_S)
         await region.until_serving("chat/0", SLACK_S)
--- a/tests/test_multihost_random.py
+++ b/tests/test_multihost_random.py
@@ -20,7 +20,7 @@
 RECOVERY_S = SETTINGS.max_backoff_s + 2 * SETTINGS.repair_bound_s(24.0, 1.0)
 
 
-def play_by_lot(seed: int) -> MultihostRegion:
+def play_random_faults(seed: int) -> MultihostRegion:
     """A story of troubles; at its end all that was declared serves again, and nothing is left."""
 
     async def scenario(region: MultihostRegion) -> None:
@@ -44,12 +44,12 @@
             names = {n for a in region.agents.values() for n in a.members}
             mine = [n for n in names if n.rpartition("/")[0] == spec.name]
             serving = sum(len(region.serving(n)) for n in mine)
-            if serving < spec.replicas and has_room(region, spec):
+            if serving < spec.replicas and has_free_machines(region, spec):
                 return False
     return True
 
 
-def has_room(region: MultihostRegion, spec: ReplicaSetSpec) -> bool:
+def has_free_machines(region: MultihostRegion, spec: ReplicaSetSpec) -> bool:
     """Whether a zone's machines, as the records have them, would take another replica."""
     used = region.checker.planned_use()
     free: Counter[str] = Counter()
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_troubles_drawn_by_lot(seed: int) -> None:
-    region = play_by_lot(seed)
+    region = play_random_faults(seed)
     assert region.checker.latest_answer_s <= SETTINGS.serving_lease_s * 1.01
 
 
@@ -77,7 +77,7 @@
         front, victim, _ = region.agents_of("chat/0")
         front.lease_from_receipt = lease_from_receipt
         region.answer_delay_s = lambda agent: 1.8 if agent is front else 0.0
-        region.ping_back_s = 1.8
+        region.ping_answer_delay_s = 1.8
         await curio.sleep(10.0)
         sent = victim.sequence
         await region.until(lambda: victim.sequence > sent)
@@ -85,7 +85,7 @@
         victim.dead = True
         await curio.sleep(SETTINGS.serving_lease_s + 3.0)
 
-    return simulate_multihost(scenario, judged=False).checker.violations
+    return simulate_multihost(scenario, check_invariants=False).checker.violations
 
 
 DEATHS_S = (0.0, 0.2, 0.4, 0.6, 0.8)
@@ -114,10 +114,10 @@
         await curio.sleep(15.0)
         zone = region.agents_of("chat/0")[0].zone
         for agent in region.agents.values():
-            agent.mute = agent.zone == zone
+            agent.drops_heartbeats = agent.zone == zone
         await curio.sleep(25.0)
 
-    return simulate_multihost(scenario, judged=False)
+    return simulate_multihost(scenario, check_invariants=False)
 
 
 @pytest.fixture
@@ -171,10 +171,11 @@
 
     monkeypatch.setattr(agents.Agents, "apply_heartbeat", mutated)
     assert any(
-        "incomplete" in b for b in simulate_multihost(scenario, judged=False).checker.violations
+        "incomplete" in b
+        for b in simulate_multihost(scenario, check_invariants=False).checker.violations
     )
     monkeypatch.setattr(agents.Agents, "apply_heartbeat", real)
-    assert not simulate_multihost(scenario, judged=False).checker.violations
+    assert not simulate_multihost(scenario, check_invariants=False).checker.violations
 
 
 def _deliver_past_death(region: MultihostRegion, heartbeat: AgentHeartbeat) -> None:
@@ -193,18 +194,18 @@
 
 def _answers_incomplete(region: MultihostRegion) -> None:
     front, member, _ = region.agents_of("chat/0")
-    member.dead = front.mute = front.deaf = True
+    member.dead = front.drops_heartbeats = front.drops_answers = True
     front.members["chat/0"].serve_until = front.now() + 1000.0
     for peer in front.members["chat/0"].peers:
         front.members["chat/0"].peer_alive_at[peer.rank] = front.now() + 1000.0
 
 
-def _promises_twice(region: MultihostRegion) -> None:
+def _reserves_twice(region: MultihostRegion) -> None:
     row = region.state.keys[f"{keys.MEMBERS}chat/0/0"][0]
     region.state.put(f"{keys.MEMBERS}chat/8/0", row)
 
 
-def _leaks(region: MultihostRegion) -> None:
+def _leaks_reservation(region: MultihostRegion) -> None:
     value = {"generation": 1, "members": [[0, "h-005", 1, 1]]}
     region.state.put(f"{keys.MEMBERS}gone/0/0", value)
 
@@ -215,8 +216,7 @@
 
 
 def _orders_early(region: MultihostRegion) -> None:
-    agent = region.agents_of("chat/0")[1]
-    region.checker.ordered(agent, Order(OrderKind.START, "chat/0", 1, 2))
+    region.checker.check_order(Order(OrderKind.START, "chat/0", 1, 2))
 
 
 @pytest.mark.parametrize(
@@ -224,8 +224,8 @@
     [
         (_two_serve, "two_serving"),
         (_answers_incomplete, "incomplete"),
-        (_promises_twice, "over_committed"),
-        (_leaks, "leaked"),
+        (_reserves_twice, "over_committed"),
+        (_leaks_reservation, "leaked"),
         (_goes_below_the_minimum, "below_minimum"),
         (_orders_early, "ordered_early"),
     ],
@@ -242,4 +242,6 @@
         await curio.sleep(0.1 if named != "incomplete" else 8.0)
         region.checker.check_end()
 
-    assert any(named in b for b in simulate_multihost(scenario, judged=False).checker.violations)
+    assert any(
+        named in b for b in simulate_multihost(scenario, check_invariants=False).checker.violations
+    )
--- a/tests/test_multihost_service.py
+++ b/tests/test_multihost_service.py
@@ -21,7 +21,13 @@
 from crossmill.wire.multihost import MemberReport, MemberState
 
 from .fake_services import FakeClock, StateService
-from .multihost_pool import add_ready_pairs, all_beat, booted_pool, heartbeat_of, pool_service
+from .multihost_pool import (
+    add_ready_pairs,
+    booted_pool,
+    heartbeat_of,
+    pool_service,
+    send_all_heartbeats,
+)
 from .multihost_region import SETTINGS, MultihostRegion, simulate_multihost
 from .stepped_controller import SteppedController, add_job, run_scenario, seed
 
@@ -151,12 +157,12 @@
             await service.coordinator.reconcile(ownership)
             return service.coordinator.replicas_examined - before
 
-        all_beat(node, service, machines, 1)
+        send_all_heartbeats(node, service, machines, 1)
         assert await round_looks() == machines // 2
         transactions = service.writer.transactions
         clock.time += 0.9
         await node.live()
-        all_beat(node, service, machines, 2)
+        send_all_heartbeats(node, service, machines, 2)
         assert await round_looks() == 0
         # one member fails: its replica alone is looked at, and machines only while one waits
         failed = MemberReport("chat/3", 1, 1, MemberState.FAILED)
--- a/tests/trace_adapter.py
+++ b/tests/trace_adapter.py
@@ -460,15 +460,15 @@
         self._troubles = faults = MultihostFaults(self._region, seed)
         await faults.begin()
         return {
-            "machine dies": faults._machine_dies,
-            "agent restarts": faults._agent_restarts,
-            "agent hangs": faults._machine_hangs,
-            "one-way cut": faults._one_way_cut,
-            "machines parted": faults._machines_parted,
-            "owner ends": faults._owner_ends,
-            "state outage": faults._state_outage,
-            "machine drained": faults._drain,
-            "late heartbeats": faults._late_copies,
+            "machine dies": faults.machine_dies,
+            "agent restarts": faults.agent_restarts,
+            "agent hangs": faults.machine_hangs,
+            "one-way cut": faults.one_way_cut,
+            "machines parted": faults.link_cut,
+            "owner ends": faults.owner_ends,
+            "state outage": faults.state_outage,
+            "machine drained": faults.drain,
+            "late heartbeats": faults.late_copies,
         }
 
     async def declare(self, name: str, members: int, replicas: int, priority: int) -> int:
@@ -507,7 +507,7 @@
         """Lose all heartbeats of a zone's agents."""
         for agent in self._region.agents.values():
             if agent.zone == zone:
-                agent.mute = is_mute
+                agent.drops_heartbeats = is_mute
 
     async def mend(self) -> None:
         """End the troubles; machines that died are back."""
@@ -620,7 +620,7 @@
     region = _RecordedMultihostRegion(clock)
 
     async def begin() -> None:
-        await curio.spawn(region.watch, daemon=True)
+        await curio.spawn(region.run_checks, daemon=True)
         await scenario(SimulatedMultihostRegion(region, counts))
 
     _play(region, _MessageLog(recorder, clock, counts), begin)
