--- /dev/null
+++ b/tests/test_multihost_partitions.py
@@ -0,0 +1,37 @@
+"""The front member of a replica is cut off from other members or from the controllers."""
+
+import pytest
+
+from .multihost_agents import Agent
+from .multihost_region import SETTINGS, MultihostRegion, simulate_multihost
+from .multihost_scenarios import LOAD_S, REPAIR_BOUND_S, time_to_repair
+
+
+@pytest.mark.parametrize("direction", ["out", "in", "both"])
+def test_a_front_member_that_reaches_no_other_member_is_replaced(direction: str) -> None:
+    async def scenario(region: MultihostRegion) -> None:
+        await region.begin_pool(10)
+        await region.declare("chat", image_gb=LOAD_S)
+        await region.until_serving("chat/0")
+        front, *others = region.agents_of("chat/0")
+        for other in others:
+            if direction in ("out", "both"):
+                region.cut_links.add((front.machine, other.machine))
+            if direction in ("in", "both"):
+                region.cut_links.add((other.machine, front.machine))
+        await region.until(lambda: not region.serving("chat/0"), SETTINGS.serving_lease_s + 0.5)
+        # the front member notices it only when its leases on the other members have expired
+        await region.until_serving("chat/0", SETTINGS.serving_lease_s + REPAIR_BOUND_S)
+        assert region.agents_of("chat/0")[0] is not front
+
+    simulate_multihost(scenario)
+
+
+@pytest.mark.parametrize("drops_heartbeats", [True, False])
+def test_a_replica_is_repaired_when_its_front_member_reaches_no_controller(
+    drops_heartbeats: bool,
+) -> None:
+    async def fault(region: MultihostRegion, agents: list[Agent]) -> None:
+        agents[0].drops_heartbeats, agents[0].drops_answers = drops_heartbeats, not drops_heartbeats
+
+    assert time_to_repair(fault) <= REPAIR_BOUND_S
--- /dev/null
+++ b/tests/test_multihost_phases.py
@@ -0,0 +1,32 @@
+"""The phases of a replica and the generations that transitions begin."""
+
+import itertools
+
+import pytest
+
+from crossmill.multihost.phases import (
+    RAISES_GENERATION,
+    TRANSITIONS,
+    IllegalPhaseTransitionError,
+    ReplicaPhase,
+    next_generation,
+)
+
+
+@pytest.mark.parametrize(("old", "new"), itertools.product(ReplicaPhase, ReplicaPhase))
+def test_transitions_outside_the_table_are_illegal(old: ReplicaPhase, new: ReplicaPhase) -> None:
+    if new in TRANSITIONS[old]:
+        raised = (old, new) in RAISES_GENERATION
+        assert next_generation(3, old, new) == 3 + raised
+    else:
+        with pytest.raises(IllegalPhaseTransitionError):
+            next_generation(3, old, new)
+
+
+def test_transitions_that_end_service_or_begin_a_start_raise_the_generation() -> None:
+    ends = {(ReplicaPhase.READY, new) for new in TRANSITIONS[ReplicaPhase.READY]}
+    begins = {
+        (ReplicaPhase.PENDING, ReplicaPhase.STARTING),
+        (ReplicaPhase.PENDING, ReplicaPhase.RESERVING),
+    }
+    assert ends | begins <= RAISES_GENERATION
--- /dev/null
+++ b/tests/test_multihost_placement.py
@@ -0,0 +1,145 @@
+"""Choosing machines for replicas, and the machines that are avoided."""
+
+from typing import Any
+
+import pytest
+
+from crossmill.multihost.failure_scores import FailureScores
+from crossmill.multihost.lifecycle import backoff_s
+from crossmill.multihost.model import (
+    ReplicaSetSpec,
+    Resources,
+)
+from crossmill.multihost.placement import Candidate, choose_placement, earmark
+from crossmill.multihost.settings import MultihostSettings
+from crossmill.settings import Endpoint
+
+SETTINGS = MultihostSettings(Endpoint("127.0.0.1", 1), 0, 1.0, 0.25)
+
+
+EACH = Resources(8.0, 4.0, 32.0)
+
+
+SPEC = ReplicaSetSpec("chat", 3, 2, EACH, "weights", 10.0)
+
+
+WARM = frozenset({"weights"})
+
+
+def _candidates(zone: str, number: int, **changes: Any) -> list[Candidate]:
+    free = Resources(16.0, 4.0, 64.0)
+    return [Candidate(f"{zone}-{n}", zone, 1, free, 1.0)._replace(**changes) for n in range(number)]
+
+
+def test_a_replica_without_enough_machines_in_one_zone_gets_none() -> None:
+    candidates = _candidates("north", 2) + _candidates("south", 2)
+    assert choose_placement(SPEC, {}, candidates, {}) is None
+
+
+def test_every_rank_gets_a_machine_of_its_own() -> None:
+    placement = choose_placement(SPEC, {}, _candidates("north", 3), {})
+    assert placement is not None
+    assert len(placement.machines) == 3
+    assert [p.rank for p in placement.members] == [0, 1, 2]
+
+
+def test_a_replica_that_may_span_zones_uses_machines_of_several() -> None:
+    candidates = _candidates("a", 2) + _candidates("b", 1)
+    assert choose_placement(SPEC._replace(one_zone=False), {}, candidates, {})
+
+
+NORTH = _candidates("north", 3)
+SURVIVORS = [c._replace(images=WARM) for c in NORTH if c.machine != "north-1"]
+KEPT = {0: "north-0", 2: "north-2"}
+COLD_SPARE, WARM_SPARE = NORTH[1], NORTH[1]._replace(images=WARM)
+ELSEWHERE = _candidates("south", 3, images=WARM)
+
+
+@pytest.mark.parametrize(
+    ("candidates", "survivor_count", "load_s"),
+    [
+        pytest.param([*SURVIVORS, WARM_SPARE, *ELSEWHERE], 2, 0.0, id="stays if as soon"),
+        pytest.param([*SURVIVORS, COLD_SPARE, *ELSEWHERE], 0, 0.0, id="moves if sooner"),
+        pytest.param([*SURVIVORS, COLD_SPARE], 2, 10.0, id="stays without another zone"),
+    ],
+)
+def test_survivors_stay_unless_the_replica_is_ready_sooner_elsewhere(
+    candidates: list[Candidate], survivor_count: int, load_s: float
+) -> None:
+    placement = choose_placement(SPEC, KEPT, candidates, {})
+    assert placement is not None
+    assert placement.survivor_count == survivor_count
+    assert placement.load_s == load_s
+
+
+FAILED_OFTEN = [
+    _candidates("north", 1)[0]._replace(avoided=True, images=WARM),
+    *_candidates("north", 4)[1:],
+]
+
+
+def test_a_machine_that_failed_often_is_not_chosen_even_with_the_weights() -> None:
+    placement = choose_placement(SPEC, {}, FAILED_OFTEN, {})
+    assert placement is not None
+    assert "north-0" not in placement.machines
+
+
+def test_a_machine_that_failed_often_is_chosen_where_no_other_is_left() -> None:
+    assert choose_placement(SPEC, {}, FAILED_OFTEN[:3], {}) is not None
+
+
+def test_an_excluded_machine_is_never_chosen() -> None:
+    assert choose_placement(SPEC, {}, FAILED_OFTEN[:3], {}, {"north-0"}) is None
+
+
+SPREAD = SPEC._replace(spread=True)
+TWO_ZONES = _candidates("north", 3, images=WARM) + _candidates("south", 3)
+
+
+def test_the_first_replica_of_a_spread_set_gets_the_zone_that_has_the_weights() -> None:
+    placement = choose_placement(SPREAD, {}, TWO_ZONES, {})
+    assert placement is not None
+    assert placement.machines >= {"north-0"}
+
+
+def test_the_second_replica_of_a_spread_set_gets_another_zone() -> None:
+    placement = choose_placement(SPREAD, {}, TWO_ZONES, {"north": 1})
+    assert placement is not None
+    assert placement.machines == {"south-0", "south-1", "south-2"}
+
+
+def test_a_spread_set_has_no_more_replicas_in_a_zone_than_its_limit() -> None:
+    assert choose_placement(SPREAD, {}, TWO_ZONES, {"north": 1, "south": 1}) is None
+
+
+@pytest.mark.parametrize(
+    ("spec", "most", "count"),
+    [
+        pytest.param(SPEC, 5, 2, id="all of the largest zone"),
+        pytest.param(SPEC, 1, 1, id="up to the bound"),
+        pytest.param(SPEC._replace(zones=("west",)), 5, 0, id="none without an allowed zone"),
+    ],
+)
+def test_free_machines_are_earmarked_for_the_first_replica_that_waits(
+    spec: ReplicaSetSpec, most: int, count: int
+) -> None:
+    candidates = _candidates("north", 2) + _candidates("south", 1)
+    earmarked = earmark(spec, candidates, {}, most)
+    assert len(earmarked) == count
+    assert earmarked <= {"north-0", "north-1"}
+
+
+def test_the_failure_score_of_a_machine_decays() -> None:
+    scores = FailureScores(10.0)
+    scores.note_failure("m", 0.0)
+    scores.note_failure("m", 0.0)
+    assert scores.score("m", 0.0) == 2.0
+    assert scores.score("m", 10.0) == pytest.approx(1.0)
+    assert scores.score("m", 1000.0) == 0.0
+
+
+def test_the_backoff_doubles_up_to_a_bound() -> None:
+    waits = [backoff_s(n, SETTINGS) for n in range(40)]
+    assert waits[:5] == [0.0, 0.0, 2.0, 4.0, 8.0]
+    assert waits == sorted(waits)
+    assert waits[-1] == SETTINGS.max_backoff_s
--- /dev/null
+++ b/tests/test_multihost_reconciliation.py
@@ -0,0 +1,106 @@
+"""What a pass of the coordinator examines, at several sizes of the pool."""
+
+from collections import Counter
+from typing import Any
+
+import pytest
+
+from crossmill.multihost import candidates
+from crossmill.wire.multihost import MemberReport, MemberState
+
+from .fake_services import FakeClock, StateService
+from .multihost_pool import (
+    add_ready_pairs,
+    booted_pool,
+    heartbeat_of,
+    pool_service,
+    send_all_heartbeats,
+)
+from .multihost_region import SETTINGS
+from .stepped_controller import SteppedController, run_scenario
+
+Nodes = dict[str, SteppedController]
+
+
+@pytest.mark.parametrize("machines", [100, 1000, 4000])
+def test_a_pass_examines_only_what_has_changed(
+    machines: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    counts: Counter[str] = Counter()
+    real = candidates.CandidateFinder.candidate
+
+    def counted(*args: Any) -> Any:
+        counts["candidates"] += 1
+        return real(*args)
+
+    monkeypatch.setattr(candidates.CandidateFinder, "candidate", counted)
+
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        add_ready_pairs(state, clock, machines // 2)
+        node, service = await booted_pool(state, clock, nodes, machines)
+
+        async def examined_in_a_pass() -> int:
+            before = service.coordinator.replicas_examined
+            ownership = node.membership.command_ownership(SETTINGS.pool_shard)
+            assert ownership is not None
+            await service.coordinator.reconcile(ownership)
+            return service.coordinator.replicas_examined - before
+
+        send_all_heartbeats(node, service, machines, 1)
+        assert await examined_in_a_pass() == machines // 2
+        transactions = service.writer.transactions
+        clock.time += 0.9
+        await node.live()
+        send_all_heartbeats(node, service, machines, 2)
+        assert await examined_in_a_pass() == 0
+        # one member fails: only its replica is examined, and no machine while none waits
+        failed = MemberReport("chat/3", 1, 1, MemberState.FAILED)
+        service.heartbeats.handle(heartbeat_of(node, 7, 3, failed))
+        assert await examined_in_a_pass() == 1
+        assert counts["candidates"] == 0
+        # its record has changed, and it waits for machines
+        assert await examined_in_a_pass() == 1
+        assert counts["candidates"] == machines
+        assert service.writer.transactions - transactions <= 2
+        assert len(service.agents) == machines
+
+    run_scenario(scenario)
+
+
+def test_missed_heartbeats_of_a_machine_are_logged_once(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
+    # guards against a line, and an examination of its replicas, in every pass of a new owner
+    caplog.set_level("INFO")
+
+    def lines() -> int:
+        return sum("agent heartbeats missed" in record.getMessage() for record in caplog.records)
+
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        node, service = await booted_pool(state, clock, nodes, machines=2)
+        # its heartbeat reaches the new owner, whose answer does not reach it
+        service.heartbeats.handle(heartbeat_of(node, 0, 1)._replace(proof=None))
+        for seen in (0, 0, 0, 1, 1, 1):
+            clock.time += 2.0
+            await node.live()
+            ownership = node.membership.command_ownership(SETTINGS.pool_shard)
+            assert ownership is not None
+            await service.coordinator.reconcile(ownership)
+            await service.coordinator.reconcile(ownership)
+            assert lines() == seen
+
+    run_scenario(scenario)
+
+
+def test_a_service_that_starts_late_reads_all_earlier_records() -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        add_ready_pairs(state, clock, 3)
+        node, early = await booted_pool(state, clock, nodes, machines=6)
+        late = pool_service(node, "late")
+        assert len(late.pool.replicas) == 3
+        assert late.pool.replicas.keys() == early.pool.replicas.keys()
+        assert {m: set(x.planned) for m, x in late.pool.machines.items()} == {
+            m: set(x.planned) for m, x in early.pool.machines.items()
+        }
+
+    run_scenario(scenario)
--- /dev/null
+++ b/tests/test_multihost_serving_safety.py
@@ -0,0 +1,132 @@
+"""No replica serves while incomplete; two planted faults in counting leases are found."""
+
+from typing import Any
+
+import curio
+import pytest
+
+from crossmill.multihost import agents, serving
+from crossmill.multihost.settings import MultihostSettings
+from crossmill.wire.multihost import AgentHeartbeat
+
+from .multihost_region import SETTINGS, MultihostRegion, simulate_multihost
+
+DEATHS_S = (0.0, 0.2, 0.4, 0.6, 0.8)
+
+
+def _dies_after(death_s: float, lease_from_receipt: bool) -> list[str]:
+    """A member dies so long after its heartbeat; answers to the front member are slow."""
+
+    async def scenario(region: MultihostRegion) -> None:
+        await region.begin_pool(4)
+        await region.declare("chat", members=3, image_gb=0.0)
+        await region.until_serving("chat/0")
+        front, victim, _ = region.agents_of("chat/0")
+        front.lease_from_receipt = lease_from_receipt
+        region.answer_delay_s = lambda agent: 1.8 if agent is front else 0.0
+        region.ping_answer_delay_s = 1.8
+        await curio.sleep(10.0)
+        sent = victim.sequence
+        await region.until(lambda: victim.sequence > sent)
+        await curio.sleep(death_s)
+        victim.dead = True
+        await curio.sleep(SETTINGS.serving_lease_s + 3.0)
+
+    return simulate_multihost(scenario, check_invariants=False).checker.violations
+
+
+def test_an_agent_that_counts_its_lease_from_the_receipt_violates_an_invariant() -> None:
+    # planted fault in the agents: the front member then answers beyond the bound
+    caught = [entry for death_s in DEATHS_S for entry in _dies_after(death_s, True)]
+    assert caught
+    assert all("incomplete" in entry for entry in caught)
+
+
+@pytest.mark.parametrize("death_s", DEATHS_S)
+def test_slow_messages_do_not_lengthen_the_serving_lease(death_s: float) -> None:
+    assert not _dies_after(death_s, False)
+
+
+def _zone_cut(delay_s: float) -> MultihostRegion:
+    """All members of a replica are cut off from controllers, not from one another."""
+
+    async def scenario(region: MultihostRegion) -> None:
+        await region.begin_pool(8, ("north", "south"))
+        await region.declare("chat", members=3, image_gb=0.0)
+        await region.until_serving("chat/0")
+        region.delay_s = lambda agent: delay_s
+        await curio.sleep(15.0)
+        zone = region.agents_of("chat/0")[0].zone
+        for agent in region.agents.values():
+            agent.drops_heartbeats = agent.zone == zone
+        await curio.sleep(25.0)
+
+    return simulate_multihost(scenario, check_invariants=False)
+
+
+@pytest.fixture
+def _long_lease(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A lease so long that only the fence is between the two generations."""
+    monkeypatch.setattr(MultihostSettings, "serving_lease_s", property(lambda _: 9.9))
+
+
+@pytest.mark.usefixtures("_long_lease")
+def test_a_replica_in_a_partitioned_zone_stops_before_its_successor_serves() -> None:
+    region = _zone_cut(0.0)
+    assert not region.checker.violations
+    assert region.generation("chat/0") == 2
+    assert len(region.serving("chat/0")) == 1
+
+
+@pytest.mark.usefixtures("_long_lease")
+def test_an_owner_that_does_not_wait_for_the_fence_violates_an_invariant(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr(serving.ServingLeases, "fenced_at", lambda *_: 0.0)
+    assert any("two_serving" in entry for entry in _zone_cut(0.0).checker.violations)
+
+
+def test_a_controller_that_counts_liveness_from_the_receipt_violates_an_invariant(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    # planted fault in the controllers: the receipt of a heartbeat is taken for a proof of liveness
+    real = agents.Agents.apply_heartbeat
+
+    def apply_with_fault(
+        self: agents.Agents, heartbeat: AgentHeartbeat, token: int, now: float
+    ) -> Any:
+        result = real(self, heartbeat, token, now)
+        view = self.get(heartbeat.machine)
+        if view is not None and view.alive_at is not None:
+            view.alive_at = view.last_heartbeat_at = now
+        return result
+
+    async def scenario(region: MultihostRegion) -> None:
+        await region.begin_pool(4)
+        await region.declare("chat", members=3, image_gb=0.0)
+        await region.until_serving("chat/0")
+        await curio.sleep(10.0)
+        front, victim, _ = region.agents_of("chat/0")
+        # the front member's own leases on its peers are made to last, so that grants alone count
+        for peer in front.members["chat/0"].peers:
+            front.members["chat/0"].peer_alive_at[peer.rank] = front.now() + 1000.0
+        delayed = [victim.heartbeat() for _ in range(4)]
+        victim.dead = True
+        for heartbeat in delayed:
+            await curio.sleep(1.5)
+            _deliver_after_death(region, heartbeat)
+        await curio.sleep(5.0)
+
+    monkeypatch.setattr(agents.Agents, "apply_heartbeat", apply_with_fault)
+    assert any(
+        "incomplete" in b
+        for b in simulate_multihost(scenario, check_invariants=False).checker.violations
+    )
+    monkeypatch.setattr(agents.Agents, "apply_heartbeat", real)
+    assert not simulate_multihost(scenario, check_invariants=False).checker.violations
+
+
+def _deliver_after_death(region: MultihostRegion, heartbeat: AgentHeartbeat) -> None:
+    """A heartbeat sent before its machine died arrives after it."""
+    for service in region.services.values():
+        service.heartbeats.handle(heartbeat)
