--- a/tests/measure_multihost.py
+++ b/tests/measure_multihost.py
@@ -1,4 +1,4 @@
-"""Measures multi-machine replicas under virtual time, and writes figures, plots and a page.
+"""Measure multi-machine replicas under virtual time, and write figures, plots and a page.
 
     python -m tests.measure_multihost [--seeds N] [--out FOLDER]
 
@@ -35,6 +35,11 @@
 GANG_SIZES = (2, 4, 8)
 POOL_SIZES = (100, 1000, 4000)
 LONGEST_S = 120.0
+# a large replica waits in a pool of so many machines, among so many small sets
+WAITING_POOL_SIZE = 16
+SMALL_SETS = 8
+MAX_WAITING_S = 600.0
+GENERATION_AFTER_REPAIR = 2
 
 
 class Sample(NamedTuple):
@@ -58,7 +63,7 @@
     draw.choice(region.agents_of("chat/0")[1:]).dead = True
 
 
-async def _front(region: MultihostRegion, draw: Random) -> None:
+async def _front(region: MultihostRegion, _draw: Random) -> None:
     region.agents_of("chat/0")[0].dead = True
 
 
@@ -69,7 +74,7 @@
     members[0].dead = True
 
 
-async def _all(region: MultihostRegion, draw: Random) -> None:
+async def _all(region: MultihostRegion, _draw: Random) -> None:
     for agent in region.agents_of("chat/0"):
         agent.dead = True
 
@@ -78,7 +83,7 @@
     draw.choice(region.agents_of("chat/0")).restart()
 
 
-async def _cut(region: MultihostRegion, draw: Random) -> None:
+async def _cut(region: MultihostRegion, _draw: Random) -> None:
     for agent in region.agents_of("chat/0"):
         agent.drops_heartbeats = True
 
@@ -94,7 +99,7 @@
 
 
 def measure_failure(job: tuple[str, int, int, float]) -> Sample:
-    """One failure of a replica that serves."""
+    """Measure one failure of a replica that serves."""
     failure, members, seed, load_s = job
     seen: dict[str, float | None] = dict.fromkeys(("noticed", "placed", "ready", "serving"))
     last_answer: list[float] = []
@@ -142,9 +147,10 @@
 
 
 def measure_baseline(job: tuple[str, int, int]) -> Sample:
-    """The same failures of a service whose tasks are the members, on the ordinary path. Its front,
-    task 0, answers whenever it runs itself; images are there at once, and idle machines are kept
-    for the whole story, so that spare ones are there as they are in the pool.
+    """Measure the same failures of a service whose tasks are the members, on the ordinary path.
+
+    Its front, task 0, answers whenever it runs itself. Images are there at once, and idle machines
+    are kept all the time, so that there are as many spare ones as in the pool.
     """
     failure, members, seed = job
     result: list[Sample] = []
@@ -197,20 +203,22 @@
 
 
 def measure_waiting(idle_ratio: float) -> dict[str, float]:
-    """A large replica waits among small ones that come and go: how long, and what stood idle."""
+    """Measure how long a large replica waits among small ones, and what is idle meanwhile."""
     result: dict[str, float] = {}
 
     async def scenario(region: MultihostRegion) -> None:
         region.multihost = replace(SETTINGS, idle_ratio=idle_ratio)
         draw = Random(7)
-        await region.begin_pool(16)
-        for number in range(8):
+        await region.begin_pool(WAITING_POOL_SIZE)
+        for number in range(SMALL_SETS):
             await region.declare(f"small-{number}", members=2, image_gb=0.0)
-        await region.until(lambda: sum(_has_served(region, n) for n in range(8)) == 8)
+        await region.until(
+            lambda: sum(_has_served(region, n) for n in range(SMALL_SETS)) == SMALL_SETS
+        )
         await region.declare("large", members=6, image_gb=0.0)
-        begun, idle, replicas_examined, number = region.clock.now(), 0.0, 0, 8
-        while region.clock.now() - begun < 600.0 and not region.serving("large/0"):
-            # a small set ends and another one comes, so that room is freed two machines at a time
+        begun, idle, sample_count, number = region.clock.now(), 0.0, 0, SMALL_SETS
+        while region.clock.now() - begun < MAX_WAITING_S and not region.serving("large/0"):
+            # a small set ends and another one comes, so that two machines at a time become free
             names = sorted(k[len(keys.SET) :] for k in region.state.keys if keys.SET in k)
             small = [n for n in names if n.startswith("small")]
             await region.operate("DELETE", f"replica-sets/{draw.choice(small)}")
@@ -218,12 +226,12 @@
             number += 1
             for _ in range(10):
                 used = region.checker.planned_use()
-                idle += 1 - len(used) / 16
-                replicas_examined += 1
+                idle += 1 - len(used) / WAITING_POOL_SIZE
+                sample_count += 1
                 await curio.sleep(0.5)
         result["waited_s"] = round(region.clock.now() - begun, 1)
         result["placed"] = float(bool(region.serving("large/0")))
-        result["idle"] = round(idle / max(1, replicas_examined), 3)
+        result["idle"] = round(idle / max(1, sample_count), 3)
 
     simulate_multihost(scenario)
     return {"idle_ratio": idle_ratio, **result}
@@ -234,7 +242,7 @@
 
 
 def measure_pool(machines: int) -> dict[str, float]:
-    """Operations and processor time of a round and of a heartbeat in a pool of this size."""
+    """Measure the work of a pass and of a heartbeat in a pool of this size."""
     result: dict[str, float] = {"machines": machines}
 
     async def scenario(
@@ -270,7 +278,7 @@
 
 
 def measure_transactions(members: int) -> dict[str, int]:
-    """Transactions of the pool's owner for a start and for a repair, up to serving."""
+    """Count the transactions of the pool's owner for a start and for a repair, up to serving."""
     result: dict[str, int] = {"members": members}
 
     async def scenario(region: MultihostRegion) -> None:
@@ -282,7 +290,11 @@
         result["start"] = service.writer.transactions - before
         before = service.writer.transactions
         region.agents_of("chat/0")[1].dead = True
-        await region.until(lambda: any(a.serves("chat/0") == 2 for a in region.agents.values()))
+        await region.until(
+            lambda: any(
+                a.serves("chat/0") == GENERATION_AFTER_REPAIR for a in region.agents.values()
+            )
+        )
         result["repair"] = service.writer.transactions - before
 
     simulate_multihost(scenario)
@@ -290,7 +302,7 @@
 
 
 def main() -> None:
-    """Runs all measurements and writes the results."""
+    """Run all measurements and write the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=20)
     parser.add_argument("--workers", type=int, default=4, help="processes at once")
--- a/tests/multihost_agents.py
+++ b/tests/multihost_agents.py
@@ -8,6 +8,7 @@
 
 import curio
 
+from crossmill.multihost.heartbeats import STATUS_GONE, STATUS_NOT_OWNER, STATUS_OK
 from crossmill.net.server import Request
 from crossmill.wire.multihost import (
     HEARTBEAT_PATH,
@@ -35,6 +36,8 @@
 
 # PROTOCOL: steady clocks drift apart by as much as this
 DRIFT = 0.0005
+# the shortest time between two heartbeats
+MIN_HEARTBEAT_GAP_S = 0.2
 
 
 @dataclass
@@ -239,10 +242,10 @@
             self._target = (self._target + 1) % len(labels)
             return max(0.2, timeout_s - (self.now() - sent))
         status, data = reply
-        if status == 410:
+        if status == STATUS_GONE:
             self.has_left = True
-        if status != 200:
-            owner = parse_redirect(data) if status == 421 else None
+        if status != STATUS_OK:
+            owner = parse_redirect(data) if status == STATUS_NOT_OWNER else None
             moves = owner in labels and owner != label
             following = (self._target + 1) % len(labels)
             self._target = labels.index(str(owner)) if moves else following
@@ -256,7 +259,7 @@
     def _next_heartbeat_s(self) -> float:
         """Return the time until the next heartbeat: sooner if a member's weights arrive before."""
         loads = [m.loaded_at - self.now() for m in self.members.values()]
-        soon = [max(0.2, s + 0.01) for s in loads if s > -0.2]
+        soon = [max(MIN_HEARTBEAT_GAP_S, s + 0.01) for s in loads if s > -MIN_HEARTBEAT_GAP_S]
         return min(
             self.region.multihost.heartbeat_interval_s,
             *soon,
--- a/tests/multihost_fault_injection.py
+++ b/tests/multihost_fault_injection.py
@@ -7,9 +7,16 @@
 
 import curio
 
+from crossmill.multihost.heartbeats import STATUS_UNAVAILABLE
+
 from .multihost_region import SETTINGS, MultihostRegion
 
 ZONES = ("north", "south")
+SLOW_MESSAGE_PROBABILITY = 0.05
+# of a one-way cut: that heartbeats are lost, and not the answers
+LOST_HEARTBEATS_PROBABILITY = 0.5
+# that the fault of a partitioned zone does nothing, since it hits many machines
+NO_ZONE_CUT_PROBABILITY = 0.6
 
 
 class MultihostFaults:
@@ -18,11 +25,15 @@
     def __init__(self, region: MultihostRegion, seed: int) -> None:
         self.region = region
         self.random = Random(seed)
-        region.delay_s = lambda agent: self._delay_s()
+        region.delay_s = lambda _: self._delay_s()
 
     def _delay_s(self) -> float:
         """Return the delay of a message; a few messages are slow."""
-        return self.random.uniform(0.0, 1.5) if self.random.random() < 0.05 else 0.0
+        return (
+            self.random.uniform(0.0, 1.5)
+            if self.random.random() < SLOW_MESSAGE_PROBABILITY
+            else 0.0
+        )
 
     async def begin(self) -> None:
         """Begin a pool in two zones, and sets that do not all fit when machines fail."""
@@ -109,7 +120,7 @@
     async def one_way_cut(self) -> None:
         """Lose the heartbeats of a machine, or the answers to it, for a while."""
         agent = self.region.agents[self._machine()]
-        if self.random.random() < 0.5:
+        if self.random.random() < LOST_HEARTBEATS_PROBABILITY:
             agent.drops_heartbeats = True
         else:
             agent.drops_answers = True
@@ -133,7 +144,7 @@
 
     async def zone_cut(self) -> None:
         """Cut a zone's machines off from the controllers, but not from one another."""
-        if self.random.random() < 0.6:
+        if self.random.random() < NO_ZONE_CUT_PROBABILITY:
             return
         zone = self.random.choice(ZONES)
         for agent in self.region.agents.values():
@@ -171,7 +182,9 @@
 
         async def back() -> None:
             await self._later(5.0, 30.0)
-            while (await self.region.operate("POST", f"machines/{machine}/undrain"))[0] == 503:
+            while (await self.region.operate("POST", f"machines/{machine}/undrain"))[
+                0
+            ] == STATUS_UNAVAILABLE:
                 await curio.sleep(1.0)
 
         await curio.spawn(back, daemon=True)
@@ -190,7 +203,7 @@
         await curio.sleep(45.0)
         region = self.region
         region.state.down = False
-        region.delay_s = lambda agent: 0.0
+        region.delay_s = lambda _: 0.0
         region.cut_links.clear()
         for machine, agent in list(region.agents.items()):
             agent.hung = agent.drops_heartbeats = agent.drops_answers = False
--- a/tests/multihost_invariants.py
+++ b/tests/multihost_invariants.py
@@ -175,8 +175,7 @@
                 amounts[i] += amount
 
     def check_end(self) -> None:
-        """Check, after all faults, that nothing is reserved or runs without a replica that needs
-        it."""
+        """Check, after all faults, that nothing is reserved or runs without need."""
         state = self.region.state.keys
         planned: dict[str, set[str]] = {}
         for key, (value, version, _) in state.items():
--- a/tests/multihost_pool.py
+++ b/tests/multihost_pool.py
@@ -1,4 +1,4 @@
-"""A pool at any size, stepped by hand: one controller that owns it, and heartbeats handed to it."""
+"""A pool of any size with one controller that owns it; tests step it and deliver heartbeats."""
 
 from crossmill.cluster import keys as cluster_keys
 from crossmill.multihost import keys
@@ -37,7 +37,7 @@
 
 
 def add_ready_pairs(state: StateService, clock: FakeClock, number: int) -> None:
-    """A set of ready replicas of two members, on the machines of a pool in order."""
+    """Store a set of ready replicas of two members, on the machines of a pool in order."""
     for index in range(number):
         replica = Replica(ReplicaId("chat", index), ReplicaPhase.READY, 1, 1, since=clock.wall())
         members = tuple(Member(r, f"m-{2 * index + r}", 1, 1) for r in range(2))
@@ -50,14 +50,14 @@
 def send_all_heartbeats(
     node: SteppedController, service: MultihostService, machines: int, sequence: int
 ) -> None:
-    """Every machine reports that its member of a pair runs."""
+    """Deliver a heartbeat of every machine: its member of a pair runs."""
     for m in range(machines):
         report = MemberReport(f"chat/{m // 2}", m % 2, 1, MemberState.LOADED)
         service.heartbeats.handle(heartbeat_of(node, m, sequence, report))
 
 
 def pool_service(node: SteppedController, process: str) -> MultihostService:
-    """A service for multi-machine replicas on a controller."""
+    """Return a service for multi-machine replicas on a controller."""
     controller = ControllerContext(
         node.settings, node.clock, node.cluster, node.membership, node.watcher, node.writer
     )
@@ -67,7 +67,7 @@
 async def booted_pool(
     state: StateService, clock: FakeClock, nodes: dict[str, SteppedController], machines: int
 ) -> tuple[SteppedController, MultihostService]:
-    """An owner of a pool whose every two machines run a ready replica, all heard."""
+    """Return a controller that owns a pool of machines, and its service."""
     seed(state, clock, machines=0)
     for number in range(machines):
         machine = PoolMachine(f"m-{number}", "north", Resources(32.0, 4.0, 256.0), 1.0)
@@ -83,6 +83,7 @@
 def heartbeat_of(
     node: SteppedController, machine: int, sequence: int, *members: MemberReport
 ) -> AgentHeartbeat:
+    """Return a heartbeat that proves liveness now."""
     proof = LivenessProof("process", node.clock.now())
     offer = AgentOffer("g4", "north", False, 32.0, 4.0, 256.0, 1.0)
     token = node.token(SETTINGS.pool_shard)
--- a/tests/multihost_region.py
+++ b/tests/multihost_region.py
@@ -51,14 +51,15 @@
         self.checker: MultihostInvariantChecker = MultihostInvariantChecker(self)  # type: ignore[assignment]
         # pairs of machines: pings of the first do not reach the second
         self.cut_links: set[tuple[str, str]] = set()
-        self.delay_s: Callable[[Agent], float] = lambda agent: 0.0
-        self.answer_delay_s: Callable[[Agent], float] = lambda agent: 0.0
+        self.delay_s: Callable[[Agent], float] = lambda _: 0.0
+        self.answer_delay_s: Callable[[Agent], float] = lambda _: 0.0
         self.ping_answer_delay_s = 0.0
         # how late a check may see what happens
         self.tolerance_s = 2 * CHECK_INTERVAL_S
         self._processes = 0
 
     def more_parts(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
+        """Return the loops of a controller's multihost service."""
         self._processes += 1
         service = MultihostService(
             self.multihost,
@@ -76,6 +77,7 @@
         return [service.coordinator.run]
 
     async def kill(self, label: str) -> None:
+        """End a controller's process with its service."""
         await super().kill(label)
         self.services.pop(label)
 
@@ -87,6 +89,7 @@
         await self.until(lambda: self.pool_size() == machines)
 
     async def add_agent(self, machine: str, zone: str) -> Agent:
+        """Add a machine to the region and start its agent."""
         agent = self.agents[machine] = Agent(self, machine, len(self.agents), zone)
         await curio.spawn(agent.run, daemon=True)
         return agent
@@ -101,6 +104,7 @@
         return agent
 
     def pool_size(self) -> int:
+        """Return how many machines have joined the pool."""
         return sum(k.startswith(keys.MACHINE) for k in self.state.keys)
 
     # -- messages --------------------------------------------------------------------
@@ -108,6 +112,7 @@
     async def deliver_heartbeat(
         self, agent: Agent, label: str, body: bytes
     ) -> tuple[int, bytes] | None:
+        """Deliver a heartbeat to a controller; return the status and the answer, None if lost."""
         service = self.services.get(label)
         is_lost = agent.drops_heartbeats or agent.dead
         if service is None or is_lost or self.stands_still(label):
@@ -116,6 +121,7 @@
         return response.status, response.body
 
     async def deliver_ping(self, source: Agent, address: str, body: bytes) -> bool:
+        """Deliver a ping to another machine and return whether its answer confirms the member."""
         await curio.sleep(HOP_S + self.delay_s(source))
         target = next((a for a in self.agents.values() if a.address == address), None)
         if target is None or target.dead or target.hung or source.dead:
@@ -134,6 +140,7 @@
         return response.status, orjson.loads(response.body)
 
     async def declare(self, name: str, **changes: Any) -> Any:
+        """Declare a replica set of four members, with changes to the defaults."""
         data = {
             "members": 4,
             "replicas": 1,
@@ -151,14 +158,17 @@
     # -- observations ---------------------------------------------------------------
 
     def phase(self, name: str) -> str:
+        """Return the stored phase of a replica; empty without a record."""
         stored = self.state.keys.get(keys.REPLICA + name)
         return "" if stored is None else str(stored[0]["phase"])
 
     def generation(self, name: str) -> int:
+        """Return the stored generation of a replica; 0 without a record."""
         stored = self.state.keys.get(keys.REPLICA + name)
         return 0 if stored is None else int(stored[0]["generation"])
 
     def serving(self, name: str) -> list[Agent]:
+        """Return the agents whose front member of the replica would answer a request."""
         return [a for a in self.agents.values() if a.serves(name) is not None]
 
     def agents_of(self, name: str) -> list[Agent]:
@@ -172,19 +182,23 @@
         return [self.agents[m.machine] for m in sorted(members)]
 
     def owner(self) -> str:
+        """Return the label of the controller that owns the pool."""
         return self.owners()[self.multihost.pool_shard]
 
     async def until_serving(self, name: str, within_s: float = 60.0) -> float:
+        """Wait until exactly one front member serves; return how long it took, in seconds."""
         begun = self.clock.now()
         await self.until(lambda: len(self.serving(name)) == 1, within_s)
         return self.clock.now() - begun
 
     async def run_checks(self) -> None:
+        """Check the invariants again and again."""
         while True:
             self.checker.look()
             await curio.sleep(CHECK_INTERVAL_S)
 
     def set_record(self, name: str) -> Any:
+        """Return a stored replica set."""
         value, version, _ = self.state.keys[keys.replica_set(name)]
         return decode_set(value, version)
 
--- a/tests/multihost_scenarios.py
+++ b/tests/multihost_scenarios.py
@@ -1,5 +1,4 @@
-"""A scenario that tests of multi-machine replicas share: a replica serves, fails and is
-repaired."""
+"""A scenario that tests share: a replica serves, a fault is injected, and it is repaired."""
 
 from collections.abc import Awaitable, Callable
 
--- a/tests/report_multihost.py
+++ b/tests/report_multihost.py
@@ -1,4 +1,4 @@
-"""Plots and an HTML page from the figures of `tests/measure_multihost.py`."""
+"""Make plots and an HTML page from the figures of `tests/measure_multihost.py`."""
 
 from pathlib import Path
 from typing import Any
@@ -90,7 +90,7 @@
 
 
 def write_report(figures: dict[str, Any], out: Path) -> None:
-    """Writes plots and the page beside the figures."""
+    """Write plots and the page beside the figures."""
     _plot_recovery(figures, out / "recovery.svg")
     _plot_baseline(figures, out / "baseline.svg")
     tables = [
@@ -117,7 +117,7 @@
     write_page(
         out / "index.html",
         "Multi-machine replicas, measured",
-        f"Stand-in agents under virtual time, heartbeats each second, {figures['seeds']} drawn "
+        f"Simulated agents under virtual time, heartbeats each second, {figures['seeds']} drawn "
         "moments for each failure and size. Seconds from the failure (of two, from the first).",
         "tests.measure_multihost",
         tables,
--- a/tests/test_multihost_loopback.py
+++ b/tests/test_multihost_loopback.py
@@ -1,4 +1,4 @@
-"""The same agents over real sockets on loopback and in real time, beside three controllers."""
+"""Simulated agents over real sockets on loopback and in real time, with three controllers."""
 
 import time
 from collections.abc import Awaitable, Callable
@@ -25,12 +25,14 @@
 
 
 class RealTime(FakeClock):
-    """The clock of this machine, where stories otherwise have a held one."""
+    """The clock of this machine in place of virtual time."""
 
     def now(self) -> float:
+        """Return the steady time in seconds."""
         return time.monotonic()
 
     def wall(self) -> float:
+        """Return the wall time in seconds."""
         return time.time()
 
 
@@ -44,12 +46,14 @@
         self._clients: dict[Endpoint, Client] = {}
 
     def more_parts(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
+        """Return the loops of a controller's service, with its server."""
         listen = Endpoint("127.0.0.1", next(self._ports))
         self.multihost = replace(FAST, listen=listen)
         parts = super().more_parts(node)
         return [*parts, self.services[node.settings.label].server.run]
 
     async def add_agent(self, machine: str, zone: str) -> Agent:
+        """Add a machine whose agent answers pings on a socket."""
         agent = await super().add_agent(machine, zone)
         endpoint = Endpoint("127.0.0.1", next(self._ports))
         agent.address = f"{endpoint.host}:{endpoint.port}"
@@ -71,12 +75,14 @@
     async def deliver_heartbeat(
         self, agent: Agent, label: str, body: bytes
     ) -> tuple[int, bytes] | None:
+        """Send a heartbeat over HTTP."""
         service: MultihostService | None = self.services.get(label)
         if service is None or agent.drops_heartbeats or agent.dead:
             return None
         return await self._post(service.settings.listen, HEARTBEAT_PATH, body)
 
     async def deliver_ping(self, source: Agent, address: str, body: bytes) -> bool:
+        """Send a ping over HTTP and return whether the answer confirms the member."""
         host, _, port = address.rpartition(":")
         target = next(a for a in self.agents.values() if a.address == address)
         if source.dead or target.dead or target.hung:
@@ -85,7 +91,7 @@
         return reply is not None and reply[0] == 200
 
 
-def test_over_sockets_it_never_answers_incomplete_and_is_back_in_time() -> None:
+def test_a_replica_over_sockets_never_serves_incomplete_and_is_repaired() -> None:
     bound_s = FAST.repair_bound_s(LOAD_S, 0.5)
 
     async def scenario() -> None:
--- a/tests/test_multihost_member_failures.py
+++ b/tests/test_multihost_member_failures.py
@@ -25,14 +25,14 @@
 
 
 def test_a_replica_is_repaired_when_its_front_machine_dies() -> None:
-    async def fault(region: MultihostRegion, agents: list[Agent]) -> None:
+    async def fault(_region: MultihostRegion, agents: list[Agent]) -> None:
         agents[0].dead = True
 
     assert time_to_repair(fault) <= REPAIR_BOUND_S
 
 
 def test_a_replica_is_repaired_when_all_its_machines_die() -> None:
-    async def fault(region: MultihostRegion, agents: list[Agent]) -> None:
+    async def fault(_region: MultihostRegion, agents: list[Agent]) -> None:
         for agent in agents:
             agent.dead = True
 
@@ -40,7 +40,7 @@
 
 
 def test_a_replica_is_repaired_when_an_agent_restarts_and_loses_its_member() -> None:
-    async def fault(region: MultihostRegion, agents: list[Agent]) -> None:
+    async def fault(_region: MultihostRegion, agents: list[Agent]) -> None:
         agents[1].restart()
 
     assert time_to_repair(fault, machines=4) <= REPAIR_BOUND_S
--- a/tests/test_multihost_operator_api.py
+++ b/tests/test_multihost_operator_api.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 import curio
-import curio.socket as socket
 import orjson
 import pytest
+from curio import socket
 
 from crossmill.net.server import Server
 from crossmill.settings import Endpoint
--- a/tests/test_multihost_random_faults.py
+++ b/tests/test_multihost_random_faults.py
@@ -12,8 +12,6 @@
 from .multihost_region import SETTINGS, MultihostRegion, simulate_multihost
 
 SPAN_S = 120.0
-
-
 # longest back-off, then detection, fence, load and grant; another set may have to be placed first
 RECOVERY_S = SETTINGS.max_backoff_s + 2 * SETTINGS.repair_bound_s(24.0, 1.0)
 
@@ -35,8 +33,7 @@
 
 
 def all_serve(region: MultihostRegion) -> bool:
-    """Return whether every set has as many serving replicas as declared, or no zone could take
-    one."""
+    """Return whether all declared replicas serve, except those that no zone could take."""
     for key in region.state.keys:
         if key.startswith(keys.SET):
             spec = region.set_record(key[len(keys.SET) :]).spec
--- a/tests/test_multihost_serving_safety.py
+++ b/tests/test_multihost_serving_safety.py
@@ -54,7 +54,7 @@
         await region.begin_pool(8, ("north", "south"))
         await region.declare("chat", members=3, image_gb=0.0)
         await region.until_serving("chat/0")
-        region.delay_s = lambda agent: delay_s
+        region.delay_s = lambda _: delay_s
         await curio.sleep(15.0)
         zone = region.agents_of("chat/0")[0].zone
         for agent in region.agents.values():
