--- a/crossmill/app.py
+++ b/crossmill/app.py
@@ -218,18 +218,18 @@
         """
         await self.watcher.ready.wait()
         await curio.sleep(self.settings.controller_lease_ttl_s)
+        from .multihost.context import ControllerContext
         from .multihost.service import MultihostService
 
-        service = MultihostService(
+        controller = ControllerContext(
             self.settings,
-            multihost,
             self._clock,
             self.cluster,
             self.membership,
             self.watcher,
             self.writer,
-            _unique_name(),
         )
+        service = MultihostService(multihost, controller, _unique_name())
         for loop in service.loops:
             await curio.spawn(_restart_on_failure, loop, daemon=True)
         await curio.Event().wait()
--- a/crossmill/multihost/phases.py
+++ b/crossmill/multihost/phases.py
@@ -1,76 +1,110 @@
-"""The states of a replica and the transitions between them."""
+"""The phases of a replica's life cycle and the transitions between them.
+
+Pure tables and functions without state. The records of replicas store the phases' values, so these
+don't change. Used by `lifecycle`, which decides on transitions, and by `writes`, which stores them.
+"""
 
 from enum import StrEnum
 
+from .errors import MultihostError
+
 
-class Phase(StrEnum):
-    """Where a replica is in its life."""
+class ReplicaPhase(StrEnum):
+    """Where a replica is in its life cycle."""
 
-    # it has no machines and waits for room
+    # it has no machines and waits until enough of them are free
     PENDING = "pending"
     # its machines are being reserved in several transactions
     RESERVING = "reserving"
-    # all its machines are reserved, its members load and meet
+    # all its machines are reserved; its members load their weights and find one another
     STARTING = "starting"
     # every member has confirmed the generation: the front member may be granted a serving lease
     READY = "ready"
-    # a member was lost: the generation is over, machines for the next one are being reserved
+    # a member was lost: the generation has ended, machines for the next one are being reserved
     REPAIRING = "repairing"
     # its members are being stopped for good
     DRAINING = "draining"
     STOPPED = "stopped"
-    # it was restarted too often; an operator, or time, lets it try again
+    # it was restarted too often; it is retried by an operator or after the restart window
     FAILED = "failed"
 
 
-class IllegalTransition(ValueError):
+class IllegalPhaseTransitionError(MultihostError):
     """A replica can't go from the one phase to the other."""
 
-    def __init__(self, old: Phase, new: Phase) -> None:
+    def __init__(self, old: ReplicaPhase, new: ReplicaPhase) -> None:
         super().__init__(f"a replica that is {old} can't become {new}")
         self.old = old
         self.new = new
 
 
-TRANSITIONS: dict[Phase, frozenset[Phase]] = {
-    Phase.PENDING: frozenset({Phase.RESERVING, Phase.STARTING, Phase.STOPPED}),
-    Phase.RESERVING: frozenset({Phase.STARTING, Phase.PENDING, Phase.DRAINING}),
-    Phase.STARTING: frozenset({Phase.READY, Phase.REPAIRING, Phase.DRAINING, Phase.FAILED}),
-    Phase.READY: frozenset({Phase.REPAIRING, Phase.DRAINING, Phase.FAILED}),
-    Phase.REPAIRING: frozenset({Phase.STARTING, Phase.PENDING, Phase.DRAINING, Phase.FAILED}),
-    Phase.DRAINING: frozenset({Phase.STOPPED}),
-    Phase.STOPPED: frozenset(),
-    Phase.FAILED: frozenset({Phase.PENDING, Phase.DRAINING}),
+TRANSITIONS: dict[ReplicaPhase, frozenset[ReplicaPhase]] = {
+    ReplicaPhase.PENDING: frozenset(
+        {ReplicaPhase.RESERVING, ReplicaPhase.STARTING, ReplicaPhase.STOPPED}
+    ),
+    ReplicaPhase.RESERVING: frozenset(
+        {ReplicaPhase.STARTING, ReplicaPhase.PENDING, ReplicaPhase.DRAINING}
+    ),
+    ReplicaPhase.STARTING: frozenset(
+        {
+            ReplicaPhase.READY,
+            ReplicaPhase.REPAIRING,
+            ReplicaPhase.DRAINING,
+            ReplicaPhase.FAILED,
+        }
+    ),
+    ReplicaPhase.READY: frozenset(
+        {ReplicaPhase.REPAIRING, ReplicaPhase.DRAINING, ReplicaPhase.FAILED}
+    ),
+    ReplicaPhase.REPAIRING: frozenset(
+        {
+            ReplicaPhase.STARTING,
+            ReplicaPhase.PENDING,
+            ReplicaPhase.DRAINING,
+            ReplicaPhase.FAILED,
+        }
+    ),
+    ReplicaPhase.DRAINING: frozenset({ReplicaPhase.STOPPED}),
+    ReplicaPhase.STOPPED: frozenset(),
+    ReplicaPhase.FAILED: frozenset({ReplicaPhase.PENDING, ReplicaPhase.DRAINING}),
 }
 
-# a step into one of these begins a new generation: whatever belongs to an older one is fenced off
+# these transitions begin a new generation: whatever belongs to an older one is fenced off
 RAISES_GENERATION = frozenset(
     {
-        (Phase.PENDING, Phase.RESERVING),
-        (Phase.PENDING, Phase.STARTING),
-        (Phase.STARTING, Phase.REPAIRING),
-        (Phase.READY, Phase.REPAIRING),
-        (Phase.STARTING, Phase.FAILED),
-        (Phase.READY, Phase.FAILED),
-        (Phase.READY, Phase.DRAINING),
-        (Phase.STARTING, Phase.DRAINING),
+        (ReplicaPhase.PENDING, ReplicaPhase.RESERVING),
+        (ReplicaPhase.PENDING, ReplicaPhase.STARTING),
+        (ReplicaPhase.STARTING, ReplicaPhase.REPAIRING),
+        (ReplicaPhase.READY, ReplicaPhase.REPAIRING),
+        (ReplicaPhase.STARTING, ReplicaPhase.FAILED),
+        (ReplicaPhase.READY, ReplicaPhase.FAILED),
+        (ReplicaPhase.READY, ReplicaPhase.DRAINING),
+        (ReplicaPhase.STARTING, ReplicaPhase.DRAINING),
     }
 )
 
 # members of the current generation are to run
-RUNNING_PHASES = frozenset({Phase.STARTING, Phase.READY})
-# machines are being reserved, and what is reserved counts against the bound on holding it
-PLACING_PHASES = frozenset({Phase.RESERVING, Phase.REPAIRING})
-ENDED_PHASES = frozenset({Phase.DRAINING, Phase.STOPPED})
+RUNNING_PHASES = frozenset({ReplicaPhase.STARTING, ReplicaPhase.READY})
+# machines are being reserved, for at most the time that the set's declaration allows
+RESERVING_PHASES = frozenset({ReplicaPhase.RESERVING, ReplicaPhase.REPAIRING})
+ENDED_PHASES = frozenset({ReplicaPhase.DRAINING, ReplicaPhase.STOPPED})
 
 
-def check_transition(old: Phase, new: Phase) -> None:
-    """Raises IllegalTransition unless a replica may go from the one phase to the other."""
+def check_transition(old: ReplicaPhase, new: ReplicaPhase) -> None:
+    """Check that a replica may go from one phase to the other.
+
+    Raises:
+        IllegalPhaseTransitionError: the table of transitions doesn't have this one.
+    """
     if new not in TRANSITIONS[old]:
-        raise IllegalTransition(old, new)
+        raise IllegalPhaseTransitionError(old, new)
+
 
+def next_generation(generation: int, old: ReplicaPhase, new: ReplicaPhase) -> int:
+    """Return the replica's generation after a transition.
 
-def next_generation(generation: int, old: Phase, new: Phase) -> int:
-    """The generation after the transition."""
+    Raises:
+        IllegalPhaseTransitionError: the table of transitions doesn't have this one.
+    """
     check_transition(old, new)
     return generation + 1 if (old, new) in RAISES_GENERATION else generation
--- a/tests/multihost_pool.py
+++ b/tests/multihost_pool.py
@@ -1,7 +1,8 @@
-"""A pool at any size, stepped by hand: one controller that owns it, and heartbeats handed to it."""
+"""A pool of any size with one controller that owns it; tests step it and deliver heartbeats."""
 
 from crossmill.cluster import keys as cluster_keys
 from crossmill.multihost import keys
+from crossmill.multihost.context import ControllerContext
 from crossmill.multihost.model import (
     Member,
     PoolMachine,
@@ -11,7 +12,7 @@
     ReplicaSetSpec,
     Resources,
 )
-from crossmill.multihost.phases import Phase
+from crossmill.multihost.phases import ReplicaPhase
 from crossmill.multihost.records import (
     encode_chunk,
     encode_machine,
@@ -20,7 +21,13 @@
     reservation_record,
 )
 from crossmill.multihost.service import MultihostService
-from crossmill.wire.multihost import AgentHeartbeat, MemberReport, MemberState, Offer, Proof
+from crossmill.wire.multihost import (
+    AgentHeartbeat,
+    AgentOffer,
+    LivenessProof,
+    MemberReport,
+    MemberState,
+)
 
 from .fake_services import FakeClock, StateService
 from .multihost_region import SETTINGS
@@ -30,9 +37,9 @@
 
 
 def add_ready_pairs(state: StateService, clock: FakeClock, number: int) -> None:
-    """A set of ready replicas of two members, on the machines of a pool in order."""
+    """Store a set of ready replicas of two members, on the machines of a pool in order."""
     for index in range(number):
-        replica = Replica(ReplicaId("chat", index), Phase.READY, 1, 1, since=clock.wall())
+        replica = Replica(ReplicaId("chat", index), ReplicaPhase.READY, 1, 1, since=clock.wall())
         members = tuple(Member(r, f"m-{2 * index + r}", 1, 1) for r in range(2))
         state.put(keys.replica(replica.id), encode_replica(replica))
         state.put(keys.members(replica.id, 0), encode_chunk(1, members))
@@ -40,19 +47,27 @@
     state.put(keys.replica_set("chat"), encode_set(ReplicaSet(spec, False, number)))
 
 
-def all_beat(
+def send_all_heartbeats(
     node: SteppedController, service: MultihostService, machines: int, sequence: int
 ) -> None:
-    """Every machine reports that its member of a pair runs."""
+    """Deliver a heartbeat of every machine: its member of a pair runs."""
     for m in range(machines):
         report = MemberReport(f"chat/{m // 2}", m % 2, 1, MemberState.LOADED)
         service.heartbeats.handle(heartbeat_of(node, m, sequence, report))
 
 
+def pool_service(node: SteppedController, process: str) -> MultihostService:
+    """Return a service for multi-machine replicas on a controller."""
+    controller = ControllerContext(
+        node.settings, node.clock, node.cluster, node.membership, node.watcher, node.writer
+    )
+    return MultihostService(SETTINGS, controller, process)
+
+
 async def booted_pool(
     state: StateService, clock: FakeClock, nodes: dict[str, SteppedController], machines: int
 ) -> tuple[SteppedController, MultihostService]:
-    """An owner of a pool whose every two machines run a ready replica, all heard."""
+    """Return a controller that owns a pool of machines, and its service."""
     seed(state, clock, machines=0)
     for number in range(machines):
         machine = PoolMachine(f"m-{number}", "north", Resources(32.0, 4.0, 256.0), 1.0)
@@ -60,16 +75,7 @@
         state.put(keys.machine(machine.id), encode_machine(machine))
         state.put(cluster_keys.machine(machine.id), record)
     node = SteppedController(state, clock, nodes)
-    service = MultihostService(
-        node.settings,
-        SETTINGS,
-        clock,
-        node.cluster,
-        node.membership,
-        node.watcher,
-        node.writer,
-        "process",
-    )
+    service = pool_service(node, "process")
     await node.boot()
     return node, service
 
@@ -77,8 +83,9 @@
 def heartbeat_of(
     node: SteppedController, machine: int, sequence: int, *members: MemberReport
 ) -> AgentHeartbeat:
-    proof = Proof("process", node.clock.now())
-    offer = Offer("g4", "north", False, 32.0, 4.0, 256.0, 1.0)
+    """Return a heartbeat that proves liveness now."""
+    proof = LivenessProof("process", node.clock.now())
+    offer = AgentOffer("g4", "north", False, 32.0, 4.0, 256.0, 1.0)
     token = node.token(SETTINGS.pool_shard)
     name, address = f"m-{machine}", f"127.0.0.1:{30000 + machine}"
     return AgentHeartbeat(name, address, offer, 1, sequence, token, proof, None, (), members)
