--- a/crossmill/workers/heartbeat_handler.py
+++ b/crossmill/workers/heartbeat_handler.py
@@ -73,7 +73,7 @@
         cluster: ClusterState,
         membership: Membership,
         partition_protocol: PartitionProtocol,
-        gate: CommandGate | None = None,
+        gate: "CommandGate | None" = None,
     ) -> None:
         self._settings = settings
         self._clock = clock
