--- a/crossmill/fleet/forecast.py
+++ b/crossmill/fleet/forecast.py
@@ -6,7 +6,6 @@
 """
 
 from collections import Counter
-from dataclasses import replace
 from math import inf
 
 from ..cluster.cluster_state import ClusterState
@@ -15,7 +14,7 @@
 from ..planning.demand import CapacityPlan, TaskDemand, empty_capacity, plan_capacity
 from ..planning.estimates import Estimates
 from ..planning.free_capacity import FreeCapacity, ZoneAllowance, assign_tasks
-from ..planning.queue import PRIORITY
+from ..planning.pipelines import PRIORITY
 from ..settings import Settings
 from ..wire.users import JobSpec
 from .arrivals import Arrivals
@@ -190,7 +189,7 @@
         own = empty_capacity(machine.id, machine_type, machine.zone, machine.spot)
         own_price = own.price / own.size
         others = [
-            replace(capacity, images=dict(capacity.images))
+            capacity.copy()
             for capacity in capacities
             if capacity.machine != machine.id
             and (capacity.is_used or capacity.price / capacity.size < own_price)
--- a/crossmill/fleet/pipelines.py
+++ b/crossmill/fleet/pipelines.py
@@ -13,8 +13,15 @@
 from ..net.clock import Clock
 from ..planning.demand import slots_on
 from ..planning.estimates import Estimates
-from ..planning.pipelines import PipelineStage, StagePlan, plan_pipeline
-from ..planning.queue import PRIORITY, QueuePlace, budget_end, place_in_queue
+from ..planning.pipelines import (
+    PRIORITY,
+    PipelineStage,
+    QueuePlace,
+    StagePlan,
+    budget_end,
+    place_in_queue,
+    plan_pipeline,
+)
 from ..planning.split import MachineOption
 from ..settings import Settings
 from ..wire.users import JobSpec
--- a/crossmill/jobs/placement.py
+++ b/crossmill/jobs/placement.py
@@ -1,7 +1,6 @@
 """Placing waiting tasks: which machine takes which, in the queue's order."""
 
 import logging
-from dataclasses import replace
 
 from ..cluster.cluster_state import ClusterState
 from ..cluster.model import Job, Machine, PlannedAttempt
@@ -195,7 +194,7 @@
         """A gang's tasks wait for one another, so they are placed together or not at all."""
         if job.planned_task_count():
             return False
-        trial = [replace(capacity, images=dict(capacity.images)) for capacity in capacities]
+        trial = [capacity.copy() for capacity in capacities]
         zones = ZoneAllowance(spec, self._cluster.machines.task_counts_by_zone(job))
         found = sum(n for _, n in assign_tasks(spec, wanted, trial, zones))
         return found == job.waiting_task_count()
--- a/crossmill/jobs/plan_writer.py
+++ b/crossmill/jobs/plan_writer.py
@@ -11,7 +11,7 @@
 from ..cluster.ownership import ShardOwnership
 from ..cluster.records import encode_chunk, encode_end
 from ..net.clock import Clock
-from ..settings.limits import OTHER_CONDITIONS
+from ..settings.deployment import OTHER_CONDITIONS
 from ..state.writer import WriteIntent, WriteRank
 from ..wire.state import Put, Txn
 from ..wire.users import JobSpec
--- a/crossmill/planning/free_capacity.py
+++ b/crossmill/planning/free_capacity.py
@@ -6,7 +6,7 @@
 """
 
 from collections.abc import Callable, Sequence
-from dataclasses import dataclass, field
+from dataclasses import dataclass, field, replace
 from typing import NamedTuple
 
 from ..wire.users import MAX_TASKS, JobSpec
@@ -102,6 +102,10 @@
     exclusive_gpu_task: TaskFootprint | None = None
     has_new_tasks: bool = False
 
+    def copy(self) -> "FreeCapacity":
+        """Return a copy whose resources and images can be changed independently."""
+        return replace(self, images=dict(self.images))
+
     def fits_beside_gpu_tasks(self, spec: JobSpec) -> int:
         """Count how many tasks fit without taking the place of a GPU task.
 
--- a/crossmill/settings/__init__.py
+++ b/crossmill/settings/__init__.py
@@ -1,7 +1,6 @@
 """The settings file: reading and checking it, and the values derived from it."""
 
-from .deployment import Endpoint, Objective, Peer, Team
-from .limits import StateLimits
+from .deployment import Endpoint, Objective, Peer, StateLimits, Team
 from .loader import load, parse
 from .model import Settings
 from .table import SettingsError
--- a/crossmill/settings/loader.py
+++ b/crossmill/settings/loader.py
@@ -7,8 +7,7 @@
 import tomllib
 from typing import Any
 
-from .deployment import Objective, Peer, Team
-from .limits import StateLimits
+from .deployment import Objective, Peer, StateLimits, Team
 from .model import Settings
 from .table import SettingsError, Table
 
--- a/crossmill/settings/model.py
+++ b/crossmill/settings/model.py
@@ -4,7 +4,7 @@
 and file descriptors of a process among its parts. Each ratio is defined here only.
 """
 
-from .limits import StateLimits
+from .deployment import StateLimits
 from .timing import TimingSettings
 
 BYTES_PER_MB = 1e6
--- a/tests/test_capacity_cache.py
+++ b/tests/test_capacity_cache.py
@@ -9,7 +9,7 @@
 from crossmill.cluster import keys
 from crossmill.cluster.cluster_state import ClusterState
 from crossmill.cluster.records import encode_job
-from crossmill.fleet.capacity_cache import SPARE_ENTRIES
+from crossmill.fleet.capacity import SPARE_ENTRIES
 from crossmill.fleet.cloud import stored_catalog
 from crossmill.fleet.forecast import DemandForecast
 from crossmill.planning.free_capacity import FreeCapacity, ZoneAllowance, assign_tasks
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -21,7 +21,7 @@
     assign_tasks,
 )
 from crossmill.planning.gpu_footprints import gpu_footprints
-from crossmill.planning.queue import QueuePlace, budget_end, place_in_queue
+from crossmill.planning.pipelines import QueuePlace, budget_end, place_in_queue
 from crossmill.planning.split import MachineOption, Stage, split
 from crossmill.wire.cloud import parse_catalog
 from crossmill.wire.users import JobSpec
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -14,7 +14,7 @@
 from crossmill.cluster.machine_index import MachineIndex
 from crossmill.cluster.model import Job, PlanChunk, PlannedAttempt
 from crossmill.cluster.records import encode_chunk
-from crossmill.fleet.forecast import DemandForecast
+from crossmill.fleet.capacity import FleetCapacity
 from crossmill.jobs.outcome_batch import ChunkNews, select
 from crossmill.net.request_heads import RequestHeads
 from crossmill.planning.free_capacity import FreeCapacity
@@ -225,7 +225,7 @@
         full_fleet(state, clock, machines)
         add_job(state, clock, nameId="wk-900000", grist="batch")
         counts: Counter[str] = Counter()
-        _count(monkeypatch, counts, DemandForecast, "free_capacity")
+        _count(monkeypatch, counts, FleetCapacity, "free_capacity")
         node = SteppedController(state, clock, nodes)
         await node.boot()
         report_all(node, machines)
