--- a/crossmill/jobs/capacity_selection.py
+++ b/crossmill/jobs/capacity_selection.py
@@ -4,7 +4,6 @@
 stopped and the task shapes that fit nowhere.
 """
 
-from dataclasses import replace
 from typing import NamedTuple
 
 from ..cluster.model import Job, PlannedAttempt
@@ -128,7 +127,7 @@
         job, spec = request.job, request.spec
         if job.planned_task_count():
             return False
-        trial = [replace(capacity, images=dict(capacity.images)) for capacity in capacities]
+        trial = [capacity.copy() for capacity in capacities]
         zones = ZoneAllowance(spec, self._cluster.machines.task_counts_by_zone(job))
         taken = assign_tasks(spec, request.tasks, trial, zones)
         return sum(task_count for _, task_count in taken) == job.waiting_task_count()
