--- a/crossmill/recovery/circuit_breaker.py
+++ b/crossmill/recovery/circuit_breaker.py
@@ -3,8 +3,12 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
+from .classification import RecoveryAction
 from .differences import Difference
+from .release_tracker import ReleaseTracker
 from .settings import RecoverySettings
+from .statistics import RecoveryStatistics
+from .unresolved_differences import UnresolvedDifferences
 
 DIGEST_BYTES = 8
 
@@ -44,3 +48,42 @@
     lines = sorted(f"{d.machine} {d.job}/{d.index} {d.attempt} {d.task_class}" for d in differences)
     lines += sorted(machines)
     return blake2b("\n".join(lines).encode(), digest_size=DIGEST_BYTES).hexdigest()
+
+
+class CircuitBreaker:
+    """The circuit breaker of a shard's recovery; open while a mass action is held back."""
+
+    def __init__(
+        self,
+        settings: RecoverySettings,
+        differences: UnresolvedDifferences,
+        statistics: RecoveryStatistics,
+    ) -> None:
+        self.releases = ReleaseTracker()
+        self._settings = settings
+        self._differences = differences
+        self._statistics = statistics
+
+    def impact(self) -> Impact:
+        """Returns what recovery would do and has done without an approval."""
+        return Impact(
+            stops=self._differences.count_unapproved(RecoveryAction.STOP),
+            restarts=self._differences.count_unapproved(RecoveryAction.START),
+            releases=self.releases.unapproved_count,
+            tasks_known=self._statistics.tasks_known,
+            machines_known=self._statistics.machines_known,
+        )
+
+    @property
+    def is_open(self) -> bool:
+        """Whether a mass action is held back until heartbeats or an operator resolve it."""
+        return is_mass_action(self.impact(), self._settings)
+
+    def digest(self) -> str:
+        """Identifies what is held back while the breaker is open."""
+        return digest_of(self._differences.held_back(), self.releases.held_back())
+
+    def approve(self) -> None:
+        """Permits what the present digest identifies."""
+        self._differences.approve()
+        self.releases.approve()
--- /dev/null
+++ b/crossmill/recovery/order_admission.py
@@ -0,0 +1,104 @@
+"""Decides which orders of a recovery may be sent now.
+
+A difference may be resolved once phase, batch, evidence and circuit breaker permit it and the rate
+limits have a token. `ShardRecovery` asks for each command that resolves one of its differences.
+"""
+
+from collections.abc import Callable
+
+from .circuit_breaker import CircuitBreaker
+from .classification import ActionEvidence, TaskClass, Urgency
+from .context import RecoveryContext
+from .differences import Difference
+from .pacing import MachineBatches, OrderRateLimiter
+from .phases import RESOLVING_PHASES, PhaseTracker, RecoveryPhase
+from .statistics import RELEASE_ORDER, RecoveryStatistics
+from .unresolved_differences import UnresolvedDifferences
+
+
+class OrderAdmission:
+    """The limits on a shard's orders.
+
+    It owns the rate limits, the batches and the time of the last read, and counts what it admits.
+    """
+
+    def __init__(
+        self,
+        context: RecoveryContext,
+        phases: PhaseTracker,
+        differences: UnresolvedDifferences,
+        breaker: CircuitBreaker,
+        statistics: RecoveryStatistics,
+    ) -> None:
+        settings, clock = context.recovery, context.clock
+        self._phases = phases
+        self._differences = differences
+        self._breaker = breaker
+        self._statistics = statistics
+        self._rate_limiter = OrderRateLimiter(clock, settings)
+        self._batches = MachineBatches(clock, settings.first_batch, settings.batch_s)
+        # when the newest read that showed all durable writes was sent
+        self._last_read_sent_at: float | None = None
+
+    @property
+    def needs_read(self) -> bool:
+        """Whether an order needs a read that was sent after the heartbeat it follows from."""
+        return self._differences.needs_read(self._last_read_sent_at)
+
+    def note_read(self, sent_at: float) -> None:
+        """Notes a read, sent at this time, that showed all durable writes."""
+        self._last_read_sent_at = sent_at
+
+    def advance_batches(self, priority_of: Callable[[str], int]) -> None:
+        """Begins the next batch if it is due; `priority_of` gives the priority of a job."""
+        if self._batches.is_next_due(set(self._differences.machines())):
+            self._batches.begin_next(self._differences.machines_by_urgency(priority_of))
+
+    def admit(self, difference: Difference, kind: str) -> bool:
+        """Decides whether an order of this kind for the difference may be sent, and counts it."""
+        if difference.rule.urgency is not Urgency.FENCE and not self._take_turn(difference):
+            return False
+        self._statistics.orders[kind] += 1
+        self._differences.note_ordered(difference)
+        return True
+
+    def admit_release(self, machine_id: str) -> bool:
+        """Decides whether an unresponsive machine may be returned, and counts it."""
+        releases = self._breaker.releases
+        releases.request(machine_id)
+        if releases.is_permitted(machine_id):
+            return True
+        if self._breaker.is_open or not self._rate_limiter.take_for_shard():
+            return False
+        releases.permit(machine_id)
+        self._statistics.orders[RELEASE_ORDER] += 1
+        return True
+
+    def _take_turn(self, difference: Difference) -> bool:
+        """Takes tokens of the rate limits if the difference may be resolved now."""
+        return self._is_permitted(difference) and self._rate_limiter.take_for_worker(
+            difference.machine
+        )
+
+    def _is_permitted(self, difference: Difference) -> bool:
+        """Whether phase, batch, evidence and breaker permit an order for the difference."""
+        if self._phases.current not in RESOLVING_PHASES or self._waits_for_batch(difference):
+            return False
+        if self._lacks_fresh_read(difference):
+            return False
+        if difference.rule.needs_breaker and self._breaker.is_open:
+            return False
+        # The plan may be older than a move of the task: then it has to end where it runs first.
+        is_start = difference.task_class is TaskClass.ABSENT
+        return not (is_start and self._differences.is_running_unplanned(difference.key))
+
+    def _waits_for_batch(self, difference: Difference) -> bool:
+        is_batched = difference.rule.urgency is Urgency.CLEAN_UP
+        if not is_batched or self._phases.current is not RecoveryPhase.SETTLING:
+            return False
+        return difference.machine not in self._batches.admitted
+
+    def _lacks_fresh_read(self, difference: Difference) -> bool:
+        if difference.rule.evidence is not ActionEvidence.FRESH_READ:
+            return False
+        return not self._differences.has_fresh_read(difference, self._last_read_sent_at)
--- a/crossmill/recovery/records.py
+++ b/crossmill/recovery/records.py
@@ -32,8 +32,8 @@
 
 def encode_breaker(recovery: ShardRecovery) -> dict[str, Any]:
     """Returns what the shard's open circuit breaker holds back, as it is stored."""
-    impact = recovery.impact()
-    report = BreakerReport(recovery.shard, recovery.term, recovery.digest(), *impact)
+    breaker = recovery.breaker
+    report = BreakerReport(recovery.shard, recovery.term, breaker.digest(), *breaker.impact())
     return report._asdict()
 
 
--- a/crossmill/recovery/service.py
+++ b/crossmill/recovery/service.py
@@ -134,10 +134,10 @@
 
     async def _process(self, recovery: ShardRecovery, ownership: ShardOwnership) -> None:
         """Does the reads and writes that a recovery needs now."""
-        if recovery.needs_read:
+        if recovery.admission.needs_read:
             sent_at = self._clock.now()
             if await self._context.watcher.sync(self._settings.lease_renewal_interval_s):
-                recovery.note_read(sent_at)
+                recovery.admission.note_read(sent_at)
         self._apply_approval(recovery)
         await self._store_breaker(recovery, ownership)
         if recovery.is_settled and recovery.shard not in self._recorded:
@@ -145,7 +145,7 @@
             await self._write_record(recovery, ownership)
 
     def _apply_approval(self, recovery: ShardRecovery) -> None:
-        if not recovery.is_breaker_open or self._recovery.dry_run:
+        if not recovery.breaker.is_open or self._recovery.dry_run:
             return
         if self._is_approved(recovery):
             recovery.approve()
@@ -155,14 +155,14 @@
         approval = self.notes.approval(recovery.shard)
         if approval is None or approval.token != recovery.term:
             return False
-        return approval.digest == recovery.digest() and self._clock.wall() < approval.until
+        return approval.digest == recovery.breaker.digest() and self._clock.wall() < approval.until
 
     async def _store_breaker(self, recovery: ShardRecovery, ownership: ShardOwnership) -> None:
         """Stores what the breaker holds back, so that operators can ask any controller."""
         shard = recovery.shard
         key = keys.breaker(shard)
         stored = self._mirror.value(key)
-        is_open = recovery.is_breaker_open and not self._recovery.dry_run
+        is_open = recovery.breaker.is_open and not self._recovery.dry_run
         present = encode_breaker(recovery) if is_open else None
         # warns if another version wrote the stored value
         self.notes.breaker(shard)
@@ -186,7 +186,7 @@
             recovery.shard,
             ownership.term,
             stored["digest"],
-            *recovery.impact(),
+            *recovery.breaker.impact(),
         )
 
     def _stored_approval_keys(self, shard: int) -> list[str]:
@@ -239,6 +239,6 @@
         """Returns the phases of the recoveries in progress, by shard, for operators."""
         dry_run = self._recovery.dry_run
         return [
-            PhaseReport(r.shard, r.term, str(r.phase), r.waits_for(), r.is_breaker_open, dry_run)
+            PhaseReport(r.shard, r.term, str(r.phase), r.waits_for(), r.breaker.is_open, dry_run)
             for r in sorted(self.recoveries(), key=lambda recovery: recovery.shard)
         ]
--- a/crossmill/recovery/shard_recovery.py
+++ b/crossmill/recovery/shard_recovery.py
@@ -12,22 +12,20 @@
 from ..cluster.ownership import ShardOwnership
 from ..wire.workers import Command
 from ..workers.views import WorkerView
-from .circuit_breaker import Impact, digest_of, is_mass_action
+from .circuit_breaker import CircuitBreaker
 from .classification import (
     MACHINE_RULES,
-    ActionEvidence,
     MachineClass,
     TaskClass,
-    Urgency,
     WorkerContact,
     classify_machine,
 )
 from .context import RecoveryContext
-from .differences import Difference, TaskKey, classify_machine_tasks, find_differences
-from .pacing import MachineBatches, OrderRateLimiter, count_batches
+from .differences import TaskKey, classify_machine_tasks, find_differences
+from .order_admission import OrderAdmission
+from .pacing import count_batches
 from .phases import PHASES_BEFORE_PLACEMENT, RESOLVING_PHASES, PhaseTracker, RecoveryPhase
-from .release_tracker import ReleaseTracker
-from .statistics import RELEASE_ORDER, RecoveryStatistics
+from .statistics import RecoveryStatistics
 from .unresolved_differences import UnresolvedDifferences
 
 log = logging.getLogger(__name__)
@@ -52,20 +50,19 @@
         self.term = ownership.term
         self.begun_at = clock.now()
         self.statistics = RecoveryStatistics()
-        # when the newest read that showed all durable writes was sent
-        self._last_read_sent_at: float | None = None
         self._settings = settings
         self._clock = clock
         self._cluster = context.cluster
         self._priority_of = priority_of
         self._phases = PhaseTracker(clock)
         self._differences = UnresolvedDifferences()
-        self._releases = ReleaseTracker()
+        self.breaker = CircuitBreaker(settings, self._differences, self.statistics)
+        self.admission = OrderAdmission(
+            context, self._phases, self._differences, self.breaker, self.statistics
+        )
         self._reported: set[str] = set()
         # machines that may run tasks and have not reported under this token
         self._not_reported: set[str] = set()
-        self._rate_limiter = OrderRateLimiter(clock, settings)
-        self._batches = MachineBatches(clock, settings.first_batch, settings.batch_s)
         self._resolving_timeout_s = 0.0
 
     # -- state -----------------------------------------------------------------------
@@ -99,46 +96,21 @@
         """Whether a worker of the shard runs the task although no plan contains it."""
         return self._differences.is_running_unplanned(key)
 
-    @property
-    def needs_read(self) -> bool:
-        """Whether an order needs a read that was sent after the heartbeat it follows from."""
-        return self._differences.needs_read(self._last_read_sent_at)
-
     def waits_for(self) -> str:
         """Returns what the present phase waits for, as text for an operator."""
         if self.phase is RecoveryPhase.LOADING:
             return "a read of all that earlier owners wrote"
         if self.phase is RecoveryPhase.OBSERVING:
             return f"reports of {len(self._not_reported)} machines"
-        if self.is_breaker_open:
+        if self.breaker.is_open:
             return "reports that resolve it, or an approval"
         if self.phase is RecoveryPhase.SETTLING:
             return f"{self._differences.count} differences to be settled"
         return f"{len(self._not_reported)} silent machines" if self._not_reported else "nothing"
 
-    # -- the circuit breaker ---------------------------------------------------------
-
-    def impact(self) -> Impact:
-        """Returns what recovery would do and has done without an approval."""
-        return self._differences.impact(
-            self._releases.unapproved_count,
-            self.statistics.tasks_known,
-            self.statistics.machines_known,
-        )
-
-    @property
-    def is_breaker_open(self) -> bool:
-        """Whether a mass action is held back until heartbeats or an operator resolve it."""
-        return is_mass_action(self.impact(), self._settings)
-
-    def digest(self) -> str:
-        """Identifies what is held back while the breaker is open."""
-        return digest_of(self._differences.held_back(), self._releases.held_back())
-
     def approve(self) -> None:
-        """Permits what the present digest identifies."""
-        self._differences.approve()
-        self._releases.approve()
+        """Permits what the circuit breaker holds back now."""
+        self.breaker.approve()
         log.info("recovery approved shard=%d token=%d", self.shard, self.term)
 
     # -- phases ----------------------------------------------------------------------
@@ -151,7 +123,7 @@
         if self.phase is RecoveryPhase.OBSERVING and self._is_observing_finished():
             self._enter(RecoveryPhase.CLASSIFYING)
             self._count_machines()
-        if self.phase is RecoveryPhase.CLASSIFYING and not self.is_breaker_open:
+        if self.phase is RecoveryPhase.CLASSIFYING and not self.breaker.is_open:
             self._enter(RecoveryPhase.SETTLING)
             self._resolving_timeout_s = self._estimate_resolving_s()
         if self.phase is RecoveryPhase.SETTLING:
@@ -194,15 +166,15 @@
         return classify_machine(True, None, bool(machine.retiring), contact)
 
     def _advance_resolving(self) -> None:
-        if self.is_breaker_open:
+        if self.breaker.is_open:
             self._enter(RecoveryPhase.CLASSIFYING)
         elif not self._differences.count:
             self._enter(RecoveryPhase.STEADY)
         elif self._phases.elapsed_s() > self._resolving_timeout_s:
             # what remains stays rate limited, but no other machine waits for it any more
             self._enter(RecoveryPhase.STEADY)
-        elif self._batches.is_next_due(differing := set(self._differences.machines())):
-            self._batches.begin_next(self._sort_by_urgency(differing))
+        else:
+            self.admission.advance_batches(self._priority_of)
 
     def _estimate_resolving_s(self) -> float:
         """Seconds in which all differences can be resolved under the rate limits, in batches."""
@@ -213,17 +185,6 @@
         by_worker_rate_s = largest / self._settings.worker_orders_per_s
         return max(by_shard_rate_s, by_worker_rate_s) + (batches + 1) * self._settings.batch_s
 
-    def _sort_by_urgency(self, machines: set[str]) -> list[str]:
-        """Sorts machines by their most urgent difference and the priority of its job."""
-        ranks = {
-            machine_id: min(
-                (difference.rule.urgency, self._priority_of(difference.job))
-                for difference in self._differences.of_machine(machine_id).values()
-            )
-            for machine_id in machines
-        }
-        return sorted(ranks, key=lambda machine_id: (ranks[machine_id], machine_id))
-
     def _forget_departed_machines(self) -> None:
         self._reported &= self._cluster.machines.keys()
         watched = (*self._not_reported, *self._differences.machines())
@@ -237,10 +198,6 @@
 
     # -- heartbeats and orders -------------------------------------------------------
 
-    def note_read(self, sent_at: float) -> None:
-        """Notes a read, sent at this time, that showed all durable writes."""
-        self._last_read_sent_at = sent_at
-
     def note_heartbeat(self, machine: Machine, view: WorkerView) -> None:
         """Takes in a heartbeat with this owner's token.
 
@@ -270,42 +227,7 @@
         job, _, index = command.task.rpartition("/")
         attempt = AttemptId(job, int(index), command.attempt)
         difference = self._differences.of_machine(machine.id).get(attempt)
-        if difference is None:
-            return True
-        if difference.rule.urgency is not Urgency.FENCE and not self._take_turn(difference):
-            return False
-        self.statistics.orders[command.op] += 1
-        self._differences.note_ordered(difference)
-        return True
-
-    def _take_turn(self, difference: Difference) -> bool:
-        """Takes tokens of the rate limits if the difference may be resolved now."""
-        return self._is_permitted(difference) and self._rate_limiter.take_for_worker(
-            difference.machine
-        )
-
-    def _is_permitted(self, difference: Difference) -> bool:
-        """Whether phase, batch, evidence and breaker permit an order for the difference."""
-        if self.phase not in RESOLVING_PHASES or self._waits_for_batch(difference):
-            return False
-        if self._lacks_fresh_read(difference):
-            return False
-        if difference.rule.needs_breaker and self.is_breaker_open:
-            return False
-        # The plan may be older than a move of the task: then it has to end where it runs first.
-        is_start = difference.task_class is TaskClass.ABSENT
-        return not (is_start and self.is_running_unplanned(difference.key))
-
-    def _waits_for_batch(self, difference: Difference) -> bool:
-        is_batched = difference.rule.urgency is Urgency.CLEAN_UP
-        if not is_batched or self.phase is not RecoveryPhase.SETTLING:
-            return False
-        return difference.machine not in self._batches.admitted
-
-    def _lacks_fresh_read(self, difference: Difference) -> bool:
-        if difference.rule.evidence is not ActionEvidence.FRESH_READ:
-            return False
-        return not self._differences.has_fresh_read(difference, self._last_read_sent_at)
+        return difference is None or self.admission.admit(difference, command.op)
 
     def admit_release(self, machine: Machine) -> bool:
         """Decides whether the machine may be marked for return to the cloud, and counts it."""
@@ -315,11 +237,4 @@
             return False
         if not MACHINE_RULES[self._class_of(machine)].needs_breaker:
             return True
-        self._releases.request(machine.id)
-        if self._releases.is_permitted(machine.id):
-            return True
-        if self.is_breaker_open or not self._rate_limiter.take_for_shard():
-            return False
-        self._releases.permit(machine.id)
-        self.statistics.orders[RELEASE_ORDER] += 1
-        return True
+        return self.admission.admit_release(machine.id)
--- a/crossmill/recovery/unresolved_differences.py
+++ b/crossmill/recovery/unresolved_differences.py
@@ -5,9 +5,9 @@
 """
 
 from collections import Counter
+from collections.abc import Callable
 
 from ..cluster.model import AttemptId
-from .circuit_breaker import Impact
 from .classification import ActionEvidence, RecoveryAction, TaskClass
 from .differences import Difference, TaskKey
 
@@ -38,6 +38,17 @@
         """Returns the machines with differences."""
         return list(self._by_machine)
 
+    def machines_by_urgency(self, priority_of: Callable[[str], int]) -> list[str]:
+        """Returns the machines, sorted by their most urgent difference and its job's priority."""
+        ranks = {
+            machine_id: min(
+                (difference.rule.urgency, priority_of(difference.job))
+                for difference in differences.values()
+            )
+            for machine_id, differences in self._by_machine.items()
+        }
+        return sorted(ranks, key=lambda machine_id: (ranks[machine_id], machine_id))
+
     def of_machine(self, machine_id: str) -> AttemptDifferences:
         """Returns the differences of a machine."""
         return self._by_machine.get(machine_id, {})
@@ -138,15 +149,9 @@
             if difference in self._counted
         ]
 
-    def impact(self, releases: int, tasks_known: int, machines_known: int) -> Impact:
-        """Returns what recovery would do and has done without an approval."""
-        return Impact(
-            stops=self._actions[RecoveryAction.STOP],
-            restarts=self._actions[RecoveryAction.START],
-            releases=releases,
-            tasks_known=tasks_known,
-            machines_known=machines_known,
-        )
+    def count_unapproved(self, action: RecoveryAction) -> int:
+        """Returns how many differences with this action the breaker counts."""
+        return self._actions[action]
 
 
 def _attempt_id(difference: Difference) -> AttemptId:
--- a/tests/test_recovery_restored_state.py
+++ b/tests/test_recovery_restored_state.py
@@ -7,9 +7,9 @@
 
 from crossmill.cluster import keys
 from crossmill.recovery import keys as recovery_keys
+from crossmill.recovery.circuit_breaker import CircuitBreaker
 from crossmill.recovery.records import StoredApproval, encode_approval
 from crossmill.recovery.settings import RecoverySettings
-from crossmill.recovery.shard_recovery import ShardRecovery
 
 from .recovery_region import (
     FEW_SERVICES,
@@ -87,7 +87,7 @@
 
 
 def test_a_missing_circuit_breaker_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ShardRecovery, "is_breaker_open", property(lambda self: False))
+    monkeypatch.setattr(CircuitBreaker, "is_open", property(lambda self: False))
     with pytest.raises(AssertionError):
         test_nothing_is_stopped_after_a_state_restore_until_it_is_approved()
 
--- a/tests/test_recovery_unplanned_tasks.py
+++ b/tests/test_recovery_unplanned_tasks.py
@@ -7,7 +7,6 @@
 import pytest
 
 from crossmill.cluster import keys
-from crossmill.recovery.shard_recovery import ShardRecovery
 from crossmill.recovery.unresolved_differences import UnresolvedDifferences
 from crossmill.wire.workers import MAX_ORDERS
 
@@ -129,7 +128,7 @@
 def test_a_second_start_of_an_unplanned_task_is_detected(
     scenario: Callable[[], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(ShardRecovery, "is_running_unplanned", lambda self, key: False)
+    monkeypatch.setattr(UnresolvedDifferences, "is_running_unplanned", lambda self, key: False)
     with pytest.raises(AssertionError):
         scenario()
 
