--- a/crossmill/planning/pipelines.py
+++ b/crossmill/planning/pipelines.py
@@ -1,9 +1,9 @@
 """The queue's order: priorities and budgets of single jobs and of the stages of pipelines.
 
-Jobs that are joined by dependencies are the stages of a pipeline.
-The paper's latency split (section III-C) is made over the unfinished part of the pipeline, with the
-time left to its deadline. The functions are pure: the same records give the same budgets on every
-controller. `fleet.pipelines` calls them when a pipeline changes.
+Jobs that are joined by dependencies are the stages of a pipeline. The paper's latency split
+(section III-C) is made over its unfinished part, with the time left to its deadline. The functions
+are pure: the same records give the same budgets on every controller. `fleet.pipelines` calls them
+when a pipeline changes.
 """
 
 from collections.abc import Mapping, Sequence
