--- /dev/null
+++ b/crossmill/arguments.py
@@ -0,0 +1,79 @@
+"""The parser of the command line's arguments.
+
+A controller that is started as the deploy file says does not load this module: `cli` reads the
+arguments of that one form itself.
+"""
+
+import argparse
+import os
+
+from . import __version__
+
+
+def parse(argv: list[str]) -> argparse.Namespace:
+    """Parses the arguments of any verb; prints the usage and exits with 2 if they are wrong."""
+    return _parser(argv).parse_args(argv)
+
+
+def _parser(argv: list[str]) -> argparse.ArgumentParser:
+    parser = argparse.ArgumentParser(
+        prog="crossmill",
+        description="A scheduler for fleets that serve language models.",
+        epilog="LOG_LEVEL (error, info, debug) sets how much is logged to standard error.",
+    )
+    parser.add_argument("--version", action="version", version=f"crossmill {__version__}")
+    verbs = parser.add_subparsers(dest="verb", required=True, metavar="VERB")
+    for name, text in (
+        ("serve", "run a controller until it is killed"),
+        ("check", "check a settings file and say what follows from it"),
+    ):
+        verb = verbs.add_parser(name, help=text, description=text)
+        verb.add_argument("--config", required=True, metavar="FILE", help="settings (TOML)")
+        verb.add_argument(
+            "--multihost", metavar="FILE", help="also schedule multi-machine replicas (TOML)"
+        )
+        verb.add_argument(
+            "--recovery", metavar="FILE", help="settle calmly what differs after a takeover (TOML)"
+        )
+    submit = verbs.add_parser("submit", help="submit a job read as JSON")
+    submit.add_argument("file", help="the job's JSON, or - for standard input")
+    submit.add_argument(
+        "--after",
+        action="append",
+        default=[],
+        metavar="JOB",
+        help="a job that has to be done before this one starts; may be given more than once",
+    )
+    show = verbs.add_parser("show", help="show a job's state")
+    cancel = verbs.add_parser("cancel", aliases=["withdraw"], help="cancel a job")
+    for verb in (show, cancel):
+        verb.add_argument("job", help="the job's id")
+    for verb in (submit, show, cancel):
+        _add_client_options(
+            verb, "CROSSMILL_SERVER", "127.0.0.1:8080", "a controller or the load balancer"
+        )
+    verbs.add_parser("compile", help="write the bytecode that a start loads (a step of the build)")
+    replicas = verbs.add_parser("replicas", help="multi-machine replicas: list, declare, drain")
+    if argv[:1] == ["replicas"]:
+        # a start of a controller does not pay for verbs that it has no use for
+        from .multihost.verbs import add_replica_verbs
+
+        add_replica_verbs(replicas, _add_client_options)
+    recovery = verbs.add_parser("recovery", help="recoveries after takeovers: show, approve")
+    if argv[:1] == ["recovery"]:
+        from .recovery.verbs import add_recovery_verbs
+
+        add_recovery_verbs(recovery, _add_client_options)
+    return parser
+
+
+def _add_client_options(
+    verb: argparse.ArgumentParser, variable: str, default: str, what: str
+) -> None:
+    verb.add_argument(
+        "--server",
+        metavar="HOST:PORT",
+        default=os.environ.get(variable, default),
+        help=f"{what} ({variable}; default %(default)s)",
+    )
+    verb.add_argument("--timeout", type=float, default=5.0, metavar="S", help="default %(default)s")
--- a/crossmill/cli.py
+++ b/crossmill/cli.py
@@ -1,12 +1,10 @@
 """The command line: parses the arguments and runs the verb that they name."""
 
-import argparse
 import logging
 import os
 import sys
 from typing import TYPE_CHECKING, NamedTuple
 
-from . import __version__
 from .lazy_imports import defer_unused
 from .settings import Settings, SettingsError, load
 
@@ -16,6 +14,7 @@
 
 FAILED = 1
 BAD_USAGE = 2
+SERVE_OPTIONS = frozenset({"--config", "--multihost", "--recovery"})
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
@@ -38,68 +37,36 @@
         handler.setFormatter(logging.Formatter(line))
 
 
-def _parser(argv: list[str]) -> argparse.ArgumentParser:
-    parser = argparse.ArgumentParser(
-        prog="crossmill",
-        description="A scheduler for fleets that serve language models.",
-        epilog="LOG_LEVEL (error, info, debug) sets how much is logged to standard error.",
-    )
-    parser.add_argument("--version", action="version", version=f"crossmill {__version__}")
-    verbs = parser.add_subparsers(dest="verb", required=True, metavar="VERB")
-    for name, text in (
-        ("serve", "run a controller until it is killed"),
-        ("check", "check a settings file and say what follows from it"),
-    ):
-        verb = verbs.add_parser(name, help=text, description=text)
-        verb.add_argument("--config", required=True, metavar="FILE", help="settings (TOML)")
-        verb.add_argument(
-            "--multihost", metavar="FILE", help="also schedule multi-machine replicas (TOML)"
-        )
-        verb.add_argument(
-            "--recovery", metavar="FILE", help="settle calmly what differs after a takeover (TOML)"
-        )
-    submit = verbs.add_parser("submit", help="submit a job read as JSON")
-    submit.add_argument("file", help="the job's JSON, or - for standard input")
-    submit.add_argument(
-        "--after",
-        action="append",
-        default=[],
-        metavar="JOB",
-        help="a job that has to be done before this one starts; may be given more than once",
+class ServiceArguments(NamedTuple):
+    """The arguments of `serve` and `check`: the verb, and paths of settings files."""
+
+    verb: str
+    config: str
+    multihost: str | None = None
+    recovery: str | None = None
+
+
+def _plain_serve_arguments(argv: list[str]) -> ServiceArguments | None:
+    """The arguments of `serve` as options with a value each; None for any other form.
+
+    The parser of the standard library takes longer to load and to build than all settings take
+    to be read, and on a small share of a processor that delays every restart.
+    """
+    if argv[:1] != ["serve"]:
+        return None
+    names, values = argv[1::2], argv[2::2]
+    options = dict(zip(names, values, strict=False))
+    is_plain = (
+        len(options) == len(names) == len(values)
+        and "--config" in options
+        and options.keys() <= SERVE_OPTIONS
+        and not any(value.startswith("-") for value in values)
     )
-    show = verbs.add_parser("show", help="show a job's state")
-    cancel = verbs.add_parser("cancel", aliases=["withdraw"], help="cancel a job")
-    for verb in (show, cancel):
-        verb.add_argument("job", help="the job's id")
-    for verb in (submit, show, cancel):
-        _add_client_options(
-            verb, "CROSSMILL_SERVER", "127.0.0.1:8080", "a controller or the load balancer"
-        )
-    verbs.add_parser("compile", help="write the bytecode that a start loads (a step of the build)")
-    replicas = verbs.add_parser("replicas", help="multi-machine replicas: list, declare, drain")
-    if argv[:1] == ["replicas"]:
-        # a start of a controller does not pay for verbs that it has no use for
-        from .multihost.verbs import add_replica_verbs
-
-        add_replica_verbs(replicas, _add_client_options)
-    recovery = verbs.add_parser("recovery", help="recoveries after takeovers: show, approve")
-    if argv[:1] == ["recovery"]:
-        from .recovery.verbs import add_recovery_verbs
-
-        add_recovery_verbs(recovery, _add_client_options)
-    return parser
-
-
-def _add_client_options(
-    verb: argparse.ArgumentParser, variable: str, default: str, what: str
-) -> None:
-    verb.add_argument(
-        "--server",
-        metavar="HOST:PORT",
-        default=os.environ.get(variable, default),
-        help=f"{what} ({variable}; default %(default)s)",
+    if not is_plain:
+        return None
+    return ServiceArguments(
+        "serve", options["--config"], options.get("--multihost"), options.get("--recovery")
     )
-    verb.add_argument("--timeout", type=float, default=5.0, metavar="S", help="default %(default)s")
 
 
 class _LoadedSettings(NamedTuple):
@@ -110,7 +77,7 @@
     recovery: "RecoverySettings | None"
 
 
-def _load(args: argparse.Namespace) -> _LoadedSettings:
+def _load(args: ServiceArguments) -> _LoadedSettings:
     """Reads all settings files that the arguments name; raises SettingsError.
 
     A subsystem's modules are loaded only if its file is named.
@@ -162,7 +129,7 @@
     serve(*loaded)
 
 
-def _run_with_settings(args: argparse.Namespace) -> int:
+def _run_with_settings(args: ServiceArguments) -> int:
     """Runs `serve` or `check`; with bad settings one line says why."""
     try:
         loaded = _load(args)
@@ -191,13 +158,18 @@
 def main(argv: list[str] | None = None) -> int:
     """Runs the command that the arguments name; returns its exit code."""
     argv = sys.argv[1:] if argv is None else argv
-    args = _parser(argv).parse_args(argv)
-    bad_level = _configure_logging()
-    if bad_level is not None:
-        print(f"LOG_LEVEL: {bad_level!r} is none of {', '.join(LEVELS)}", file=sys.stderr)
-        return BAD_USAGE
+    serve_arguments = _plain_serve_arguments(argv)
+    if serve_arguments is not None:
+        return _report_bad_level() or _run_with_settings(serve_arguments)
+    from .arguments import parse
+
+    args = parse(argv)
+    bad_level = _report_bad_level()
+    if bad_level:
+        return bad_level
     if args.verb in ("serve", "check"):
-        return _run_with_settings(args)
+        paths = ServiceArguments(args.verb, args.config, args.multihost, args.recovery)
+        return _run_with_settings(paths)
     if args.verb == "compile":
         return _compile()
     if args.verb == "replicas":
@@ -211,3 +183,12 @@
     from .verbs import run
 
     return run(args)
+
+
+def _report_bad_level() -> int:
+    """Sets logging up; prints a line and returns `BAD_USAGE` if LOG_LEVEL names no level."""
+    bad_level = _configure_logging()
+    if bad_level is None:
+        return 0
+    print(f"LOG_LEVEL: {bad_level!r} is none of {', '.join(LEVELS)}", file=sys.stderr)
+    return BAD_USAGE
--- a/crossmill/lazy_imports.py
+++ b/crossmill/lazy_imports.py
@@ -6,13 +6,17 @@
 processor each of them delays that by a multiple of its own time.
 """
 
+import os
 import sys
 from importlib import import_module
 from types import ModuleType
 from typing import Any
 
-# what curio needs for other event loops, worker processes and their authentication
-UNUSED = ("asyncio", "hmac", "tempfile")
+# what curio needs for other event loops, worker processes and their authentication, and what
+# `zoneinfo`, which orjson loads, needs to find its time zones
+UNUSED = ("asyncio", "hmac", "sysconfig", "tempfile")
+# where `zoneinfo` looks for time zones: nowhere, so that it does not ask `sysconfig`
+TIME_ZONE_PATHS = ("PYTHONTZPATH", "")
 # controllers speak plain TCP; curio does without ssl where Python has none
 ABSENT = ("ssl",)
 
@@ -37,3 +41,4 @@
         sys.modules.setdefault(name, None)  # type: ignore[arg-type]
     for name in UNUSED:
         sys.modules.setdefault(name, LazyModule(name))
+    os.environ.setdefault(*TIME_ZONE_PATHS)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -5,7 +5,8 @@
 
 import pytest
 
-from crossmill.cli import main
+from crossmill.arguments import parse as parse_arguments
+from crossmill.cli import ServiceArguments, _plain_serve_arguments, main
 from crossmill.settings import SettingsError, parse
 
 from .fake_services import make_settings, settings_table
@@ -80,3 +81,35 @@
         + settings.heartbeat_interval_s
         <= settings.cancellation_deadline_s
     )
+
+
+@pytest.mark.parametrize(
+    "argv",
+    [
+        ["serve", "--config", "a.toml"],
+        ["serve", "--recovery", "r.toml", "--config", "a.toml", "--multihost", "m.toml"],
+    ],
+)
+def test_the_plain_form_of_serve_is_read_as_the_parser_reads_it(argv: list[str]) -> None:
+    parsed = parse_arguments(argv)
+    expected = ServiceArguments(parsed.verb, parsed.config, parsed.multihost, parsed.recovery)
+    assert _plain_serve_arguments(argv) == expected
+
+
+@pytest.mark.parametrize(
+    "argv",
+    [
+        [],
+        ["serve"],
+        ["serve", "--config"],
+        ["serve", "--config=a.toml"],
+        ["serve", "--config", "--recovery"],
+        ["serve", "--recovery", "r.toml"],
+        ["serve", "--config", "a.toml", "--config", "b.toml"],
+        ["serve", "--config", "a.toml", "--unknown", "b"],
+        ["serve", "--config", "a.toml", "rest"],
+        ["check", "--config", "a.toml"],
+    ],
+)
+def test_any_other_form_is_left_to_the_parser(argv: list[str]) -> None:
+    assert _plain_serve_arguments(argv) is None
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -7,7 +7,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 # parts of curio's, and of the standard library, that no controller uses; and client verbs
 UNWANTED = {"asyncio.base_events", "crossmill.verbs", "hashlib", "multiprocessing.pool", "ssl"}
-UNWANTED |= {"random", "secrets", "_ssl"}
+UNWANTED |= {"argparse", "random", "secrets", "_ssl"}
 # what is loaded in all: a new dependency shows here
 MOST_MODULES = 270
 
