--- a/crossmill/wire/workers.py
+++ b/crossmill/wire/workers.py
@@ -87,8 +87,7 @@
     saved: bool
 
 
-@dataclass(slots=True, eq=False)
-class WorkerHeartbeat:
+class WorkerHeartbeat(NamedTuple):
     """A worker's heartbeat: its machine, its session and all its tasks.
 
     Attributes:
--- a/crossmill/workers/attempt_outcomes.py
+++ b/crossmill/workers/attempt_outcomes.py
@@ -12,9 +12,10 @@
 starts.
 """
 
-from collections.abc import Iterable
-from dataclasses import dataclass, field
+from collections.abc import Iterable, Mapping
 from enum import StrEnum
+from types import MappingProxyType
+from typing import NamedTuple
 
 from ..cluster.cluster_state import ClusterState
 from ..cluster.model import AttemptId, PlannedAttempt
@@ -23,6 +24,8 @@
 # the starts sent to one machine and not acknowledged, with the token that each one carried
 MachineStarts = dict[AttemptId, int]
 
+NO_PRECONDITIONS: Mapping[str, int] = MappingProxyType({})
+
 # the fewest concluded attempts at which those that left the plan are dropped
 MIN_CONCLUDED_BEFORE_TRIM = 1000
 
@@ -58,8 +61,7 @@
     TRANSFERRED = "given"
 
 
-@dataclass(frozen=True, slots=True)
-class AttemptOutcome:
+class AttemptOutcome(NamedTuple):
     """An attempt that has ended, with what is needed to write its end into the plan.
 
     Attributes:
@@ -74,7 +76,7 @@
     reason: EndReason
     term: int
     run_s: float | None = None
-    preconditions: dict[str, int] = field(default_factory=dict)
+    preconditions: Mapping[str, int] = NO_PRECONDITIONS
 
 
 class AttemptOutcomes(dict[TaskKey, AttemptOutcome]):
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -3,7 +3,6 @@
 from collections import Counter
 from collections.abc import Callable
 from copy import deepcopy
-from dataclasses import replace
 from typing import Any
 
 import curio
@@ -773,7 +772,7 @@
         view: WorkerView, report: WorkerHeartbeat, token: int, now: float
     ) -> HeartbeatVerdict:
         view.last_heartbeat_number, view.last_heartbeat_at = (report.session, report.seq), now
-        view.apply_status(replace(report, token=token), token, now)
+        view.apply_status(report._replace(token=token), token, now)
         return HeartbeatVerdict.ACCEPTED
 
     monkeypatch.setattr(WorkerView, "apply_heartbeat", believe)
