--- a/crossmill/multihost/api.py
+++ b/crossmill/multihost/api.py
@@ -178,7 +178,7 @@
     def _declared(spec: ReplicaSetSpec, stored: ReplicaSet | None) -> ReplicaSet | Response:
         if stored is None:
             return ReplicaSet(spec)
-        if stored.removed:
+        if stored.is_removed:
             return Response(409, error_body("a set of this name is being removed"), RETRY_AFTER_S)
         changes = {field: getattr(spec, field) for field in CHANGEABLE}
         if stored.spec._replace(**changes) != spec:
--- a/crossmill/multihost/model.py
+++ b/crossmill/multihost/model.py
@@ -92,10 +92,10 @@
 
 @dataclass(slots=True, eq=False)
 class ReplicaSet:
-    """A stored declaration; `removed` once all its replicas are to be stopped."""
+    """A stored declaration; `is_removed` once all its replicas are to be stopped."""
 
     spec: ReplicaSetSpec
-    removed: bool = False
+    is_removed: bool = False
     # the number of the next replica that is created
     next_index: int = 0
     version: int = 0
--- a/crossmill/multihost/placement.py
+++ b/crossmill/multihost/placement.py
@@ -28,7 +28,7 @@
     fetch_gb_per_s: float
     images: frozenset[str] = frozenset()
     # it has failed often of late, and is used only where no other is left
-    avoided: bool = False
+    is_avoided: bool = False
 
     def load_s(self, spec: ReplicaSetSpec) -> float:
         """Return how long a member waits here for its weights."""
@@ -71,7 +71,7 @@
     capacities stay for large members.
     """
 
-    avoided: bool
+    is_avoided: bool
     load_s: float
     free: Resources
     machine: str
@@ -97,7 +97,7 @@
 
 def _candidate_rank(candidate: Candidate, spec: ReplicaSetSpec) -> _CandidateRank:
     return _CandidateRank(
-        candidate.avoided, candidate.load_s(spec), candidate.free, candidate.machine
+        candidate.is_avoided, candidate.load_s(spec), candidate.free, candidate.machine
     )
 
 
--- a/crossmill/multihost/placement_queue.py
+++ b/crossmill/multihost/placement_queue.py
@@ -4,7 +4,6 @@
 reconciler adds and removes replicas, the scheduler serves them.
 """
 
-from dataclasses import dataclass
 from typing import NamedTuple
 
 from .model import ReplicaId
@@ -18,13 +17,15 @@
 LAST_STAGE = 2
 
 
-@dataclass(slots=True, eq=False)
 class _QueueEntry:
     """A replica in the queue; times are of the controller's steady clock."""
 
-    waiting_since: float
-    # since when the scheduler has found too few machines for it
-    unplaced_since: float | None = None
+    __slots__ = ("unplaced_since", "waiting_since")
+
+    def __init__(self, waiting_since: float) -> None:
+        self.waiting_since = waiting_since
+        # since when the scheduler has found too few machines for it
+        self.unplaced_since: float | None = None
 
 
 class QueuePosition(NamedTuple):
--- a/crossmill/multihost/pool.py
+++ b/crossmill/multihost/pool.py
@@ -6,7 +6,6 @@
 """
 
 from collections.abc import Iterable
-from dataclasses import dataclass, field
 from typing import Any
 
 from ..cluster import keys as cluster_keys
@@ -30,13 +29,15 @@
 )
 
 
-@dataclass(slots=True, eq=False)
 class PoolChanges:
     """What has changed in the records, or by heartbeats, since the last pass."""
 
-    sets: set[str] = field(default_factory=set)
-    replicas: set[ReplicaId] = field(default_factory=set)
-    machines: set[str] = field(default_factory=set)
+    __slots__ = ("machines", "replicas", "sets")
+
+    def __init__(self) -> None:
+        self.sets: set[str] = set()
+        self.replicas: set[ReplicaId] = set()
+        self.machines: set[str] = set()
 
     def __bool__(self) -> bool:
         return bool(self.sets or self.replicas or self.machines)
--- a/crossmill/multihost/records.py
+++ b/crossmill/multihost/records.py
@@ -44,7 +44,7 @@
         "restart_budget": spec.restart_budget,
         "restart_window_s": spec.restart_window_s,
         "hold_s": spec.hold_s,
-        "removed": stored.removed,
+        "removed": stored.is_removed,
         "next": stored.next_index,
     }
 
--- a/crossmill/multihost/reservations.py
+++ b/crossmill/multihost/reservations.py
@@ -6,7 +6,7 @@
 """
 
 from collections.abc import Sequence
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from ..cluster import keys as cluster_keys
 from ..cluster.ownership import ShardOwnership
@@ -24,8 +24,7 @@
 MAX_MEMBER_RECORD_BYTES = 96
 
 
-@dataclass(slots=True, eq=False)
-class Reservation:
+class Reservation(NamedTuple):
     """Machines that are to be reserved for a replica, decided under an ownership of the pool."""
 
     ownership: ShardOwnership
--- a/crossmill/multihost/scheduling.py
+++ b/crossmill/multihost/scheduling.py
@@ -6,7 +6,6 @@
 """
 
 from collections.abc import Callable, Iterator
-from dataclasses import dataclass, field
 from typing import NamedTuple
 
 from .candidates import CandidateFinder
@@ -24,8 +23,7 @@
 PLACED = "placed"
 
 
-@dataclass(slots=True, eq=False)
-class PlacementChoice:
+class PlacementChoice(NamedTuple):
     """What a waiting replica gets: machines, or other replicas that are to be stopped for it."""
 
     replica_id: ReplicaId
@@ -34,14 +32,13 @@
     victims: tuple[ReplicaId, ...] = ()
 
 
-@dataclass(slots=True, eq=False)
-class _SchedulingPass:
+class _SchedulingPass(NamedTuple):
     """One pass over the queue: the candidates as earlier choices leave them."""
 
     time: DecisionTime
     candidates: dict[str, Candidate]
     # machines kept for the first replica that found too few
-    earmarked: set[str] = field(default_factory=set)
+    earmarked: set[str]
 
 
 class _PlacementRequest(NamedTuple):
@@ -97,7 +94,7 @@
         if self._queue.is_empty:
             return
         candidates = {c.machine: c for c in self._finder.candidates(time)}
-        current = _SchedulingPass(time, candidates)
+        current = _SchedulingPass(time, candidates, set())
         for replica_id in self._queue.in_order():
             if not self._queue.is_waiting(replica_id):
                 continue
@@ -168,9 +165,10 @@
         except UnplaceableError:
             return
         most = int(self._settings.idle_ratio * len(current.candidates))
-        current.earmarked |= earmark(
+        earmarked = earmark(
             request.spec, current.candidates.values(), request.replicas_by_zone, most
         )
+        current.earmarked.update(earmarked)
 
 
 def _choose_machines(
--- a/crossmill/multihost/serving.py
+++ b/crossmill/multihost/serving.py
@@ -9,15 +9,14 @@
 """
 
 from collections.abc import Iterable
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from .agents import AgentView
 from .model import Member, Replica, ReplicaId
 from .settings import CLOCK_DRIFT, MultihostSettings
 
 
-@dataclass(slots=True, eq=False)
-class ServingGrant:
+class ServingGrant(NamedTuple):
     """The last grant of a replica's serving lease; `until` is in the controller's steady time."""
 
     machine: str
--- a/crossmill/multihost/sets.py
+++ b/crossmill/multihost/sets.py
@@ -55,10 +55,10 @@
     """
     alive = [r for r in replicas.values() if r.version and r.phase not in ENDED_PHASES]
     stop_reasons = {r.id: evacuated[r.id] for r in alive if not r.stop_reason and r.id in evacuated}
-    if stored.removed:
+    if stored.is_removed:
         stop_reasons = {r.id: REMOVED for r in alive if not r.stop_reason}
     staying = [r for r in alive if not r.stop_reason and r.id not in stop_reasons]
-    wanted = 0 if stored.removed else stored.spec.replicas
+    wanted = 0 if stored.is_removed else stored.spec.replicas
     for replica in _surplus(staying, wanted):
         stop_reasons[replica.id] = SURPLUS
         staying.remove(replica)
@@ -66,7 +66,7 @@
         create=max(0, wanted - len(staying)),
         stop_reasons=stop_reasons,
         may_stop=_may_stop(stored, alive, stop_reasons, is_placement_overdue),
-        delete_set=stored.removed and not replicas,
+        delete_set=stored.is_removed and not replicas,
     )
 
 
@@ -91,7 +91,7 @@
     """
     ready = [r for r in alive if r.phase is ReplicaPhase.READY]
     stopping = [r for r in ready if r.stop_reason or r.id in stop_reasons]
-    if stored.removed:
+    if stored.is_removed:
         return frozenset(r.id for r in stopping)
     wanted = stored.spec.replicas
     is_replaced = len(ready) - len(stopping) >= wanted
--- a/crossmill/multihost/writes.py
+++ b/crossmill/multihost/writes.py
@@ -139,7 +139,7 @@
         """
         count = min(count, self.max_operations)
         set_key = keys.replica_set(stored.spec.name)
-        after = ReplicaSet(stored.spec, stored.removed, stored.next_index + count)
+        after = ReplicaSet(stored.spec, stored.is_removed, stored.next_index + count)
         txn = Txn({set_key: stored.version}, [Put(set_key, encode_set(after))])
         for index in range(stored.next_index, after.next_index):
             replica_id = ReplicaId(stored.spec.name, index)
--- a/tests/test_multihost_placement.py
+++ b/tests/test_multihost_placement.py
@@ -73,7 +73,7 @@
 
 
 FAILED_OFTEN = [
-    _candidates("north", 1)[0]._replace(avoided=True, images=WARM),
+    _candidates("north", 1)[0]._replace(is_avoided=True, images=WARM),
     *_candidates("north", 4)[1:],
 ]
 
