--- a/tests/test_multihost_declaration.py
+++ b/tests/test_multihost_declaration.py
@@ -16,11 +16,7 @@
     Resources,
 )
 
-EACH = Resources(8.0, 4.0, 32.0)
-
-
-SPEC = ReplicaSetSpec("chat", 3, 2, EACH, "weights", 10.0)
-
+from .multihost_samples import SPEC
 
 DECLARED = {"members": 2, "replicas": 1, "cpus": 1, "memory_gb": 2, "image": "w", "image_gb": 3}
 
--- a/tests/test_multihost_placement.py
+++ b/tests/test_multihost_placement.py
@@ -1,58 +1,46 @@
 """Choosing machines for replicas, and the machines that are avoided."""
 
-from typing import Any
-
 import pytest
 
 from crossmill.multihost.failure_scores import FailureScores
 from crossmill.multihost.lifecycle import backoff_s
 from crossmill.multihost.model import (
     ReplicaSetSpec,
-    Resources,
 )
 from crossmill.multihost.placement import Candidate, choose_placement, earmark
 from crossmill.multihost.settings import MultihostSettings
 from crossmill.settings import Endpoint
 
-SETTINGS = MultihostSettings(Endpoint("127.0.0.1", 1), 0, 1.0, 0.25)
-
-
-EACH = Resources(8.0, 4.0, 32.0)
+from .multihost_samples import SPEC, make_candidates
 
-
-SPEC = ReplicaSetSpec("chat", 3, 2, EACH, "weights", 10.0)
+SETTINGS = MultihostSettings(Endpoint("127.0.0.1", 1), 0, 1.0, 0.25)
 
 
 WARM = frozenset({"weights"})
 
 
-def _candidates(zone: str, number: int, **changes: Any) -> list[Candidate]:
-    free = Resources(16.0, 4.0, 64.0)
-    return [Candidate(f"{zone}-{n}", zone, 1, free, 1.0)._replace(**changes) for n in range(number)]
-
-
 def test_a_replica_without_enough_machines_in_one_zone_gets_none() -> None:
-    candidates = _candidates("north", 2) + _candidates("south", 2)
+    candidates = make_candidates("north", 2) + make_candidates("south", 2)
     assert choose_placement(SPEC, {}, candidates, {}) is None
 
 
 def test_every_rank_gets_a_machine_of_its_own() -> None:
-    placement = choose_placement(SPEC, {}, _candidates("north", 3), {})
+    placement = choose_placement(SPEC, {}, make_candidates("north", 3), {})
     assert placement is not None
     assert len(placement.machines) == 3
     assert [p.rank for p in placement.members] == [0, 1, 2]
 
 
 def test_a_replica_that_may_span_zones_uses_machines_of_several() -> None:
-    candidates = _candidates("a", 2) + _candidates("b", 1)
+    candidates = make_candidates("a", 2) + make_candidates("b", 1)
     assert choose_placement(SPEC._replace(one_zone=False), {}, candidates, {})
 
 
-NORTH = _candidates("north", 3)
+NORTH = make_candidates("north", 3)
 SURVIVORS = [c._replace(images=WARM) for c in NORTH if c.machine != "north-1"]
 KEPT = {0: "north-0", 2: "north-2"}
 COLD_SPARE, WARM_SPARE = NORTH[1], NORTH[1]._replace(images=WARM)
-ELSEWHERE = _candidates("south", 3, images=WARM)
+ELSEWHERE = make_candidates("south", 3, images=WARM)
 
 
 @pytest.mark.parametrize(
@@ -73,8 +61,8 @@
 
 
 FAILED_OFTEN = [
-    _candidates("north", 1)[0]._replace(is_avoided=True, images=WARM),
-    *_candidates("north", 4)[1:],
+    make_candidates("north", 1)[0]._replace(is_avoided=True, images=WARM),
+    *make_candidates("north", 4)[1:],
 ]
 
 
@@ -93,7 +81,7 @@
 
 
 SPREAD = SPEC._replace(spread=True)
-TWO_ZONES = _candidates("north", 3, images=WARM) + _candidates("south", 3)
+TWO_ZONES = make_candidates("north", 3, images=WARM) + make_candidates("south", 3)
 
 
 def test_the_first_replica_of_a_spread_set_gets_the_zone_that_has_the_weights() -> None:
@@ -123,7 +111,7 @@
 def test_free_machines_are_earmarked_for_the_first_replica_that_waits(
     spec: ReplicaSetSpec, most: int, count: int
 ) -> None:
-    candidates = _candidates("north", 2) + _candidates("south", 1)
+    candidates = make_candidates("north", 2) + make_candidates("south", 1)
     earmarked = earmark(spec, candidates, {}, most)
     assert len(earmarked) == count
     assert earmarked <= {"north-0", "north-1"}
--- a/tests/test_multihost_records.py
+++ b/tests/test_multihost_records.py
@@ -10,8 +10,6 @@
     Replica,
     ReplicaId,
     ReplicaSet,
-    ReplicaSetSpec,
-    Resources,
 )
 from crossmill.multihost.phases import (
     ReplicaPhase,
@@ -27,10 +25,7 @@
     encode_set,
 )
 
-EACH = Resources(8.0, 4.0, 32.0)
-
-
-SPEC = ReplicaSetSpec("chat", 3, 2, EACH, "weights", 10.0)
+from .multihost_samples import MEMBER_RESOURCES, SPEC
 
 
 def _stored(record: dict[str, Any]) -> Any:
@@ -58,6 +53,6 @@
 
 
 def test_a_machine_is_decoded_as_it_was_stored() -> None:
-    machine = PoolMachine("m", "north", EACH, 2.0, "disks")
+    machine = PoolMachine("m", "north", MEMBER_RESOURCES, 2.0, "disks")
     decoded = decode_machine("m", _stored(encode_machine(machine)), 1)
     assert encode_machine(decoded) == encode_machine(machine)
--- a/tests/test_multihost_sets.py
+++ b/tests/test_multihost_sets.py
@@ -8,18 +8,13 @@
     Replica,
     ReplicaId,
     ReplicaSet,
-    ReplicaSetSpec,
-    Resources,
 )
 from crossmill.multihost.phases import (
     ReplicaPhase,
 )
 from crossmill.multihost.sets import PREEMPTED, plan_set
 
-EACH = Resources(8.0, 4.0, 32.0)
-
-
-SPEC = ReplicaSetSpec("chat", 3, 2, EACH, "weights", 10.0)
+from .multihost_samples import SPEC
 
 
 def _replica(
--- a/tests/test_multihost_victims.py
+++ b/tests/test_multihost_victims.py
@@ -1,29 +1,18 @@
 """Choosing the replicas that are stopped for one of higher priority."""
 
-from typing import Any
-
 import pytest
 
 from crossmill.multihost.model import (
     ReplicaSetSpec,
     Resources,
 )
-from crossmill.multihost.placement import Candidate
 from crossmill.multihost.preemption import Victim, choose_victims
 
-EACH = Resources(8.0, 4.0, 32.0)
-
-
-SPEC = ReplicaSetSpec("chat", 3, 2, EACH, "weights", 10.0)
-
-
-def _candidates(zone: str, number: int, **changes: Any) -> list[Candidate]:
-    free = Resources(16.0, 4.0, 64.0)
-    return [Candidate(f"{zone}-{n}", zone, 1, free, 1.0)._replace(**changes) for n in range(number)]
+from .multihost_samples import MEMBER_RESOURCES, SPEC, make_candidates
 
 
 def _victim(name: str, priority: int, *machines: int) -> Victim:
-    return Victim(name, priority, 0.0, tuple(f"north-{m}" for m in machines), EACH)
+    return Victim(name, priority, 0.0, tuple(f"north-{m}" for m in machines), MEMBER_RESOURCES)
 
 
 USED = Resources(8.0, 0.0, 32.0)
@@ -42,5 +31,5 @@
 def test_victims_are_whole_replicas_of_lower_priority(
     spec: ReplicaSetSpec, names: list[str]
 ) -> None:
-    chosen = choose_victims(spec, _candidates("north", 6, free=USED), VICTIMS, {})
+    chosen = choose_victims(spec, make_candidates("north", 6, free=USED), VICTIMS, {})
     assert [v.name for v in chosen] == names
