--- a/crossmill/cli.py
+++ b/crossmill/cli.py
@@ -9,6 +9,8 @@
 from .settings import Settings, SettingsError, load
 
 if TYPE_CHECKING:
+    from argparse import Namespace
+
     from .multihost.settings import MultihostSettings
     from .recovery.settings import RecoverySettings
 
@@ -164,9 +166,11 @@
     from .arguments import parse
 
     args = parse(argv)
-    bad_level = _report_bad_level()
-    if bad_level:
-        return bad_level
+    return _report_bad_level() or _run(args)
+
+
+def _run(args: "Namespace") -> int:
+    """Runs any verb from the parser's result; a verb's modules are loaded only for it."""
     if args.verb in ("serve", "check"):
         paths = ServiceArguments(args.verb, args.config, args.multihost, args.recovery)
         return _run_with_settings(paths)
--- a/crossmill/cluster/membership.py
+++ b/crossmill/cluster/membership.py
@@ -7,12 +7,13 @@
 
 import logging
 from collections.abc import Callable
+from functools import partial
 
 import curio
 
 from ..net.clock import Clock
 from ..settings import Settings
-from ..state.writer import Authority
+from ..state.writer import Authority, WriteIntent, WriteRank
 from ..wire.state import Put, Txn
 from . import keys
 from .cluster_state import ClusterState
@@ -24,8 +25,7 @@
 from .reachability import WorkerReachability
 from .records import encode_controller
 from .shard_acquisition import NextToken, ShardAcquisition
-from .state_access import OwnershipWriter, StateAccess
-from .write_shares import write_share
+from .state_access import OwnershipWriter, StateAccess, write_share
 
 log = logging.getLogger(__name__)
 
@@ -271,3 +271,15 @@
             if is_settled and self.owner_selection.has_better_owner(shard):
                 await self._acquisition.release(shard, ownership, "handed over")
                 return
+
+
+def shard_intent(
+    membership: Membership, shard: int, ownership: ShardOwnership, rank: WriteRank, txn: Txn
+) -> WriteIntent:
+    """Returns the transaction as an intent, with the shard's ownership added to its conditions.
+
+    The write fails if another controller has acquired the shard since.
+    """
+    txn.conditions = {keys.shard(shard): ownership.version, **txn.conditions}
+    authority = partial(membership.write_authority, shard, ownership.token)
+    return WriteIntent(txn, rank, authority=authority)
--- a/crossmill/jobs/cleanup.py
+++ b/crossmill/jobs/cleanup.py
@@ -8,7 +8,7 @@
 
 from ..cluster import keys
 from ..cluster.cluster_state import ClusterState
-from ..cluster.membership import Membership
+from ..cluster.membership import Membership, shard_intent
 from ..cluster.model import ACTIVE, CANCELLED, CancellationNote, Job
 from ..cluster.ownership import ShardOwnership
 from ..cluster.records import encode_archived, encode_end
@@ -16,7 +16,6 @@
 from ..settings import Settings
 from ..state.writer import WriteIntent, WriteRank
 from ..wire.state import Put, Txn
-from .shard_writes import shard_intent
 
 
 class Cleanup:
--- a/crossmill/jobs/machine_maintenance.py
+++ b/crossmill/jobs/machine_maintenance.py
@@ -12,7 +12,7 @@
 
 from ..cluster import keys
 from ..cluster.lease_expiry_proof import LeaseExpiryProof
-from ..cluster.membership import Membership
+from ..cluster.membership import Membership, shard_intent
 from ..cluster.model import Machine
 from ..cluster.ownership import ShardOwnership
 from ..cluster.records import encode_machine
@@ -23,7 +23,6 @@
 from .context import SchedulingContext
 from .failures import TaskFailures
 from .machine_drain import MachineDrain
-from .shard_writes import shard_intent
 
 log = logging.getLogger(__name__)
 
--- a/crossmill/jobs/machine_transfer.py
+++ b/crossmill/jobs/machine_transfer.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterator
 
 from ..cluster import keys
-from ..cluster.membership import Membership
+from ..cluster.membership import Membership, shard_intent
 from ..cluster.model import Job, Machine, PlannedAttempt, ShardAssignment
 from ..cluster.ownership import ShardOwnership
 from ..cluster.records import encode_machine
@@ -19,7 +19,6 @@
 from ..wire.state import Put, Txn
 from ..workers.attempt_outcomes import StopReason
 from .context import SchedulingContext
-from .shard_writes import shard_intent
 
 log = logging.getLogger(__name__)
 
--- a/crossmill/jobs/plan_migration.py
+++ b/crossmill/jobs/plan_migration.py
@@ -13,13 +13,12 @@
 from ..cluster import keys
 from ..cluster.cluster_state import ClusterState
 from ..cluster.layout import ChunkRange
-from ..cluster.membership import Membership
+from ..cluster.membership import Membership, shard_intent
 from ..cluster.model import ACTIVE, Job, PlanChunk
 from ..cluster.ownership import ShardOwnership
 from ..cluster.records import encode_chunk
 from ..state.writer import WriteIntent, WriteRank
 from ..wire.state import Put, Txn
-from .shard_writes import shard_intent
 
 log = logging.getLogger(__name__)
 
--- a/crossmill/jobs/plan_writer.py
+++ b/crossmill/jobs/plan_writer.py
@@ -8,7 +8,7 @@
 from ..cluster import keys
 from ..cluster.cluster_state import ClusterState
 from ..cluster.layout import ChunkRange
-from ..cluster.membership import Membership
+from ..cluster.membership import Membership, shard_intent
 from ..cluster.model import DONE, Job, Machine, PlanChunk, PlannedAttempt
 from ..cluster.ownership import ShardOwnership
 from ..cluster.records import encode_chunk, encode_end
@@ -19,7 +19,6 @@
 from ..wire.users import JobSpec
 from ..workers.attempt_outcomes import AttemptOutcome, EndReason
 from .plan_migration import PlanMigration
-from .shard_writes import shard_intent
 
 
 class PlanEdit:
--- a/crossmill/jobs/record_repair.py
+++ b/crossmill/jobs/record_repair.py
@@ -16,7 +16,7 @@
 
 from ..cluster import keys
 from ..cluster.cluster_state import ClusterState
-from ..cluster.membership import Membership
+from ..cluster.membership import Membership, shard_intent
 from ..cluster.model import CANCELLED, DONE, Job
 from ..cluster.ownership import ShardOwnership
 from ..cluster.records import encode_end, encode_job
@@ -26,7 +26,6 @@
 from ..state.writer import Writer, WriteRank
 from ..wire.state import Put, Txn
 from ..wire.users import JobSpec
-from .shard_writes import shard_intent
 
 log = logging.getLogger(__name__)
 
--- a/crossmill/multihost/pool_ownership.py
+++ b/crossmill/multihost/pool_ownership.py
@@ -6,9 +6,8 @@
 from collections.abc import Callable
 
 from ..cluster.cluster_state import ClusterState
-from ..cluster.membership import Membership
+from ..cluster.membership import Membership, shard_intent
 from ..cluster.ownership import ShardOwnership
-from ..jobs.shard_writes import shard_intent
 from ..state.writer import WriteIntent, WriteRank
 from ..wire.state import Txn
 
--- a/crossmill/recovery/service.py
+++ b/crossmill/recovery/service.py
@@ -10,10 +10,9 @@
 
 import curio
 
-from ..cluster.membership import Membership
+from ..cluster.membership import Membership, shard_intent
 from ..cluster.model import Machine
 from ..cluster.ownership import ShardOwnership
-from ..jobs.shard_writes import shard_intent
 from ..state.writer import WriteRank
 from ..wire.recovery import PhaseReport
 from ..wire.state import Put, Txn
--- a/tests/test_recovery_restart.py
+++ b/tests/test_recovery_restart.py
@@ -1,7 +1,6 @@
 """All controllers end and return while work goes on: healthy work gets no orders."""
 
 from collections import Counter
-from dataclasses import replace
 
 import curio
 import pytest
@@ -222,7 +221,7 @@
         view: WorkerView, report: WorkerHeartbeat, token: int, now: float
     ) -> HeartbeatVerdict:
         view.last_heartbeat_number, view.last_heartbeat_at = (report.session, report.seq), now
-        view.apply_status(replace(report, token=token), token, now)
+        view.apply_status(report._replace(token=token), token, now)
         return HeartbeatVerdict.ACCEPTED
 
     monkeypatch.setattr(WorkerView, "apply_heartbeat", accept_any)
