--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -30,7 +30,7 @@
             return code
     try:
         listed = known_red.load(ROOT / known_red.FILE)
-    except known_red.Bad as exc:
+    except known_red.KnownRedListError as exc:
         print(exc)
         return 1
     code = _run("pytest", "-q", *(f"--deselect={entry.test}" for entry in listed)).returncode
--- a/tests/behavior_trace.py
+++ b/tests/behavior_trace.py
@@ -279,21 +279,21 @@
 
     async def _worker_mute(self) -> None:
         machine = self._worker()
-        self.region.set_mute(machine, True)
+        self.region.lose_heartbeats(machine, True)
         await self._pause(2.0, 20.0)
-        self.region.set_mute(machine, False)
+        self.region.lose_heartbeats(machine, False)
 
     async def _worker_deaf(self) -> None:
         machine = self._worker()
-        self.region.set_deaf(machine, True)
+        self.region.lose_inbound(machine, True)
         await self._pause(2.0, 20.0)
-        self.region.set_deaf(machine, False)
+        self.region.lose_inbound(machine, False)
 
     async def _worker_hung(self) -> None:
         machine = self._worker()
-        self.region.set_hung(machine, True)
+        self.region.freeze_worker(machine, True)
         await self._pause(2.0, 20.0)
-        self.region.set_hung(machine, False)
+        self.region.freeze_worker(machine, False)
 
     async def _heartbeats_repeated(self) -> None:
         self.region.repeat_heartbeats(self._worker(), self._controller())
@@ -419,9 +419,9 @@
             region.freeze(owner, draw.choice([2.0, 8.0, 20.0]))
     elif name == "zone cut":
         zone = draw.choice(ZONES)
-        region.set_zone_mute(zone, True)
+        region.lose_zone_heartbeats(zone, True)
         await curio.sleep(draw.uniform(4.0, 20.0))
-        region.set_zone_mute(zone, False)
+        region.lose_zone_heartbeats(zone, False)
     else:
         while await region.declare("urgent", 4, 2, 9) not in (200, 201):
             await curio.sleep(1.0)
@@ -441,13 +441,13 @@
         await _restart_all(region, draw)
         await curio.sleep(25.0)
         silent = draw.choice(region.workers())
-        region.set_mute(silent, True)
+        region.lose_heartbeats(silent, True)
         for label in CONTROLLERS:
             await region.end(label)
         await region.restore_state(copy)
         await _restart_all(region, draw)
         await _approve_until_steady(region)
-        region.set_mute(silent, False)
+        region.lose_heartbeats(silent, False)
         await submitting.join()
         region.heal()
         await curio.sleep(SETTLE_S)
--- a/tests/fault_injection.py
+++ b/tests/fault_injection.py
@@ -21,26 +21,28 @@
     """Every so manyth transaction gets no answer, and is carried out at once or late."""
     end, count = region.clock.now() + for_s, 0
 
-    def fate(label: str, method: str, path: str) -> tuple[float, bool] | None:
+    def transaction_fault(label: str, method: str, path: str) -> tuple[float, bool] | None:
         nonlocal count
         if path != "/txn" or region.clock.now() > end:
             return None
         count += 1
         return (late_s + count % 5, at_once) if count % number == 0 else None
 
-    region.fate = fate
+    region.transaction_fault = transaction_fault
 
 
-async def single_task_jobs(region: Region, jobs: int, every_s: float, cancelled: int = 4) -> None:
+async def submit_single_task_jobs(
+    region: Region, jobs: int, every_s: float, cancelled: int = 4
+) -> None:
     """One-task jobs at all controllers in turn, some cancelled while they run or wait."""
     async with curio.TaskGroup() as group:
         for n in range(jobs):
             job, label = f"wk-{100000 + n}", list(region.nodes or region.LABELS)[n % 3 - 1]
-            await group.spawn(_single_task_job, region, label, job, n % cancelled == 1)
+            await group.spawn(_submit_single_task_job, region, label, job, n % cancelled == 1)
             await curio.sleep(every_s)
 
 
-async def _single_task_job(region: Region, label: str, job: str, cancel: bool) -> None:
+async def _submit_single_task_job(region: Region, label: str, job: str, cancel: bool) -> None:
     async def anywhere(call: Callable[[str], Awaitable[int]]) -> None:
         for n in range(60):
             labels = list(region.nodes)
@@ -54,7 +56,7 @@
         await anywhere(lambda at: region.cancel(at, job))
 
 
-async def all_over(region: Region, within_s: float = 90.0) -> None:
+async def wait_until_all_ended(region: Region, within_s: float = 90.0) -> None:
     """Every accepted job is done or cancelled, and says so at every controller."""
 
     end = region.clock.now() + within_s
@@ -71,11 +73,11 @@
             assert await region.show(label, job) == 200
 
 
-async def all_over_but_services(region: Region) -> None:
+async def cancel_services_and_wait(region: Region) -> None:
     for job, facts in list(region.checker.jobs.items()):
         if facts.run_s is None:
-            assert await region.cancel_until_told("node-1", job, 60.0)
-    await all_over(region)
+            assert await region.cancel_until_confirmed("node-1", job, 60.0)
+    await wait_until_all_ended(region)
 
 
 async def inject_random_fault(region: Region, rng: random.Random) -> None:
@@ -84,31 +86,31 @@
     if kind == "end":
         await region.restart(label, rng.choice([0.1, 1.0, 4.0]))
     elif kind == "cut":
-        region.cut(label)
+        region.isolate(label)
     elif kind == "refuse":
-        region.refused[label] = every_request
+        region.refused_requests[label] = every_request
     elif kind == "out":
         region.state.down = not region.state.down
     elif kind in ("late", "lost"):
         lose_answers(rng.choice([2, 3, 5]), region, 2.0, kind == "lost", 10.0)
     elif kind == "odd":
-        fault = rng.choice(["deaf", "mute", "hung"])
+        fault = rng.choice(["inbound_lost", "heartbeats_lost", "is_frozen"])
         setattr(worker, fault, not getattr(worker, fault))
     elif kind == "mend":
-        region.mend()
+        region.reconnect()
         region.state.down = False
     elif kind == "slow":
-        region.slow_s = rng.choice([0.0, 0.3])
+        region.state_delay_s = rng.choice([0.0, 0.3])
     else:
-        for body in worker.copies:
+        for body in worker.sent_heartbeats:
             region.deliver(body, label)
 
 
-def heal(region: Region) -> None:
+def clear_faults(region: Region) -> None:
     region.state.down = False
-    region.slow_s = 0.0
-    region.mend()
-    region.fate = lambda *_: None
-    region.reaches = lambda worker, label: label in region.nodes
+    region.state_delay_s = 0.0
+    region.reconnect()
+    region.transaction_fault = lambda *_: None
+    region.can_reach = lambda worker, label: label in region.nodes
     for worker in region.workers.values():
-        worker.deaf = worker.mute = worker.hung = False
+        worker.inbound_lost = worker.heartbeats_lost = worker.is_frozen = False
--- a/tests/full_fleet.py
+++ b/tests/full_fleet.py
@@ -8,7 +8,7 @@
 from .stepped_controller import SteppedController, add_job, add_machine, seed
 
 # GPUs of a machine, and the tasks of a job: it stands on four machines
-EACH, JOB_TASKS = 4, 16
+GPUS_PER_MACHINE, TASKS_PER_JOB = 4, 16
 
 
 def full_fleet(state: StateService, clock: FakeClock, machines: int) -> None:
@@ -16,20 +16,27 @@
     seed(state, clock, machines=0)
     for number in range(machines):
         add_machine(state, clock, f"n-{number}")
-    for job in range(machines * EACH // JOB_TASKS):
+    for job in range(machines * GPUS_PER_MACHINE // TASKS_PER_JOB):
         # the highest priority, so that nothing may be stopped for anybody
         name = f"wk-{job:06d}"
-        add_job(state, clock, nameId=name, sacks=JOB_TASKS, grist="batch", precedence="production")
+        add_job(
+            state, clock, nameId=name, sacks=TASKS_PER_JOB, grist="batch", precedence="production"
+        )
         rows = {
-            i: PlannedAttempt(name, i, i + 1, f"n-{job * EACH + i // EACH}", 1)
-            for i in range(JOB_TASKS)
+            i: PlannedAttempt(
+                name, i, i + 1, f"n-{job * GPUS_PER_MACHINE + i // GPUS_PER_MACHINE}", 1
+            )
+            for i in range(TASKS_PER_JOB)
         }
-        state.put(keys.plan(name, "0"), encode_chunk(PlanChunk(JOB_TASKS + 1, 0, rows)))
+        state.put(keys.plan(name, "0"), encode_chunk(PlanChunk(TASKS_PER_JOB + 1, 0, rows)))
 
 
 def report_all(node: SteppedController, machines: int, seq: int = 1) -> None:
     """Every worker reports that its tasks run."""
     for number in range(machines):
-        job, first = f"wk-{number // EACH:06d}", number % EACH * EACH
-        tasks = [on(job, first + i, first + i + 1, "running") for i in range(EACH)]
+        job, first = (
+            f"wk-{number // GPUS_PER_MACHINE:06d}",
+            number % GPUS_PER_MACHINE * GPUS_PER_MACHINE,
+        )
+        tasks = [on(job, first + i, first + i + 1, "running") for i in range(GPUS_PER_MACHINE)]
         node.report(f"n-{number}", 1, seq, node.token(), *tasks)
--- a/tests/invariant_checker.py
+++ b/tests/invariant_checker.py
@@ -19,12 +19,12 @@
     run_s: float | None
     submitted: float
     accepted: float | None = None
-    cancel_asked: bool = False
+    cancellation_requested: bool = False
     cancelled: float | None = None
     done: float | None = None
     finished: set[int] = field(default_factory=set)
 
-    def needs(self) -> list[str]:
+    def dependencies(self) -> list[str]:
         """The jobs that it names."""
         return list(self.spec.get("awaits") or [])
 
@@ -45,23 +45,25 @@
     def report_violation(self, what: str) -> None:
         self.violations.append(f"{self._region.clock.now():.2f} {what}")
 
-    def started(self, worker: Worker, key: tuple[str, int]) -> None:
+    def check_start(self, worker: Worker, key: tuple[str, int]) -> None:
         now, facts = self._region.clock.now(), self.jobs[key[0]]
         self.starts.append((now, *key, worker.machine))
         self._check_order(key[0])
         for other in self._region.workers.values():
             task = other.tasks.get(key)
-            alive = other is not worker and other.answered + self._region.worker_lease_s >= now
+            alive = (
+                other is not worker and other.lease_renewed_at + self._region.worker_lease_s >= now
+            )
             if alive and task is not None and task.state != "exited":
                 self.report_violation(f"ran_twice {key} {worker.machine} {other.machine}")
         if facts.cancelled is not None:
             self.late_starts += 1
-        self.look()
+        self.check()
 
     def _check_order(self, job: str) -> None:
         """A task starts only when all jobs that its job needs are done."""
-        self.look()
-        for need in self.jobs[job].needs():
+        self.check()
+        for need in self.jobs[job].dependencies():
             before = self.jobs[need]
             if len(before.finished) < before.spec["sacks"]:
                 self.report_violation(f"too_early {job} before {need}")
@@ -71,7 +73,7 @@
         found: set[str] = set()
         pending = [job]
         while pending:
-            for need in self.jobs[pending.pop()].needs():
+            for need in self.jobs[pending.pop()].dependencies():
                 if need not in found:
                     found.add(need)
                     pending.append(need)
@@ -80,16 +82,19 @@
     def _check_orphans(self, job: str, stage: str, asked_at: float) -> None:
         """A job is not called queued or running long after one before it was cancelled."""
         for before in self._before(job):
-            told = self.jobs[before].cancelled
-            late = told is not None and asked_at - told > self._region.cancellation_deadline_s
+            confirmed = self.jobs[before].cancelled
+            late = (
+                confirmed is not None
+                and asked_at - confirmed > self._region.cancellation_deadline_s
+            )
             if late and stage in ("queued", "running"):
                 self.report_violation(f"orphaned {job}: {stage}, {before} is cancelled")
 
-    def look(self) -> None:
+    def check(self) -> None:
         now, region = self._region.clock.now(), self._region
         used: dict[str, float] = {}
         for worker in region.workers.values():
-            if worker.gone or worker.answered + region.worker_lease_s < now:
+            if worker.is_terminated or worker.lease_renewed_at + region.worker_lease_s < now:
                 continue
             for (job, index), task in worker.tasks.items():
                 facts = self.jobs[job]
@@ -127,14 +132,14 @@
         region, now = self._region, self._region.clock.now()
         planned = self._planned()
         for worker in region.workers.values():
-            if worker.gone or worker.answered + region.worker_lease_s < now:
+            if worker.is_terminated or worker.lease_renewed_at + region.worker_lease_s < now:
                 continue
             for (job, index), task in worker.tasks.items():
                 row = (job, index, task.attempt, worker.machine)
                 if task.state != "exited" and row not in planned:
                     self.report_violation(f"orphaned {job}/{index} {worker.machine}: in no plan")
 
-    def told(self, job: str, response: Response, asked_at: float) -> None:
+    def check_response(self, job: str, response: Response, asked_at: float) -> None:
         """An answer arrived. It is compared with what had been told before it was asked for."""
         facts, now = self.jobs[job], self._region.clock.now()
         if response.status == 404 and facts.accepted is not None and facts.accepted < asked_at:
@@ -151,12 +156,12 @@
         if facts.done is not None and stage != "done":
             self.report_violation(f"went_back {job}: {stage} after done")
         if stage == "withdrawn":
-            asked = any(self.jobs[x].cancel_asked for x in (job, *self._before(job)))
+            asked = any(self.jobs[x].cancellation_requested for x in (job, *self._before(job)))
             if not asked:
                 self.report_violation(f"went_back {job}: nobody cancelled it")
             facts.cancelled = facts.cancelled if facts.cancelled is not None else now
         elif stage == "done":
-            self.look()
+            self.check()
             if len(facts.finished) < facts.spec["sacks"]:
                 self.report_violation(f"not_done {job}: {len(facts.finished)}")
             facts.done = facts.done if facts.done is not None else now
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -6,10 +6,10 @@
 from pathlib import Path
 
 FILE = "KNOWN-RED.txt"
-MOST = 3
+MAX_ENTRIES = 3
 
 
-class Bad(ValueError):
+class KnownRedListError(ValueError):
     """The list can't be taken as it is."""
 
 
@@ -24,14 +24,14 @@
     """The entries; an empty or absent file has none."""
     text = path.read_text() if path.exists() else ""
     lines = [line for line in text.splitlines() if line.strip()]
-    if len(lines) > MOST:
-        raise Bad(f"{FILE}: {len(lines)} lines, {MOST} at most")
+    if len(lines) > MAX_ENTRIES:
+        raise KnownRedListError(f"{FILE}: {len(lines)} lines, {MAX_ENTRIES} at most")
     entries = []
     for line in lines:
         test, _, rest = line.partition(",")
         cause, _, issue = rest.rpartition(",")
         entry = Entry(test.strip(), cause.strip(), issue.strip())
         if "::" not in entry.test or not entry.cause or not entry.issue:
-            raise Bad(f"{FILE}: not in the form `test, cause, issue`: {line}")
+            raise KnownRedListError(f"{FILE}: not in the form `test, cause, issue`: {line}")
         entries.append(entry)
     return entries
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -12,7 +12,7 @@
 WATCH_S = 0.1
 
 
-class StandIn(Protocol):
+class FakeService(Protocol):
     """A stand-in that answers without ever waiting."""
 
     async def request(self, method: str, path: str, body: bytes = b"") -> tuple[int, bytes]: ...
@@ -29,17 +29,17 @@
     return ports
 
 
-def _answer_now(stand_in: StandIn, method: str, path: str, body: bytes) -> tuple[int, bytes]:
+def _answer_now(service: FakeService, method: str, path: str, body: bytes) -> tuple[int, bytes]:
     """The answer of a coroutine that ends without waiting."""
     try:
-        stand_in.request(method, path, body).send(None)
+        service.request(method, path, body).send(None)
     except StopIteration as ended:
         status, data = ended.value
         return status, data
     raise AssertionError(f"the stand-in waits: {method} {path}")
 
 
-def _handler(stand_in: StandIn) -> type[BaseHTTPRequestHandler]:
+def _handler(service: FakeService) -> type[BaseHTTPRequestHandler]:
     lock = threading.Lock()
 
     class Handler(BaseHTTPRequestHandler):
@@ -50,7 +50,7 @@
             if self.path.startswith("/changes"):
                 time.sleep(WATCH_S)
             with lock:
-                status, data = _answer_now(stand_in, self.command, self.path, body)
+                status, data = _answer_now(service, self.command, self.path, body)
             self.send_response(status)
             self.send_header("content-length", str(len(data)))
             self.end_headers()
@@ -65,9 +65,9 @@
 
 
 @contextmanager
-def serving(stand_in: StandIn, port: int) -> Iterator[None]:
+def serving(service: FakeService, port: int) -> Iterator[None]:
     """Serves the stand-in on a port of loopback meanwhile."""
-    server = ThreadingHTTPServer(("127.0.0.1", port), _handler(stand_in))
+    server = ThreadingHTTPServer(("127.0.0.1", port), _handler(service))
     server.daemon_threads = True
     thread = threading.Thread(target=server.serve_forever, daemon=True)
     thread.start()
--- a/tests/measure_multihost.py
+++ b/tests/measure_multihost.py
@@ -80,7 +80,7 @@
 
 async def _cut(region: MultihostRegion, draw: Random) -> None:
     for agent in region.agents_of("chat/0"):
-        agent.mute = True
+        agent.heartbeats_lost = True
 
 
 FAILURES: dict[str, Failure] = {
@@ -154,7 +154,7 @@
         await region.begin(machines=2 * members + 4)
         # one task a machine
         await region.submit("node-0", "wk-000001", sacks=members, cpus=20.0, cards=0.0)
-        await region.until(lambda: _running(region) == set(range(members)))
+        await region.wait_until(lambda: _running(region) == set(range(members)))
         await curio.sleep(draw.uniform(20.0, 23.0))
         holders = {
             index: worker for worker in region.workers.values() for (_, index) in worker.tasks
@@ -167,7 +167,7 @@
         }[failure]
         begun = region.clock.now()
         for index in dying:
-            holders[index].gone = holders[index].hung = True
+            holders[index].is_terminated = holders[index].is_frozen = True
         wrong, last, serving = 0.0, 0.0, None
         while region.clock.now() - begun < LONGEST_S:
             at, running = region.clock.now() - begun, _running(region)
@@ -192,7 +192,7 @@
         index
         for worker in region.workers.values()
         for (_, index), task in worker.tasks.items()
-        if not worker.gone and task.state == "running"
+        if not worker.is_terminated and task.state == "running"
     }
 
 
@@ -206,7 +206,7 @@
         await region.begin_pool(16)
         for number in range(8):
             await region.declare(f"small-{number}", members=2, image_gb=0.0)
-        await region.until(lambda: sum(_has_served(region, n) for n in range(8)) == 8)
+        await region.wait_until(lambda: sum(_has_served(region, n) for n in range(8)) == 8)
         await region.declare("large", members=6, image_gb=0.0)
         begun, idle, looks, number = region.clock.now(), 0.0, 0, 8
         while region.clock.now() - begun < 600.0 and not region.serving("large/0"):
@@ -282,7 +282,9 @@
         result["start"] = service.writes.transactions - before
         before = service.writes.transactions
         region.agents_of("chat/0")[1].dead = True
-        await region.until(lambda: any(a.serves("chat/0") == 2 for a in region.agents.values()))
+        await region.wait_until(
+            lambda: any(a.serves("chat/0") == 2 for a in region.agents.values())
+        )
         result["repair"] = service.writes.transactions - before
 
     simulate_multihost(scenario)
--- a/tests/measure_recovery.py
+++ b/tests/measure_recovery.py
@@ -85,7 +85,7 @@
         for first in range(0, len(filled), JOB_TASKS):
             _put_job(region, f"wk-{number:06d}", team, filled[first : first + JOB_TASKS])
             number += 1
-    await region.until(lambda: all(len(w.tasks) == EACH for w in region.workers.values()))
+    await region.wait_until(lambda: all(len(w.tasks) == EACH for w in region.workers.values()))
     await curio.sleep(4.0)
 
 
@@ -113,7 +113,7 @@
         odd = draw.sample(workers, max(2, int(2 * ODD_SHARE * len(workers))))
         for number, worker in enumerate(odd):
             if number % 2:
-                worker.mute = worker.deaf = True
+                worker.heartbeats_lost = worker.inbound_lost = True
             else:
                 give_unplanned(worker, "wk-000000", 500 + number, 9)
         return {worker.machine for worker in odd}
@@ -178,8 +178,8 @@
     while region.clock.now() - ended_at < WATCHED_S:
         await curio.sleep(LOOK_S)
         passed_s = round(region.clock.now() - ended_at, 2)
-        heard = [w for w in region.workers.values() if not w.mute]
-        answered = sum(worker.answered > ended_at + LOOK_S for worker in heard)
+        heard = [w for w in region.workers.values() if not w.heartbeats_lost]
+        answered = sum(worker.lease_renewed_at > ended_at + LOOK_S for worker in heard)
         if first_worker is None and answered:
             first_worker = passed_s
         if all_workers is None and answered == len(heard):
--- a/tests/multihost_agents.py
+++ b/tests/multihost_agents.py
@@ -71,12 +71,12 @@
         self.images: dict[str, float] = {}
         self.answered_at = self.now()
         self.dead, self.has_left = False, False
-        self.hung = False
+        self.is_frozen = False
         self.notice_s: float | None = None
         # one-way cuts: whether heartbeats get through, and whether answers do
-        self.mute, self.deaf = False, False
+        self.heartbeats_lost, self.inbound_lost = False, False
         self.lease_from_receipt = False
-        self.copies: list[bytes] = []
+        self.sent_heartbeats: list[bytes] = []
         self.orders: list[tuple[float, Order]] = []
         # what is reported in place of the truth, if anything
         self.lies: list[MemberReport] = []
@@ -97,14 +97,14 @@
     def runs(self, replica: str, generation: int) -> bool:
         """Whether a member of the generation is there with its weights."""
         member = self.members.get(replica)
-        if self.dead or self.hung or member is None or member.generation != generation:
+        if self.dead or self.is_frozen or member is None or member.generation != generation:
             return False
         return self.state(member) is MemberState.LOADED
 
     def serves(self, replica: str) -> int | None:
         """The generation under which the front member would answer a request at this moment."""
         member = self.members.get(replica)
-        if self.dead or self.hung or member is None or member.rank != 0:
+        if self.dead or self.is_frozen or member is None or member.rank != 0:
             return None
         now = self.now()
         if self._lease_over() or now >= member.serve_until:
@@ -211,10 +211,10 @@
     async def run(self) -> None:
         """Heartbeats, and pings of the front member, until the machine dies."""
         await curio.spawn(self._run_pings, daemon=True)
-        labels = list(self.region.lines)
+        labels = list(self.region.state_links)
         self._target = self.number % len(labels)
         while not self.dead and not self.has_left:
-            if self.hung:
+            if self.is_frozen:
                 await curio.sleep(0.1)
                 continue
             self._tick()
@@ -225,14 +225,14 @@
         """One heartbeat; the time until the next."""
         label = labels[self._target]
         body, sent, session = heartbeat_body(self.heartbeat()), self.now(), self.session
-        self.copies = [*self.copies[-40:], body]
+        self.sent_heartbeats = [*self.sent_heartbeats[-40:], body]
         await curio.sleep(HOP_S + self.region.delay_s(self))
         reply = await self.region.deliver_heartbeat(self, label, body)
         await curio.sleep(HOP_S + self.region.delay_s(self) + self.region.answer_delay_s(self))
         timeout_s = self.region.multihost.answer_timeout_s
-        while self.hung and not self.dead:
+        while self.is_frozen and not self.dead:
             await curio.sleep(0.1)
-        if reply is None or self.deaf or self.now() - sent > timeout_s:
+        if reply is None or self.inbound_lost or self.now() - sent > timeout_s:
             self._target = (self._target + 1) % len(labels)
             return max(0.2, timeout_s - (self.now() - sent))
         status, data = reply
@@ -260,7 +260,7 @@
         while not self.dead:
             await curio.sleep(self.region.multihost.heartbeat_s / 2)
             for name, member in list(self.members.items()):
-                if member.rank == 0 and not self.hung:
+                if member.rank == 0 and not self.is_frozen:
                     for peer in member.peers:
                         if peer.rank != 0:
                             await curio.spawn(self._ping, name, member, peer, daemon=True)
@@ -268,7 +268,7 @@
     async def _ping(self, name: str, member: AgentMember, peer: PeerAddress) -> None:
         sent = self.now()
         body = ping_body(Ping(name, peer.rank, member.generation))
-        if await self.region.deliver_ping(self, peer.address, body) and not self.hung:
+        if await self.region.deliver_ping(self, peer.address, body) and not self.is_frozen:
             alive_at = self.now() if self.lease_from_receipt else sent
             known = member.peer_alive_at.get(peer.rank, alive_at)
             member.peer_alive_at[peer.rank] = max(known, alive_at)
--- a/tests/multihost_fault_injection.py
+++ b/tests/multihost_fault_injection.py
@@ -94,24 +94,24 @@
 
     async def _machine_hangs(self) -> None:
         agent = self.region.agents[self._machine()]
-        agent.hung = True
+        agent.is_frozen = True
 
         async def back() -> None:
             await self._later(0.5, 15.0)
-            agent.hung = False
+            agent.is_frozen = False
 
         await curio.spawn(back, daemon=True)
 
     async def _one_way_cut(self) -> None:
         agent = self.region.agents[self._machine()]
         if self.random.random() < 0.5:
-            agent.mute = True
+            agent.heartbeats_lost = True
         else:
-            agent.deaf = True
+            agent.inbound_lost = True
 
         async def back() -> None:
             await self._later(1.0, 20.0)
-            agent.mute = agent.deaf = False
+            agent.heartbeats_lost = agent.inbound_lost = False
 
         await curio.spawn(back, daemon=True)
 
@@ -132,13 +132,13 @@
         zone = self.random.choice(ZONES)
         for agent in self.region.agents.values():
             if agent.zone == zone:
-                agent.mute = True
+                agent.heartbeats_lost = True
 
         async def back() -> None:
             await self._later(2.0, 25.0)
             for agent in self.region.agents.values():
                 if agent.zone == zone:
-                    agent.mute = False
+                    agent.heartbeats_lost = False
 
         await curio.spawn(back, daemon=True)
 
@@ -172,7 +172,9 @@
         for agent in self.random.sample(
             sorted(self.region.agents.values(), key=lambda a: a.number), k=2
         ):
-            for body in self.random.sample(agent.copies, k=min(3, len(agent.copies))):
+            for body in self.random.sample(
+                agent.sent_heartbeats, k=min(3, len(agent.sent_heartbeats))
+            ):
                 for label in list(self.region.services):
                     await self.region.deliver_heartbeat(agent, label, body)
 
@@ -184,6 +186,6 @@
         region.delay_s = lambda agent: 0.0
         region.parted.clear()
         for machine, agent in list(region.agents.items()):
-            agent.hung = agent.mute = agent.deaf = False
+            agent.is_frozen = agent.heartbeats_lost = agent.inbound_lost = False
             if agent.dead:
                 await region.revive(machine)
--- a/tests/multihost_region.py
+++ b/tests/multihost_region.py
@@ -62,7 +62,7 @@
         if order.op is Op.START and (row is None or row[0]["generation"] < order.generation):
             self.report_violation(f"ordered_early {order.replica} generation {order.generation}")
 
-    def look(self) -> None:
+    def check(self) -> None:
         """One look at everything."""
         serving: dict[str, list[tuple[Agent, int]]] = {}
         for agent in self.region.agents.values():
@@ -176,7 +176,7 @@
                 planned.setdefault(member.machine, set()).add(str(replica_id))
         for agent in self.region.agents.values():
             extra = set(agent.members) - planned.get(agent.machine, set())
-            if extra and not agent.dead and not agent.hung:
+            if extra and not agent.dead and not agent.is_frozen:
                 self.report_violation(f"leaked {agent.machine} runs {extra}")
 
 
@@ -202,7 +202,7 @@
         self.tolerance_s = 2 * LOOK_S
         self._processes = 0
 
-    def more_parts(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
+    def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
         self._processes += 1
         service = MultihostService(
             node.settings,
@@ -226,7 +226,7 @@
         await self.begin(machines=0)
         for number in range(machines):
             await self.add_agent(f"h-{number:03d}", zones[number % len(zones)])
-        await self.until(lambda: self.pool_size() == machines)
+        await self.wait_until(lambda: self.pool_size() == machines)
 
     async def add_agent(self, machine: str, zone: str) -> Agent:
         agent = self.agents[machine] = Agent(self, machine, len(self.agents), zone)
@@ -251,8 +251,8 @@
         self, agent: Agent, label: str, body: bytes
     ) -> tuple[int, bytes] | None:
         service = self.services.get(label)
-        cut = agent.mute or label in self.unheard.get(agent.machine, ())
-        if service is None or cut or agent.dead or self.stands_still(label):
+        cut = agent.heartbeats_lost or label in self.unheard.get(agent.machine, ())
+        if service is None or cut or agent.dead or self.is_frozen(label):
             return None
         response = await service.handle(heartbeat_request(body))
         return response.status, response.body
@@ -260,7 +260,7 @@
     async def deliver_ping(self, source: Agent, address: str, body: bytes) -> bool:
         await curio.sleep(HOP_S + self.delay_s(source))
         target = next((a for a in self.agents.values() if a.address == address), None)
-        if target is None or target.dead or target.hung or source.dead:
+        if target is None or target.dead or target.is_frozen or source.dead:
             return False
         if (source.machine, target.machine) in self.parted:
             return False
@@ -317,12 +317,12 @@
 
     async def until_serving(self, name: str, within_s: float = 60.0) -> float:
         begun = self.clock.now()
-        await self.until(lambda: len(self.serving(name)) == 1, within_s)
+        await self.wait_until(lambda: len(self.serving(name)) == 1, within_s)
         return self.clock.now() - begun
 
     async def watch(self) -> None:
         while True:
-            self.checker.look()
+            self.checker.check()
             await curio.sleep(LOOK_S)
 
     def set_record(self, name: str) -> Any:
@@ -342,7 +342,7 @@
         regions.append(region)
         await curio.spawn(region.watch, daemon=True)
         await scenario(region)
-        region.checker.look()
+        region.checker.check()
 
     run_under_virtual_time(clock, play)
     if judged:
--- a/tests/recovery_region.py
+++ b/tests/recovery_region.py
@@ -48,7 +48,7 @@
         self.services: dict[str, RecoveryService] = {}
         self.apis: dict[str, RecoveryApi] = {}
 
-    def more_parts(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
+    def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
         if self.recovery is None:
             return []
         label = node.settings.label
@@ -122,7 +122,7 @@
         """Whether so many tasks of the job run."""
         return tasks == sum(
             task.state == "running"
-            for worker in self.running(job)
+            for worker in self.workers_running(job)
             for key, task in worker.tasks.items()
             if key[0] == job
         )
@@ -143,7 +143,7 @@
             label = self.LABELS[n % len(self.LABELS)]
             fields = {"crew": crew, "sacks": tasks, "spread": n % 3 == 0}
             await self.submit_until_accepted(label, job, None, **fields)
-        await self.until(lambda: all(self.is_up(j, tasks) for j in jobs), 120.0)
+        await self.wait_until(lambda: all(self.is_up(j, tasks) for j in jobs), 120.0)
         return jobs
 
 
@@ -168,7 +168,7 @@
 
     async def begin() -> None:
         await scenario(region)
-        region.checker.look()
+        region.checker.check()
 
     run_under_virtual_time(clock, begin)
     violations = [
--- a/tests/simulated_links.py
+++ b/tests/simulated_links.py
@@ -28,16 +28,16 @@
     ) -> tuple[int, bytes]:
         region = self._region
         until = region.clock.now() + timeout_s
-        await curio.sleep(HOP_S + region.slow_s)
-        if self._label in region.lost:
+        await curio.sleep(HOP_S + region.state_delay_s)
+        if self._label in region.cut_from_state:
             await curio.sleep(max(0.0, until - region.clock.now()))
             raise NoResponseError(path)
-        refuses = region.refused.get(self._label)
+        refuses = region.refused_requests.get(self._label)
         if region.state.down or (refuses is not None and refuses(method, path)):
             return 503, b"{}"
-        fate = region.fate(self._label, method, path)
-        if fate is not None:
-            late_s, at_once = fate
+        transaction_fault = region.transaction_fault(self._label, method, path)
+        if transaction_fault is not None:
+            late_s, at_once = transaction_fault
             if at_once:
                 await region.state.request(method, path, body)
             else:
@@ -47,9 +47,9 @@
         if path.startswith("/changes"):
             return await self._watch(method, path, body)
         status, data = await region.state.request(method, path, body)
-        region.touch(method, path, body, status, data)
-        slow = path == "/txn" and self._label in region.answer_s
-        await curio.sleep(region.answer_s[self._label] if slow else HOP_S)
+        region.note_lease_request(method, path, body, status, data)
+        slow = path == "/txn" and self._label in region.transaction_delay_s
+        await curio.sleep(region.transaction_delay_s[self._label] if slow else HOP_S)
         return status, data
 
     async def _late(self, late_s: float, method: str, path: str, body: bytes) -> None:
@@ -57,20 +57,24 @@
         while self._region.state.down:
             await curio.sleep(0.1)
         await self._region.state.request(method, path, body)
-        await self._region.ring()
+        await self._region.notify_watches()
 
     async def _watch(self, method: str, path: str, body: bytes) -> tuple[int, bytes]:
         region = self._region
         query = parse_qs(urlsplit(path).query)
         end = region.clock.now() + int(query.get("holdMs", ["0"])[0]) / 1000
         while True:
-            shut = region.state.down or self._label in region.refused or self._label in region.lost
+            shut = (
+                region.state.down
+                or self._label in region.refused_requests
+                or self._label in region.cut_from_state
+            )
             if not shut:
                 status, data = await region.state.request(method, path, body)
                 if status != 200 or orjson.loads(data)["log"] or region.clock.now() >= end:
                     await curio.sleep(HOP_S)
                     return status, data
-            await curio.ignore_after(max(0.05, end - region.clock.now()), region.bell.wait)
+            await curio.ignore_after(max(0.05, end - region.clock.now()), region.state_changed.wait)
 
 
 class PeerLink:
@@ -85,9 +89,9 @@
         region = self._region
         await curio.sleep(HOP_S)
         node = region.nodes.get(self._label)
-        if node is None or {self._source, self._label} & region.apart:
+        if node is None or {self._source, self._label} & region.cut_from_peers:
             raise ConnectionFailedError(self._label)
-        if region.stands_still(self._label):
+        if region.is_frozen(self._label):
             await curio.sleep(timeout_s)
             raise NoResponseError(path)
         asked = path in (peers.ATTESTATION_PATH, peers.CANCELLATION_PATH)
--- a/tests/simulated_region.py
+++ b/tests/simulated_region.py
@@ -19,7 +19,7 @@
 from .simulated_links import PeerLink, StateLink
 from .simulated_worker import Worker, WorkerLink
 from .stepped_controller import SteppedController, seed
-from .virtual_time import run_under_virtual_time, standing_still
+from .virtual_time import run_under_virtual_time, run_with_freezes
 
 
 class Region:
@@ -30,65 +30,69 @@
         self.state = state or StateService()
         self.cloud = CloudService()
         self.nodes: dict[str, SteppedController] = {}
-        self.lines = {label: StateLink(self, label) for label in self.LABELS}
+        self.state_links = {label: StateLink(self, label) for label in self.LABELS}
         self._tasks: dict[str, list[curio.Task]] = {}
         self.workers: dict[str, Worker] = {}
         self.checker = InvariantChecker(self)
-        self.bell = curio.Event()
-        self.slow_s = 0.0
+        self.state_changed = curio.Event()
+        self.state_delay_s = 0.0
         # by label: how long the answers to its transactions are held up
-        self.answer_s: dict[str, float] = {}
+        self.transaction_delay_s: dict[str, float] = {}
         # by label: which requests the state service refuses; who gets no answer from it at all;
         # who reaches no other controller
-        self.refused: dict[str, Callable[[str, str], bool]] = {}
-        self.lost: set[str] = set()
+        self.refused_requests: dict[str, Callable[[str, str], bool]] = {}
+        self.cut_from_state: set[str] = set()
         # by label: until when its process stands still
-        self.still_until: dict[str, float] = {}
-        self.apart: set[str] = set()
+        self.frozen_until: dict[str, float] = {}
+        self.cut_from_peers: set[str] = set()
         # controllers whose machine has no power: connections to it hang
-        self.dark: set[str] = set()
+        self.powered_off: set[str] = set()
         # which of the cloud's machines come up at all
-        self.boots: Callable[[str], bool] = lambda machine: True
+        self.comes_up: Callable[[str], bool] = lambda machine: True
         # what becomes of a transaction: (seconds late, carried out at once), or nothing odd
-        self.fate: Callable[[str, str, str], tuple[float, bool] | None] = lambda *_: None
-        self._ends: dict[int, tuple[float, float]] = {}
-        self._leads = False
-        self._begun = 0
-        self.reaches: Callable[[Worker, str], bool] = lambda worker, label: label in self.nodes
+        self.transaction_fault: Callable[[str, str, str], tuple[float, bool] | None] = (
+            lambda *_: None
+        )
+        self._lease_expiries: dict[int, tuple[float, float]] = {}
+        self._provisions = False
+        self._process_count = 0
+        self.can_reach: Callable[[Worker, str], bool] = lambda worker, label: label in self.nodes
 
     # -- the state service's leases and watches --------------------------------------
 
-    def touch(self, method: str, path: str, body: bytes, status: int, data: bytes) -> None:
+    def note_lease_request(
+        self, method: str, path: str, body: bytes, status: int, data: bytes
+    ) -> None:
         if method == "POST" and path == "/holds" and status == 200:
             ttl_s = load_object(body)["ttlMs"] / 1000
-            self._ends[load_object(data)["tenure"]] = (self.clock.now() + ttl_s, ttl_s)
+            self._lease_expiries[load_object(data)["tenure"]] = (self.clock.now() + ttl_s, ttl_s)
         elif path.endswith("/renew") and status == 200:
             lease = int(path.split("/")[2])
-            ttl_s = self._ends[lease][1]
-            self._ends[lease] = (self.clock.now() + ttl_s, ttl_s)
+            ttl_s = self._lease_expiries[lease][1]
+            self._lease_expiries[lease] = (self.clock.now() + ttl_s, ttl_s)
 
-    async def ring(self) -> None:
-        await self.bell.set()
-        self.bell.clear()
+    async def notify_watches(self) -> None:
+        await self.state_changed.set()
+        self.state_changed.clear()
 
     async def _state_runs(self) -> None:
         revision = -1
         while True:
             now = self.clock.now()
-            for lease, (end, ttl_s) in list(self._ends.items()):
+            for lease, (end, ttl_s) in list(self._lease_expiries.items()):
                 if self.state.down:
-                    self._ends[lease] = (now + ttl_s, ttl_s)
+                    self._lease_expiries[lease] = (now + ttl_s, ttl_s)
                 elif now > end:
-                    del self._ends[lease]
+                    del self._lease_expiries[lease]
                     self.state.end_lease(lease)
             if self.state.revision != revision and not self.state.down:
                 revision = self.state.revision
-                await self.ring()
+                await self.notify_watches()
             await curio.sleep(0.02)
 
     async def _check_invariants(self) -> None:
         while True:
-            self.checker.look()
+            self.checker.check()
             await curio.sleep(0.5)
 
     # -- who takes part --------------------------------------------------------------
@@ -102,7 +106,7 @@
         self.heartbeat_interval_s = self.nodes["node-0"].settings.heartbeat_interval_s
         self.worker_lease_s = self.nodes["node-0"].settings.worker_lease_s
         self.cancellation_deadline_s = self.nodes["node-0"].settings.cancellation_deadline_s
-        await self.until(lambda: len(self.owners()) == 3)
+        await self.wait_until(lambda: len(self.owners()) == 3)
         for number in range(machines):
             await self.add_worker(f"n-{number}", zone)
 
@@ -121,10 +125,10 @@
         def connect(peer: Peer) -> PeerLink:
             return PeerLink(self, label, peer.label)
 
-        self._begun += 1
-        unique = f"process-{self._begun}"
+        self._process_count += 1
+        unique = f"process-{self._process_count}"
         node = SteppedController(
-            self.lines[label], self.clock, self.nodes, label, self.cloud, connect, unique
+            self.state_links[label], self.clock, self.nodes, label, self.cloud, connect, unique
         )
         node.watcher._pause_s = 4 / node.settings.state_request_rate
         node.command_sender.connect = lambda endpoint: WorkerLink(
@@ -140,32 +144,32 @@
             node.partition_protocol.run,
             node.scheduling_loop.run,
             node.record_repair.run,
-            *self.more_parts(node),
+            *self.extra_loops(node),
         ]
-        if self._leads:
+        if self._provisions:
             parts.append(node.provisioner.run)
         self._tasks[label] = [
             await curio.spawn(self._run_part, label, p, daemon=True) for p in parts
         ]
         return node
 
-    def more_parts(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
+    def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
         """Loops that a controller runs beside the ordinary ones, made before any of them runs."""
         return []
 
     async def _run_part(self, label: str, part: Callable[[], Awaitable[None]]) -> None:
         def until() -> float:
-            return self.still_until.get(label, 0.0)
+            return self.frozen_until.get(label, 0.0)
 
-        await standing_still(part(), until, self.clock)  # type: ignore[arg-type]
+        await run_with_freezes(part(), until, self.clock)  # type: ignore[arg-type]
 
-    def stands_still(self, label: str) -> bool:
+    def is_frozen(self, label: str) -> bool:
         """Whether the controller's process runs nothing now."""
-        return self.clock.now() < self.still_until.get(label, 0.0)
+        return self.clock.now() < self.frozen_until.get(label, 0.0)
 
-    async def lead_everywhere(self) -> None:
+    async def run_provisioners(self) -> None:
         """The leaders' loops run too, and the cloud's machines are up a second after renting."""
-        self._leads = True
+        self._provisions = True
         for label, node in self.nodes.items():
             self._tasks[label].append(await curio.spawn(node.provisioner.run, daemon=True))
         await curio.spawn(self._cloud_runs, daemon=True)
@@ -175,12 +179,12 @@
             await curio.sleep(1.0)
             for machine, data in list(self.cloud.machines.items()):
                 is_new = machine not in self.workers and machine not in self.cloud.released
-                if is_new and self.boots(machine):
+                if is_new and self.comes_up(machine):
                     await self.add_worker(machine, data["yard"], record=False)
             for machine in self.cloud.released:
                 worker = self.workers.get(machine)
                 if worker is not None:
-                    worker.gone = True
+                    worker.is_terminated = True
                     worker.tasks.clear()
             self.cloud.listed = [
                 {
@@ -206,13 +210,13 @@
         for task in self._tasks.pop(label):
             await task.cancel(blocking=False)
 
-    async def darken(self, label: str) -> None:
+    async def power_off(self, label: str) -> None:
         """Its machine is without power until it is lit again."""
-        self.dark.add(label)
+        self.powered_off.add(label)
         await self.kill(label)
 
-    async def light(self, label: str) -> None:
-        self.dark.discard(label)
+    async def power_on(self, label: str) -> None:
+        self.powered_off.discard(label)
         await self.start(label)
 
     async def restart(self, label: str, after_s: float) -> None:
@@ -220,15 +224,15 @@
         await curio.sleep(after_s)
         await self.start(label)
 
-    def cut(self, label: str) -> None:
+    def isolate(self, label: str) -> None:
         """Neither the state service nor another controller; workers and users still come."""
-        self.lost.add(label)
-        self.apart.add(label)
+        self.cut_from_state.add(label)
+        self.cut_from_peers.add(label)
 
-    def mend(self) -> None:
-        self.lost.clear()
-        self.apart.clear()
-        self.refused.clear()
+    def reconnect(self) -> None:
+        self.cut_from_state.clear()
+        self.cut_from_peers.clear()
+        self.refused_requests.clear()
 
     def owners(self) -> dict[int, str]:
         rows = {k: v for k, v in self.state.keys.items() if k.startswith(keys.SHARD)}
@@ -254,20 +258,20 @@
         spec = self.expect(job, run_s, **fields)
         return await self._ask(label, job, "POST", "/v1/jobs", orjson.dumps(spec))
 
-    def accepted(self, job: str) -> bool:
+    def is_accepted(self, job: str) -> bool:
         return self.checker.jobs[job].accepted is not None
 
-    def finished(self, job: str, tasks: int) -> bool:
+    def has_finished(self, job: str, tasks: int) -> bool:
         return len(self.checker.jobs[job].finished) >= tasks
 
     async def show(self, label: str, job: str) -> int:
         return await self._ask(label, job, "GET", f"/v1/jobs/{job}")
 
     async def cancel(self, label: str, job: str) -> int:
-        self.checker.jobs[job].cancel_asked = True
+        self.checker.jobs[job].cancellation_requested = True
         return await self._ask(label, job, "POST", f"/v1/jobs/{job}/withdraw")
 
-    async def cancel_until_told(self, label: str, job: str, within_s: float) -> bool:
+    async def cancel_until_confirmed(self, label: str, job: str, within_s: float) -> bool:
         end = self.clock.now() + within_s
         while self.clock.now() < end:
             if await self.cancel(label, job) == 200:
@@ -277,13 +281,13 @@
 
     async def _ask(self, label: str, job: str, method: str, path: str, body: bytes = b"") -> int:
         asked_at = self.clock.now()
-        while self.stands_still(label):
+        while self.is_frozen(label):
             await curio.sleep(0.1)
         response = await self.nodes[label].ask(method, path, body)
-        self.checker.told(job, response, asked_at)
+        self.checker.check_response(job, response, asked_at)
         return response.status
 
-    async def look_everywhere(self, job: str, times: int = 3) -> None:
+    async def show_everywhere(self, job: str, times: int = 3) -> None:
         """Users ask at all controllers at once, again and again within milliseconds."""
         async with curio.TaskGroup() as group:
             for n in range(times):
@@ -293,19 +297,19 @@
 
     # -- time ------------------------------------------------------------------------
 
-    async def until(self, what: Callable[[], bool], within_s: float = 60.0) -> None:
+    async def wait_until(self, what: Callable[[], bool], within_s: float = 60.0) -> None:
         end = self.clock.now() + within_s
         while not what():
             assert self.clock.now() < end, "it did not come about"
             await curio.sleep(0.05)
 
-    def running(self, job: str) -> list[Worker]:
+    def workers_running(self, job: str) -> list[Worker]:
         """The workers with a task of the job, as far as their leases stand."""
         now = self.clock.now()
         return [
             worker
             for worker in self.workers.values()
-            if worker.answered + self.worker_lease_s >= now
+            if worker.lease_renewed_at + self.worker_lease_s >= now
             and any(k[0] == job and t.state == "running" for k, t in worker.tasks.items())
         ]
 
@@ -321,7 +325,7 @@
         region = Region(clock, state)
         regions.append(region)
         await scenario(region)
-        region.checker.look()
+        region.checker.check()
 
     run_under_virtual_time(clock, begin)
     assert not regions[0].checker.violations, regions[0].checker.violations[:5]
--- a/tests/simulated_worker.py
+++ b/tests/simulated_worker.py
@@ -29,10 +29,10 @@
     ) -> tuple[int, bytes]:
         worker = self._worker
         await curio.sleep(HOP_S)
-        if worker.deaf or worker.hung:
-            if worker.hung:
+        if worker.inbound_lost or worker.is_frozen:
+            if worker.is_frozen:
                 # carried out when the machine goes on, if token and session still match
-                worker.held.append(load_object(body))
+                worker.delayed_commands.append(load_object(body))
             await curio.sleep(timeout_s)
             raise NoResponseError(path)
         return worker.command(load_object(body))
@@ -53,14 +53,14 @@
         self.region, self.machine, self.number, self.zone = region, machine, number, zone
         self.session, self.seq, self.token = 1, 0, 0
         self.tasks: dict[tuple[str, int], Task] = {}
-        self.answered = region.clock.now()
-        self.deaf: bool = False
-        self.mute: bool = False
-        self.hung: bool = False
-        self.gone: bool = False
-        self.target = 0
-        self.copies: list[bytes] = []
-        self.held: list[dict[str, Any]] = []
+        self.lease_renewed_at = region.clock.now()
+        self.inbound_lost: bool = False
+        self.heartbeats_lost: bool = False
+        self.is_frozen: bool = False
+        self.is_terminated: bool = False
+        self.target_index = 0
+        self.sent_heartbeats: list[bytes] = []
+        self.delayed_commands: list[dict[str, Any]] = []
         # the cloud will take the machine away; nothing is placed on it meanwhile
         self.notice_s: float | None = None
         # the orders that it got: when, in which session, what
@@ -81,54 +81,56 @@
 
     def _tick(self) -> None:
         now, checker = self.region.clock.now(), self.region.checker
-        if now - self.answered > self.region.worker_lease_s:
+        if now - self.lease_renewed_at > self.region.worker_lease_s:
             self.session += 1
             self.tasks.clear()
-            self.answered = now
+            self.lease_renewed_at = now
         for (job, _), task in self.tasks.items():
             run_s = checker.jobs[job].run_s
             if task.state == "running" and run_s is not None and now - task.since >= run_s:
                 task.state, task.cause = "exited", "done"
 
     async def run(self) -> None:
-        labels = list(self.region.lines)
-        self.target = self.number % len(labels)
-        while not self.gone:
-            if self.hung:
+        labels = list(self.region.state_links)
+        self.target_index = self.number % len(labels)
+        while not self.is_terminated:
+            if self.is_frozen:
                 await curio.sleep(0.1)
                 continue
             self._tick()
-            while self.held:
-                self.command(self.held.pop(0))
+            while self.delayed_commands:
+                self.command(self.delayed_commands.pop(0))
             wait_s = self.region.heartbeat_interval_s
-            label = labels[self.target]
+            label = labels[self.target_index]
             answer = await self._call(label)
             if answer is None or answer[0] != 200:
                 named = str(answer[1].get("foreman")) if answer is not None else ""
                 moves = named in labels and named != label
-                self.target = labels.index(named) if moves else (self.target + 1) % len(labels)
+                self.target_index = (
+                    labels.index(named) if moves else (self.target_index + 1) % len(labels)
+                )
                 wait_s = 0.2 if moves else 1.0
             await curio.sleep(wait_s)
 
     async def _call(self, label: str) -> tuple[int, dict[str, Any]] | None:
         body, sent, session = self._report(), self.region.clock.now(), self.session
-        self.copies = [*self.copies[-40:], body]
+        self.sent_heartbeats = [*self.sent_heartbeats[-40:], body]
         await curio.sleep(HOP_S)
-        if self.region.stands_still(label) or label in self.region.dark:
+        if self.region.is_frozen(label) or label in self.region.powered_off:
             await curio.sleep(4.0)
             return None
-        if self.mute or not self.region.reaches(self, label):
+        if self.heartbeats_lost or not self.region.can_reach(self, label):
             return None
         status, data = self.region.deliver(body, label)
         await curio.sleep(HOP_S)
-        if self.deaf or self.hung or not self.region.reaches(self, label):
+        if self.inbound_lost or self.is_frozen or not self.region.can_reach(self, label):
             await curio.sleep(4.0)
             return None
         answer = load_object(data)
         self._tick()
         if status == 200 and session == self.session and answer["warrant"] >= self.token:
-            self.token, self.answered = answer["warrant"], sent
-            self._obey(answer["orders"])
+            self.token, self.lease_renewed_at = answer["warrant"], sent
+            self._apply_orders(answer["orders"])
         return status, answer
 
     def command(self, data: dict[str, Any]) -> tuple[int, bytes]:
@@ -136,10 +138,10 @@
         if data["warrant"] < self.token or data["shift"] != self.session:
             return 409, self._report()
         self.token = data["warrant"]
-        self._obey(data["orders"])
+        self._apply_orders(data["orders"])
         return 200, self._report()
 
-    def _obey(self, orders: list[dict[str, Any]]) -> None:
+    def _apply_orders(self, orders: list[dict[str, Any]]) -> None:
         for order in orders:
             self.orders.append((self.region.clock.now(), self.session, order))
             job, _, index = order["sack"].rpartition("/")
@@ -148,7 +150,7 @@
             if order["verb"] == "start":
                 if task is None:
                     self.tasks[key] = Task(attempt, "running", self.region.clock.now())
-                    self.region.checker.started(self, key)
+                    self.region.checker.check_start(self, key)
             elif task is not None and task.attempt == attempt:
                 if order["verb"] == "reap" and task.state == "exited":
                     del self.tasks[key]
--- a/tests/stepped_controller.py
+++ b/tests/stepped_controller.py
@@ -50,7 +50,7 @@
 RECORD_BYTES = make_settings().state_limits.record_bytes
 
 
-class PeerLine:
+class InMemoryPeerLink:
     """The line to a peer's handler; cut, it reaches nobody."""
 
     def __init__(self, nodes: dict[str, "SteppedController"], label: str) -> None:
@@ -61,7 +61,7 @@
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
         node = self._nodes.get(self._label)
-        if node is None or node.cut:
+        if node is None or node.is_unreachable:
             raise ConnectionFailedError(self._label)
         request = Request(method, path, body)
         asked = path in (peers.ATTESTATION_PATH, peers.CANCELLATION_PATH)
@@ -69,7 +69,7 @@
         return response.status, response.body
 
 
-class WorkerLine:
+class ScriptedWorkerLink:
     """The line to a worker's own address: what it does with direct commands is scripted."""
 
     def __init__(self) -> None:
@@ -101,7 +101,7 @@
     ) -> None:
         self.settings = s = make_settings(label)
         self.clock = clock
-        self.cut = False
+        self.is_unreachable = False
         nodes[label] = self
         self.client = StateClient(s, clock, state)
         self.mirror = Mirror()
@@ -113,7 +113,7 @@
         self.controller_lease = ControllerLease(self.client, clock, s)
 
         def line(peer: Peer) -> Http:
-            return connect(peer) if connect is not None else PeerLine(nodes, peer.label)
+            return connect(peer) if connect is not None else InMemoryPeerLink(nodes, peer.label)
 
         shards = OwnedShards()
         self.lease_extensions = LeaseExtensions(s, clock, shards, self.client, line)
@@ -142,7 +142,7 @@
             self.partition_protocol.expiry_proof,
         )
         self.forecast = DemandForecast(s, clock, self.cluster)
-        self.worker = WorkerLine()
+        self.worker = ScriptedWorkerLink()
         self.command_sender = CommandSender(s, self.cluster, self.membership, self.heartbeats)
         self.command_sender.connect = lambda endpoint: self.worker
         self.scheduling_loop = SchedulingLoop(
@@ -191,7 +191,7 @@
         await self.watcher.load()
         await self.membership.step()
 
-    async def live(self) -> None:
+    async def renew_and_sync(self) -> None:
         """What a running controller does all the time: it renews its lease, and reads."""
         await self.controller_lease.step()
         if not self.controller_lease.is_failing:
@@ -262,7 +262,7 @@
 Nodes = dict[str, SteppedController]
 
 
-async def _placed(
+async def start_placed_task(
     state: StateService, clock: FakeClock, nodes: Nodes, **job: object
 ) -> SteppedController:
     """A node whose machine n-0 runs the job's one task, attempt 1, in session 1."""
--- a/tests/test_answer_consistency.py
+++ b/tests/test_answer_consistency.py
@@ -7,9 +7,9 @@
 import pytest
 
 from .fault_injection import (
-    all_over,
     lose_answers,
-    single_task_jobs,
+    submit_single_task_jobs,
+    wait_until_all_ended,
 )
 from .simulated_region import Region, simulate
 
@@ -24,12 +24,12 @@
     async def scenario(region: Region) -> None:
         await region.begin(machines=3)
         lose_answers(3, region, 2.0, at_once, 30.0)
-        traffic = await curio.spawn(single_task_jobs, region, 24, 0.7)
+        traffic = await curio.spawn(submit_single_task_jobs, region, 24, 0.7)
         if ends:
             await curio.sleep(8.0)
             await region.restart("node-0", 0.3)
         await traffic.join()
-        await all_over(region)
+        await wait_until_all_ended(region)
 
     simulate(scenario)
 
@@ -48,14 +48,14 @@
                 await group.spawn(region.submit, label, job, 1.0)
                 await curio.sleep(0.004 * (n % 4))
                 await group.spawn(region.submit, other, job, 1.0)
-                await region.until(partial(region.accepted, job))
+                await region.wait_until(partial(region.is_accepted, job))
                 if n % 2:
                     await group.spawn(region.cancel, other, job)
-                await region.look_everywhere(job, 6)
+                await region.show_everywhere(job, 6)
                 await region.submit(other, job, 1.0)
         await curio.sleep(6.0)
         for job in region.checker.jobs:
-            await region.look_everywhere(job)
+            await region.show_everywhere(job)
             for label in region.LABELS:
                 await region.submit(label, job, 1.0)
                 await region.cancel(label, job)
@@ -71,7 +71,7 @@
 
     async def scenario(region: Region) -> None:
         await region.begin(machines=1)
-        region.answer_s["node-1"] = 0.6
+        region.transaction_delay_s["node-1"] = 0.6
         async with curio.TaskGroup() as group:
             await group.spawn(region.submit, "node-1", "wk-000001")
             await curio.sleep(0.1)
--- a/tests/test_attempt_end_proofs.py
+++ b/tests/test_attempt_end_proofs.py
@@ -5,12 +5,18 @@
 from crossmill.cluster import keys
 
 from .fake_services import FakeClock, StateService, beat, on
-from .stepped_controller import Nodes, SteppedController, _placed, add_machine, run_scenario
+from .stepped_controller import (
+    Nodes,
+    SteppedController,
+    add_machine,
+    run_scenario,
+    start_placed_task,
+)
 
 
 def test_a_report_from_before_takeover_is_not_believed() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        node = await _placed(state, clock, nodes)
+        node = await start_placed_task(state, clock, nodes)
         # a new incarnation; a late copy of an old report lists nothing
         again = SteppedController(state, clock, nodes)
         await again.boot()
@@ -27,7 +33,7 @@
 
 def test_late_copy_renews_no_belief_and_brings_no_order() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        node = await _placed(state, clock, nodes)
+        node = await start_placed_task(state, clock, nodes)
         clock.time += node.settings.heartbeat_timeout_s + 0.1
         view = node.heartbeats.find_view("n-0")
         assert view is not None
@@ -41,7 +47,7 @@
 
 def test_silence_is_no_proof_until_the_lease_must_have_ended() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        node = await _placed(state, clock, nodes)
+        node = await start_placed_task(state, clock, nodes)
         add_machine(state, clock, "n-1")
         await node.sync()
         for seq in range(1, 60):
@@ -60,7 +66,7 @@
 
 def test_a_new_session_proves_the_old_attempts_over() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        node = await _placed(state, clock, nodes)
+        node = await start_placed_task(state, clock, nodes)
         node.report("n-0", 2, 1, node.token())
         await node.round()
         await node.round()
@@ -72,7 +78,7 @@
 
 def test_a_failed_entry_in_the_list_is_no_proof_but_a_release_is() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        node = await _placed(state, clock, nodes)
+        node = await start_placed_task(state, clock, nodes)
         node.cloud.listed = [
             {
                 "nameId": "n-0",
@@ -106,7 +112,7 @@
 
 def test_direct_answers_do_not_renew_the_lease_bound() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        node = await _placed(state, clock, nodes)
+        node = await start_placed_task(state, clock, nodes)
         view = node.heartbeats.find_view("n-0")
         assert view is not None
         before = view.answered_at
@@ -128,10 +134,10 @@
     """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        node = await _placed(state, clock, nodes)
+        node = await start_placed_task(state, clock, nodes)
         for _ in range(20):
             clock.time += node.settings.worker_lease_s / 20
-            await node.live()
+            await node.renew_and_sync()
         node.command_sender._answered("n-0", 200, beat("n-0", 2, 1, node.token()))
         machine = node.cluster.machines["n-0"]
         view = node.heartbeats.find_view("n-0")
--- a/tests/test_boot_times.py
+++ b/tests/test_boot_times.py
@@ -104,16 +104,16 @@
 def test_machines_that_all_boot_slowly_join_instead_of_being_rented_anew(slow: float) -> None:
     async def scenario(region: Region) -> None:
         await region.begin(machines=0)
-        await region.lead_everywhere()
+        await region.run_provisioners()
         rented_at: dict[str, float] = {}
 
         def boots(machine: str) -> bool:
             begun = rented_at.setdefault(machine, region.clock.now())
             return region.clock.now() - begun > slow * BOOT_S
 
-        region.boots = boots
+        region.comes_up = boots
         assert await region.submit("node-0", "wk-000001", 10.0, crew="blue", sacks=16) == 201
-        await region.until(lambda: region.finished("wk-000001", 16), 600.0)
+        await region.wait_until(lambda: region.has_finished("wk-000001", 16), 600.0)
         # they were waited for: those that were rented first did the work
         assert not {"n-000000", "n-000001"} & set(region.cloud.released)
         assert len(region.cloud.machines) <= 12
--- a/tests/test_command_delivery.py
+++ b/tests/test_command_delivery.py
@@ -13,10 +13,10 @@
 from .stepped_controller import (
     Nodes,
     SteppedController,
-    _placed,
     add_job,
     run_scenario,
     seed,
+    start_placed_task,
 )
 
 
@@ -71,7 +71,7 @@
 
 def test_an_outcome_is_durable_before_the_reap() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        node = await _placed(state, clock, nodes)
+        node = await start_placed_task(state, clock, nodes)
         done = on("wk-000001", 0, 1, "exited", "done")
         assert node.report("n-0", 1, 5, node.token(), done).commands == ()
         await node.round()
@@ -100,7 +100,7 @@
 
 def test_withdrawn_tasks_are_killed_and_done_jobs_stay_done() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        node = await _placed(state, clock, nodes)
+        node = await start_placed_task(state, clock, nodes)
         answer = await node.ask("POST", "/v1/jobs/wk-000001/withdraw")
         assert (answer.status, orjson.loads(answer.body)["stage"]) == (200, "withdrawn")
         running = on("wk-000001", 0, 1, "running")
--- a/tests/test_concurrent_cancellations.py
+++ b/tests/test_concurrent_cancellations.py
@@ -10,27 +10,29 @@
 from .simulated_region import Region, simulate
 
 
-async def _gap(region: Region, refused: str, refuses: object, alone_s: float) -> None:
+async def _cancel_in_outage_after_refusal(
+    region: Region, refused: str, refuses: object, alone_s: float
+) -> None:
     """node-0 is refused alone; another controller confirms a cancellation; then all are refused
     for longer than cancel_s, while the worker goes on reporting to node-0.
     """
-    await region.until(lambda: len(region.running("wk-000001")) > 0)
+    await region.wait_until(lambda: len(region.workers_running("wk-000001")) > 0)
     before = region.clock.now()
     if refuses == "flapping":
-        region.refused[refused] = lambda m, p: (region.clock.now() - before) % 1.0 < 0.8
+        region.refused_requests[refused] = lambda m, p: (region.clock.now() - before) % 1.0 < 0.8
     else:
-        region.refused[refused] = refuses  # type: ignore[assignment]
+        region.refused_requests[refused] = refuses  # type: ignore[assignment]
     await curio.sleep(0.3)
-    told = await region.cancel_until_told("node-1", "wk-000001", max(0.1, alone_s - 0.3))
+    confirmed = await region.cancel_until_confirmed("node-1", "wk-000001", max(0.1, alone_s - 0.3))
     await curio.sleep(max(0.0, before + alone_s - region.clock.now()))
     region.state.down = True
     await curio.sleep(4.0)
-    region.refused.clear()
+    region.refused_requests.clear()
     await curio.sleep(region.cancellation_deadline_s * 1.4)
     region.state.down = False
     await curio.sleep(10.0)
-    assert told, "the story is about a cancellation that was confirmed"
-    assert not region.running("wk-000001")
+    assert confirmed, "the story is about a cancellation that was confirmed"
+    assert not region.workers_running("wk-000001")
 
 
 @pytest.mark.parametrize("refuses", [every_request, all_but_leases, "flapping"])
@@ -46,10 +48,10 @@
         # apart from the others it could not be told as its zone's deputy, and the user would wait
         await region.begin(machines=2, zone="south" if peers == "apart" else "north")
         await region.submit("node-1", "wk-000001", sacks=2)
-        await region.until(lambda: len(region.running("wk-000001")) > 0)
+        await region.wait_until(lambda: len(region.workers_running("wk-000001")) > 0)
         if peers == "apart":
-            region.apart.add("node-0")
-        await _gap(region, "node-0", refuses, alone_s)
+            region.cut_from_peers.add("node-0")
+        await _cancel_in_outage_after_refusal(region, "node-0", refuses, alone_s)
 
     simulate(scenario)
 
@@ -62,24 +64,24 @@
     async def scenario(region: Region) -> None:
         await region.begin(machines=2)
         await region.submit("node-1", "wk-000001", sacks=2)
-        await region.until(lambda: len(region.running("wk-000001")) > 0)
+        await region.wait_until(lambda: len(region.workers_running("wk-000001")) > 0)
         await curio.sleep(4.0)
-        region.reaches = lambda worker, label: label == "node-0"
+        region.can_reach = lambda worker, label: label == "node-0"
 
-        def fate(label: str, method: str, path: str) -> tuple[float, bool] | None:
+        def transaction_fault(label: str, method: str, path: str) -> tuple[float, bool] | None:
             if (label, path) != ("node-0", "/txn"):
                 return None
-            region.cut("node-0")
+            region.isolate("node-0")
             return 0.0, True
 
-        region.fate = fate
+        region.transaction_fault = transaction_fault
         asking = await curio.spawn(region.cancel, "node-0", "wk-000001")
         await curio.sleep(2.0)
         await region.show("node-1", "wk-000001")
         assert region.checker.jobs["wk-000001"].cancelled is not None
         await curio.sleep(region.cancellation_deadline_s * 1.5)
         await asking.cancel()
-        assert not region.running("wk-000001")
+        assert not region.workers_running("wk-000001")
 
     simulate(scenario)
 
@@ -89,14 +91,14 @@
     async def scenario(region: Region) -> None:
         await region.begin(machines=1)
         await region.submit("node-2", "wk-000001", run_s=5.0, sacks=1)
-        await region.until(lambda: bool(region.running("wk-000001")))
+        await region.wait_until(lambda: bool(region.workers_running("wk-000001")))
         await curio.sleep(5.0 + offset_s)
         async with curio.TaskGroup() as group:
             await group.spawn(region.cancel, "node-1", "wk-000001")
-            await group.spawn(region.look_everywhere, "wk-000001", 8)
+            await group.spawn(region.show_everywhere, "wk-000001", 8)
             await group.spawn(region.submit, "node-2", "wk-000001", 5.0)
         await curio.sleep(4.0)
-        await region.look_everywhere("wk-000001")
+        await region.show_everywhere("wk-000001")
         facts = region.checker.jobs["wk-000001"]
         assert (facts.done is None) != (facts.cancelled is None)
 
@@ -112,20 +114,20 @@
         await region.begin(machines=6)
         for n in range(4):
             await region.submit("node-1", f"wk-30000{n}", sacks=4)
-        await region.until(lambda: len(region.checker.starts) == 16, 30.0)
+        await region.wait_until(lambda: len(region.checker.starts) == 16, 30.0)
         full = [w for w in region.workers.values() if w.tasks]
-        full[0].hung = True
-        full[1].deaf = True
-        full[2].mute = True
+        full[0].is_frozen = True
+        full[1].inbound_lost = True
+        full[2].heartbeats_lost = True
         for n in range(4):
-            assert await region.cancel_until_told("node-2", f"wk-30000{n}", 20.0)
+            assert await region.cancel_until_confirmed("node-2", f"wk-30000{n}", 20.0)
         for n in range(4):
             await region.submit("node-2", f"wk-40000{n}", sacks=4)
         await region.kill("node-0")
         await curio.sleep(region.worker_lease_s * 0.6)
-        full[0].hung = full[1].deaf = full[2].mute = False
+        full[0].is_frozen = full[1].inbound_lost = full[2].heartbeats_lost = False
         await region.start("node-0")
-        await region.until(lambda: len(region.checker.starts) == 32, 90.0)
+        await region.wait_until(lambda: len(region.checker.starts) == 32, 90.0)
 
     simulate(scenario)
 
@@ -137,20 +139,20 @@
         await region.begin(machines=4)
         for n in range(12):
             await region.submit("node-1", f"wk-{500000 + n}", sacks=1)
-        await region.until(lambda: len(region.checker.starts) >= 12)
+        await region.wait_until(lambda: len(region.checker.starts) >= 12)
         await curio.sleep(region.worker_lease_s)
-        changes = await curio.spawn(_change_hands, region)
+        changes = await curio.spawn(_restart_owners, region)
         for n in range(12):
-            assert await region.cancel_until_told("node-1", f"wk-{500000 + n}", 60.0)
+            assert await region.cancel_until_confirmed("node-1", f"wk-{500000 + n}", 60.0)
             await curio.sleep(0.25)
         await changes.join()
         await curio.sleep(region.worker_lease_s * 2)
-        assert not any(region.running(job) for job in region.checker.jobs)
+        assert not any(region.workers_running(job) for job in region.checker.jobs)
 
     simulate(scenario)
 
 
-async def _change_hands(region: Region) -> None:
+async def _restart_owners(region: Region) -> None:
     await region.restart("node-0", 1.0)
     await curio.sleep(1.0)
     await region.restart("node-2", 0.1)
@@ -164,17 +166,17 @@
     async def scenario(region: Region) -> None:
         await region.begin(machines=2)
         await region.submit("node-1", "wk-000001", sacks=2)
-        await region.until(lambda: len(region.running("wk-000001")) > 0)
+        await region.wait_until(lambda: len(region.workers_running("wk-000001")) > 0)
         await curio.sleep(2.0)
-        region.cut("node-0")
-        region.reaches = lambda worker, label: label == "node-0"
-        told = await region.cancel_until_told("node-1", "wk-000001", 60.0)
-        assert told
-        await region.look_everywhere("wk-000001")
+        region.isolate("node-0")
+        region.can_reach = lambda worker, label: label == "node-0"
+        confirmed = await region.cancel_until_confirmed("node-1", "wk-000001", 60.0)
+        assert confirmed
+        await region.show_everywhere("wk-000001")
         await curio.sleep(region.cancellation_deadline_s * 1.2)
-        region.mend()
+        region.reconnect()
         await curio.sleep(5.0)
-        await region.look_everywhere("wk-000001")
+        await region.show_everywhere("wk-000001")
 
     simulate(scenario)
 
@@ -186,26 +188,26 @@
         await region.begin(machines=3)
         for n in range(6):
             await region.submit("node-1", f"wk-{600000 + n}", sacks=1)
-        await region.until(lambda: len(region.checker.starts) >= 6)
-        region.slow_s = 0.4
-        cancels = await curio.spawn(_cancel_some, region)
+        await region.wait_until(lambda: len(region.checker.starts) >= 6)
+        region.state_delay_s = 0.4
+        cancels = await curio.spawn(_cancel_jobs, region)
         await curio.sleep(4.0)
-        region.refused[region.owners()[0]] = every_request
+        region.refused_requests[region.owners()[0]] = every_request
         await curio.sleep(1.0)
         region.state.down = True
         await curio.sleep(region.cancellation_deadline_s * 1.2)
         region.state.down = False
-        region.slow_s = 0.0
-        region.mend()
+        region.state_delay_s = 0.0
+        region.reconnect()
         await cancels.join()
         await curio.sleep(region.worker_lease_s * 2)
         for job in region.checker.jobs:
-            await region.look_everywhere(job, 2)
+            await region.show_everywhere(job, 2)
 
     simulate(scenario)
 
 
-async def _cancel_some(region: Region) -> None:
+async def _cancel_jobs(region: Region) -> None:
     for n in range(6):
-        await region.cancel_until_told(f"node-{n % 3}", f"wk-{600000 + n}", 70.0)
-        await region.look_everywhere(f"wk-{600000 + n}", 3)
+        await region.cancel_until_confirmed(f"node-{n % 3}", f"wk-{600000 + n}", 70.0)
+        await region.show_everywhere(f"wk-{600000 + n}", 3)
--- a/tests/test_controller_failovers.py
+++ b/tests/test_controller_failovers.py
@@ -8,10 +8,10 @@
 from crossmill.cluster import keys
 
 from .fault_injection import (
-    all_over,
-    all_over_but_services,
+    cancel_services_and_wait,
     lose_answers,
-    single_task_jobs,
+    submit_single_task_jobs,
+    wait_until_all_ended,
 )
 from .simulated_region import Region, simulate
 
@@ -23,14 +23,14 @@
         await region.begin(machines=2)
         assert await region.submit("node-1", "wk-000001", sacks=3) == 201
         assert await region.submit("node-2", "wk-000002", run_s=5.0, sacks=2) == 201
-        await region.until(lambda: len(region.running("wk-000001")) > 0)
-        await region.until(lambda: len(region.checker.jobs["wk-000002"].finished) == 2)
+        await region.wait_until(lambda: len(region.workers_running("wk-000001")) > 0)
+        await region.wait_until(lambda: len(region.checker.jobs["wk-000002"].finished) == 2)
         await curio.sleep(3.0)
         assert await region.show("node-0", "wk-000002") == 200
         assert region.checker.jobs["wk-000002"].done is not None
         assert await region.cancel("node-2", "wk-000001") == 200
         await curio.sleep(3.0)
-        assert not region.running("wk-000001")
+        assert not region.workers_running("wk-000001")
 
     simulate(scenario)
 
@@ -40,7 +40,7 @@
     async def scenario(region: Region) -> None:
         await region.begin(machines=4)
         await region.submit("node-1", "wk-000001", sacks=2)
-        traffic = await curio.spawn(single_task_jobs, region, 40, 2.5)
+        traffic = await curio.spawn(submit_single_task_jobs, region, 40, 2.5)
         for n in range(10):
             await curio.sleep(7.0)
             if outage and n in (3, 7):
@@ -48,7 +48,7 @@
             await region.restart(region.owners().get(0, "node-0"), 0.2 if n % 2 else 4.0)
             region.state.down = False
         await traffic.join()
-        await all_over_but_services(region)
+        await cancel_services_and_wait(region)
 
     simulate(scenario)
 
@@ -58,7 +58,7 @@
     async def scenario(region: Region) -> None:
         await region.begin(machines=3)
         await region.submit("node-1", "wk-000001", sacks=2)
-        await single_task_jobs(region, 6, 0.5)
+        await submit_single_task_jobs(region, 6, 0.5)
         for label in list(region.LABELS):
             await region.kill(label)
         await curio.sleep(away_s)
@@ -66,7 +66,7 @@
         await curio.sleep(5.0)
         await region.start("node-0")
         await region.start("node-2")
-        await all_over_but_services(region)
+        await cancel_services_and_wait(region)
 
     simulate(scenario)
 
@@ -78,10 +78,10 @@
         await region.begin(machines=1)
         await region.submit("node-1", "wk-000001", run_s=5.0, sacks=3, cards=4.0)
         for done in (1, 2, 3):
-            await region.until(partial(region.finished, "wk-000001", done), 40.0)
-            await region.look_everywhere("wk-000001")
+            await region.wait_until(partial(region.has_finished, "wk-000001", done), 40.0)
+            await region.show_everywhere("wk-000001")
             await region.restart(region.owners().get(0, "node-0"), 0.2 if done % 2 else 3.0)
-        await all_over(region)
+        await wait_until_all_ended(region)
         assert len(region.checker.starts) == 3, "what is done is not done again"
 
     simulate(scenario)
@@ -92,8 +92,8 @@
 
     async def scenario(region: Region) -> None:
         await region.begin(machines=8)
-        await single_task_jobs(region, 160, 0.25)
-        await all_over(region, 60.0)
+        await submit_single_task_jobs(region, 160, 0.25)
+        await wait_until_all_ended(region, 60.0)
         await curio.sleep(20.0)
         owner = region.nodes[region.owners()[0]]
         assert not any(owner.cluster.jobs.ended[k] for k in range(3))
@@ -110,15 +110,15 @@
 
     async def scenario(region: Region) -> None:
         await region.begin(machines=0)
-        await region.lead_everywhere()
+        await region.run_provisioners()
         lose_answers(2, region, 2.0, False, 25.0)
         for n in range(4):
             await region.submit("node-1", f"wk-{800000 + n}", run_s=6.0, sacks=4)
-        await region.until(lambda: len(region.workers) > 0, 40.0)
+        await region.wait_until(lambda: len(region.workers) > 0, 40.0)
         await curio.sleep(0.7)
         await region.restart(region.leader() or "node-0", 0.4)
         await curio.sleep(6.0)
         await region.restart(region.leader() or "node-0", 3.0)
-        await all_over(region, 150.0)
+        await wait_until_all_ended(region, 150.0)
 
     simulate(scenario)
--- a/tests/test_controller_outages.py
+++ b/tests/test_controller_outages.py
@@ -17,7 +17,7 @@
 from crossmill.workers.attempt_outcomes import AttemptOutcome, EndReason
 
 from .fake_services import FakeClock, StateService, make_settings, make_spec
-from .fault_injection import all_over_but_services
+from .fault_injection import cancel_services_and_wait
 from .simulated_region import Region, simulate
 from .simulated_worker import Worker
 from .stepped_controller import SteppedController, add_machine, run_scenario, seed
@@ -40,17 +40,17 @@
             crew = ("red", "blue", "green")[n % 3]
             label = region.LABELS[n % 3]
             assert await region.submit(label, job, None, crew=crew, sacks=2) == 201
-        await region.until(lambda: all(region.running(job) for job in jobs))
+        await region.wait_until(lambda: all(region.workers_running(job) for job in jobs))
         await curio.sleep(seed_s)
         frozen = region.nodes["node-1"]
         held = set(frozen.membership.ownerships)
-        region.still_until["node-1"] = region.clock.now() + freeze_s
+        region.frozen_until["node-1"] = region.clock.now() + freeze_s
         for job in jobs[:5]:
-            assert await region.cancel_until_told("node-2", job, 20.0)
+            assert await region.cancel_until_confirmed("node-2", job, 20.0)
         # a moment before it goes on: in its own eyes its rights are over, though nothing told it so
-        left_s = region.still_until["node-1"] - region.clock.now()
+        left_s = region.frozen_until["node-1"] - region.clock.now()
         await curio.sleep(max(0.0, left_s - 0.001))
-        if region.stands_still("node-1"):
+        if region.is_frozen("node-1"):
             assert all(frozen.membership.active_ownership(shard) is None for shard in held)
             assert all(frozen.membership.heartbeat_authority(shard) is None for shard in held)
             assert frozen.membership.leadership_version() is None
@@ -58,8 +58,8 @@
             crew = ("red", "blue", "green")[n % 3]
             await region.submit("node-2", job, 5.0, crew=crew, sacks=2)
         await curio.sleep(40.0)
-        assert not any(region.running(job) for job in jobs[:5])
-        assert all(region.running(job) for job in jobs[5:])
+        assert not any(region.workers_running(job) for job in jobs[:5])
+        assert all(region.workers_running(job) for job in jobs[5:])
 
     return scenario
 
@@ -82,21 +82,21 @@
         await _begin(region)
         others = [label for label in region.LABELS if label != alone]
         assert await region.submit(others[0], "wk-000001", None, crew="blue", sacks=3) == 201
-        await region.until(lambda: bool(region.running("wk-000001")))
+        await region.wait_until(lambda: bool(region.workers_running("wk-000001")))
         for label in others:
-            await region.darken(label)
+            await region.power_off(label)
         await curio.sleep(15.0)
         # it serves alone: jobs run, end and are cancelled
         assert await region.submit(alone, "wk-000002", 10.0, crew="green", sacks=4) == 201
         assert await region.submit(alone, "wk-000003", None, crew="green", sacks=1) == 201
-        await region.until(lambda: region.finished("wk-000002", 4))
-        assert await region.cancel_until_told(alone, "wk-000003", 10.0)
+        await region.wait_until(lambda: region.has_finished("wk-000002", 4))
+        assert await region.cancel_until_confirmed(alone, "wk-000003", 10.0)
         await curio.sleep(40.0)
         for label in others:
-            await region.light(label)
+            await region.power_on(label)
         await curio.sleep(40.0)
-        assert region.running("wk-000001")
-        assert not region.running("wk-000003")
+        assert region.workers_running("wk-000001")
+        assert not region.workers_running("wk-000003")
         assert region.owners() == {0: "node-0", 1: "node-1", 2: "node-2"}
 
     simulate(scenario)
@@ -113,9 +113,9 @@
         small = {"crew": "blue", "cards": 0.0, "cpus": 0.25, "ramGb": 0.5}
         for job in jobs:
             assert await region.submit("node-0", job, None, sacks=1, **small) == 201
-        await region.until(lambda: all(region.running(job) for job in jobs))
+        await region.wait_until(lambda: all(region.workers_running(job) for job in jobs))
         for label in ("node-1", "node-2"):
-            await region.darken(label)
+            await region.power_off(label)
         await curio.sleep(20.0)
         reads = len(region.state.calls)
         for _ in range(8 * 10):
@@ -126,8 +126,8 @@
         # 4,000 questions; a read serves all that were asked before it
         assert len(region.state.calls) - reads < 1000
         assert await region.submit("node-0", "wk-000100", 5.0, sacks=2, **small) == 201
-        await region.until(lambda: region.finished("wk-000100", 2), 20.0)
-        assert all(region.running(job) for job in jobs)
+        await region.wait_until(lambda: region.has_finished("wk-000100", 2), 20.0)
+        assert all(region.workers_running(job) for job in jobs)
 
     simulate(scenario)
 
@@ -135,11 +135,13 @@
 def test_machines_that_never_come_up_are_given_up_and_replaced() -> None:
     async def scenario(region: Region) -> None:
         await region.begin(machines=0)
-        await region.lead_everywhere()
-        region.boots = lambda machine: int(machine[2:]) >= 2
+        await region.run_provisioners()
+        region.comes_up = lambda machine: int(machine[2:]) >= 2
         assert await region.submit("node-0", "wk-000001", 10.0, crew="blue", sacks=8) == 201
-        await region.until(lambda: region.finished("wk-000001", 8), 400.0)
-        await region.until(lambda: {"n-000000", "n-000001"} <= set(region.cloud.released), 400.0)
+        await region.wait_until(lambda: region.has_finished("wk-000001", 8), 400.0)
+        await region.wait_until(
+            lambda: {"n-000000", "n-000001"} <= set(region.cloud.released), 400.0
+        )
 
     simulate(scenario)
 
@@ -170,10 +172,10 @@
         assert await region.submit("node-0", "wk-000100", 10.0, crew="blue", sacks=12) == 201
         await region.kill("node-1")
         for job in sorted(broken):
-            assert await region.cancel_until_told("node-2", job, 20.0)
+            assert await region.cancel_until_confirmed("node-2", job, 20.0)
         await region.start("node-1")
         # others' work is not held up
-        await region.until(lambda: region.finished("wk-000100", 12), 90.0)
+        await region.wait_until(lambda: region.has_finished("wk-000100", 12), 90.0)
         await curio.sleep(region.cancellation_deadline_s)
         assert not any(job in broken for w in region.workers.values() for job, _ in w.tasks)
 
@@ -202,7 +204,7 @@
 def test_a_guests_array_swarm_and_idle_batch_while_leaders_change() -> None:
     async def scenario(region: Region) -> None:
         await _begin(region)
-        await region.lead_everywhere()
+        await region.run_provisioners()
         small = {"crew": "green", "precedence": "idle", "cards": 0.0, "cpus": 0.25, "ramGb": 0.5}
         assert await region.submit("node-0", "wk-100000", 3.0, sacks=600, **small) == 201
         assert await region.submit("node-1", "wk-100001", 40.0, sacks=60, **small) == 201
@@ -212,9 +214,9 @@
         for label in ("node-2", "node-0", "node-1"):
             await curio.sleep(8.0)
             await region.restart(label, 4.0)
-        await region.until(lambda: region.finished("wk-100000", 600), 300.0)
-        assert len(region.running("wk-000001")) > 0
-        await all_over_but_services(region)
+        await region.wait_until(lambda: region.has_finished("wk-100000", 600), 300.0)
+        assert len(region.workers_running("wk-000001")) > 0
+        await cancel_services_and_wait(region)
 
     simulate(scenario)
 
@@ -272,25 +274,25 @@
         for n, job in enumerate(services):
             crew = ("red", "blue", "green")[n % 3]
             assert await region.submit("node-0", job, None, crew=crew, sacks=2) == 201
-        await region.until(lambda: all(region.running(job) for job in services))
+        await region.wait_until(lambda: all(region.workers_running(job) for job in services))
         for freeze in range(3):
             label = rng.choice(region.LABELS)
             freeze_s = rng.uniform(5.0, 25.0)
             traffic = await curio.spawn(_traffic, region, label, freeze, daemon=True)
             await curio.sleep(rng.uniform(0.0, 3.0))
-            region.still_until[label] = region.clock.now() + freeze_s
+            region.frozen_until[label] = region.clock.now() + freeze_s
             others = [other for other in region.LABELS if other != label]
-            assert await region.cancel_until_told(rng.choice(others), services[freeze], 20.0)
-            await curio.sleep(max(0.0, region.still_until[label] - region.clock.now()))
+            assert await region.cancel_until_confirmed(rng.choice(others), services[freeze], 20.0)
+            await curio.sleep(max(0.0, region.frozen_until[label] - region.clock.now()))
             await traffic.join()
             # all shards go home within two leases; from then on nobody's view may be old
             await curio.sleep(2 * region.worker_lease_s)
-            await region.until(
+            await region.wait_until(
                 lambda: all(_agrees(region, worker) for worker in region.workers.values()),
                 2 * region.heartbeat_interval_s,
             )
-        assert not any(region.running(job) for job in services[:3])
-        assert all(len(region.running(job)) > 0 for job in services[3:])
+        assert not any(region.workers_running(job) for job in services[:3])
+        assert all(len(region.workers_running(job)) > 0 for job in services[3:])
 
     simulate(scenario)
 
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -83,7 +83,7 @@
         assert _starts(node, 4, done) == []
         await node.round()
         clock.time += 5
-        await node.live()
+        await node.renew_and_sync()
         assert node.cluster.jobs[B].ready_at == pytest.approx(clock.wall() - 5)
         assert _starts(node, 5) == []
         await node.round()
@@ -190,7 +190,7 @@
         state.down = False
         for _ in range(40):
             clock.time += 1
-            await node.live()
+            await node.renew_and_sync()
             await node.round()
         ends = {state.keys[keys.job(name)][0]["end"] for name in (*fan, D)}
         assert ends == {CANCELLED}
@@ -339,7 +339,7 @@
         await node.sync()
         for _ in range(10):
             clock.time += 1
-            await node.live()
+            await node.renew_and_sync()
             await node.round()
         assert keys.job(A) in state.keys
         assert any(key.startswith(keys.ARCHIVE) for key in state.keys)
@@ -359,20 +359,20 @@
     await region.begin(machines=0)
     for shard in range(3):
         await region.add_worker(f"n-{shard}", shard=shard)
-    await region.until(lambda: all(n.cluster.level is not None for n in region.nodes.values()))
+    await region.wait_until(lambda: all(n.cluster.level is not None for n in region.nodes.values()))
 
 
 def test_a_diamond_over_three_teams_runs_in_order_through_a_restart_of_everybody() -> None:
     async def scenario(region: Region) -> None:
         await _begin(region)
         await _pipeline(region)
-        await region.until(lambda: bool(region.running(A)))
+        await region.wait_until(lambda: bool(region.workers_running(A)))
         for label in Region.LABELS:
             await region.kill(label)
         await curio.sleep(2)
         for label in Region.LABELS:
             await region.start(label)
-        await region.until(lambda: region.finished(D, 1), 120)
+        await region.wait_until(lambda: region.has_finished(D, 1), 120)
 
     simulate(scenario)
 
@@ -385,7 +385,7 @@
     async def scenario(region: Region) -> None:
         await _begin(region)
         await _pipeline(region)
-        assert await region.cancel_until_told("node-1", A, 20)
+        assert await region.cancel_until_confirmed("node-1", A, 20)
         region.state.down = outage_s > 0
         for label in Region.LABELS:
             await region.kill(label)
@@ -396,9 +396,9 @@
         region.state.down = False
         await curio.sleep(10)
         for job in (A, B, C, D):
-            await region.look_everywhere(job)
+            await region.show_everywhere(job)
             assert region.checker.jobs[job].cancelled is not None
-        assert not region.running(D)
+        assert not region.workers_running(D)
 
     simulate(scenario)
 
@@ -408,14 +408,14 @@
         await _begin(region)
         assert await region.submit("node-0", A, run_s=30.0, sacks=1) == 201
         async with curio.TaskGroup() as group:
-            await group.spawn(region.cancel_until_told, "node-1", A, 20.0)
+            await group.spawn(region.cancel_until_confirmed, "node-1", A, 20.0)
             for number in range(100, 120):
                 name = f"wk-{number:06d}"
                 await group.spawn(_submit_until_accepted, region, name)
                 await curio.sleep(0.01)
         for number in range(100, 120):
             name = f"wk-{number:06d}"
-            await region.look_everywhere(name, 1)
+            await region.show_everywhere(name, 1)
             assert region.checker.jobs[name].cancelled is not None
 
     simulate(scenario)
@@ -444,7 +444,7 @@
         for number in range(owner.settings.max_ended_jobs + 5):
             spec = make_spec(nameId=f"wk-{1000 + number:06d}")
             state.put(keys.job(spec.id), encode_end(DONE, spec, clock.wall(), RECORD_BYTES))
-        await owner.live()
+        await owner.renew_and_sync()
         assert owner.cluster.jobs[A].end == DONE
         assert other.cluster.jobs[A].end == ACTIVE
         assert (await _submit(other, B, A, *more)).status == 201
@@ -480,7 +480,7 @@
             == other.cluster.jobs[B].unmet_dependencies
             == {A}
         )
-        await node.live()
+        await node.renew_and_sync()
         await node.record_repair.step()
         await other.sync()
         assert await _stage(node, B) == await _stage(other, B) == told
--- a/tests/test_derivation.py
+++ b/tests/test_derivation.py
@@ -183,10 +183,10 @@
     return {"jobs": jobs, "machines": machines, "orphans": orphans, **indexes}
 
 
-@pytest.mark.parametrize("seed_n", range(12))
-def test_increments_agree_with_a_derivation_from_scratch(seed_n: int) -> None:
+@pytest.mark.parametrize("seed_number", range(12))
+def test_increments_agree_with_a_derivation_from_scratch(seed_number: int) -> None:
     async def scenario() -> None:
-        rng = random.Random(seed_n)
+        rng = random.Random(seed_number)
         state, clock, settings = StateService(), FakeClock(), make_settings()
         state.page_items = 7
         state.put(keys.LEVEL, encode_level(Level(1, 512, SEGMENT)))
--- a/tests/test_invariant_checker.py
+++ b/tests/test_invariant_checker.py
@@ -23,19 +23,19 @@
 def _running_here(region: Region, machine: str, job: str = JOB) -> None:
     worker = region.workers[machine]
     worker.tasks[job, 0] = Task(1, "running", region.clock.now())
-    region.checker.started(worker, (job, 0))
+    region.checker.check_start(worker, (job, 0))
 
 
 async def _ran_twice(region: Region) -> None:
-    await region.until(lambda: bool(region.running(JOB)))
-    idle = next(w for w in region.workers.values() if w not in region.running(JOB))
+    await region.wait_until(lambda: bool(region.workers_running(JOB)))
+    idle = next(w for w in region.workers.values() if w not in region.workers_running(JOB))
     _running_here(region, idle.machine)
 
 
 async def _ran_cancelled(region: Region) -> None:
-    await region.until(lambda: bool(region.running(JOB)))
+    await region.wait_until(lambda: bool(region.workers_running(JOB)))
     region.checker.jobs[JOB].cancelled = region.clock.now() - region.cancellation_deadline_s - 1
-    region.checker.look()
+    region.checker.check()
 
 
 async def _too_early(region: Region) -> None:
@@ -46,49 +46,49 @@
 async def _called_queued_after_its_need_was_cancelled(region: Region) -> None:
     await region.submit("node-0", DEPENDENT, run_s=5.0, sacks=1, awaits=[JOB])
     region.checker.jobs[JOB].cancelled = region.clock.now() - region.cancellation_deadline_s - 1
-    region.checker.told(DEPENDENT, _answer("queued"), region.clock.now())
+    region.checker.check_response(DEPENDENT, _answer("queued"), region.clock.now())
 
 
 async def _in_no_plan(region: Region) -> None:
-    await region.until(lambda: bool(region.running(JOB)))
+    await region.wait_until(lambda: bool(region.workers_running(JOB)))
     name = next(name for name in region.state.keys if name.startswith(keys.PLAN + JOB))
     region.state.put(name, {"next": 2, "done": "0", "rows": []})
-    region.checker.look()
+    region.checker.check()
 
 
 async def _quota(region: Region) -> None:
     region.checker.jobs[JOB].spec["cards"] = 1000.0
-    await region.until(lambda: bool(region.running(JOB)))
-    region.checker.look()
+    await region.wait_until(lambda: bool(region.workers_running(JOB)))
+    region.checker.check()
 
 
 async def _wrong_place(region: Region) -> None:
-    await region.until(lambda: bool(region.running(JOB)))
+    await region.wait_until(lambda: bool(region.workers_running(JOB)))
     region.checker.jobs[JOB].spec["yard"] = "south"
-    region.checker.look()
+    region.checker.check()
 
 
 async def _forgotten(region: Region) -> None:
     await curio.sleep(1.0)
-    region.checker.told(JOB, _answer("", 404), region.clock.now())
+    region.checker.check_response(JOB, _answer("", 404), region.clock.now())
 
 
 async def _refused_though_accepted(region: Region) -> None:
-    region.checker.told(JOB, _answer("", 422), region.clock.now())
+    region.checker.check_response(JOB, _answer("", 422), region.clock.now())
 
 
 async def _not_done(region: Region) -> None:
-    region.checker.told(JOB, _answer("done"), region.clock.now())
+    region.checker.check_response(JOB, _answer("done"), region.clock.now())
 
 
 async def _went_back(region: Region) -> None:
     region.checker.jobs[JOB].cancelled = region.clock.now()
-    region.checker.jobs[JOB].cancel_asked = True
-    region.checker.told(JOB, _answer("running"), region.clock.now())
+    region.checker.jobs[JOB].cancellation_requested = True
+    region.checker.check_response(JOB, _answer("running"), region.clock.now())
 
 
 async def _cancelled_by_nobody(region: Region) -> None:
-    region.checker.told(JOB, _answer("withdrawn"), region.clock.now())
+    region.checker.check_response(JOB, _answer("withdrawn"), region.clock.now())
 
 
 @pytest.mark.parametrize(
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -24,5 +24,5 @@
 def test_too_many_or_malformed_lines_fail_the_run(tmp_path: Path, text: str) -> None:
     path = tmp_path / known_red.FILE
     path.write_text(text)
-    with pytest.raises(known_red.Bad):
+    with pytest.raises(known_red.KnownRedListError):
         known_red.load(path)
--- a/tests/test_lease_extensions.py
+++ b/tests/test_lease_extensions.py
@@ -1,16 +1,16 @@
 """Lease extensions that peers grant while the state service is away."""
 
 from .fake_services import FakeClock, StateService, on
-from .stepped_controller import Nodes, SteppedController, _placed, run_scenario
+from .stepped_controller import Nodes, SteppedController, run_scenario, start_placed_task
 
 
 def test_workers_are_kept_alive_on_promises_and_only_then() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        node = await _placed(state, clock, nodes)
+        node = await start_placed_task(state, clock, nodes)
         for label in ("node-1", "node-2"):
             await SteppedController(state, clock, nodes, label).boot()
         running = on("wk-000001", 0, 1, "running")
-        await node.live()
+        await node.renew_and_sync()
         state.down = True
         seq = 4
         until = clock.now() + node.settings.max_lease_extension_s - 1
@@ -23,7 +23,7 @@
             assert answer.status == 200
         # bound, the others do not take it even when its key has gone
         assert nodes["node-1"].lease_extensions.is_granted_to_peer(0)
-        nodes["node-2"].cut = True
+        nodes["node-2"].is_unreachable = True
         clock.time += node.settings.lease_extension_grant_s
         await node.lease_extensions.request_grants(sorted(node.membership.ownerships))
         assert node.report("n-0", 1, seq + 1, node.token(), running).status in (421, 503)
@@ -35,7 +35,7 @@
     """It went on asking, so that no peer took its shards, and its workers' leases ended."""
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        node = await _placed(state, clock, nodes)
+        node = await start_placed_task(state, clock, nodes)
         peers = [SteppedController(state, clock, nodes, label) for label in ("node-1", "node-2")]
         for peer in peers:
             await peer.boot()
@@ -58,7 +58,7 @@
 
 def test_in_an_outage_for_all_nobody_believes_to_be_alone() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        node = await _placed(state, clock, nodes)
+        node = await start_placed_task(state, clock, nodes)
         peers = [SteppedController(state, clock, nodes, label) for label in ("node-1", "node-2")]
         for peer in peers:
             await peer.boot()
@@ -86,7 +86,7 @@
     """Two of three controllers took an outage's end for a refusal of their own."""
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        node = await _placed(state, clock, nodes)
+        node = await start_placed_task(state, clock, nodes)
         peers = [SteppedController(state, clock, nodes, label) for label in ("node-1", "node-2")]
         for peer in peers:
             await peer.boot()
@@ -115,7 +115,7 @@
         state.end_lease(lease)
         # node-0 acts on promises while its key is gone; node-1 has just started anew
         other = SteppedController(state, clock, nodes, "node-1")
-        first.cut = True
+        first.is_unreachable = True
         await other.boot(waited=False)
         assert 0 not in other.membership.ownerships
         assert not other.lease_extensions.may_acquire_unowned(0)
--- a/tests/test_machine_transfer.py
+++ b/tests/test_machine_transfer.py
@@ -9,16 +9,16 @@
 from .stepped_controller import (
     Nodes,
     SteppedController,
-    _placed,
     add_job,
     run_scenario,
     seed,
+    start_placed_task,
 )
 
 
 def test_a_stale_owners_write_does_nothing() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        node = await _placed(state, clock, nodes)
+        node = await start_placed_task(state, clock, nodes)
         lease = node.controller_lease.lease_id
         assert lease is not None
         state.end_lease(lease)
@@ -52,7 +52,7 @@
         other = node.settings.shard_of_team("blue")
         for _ in range(12):
             clock.time += node.settings.controller_lease_ttl_s / 3
-            await node.live()
+            await node.renew_and_sync()
             await node.membership.step()
         assert other in node.membership.ownerships
         assert other != 0
@@ -62,7 +62,7 @@
         old = node.token()
         for seq in range(1, 30):
             clock.time += 0.4
-            await node.live()
+            await node.renew_and_sync()
             if node.cluster.machines["n-0"].shard != other:
                 answer = node.report("n-0", 1, seq, old)
                 assert (answer.status, answer.token) == (200, old)
@@ -107,7 +107,7 @@
 
 def test_a_machine_with_anything_on_it_or_on_its_way_is_not_given() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        node = await _placed(state, clock, nodes)
+        node = await start_placed_task(state, clock, nodes)
         giving = node.scheduling_loop._machine_transfer
         machine = node.cluster.machines["n-0"]
         giving._leaving["n-0"] = (1, clock.now() + 9)
--- a/tests/test_missed_watch_events.py
+++ b/tests/test_missed_watch_events.py
@@ -54,7 +54,7 @@
     state.delete(keys.shard(0))
     for _ in range(12):
         clock.time += node.settings.lease_renewal_interval_s / 2
-        await node.live()
+        await node.renew_and_sync()
         await node.membership.step()
         if node.membership.active_ownership(0) is not None:
             return
@@ -402,7 +402,7 @@
         node.report("n-0", 1, 1, 0, on(JOB, 0, 1, "running"))
         for _ in range(6):
             clock.time += 1
-            await node.live()
+            await node.renew_and_sync()
             await node.round()
         assert any(key.startswith(keys.ARCHIVE) for key in state.keys)
         assert keys.job(JOB) in state.keys
@@ -436,7 +436,7 @@
         node.report("n-0", 1, 4, node.token(), *ended)
         for _ in range(4):
             clock.time += 1
-            await node.live()
+            await node.renew_and_sync()
             await node.round()
         assert (plan not in state.keys) is is_archived
         assert (JOB not in node.cluster.jobs) is is_archived
--- a/tests/test_multihost_failures.py
+++ b/tests/test_multihost_failures.py
@@ -35,7 +35,7 @@
         before = region.generation("chat/0")
         await fault(region, region.agents_of("chat/0"))
         begun = region.clock.now()
-        await region.until(
+        await region.wait_until(
             lambda: region.generation("chat/0") > before and len(region.serving("chat/0")) == 1,
             within_s,
         )
@@ -50,7 +50,9 @@
     async def fault(region: MultihostRegion, agents: list[Agent]) -> None:
         agents[2].dead = True
         begun = region.clock.now()
-        await region.until(lambda: not region.serving("chat/0"), SETTINGS.serving_lease_s + 0.1)
+        await region.wait_until(
+            lambda: not region.serving("chat/0"), SETTINGS.serving_lease_s + 0.1
+        )
         assert region.clock.now() - begun <= SETTINGS.serving_lease_s + 0.1
 
     _play(fault)
@@ -100,7 +102,7 @@
     async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(8)
         await region.declare("chat", image_gb=LOAD_S)
-        await region.until(lambda: region.phase("chat/0") == "starting")
+        await region.wait_until(lambda: region.phase("chat/0") == "starting")
         await curio.sleep(after_s)
         region.agents_of("chat/0")[2].dead = True
         await curio.sleep(SETTINGS.serving_lease_s + 0.5)
@@ -119,9 +121,9 @@
         await region.declare("chat", image_gb=LOAD_S)
         await region.until_serving("chat/0")
         agent = region.agents_of("chat/0")[rank]
-        agent.hung = True
+        agent.is_frozen = True
         await curio.sleep(hang_s)
-        agent.hung = False
+        agent.is_frozen = False
         await curio.sleep(1.0)
         await region.until_serving("chat/0", BOUND_S + 1.0)
         await curio.sleep(SETTINGS.agent_lease_s * 2)
@@ -143,7 +145,9 @@
                 region.parted.add((front.machine, other.machine))
             if one_way in ("in", "both"):
                 region.parted.add((other.machine, front.machine))
-        await region.until(lambda: not region.serving("chat/0"), SETTINGS.serving_lease_s + 0.5)
+        await region.wait_until(
+            lambda: not region.serving("chat/0"), SETTINGS.serving_lease_s + 0.5
+        )
         # noticed by the front member only when its lease on the peers has ended
         await region.until_serving("chat/0", SETTINGS.serving_lease_s + BOUND_S)
         assert region.agents_of("chat/0")[0] is not front
@@ -151,10 +155,12 @@
     simulate_multihost(scenario)
 
 
-@pytest.mark.parametrize("mute", [True, False])
-def test_the_front_member_is_cut_off_from_controllers_but_not_from_its_peers(mute: bool) -> None:
+@pytest.mark.parametrize("heartbeats_lost", [True, False])
+def test_the_front_member_is_cut_off_from_controllers_but_not_from_its_peers(
+    heartbeats_lost: bool,
+) -> None:
     async def fault(region: MultihostRegion, agents: list[Agent]) -> None:
-        agents[0].mute, agents[0].deaf = mute, not mute
+        agents[0].heartbeats_lost, agents[0].inbound_lost = heartbeats_lost, not heartbeats_lost
 
     _play(fault)
 
@@ -166,7 +172,7 @@
         await region.until_serving("chat/0")
         agent = region.agents_of("chat/0")[1]
         start = next(o for _, o in agent.orders if o.op is Op.START)
-        old_copy = agent.copies[-1]
+        old_copy = agent.sent_heartbeats[-1]
         agent.restart()
         await curio.sleep(90.0)
         await region.until_serving("chat/0")
@@ -191,7 +197,7 @@
         if phase == "repairing":
             await region.until_serving("chat/0")
             region.agents_of("chat/0")[2].dead = True
-        await region.until(lambda: region.phase("chat/0") == phase)
+        await region.wait_until(lambda: region.phase("chat/0") == phase)
         # the record has just been written: no agent has heard of it
         if with_member and region.agents_of("chat/0"):
             region.agents_of("chat/0")[1].dead = True
@@ -211,16 +217,16 @@
         await region.begin_pool(8)
         owner = region.owner()
         other = next(label for label in region.services if label != owner)
-        region.answer_s[owner] = 0.4
+        region.transaction_delay_s[owner] = 0.4
         for number in range(3):
             body: dict[str, Any] = {"members": 2, "replicas": 1, "image": "weights"}
             body |= {"image_gb": 1, "cpus": 16, "gpus": 4, "memory_gb": 64}
             await region.operate("PUT", f"replica-sets/pair-{number}", body, label=other)
-        await region.until(lambda: any(region.agents_of(f"pair-{n}/0") for n in range(3)))
+        await region.wait_until(lambda: any(region.agents_of(f"pair-{n}/0") for n in range(3)))
         lease = region.state.keys[cluster_keys.shard(0)][2]
         assert lease is not None
         region.state.end_lease(lease)
-        region.answer_s.clear()
+        region.transaction_delay_s.clear()
         for number in range(3):
             await region.until_serving(f"pair-{number}/0")
 
@@ -248,7 +254,7 @@
         await region.declare("chat", image_gb=LOAD_S)
         await region.until_serving("chat/0")
         region.agents_of("chat/0")[1].dead = True
-        await region.until(lambda: region.phase("chat/0") == "repairing")
+        await region.wait_until(lambda: region.phase("chat/0") == "repairing")
         region.state.down = True
         await curio.sleep(15.0)
         assert not region.serving("chat/0")
@@ -286,7 +292,7 @@
         dead = region.agents_of("chat/0")[1:3]
         for agent in dead:
             agent.dead = True
-        await region.until(lambda: region.phase("chat/0") == "repairing")
+        await region.wait_until(lambda: region.phase("chat/0") == "repairing")
         await curio.sleep(10.0 + 2 * SETTINGS.heartbeat_s)
         assert region.phase("chat/0") == "pending"
         assert not region.agents_of("chat/0")
@@ -311,7 +317,7 @@
     async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(5)
         await region.declare("chat", image_gb=LOAD_S)
-        await region.until(lambda: region.phase("chat/0") == "starting")
+        await region.wait_until(lambda: region.phase("chat/0") == "starting")
         agent = region.agents_of("chat/0")[1]
         agent.lies = [lie]
         await curio.sleep(LOAD_S + 5.0)
@@ -328,7 +334,7 @@
     async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(5)
         await region.declare("chat", image_gb=LOAD_S)
-        await region.until(lambda: region.phase("chat/0") == "starting")
+        await region.wait_until(lambda: region.phase("chat/0") == "starting")
         right = MemberReport("chat/0", 1, 1, MemberState.LOADED)
         outsider = next(a for a in region.agents.values() if a not in region.agents_of("chat/0"))
         outsider.lies = [right]
@@ -350,7 +356,7 @@
         assert status == 200
         await region.until_serving("chat/1", BOUND_S)
         # until the new one serves the old one goes on
-        await region.until(lambda: region.phase("chat/0") == "", 20.0)
+        await region.wait_until(lambda: region.phase("chat/0") == "", 20.0)
         assert not region.agents[machine].members
         region.checker.check_end()
 
@@ -369,7 +375,7 @@
         assert len(region.serving("chat/0")) == 1
         for number in range(4):
             await region.add_agent(f"new-{number}", "north")
-        await region.until(lambda: region.phase("chat/0") == "", BOUND_S + 10.0)
+        await region.wait_until(lambda: region.phase("chat/0") == "", BOUND_S + 10.0)
         assert len(region.serving("chat/1")) == 1
 
     simulate_multihost(scenario)
@@ -398,13 +404,13 @@
         assert (await region.operate("POST", f"machines/{agent.machine}/release"))[0] == 200
         await region.until_serving("chat/1", BOUND_S)
         assert region.state.keys[record][0]["type"] == "multihost/g4"
-        await region.until(lambda: agent.has_left, 20.0)
+        await region.wait_until(lambda: agent.has_left, 20.0)
         assert not agent.members
         assert region.state.keys[record][0]["type"] == "g4"
         assert (await region.operate("POST", f"machines/{agent.machine}/undrain"))[0] == 409
         # once the machine is returned nothing is left of it
         region.state.delete(record)
-        await region.until(lambda: region.pool_size() == 9)
+        await region.wait_until(lambda: region.pool_size() == 9)
 
     simulate_multihost(scenario)
 
@@ -417,7 +423,7 @@
         agent = region.agents_of("chat/0")[1]
         agent.notice_s = 30.0
         await region.until_serving("chat/1", BOUND_S)
-        await region.until(lambda: not agent.members, 20.0)
+        await region.wait_until(lambda: not agent.members, 20.0)
 
     simulate_multihost(scenario)
 
@@ -457,8 +463,8 @@
         for _ in range(3):
             await region.until_serving("chat/0")
             region.agents_of("chat/0")[1].restart()
-            await region.until(lambda: not region.serving("chat/0"))
-        await region.until(lambda: region.phase("chat/0") == "failed")
+            await region.wait_until(lambda: not region.serving("chat/0"))
+        await region.wait_until(lambda: region.phase("chat/0") == "failed")
         await curio.sleep(20.0)
         assert not any(a.members for a in region.agents.values())
         owner = region.owner()
@@ -482,7 +488,7 @@
             if bad not in region.agents_of("chat/0"):
                 break
             bad.restart()
-            await region.until(lambda: not region.serving("chat/0"))
+            await region.wait_until(lambda: not region.serving("chat/0"))
             await region.until_serving("chat/0")
         assert bad not in region.agents_of("chat/0")
 
@@ -497,7 +503,7 @@
         service = region.services[region.owner()]
         assert service.writes.members_per_chunk() < 40
         region.agents_of("large/0")[33].dead = True
-        await region.until(lambda: region.generation("large/0") == 2)
+        await region.wait_until(lambda: region.generation("large/0") == 2)
         await region.until_serving("large/0", BOUND_S + 5.0)
 
     simulate_multihost(scenario)
@@ -506,10 +512,10 @@
 def test_the_owner_ends_in_the_middle_of_a_reservation_in_steps() -> None:
     async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(50)
-        region.answer_s[region.owner()] = 0.3
+        region.transaction_delay_s[region.owner()] = 0.3
         await region.declare("large", members=40, image_gb=LOAD_S, hold_s=60.0)
-        await region.until(lambda: region.phase("large/0") == "reserving")
-        await region.until(lambda: len(region.agents_of("large/0")) > 0)
+        await region.wait_until(lambda: region.phase("large/0") == "reserving")
+        await region.wait_until(lambda: len(region.agents_of("large/0")) > 0)
         assert len(region.agents_of("large/0")) < 40
         await region.kill(region.owner())
         await region.until_serving("large/0", 60.0)
@@ -521,9 +527,9 @@
 def test_no_second_reservation_in_steps_is_begun_while_one_is_open() -> None:
     async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(60)
-        region.answer_s[region.owner()] = 0.3
+        region.transaction_delay_s[region.owner()] = 0.3
         await region.declare("first", members=40, image_gb=LOAD_S, hold_s=25.0)
-        await region.until(lambda: len(region.agents_of("first/0")) > 0)
+        await region.wait_until(lambda: len(region.agents_of("first/0")) > 0)
         # its room goes, so that the next owner can only wait until the bound on holding a part
         await region.kill(region.owner())
         for agent in list(region.agents.values())[:25]:
@@ -543,14 +549,14 @@
 def test_a_reservation_that_can_not_be_finished_is_undone() -> None:
     async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(42)
-        region.answer_s[region.owner()] = 0.3
+        region.transaction_delay_s[region.owner()] = 0.3
         await region.declare("large", members=40, image_gb=LOAD_S, hold_s=8.0)
-        await region.until(lambda: region.phase("large/0") == "reserving")
-        await region.until(lambda: len(region.agents_of("large/0")) > 0)
+        await region.wait_until(lambda: region.phase("large/0") == "reserving")
+        await region.wait_until(lambda: len(region.agents_of("large/0")) > 0)
         await region.kill(region.owner())
         for agent in list(region.agents.values())[-5:]:
             agent.dead = True
-        await region.until(lambda: region.phase("large/0") == "pending", 40.0)
+        await region.wait_until(lambda: region.phase("large/0") == "pending", 40.0)
         await curio.sleep(5.0)
         assert not region.agents_of("large/0")
 
@@ -564,7 +570,7 @@
         await region.until_serving("chat/0")
         await region.until_serving("chat/1")
         assert (await region.operate("DELETE", "replica-sets/chat"))[0] == 200
-        await region.until(lambda: not any(a.members for a in region.agents.values()), 20.0)
+        await region.wait_until(lambda: not any(a.members for a in region.agents.values()), 20.0)
         await curio.sleep(5.0)
         assert not [k for k in region.state.keys if "chat" in k]
 
--- a/tests/test_multihost_loopback.py
+++ b/tests/test_multihost_loopback.py
@@ -43,10 +43,10 @@
         self._ports = iter(free_ports(40))
         self._clients: dict[Endpoint, Client] = {}
 
-    def more_parts(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
+    def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
         listen = Endpoint("127.0.0.1", next(self._ports))
         self.multihost = replace(FAST, listen=listen)
-        parts = super().more_parts(node)
+        parts = super().extra_loops(node)
         return [*parts, self.services[node.settings.label].server.run]
 
     async def add_agent(self, machine: str, zone: str) -> Agent:
@@ -72,14 +72,14 @@
         self, agent: Agent, label: str, body: bytes
     ) -> tuple[int, bytes] | None:
         service: MultihostService | None = self.services.get(label)
-        if service is None or agent.mute or agent.dead:
+        if service is None or agent.heartbeats_lost or agent.dead:
             return None
         return await self._post(service.settings.listen, HEARTBEAT_PATH, body)
 
     async def deliver_ping(self, source: Agent, address: str, body: bytes) -> bool:
         host, _, port = address.rpartition(":")
         target = next(a for a in self.agents.values() if a.address == address)
-        if source.dead or target.dead or target.hung:
+        if source.dead or target.dead or target.is_frozen:
             return False
         reply = await self._post(Endpoint(host, int(port)), PING_PATH, body)
         return reply is not None and reply[0] == 200
@@ -95,7 +95,7 @@
         await region.declare("chat", members=4, image_gb=LOAD_S)
         await region.until_serving("chat/0", SLACK_S)
         region.agents_of("chat/0")[2].dead = True
-        await region.until(lambda: not region.serving("chat/0"), FAST.serving_lease_s + 1.0)
+        await region.wait_until(lambda: not region.serving("chat/0"), FAST.serving_lease_s + 1.0)
         taken_s = await region.until_serving("chat/0", SLACK_S)
         print(f"back after {taken_s:.1f} s, bound {bound_s:.1f} s")
         assert region.generation("chat/0") == 2
--- a/tests/test_multihost_random.py
+++ b/tests/test_multihost_random.py
@@ -28,7 +28,7 @@
         await faults.begin()
         await faults.run(SPAN_S)
         await faults.mend()
-        await region.until(lambda: all_serve(region), RECOVERY_S)
+        await region.wait_until(lambda: all_serve(region), RECOVERY_S)
         await curio.sleep(2 * SETTINGS.agent_lease_s)
         region.checker.check_end()
 
@@ -80,7 +80,7 @@
         region.ping_back_s = 1.8
         await curio.sleep(10.0)
         sent = victim.sequence
-        await region.until(lambda: victim.sequence > sent)
+        await region.wait_until(lambda: victim.sequence > sent)
         await curio.sleep(death_s)
         victim.dead = True
         await curio.sleep(SETTINGS.serving_lease_s + 3.0)
@@ -114,7 +114,7 @@
         await curio.sleep(15.0)
         zone = region.agents_of("chat/0")[0].zone
         for agent in region.agents.values():
-            agent.mute = agent.zone == zone
+            agent.heartbeats_lost = agent.zone == zone
         await curio.sleep(25.0)
 
     return simulate_multihost(scenario, judged=False)
@@ -193,7 +193,7 @@
 
 def _answers_incomplete(region: MultihostRegion) -> None:
     front, member, _ = region.agents_of("chat/0")
-    member.dead = front.mute = front.deaf = True
+    member.dead = front.heartbeats_lost = front.inbound_lost = True
     front.members["chat/0"].serve_until = front.now() + 1000.0
     for peer in front.members["chat/0"].peers:
         front.members["chat/0"].peer_alive_at[peer.rank] = front.now() + 1000.0
@@ -238,7 +238,7 @@
         await curio.sleep(1.0)
         assert not region.checker.violations
         breach(region)
-        region.checker.look()
+        region.checker.check()
         await curio.sleep(0.1 if named != "incomplete" else 8.0)
         region.checker.check_end()
 
--- a/tests/test_multihost_service.py
+++ b/tests/test_multihost_service.py
@@ -156,7 +156,7 @@
         assert await round_looks() == machines // 2
         transactions = service.writes.transactions
         clock.time += 0.9
-        await node.live()
+        await node.renew_and_sync()
         all_beat(node, service, machines, 2)
         assert await round_looks() == 0
         # one member fails: its replica alone is looked at, and machines only while one waits
@@ -188,7 +188,7 @@
         service.heartbeats.handle(heartbeat_of(node, 0, 1)._replace(proof=None))
         for seen in (0, 0, 0, 1, 1, 1):
             clock.time += 2.0
-            await node.live()
+            await node.renew_and_sync()
             ownership = node.membership.command_ownership(SETTINGS.pool_shard)
             assert ownership is not None
             await service.coordinator.round(ownership)
--- a/tests/test_owner_selection.py
+++ b/tests/test_owner_selection.py
@@ -78,11 +78,11 @@
         for number in range(12):
             await region.add_worker(f"n-{number}", shard=number % 3)
         await curio.sleep(15.0)
-        await region.darken(down)
+        await region.power_off(down)
         await curio.sleep(44.0)
-        region.still_until[frozen] = region.clock.now() + 20.0
+        region.frozen_until[frozen] = region.clock.now() + 20.0
         await curio.sleep(46.0)
-        await region.light(down)
+        await region.power_on(down)
         await curio.sleep(30.0)
         assert {w.machine: w.session for w in region.workers.values() if w.session > 1} == {}
         # all are at home again
@@ -118,12 +118,12 @@
             await region.add_worker(f"n-{number}", shard=0)
             await curio.sleep(region.heartbeat_interval_s / 36)
         await curio.sleep(15.0)
-        await region.darken("node-1")
-        await region.until(lambda: region.owners().get(0) != "node-0")
+        await region.power_off("node-1")
+        await region.wait_until(lambda: region.owners().get(0) != "node-0")
         unanswered_s = 0.0
         for _ in range(80):
             await curio.sleep(0.1)
-            oldest = min(worker.answered for worker in region.workers.values())
+            oldest = min(worker.lease_renewed_at for worker in region.workers.values())
             unanswered_s = max(unanswered_s, region.clock.now() - oldest)
         assert unanswered_s < 3 * region.heartbeat_interval_s
 
--- a/tests/test_partition_keepalive.py
+++ b/tests/test_partition_keepalive.py
@@ -47,7 +47,7 @@
         await self.owner.boot()
         for _ in range(12):
             self.clock.time += self.owner.settings.controller_lease_ttl_s / 3
-            await self.owner.live()
+            await self.owner.renew_and_sync()
             await self.owner.membership.step()
         token = self.token = self.owner.token()
         self.owner.report("n-0", 1, 1, 0)
@@ -79,11 +79,11 @@
     def cut(self) -> None:
         """The north is cut off: node-0 reaches neither state service nor the south."""
         self.deputy.client._http = self.deputy.client._watch_http = Nobody()
-        self.nodes["node-0"].cut = self.nodes["node-1"].cut = True
+        self.nodes["node-0"].is_unreachable = self.nodes["node-1"].is_unreachable = True
 
     def mend(self) -> None:
         self.deputy.client._http = self.deputy.client._watch_http = self.state
-        self.nodes["node-0"].cut = self.nodes["node-1"].cut = False
+        self.nodes["node-0"].is_unreachable = self.nodes["node-1"].is_unreachable = False
 
     def on_machine(self) -> int:
         return len(self.owner.cluster.machines["n-0"].attempts)
@@ -164,7 +164,7 @@
         await it.deputy.controller_lease.step()
         await it.settle()
         it.cut()
-        it.nodes["node-1"].cut = False
+        it.nodes["node-1"].is_unreachable = False
         await it.deputy.controller_lease.step()
         await it.deputy.partition_protocol.step()
         answer = it.deputy.report("n-0", 1, 901, it.token, RUNNING)
@@ -333,7 +333,7 @@
         again = SteppedController(it.state, it.clock, it.nodes, "node-0")
         await again.boot(waited=False)
         await again.partition_protocol.step()
-        again.cut = True
+        again.is_unreachable = True
         it.state.end_lease(again.controller_lease.lease_id or 0)
         await it.owner.sync()
         await it.pass_time(it.s.partition_keepalive_s)
@@ -348,7 +348,7 @@
     """For as long as a packet filter stood between controllers no such job could be withdrawn."""
 
     async def scenario(it: PartitionScenario) -> None:
-        it.nodes["node-0"].cut = it.nodes["node-1"].cut = True
+        it.nodes["node-0"].is_unreachable = it.nodes["node-1"].is_unreachable = True
         path = "/v1/jobs/wk-000001/withdraw"
         assert (await it.owner.ask("POST", path)).status == 503
         assert (await it.owner.ask("POST", path)).status == 503
@@ -378,7 +378,7 @@
         add_machine(it.state, it.clock, "s-0", zone="south")
         other = SteppedController(it.state, it.clock, it.nodes, "node-2")
         await other.boot()
-        await it.owner.live()
+        await it.owner.renew_and_sync()
         told = it.deputy.partition_protocol.handle
         plan = it.state.keys[keys.plan("wk-000001", "0")][0]
 
@@ -406,7 +406,7 @@
         await it.begin()
         ownership = it.owner
         add_machine(it.state, it.clock, "s-0", zone="south")
-        await ownership.live()
+        await ownership.renew_and_sync()
         await ownership.partition_protocol.step()
         ownership.report("s-0", 1, 1, 0)
         ownership.report("s-0", 1, 2, it.token)
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -7,56 +7,56 @@
 import pytest
 
 from .fault_injection import (
-    all_over_but_services,
-    heal,
+    cancel_services_and_wait,
+    clear_faults,
     inject_random_fault,
-    single_task_jobs,
+    submit_single_task_jobs,
 )
 from .simulated_region import Region, simulate
 
 
-@pytest.mark.parametrize("seed_n", [0, 1, 131, 148, 177, 2060])
-def test_troubles_drawn_by_lot(seed_n: int) -> None:
+@pytest.mark.parametrize("seed_number", [0, 1, 131, 148, 177, 2060])
+def test_troubles_drawn_by_lot(seed_number: int) -> None:
     """Whatever meets whatever: the lots are drawn from a fixed seed, so each story is the same
     on every machine.
     """
 
     async def scenario(region: Region) -> None:
-        rng = random.Random(seed_n)
+        rng = random.Random(seed_number)
         await region.begin(machines=4)
         await region.add_worker("s-0", "south")
         await region.submit("node-1", "wk-000001", sacks=2)
-        traffic = await curio.spawn(single_task_jobs, region, 60, 1.2)
+        traffic = await curio.spawn(submit_single_task_jobs, region, 60, 1.2)
         for _ in range(9):
             await curio.sleep(rng.uniform(1.0, 8.0))
             await inject_random_fault(region, rng)
-        heal(region)
+        clear_faults(region)
         await traffic.join()
-        await all_over_but_services(region)
+        await cancel_services_and_wait(region)
 
     simulate(scenario)
 
 
-@pytest.mark.parametrize("lot", range(4))
-def test_replicas_at_the_limit_meet_troubles_drawn_by_lot(lot: int) -> None:
+@pytest.mark.parametrize("seed_number", range(4))
+def test_replicas_at_the_limit_meet_troubles_drawn_by_lot(seed_number: int) -> None:
     """A team at its limit, work that makes room for other work, bursts of cancellations, zones
     cut off and all controllers ended: drawn from a fixed seed as above.
     """
 
     async def scenario(region: Region) -> None:
-        rng = random.Random(1000 + lot)
+        rng = random.Random(1000 + seed_number)
         await region.begin(machines=5)
         for n in range(2):
             await region.add_worker(f"s-{n}", "south")
-        users = await curio.spawn(_replicas, region, random.Random(lot))
+        users = await curio.spawn(_submit_and_cancel_services, region, random.Random(seed_number))
         for _ in range(8):
             await curio.sleep(rng.uniform(2.0, 9.0))
             kind = rng.choice(["zone", "all", "other", "other", "heal"])
             if kind == "zone":
                 north = rng.choice([True, False])
                 for label in ("node-0",) if north else ("node-1", "node-2"):
-                    region.cut(label)
-                region.reaches = lambda worker, label: (
+                    region.isolate(label)
+                region.can_reach = lambda worker, label: (
                     label in region.nodes and (label == "node-0") == (worker.zone == "north")
                 )
             elif kind == "all":
@@ -68,17 +68,17 @@
                     await region.start(label)
                     await curio.sleep(rng.choice([0.1, 1.5]))
             elif kind == "heal":
-                heal(region)
+                clear_faults(region)
             else:
                 await inject_random_fault(region, rng)
-        heal(region)
+        clear_faults(region)
         await users.join()
-        await all_over_but_services(region)
+        await cancel_services_and_wait(region)
 
     simulate(scenario)
 
 
-async def _replicas(region: Region, rng: random.Random) -> None:
+async def _submit_and_cancel_services(region: Region, rng: random.Random) -> None:
     async def submit(job: str, at: str, fields: dict[str, Any]) -> None:
         for n in range(90):
             labels = list(region.nodes) or [at]
--- a/tests/test_random_faults_at_limits.py
+++ b/tests/test_random_faults_at_limits.py
@@ -12,7 +12,7 @@
 from crossmill.settings import Settings
 
 from .fake_services import StateService
-from .fault_injection import heal, inject_random_fault
+from .fault_injection import clear_faults, inject_random_fault
 from .simulated_region import Region, simulate
 
 TEAMS = ("red", "blue", "green")
@@ -42,8 +42,8 @@
 
 async def _user(region: Region, rng: random.Random, job: str) -> None:
     facts = region.checker.jobs[job]
-    for need in facts.needs():
-        await region.until(lambda need=need: region.accepted(need), 900.0)  # type: ignore[misc]
+    for need in facts.dependencies():
+        await region.wait_until(lambda need=need: region.is_accepted(need), 900.0)  # type: ignore[misc]
     await _answered(region, rng, job, cancel=False)
     if rng.random() < 0.3:
         await curio.sleep(rng.choice([0.0, 1.0, 4.0, 12.0]))
@@ -57,7 +57,7 @@
             job = f"wk-{300000 + rng.randrange(100000)}"
             if job in region.checker.jobs:
                 continue
-            recent = [name for name in names[-8:] if region.accepted(name)]
+            recent = [name for name in names[-8:] if region.is_accepted(name)]
             needs = rng.sample(recent, min(len(recent), rng.choice([0, 0, 1, 1, 2])))
             region.expect(
                 job,
@@ -71,37 +71,37 @@
             await curio.sleep(rng.uniform(0.3, 1.6))
 
 
-async def _looks(region: Region, rng: random.Random) -> None:
+async def _poll_jobs(region: Region, rng: random.Random) -> None:
     while True:
-        known = [job for job in region.checker.jobs if region.accepted(job)]
+        known = [job for job in region.checker.jobs if region.is_accepted(job)]
         if known and region.nodes:
             await region.show(rng.choice(list(region.nodes)), rng.choice(known[-30:]))
         await curio.sleep(0.2)
 
 
-async def _size_trouble(region: Region, rng: random.Random) -> None:
+async def _inject_fault(region: Region, rng: random.Random) -> None:
     """One trouble that takes a controller out of what the others do, or any other."""
     label = rng.choice(region.LABELS)
     kind = rng.choice(["unseen", "still", "compact", "lost", "other", "other"])
     if kind == "unseen":
-        region.refused[label] = lambda method, path: True
+        region.refused_requests[label] = lambda method, path: True
         await curio.sleep(rng.uniform(4.0, 40.0))
-        region.refused.pop(label, None)
+        region.refused_requests.pop(label, None)
     elif kind == "still":
-        region.still_until[label] = region.clock.now() + rng.choice([1.0, 3.0, 8.0, 25.0])
+        region.frozen_until[label] = region.clock.now() + rng.choice([1.0, 3.0, 8.0, 25.0])
     elif kind == "compact":
         region.state.compact()
     elif kind == "lost":
-        region.lost.add(label)
+        region.cut_from_state.add(label)
         await curio.sleep(rng.uniform(2.0, 20.0))
-        region.lost.discard(label)
+        region.cut_from_state.discard(label)
     else:
         await inject_random_fault(region, rng)
 
 
-async def _all_told(region: Region) -> None:
+async def _check_all_ended(region: Region) -> None:
     """Every accepted job comes to its end, and every controller says so."""
-    for job in [job for job in region.checker.jobs if region.accepted(job)]:
+    for job in [job for job in region.checker.jobs if region.is_accepted(job)]:
         for label in list(region.nodes):
             for _ in range(PATIENCE):
                 status = await region.show(label, job)
@@ -113,30 +113,30 @@
                 raise AssertionError(f"{job} is not over at {label}")
 
 
-def play_lot(seed_n: int, monkeypatch: pytest.MonkeyPatch) -> Region:
+def run_random_scenario(seed_number: int, monkeypatch: pytest.MonkeyPatch) -> Region:
     """The scenario drawn from the seed."""
     monkeypatch.setattr(Settings, "max_ended_jobs", ENDED_KEPT)
     state = StateService(KEPT_CHANGES)
     state.page_items = PAGE_ITEMS
 
     async def scenario(region: Region) -> None:
-        rng = random.Random(seed_n)
+        rng = random.Random(seed_number)
         await region.begin(machines=0)
         for shard in range(3):
             for number in range(2):
                 await region.add_worker(f"n-{shard}{number}", shard=shard)
-        users = await curio.spawn(_users, region, random.Random(seed_n + 1))
-        looks = await curio.spawn(_looks, region, random.Random(seed_n + 2), daemon=True)
+        users = await curio.spawn(_users, region, random.Random(seed_number + 1))
+        looks = await curio.spawn(_poll_jobs, region, random.Random(seed_number + 2), daemon=True)
         for _ in range(FAULTS):
             await curio.sleep(rng.uniform(1.0, 8.0))
-            await _size_trouble(region, rng)
-        heal(region)
-        region.still_until.clear()
+            await _inject_fault(region, rng)
+        clear_faults(region)
+        region.frozen_until.clear()
         # silent machines were given up meanwhile, and nobody rents any here
         for shard in range(3):
             await region.add_worker(f"n-{shard}9", shard=shard)
         await users.join()
-        await _all_told(region)
+        await _check_all_ended(region)
         await looks.cancel()
         archived = [name for name in region.state.keys if name.startswith(keys.ARCHIVE)]
         assert archived, "nothing was archived"
@@ -144,7 +144,7 @@
     return simulate(scenario, state)
 
 
-@pytest.mark.parametrize("seed_n", [0, 1, 2, 3])
-def test_troubles_of_size_drawn_by_lot(seed_n: int, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize("seed_number", [0, 1, 2, 3])
+def test_troubles_of_size_drawn_by_lot(seed_number: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """No rule is broken, no task runs that no plan holds, and every job comes to its end."""
-    play_lot(seed_n, monkeypatch)
+    run_random_scenario(seed_number, monkeypatch)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -53,7 +53,7 @@
         await region.submit_until_accepted(label, job, 400.0, **fields)
     await curio.sleep(10.0)
     if region.recovery is not None:
-        await region.until(region.steady, 120.0)
+        await region.wait_until(region.steady, 120.0)
     region.forget_orders()
     return jobs
 
@@ -82,7 +82,7 @@
         running = _tasks(region)
         assert sum(map(len, running.values())) > 2 * SERVICES
         await region.restart_all(2.0, apart_s)
-        await region.until(region.steady, 60.0)
+        await region.wait_until(region.steady, 60.0)
         await curio.sleep(20.0)
         assert region.orders() == {}
         assert _tasks(region) == running
@@ -115,25 +115,25 @@
             if job in jobs and job not in cancelled
         }
         for worker in silent:
-            worker.mute = worker.deaf = True
+            worker.heartbeats_lost = worker.inbound_lost = True
         stray = jobs[-1], 77, 9
         give_unplanned(odd, *stray)
         await curio.sleep(2.0)
         await region.start_all()
         for job in cancelled:
-            assert await region.cancel_until_told("node-0", job, 30.0)
-        await region.until(region.steady, 60.0)
+            assert await region.cancel_until_confirmed("node-0", job, 30.0)
+        await region.wait_until(region.steady, 60.0)
         assert stray[:2] not in odd.tasks
         assert region.orders([odd]) == {odd.machine: ["kill", "reap"]}
         # what was on the silent ones is placed anew once their leases are over, on workers that
         # may be healthy ones: they get starts, and nothing of theirs is stopped
-        await region.until(lambda: all(region.is_up(job, 3) for job in placed_anew), 60.0)
+        await region.wait_until(lambda: all(region.is_up(job, 3) for job in placed_anew), 60.0)
         stops = [v for verbs in region.orders(healthy).values() for v in verbs if v != "start"]
         assert stops == []
         # later the ordinary path may empty machines of which most is idle
         await curio.sleep(60.0)
         for worker in silent:
-            worker.mute = worker.deaf = False
+            worker.heartbeats_lost = worker.inbound_lost = False
         before = region.orders(silent)
         await curio.sleep(60.0)
         # they forgot their tasks when their leases ended: nothing is ordered about those
@@ -154,7 +154,7 @@
             give_unplanned(odd, "wk-000001", 100 + index, 9)
         odd.tasks.update(tasks)
         await region.restart_all(1.0)
-        assert await region.cancel_until_told("node-0", job, 30.0)
+        assert await region.cancel_until_confirmed("node-0", job, 30.0)
         await curio.sleep(3 * region.heartbeat_interval_s)
         assert not any(key[0] == job and t.state == "running" for key, t in odd.tasks.items())
 
@@ -169,9 +169,9 @@
             give_unplanned(odd, "wk-000001", 100 + index, 9)
         await region.restart_all(2.0)
         for _ in range(10):
-            odd.mute = odd.deaf = True
+            odd.heartbeats_lost = odd.inbound_lost = True
             await curio.sleep(3.0)
-            odd.mute = odd.deaf = False
+            odd.heartbeats_lost = odd.inbound_lost = False
             await curio.sleep(3.0)
         sent = [at for at, _, order in odd.orders if order["verb"] == "kill"]
         assert len(sent) > 0
@@ -256,7 +256,7 @@
         approved_at = region.clock.now()
         # any controller takes it
         await _approve(region, "node-1", braked)
-        await region.until(region.steady, 200.0)
+        await region.wait_until(region.steady, 200.0)
         assert not any(worker.tasks for worker in region.workers.values())
         assert (await _overview(region))["braked"] == []
         assert region.recovery is not None
@@ -292,7 +292,7 @@
         shard = braked[0]["shard"]
         owner = region.owners()[shard]
         # the approval is durable, and its owner ends before it has seen it
-        region.still_until[owner] = region.clock.now() + 2.0
+        region.frozen_until[owner] = region.clock.now() + 2.0
         other = next(label for label in region.LABELS if label != owner)
         await _approve(region, other, braked[:1])
         await region.kill(owner)
@@ -324,7 +324,7 @@
         await _busy_region(region)
         for _ in range(4):
             await region.restart_all(1.0)
-            await region.until(region.steady, 60.0)
+            await region.wait_until(region.steady, 60.0)
             await curio.sleep(1.0)
         records = (await _overview(region))["records"]
         by_shard = Counter(record["shard"] for record in records)
@@ -345,7 +345,7 @@
         silent = list(region.workers.values())[: FEW_WORKERS // 2]
         await region.end_all()
         for worker in silent:
-            worker.mute = worker.deaf = True
+            worker.heartbeats_lost = worker.inbound_lost = True
         await curio.sleep(1.0)
         await region.start_all()
 
@@ -360,7 +360,7 @@
         assert braked
         assert all(report["releases"] > 1 for report in braked)
         await _approve(region, "node-2", braked)
-        await region.until(lambda: given_up() == len(silent), 60.0)
+        await region.wait_until(lambda: given_up() == len(silent), 60.0)
 
     simulate_recovery(scenario, recovery_settings(brake_least=1, brake_share=0.0))
 
@@ -389,11 +389,11 @@
         fields = {k: v for k, v in facts.spec.items() if k != "nameId"}
         await region.submit_until_accepted("node-0", job, None, **fields)
         await curio.sleep(20.0)
-        assert region.running(job)
+        assert region.workers_running(job)
         assert (await _overview(region))["braked"]
-        assert await region.cancel_until_told("node-1", job, 30.0)
+        assert await region.cancel_until_confirmed("node-1", job, 30.0)
         await curio.sleep(region.cancellation_deadline_s + 1.0)
-        assert not region.running(job)
+        assert not region.workers_running(job)
 
     simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
 
@@ -420,8 +420,8 @@
         await region.start_all()
         await curio.sleep(15.0)
         assert (job, index) in odd.tasks
-        await region.until(lambda: "kill" in region.orders([odd]).get(odd.machine, []), 90.0)
-        await region.until(lambda: region.is_up(job, 3), 90.0)
+        await region.wait_until(lambda: "kill" in region.orders([odd]).get(odd.machine, []), 90.0)
+        await region.wait_until(lambda: region.is_up(job, 3), 90.0)
 
     slow = recovery_settings(orders_per_s=0.1)
     simulate_recovery(scenario, slow, expected=is_unplanned)
@@ -446,7 +446,7 @@
         give_unplanned(after, job, index, task.attempt + 1)
         await curio.sleep(1.0)
         await region.start_all()
-        await region.until(lambda: (job, index) in before.tasks, 120.0)
+        await region.wait_until(lambda: (job, index) in before.tasks, 120.0)
         assert (job, index) not in after.tasks or after.tasks[job, index].state == "exited"
 
     simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
@@ -463,10 +463,10 @@
             del region.workers[machine].tasks[key]
         await curio.sleep(1.0)
         await region.start_all()
-        await region.until(lambda: len(region.recoveries()) > 0, 20.0)
+        await region.wait_until(lambda: len(region.recoveries()) > 0, 20.0)
         started = [key in region.workers[machine].tasks for machine, key in missing.items()]
         assert not all(started)
-        await region.until(
+        await region.wait_until(
             lambda: all(key in region.workers[m].tasks for m, key in missing.items()), 3.5
         )
 
@@ -495,9 +495,9 @@
                 return region.steady()
             return phase in seen or region.steady()
 
-        await region.until(is_reached, 60.0)
+        await region.wait_until(is_reached, 60.0)
         await region.restart_all(1.0)
-        await region.until(region.steady, 90.0)
+        await region.wait_until(region.steady, 90.0)
         await curio.sleep(10.0)
         assert region.orders(others) == {}
         assert all(index < 70 for worker in odd for _, index in worker.tasks)
@@ -510,18 +510,18 @@
 
 
 def _slow(region: RecoveryRegion) -> None:
-    region.slow_s = 0.7
+    region.state_delay_s = 0.7
 
 
 def _read_only(region: RecoveryRegion) -> None:
     for label in region.LABELS:
-        region.refused[label] = lambda method, path: path == "/txn"
+        region.refused_requests[label] = lambda method, path: path == "/txn"
 
 
 def _heal(region: RecoveryRegion) -> None:
     region.state.down = False
-    region.slow_s = 0.0
-    region.mend()
+    region.state_delay_s = 0.0
+    region.reconnect()
 
 
 @pytest.mark.parametrize("fault", [_down, _slow, _read_only])
@@ -537,7 +537,7 @@
         await region.start_all()
         await curio.sleep(1.5)
         _heal(region)
-        await region.until(region.steady, 90.0)
+        await region.wait_until(region.steady, 90.0)
         await curio.sleep(10.0)
         assert region.orders() == {}
         assert _tasks(region) == running
@@ -552,13 +552,13 @@
         north = [w for w in region.workers.values() if w.zone == "north"]
         await region.end_all()
         for worker in south:
-            worker.mute = worker.deaf = True
+            worker.heartbeats_lost = worker.inbound_lost = True
         await curio.sleep(1.0)
         await region.start_all()
         await curio.sleep(60.0)
         for worker in south:
-            worker.mute = worker.deaf = False
-        await region.until(region.steady, 120.0)
+            worker.heartbeats_lost = worker.inbound_lost = False
+        await region.wait_until(region.steady, 120.0)
         await curio.sleep(30.0)
         # the north's healthy tasks are left alone; the south's ended with their leases, and were
         # placed anew once that was proven
@@ -575,15 +575,15 @@
         give_unplanned(odd, "wk-000001", 70, 9)
         others = [w for w in region.workers.values() if w is not odd]
         await region.restart_all(1.0)
-        await region.until(lambda: any(r.phase is Phase.SETTLING for r in region.recoveries()))
+        await region.wait_until(lambda: any(r.phase is Phase.SETTLING for r in region.recoveries()))
         label = next(
             r_label
             for r_label, service in region.services.items()
             if any(r.phase is Phase.SETTLING for r in service.recoveries())
         )
-        region.still_until[label] = region.clock.now() + 8.0
+        region.frozen_until[label] = region.clock.now() + 8.0
         await curio.sleep(12.0)
-        await region.until(region.steady, 90.0)
+        await region.wait_until(region.steady, 90.0)
         await curio.sleep(10.0)
         assert region.orders(others) == {}
         assert ("wk-000001", 70) not in odd.tasks
@@ -599,7 +599,7 @@
 
     async def scenario(region: RecoveryRegion) -> None:
         await _busy_region(region)
-        region.refused["node-1"] = lambda method, path: path.startswith("/changes")
+        region.refused_requests["node-1"] = lambda method, path: path.startswith("/changes")
         for number in range(6):
             job = f"wk-{800000 + number}"
             assert await region.submit("node-0", job, None, crew="blue", sacks=1) in (201, 503)
@@ -609,9 +609,9 @@
         await region.kill("node-0")
         await region.kill("node-2")
         await curio.sleep(6.0)
-        region.mend()
+        region.reconnect()
         await region.start_all()
-        await region.until(region.steady, 90.0)
+        await region.wait_until(region.steady, 90.0)
         await curio.sleep(10.0)
         ended = [v for verbs in region.orders().values() for v in verbs if v != "start"]
         assert ended == []
@@ -652,7 +652,7 @@
 
     async def scenario(region: RecoveryRegion) -> None:
         await _state_comes_back_older(region)
-        await region.until(region.steady, 200.0)
+        await region.wait_until(region.steady, 200.0)
         times.extend(_recovery_orders(region, 0.0))
         assert len(times) > FEW_SERVICES
 
@@ -711,14 +711,14 @@
         give_unplanned(odd, "wk-000001", 70, 9)
         shard = region.nodes["node-0"].cluster.machines[odd.machine].shard
         await region.restart_all(1.0)
-        await region.until(lambda: any(r.shard == shard for r in region.recoveries()))
+        await region.wait_until(lambda: any(r.shard == shard for r in region.recoveries()))
         # the shard is ready; from now on no read comes through
         for label in region.LABELS:
-            region.refused[label] = lambda method, path: path.startswith("/changes")
+            region.refused_requests[label] = lambda method, path: path.startswith("/changes")
         await curio.sleep(2.5)
         assert region.orders([odd]) == {}
-        region.mend()
-        await region.until(lambda: ("wk-000001", 70) not in odd.tasks)
+        region.reconnect()
+        await region.wait_until(lambda: ("wk-000001", 70) not in odd.tasks)
 
     simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
 
@@ -735,12 +735,12 @@
     async def scenario(region: RecoveryRegion) -> None:
         await _busy_region(region)
         busy = [w for w in region.workers.values() if w.tasks]
-        old = [worker.copies[0] for worker in busy]
+        old = [worker.sent_heartbeats[0] for worker in busy]
         assert all(b'"sacks":[]' in copy for copy in old)
         await region.restart_all(1.0)
         for worker in busy:
-            worker.mute = True
-        await region.until(
+            worker.heartbeats_lost = True
+        await region.wait_until(
             lambda: len(region.owners()) == 3
             and all(
                 region.nodes[label].membership.active_ownership(shard)
@@ -751,8 +751,8 @@
             for label in region.LABELS:
                 region.deliver(copy, label)
         for worker in busy:
-            worker.mute = False
-        await region.until(region.steady, 60.0)
+            worker.heartbeats_lost = False
+        await region.wait_until(region.steady, 60.0)
         newest = (await _overview(region))["records"][-3:]
         classes = [record["classes"] for record in newest]
         assert sum(c.get("healthy", 0) for c in classes) > 0
--- a/tests/test_recovery_dry_run.py
+++ b/tests/test_recovery_dry_run.py
@@ -38,7 +38,7 @@
     region.forget_orders()
     await curio.sleep(2.0)
     await region.start_all()
-    await region.until(lambda: len(region.owners()) == 3, 30.0)
+    await region.wait_until(lambda: len(region.owners()) == 3, 30.0)
     await curio.sleep(30.0)
 
 
@@ -132,7 +132,7 @@
         assert (await region.request(label, "POST", APPROVE_PATH, approval)).status == 409
         stored = {key: region.state.keys[key][0] for key in later}
         assert stored == later
-        await region.until(region.steady, 60.0)
+        await region.wait_until(region.steady, 60.0)
 
     with caplog.at_level("WARNING"):
         simulate_recovery(scenario, recovery_settings(), is_unplanned)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -28,7 +28,7 @@
 
 from . import stepped_controller
 from .fake_services import FakeClock, StateService, beat, make_settings, on
-from .full_fleet import EACH, full_fleet, report_all
+from .full_fleet import GPUS_PER_MACHINE, full_fleet, report_all
 from .stepped_controller import SteppedController, add_job, run_scenario
 
 Nodes = dict[str, SteppedController]
@@ -38,7 +38,7 @@
 @pytest.fixture(autouse=True)
 def _large_team(monkeypatch: pytest.MonkeyPatch) -> None:
     """The one team is guaranteed all GPUs, and may use more."""
-    teams = (Team("red", 0.0, 0.0, 1.0 * MACHINES * EACH, 0.0),)
+    teams = (Team("red", 0.0, 0.0, 1.0 * MACHINES * GPUS_PER_MACHINE, 0.0),)
     monkeypatch.setattr(
         stepped_controller,
         "make_settings",
@@ -78,7 +78,7 @@
         _count(monkeypatch, counts, FreeCapacity, "fits")
         _count(monkeypatch, counts, Job, "done_task_count")
         await node.round()
-        jobs = MACHINES * EACH // 16 + 300
+        jobs = MACHINES * GPUS_PER_MACHINE // 16 + 300
         assert MACHINES <= counts["fits"] <= 2 * MACHINES
         assert counts["done_task_count"] <= 20 * jobs
 
@@ -100,7 +100,7 @@
 
         node.cluster.machines.__class__ = MachinesByKeyOnly
         node.cluster.jobs.__class__ = JobsByKeyOnly
-        tasks = [on("wk-000000", i, i + 1, "running") for i in range(EACH)]
+        tasks = [on("wk-000000", i, i + 1, "running") for i in range(GPUS_PER_MACHINE)]
         assert node.report("n-0", 1, 2, node.token(), *tasks).status == 200
 
     run_scenario(scenario)
@@ -116,7 +116,10 @@
         assert len(pages) <= stored // 1000 + 1
         # each shard's key and the counter of tokens, this controller's own key and the leader's
         assert state.puts <= 2 * node.settings.controller_count + 2
-        assert sum(j.planned_task_count() for j in node.cluster.jobs.values()) == MACHINES * EACH
+        assert (
+            sum(j.planned_task_count() for j in node.cluster.jobs.values())
+            == MACHINES * GPUS_PER_MACHINE
+        )
         before = state.puts
         report_all(node, MACHINES)
         await node.round()
@@ -235,7 +238,10 @@
         await node.round()
         assert counts["free_capacity"] == 0
         # one task of one job ends: its machine alone is looked at anew
-        rows = {i: PlannedAttempt("wk-000000", i, i + 1, f"n-{i // EACH}", 1) for i in range(1, 16)}
+        rows = {
+            i: PlannedAttempt("wk-000000", i, i + 1, f"n-{i // GPUS_PER_MACHINE}", 1)
+            for i in range(1, 16)
+        }
         state.put(keys.plan("wk-000000", "0"), encode_chunk(PlanChunk(17, 1, rows)))
         await node.sync()
         await node.round()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -113,7 +113,7 @@
         assert keys.feature("node-0") in state.keys
         for _ in range(4):
             clock.time += node.settings.controller_lease_ttl_s / 3
-            await node.live()
+            await node.renew_and_sync()
             await node.membership.step()
         assert node.membership.leadership_version() is not None
         await node.feature_level.step()
@@ -133,20 +133,20 @@
     async def scenario(region: Region) -> None:
         lost: list[str] = []
 
-        def fate(label: str, method: str, path: str) -> tuple[float, bool] | None:
+        def transaction_fault(label: str, method: str, path: str) -> tuple[float, bool] | None:
             # every controller's first transactions are carried out without an answer
             if path == "/txn" and lost.count(label) < 6:
                 lost.append(label)
                 return 0.0, True
             return None
 
-        region.fate = fate
+        region.transaction_fault = transaction_fault
         await region.begin(machines=0)
         region.state.down = True
         await curio.sleep(3)
         region.state.down = False
         await region.restart("node-1", 1.0)
-        await region.until(lambda: all(n.cluster.level for n in region.nodes.values()), 90)
+        await region.wait_until(lambda: all(n.cluster.level for n in region.nodes.values()), 90)
         assert region.state.keys[keys.LEVEL][0]["level"] == 1
 
     simulate(scenario)
@@ -274,7 +274,7 @@
                 node = SteppedController(state, clock, nodes)
                 await node.boot()
             clock.time += 0.5
-            await node.live()
+            await node.renew_and_sync()
             await node.round()
             assert _stored_rows(state) == planned
             job = node.cluster.jobs[JOB]
@@ -306,7 +306,7 @@
         await node.sync()
         for _ in range(8):
             clock.time += 0.5
-            await node.live()
+            await node.renew_and_sync()
             await node.round()
         job = node.cluster.jobs[JOB]
         assert keys.plan(JOB, "0") not in state.keys
@@ -334,7 +334,7 @@
         assert "0" not in clearable
         for _ in range(20):
             clock.time += 0.5
-            await node.live()
+            await node.renew_and_sync()
             await node.round()
             assert node.cluster.jobs[JOB].planned_task_count() == 0
         assert not [k for k in state.keys if k.startswith(keys.PLAN)]
@@ -419,7 +419,7 @@
         await region.begin(machines=0)
         for number in range(3):
             await region.add_worker(f"n-{number}", shard=0)
-        await region.until(lambda: all(n.cluster.level for n in region.nodes.values()))
+        await region.wait_until(lambda: all(n.cluster.level for n in region.nodes.values()))
         small: dict[str, Any] = {"cpus": 0.1, "cards": 0.0, "ramGb": 0.1, "pullGb": 0.0}
         first, second = "wk-000101", "wk-000102"
         assert await region.submit("node-0", first, run_s=4.0, sacks=150, **small) == 201
@@ -431,7 +431,7 @@
         region.state.limits = StateLimits(100, 40, 2048, 6)
         owner = region.owners()[0]
         await region.restart(owner, 2.0)
-        await region.until(lambda: region.finished(second, 40), 120)
+        await region.wait_until(lambda: region.has_finished(second, 40), 120)
         assert region.state.too_large == 0
 
     simulate(scenario)
@@ -450,7 +450,7 @@
         await node.boot()
         for turn in range(6):
             clock.time += 0.5
-            await node.live()
+            await node.renew_and_sync()
             for number in range(40):
                 node.report(f"n-{number}", 1, turn + 1, node.token())
             await node.round()
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -166,7 +166,7 @@
         await node.boot()
         for seq in range(1, 60):
             clock.time += 1.0
-            await node.live()
+            await node.renew_and_sync()
             node.report("n-0", 1, seq, node.token())
             await node.round()
         assert node.cluster.machines["n-0"].retiring == "idle"
@@ -318,7 +318,7 @@
         node.report(attempt.machine, 1, 2, node.token(), on("wk-000001", 0, 1, "running"))
         for seq in range(2, 60):
             clock.time += node.settings.heartbeat_interval_s / 2
-            await node.live()
+            await node.renew_and_sync()
             node.report(other, 1, seq, node.token(), *running)
             await node.round()
         assert len(node.heartbeats.stop_requests) == 4
--- a/tests/test_worker_faults.py
+++ b/tests/test_worker_faults.py
@@ -4,8 +4,8 @@
 import pytest
 
 from .fault_injection import (
-    all_over,
-    all_over_but_services,
+    cancel_services_and_wait,
+    wait_until_all_ended,
 )
 from .simulated_region import Region, simulate
 
@@ -17,26 +17,26 @@
         await region.begin(machines=2)
         await region.submit("node-1", "wk-000001", sacks=2)
         await region.submit("node-1", "wk-000002", run_s=4.0, sacks=2)
-        await region.until(lambda: len(region.checker.jobs["wk-000002"].finished) == 2)
+        await region.wait_until(lambda: len(region.checker.jobs["wk-000002"].finished) == 2)
         worker = region.workers["n-0"]
-        worker.hung = True
+        worker.is_frozen = True
         await curio.sleep(region.worker_lease_s * 1.2)
-        worker.hung = False
+        worker.is_frozen = False
         await curio.sleep(4.0)
-        old = [body for w in region.workers.values() for body in w.copies]
+        old = [body for w in region.workers.values() for body in w.sent_heartbeats]
         await region.kill("node-0")
         for _ in range(60):
             await curio.sleep(0.25)
             for label in list(region.nodes):
                 for body in old[::3]:
                     region.deliver(body, label)
-        await region.until(lambda: len(region.running("wk-000001")) > 0, 40.0)
-        await all_over_but_services(region)
+        await region.wait_until(lambda: len(region.workers_running("wk-000001")) > 0, 40.0)
+        await cancel_services_and_wait(region)
 
     simulate(scenario)
 
 
-@pytest.mark.parametrize("fault", ["deaf", "mute", "hung"])
+@pytest.mark.parametrize("fault", ["inbound_lost", "heartbeats_lost", "is_frozen"])
 def test_workers_that_hear_nothing_or_are_not_heard(fault: str) -> None:
     """A machine in trouble keeps no job waiting that another could take, and what was cancelled
     on it meanwhile is over in time.
@@ -45,18 +45,18 @@
     async def scenario(region: Region) -> None:
         await region.begin(machines=2)
         await region.submit("node-1", "wk-000001", sacks=4, cards=1.0)
-        await region.until(lambda: len(region.checker.starts) == 4)
+        await region.wait_until(lambda: len(region.checker.starts) == 4)
         odd = region.workers["n-0"]
         setattr(odd, fault, True)
-        assert await region.cancel_until_told("node-2", "wk-000001", 10.0)
+        assert await region.cancel_until_confirmed("node-2", "wk-000001", 10.0)
         await region.submit("node-2", "wk-000002", run_s=4.0, sacks=6)
         await region.kill("node-0")
-        await region.until(
+        await region.wait_until(
             lambda: len(region.checker.jobs["wk-000002"].finished) == 6, 4 * region.worker_lease_s
         )
         setattr(odd, fault, False)
         await region.start("node-0")
-        await all_over(region)
+        await wait_until_all_ended(region)
 
     simulate(scenario)
 
@@ -72,20 +72,22 @@
         await region.begin(machines=2)
         await curio.sleep(4.0)
         for worker in region.workers.values():
-            worker.hung = True
+            worker.is_frozen = True
         await region.submit("node-1", "wk-000001", run_s=4.0, sacks=2)
-        await region.until(lambda: any(w.held for w in region.workers.values()), 5.0)
+        await region.wait_until(
+            lambda: any(w.delayed_commands for w in region.workers.values()), 5.0
+        )
         await curio.sleep(hang_s / 2)
         if cancelled:
-            assert await region.cancel_until_told("node-2", "wk-000001", 5.0)
+            assert await region.cancel_until_confirmed("node-2", "wk-000001", 5.0)
         else:
             await region.restart("node-0", 0.2)
         await curio.sleep(hang_s / 2)
         for worker in region.workers.values():
-            worker.hung = False
-        await all_over(region)
+            worker.is_frozen = False
+        await wait_until_all_ended(region)
         await curio.sleep(5.0)
-        assert not region.running("wk-000001")
+        assert not region.workers_running("wk-000001")
 
     simulate(scenario)
 
@@ -101,24 +103,26 @@
         await region.submit("node-1", "wk-000001", sacks=2, yard="north")
         await region.submit("node-1", "wk-000002", run_s=20.0, sacks=4, yard="north")
         await region.submit("node-1", "wk-000003", run_s=20.0, sacks=2, yard="south")
-        await region.until(lambda: len(region.checker.starts) == 8)
+        await region.wait_until(lambda: len(region.checker.starts) == 8)
         await curio.sleep(4.0)
         south = ("node-1", "node-2")
-        region.reaches = lambda worker, label: (
+        region.can_reach = lambda worker, label: (
             label in region.nodes and (label in south) == (worker.zone == "south")
         )
         if mode == "answer lost":
-            region.fate = lambda label, method, path: (0.5, True) if path == "/txn" else None
-        region.cut("node-0")
-        region.workers["n-2"].hung = True
-        asks = await curio.spawn(region.cancel_until_told, "node-1", "wk-000001", 120.0)
+            region.transaction_fault = (
+                lambda label, method, path: (0.5, True) if path == "/txn" else None
+            )
+        region.isolate("node-0")
+        region.workers["n-2"].is_frozen = True
+        asks = await curio.spawn(region.cancel_until_confirmed, "node-1", "wk-000001", 120.0)
         await curio.sleep(3.0)
-        region.fate = lambda *_: None
+        region.transaction_fault = lambda *_: None
         await curio.sleep(region.worker_lease_s * 2.2)
-        region.mend()
-        region.reaches = lambda worker, label: label in region.nodes
-        region.workers["n-2"].hung = False
+        region.reconnect()
+        region.can_reach = lambda worker, label: label in region.nodes
+        region.workers["n-2"].is_frozen = False
         assert await asks.join()
-        await all_over(region, 120.0)
+        await wait_until_all_ended(region, 120.0)
 
     simulate(scenario)
--- a/tests/trace_adapter.py
+++ b/tests/trace_adapter.py
@@ -27,7 +27,7 @@
 
 from . import simulated_region
 from .fake_services import ZONES, CloudService, FakeClock
-from .fault_injection import every_request, heal, lose_answers
+from .fault_injection import clear_faults, every_request, lose_answers
 from .multihost_fault_injection import MultihostFaults
 from .multihost_region import MultihostRegion
 from .recovery_region import RecoveryRegion, recovery_settings
@@ -166,18 +166,19 @@
         self.log = log
         self._shared_cloud = self.cloud
         links = {
-            label: _RecordedLink(link, log, label, "state") for label, link in self.lines.items()
+            label: _RecordedLink(link, log, label, "state")
+            for label, link in self.state_links.items()
         }
-        self.lines = links  # type: ignore[assignment]
+        self.state_links = links  # type: ignore[assignment]
 
     async def start(self, label: str) -> SteppedController:
         # the region hands its cloud to the controller before anything else can run
         self.cloud = _RecordedCloud(self._shared_cloud, self.log, label)
         return await super().start(label)
 
-    def more_parts(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
+    def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
         self.cloud = self._shared_cloud
-        parts = super().more_parts(node)
+        parts = super().extra_loops(node)
         label = node.settings.label
         self._record_direct_commands(node, label)
         self._count_preemptions(node)
@@ -237,8 +238,8 @@
 class _RecordedMultihostRegion(_RecordedRegion, MultihostRegion):
     """A region with multi-machine replicas, recorded."""
 
-    def more_parts(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
-        parts = super().more_parts(node)
+    def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
+        parts = super().extra_loops(node)
         label = node.settings.label
         self._record_async_handler(self.services[label], "multihost", label)
         return parts
@@ -247,8 +248,8 @@
 class _RecordedRecoveryRegion(_RecordedRegion, RecoveryRegion):
     """A region with recovery on, recorded."""
 
-    def more_parts(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
-        parts = super().more_parts(node)
+    def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
+        parts = super().extra_loops(node)
         label = node.settings.label
         self._record_async_handler(self.apis[label], "recovery operator", label)
         return parts
@@ -293,7 +294,7 @@
 
     async def begin_leading(self) -> None:
         """Run the leaders' loops too; the cloud's machines come up after they are rented."""
-        await self._region.lead_everywhere()
+        await self._region.run_provisioners()
 
     def now(self) -> float:
         """The virtual time."""
@@ -315,7 +316,7 @@
 
     def freeze(self, controller: str, for_s: float) -> None:
         """Let a controller's process stand still."""
-        self._region.still_until[controller] = self.now() + for_s
+        self._region.frozen_until[controller] = self.now() + for_s
 
     def owner(self, shard: int) -> str | None:
         """The controller that owns a shard by the stored state."""
@@ -325,18 +326,18 @@
 
     def cut_controller(self, controller: str) -> None:
         """Cut a controller from the state service and its peers."""
-        self._region.cut(controller)
+        self._region.isolate(controller)
 
     def cut_zone(self, zone: str) -> None:
         """Cut a zone from the other and from the state service."""
         for label in CONTROLLERS:
             if ZONES[label] == zone:
-                self._region.cut(label)
+                self._region.isolate(label)
 
         def reaches(worker: Worker, label: str) -> bool:
             return label in self._region.nodes and (worker.zone == zone) == (ZONES[label] == zone)
 
-        self._region.reaches = reaches
+        self._region.can_reach = reaches
 
     def state_outage(self, is_out: bool) -> None:
         """Let the state service refuse everything, or serve again."""
@@ -344,7 +345,7 @@
 
     def refuse(self, controller: str) -> None:
         """Let the state service refuse one controller."""
-        self._region.refused[controller] = every_request
+        self._region.refused_requests[controller] = every_request
 
     def lose_answers(self, each: int, carried_out: bool, for_s: float) -> None:
         """Give no answer to every so manyth transaction, carried out at once or late."""
@@ -352,7 +353,7 @@
 
     def slow_state(self, late_s: float) -> None:
         """Hold up all requests to the state service."""
-        self._region.slow_s = late_s
+        self._region.state_delay_s = late_s
 
     def compact(self) -> None:
         """Drop the state service's history of changes."""
@@ -368,8 +369,8 @@
 
     def heal(self) -> None:
         """End all faults but those of processes."""
-        heal(self._region)
-        self._region.still_until.clear()
+        clear_faults(self._region)
+        self._region.frozen_until.clear()
         self._region.cloud.down = False
 
     # -- workers ---------------------------------------------------------------------
@@ -383,23 +384,25 @@
 
     def workers(self) -> list[str]:
         """The machines that run, by name."""
-        return sorted(name for name, worker in self._region.workers.items() if not worker.gone)
+        return sorted(
+            name for name, worker in self._region.workers.items() if not worker.is_terminated
+        )
 
     def busy_workers(self) -> list[str]:
         """The machines with a task."""
         return [name for name in self.workers() if self._region.workers[name].tasks]
 
-    def set_mute(self, machine: str, is_mute: bool) -> None:
+    def lose_heartbeats(self, machine: str, is_lost: bool) -> None:
         """Lose the machine's heartbeats."""
-        self._region.workers[machine].mute = is_mute
+        self._region.workers[machine].heartbeats_lost = is_lost
 
-    def set_deaf(self, machine: str, is_deaf: bool) -> None:
+    def lose_inbound(self, machine: str, is_lost: bool) -> None:
         """Lose the answers and commands to the machine."""
-        self._region.workers[machine].deaf = is_deaf
+        self._region.workers[machine].inbound_lost = is_lost
 
-    def set_hung(self, machine: str, is_hung: bool) -> None:
+    def freeze_worker(self, machine: str, is_frozen: bool) -> None:
         """Let the machine's agent stand still."""
-        self._region.workers[machine].hung = is_hung
+        self._region.workers[machine].is_frozen = is_frozen
 
     def give_notice(self, machine: str, left_s: float) -> None:
         """Let a worker report that the cloud takes its machine away."""
@@ -408,13 +411,13 @@
     def take_away(self, machine: str) -> None:
         """End a machine."""
         worker = self._region.workers[machine]
-        worker.gone = True
+        worker.is_terminated = True
         worker.tasks.clear()
 
     def repeat_heartbeats(self, machine: str, controller: str) -> None:
         """Deliver copies of a worker's earlier heartbeats."""
         if controller in self._region.nodes:
-            for body in list(self._region.workers[machine].copies):
+            for body in list(self._region.workers[machine].sent_heartbeats):
                 self._region.deliver(body, controller)
 
     # -- users -----------------------------------------------------------------------
@@ -503,11 +506,11 @@
         """Let an agent report that its machine is taken away, or is not."""
         self._region.agents[machine].notice_s = left_s
 
-    def set_zone_mute(self, zone: str, is_mute: bool) -> None:
+    def lose_zone_heartbeats(self, zone: str, is_lost: bool) -> None:
         """Lose all heartbeats of a zone's agents."""
         for agent in self._region.agents.values():
             if agent.zone == zone:
-                agent.mute = is_mute
+                agent.heartbeats_lost = is_lost
 
     async def mend(self) -> None:
         """End the troubles; machines that died are back."""
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -47,7 +47,7 @@
 
 
 @types.coroutine
-def standing_still(
+def run_with_freezes(
     part: Coroutine[Any, Any, None], until: Callable[[], float], clock: FakeClock
 ) -> Generator[Any, Any, None]:
     """Runs a controller's part so that it can stand still between any two awaits: what it waited
@@ -72,7 +72,7 @@
         step = partial(part.send, value)
 
 
-class Crashes(logging.Handler):
+class ErrorCollector(logging.Handler):
     """A part that fails would otherwise only be logged."""
 
     def __init__(self) -> None:
@@ -88,7 +88,7 @@
 ) -> None:
     """Plays a story whose waits cost no time; parts that fail fail it."""
     virtual = VirtualTime(clock)
-    kernel_time, crashes = curio.kernel.time, Crashes()
+    kernel_time, crashes = curio.kernel.time, ErrorCollector()
     logging.getLogger("curio").addHandler(crashes)
     curio.kernel.time = virtual
     try:
