--- a/tests/test_answer_consistency.py
+++ b/tests/test_answer_consistency.py
@@ -16,7 +16,9 @@
 
 @pytest.mark.parametrize("at_once", [True, False])
 @pytest.mark.parametrize("ends", [False, True])
-def test_answers_lost_while_others_write_on(at_once: bool, ends: bool) -> None:
+def test_lost_transaction_responses_during_cancellations_and_a_restart(
+    at_once: bool, ends: bool
+) -> None:
     """Every third transaction gets no answer, is carried out at once or seconds late, while
     users cancel and, in one variant, the owner's process is replaced.
     """
@@ -34,7 +36,7 @@
     simulate(scenario)
 
 
-def test_close_looks_after_a_submission_an_end_and_a_cancellation() -> None:
+def test_no_controller_answers_older_state_right_after_a_change() -> None:
     """Right after something was told, no controller says anything older."""
 
     async def scenario(region: Region) -> None:
@@ -64,7 +66,7 @@
     simulate(scenario)
 
 
-def test_a_slow_answer_to_a_submission_says_what_others_told_meanwhile() -> None:
+def test_a_slow_response_to_a_submission_includes_a_later_cancellation() -> None:
     """The job was durable, seen and cancelled elsewhere while the answer was held up: `queued`
     after `withdrawn`.
     """
@@ -81,7 +83,7 @@
     simulate(scenario)
 
 
-def test_jobs_that_can_not_run_or_lack_a_field_are_never_accepted() -> None:
+def test_invalid_jobs_are_never_accepted_and_repeats_are_not_refused() -> None:
     """Under trouble too; and a repeat of an accepted job gets neither 400 nor 422."""
 
     async def scenario(region: Region) -> None:
--- a/tests/test_attempt_end_proofs.py
+++ b/tests/test_attempt_end_proofs.py
@@ -14,7 +14,7 @@
 )
 
 
-def test_a_report_from_before_takeover_is_not_believed() -> None:
+def test_a_heartbeat_from_before_a_failover_is_not_believed() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
         # a new incarnation; a late copy of an old report lists nothing
@@ -31,7 +31,7 @@
     run_scenario(scenario)
 
 
-def test_late_copy_renews_no_belief_and_brings_no_order() -> None:
+def test_a_repeated_heartbeat_renews_nothing_and_brings_no_command() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
         clock.time += node.settings.heartbeat_timeout_s + 0.1
@@ -45,7 +45,7 @@
     run_scenario(scenario)
 
 
-def test_silence_is_no_proof_until_the_lease_must_have_ended() -> None:
+def test_missing_heartbeats_prove_nothing_until_the_worker_lease_has_expired() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
         add_machine(state, clock, "n-1")
@@ -64,7 +64,7 @@
     run_scenario(scenario)
 
 
-def test_a_new_session_proves_the_old_attempts_over() -> None:
+def test_a_new_session_proves_that_the_old_attempts_ended() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
         node.report("n-0", 2, 1, node.token())
@@ -76,7 +76,7 @@
     run_scenario(scenario)
 
 
-def test_a_failed_entry_in_the_list_is_no_proof_but_a_release_is() -> None:
+def test_a_failed_machine_in_the_clouds_list_is_no_proof_but_its_release_is() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
         node.cloud.listed = [
@@ -110,7 +110,7 @@
     run_scenario(scenario)
 
 
-def test_direct_answers_do_not_renew_the_lease_bound() -> None:
+def test_command_responses_do_not_renew_the_worker_lease() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
         view = node.heartbeats.find_view("n-0")
@@ -128,7 +128,7 @@
     run_scenario(scenario)
 
 
-def test_a_session_known_from_direct_answers_alone_has_a_lease_of_its_own() -> None:
+def test_a_session_known_from_command_responses_alone_has_its_own_lease() -> None:
     """A worker whose reports go astray begins a new session; what was placed there was counted
     as over from our last answer, long before, and began elsewhere while it ran.
     """
--- a/tests/test_behavior_trace.py
+++ b/tests/test_behavior_trace.py
@@ -49,7 +49,7 @@
         return _take()
 
 
-def test_the_trace_has_every_seam(lines: Lines) -> None:
+def test_the_trace_has_messages_of_every_kind(lines: Lines) -> None:
     fields = [line.split("\t") for rows in lines.values() for line in rows]
     seams = {(field[1], field[2].partition(":")[0]) for field in fields}
     assert seams >= {
--- a/tests/test_command_delivery.py
+++ b/tests/test_command_delivery.py
@@ -20,7 +20,7 @@
 )
 
 
-def test_start_is_sent_only_from_a_durable_plan() -> None:
+def test_a_start_is_sent_only_from_a_durable_plan() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
         add_job(state, clock, sacks=1)
@@ -37,7 +37,7 @@
     run_scenario(scenario)
 
 
-def test_an_unanswered_direct_start_stays_in_doubt_until_a_higher_token() -> None:
+def test_an_unanswered_start_command_may_still_arrive_until_a_higher_token() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
         job = add_job(state, clock, sacks=1)
@@ -69,7 +69,7 @@
     run_scenario(scenario)
 
 
-def test_an_outcome_is_durable_before_the_reap() -> None:
+def test_an_outcome_is_durable_before_the_task_is_forgotten() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
         done = on("wk-000001", 0, 1, "exited", "done")
@@ -82,7 +82,7 @@
     run_scenario(scenario)
 
 
-def test_a_job_withdrawn_elsewhere_stops_a_start_that_did_not_know() -> None:
+def test_a_cancellation_at_another_controller_prevents_a_planned_start() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
         job = add_job(state, clock, sacks=1)
@@ -98,7 +98,7 @@
     run_scenario(scenario)
 
 
-def test_withdrawn_tasks_are_killed_and_done_jobs_stay_done() -> None:
+def test_tasks_of_a_cancelled_job_are_stopped_and_its_end_stays() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
         answer = await node.ask("POST", "/v1/jobs/wk-000001/withdraw")
@@ -113,7 +113,7 @@
     run_scenario(scenario)
 
 
-def test_a_direct_answer_without_the_task_does_not_prove_that_a_start_can_not_come() -> None:
+def test_a_command_response_without_the_task_does_not_prove_that_it_will_not_start() -> None:
     """The start may be in the answer to the last report, still on its way: the row went, and the
     task was free to be placed elsewhere while it began here.
     """
@@ -138,7 +138,7 @@
     run_scenario(scenario)
 
 
-def test_what_was_found_not_started_is_never_started() -> None:
+def test_an_attempt_found_not_started_is_never_started() -> None:
     """The plan's write was known from the watch before its answer: a report without the task
     showed it over on a machine to be returned, and then the answer brought a direct start.
     """
--- a/tests/test_concurrent_cancellations.py
+++ b/tests/test_concurrent_cancellations.py
@@ -38,7 +38,9 @@
 @pytest.mark.parametrize("refuses", [every_request, all_but_leases, "flapping"])
 @pytest.mark.parametrize("alone_s", [1.5, 8.0, 14.0, 36.0])
 @pytest.mark.parametrize("peers", ["together", "apart"])
-def test_gap(refuses: object, alone_s: float, peers: str) -> None:
+def test_a_cancellation_in_an_outage_after_a_refusal_of_one_controller(
+    refuses: object, alone_s: float, peers: str
+) -> None:
     """A controller that is refused alone knows of no cancellation that others confirm, and what
     it keeps alive must end in time all the same. On its lease alone it went on for ever where
     renewals succeeded and reads did not.
@@ -56,7 +58,7 @@
     simulate(scenario)
 
 
-def test_a_deputy_ends_what_it_was_itself_about_to_cancel() -> None:
+def test_an_isolated_controller_ends_the_job_whose_cancellation_it_requested() -> None:
     """The only controller of a zone asks that a job be cancelled and never hears that it was;
     cut off with its zone it would have kept the job's tasks for three leases.
     """
@@ -87,7 +89,7 @@
 
 
 @pytest.mark.parametrize("offset_s", [-0.3, -0.1, -0.02, 0.0, 0.02, 0.1, 0.4])
-def test_a_cancellation_meets_the_end_of_the_last_task(offset_s: float) -> None:
+def test_a_cancellation_at_the_end_of_the_last_task_leaves_one_outcome(offset_s: float) -> None:
     async def scenario(region: Region) -> None:
         await region.begin(machines=1)
         await region.submit("node-2", "wk-000001", run_s=5.0, sacks=1)
@@ -105,7 +107,7 @@
     simulate(scenario)
 
 
-def test_a_team_at_its_limit_whose_cancelled_tasks_are_not_proved_over() -> None:
+def test_a_team_at_its_limit_waits_for_proof_that_cancelled_tasks_ended() -> None:
     """Every machine of the team hangs or can't be reached, its jobs are cancelled and the owner
     ends: what comes next waits until the old tasks are proved over.
     """
@@ -132,7 +134,7 @@
     simulate(scenario)
 
 
-def test_jobs_are_cancelled_while_shards_change_hands() -> None:
+def test_jobs_are_cancelled_during_failovers() -> None:
     """Taken over, handed back, given up: some job is cancelled every quarter of a second."""
 
     async def scenario(region: Region) -> None:
@@ -160,7 +162,7 @@
     await region.restart("node-0", 8.0)
 
 
-def test_a_leader_without_state_service_and_peers_while_others_cancel() -> None:
+def test_an_isolated_leader_answers_nothing_stale_while_others_cancel() -> None:
     """Workers and users still reach it: it answers nothing old, and keeps nothing too long."""
 
     async def scenario(region: Region) -> None:
@@ -181,7 +183,7 @@
     simulate(scenario)
 
 
-def test_a_refusal_of_one_meets_slow_answers_and_an_outage() -> None:
+def test_cancellations_during_slow_responses_a_refusal_and_an_outage() -> None:
     """Users cancel and ask while the state service is slow, refuses the owner, and is out."""
 
     async def scenario(region: Region) -> None:
--- a/tests/test_controller_failovers.py
+++ b/tests/test_controller_failovers.py
@@ -16,7 +16,7 @@
 from .simulated_region import Region, simulate
 
 
-def test_a_quiet_spell_keeps_every_rule() -> None:
+def test_jobs_run_and_are_cancelled_without_faults() -> None:
     """What all other stories here begin with; it also shows that the judge sees tasks run."""
 
     async def scenario(region: Region) -> None:
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("outage", [False, True])
-def test_ten_changes_of_leader_in_two_minutes(outage: bool) -> None:
+def test_jobs_end_despite_ten_failovers_in_two_minutes(outage: bool) -> None:
     async def scenario(region: Region) -> None:
         await region.begin(machines=4)
         await region.submit("node-1", "wk-000001", sacks=2)
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("away_s", [0.3, 3.0, 25.0])
-def test_all_controllers_end_and_one_returns_first(away_s: float) -> None:
+def test_all_controllers_end_and_one_returns_before_the_others(away_s: float) -> None:
     async def scenario(region: Region) -> None:
         await region.begin(machines=3)
         await region.submit("node-1", "wk-000001", sacks=2)
@@ -71,7 +71,7 @@
     simulate(scenario)
 
 
-def test_tasks_of_a_job_end_far_apart_across_changes_of_owner() -> None:
+def test_no_task_runs_again_after_failovers_between_its_jobs_tasks() -> None:
     """One after the other on one machine, an owner's end between each and the next."""
 
     async def scenario(region: Region) -> None:
@@ -87,7 +87,7 @@
     simulate(scenario)
 
 
-def test_one_task_jobs_four_a_second() -> None:
+def test_a_stream_of_single_task_jobs_leaves_nothing_behind() -> None:
     """Nothing grows with them for good, none starves, none is forgotten."""
 
     async def scenario(region: Region) -> None:
@@ -103,7 +103,7 @@
     simulate(scenario)
 
 
-def test_new_machines_up_at_once_while_writes_lag_and_the_leader_ends() -> None:
+def test_machines_that_come_up_before_their_records_are_written() -> None:
     """Rented and up within two seconds, before their records: workers without a record, records
     written late, and the next leader renting again.
     """
--- a/tests/test_controller_outages.py
+++ b/tests/test_controller_outages.py
@@ -66,18 +66,18 @@
 
 @pytest.mark.parametrize("freeze_s", [5.0, 9.0, 25.0])
 @pytest.mark.parametrize("seed_s", [0.0, 0.37, 0.81])
-def test_a_controller_that_stood_still_acts_on_nothing_old(freeze_s: float, seed_s: float) -> None:
+def test_a_controller_acts_on_nothing_stale_after_a_freeze(freeze_s: float, seed_s: float) -> None:
     simulate(_freeze(freeze_s, seed_s))
 
 
-def test_rights_that_outlast_a_freeze_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_lease_that_outlasts_a_freeze_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ControllerLease, "is_held", lambda self: self.lease_id is not None)
     with pytest.raises(AssertionError):
         simulate(_freeze(25.0, 0.0))
 
 
 @pytest.mark.parametrize("alone", ["node-0", "node-1", "node-2"])
-def test_all_but_one_are_gone_for_more_than_a_minute(alone: str) -> None:
+def test_one_controller_serves_alone_for_more_than_a_minute(alone: str) -> None:
     async def scenario(region: Region) -> None:
         await _begin(region)
         others = [label for label in region.LABELS if label != alone]
@@ -102,7 +102,7 @@
     simulate(scenario)
 
 
-def test_questions_of_all_users_at_once_cost_the_one_that_serves_alone_few_reads() -> None:
+def test_simultaneous_status_requests_share_reads() -> None:
     """Eight questions a second for each of fifty jobs: those that come together share a read, and
     workers are answered and work begins meanwhile.
     """
@@ -132,7 +132,7 @@
     simulate(scenario)
 
 
-def test_machines_that_never_come_up_are_given_up_and_replaced() -> None:
+def test_machines_that_never_come_up_are_replaced() -> None:
     async def scenario(region: Region) -> None:
         await region.begin(machines=0)
         await region.run_provisioners()
@@ -152,7 +152,7 @@
             task.state, task.cause = "exited", "error"
 
 
-def test_broken_jobs_of_several_teams_are_cancelled_while_they_are_tried_again() -> None:
+def test_failing_jobs_are_cancelled_while_they_are_retried() -> None:
     async def scenario(region: Region) -> None:
         await _begin(region)
         broken = {f"wk-{n:06d}" for n in range(6)}
@@ -182,7 +182,7 @@
     simulate(scenario)
 
 
-def test_jobs_that_fail_on_a_third_machine_say_nothing_against_the_first_two() -> None:
+def test_jobs_that_fail_on_three_machines_make_none_of_them_faulty() -> None:
     """Several broken jobs begin on the same machine: until they fail elsewhere it looks faulty."""
     settings, clock = make_settings(), FakeClock()
     failures = TaskFailures(settings, clock, ClusterState(Mirror(), settings))
@@ -201,7 +201,7 @@
     assert not any(failures.is_faulty(f"n-{number}") for number in range(3))
 
 
-def test_a_guests_array_swarm_and_idle_batch_while_leaders_change() -> None:
+def test_idle_batch_work_finishes_during_failovers() -> None:
     async def scenario(region: Region) -> None:
         await _begin(region)
         await region.run_provisioners()
@@ -223,7 +223,7 @@
 
 @pytest.mark.parametrize("step", ["rent", "release"])
 @pytest.mark.parametrize("stands_still", [False, True])
-def test_a_leader_that_stood_still_neither_rents_nor_returns(step: str, stands_still: bool) -> None:
+def test_a_leader_neither_rents_nor_releases_after_a_freeze(step: str, stands_still: bool) -> None:
     """It stands still while it waits for the cloud's pace, between its look at its right to lead
     and the request.
     """
@@ -262,7 +262,7 @@
 
 
 @pytest.mark.parametrize("seed_number", range(900, 908))
-def test_views_agree_soon_after_freezes_drawn_by_lot(seed_number: int) -> None:
+def test_views_agree_soon_after_random_freezes(seed_number: int) -> None:
     """Controllers stand still at drawn moments, in the middle of whatever each of their loops waits
     for, while jobs come, end and are cancelled; the judge looks on.
     """
--- a/tests/test_invariant_checker.py
+++ b/tests/test_invariant_checker.py
@@ -108,7 +108,7 @@
         (_cancelled_by_nobody, "went_back"),
     ],
 )
-def test_a_planted_breach_is_condemned(breach: Breach, rule: str) -> None:
+def test_a_planted_violation_is_reported(breach: Breach, rule: str) -> None:
     async def scenario(region: Region) -> None:
         await region.begin(machines=2)
         assert await region.submit("node-0", JOB, run_s=20.0, sacks=1) == 201
--- a/tests/test_job_api.py
+++ b/tests/test_job_api.py
@@ -8,7 +8,7 @@
 from .stepped_controller import Nodes, SteppedController, add_job, run_scenario, seed
 
 
-def test_a_non_final_answer_is_shown_to_be_current() -> None:
+def test_a_state_that_is_not_final_is_read_before_it_is_answered() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock)
         job = add_job(state, clock)
@@ -29,7 +29,7 @@
     run_scenario(scenario)
 
 
-def test_submissions_and_their_repeats() -> None:
+def test_submissions_are_validated_and_idempotent() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = SteppedController(state, clock, nodes)
         await node.boot()
--- a/tests/test_lease_extensions.py
+++ b/tests/test_lease_extensions.py
@@ -4,7 +4,7 @@
 from .stepped_controller import Nodes, SteppedController, run_scenario, start_placed_task
 
 
-def test_workers_are_kept_alive_on_promises_and_only_then() -> None:
+def test_workers_are_kept_alive_only_while_a_quorum_extends_the_lease() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
         for label in ("node-1", "node-2"):
@@ -31,7 +31,7 @@
     run_scenario(scenario)
 
 
-def test_a_controller_refused_alone_lets_its_promises_end() -> None:
+def test_a_controller_that_is_refused_alone_lets_its_extensions_expire() -> None:
     """It went on asking, so that no peer took its shards, and its workers' leases ended."""
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
@@ -56,7 +56,7 @@
     run_scenario(scenario)
 
 
-def test_in_an_outage_for_all_nobody_believes_to_be_alone() -> None:
+def test_no_controller_takes_an_outage_for_all_as_a_refusal_of_itself_alone() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
         peers = [SteppedController(state, clock, nodes, label) for label in ("node-1", "node-2")]
@@ -82,7 +82,7 @@
     run_scenario(scenario)
 
 
-def test_the_first_to_be_served_after_an_outage_is_no_sign_that_others_are_refused_alone() -> None:
+def test_the_first_controller_served_after_an_outage_does_not_make_others_refused_alone() -> None:
     """Two of three controllers took an outage's end for a refusal of their own."""
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
@@ -106,7 +106,7 @@
     run_scenario(scenario)
 
 
-def test_a_restarted_controller_waits_out_promises_it_has_forgotten() -> None:
+def test_a_restarted_controller_waits_for_extensions_that_it_may_have_granted() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         first = SteppedController(state, clock, nodes, "node-0")
         await first.boot()
--- a/tests/test_machine_transfer.py
+++ b/tests/test_machine_transfer.py
@@ -16,7 +16,7 @@
 )
 
 
-def test_a_stale_owners_write_does_nothing() -> None:
+def test_a_former_owner_writes_nothing() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
         lease = node.controller_lease.lease_id
@@ -44,7 +44,7 @@
     run_scenario(scenario)
 
 
-def test_a_machine_given_to_another_shard_obeys_only_its_new_owner() -> None:
+def test_a_machine_transferred_to_another_shard_obeys_only_its_new_owner() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
         node = SteppedController(state, clock, nodes)
@@ -83,7 +83,7 @@
     run_scenario(scenario)
 
 
-def test_a_machine_is_not_answered_while_its_move_is_written() -> None:
+def test_a_heartbeat_is_redirected_while_the_machines_transfer_is_written() -> None:
     """Its new owner counts the worker's lease from when it learns of the move."""
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
@@ -105,7 +105,7 @@
     run_scenario(scenario)
 
 
-def test_a_machine_with_anything_on_it_or_on_its_way_is_not_given() -> None:
+def test_a_machine_with_tasks_or_pending_starts_is_not_transferred() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
         giving = node.scheduling_loop._machine_transfer
@@ -122,7 +122,7 @@
     run_scenario(scenario)
 
 
-def test_no_start_is_planned_on_a_machine_in_the_round_that_gives_it() -> None:
+def test_no_start_is_planned_on_a_machine_in_the_round_that_transfers_it() -> None:
     """The start's write rests on the machine's stamp but leaves it: both would be carried out."""
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
@@ -157,7 +157,7 @@
     run_scenario(scenario)
 
 
-def test_a_controller_that_no_worker_reaches_gives_its_shards_away() -> None:
+def test_a_controller_without_heartbeats_releases_its_shards() -> None:
     """A cut between a controller and all workers cost 90 tasks: it kept its shards, and every
     peer sent the workers back to it until their leases ended.
     """
--- a/tests/test_multihost_random.py
+++ b/tests/test_multihost_random.py
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_troubles_drawn_by_lot(seed: int) -> None:
+def test_random_faults_break_no_rule(seed: int) -> None:
     region = play_by_lot(seed)
     assert region.checker.latest_answer_s <= SETTINGS.serving_lease_s * 1.01
 
--- a/tests/test_placement_limits.py
+++ b/tests/test_placement_limits.py
@@ -4,7 +4,7 @@
 from .stepped_controller import Nodes, SteppedController, add_job, run_scenario, seed
 
 
-def test_team_limit_counts_attempts_in_doubt() -> None:
+def test_a_team_limit_counts_attempts_not_proved_ended() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=6)
         add_job(state, clock, sacks=16)
@@ -26,7 +26,7 @@
     run_scenario(scenario)
 
 
-def test_spread_and_zone_are_kept_with_tasks_in_doubt() -> None:
+def test_spread_counts_tasks_already_planned() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=2)
         job = add_job(state, clock, sacks=4, spread=True, cut="service", grindS=0.0)
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize("seed_number", [0, 1, 131, 148, 177, 2060])
-def test_troubles_drawn_by_lot(seed_number: int) -> None:
+def test_random_faults_break_no_rule(seed_number: int) -> None:
     """Whatever meets whatever: the lots are drawn from a fixed seed, so each story is the same
     on every machine.
     """
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize("seed_number", range(4))
-def test_replicas_at_the_limit_meet_troubles_drawn_by_lot(seed_number: int) -> None:
+def test_random_faults_with_services_at_the_teams_limit(seed_number: int) -> None:
     """A team at its limit, work that makes room for other work, bursts of cancellations, zones
     cut off and all controllers ended: drawn from a fixed seed as above.
     """
--- a/tests/test_random_faults_at_limits.py
+++ b/tests/test_random_faults_at_limits.py
@@ -145,6 +145,6 @@
 
 
 @pytest.mark.parametrize("seed_number", [0, 1, 2, 3])
-def test_troubles_of_size_drawn_by_lot(seed_number: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_random_faults_with_small_limits(seed_number: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """No rule is broken, no task runs that no plan holds, and every job comes to its end."""
     run_random_scenario(seed_number, monkeypatch)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -60,7 +60,7 @@
     monkeypatch.setattr(owner, name, counted)
 
 
-def test_a_round_over_a_full_fleet_asks_each_room_once_for_jobs_that_are_alike(
+def test_a_round_checks_each_machines_free_capacity_once_for_similar_jobs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Asked for each waiting job, the rooms took a fifth of a controller's time and the team's
@@ -85,7 +85,7 @@
     run_scenario(scenario)
 
 
-def test_a_report_looks_at_its_own_machine_only() -> None:
+def test_a_heartbeat_reads_only_its_own_machine() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         full_fleet(state, clock, MACHINES)
         node = SteppedController(state, clock, nodes)
@@ -106,7 +106,7 @@
     run_scenario(scenario)
 
 
-def test_a_takeover_reads_by_pages_and_writes_no_more_than_the_shards_key() -> None:
+def test_a_failover_reads_by_pages_and_writes_only_the_shards_key() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         full_fleet(state, clock, MACHINES)
         stored = len(state.keys)
@@ -128,7 +128,7 @@
     run_scenario(scenario)
 
 
-def test_a_zone_that_falls_silent_is_asked_about_in_one_message_to_each_controller() -> None:
+def test_attestations_for_a_silent_zone_are_requested_in_one_message() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         full_fleet(state, clock, MACHINES)
         node = SteppedController(state, clock, nodes, "node-1")
@@ -158,7 +158,7 @@
     run_scenario(scenario)
 
 
-def test_a_burst_of_submissions_does_not_wait_for_this_controllers_share_of_the_rate() -> None:
+def test_a_burst_of_submissions_may_exceed_the_controllers_write_rate() -> None:
     # guards against a pipeline's stages, submitted one after the other, taking a second each
     async def scenario(
         state: StateService, clock: FakeClock, nodes: dict[str, SteppedController]
@@ -179,7 +179,7 @@
     run_scenario(scenario)
 
 
-def test_a_round_writes_no_more_chunks_than_the_rate_takes_and_urgent_ones_first() -> None:
+def test_a_round_writes_urgent_chunks_first_and_keeps_to_the_write_rate() -> None:
     # guards against rounds of many seconds: the next stage of a pipeline waits for each
     def news(number: int, attempts: int, why: str = "done") -> ChunkNews:
         attempt = PlannedAttempt(f"wk-{number:06d}", 0, 1, "n-0", 1)
@@ -196,7 +196,7 @@
     assert select([*many, last, failed], 1) == [last, failed, many[0]]
 
 
-def test_a_shard_changes_hands_before_submissions_that_wait_for_the_rate() -> None:
+def test_a_shard_release_is_written_before_queued_submissions() -> None:
     # guards against a shard that nobody acts for while cancellations queue up before its key
     async def scenario(
         state: StateService, clock: FakeClock, nodes: dict[str, SteppedController]
@@ -220,7 +220,7 @@
 
 
 @pytest.mark.parametrize("machines", [200, MACHINES])
-def test_a_round_makes_rooms_anew_for_changed_machines_only(
+def test_a_round_recomputes_free_capacity_only_for_changed_machines(
     machines: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # guards against rooms of the whole fleet in each round: a quarter of the rounds' time
@@ -251,7 +251,7 @@
     run_scenario(scenario)
 
 
-def test_steady_reports_of_four_thousand_machines_cost_the_cheap_path(
+def test_repeated_heartbeats_of_four_thousand_machines_are_served_from_caches(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # guards against bounds of kept requests and tasks below the largest fleet: each pass over it
@@ -289,7 +289,7 @@
     assert counts == {"parsed": machines, "one_of": tasks}
 
 
-def test_a_report_without_news_checks_no_task_anew(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_unchanged_heartbeat_parses_no_task_again(monkeypatch: pytest.MonkeyPatch) -> None:
     # guards against parsing every task of every machine in each report interval
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         full_fleet(state, clock, 40)
--- a/tests/test_unanswered_requests.py
+++ b/tests/test_unanswered_requests.py
@@ -15,7 +15,7 @@
 )
 
 
-def test_lost_answer_of_a_write_is_settled_by_reading() -> None:
+def test_a_write_without_a_response_is_resolved_by_reading() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = SteppedController(state, clock, nodes)
         await node.boot()
@@ -31,7 +31,7 @@
     run_scenario(scenario)
 
 
-def test_what_others_wrote_on_top_of_a_lost_write_is_known_once_its_fate_is() -> None:
+def test_later_writes_of_others_are_known_once_an_unanswered_write_is_resolved() -> None:
     """Whoever gave a machine away believed for a while longer that it was its own, and would
     have answered its worker: the new owner's record was read and not kept.
     """
@@ -51,7 +51,7 @@
     run_scenario(scenario)
 
 
-def test_request_names_differ_between_incarnations_and_lost_rentals_are_not_doubled() -> None:
+def test_an_unanswered_rental_is_not_repeated() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=0)
         add_job(state, clock, sacks=4)
--- a/tests/test_worker_faults.py
+++ b/tests/test_worker_faults.py
@@ -10,7 +10,7 @@
 from .simulated_region import Region, simulate
 
 
-def test_old_reports_reach_every_controller_as_a_new_owner_begins() -> None:
+def test_repeated_old_heartbeats_during_a_failover_are_harmless() -> None:
     """Copies from before, from an earlier session too, with the highest token ever seen."""
 
     async def scenario(region: Region) -> None:
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("fault", ["inbound_lost", "heartbeats_lost", "is_frozen"])
-def test_workers_that_hear_nothing_or_are_not_heard(fault: str) -> None:
+def test_jobs_move_away_from_a_worker_with_lost_messages(fault: str) -> None:
     """A machine in trouble keeps no job waiting that another could take, and what was cancelled
     on it meanwhile is over in time.
     """
@@ -63,7 +63,9 @@
 
 @pytest.mark.parametrize("hang_s", [2.0, 6.0, 12.0])
 @pytest.mark.parametrize("cancelled", [False, True])
-def test_a_command_is_held_up_and_the_machine_then_goes_on(hang_s: float, cancelled: bool) -> None:
+def test_a_delayed_start_command_is_harmless_after_the_machine_resumes(
+    hang_s: float, cancelled: bool
+) -> None:
     """A direct start reaches a machine that hangs; it is carried out when the machine goes on,
     after the job was cancelled, or its owner replaced, or the task given up.
     """
@@ -93,7 +95,7 @@
 
 
 @pytest.mark.parametrize("mode", ["cancel", "answer lost"])
-def test_a_zone_with_workers_and_a_controller_is_cut_off_for_longer_than_a_lease(mode: str) -> None:
+def test_a_zone_partition_that_outlasts_the_worker_lease(mode: str) -> None:
     """Jobs bound to the zone, arrays too, lose machines at the same time."""
 
     async def scenario(region: Region) -> None:
