--- /dev/null
+++ b/tests/fake_cloud.py
@@ -0,0 +1,72 @@
+"""An in-memory cloud as PROTOCOL describes it, called without sockets."""
+
+from typing import Any
+
+import orjson
+
+from crossmill.net.client import NoResponseError
+
+CATALOG = {
+    "frames": [
+        {
+            "sku": "g4",
+            "cpus": 32,
+            "cards": 4,
+            "ramGb": 256,
+            "cacheGb": 200,
+            "fetchGbPerS": 1.0,
+            "rate": 12.0,
+            "spotPrice": 4.0,
+            "bootS": 30,
+            "yards": ["north", "south"],
+        },
+        {
+            "sku": "c16",
+            "cpus": 16,
+            "ramGb": 64,
+            "cacheGb": 50,
+            "fetchGbPerS": 0.5,
+            "rate": 1.0,
+            "spotPrice": 0.4,
+            "bootS": 20,
+            "yards": ["north"],
+        },
+    ]
+}
+
+
+class CloudService:
+    """The cloud as PROTOCOL describes it; `script` holds what the next rentals get."""
+
+    def __init__(self) -> None:
+        self.machines: dict[str, dict[str, Any]] = {}
+        self.requests: dict[str, list[str]] = {}
+        self.script: list[str] = []
+        self.listed: list[dict[str, Any]] = []
+        self.released: list[str] = []
+        self.down = False
+
+    async def request(
+        self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
+    ) -> tuple[int, bytes]:
+        if self.down:
+            return 503, b'{"error":"trouble"}'
+        data = orjson.loads(body) if body else {}
+        if path == "/catalog":
+            return 200, orjson.dumps(CATALOG)
+        if path == "/hosts/release":
+            self.released += data["stones"]
+            return 200, b"{}"
+        if method == "GET":
+            return 200, orjson.dumps({"stones": self.listed, "hasNext": False})
+        action = self.script.pop(0) if self.script else ""
+        if action == "none":
+            return 503, b'{"error":"no capacity"}'
+        name = data["hireSlip"]
+        if name not in self.requests:
+            first = len(self.machines)
+            self.requests[name] = [f"n-{first + i:06d}" for i in range(data["number"])]
+            self.machines.update((m, data) for m in self.requests[name])
+        if action == "lose":
+            raise NoResponseError(path)
+        return 200, orjson.dumps({"stones": self.requests[name]})
--- a/tests/full_fleet.py
+++ b/tests/full_fleet.py
@@ -4,7 +4,9 @@
 from crossmill.cluster.model import PlanChunk, PlannedAttempt
 from crossmill.cluster.records import encode_chunk
 
-from .fake_services import FakeClock, StateService, on
+from .builders import on
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .stepped_controller import SteppedController, add_job, add_machine, seed
 
 # GPUs of a machine, and the tasks of a job: it stands on four machines
--- a/tests/measure_multihost.py
+++ b/tests/measure_multihost.py
@@ -23,7 +23,8 @@
 from crossmill.multihost import keys, scheduling
 from crossmill.settings import Settings
 
-from .fake_services import FakeClock, StateService
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .multihost_pool import add_ready_pairs, all_beat, booted_pool
 from .multihost_region import LOOK_S, SETTINGS, MultihostRegion, simulate_multihost
 from .report_multihost import write_report
--- a/tests/multihost_pool.py
+++ b/tests/multihost_pool.py
@@ -22,7 +22,8 @@
 from crossmill.multihost.service import MultihostService
 from crossmill.wire.multihost import AgentHeartbeat, MemberReport, MemberState, Offer, Proof
 
-from .fake_services import FakeClock, StateService
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .multihost_region import SETTINGS
 from .stepped_controller import SteppedController, seed
 
--- a/tests/multihost_region.py
+++ b/tests/multihost_region.py
@@ -16,7 +16,8 @@
 from crossmill.settings import Endpoint
 from crossmill.wire.multihost import Op, Order
 
-from .fake_services import FakeClock, StateService
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .multihost_agents import Agent, heartbeat_request
 from .simulated_region import Region
 from .simulated_worker import HOP_S
--- a/tests/profile_controller.py
+++ b/tests/profile_controller.py
@@ -21,7 +21,8 @@
 from crossmill.net.server import Request, Response, Server
 from crossmill.settings import Endpoint
 
-from .fake_services import FakeClock, StateService
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .full_fleet import full_fleet, report_all
 from .stepped_controller import SteppedController, add_job, run_scenario
 
--- a/tests/recovery_region.py
+++ b/tests/recovery_region.py
@@ -14,7 +14,8 @@
 from crossmill.recovery.settings import RecoverySettings, parse
 from crossmill.recovery.shard_recovery import ShardRecovery
 
-from .fake_services import FakeClock, make_settings
+from .builders import make_settings
+from .fake_clock import FakeClock
 from .simulated_region import Region
 from .simulated_worker import Task, Worker
 from .stepped_controller import SteppedController
--- a/tests/simulated_region.py
+++ b/tests/simulated_region.py
@@ -14,7 +14,10 @@
 from crossmill.wire.checks import load_object
 from crossmill.wire.workers import answer_body, parse_heartbeat
 
-from .fake_services import CloudService, FakeClock, StateService, submission
+from .builders import submission
+from .fake_clock import FakeClock
+from .fake_cloud import CloudService
+from .fake_state_service import StateService
 from .invariant_checker import InvariantChecker, JobFacts
 from .simulated_links import PeerLink, StateLink
 from .simulated_worker import Worker, WorkerLink
--- a/tests/simulated_worker.py
+++ b/tests/simulated_worker.py
@@ -9,7 +9,7 @@
 from crossmill.net.client import NoResponseError
 from crossmill.wire.checks import load_object
 
-from .fake_services import beat
+from .builders import beat
 
 if TYPE_CHECKING:
     from .simulated_region import Region
--- a/tests/stepped_controller.py
+++ b/tests/stepped_controller.py
@@ -35,16 +35,10 @@
 from crossmill.workers.command_sender import CommandSender
 from crossmill.workers.heartbeat_handler import HeartbeatHandler, HeartbeatResponse
 
-from .fake_services import (
-    CATALOG,
-    CloudService,
-    FakeClock,
-    StateService,
-    beat,
-    make_settings,
-    make_spec,
-    on,
-)
+from .builders import beat, make_settings, make_spec, on
+from .fake_clock import FakeClock
+from .fake_cloud import CATALOG, CloudService
+from .fake_state_service import StateService
 
 # what a job record may take under the settings' limits of today
 RECORD_BYTES = make_settings().state_limits.record_bytes
--- a/tests/test_attempt_end_proofs.py
+++ b/tests/test_attempt_end_proofs.py
@@ -4,7 +4,9 @@
 
 from crossmill.cluster import keys
 
-from .fake_services import FakeClock, StateService, beat, on
+from .builders import beat, on
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .stepped_controller import (
     Nodes,
     SteppedController,
--- a/tests/test_behavior_trace.py
+++ b/tests/test_behavior_trace.py
@@ -5,16 +5,10 @@
 
 import pytest
 
-from .behavior_trace import (
-    Entry,
-    TraceKey,
-    TraceRecorder,
-    compare,
-    digest,
-    first_difference,
-    play_quick,
-)
 from .trace_adapter import CONTROLLERS, changed_placement
+from .trace_comparison import compare, first_difference
+from .trace_recorder import Entry, TraceKey, TraceRecorder, digest
+from .trace_scenarios import play_quick
 
 SEED = 1
 
--- a/tests/test_boot_times.py
+++ b/tests/test_boot_times.py
@@ -10,7 +10,8 @@
 from crossmill.state.mirror import Mirror
 from crossmill.wire.cloud import parse_catalog
 
-from .fake_services import CATALOG, make_settings
+from .builders import make_settings
+from .fake_cloud import CATALOG
 from .simulated_region import Region, simulate
 
 # the boot time of CATALOG's g4
--- a/tests/test_capacity_cache.py
+++ b/tests/test_capacity_cache.py
@@ -17,7 +17,9 @@
 from crossmill.wire.cloud import MachineType, parse_catalog
 from crossmill.wire.state import Event
 
-from .fake_services import CATALOG, FakeClock, make_settings, make_spec
+from .builders import make_settings, make_spec
+from .fake_clock import FakeClock
+from .fake_cloud import CATALOG
 
 MACHINES, JOBS = 6, 5
 
--- a/tests/test_command_delivery.py
+++ b/tests/test_command_delivery.py
@@ -9,7 +9,9 @@
 from crossmill.wire.workers import Command
 from crossmill.workers.attempt_outcomes import StopReason
 
-from .fake_services import FakeClock, StateService, beat, on
+from .builders import beat, on
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .stepped_controller import (
     Nodes,
     SteppedController,
--- a/tests/test_controller_outages.py
+++ b/tests/test_controller_outages.py
@@ -16,7 +16,9 @@
 from crossmill.state.mirror import Mirror
 from crossmill.workers.attempt_outcomes import AttemptOutcome, EndReason
 
-from .fake_services import FakeClock, StateService, make_settings, make_spec
+from .builders import make_settings, make_spec
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .fault_injection import cancel_services_and_wait
 from .simulated_region import Region, simulate
 from .simulated_worker import Worker
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -14,7 +14,9 @@
 from crossmill.wire.checks import MalformedMessageError, load_object
 from crossmill.wire.users import parse_submission
 
-from .fake_services import FakeClock, StateService, make_spec, on, submission
+from .builders import make_spec, on, submission
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .simulated_region import Region, simulate
 from .stepped_controller import RECORD_BYTES, SteppedController, add_job, run_scenario, seed
 
--- a/tests/test_derivation.py
+++ b/tests/test_derivation.py
@@ -22,7 +22,9 @@
 from crossmill.state.watcher import StateWatcher
 from crossmill.wire.state import KeyValue
 
-from .fake_services import FakeClock, StateService, make_settings, make_spec
+from .builders import make_settings, make_spec
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .stepped_controller import RECORD_BYTES
 
 STEPS = 400
--- a/tests/test_lease_extensions.py
+++ b/tests/test_lease_extensions.py
@@ -1,6 +1,8 @@
 """Lease extensions that peers grant while the state service is away."""
 
-from .fake_services import FakeClock, StateService, on
+from .builders import on
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .stepped_controller import Nodes, SteppedController, run_scenario, start_placed_task
 
 
--- a/tests/test_machine_transfer.py
+++ b/tests/test_machine_transfer.py
@@ -5,7 +5,8 @@
 from crossmill.cluster import keys
 from crossmill.cluster.model import AttemptId
 
-from .fake_services import FakeClock, StateService
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .stepped_controller import (
     Nodes,
     SteppedController,
--- a/tests/test_missed_watch_events.py
+++ b/tests/test_missed_watch_events.py
@@ -19,7 +19,9 @@
 from crossmill.wire.checks import load_object
 from crossmill.workers.attempt_outcomes import StopReason
 
-from .fake_services import FakeClock, StateService, make_settings, make_spec, on
+from .builders import make_settings, make_spec, on
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .stepped_controller import RECORD_BYTES, SteppedController, add_job, run_scenario, seed
 
 Nodes = dict[str, SteppedController]
--- a/tests/test_multihost_decisions.py
+++ b/tests/test_multihost_decisions.py
@@ -67,7 +67,7 @@
     parse_answer,
 )
 
-from .fake_services import make_settings
+from .builders import make_settings
 
 ROOT = Path(__file__).resolve().parent.parent
 SETTINGS = MultihostSettings(Endpoint("127.0.0.1", 1), 0, 1.0, 0.25)
--- a/tests/test_multihost_loopback.py
+++ b/tests/test_multihost_loopback.py
@@ -12,7 +12,7 @@
 from crossmill.settings import Endpoint
 from crossmill.wire.multihost import HEARTBEAT_PATH, PING_PATH
 
-from .fake_services import FakeClock
+from .fake_clock import FakeClock
 from .loopback import free_ports
 from .multihost_agents import Agent
 from .multihost_region import SETTINGS, MultihostRegion
--- a/tests/test_multihost_service.py
+++ b/tests/test_multihost_service.py
@@ -21,7 +21,8 @@
 from crossmill.settings import Endpoint
 from crossmill.wire.multihost import MemberReport, MemberState
 
-from .fake_services import FakeClock, StateService
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .multihost_pool import add_ready_pairs, all_beat, booted_pool, heartbeat_of
 from .multihost_region import SETTINGS, MultihostRegion, simulate_multihost
 from .stepped_controller import SteppedController, add_job, run_scenario, seed
--- a/tests/test_owner_selection.py
+++ b/tests/test_owner_selection.py
@@ -8,7 +8,8 @@
 from crossmill.cluster.owner_selection import OwnerSelection
 from crossmill.state.mirror import Mirror
 
-from .fake_services import FakeClock, make_settings
+from .builders import make_settings
+from .fake_clock import FakeClock
 from .simulated_region import Region, simulate
 
 NEXT = {"node-0": "node-1", "node-1": "node-2", "node-2": "node-0"}
--- a/tests/test_partition_keepalive.py
+++ b/tests/test_partition_keepalive.py
@@ -12,7 +12,9 @@
 from crossmill.wire.state import Put, Txn
 from crossmill.wire.workers import Command
 
-from .fake_services import FakeClock, StateService, on
+from .builders import on
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .stepped_controller import (
     RECORD_BYTES,
     SteppedController,
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -7,7 +7,9 @@
 from crossmill.planning.pipelines import PipelineStage, plan_pipeline, topological_order
 from crossmill.planning.split import MachineOption, Stage, _path_ends, split
 
-from .fake_services import FakeClock, StateService, make_spec
+from .builders import make_spec
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .stepped_controller import RECORD_BYTES, SteppedController, run_scenario, seed
 
 Nodes = dict[str, SteppedController]
--- a/tests/test_placement_limits.py
+++ b/tests/test_placement_limits.py
@@ -1,6 +1,7 @@
 """Limits of teams and jobs count attempts whose end is not proved."""
 
-from .fake_services import FakeClock, StateService
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .stepped_controller import Nodes, SteppedController, add_job, run_scenario, seed
 
 
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -17,7 +17,8 @@
 from crossmill.planning.split import MachineOption, Stage, split
 from crossmill.wire.cloud import MachineType, parse_catalog
 
-from .fake_services import CATALOG, make_settings, make_spec
+from .builders import make_settings, make_spec
+from .fake_cloud import CATALOG
 
 KINDS = parse_catalog(CATALOG)
 
--- a/tests/test_random_faults_at_limits.py
+++ b/tests/test_random_faults_at_limits.py
@@ -11,7 +11,7 @@
 from crossmill.cluster import keys
 from crossmill.settings import Settings
 
-from .fake_services import StateService
+from .fake_state_service import StateService
 from .fault_injection import clear_faults, inject_random_fault
 from .simulated_region import Region, simulate
 
--- a/tests/test_recovery_decisions.py
+++ b/tests/test_recovery_decisions.py
@@ -30,7 +30,9 @@
 from crossmill.wire.recovery import Approval, approval_body, parse_approval
 from crossmill.wire.workers import Command
 
-from .fake_services import FakeClock, StateService, make_spec, on
+from .builders import make_spec, on
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .recovery_region import recovery_settings
 from .stepped_controller import RECORD_BYTES, SteppedController, add_job, run_scenario, seed
 
--- a/tests/test_recovery_dry_run.py
+++ b/tests/test_recovery_dry_run.py
@@ -16,7 +16,7 @@
 from crossmill.wire.checks import load_object
 from crossmill.wire.recovery import APPROVE_PATH, RECOVERY_PATH, Approval, approval_body
 
-from .fake_services import settings_table
+from .builders import settings_table
 from .recovery_region import (
     RecoveryRegion,
     give_unplanned,
--- a/tests/test_recovery_service.py
+++ b/tests/test_recovery_service.py
@@ -18,7 +18,9 @@
 from crossmill.recovery.service import RecoveryService
 from crossmill.wire.recovery import APPROVE_PATH, RECOVERY_PATH, Approval, approval_body
 
-from .fake_services import FakeClock, StateService, make_settings, settings_table
+from .builders import make_settings, settings_table
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .recovery_region import add_recovery, recovery_settings
 from .stepped_controller import SteppedController, run_scenario, seed
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -27,7 +27,9 @@
 from crossmill.workers.attempt_outcomes import AttemptOutcome, EndReason
 
 from . import stepped_controller
-from .fake_services import FakeClock, StateService, beat, make_settings, on
+from .builders import beat, make_settings, on
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .full_fleet import GPUS_PER_MACHINE, full_fleet, report_all
 from .stepped_controller import SteppedController, add_job, run_scenario
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -6,7 +6,7 @@
 from crossmill.cli import main
 from crossmill.settings import SettingsError, parse
 
-from .fake_services import make_settings, settings_table
+from .builders import make_settings, settings_table
 
 
 def test_unknown_fields_are_ignored_and_labels_sorted() -> None:
--- a/tests/test_start_compiles_nothing.py
+++ b/tests/test_start_compiles_nothing.py
@@ -23,7 +23,10 @@
 from crossmill.wire.users import JOBS_PATH
 from crossmill.wire.workers import HEARTBEAT_PATH
 
-from .fake_services import CloudService, FakeClock, StateService, beat, settings_table, submission
+from .builders import beat, settings_table, submission
+from .fake_clock import FakeClock
+from .fake_cloud import CloudService
+from .fake_state_service import StateService
 from .loopback import free_ports, serving
 from .stepped_controller import seed
 
--- a/tests/test_unanswered_requests.py
+++ b/tests/test_unanswered_requests.py
@@ -5,7 +5,8 @@
 from crossmill.state.writer import WriteIntent, WriteResult
 from crossmill.wire.state import Put, Txn
 
-from .fake_services import FakeClock, StateService
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .stepped_controller import (
     Nodes,
     SteppedController,
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,15 +14,9 @@
 from crossmill.state.writer import WriteIntent, WriteResult
 from crossmill.wire.state import Put, Txn
 
-from .fake_services import (
-    FakeClock,
-    StateService,
-    make_settings,
-    make_spec,
-    on,
-    settings_table,
-    submission,
-)
+from .builders import make_settings, make_spec, on, settings_table, submission
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .simulated_region import Region, simulate
 from .stepped_controller import (
     RECORD_BYTES,
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -13,7 +13,7 @@
     parse_heartbeat,
 )
 
-from .fake_services import beat, on, submission
+from .builders import beat, on, submission
 
 
 @pytest.mark.parametrize(
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -7,7 +7,9 @@
 from crossmill.cluster.records import encode_job
 from crossmill.wire.users import JobSpec
 
-from .fake_services import FakeClock, StateService, make_settings, make_spec, on, submission
+from .builders import make_settings, make_spec, on, submission
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .stepped_controller import SteppedController, add_job, add_machine, run_scenario, seed
 
 Nodes = dict[str, SteppedController]
--- a/tests/trace_adapter.py
+++ b/tests/trace_adapter.py
@@ -9,64 +9,43 @@
 from collections.abc import Awaitable, Callable, Iterator
 from contextlib import contextmanager
 from dataclasses import dataclass
-from typing import Any, Protocol
+from typing import Any
 
 import curio
 import orjson
 from curio.sched import SchedBarrier
 
 from crossmill.cluster import keys
-from crossmill.cluster.model import PlannedAttempt
 from crossmill.jobs import placement
-from crossmill.net.client import ConnectionFailedError, Http, NoResponseError
-from crossmill.net.server import Request, Response
 from crossmill.planning.free_capacity import FreeCapacity, assign_tasks
 from crossmill.wire.recovery import APPROVE_PATH, RECOVERY_PATH, Approval, approval_body
 from crossmill.wire.users import JobSpec
-from crossmill.workers.attempt_outcomes import StopReason
 
 from . import simulated_region
-from .fake_services import ZONES, CloudService, FakeClock
+from .builders import ZONES
+from .fake_clock import FakeClock
 from .fault_injection import clear_faults, every_request, lose_answers
 from .multihost_fault_injection import MultihostFaults
-from .multihost_region import MultihostRegion
-from .recovery_region import RecoveryRegion, recovery_settings
-from .simulated_links import PeerLink
+from .recovery_region import recovery_settings
 from .simulated_region import Region
 from .simulated_worker import Worker
-from .stepped_controller import SteppedController
+from .trace_determinism import _OrderedTaskGroup, _replaced, _wait_in_order
+from .trace_messages import (
+    Recorder,
+    _MessageLog,
+    _RecordedMultihostRegion,
+    _RecordedPeerLink,
+    _RecordedRecoveryRegion,
+    _RecordedRegion,
+)
 from .virtual_time import run_under_virtual_time
 
-SENT, RECEIVED = "sent", "received"
-NO_ANSWER, NOT_REACHED = b"no answer", b"not reached"
 CONTROLLERS = Region.LABELS
 MACHINE_TYPE = "g4"
 # few differences are held back already, so that operators have something to approve
 BRAKE_LEAST, BRAKE_SHARE = 1, 0.0
 
 
-@dataclass
-class Message:
-    """A request that a controller sent or received, and its answer. Status 0 is no answer."""
-
-    time: float
-    direction: str
-    counterpart: str
-    method: str
-    path: str
-    body: bytes
-    status: int = 0
-    answer: bytes = b""
-    answered_at: float | None = None
-
-
-class Recorder(Protocol):
-    """What messages are given to, in the order of their requests."""
-
-    def add(self, controller: str, message: Message) -> None:
-        """Take a message; its answer is filled in later."""
-
-
 @dataclass(frozen=True)
 class JobRequest:
     """A job as a scenario submits it."""
@@ -99,186 +78,6 @@
         }
 
 
-class _MessageLog:
-    """Records a controller's messages with the times of a region's clock."""
-
-    def __init__(self, recorder: Recorder, clock: FakeClock, counts: Counter[str]) -> None:
-        self.recorder, self.clock, self.counts = recorder, clock, counts
-
-    def open(self, controller: str, direction: str, counterpart: str, request: Request) -> Message:
-        """Record a request whose answer is still to come."""
-        method, path, body = request.method, request.path, request.body
-        now = self.clock.now()
-        message = Message(now, direction, counterpart, method, path, body)
-        self.recorder.add(controller, message)
-        self.counts[f"messages {direction}, {counterpart.partition(':')[0]}"] += 1
-        return message
-
-    def close(self, message: Message, status: int, answer: bytes) -> None:
-        """Fill in the answer."""
-        message.status, message.answer = status, answer
-        message.answered_at = self.clock.now()
-
-
-class _RecordedLink:
-    """A link of a controller, whose requests are recorded."""
-
-    def __init__(self, link: Http, log: _MessageLog, controller: str, counterpart: str) -> None:
-        self._link, self._log = link, log
-        self._controller, self._counterpart = controller, counterpart
-
-    async def request(
-        self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
-    ) -> tuple[int, bytes]:
-        request = Request(method, path, body)
-        message = self._log.open(self._controller, SENT, self._counterpart, request)
-        try:
-            status, answer = await self._link.request(method, path, body, timeout_s)
-        except ConnectionFailedError:
-            self._log.close(message, 0, NOT_REACHED)
-            raise
-        except NoResponseError:
-            self._log.close(message, 0, NO_ANSWER)
-            raise
-        self._log.close(message, status, answer)
-        return status, answer
-
-
-class _RecordedCloud(CloudService):
-    """The region's cloud as one controller reaches it."""
-
-    def __init__(self, cloud: CloudService, log: _MessageLog, controller: str) -> None:
-        self._link = _RecordedLink(cloud, log, controller, "cloud")
-
-    async def request(
-        self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
-    ) -> tuple[int, bytes]:
-        return await self._link.request(method, path, body, timeout_s)
-
-
-class _RecordedRegion(Region):
-    """A region whose controllers' messages are recorded."""
-
-    log: _MessageLog
-
-    def attach(self, log: _MessageLog) -> None:
-        """Record from now on; called before any controller starts."""
-        self.log = log
-        self._shared_cloud = self.cloud
-        links = {
-            label: _RecordedLink(link, log, label, "state")
-            for label, link in self.state_links.items()
-        }
-        self.state_links = links  # type: ignore[assignment]
-
-    async def start(self, label: str) -> SteppedController:
-        # the region hands its cloud to the controller before anything else can run
-        self.cloud = _RecordedCloud(self._shared_cloud, self.log, label)
-        return await super().start(label)
-
-    def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
-        self.cloud = self._shared_cloud
-        parts = super().extra_loops(node)
-        label = node.settings.label
-        self._record_direct_commands(node, label)
-        self._count_preemptions(node)
-        for peer_handler in (node.lease_extensions, node.partition_protocol):
-            self._record_handler(peer_handler, "peer", label)
-        self._record_async_handler(node.jobs, "user", label)
-        return parts
-
-    def _record_direct_commands(self, node: SteppedController, label: str) -> None:
-        connect = node.command_sender.connect
-
-        def recorded(endpoint: Any) -> Http:
-            return _RecordedLink(connect(endpoint), self.log, label, f"worker:{endpoint.port}")
-
-        node.command_sender.connect = recorded
-
-    def _count_preemptions(self, node: SteppedController) -> None:
-        request_stop = node.heartbeats.request_stop
-
-        def counted(attempt: PlannedAttempt, reason: StopReason) -> None:
-            self.log.counts[f"stops intended, {reason.name.lower()}"] += 1
-            request_stop(attempt, reason)
-
-        node.heartbeats.request_stop = counted  # type: ignore[method-assign]
-
-    def _record_handler(self, handler: Any, counterpart: str, label: str) -> None:
-        handle: Callable[[Request], Response] = handler.handle
-
-        def recorded(request: Request) -> Response:
-            message = self.log.open(label, RECEIVED, counterpart, request)
-            response = handle(request)
-            self.log.close(message, response.status, response.body)
-            return response
-
-        handler.handle = recorded
-
-    def _record_async_handler(self, handler: Any, counterpart: str, label: str) -> None:
-        handle: Callable[[Request], Awaitable[Response]] = handler.handle
-
-        async def recorded(request: Request) -> Response:
-            message = self.log.open(label, RECEIVED, counterpart, request)
-            response = await handle(request)
-            self.log.close(message, response.status, response.body)
-            return response
-
-        handler.handle = recorded
-
-    def deliver(self, body: bytes, label: str) -> tuple[int, bytes]:
-        machine = orjson.loads(body)["stone"]
-        request = Request("POST", "heartbeat", body)
-        message = self.log.open(label, RECEIVED, f"heartbeat:{machine}", request)
-        status, answer = super().deliver(body, label)
-        self.log.close(message, status, answer)
-        return status, answer
-
-
-class _RecordedMultihostRegion(_RecordedRegion, MultihostRegion):
-    """A region with multi-machine replicas, recorded."""
-
-    def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
-        parts = super().extra_loops(node)
-        label = node.settings.label
-        self._record_async_handler(self.services[label], "multihost", label)
-        return parts
-
-
-class _RecordedRecoveryRegion(_RecordedRegion, RecoveryRegion):
-    """A region with recovery on, recorded."""
-
-    def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
-        parts = super().extra_loops(node)
-        label = node.settings.label
-        self._record_async_handler(self.apis[label], "recovery operator", label)
-        return parts
-
-
-class _RecordedPeerLink(PeerLink):
-    """The line from one controller to another, whose requests are recorded at the sender."""
-
-    async def request(
-        self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
-    ) -> tuple[int, bytes]:
-        region = self._region
-        assert isinstance(region, _RecordedRegion)
-        line = PeerLink(region, self._source, self._label)
-        link = _RecordedLink(line, region.log, self._source, f"peer:{self._label}")
-        return await link.request(method, path, body, timeout_s)
-
-
-@contextmanager
-def _replaced(owner: Any, name: str, value: Any) -> Iterator[None]:
-    """Replace an attribute for a while."""
-    before = getattr(owner, name)
-    setattr(owner, name, value)
-    try:
-        yield
-    finally:
-        setattr(owner, name, before)
-
-
 class SimulatedRegion:
     """What scenarios do with a region of any kind."""
 
@@ -551,43 +350,6 @@
         return len(braked)
 
 
-class _ArrivalOrder(dict[Any, None]):
-    """Tasks in the order in which they came, in place of curio's sets."""
-
-    def add(self, task: Any) -> None:
-        """Let one more task wait."""
-        self[task] = None
-
-    def remove(self, task: Any) -> None:
-        """Let a task wait no longer."""
-        del self[task]
-
-    def discard(self, task: Any) -> None:
-        """Let a task wait no longer, if it does."""
-        super().pop(task, None)
-
-    def pop(self, *_: Any) -> Any:
-        """Take the task that waits longest."""
-        task = next(iter(self))
-        del self[task]
-        return task
-
-
-def _wait_in_order(barrier: Any) -> None:
-    """The barrier's initialiser. Curio keeps the tasks that wait for an event in a set, whose order
-    depends on their addresses in memory, so they wake in an order that differs between runs.
-    """
-    barrier._tasks = _ArrivalOrder()
-
-
-class _OrderedTaskGroup(curio.TaskGroup):  # type: ignore[misc]
-    """A group, made without tasks, that cancels them in the order in which they were spawned."""
-
-    def __init__(self) -> None:
-        super().__init__()
-        self._running = _ArrivalOrder()
-
-
 def _play(region: _RecordedRegion, log: _MessageLog, scenario: Callable[[], Any]) -> None:
     region.attach(log)
     with (
--- /dev/null
+++ b/tests/trace_messages.py
@@ -0,0 +1,217 @@
+"""Records the messages of a region's controllers where they are bytes of the protocol."""
+
+from collections import Counter
+from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
+from typing import Any, Protocol
+
+import orjson
+
+from crossmill.cluster.model import PlannedAttempt
+from crossmill.net.client import ConnectionFailedError, Http, NoResponseError
+from crossmill.net.server import Request, Response
+from crossmill.workers.attempt_outcomes import StopReason
+
+from .fake_clock import FakeClock
+from .fake_cloud import CloudService
+from .multihost_region import MultihostRegion
+from .recovery_region import RecoveryRegion
+from .simulated_links import PeerLink
+from .simulated_region import Region
+from .stepped_controller import SteppedController
+
+SENT, RECEIVED = "sent", "received"
+
+
+NO_ANSWER, NOT_REACHED = b"no answer", b"not reached"
+
+
+@dataclass
+class Message:
+    """A request that a controller sent or received, and its answer. Status 0 is no answer."""
+
+    time: float
+    direction: str
+    counterpart: str
+    method: str
+    path: str
+    body: bytes
+    status: int = 0
+    answer: bytes = b""
+    answered_at: float | None = None
+
+
+class Recorder(Protocol):
+    """What messages are given to, in the order of their requests."""
+
+    def add(self, controller: str, message: Message) -> None:
+        """Take a message; its answer is filled in later."""
+
+
+class _MessageLog:
+    """Records a controller's messages with the times of a region's clock."""
+
+    def __init__(self, recorder: Recorder, clock: FakeClock, counts: Counter[str]) -> None:
+        self.recorder, self.clock, self.counts = recorder, clock, counts
+
+    def open(self, controller: str, direction: str, counterpart: str, request: Request) -> Message:
+        """Record a request whose answer is still to come."""
+        method, path, body = request.method, request.path, request.body
+        now = self.clock.now()
+        message = Message(now, direction, counterpart, method, path, body)
+        self.recorder.add(controller, message)
+        self.counts[f"messages {direction}, {counterpart.partition(':')[0]}"] += 1
+        return message
+
+    def close(self, message: Message, status: int, answer: bytes) -> None:
+        """Fill in the answer."""
+        message.status, message.answer = status, answer
+        message.answered_at = self.clock.now()
+
+
+class _RecordedLink:
+    """A link of a controller, whose requests are recorded."""
+
+    def __init__(self, link: Http, log: _MessageLog, controller: str, counterpart: str) -> None:
+        self._link, self._log = link, log
+        self._controller, self._counterpart = controller, counterpart
+
+    async def request(
+        self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
+    ) -> tuple[int, bytes]:
+        request = Request(method, path, body)
+        message = self._log.open(self._controller, SENT, self._counterpart, request)
+        try:
+            status, answer = await self._link.request(method, path, body, timeout_s)
+        except ConnectionFailedError:
+            self._log.close(message, 0, NOT_REACHED)
+            raise
+        except NoResponseError:
+            self._log.close(message, 0, NO_ANSWER)
+            raise
+        self._log.close(message, status, answer)
+        return status, answer
+
+
+class _RecordedCloud(CloudService):
+    """The region's cloud as one controller reaches it."""
+
+    def __init__(self, cloud: CloudService, log: _MessageLog, controller: str) -> None:
+        self._link = _RecordedLink(cloud, log, controller, "cloud")
+
+    async def request(
+        self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
+    ) -> tuple[int, bytes]:
+        return await self._link.request(method, path, body, timeout_s)
+
+
+class _RecordedRegion(Region):
+    """A region whose controllers' messages are recorded."""
+
+    log: _MessageLog
+
+    def attach(self, log: _MessageLog) -> None:
+        """Record from now on; called before any controller starts."""
+        self.log = log
+        self._shared_cloud = self.cloud
+        links = {
+            label: _RecordedLink(link, log, label, "state")
+            for label, link in self.state_links.items()
+        }
+        self.state_links = links  # type: ignore[assignment]
+
+    async def start(self, label: str) -> SteppedController:
+        # the region hands its cloud to the controller before anything else can run
+        self.cloud = _RecordedCloud(self._shared_cloud, self.log, label)
+        return await super().start(label)
+
+    def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
+        self.cloud = self._shared_cloud
+        parts = super().extra_loops(node)
+        label = node.settings.label
+        self._record_direct_commands(node, label)
+        self._count_preemptions(node)
+        for peer_handler in (node.lease_extensions, node.partition_protocol):
+            self._record_handler(peer_handler, "peer", label)
+        self._record_async_handler(node.jobs, "user", label)
+        return parts
+
+    def _record_direct_commands(self, node: SteppedController, label: str) -> None:
+        connect = node.command_sender.connect
+
+        def recorded(endpoint: Any) -> Http:
+            return _RecordedLink(connect(endpoint), self.log, label, f"worker:{endpoint.port}")
+
+        node.command_sender.connect = recorded
+
+    def _count_preemptions(self, node: SteppedController) -> None:
+        request_stop = node.heartbeats.request_stop
+
+        def counted(attempt: PlannedAttempt, reason: StopReason) -> None:
+            self.log.counts[f"stops intended, {reason.name.lower()}"] += 1
+            request_stop(attempt, reason)
+
+        node.heartbeats.request_stop = counted  # type: ignore[method-assign]
+
+    def _record_handler(self, handler: Any, counterpart: str, label: str) -> None:
+        handle: Callable[[Request], Response] = handler.handle
+
+        def recorded(request: Request) -> Response:
+            message = self.log.open(label, RECEIVED, counterpart, request)
+            response = handle(request)
+            self.log.close(message, response.status, response.body)
+            return response
+
+        handler.handle = recorded
+
+    def _record_async_handler(self, handler: Any, counterpart: str, label: str) -> None:
+        handle: Callable[[Request], Awaitable[Response]] = handler.handle
+
+        async def recorded(request: Request) -> Response:
+            message = self.log.open(label, RECEIVED, counterpart, request)
+            response = await handle(request)
+            self.log.close(message, response.status, response.body)
+            return response
+
+        handler.handle = recorded
+
+    def deliver(self, body: bytes, label: str) -> tuple[int, bytes]:
+        machine = orjson.loads(body)["stone"]
+        request = Request("POST", "heartbeat", body)
+        message = self.log.open(label, RECEIVED, f"heartbeat:{machine}", request)
+        status, answer = super().deliver(body, label)
+        self.log.close(message, status, answer)
+        return status, answer
+
+
+class _RecordedMultihostRegion(_RecordedRegion, MultihostRegion):
+    """A region with multi-machine replicas, recorded."""
+
+    def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
+        parts = super().extra_loops(node)
+        label = node.settings.label
+        self._record_async_handler(self.services[label], "multihost", label)
+        return parts
+
+
+class _RecordedRecoveryRegion(_RecordedRegion, RecoveryRegion):
+    """A region with recovery on, recorded."""
+
+    def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
+        parts = super().extra_loops(node)
+        label = node.settings.label
+        self._record_async_handler(self.apis[label], "recovery operator", label)
+        return parts
+
+
+class _RecordedPeerLink(PeerLink):
+    """The line from one controller to another, whose requests are recorded at the sender."""
+
+    async def request(
+        self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
+    ) -> tuple[int, bytes]:
+        region = self._region
+        assert isinstance(region, _RecordedRegion)
+        line = PeerLink(region, self._source, self._label)
+        link = _RecordedLink(line, region.log, self._source, f"peer:{self._label}")
+        return await link.request(method, path, body, timeout_s)
--- /dev/null
+++ b/tests/trace_recorder.py
@@ -0,0 +1,70 @@
+"""Keeps the messages of a run as lines of text, and their digests."""
+
+import hashlib
+from collections.abc import Sequence
+from typing import NamedTuple
+
+from .trace_adapter import CONTROLLERS
+from .trace_messages import Message
+
+DIGEST_CHARACTERS = 16
+
+
+def _text(body: bytes) -> str:
+    return body.decode("utf-8", "backslashreplace").replace("\n", "\\n") or "-"
+
+
+def message_line(message: Message) -> str:
+    """The message as a line of the trace."""
+    answered = "-" if message.answered_at is None else f"{message.answered_at:.6f}"
+    parts = (
+        f"{message.time:.6f}",
+        message.direction,
+        message.counterpart,
+        message.method,
+        message.path,
+        _text(message.body),
+        str(message.status),
+        _text(message.answer),
+        answered,
+    )
+    return "\t".join(parts)
+
+
+class TraceRecorder:
+    """Keeps the messages of each controller in the order of their requests."""
+
+    def __init__(self) -> None:
+        self.messages: dict[str, list[Message]] = {label: [] for label in CONTROLLERS}
+
+    def add(self, controller: str, message: Message) -> None:
+        """Take a message; its answer is filled in later."""
+        self.messages[controller].append(message)
+
+    def lines(self, controller: str) -> list[str]:
+        """The controller's trace."""
+        return [message_line(message) for message in self.messages[controller]]
+
+
+class Entry(NamedTuple):
+    """A controller's trace of one scenario and seed, in short."""
+
+    digest: str
+    messages: int
+
+
+class TraceKey(NamedTuple):
+    """What a trace is of."""
+
+    scenario: str
+    seed: int
+    controller: str
+
+    def __str__(self) -> str:
+        return f"{self.scenario}-{self.seed}-{self.controller}"
+
+
+def digest(lines: Sequence[str]) -> str:
+    """The shortened digest of a trace."""
+    text = "\n".join(lines).encode()
+    return hashlib.sha256(text).hexdigest()[:DIGEST_CHARACTERS]
--- /dev/null
+++ b/tests/trace_scenarios.py
@@ -0,0 +1,210 @@
+"""Scenarios of the behaviour trace, each played from a seed."""
+
+import random
+from collections import Counter
+from collections.abc import Callable
+from typing import NamedTuple
+
+import curio
+
+from .trace_adapter import (
+    CONTROLLERS,
+    SimulatedMultihostRegion,
+    SimulatedRecoveryRegion,
+    SimulatedRegion,
+    play_multihost,
+    play_ordinary,
+    play_recovery,
+)
+from .trace_faults import ZONES, Troubles
+from .trace_recorder import TraceRecorder
+from .trace_users import Users
+
+SHARDS = 3
+
+
+SETTLE_S = 30.0
+
+
+APPROVAL_ROUNDS = 30
+
+
+QUICK_JOBS = 8
+
+
+QUICK_SPAN_S = 15.0
+
+
+async def _add_workers(region: SimulatedRegion, each: int) -> None:
+    for number in range(each * SHARDS):
+        zone, is_spot = ZONES[number % len(ZONES)], number % 4 == 3
+        await region.add_worker(f"n-9{number:05d}", zone, number % SHARDS, is_spot)
+
+
+async def _under_trouble(region: SimulatedRegion, seed: int, jobs: int) -> None:
+    users = Users(region, random.Random(seed + 1), jobs, 90.0)
+    submitting = await curio.spawn(users.run)
+    await Troubles(region, random.Random(seed)).run()
+    await submitting.join()
+    region.heal()
+    await curio.sleep(SETTLE_S)
+    _count_end(region)
+
+
+def _count_end(region: SimulatedRegion) -> None:
+    for verb, number in region.orders().items():
+        region.counts[f"orders to workers: {verb}"] += number
+    region.counts["complaints of the region's judge"] += len(region.broken_rules())
+
+
+def play_rented(recorder: TraceRecorder, counts: Counter[str], seed: int) -> None:
+    """A region whose leader rents machines, with all ordinary troubles."""
+
+    async def story(region: SimulatedRegion) -> None:
+        await region.begin()
+        await _add_workers(region, 1)
+        await region.begin_leading()
+        await _under_trouble(region, seed, 60)
+
+    play_ordinary(recorder, counts, story)
+
+
+def play_crowded(recorder: TraceRecorder, counts: Counter[str], seed: int) -> None:
+    """A region of few machines that nobody adds to, so that lesser work is preempted."""
+
+    async def story(region: SimulatedRegion) -> None:
+        await region.begin()
+        await _add_workers(region, 3)
+        await _under_trouble(region, seed, 70)
+
+    play_ordinary(recorder, counts, story)
+
+
+def play_quick(recorder: TraceRecorder, counts: Counter[str], seed: int) -> None:
+    """A short region without troubles but one controller's end, for tests of the trace itself."""
+
+    async def story(region: SimulatedRegion) -> None:
+        await region.begin()
+        await _add_workers(region, 2)
+        users = Users(region, random.Random(seed), QUICK_JOBS, QUICK_SPAN_S)
+        submitting = await curio.spawn(users.run)
+        await curio.sleep(QUICK_SPAN_S / 2)
+        await region.end(CONTROLLERS[1])
+        await submitting.join()
+
+    play_ordinary(recorder, counts, story)
+
+
+def play_replicas(recorder: TraceRecorder, counts: Counter[str], seed: int) -> None:
+    """Multi-machine replicas under troubles, with notices and a set of higher priority."""
+
+    async def story(region: SimulatedMultihostRegion) -> None:
+        draw = random.Random(seed)
+        kinds = await region.begin_pool(seed)
+        await curio.spawn(_look_at_sets, region, daemon=True)
+        await curio.sleep(15.0)
+        order = [*kinds, "spot notice", "owner frozen", "zone cut", "urgent set"]
+        for name in draw.sample(order, len(order)):
+            counts[f"replica trouble: {name}"] += 1
+            if name in kinds:
+                await kinds[name]()
+            else:
+                await _replica_trouble(region, draw, name)
+            await curio.sleep(draw.uniform(0.0, 6.0))
+        await region.mend()
+        await curio.sleep(SETTLE_S)
+        counts["replica generations at the end"] += region.generations()
+        counts["complaints of the region's judge"] += len(region.broken_rules())
+
+    play_multihost(recorder, counts, story)
+
+
+async def _look_at_sets(region: SimulatedMultihostRegion) -> None:
+    while True:
+        await region.look()
+        await curio.sleep(2.0)
+
+
+async def _replica_trouble(
+    region: SimulatedMultihostRegion, draw: random.Random, name: str
+) -> None:
+    if name == "spot notice":
+        machines = region.member_machines()
+        if machines:
+            region.give_agent_notice(draw.choice(machines), 30.0)
+    elif name == "owner frozen":
+        owner = region.pool_owner()
+        if owner is not None:
+            region.freeze(owner, draw.choice([2.0, 8.0, 20.0]))
+    elif name == "zone cut":
+        zone = draw.choice(ZONES)
+        region.lose_zone_heartbeats(zone, True)
+        await curio.sleep(draw.uniform(4.0, 20.0))
+        region.lose_zone_heartbeats(zone, False)
+    else:
+        while await region.declare("urgent", 4, 2, 9) not in (200, 201):
+            await curio.sleep(1.0)
+
+
+def play_recovered(recorder: TraceRecorder, counts: Counter[str], seed: int) -> None:
+    """Controllers end together while work goes on, once with the state restored from a copy."""
+
+    async def story(region: SimulatedRecoveryRegion) -> None:
+        draw = random.Random(seed)
+        await region.begin()
+        await _add_workers(region, 4)
+        users = Users(region, random.Random(seed + 1), 40, 70.0)
+        submitting = await curio.spawn(users.run)
+        await curio.sleep(25.0)
+        copy = region.remember_state()
+        await _restart_all(region, draw)
+        await curio.sleep(25.0)
+        silent = draw.choice(region.workers())
+        region.lose_heartbeats(silent, True)
+        for label in CONTROLLERS:
+            await region.end(label)
+        await region.restore_state(copy)
+        await _restart_all(region, draw)
+        await _approve_until_steady(region)
+        region.lose_heartbeats(silent, False)
+        await submitting.join()
+        region.heal()
+        await curio.sleep(SETTLE_S)
+        _count_end(region)
+
+    play_recovery(recorder, counts, story)
+
+
+async def _restart_all(region: SimulatedRecoveryRegion, draw: random.Random) -> None:
+    for label in CONTROLLERS:
+        await region.end(label)
+    await curio.sleep(draw.uniform(1.0, 5.0))
+    for label in CONTROLLERS:
+        await region.start(label)
+        await curio.sleep(draw.uniform(0.0, 1.0))
+    region.counts["restarts of all controllers"] += 1
+
+
+async def _approve_until_steady(region: SimulatedRecoveryRegion) -> None:
+    for _ in range(APPROVAL_ROUNDS):
+        await curio.sleep(2.0)
+        for label in region.living():
+            region.counts["approvals of held back differences"] += await region.approve_all(label)
+        if region.is_steady():
+            region.counts["recoveries that became steady"] += 1
+            return
+
+
+class Scenario(NamedTuple):
+    """A story that is drawn from a seed."""
+
+    play: Callable[[TraceRecorder, Counter[str], int], None]
+    seeds: tuple[int, ...]
+
+
+SCENARIOS = {
+    "rented": Scenario(play_rented, (0, 1, 2, 3)),
+    "crowded": Scenario(play_crowded, (0, 1, 2, 3)),
+    "replicas": Scenario(play_replicas, (0, 1, 2)),
+    "recovery": Scenario(play_recovered, (0, 1, 2)),
+}
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -12,7 +12,7 @@
 import curio
 import curio.kernel
 
-from .fake_services import FakeClock
+from .fake_clock import FakeClock
 
 
 class VirtualTime(selectors.BaseSelector):
