--- a/tests/builders.py
+++ b/tests/builders.py
@@ -86,7 +86,9 @@
     return parse_spec(submission(**changes))
 
 
-def beat(machine: str, session: int, seq: int, token: int, *tasks: dict[str, Any]) -> bytes:
+def heartbeat_body(
+    machine: str, session: int, seq: int, token: int, *tasks: dict[str, Any]
+) -> bytes:
     return orjson.dumps(
         {
             "stone": machine,
@@ -103,7 +105,9 @@
     )
 
 
-def on(job: str, index: int, attempt: int, state: str, cause: str = "") -> dict[str, Any]:
+def reported_task(
+    job: str, index: int, attempt: int, state: str, cause: str = ""
+) -> dict[str, Any]:
     task: dict[str, Any] = {"sack": f"{job}/{index}", "turn": attempt, "stage": state}
     if cause:
         task["cause"] = cause
--- a/tests/full_fleet.py
+++ b/tests/full_fleet.py
@@ -4,7 +4,7 @@
 from crossmill.cluster.model import PlanChunk, PlannedAttempt
 from crossmill.cluster.records import encode_chunk
 
-from .builders import on
+from .builders import reported_task
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
 from .stepped_controller import SteppedController, add_job, add_machine, seed
@@ -40,5 +40,7 @@
             f"wk-{number // GPUS_PER_MACHINE:06d}",
             number % GPUS_PER_MACHINE * GPUS_PER_MACHINE,
         )
-        tasks = [on(job, first + i, first + i + 1, "running") for i in range(GPUS_PER_MACHINE)]
+        tasks = [
+            reported_task(job, first + i, first + i + 1, "running") for i in range(GPUS_PER_MACHINE)
+        ]
         node.report(f"n-{number}", 1, seq, node.token(), *tasks)
--- a/tests/simulated_worker.py
+++ b/tests/simulated_worker.py
@@ -9,7 +9,7 @@
 from crossmill.net.client import NoResponseError
 from crossmill.wire.checks import load_object
 
-from .builders import beat
+from .builders import heartbeat_body
 
 if TYPE_CHECKING:
     from .simulated_region import Region
@@ -74,7 +74,9 @@
             if task.cause:
                 row["cause"] = task.cause
             tasks.append(row)
-        report = load_object(beat(self.machine, self.session, self.seq, self.token, *tasks))
+        report = load_object(
+            heartbeat_body(self.machine, self.session, self.seq, self.token, *tasks)
+        )
         address = f"127.0.0.1:{20000 + self.number}"
         report.update(address=address, yard=self.zone, recallS=self.notice_s)
         return orjson.dumps(report)
--- a/tests/stepped_controller.py
+++ b/tests/stepped_controller.py
@@ -35,7 +35,7 @@
 from crossmill.workers.command_sender import CommandSender
 from crossmill.workers.heartbeat_handler import HeartbeatHandler, HeartbeatResponse
 
-from .builders import beat, make_settings, make_spec, on
+from .builders import heartbeat_body, make_settings, make_spec, reported_task
 from .fake_clock import FakeClock
 from .fake_cloud import CATALOG, CloudService
 from .fake_state_service import StateService
@@ -208,7 +208,7 @@
     def report(
         self, machine: str, session: int, seq: int, token: int, *tasks: Any
     ) -> HeartbeatResponse:
-        body = load_object(beat(machine, session, seq, token, *tasks))
+        body = load_object(heartbeat_body(machine, session, seq, token, *tasks))
         report = parse_heartbeat(body, self.heartbeats.read_task_status)
         return self.heartbeats.handle(report)
 
@@ -269,5 +269,5 @@
     node.report("n-0", 1, 2, token)
     await node.round()
     assert node.report("n-0", 1, 3, token).commands == (Command("start", f"{job_id}/0", 1),)
-    node.report("n-0", 1, 4, token, on(job_id, 0, 1, "running"))
+    node.report("n-0", 1, 4, token, reported_task(job_id, 0, 1, "running"))
     return node
--- a/tests/test_attempt_end_proofs.py
+++ b/tests/test_attempt_end_proofs.py
@@ -4,7 +4,7 @@
 
 from crossmill.cluster import keys
 
-from .builders import beat, on
+from .builders import heartbeat_body, reported_task
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
 from .stepped_controller import (
@@ -119,12 +119,14 @@
         assert view is not None
         before = view.answered_at
         clock.time += 3
-        data = orjson.loads(beat("n-0", 1, 9, node.token(), on("wk-000001", 0, 1, "running")))
+        data = orjson.loads(
+            heartbeat_body("n-0", 1, 9, node.token(), reported_task("wk-000001", 0, 1, "running"))
+        )
         node.command_sender._answered("n-0", 200, orjson.dumps(data))
         assert view.seq == 9
         assert view.answered_at == before
         # the report that was under way meanwhile is older, but its answer does renew
-        node.report("n-0", 1, 8, node.token(), on("wk-000001", 0, 1, "running"))
+        node.report("n-0", 1, 8, node.token(), reported_task("wk-000001", 0, 1, "running"))
         assert view.answered_at == clock.now()
 
     run_scenario(scenario)
@@ -140,7 +142,7 @@
         for _ in range(20):
             clock.time += node.settings.worker_lease_s / 20
             await node.renew_and_sync()
-        node.command_sender._answered("n-0", 200, beat("n-0", 2, 1, node.token()))
+        node.command_sender._answered("n-0", 200, heartbeat_body("n-0", 2, 1, node.token()))
         machine = node.cluster.machines["n-0"]
         view = node.heartbeats.find_view("n-0")
         assert view is not None
--- a/tests/test_command_delivery.py
+++ b/tests/test_command_delivery.py
@@ -9,7 +9,7 @@
 from crossmill.wire.workers import Command
 from crossmill.workers.attempt_outcomes import StopReason
 
-from .builders import beat, on
+from .builders import heartbeat_body, reported_task
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
 from .stepped_controller import (
@@ -74,7 +74,7 @@
 def test_an_outcome_is_durable_before_the_task_is_forgotten() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
-        done = on("wk-000001", 0, 1, "exited", "done")
+        done = reported_task("wk-000001", 0, 1, "exited", "done")
         assert node.report("n-0", 1, 5, node.token(), done).commands == ()
         await node.round()
         assert state.keys[keys.job("wk-000001")][0]["end"] == "done"
@@ -105,10 +105,10 @@
         node = await start_placed_task(state, clock, nodes)
         answer = await node.ask("POST", "/v1/jobs/wk-000001/withdraw")
         assert (answer.status, orjson.loads(answer.body)["stage"]) == (200, "withdrawn")
-        running = on("wk-000001", 0, 1, "running")
+        running = reported_task("wk-000001", 0, 1, "running")
         orders = node.report("n-0", 1, 5, node.token(), running).commands
         assert orders == (Command("stop", "wk-000001/0", 1, 0.0),)
-        node.report("n-0", 1, 6, node.token(), on("wk-000001", 0, 1, "exited", "done"))
+        node.report("n-0", 1, 6, node.token(), reported_task("wk-000001", 0, 1, "exited", "done"))
         await node.round()
         assert state.keys[keys.job("wk-000001")][0]["end"] == "cancelled"
 
@@ -131,7 +131,7 @@
         await node.round()
         assert node.report("n-0", 1, 3, token).commands[0].op == "start"
         node.heartbeats.stop_requests[AttemptId("wk-000001", 0, 1)] = StopReason.PREEMPTED
-        node.command_sender._answered("n-0", 200, beat("n-0", 1, 4, token))
+        node.command_sender._answered("n-0", 200, heartbeat_body("n-0", 1, 4, token))
         assert not node.heartbeats.outcomes
         # a report is sent only when the answer to the one before has come or is given up
         node.report("n-0", 1, 5, token)
@@ -153,7 +153,7 @@
         token = node.token()
         node.report("n-0", 1, 1, 0)
         node.report("n-0", 1, 2, token)
-        node.worker.answer = lambda data: (200, beat("n-0", 1, 90, token))
+        node.worker.answer = lambda data: (200, heartbeat_body("n-0", 1, 90, token))
         row = PlannedAttempt("wk-000001", 0, 1, "n-0", 1)
         plan = {"next": 2, "done": "0", "rows": [[0, 1, "n-0", 1]]}
         state.put(keys.plan("wk-000001", "0"), plan)
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -14,7 +14,7 @@
 from crossmill.wire.checks import MalformedMessageError, load_object
 from crossmill.wire.users import parse_submission
 
-from .builders import make_spec, on, submission
+from .builders import make_spec, reported_task, submission
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
 from .simulated_region import Region, simulate
@@ -81,7 +81,7 @@
         assert _starts(node, 3) == [f"{A}/0"]
         assert await _stage(node, B) == "queued"
         # the worker says done, but nothing of it is durable yet
-        done = on(A, 0, 1, "exited", "done")
+        done = reported_task(A, 0, 1, "exited", "done")
         assert _starts(node, 4, done) == []
         await node.round()
         clock.time += 5
--- a/tests/test_lease_extensions.py
+++ b/tests/test_lease_extensions.py
@@ -1,6 +1,6 @@
 """Lease extensions that peers grant while the state service is away."""
 
-from .builders import on
+from .builders import reported_task
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
 from .stepped_controller import Nodes, SteppedController, run_scenario, start_placed_task
@@ -11,7 +11,7 @@
         node = await start_placed_task(state, clock, nodes)
         for label in ("node-1", "node-2"):
             await SteppedController(state, clock, nodes, label).boot()
-        running = on("wk-000001", 0, 1, "running")
+        running = reported_task("wk-000001", 0, 1, "running")
         await node.renew_and_sync()
         state.down = True
         seq = 4
--- a/tests/test_missed_watch_events.py
+++ b/tests/test_missed_watch_events.py
@@ -19,7 +19,7 @@
 from crossmill.wire.checks import load_object
 from crossmill.workers.attempt_outcomes import StopReason
 
-from .builders import make_settings, make_spec, on
+from .builders import make_settings, make_spec, reported_task
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
 from .stepped_controller import RECORD_BYTES, SteppedController, add_job, run_scenario, seed
@@ -117,10 +117,10 @@
         await node.sync()
         await node.membership.step()
         await _regain_shard(state, clock, node)
-        node.report("n-0", 1, 4, 0, on(JOB, 0, 1, "running"))
+        node.report("n-0", 1, 4, 0, reported_task(JOB, 0, 1, "running"))
         await node.round()
         assert state.keys[keys.plan(JOB, "0")][0]["rows"], "a running task's row was removed"
-        answer = node.report("n-0", 1, 5, node.token(), on(JOB, 0, 1, "running"))
+        answer = node.report("n-0", 1, 5, node.token(), reported_task(JOB, 0, 1, "running"))
         assert [c.op for c in answer.commands] == []
 
     run_scenario(scenario)
@@ -401,14 +401,14 @@
             spec = make_spec(nameId=f"wk-{1000 + number:06d}")
             state.put(keys.job(spec.id), encode_end(DONE, spec, clock.wall(), RECORD_BYTES))
         await node.boot()
-        node.report("n-0", 1, 1, 0, on(JOB, 0, 1, "running"))
+        node.report("n-0", 1, 1, 0, reported_task(JOB, 0, 1, "running"))
         for _ in range(6):
             clock.time += 1
             await node.renew_and_sync()
             await node.round()
         assert any(key.startswith(keys.ARCHIVE) for key in state.keys)
         assert keys.job(JOB) in state.keys
-        answer = node.report("n-0", 1, 2, node.token(), on(JOB, 0, 1, "running"))
+        answer = node.report("n-0", 1, 2, node.token(), reported_task(JOB, 0, 1, "running"))
         assert [c.op for c in answer.commands] == ["stop"]
 
     run_scenario(scenario)
@@ -426,7 +426,7 @@
             state.put(keys.archived(JOB), {"end": CANCELLED, "done": 0})
         node = SteppedController(state, clock, nodes)
         await node.boot()
-        running = on(JOB, 0, 1, "running")
+        running = reported_task(JOB, 0, 1, "running")
         node.report("n-0", 1, 1, 0, running)
         answer = node.report("n-0", 1, 2, node.token(), running)
         assert [c.op for c in answer.commands] == []
@@ -434,7 +434,7 @@
         assert (await node.ask("GET", f"/v1/jobs/{JOB}")).status == (200 if is_archived else 404)
         answer = node.report("n-0", 1, 3, node.token(), running)
         assert [c.op for c in answer.commands] == (["stop"] if is_archived else [])
-        ended = [on(JOB, 0, 1, "exited", "halted")] if is_archived else [running]
+        ended = [reported_task(JOB, 0, 1, "exited", "halted")] if is_archived else [running]
         node.report("n-0", 1, 4, node.token(), *ended)
         for _ in range(4):
             clock.time += 1
--- a/tests/test_partition_keepalive.py
+++ b/tests/test_partition_keepalive.py
@@ -12,7 +12,7 @@
 from crossmill.wire.state import Put, Txn
 from crossmill.wire.workers import Command
 
-from .builders import on
+from .builders import reported_task
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
 from .stepped_controller import (
@@ -25,7 +25,7 @@
 )
 
 Nodes = dict[str, SteppedController]
-RUNNING = on("wk-000001", 0, 1, "running")
+RUNNING = reported_task("wk-000001", 0, 1, "running")
 
 
 class Nobody:
--- a/tests/test_recovery_decisions.py
+++ b/tests/test_recovery_decisions.py
@@ -30,7 +30,7 @@
 from crossmill.wire.recovery import Approval, approval_body, parse_approval
 from crossmill.wire.workers import Command
 
-from .builders import make_spec, on
+from .builders import make_spec, reported_task
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
 from .recovery_region import recovery_settings
@@ -150,7 +150,7 @@
             if rng.random() < 0.7:
                 exited = rng.random() < 0.3
                 state, cause = ("exited", "done") if exited else ("running", "")
-                reported.append(on(job, index, rng.randint(1, 3), state, cause))
+                reported.append(reported_task(job, index, rng.randint(1, 3), state, cause))
     return plans, reported
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -27,7 +27,7 @@
 from crossmill.workers.attempt_outcomes import AttemptOutcome, EndReason
 
 from . import stepped_controller
-from .builders import beat, make_settings, on
+from .builders import heartbeat_body, make_settings, reported_task
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
 from .full_fleet import GPUS_PER_MACHINE, full_fleet, report_all
@@ -102,7 +102,7 @@
 
         node.cluster.machines.__class__ = MachinesByKeyOnly
         node.cluster.jobs.__class__ = JobsByKeyOnly
-        tasks = [on("wk-000000", i, i + 1, "running") for i in range(GPUS_PER_MACHINE)]
+        tasks = [reported_task("wk-000000", i, i + 1, "running") for i in range(GPUS_PER_MACHINE)]
         assert node.report("n-0", 1, 2, node.token(), *tasks).status == 200
 
     run_scenario(scenario)
@@ -266,7 +266,13 @@
     _count(monkeypatch, counts, checks, "one_of")
 
     def report(machine: int) -> None:
-        body = beat(f"n-{machine}", 1, 1, 1, *(on("wk-1", i, 1, "running") for i in mine(machine)))
+        body = heartbeat_body(
+            f"n-{machine}",
+            1,
+            1,
+            1,
+            *(reported_task("wk-1", i, 1, "running") for i in mine(machine)),
+        )
         # each worker's head differs: it comes by an address of its own
         target = f"/agent/beat?machine={machine}"
         request = h11.Request(
--- a/tests/test_start_compiles_nothing.py
+++ b/tests/test_start_compiles_nothing.py
@@ -23,7 +23,7 @@
 from crossmill.wire.users import JOBS_PATH
 from crossmill.wire.workers import HEARTBEAT_PATH
 
-from .builders import beat, settings_table, submission
+from .builders import heartbeat_body, settings_table, submission
 from .fake_clock import FakeClock
 from .fake_cloud import CloudService
 from .fake_state_service import StateService
@@ -120,7 +120,7 @@
         job = submission()
         for method, path, body, wanted in (
             ("GET", "/healthz", b"", 200),
-            ("POST", HEARTBEAT_PATH, beat("n-0", 1, 1, 0), 200),
+            ("POST", HEARTBEAT_PATH, heartbeat_body("n-0", 1, 1, 0), 200),
             ("POST", JOBS_PATH, orjson.dumps(job), 201),
             ("GET", f"{JOBS_PATH}/{job['nameId']}", b"", 200),
         ):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,7 +14,7 @@
 from crossmill.state.writer import WriteIntent, WriteResult
 from crossmill.wire.state import Put, Txn
 
-from .builders import make_settings, make_spec, on, settings_table, submission
+from .builders import make_settings, make_spec, reported_task, settings_table, submission
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
 from .simulated_region import Region, simulate
@@ -159,7 +159,7 @@
         assert (await node.ask("POST", "/v1/jobs", body)).status == 201
         await node.round()
         _production_reads(state)
-        done = [on(JOB, i, 1 + i, "exited", "done") for i in range(2)]
+        done = [reported_task(JOB, i, 1 + i, "exited", "done") for i in range(2)]
         node.report("n-0", 1, 2, node.token(), *done)
         node.report("n-1", 1, 2, node.token(), *done)
         await node.round()
@@ -471,7 +471,7 @@
             assert response.status == 200
         else:
             await node.round()
-            node.report("n-0", 1, 2, node.token(), on(JOB, 0, 1, "exited", "done"))
+            node.report("n-0", 1, 2, node.token(), reported_task(JOB, 0, 1, "exited", "done"))
             await node.round()
         stored = state.keys[keys.job(JOB)][0]
         assert stored["end"] == end
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -13,7 +13,7 @@
     parse_heartbeat,
 )
 
-from .builders import beat, on, submission
+from .builders import heartbeat_body, reported_task, submission
 
 
 @pytest.mark.parametrize(
@@ -67,7 +67,9 @@
 
 def test_report_and_orders_keep_wire_spellings_out() -> None:
     report = parse_heartbeat(
-        load_object(beat("n-1", 2, 7, 41, on("wk-1", 3, 2, "exited", "halted")))
+        load_object(
+            heartbeat_body("n-1", 2, 7, 41, reported_task("wk-1", 3, 2, "exited", "halted"))
+        )
     )
     task = report.tasks[0]
     assert (task.job, task.index, task.attempt, task.why) == ("wk-1", 3, 2, "stopped")
@@ -89,10 +91,10 @@
 )
 def test_a_kept_task_report_stands_for_no_other(change: dict[str, Any]) -> None:
     # guards against a table of kept reports taking true, or 1.0, for the 1 that it holds
-    task = on("wk-000001", 0, 1, "running")
+    task = reported_task("wk-000001", 0, 1, "running")
     read = cached_task_status_reader(8)
-    kept = parse_heartbeat(load_object(beat("n-0", 1, 1, 1, task)), read)
-    again = parse_heartbeat(load_object(beat("n-0", 1, 2, 1, task)), read)
+    kept = parse_heartbeat(load_object(heartbeat_body("n-0", 1, 1, 1, task)), read)
+    again = parse_heartbeat(load_object(heartbeat_body("n-0", 1, 2, 1, task)), read)
     assert again.tasks[0] is kept.tasks[0]
     with pytest.raises(MalformedMessageError):
-        parse_heartbeat(load_object(beat("n-0", 1, 3, 1, {**task, **change})), read)
+        parse_heartbeat(load_object(heartbeat_body("n-0", 1, 3, 1, {**task, **change})), read)
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -7,7 +7,7 @@
 from crossmill.cluster.records import encode_job
 from crossmill.wire.users import JobSpec
 
-from .builders import make_settings, make_spec, on, submission
+from .builders import make_settings, make_spec, reported_task, submission
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
 from .stepped_controller import SteppedController, add_job, add_machine, run_scenario, seed
@@ -31,7 +31,7 @@
 def test_a_service_takes_the_place_of_lesser_work_and_nobody_else_does() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready(state, clock, nodes, 1, sacks=4)
-        running = [on("wk-000001", i, i + 1, "running") for i in range(4)]
+        running = [reported_task("wk-000001", i, i + 1, "running") for i in range(4)]
         node.report("n-0", 1, 2, node.token(), *running)
         add_job(
             state, clock, nameId="wk-000002", cut="service", precedence="production",
@@ -46,13 +46,13 @@
         # one of the two has ended: its room must not go back to the array
         left = [r for r in running if r["sack"] != stopped[0]]
         index = int(stopped[0].rpartition("/")[2])
-        gone = on("wk-000001", index, index + 1, "exited", "halted")
+        gone = reported_task("wk-000001", index, index + 1, "exited", "halted")
         node.report("n-0", 1, 4, node.token(), *left, gone)
         await node.round()
         await node.round()
         assert node.cluster.jobs["wk-000001"].planned_task_count() == 3
         index = int(stopped[1].rpartition("/")[2])
-        gone = on("wk-000001", index, index + 1, "exited", "halted")
+        gone = reported_task("wk-000001", index, index + 1, "exited", "halted")
         node.report("n-0", 1, 5, node.token(), *left[:-1], gone)
         await node.round()
         await node.round()
@@ -64,7 +64,7 @@
 def test_room_made_where_the_image_is_not_is_used_at_once() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready(state, clock, nodes, 1, sacks=4)
-        running = [on("wk-000001", i, i + 1, "running") for i in range(4)]
+        running = [reported_task("wk-000001", i, i + 1, "running") for i in range(4)]
         node.report("n-0", 1, 2, node.token(), *running)
         add_job(
             state, clock, nameId="wk-000002", cut="service", precedence="production",
@@ -73,7 +73,7 @@
         await node.sync()
         await node.round()
         (attempt,) = node.heartbeats.stop_requests
-        gone = on(attempt[0], attempt[1], attempt[2], "exited", "halted")
+        gone = reported_task(attempt[0], attempt[1], attempt[2], "exited", "halted")
         left = [r for r in running if r["turn"] != attempt[2]]
         node.report("n-0", 1, 3, node.token(), *left, gone)
         await node.round()
@@ -129,7 +129,7 @@
             for number in range(4):
                 machine = f"n-{number}"
                 rows = node.cluster.machines[machine].attempts.values()
-                tasks = [on(r.job, r.index, r.number, "exited", "error") for r in rows]
+                tasks = [reported_task(r.job, r.index, r.number, "exited", "error") for r in rows]
                 starts += len(tasks)
                 node.report(machine, 1, seq, node.token(), *tasks)
             await node.round()
@@ -146,7 +146,7 @@
         await node.sync()
         await node.round()
         rows = node.cluster.machines["n-0"].attempts.values()
-        tasks = [on(r.job, r.index, r.number, "exited", "error") for r in rows]
+        tasks = [reported_task(r.job, r.index, r.number, "exited", "error") for r in rows]
         assert len(tasks) == 2
         node.report("n-0", 1, 3, node.token(), *tasks)
         clock.time += node.settings.worker_lease_expiry_s + 1
@@ -184,7 +184,7 @@
 def test_a_notice_stops_new_starts_and_saves_in_time() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _ready(state, clock, nodes, 1, sacks=1, baggingS=10.0, sealS=3.0)
-        running = on("wk-000001", 0, 1, "running")
+        running = reported_task("wk-000001", 0, 1, "running")
         node.report("n-0", 1, 2, node.token(), running)
         view = node.heartbeats.find_view("n-0")
         assert view is not None
@@ -316,8 +316,10 @@
         await node.sync()
         await node.round()
         assert len(node.cluster.machines[other].attempts) == 4
-        running = [on("wk-000002", i, i + 1, "running") for i in range(4)]
-        node.report(attempt.machine, 1, 2, node.token(), on("wk-000001", 0, 1, "running"))
+        running = [reported_task("wk-000002", i, i + 1, "running") for i in range(4)]
+        node.report(
+            attempt.machine, 1, 2, node.token(), reported_task("wk-000001", 0, 1, "running")
+        )
         for seq in range(2, 60):
             clock.time += node.settings.heartbeat_interval_s / 2
             await node.renew_and_sync()
@@ -369,7 +371,7 @@
             state.put(keys.plan(job, name), plan)
         node = SteppedController(state, clock, nodes)
         await node.boot()
-        over = [on(job, index, 1, "exited", "done") for index in (0, size)]
+        over = [reported_task(job, index, 1, "exited", "done") for index in (0, size)]
         node.report("n-0", 1, 1, node.token(), *over)
         for _ in range(2):
             await node.round()
--- a/tests/trace_adapter.py
+++ b/tests/trace_adapter.py
@@ -29,14 +29,14 @@
 from .recovery_region import recovery_settings
 from .simulated_region import Region
 from .simulated_worker import Worker
-from .trace_determinism import _OrderedTaskGroup, _replaced, _wait_in_order
+from .trace_determinism import OrderedTaskGroup, replaced_attribute, wait_in_order
 from .trace_messages import (
+    MessageLog,
+    RecordedMultihostRegion,
+    RecordedPeerLink,
+    RecordedRecoveryRegion,
+    RecordedRegion,
     Recorder,
-    _MessageLog,
-    _RecordedMultihostRegion,
-    _RecordedPeerLink,
-    _RecordedRecoveryRegion,
-    _RecordedRegion,
 )
 from .virtual_time import run_under_virtual_time
 
@@ -81,7 +81,7 @@
 class SimulatedRegion:
     """What scenarios do with a region of any kind."""
 
-    def __init__(self, region: _RecordedRegion, counts: Counter[str]) -> None:
+    def __init__(self, region: RecordedRegion, counts: Counter[str]) -> None:
         self._region = region
         self.counts = counts
 
@@ -247,7 +247,7 @@
         workers = self._region.workers.values()
         return Counter(order[2]["verb"] for worker in workers for order in worker.orders)
 
-    def broken_rules(self) -> list[str]:
+    def violations(self) -> list[str]:
         """What the region's judge found fault with."""
         return list(self._region.checker.violations)
 
@@ -255,11 +255,11 @@
 class SimulatedMultihostRegion(SimulatedRegion):
     """A region with multi-machine replicas."""
 
-    _region: _RecordedMultihostRegion
+    _region: RecordedMultihostRegion
 
     async def begin_pool(self, seed: int) -> dict[str, Callable[[], Awaitable[None]]]:
         """Start a drawn pool with replica sets; the troubles that end by themselves, by name."""
-        self._troubles = faults = MultihostFaults(self._region, seed)
+        self._faults = faults = MultihostFaults(self._region, seed)
         await faults.begin()
         return {
             "machine dies": faults._machine_dies,
@@ -288,7 +288,7 @@
         status, _ = await self._region.operate("PUT", f"replica-sets/{name}", body)
         return int(status)
 
-    async def look(self) -> None:
+    async def poll_replica_sets(self) -> None:
         """Ask for the list of the replica sets at every controller."""
         for label in list(self._region.services):
             await self._region.operate("GET", "replica-sets", label=label)
@@ -313,7 +313,7 @@
 
     async def mend(self) -> None:
         """End the troubles; machines that died are back."""
-        await self._troubles.mend()
+        await self._faults.mend()
 
     def generations(self) -> int:
         """The sum of all replicas' generations."""
@@ -324,7 +324,7 @@
 class SimulatedRecoveryRegion(SimulatedRegion):
     """A region whose controllers recover their shards after failures."""
 
-    _region: _RecordedRecoveryRegion
+    _region: RecordedRecoveryRegion
 
     def remember_state(self) -> dict[str, Any]:
         """A copy of what the state service holds."""
@@ -350,12 +350,12 @@
         return len(braked)
 
 
-def _play(region: _RecordedRegion, log: _MessageLog, scenario: Callable[[], Any]) -> None:
+def _play(region: RecordedRegion, log: MessageLog, scenario: Callable[[], Any]) -> None:
     region.attach(log)
     with (
-        _replaced(SchedBarrier, "__init__", _wait_in_order),
-        _replaced(curio, "TaskGroup", _OrderedTaskGroup),
-        _replaced(simulated_region, "PeerLink", _RecordedPeerLink),
+        replaced_attribute(SchedBarrier, "__init__", wait_in_order),
+        replaced_attribute(curio, "TaskGroup", OrderedTaskGroup),
+        replaced_attribute(simulated_region, "PeerLink", RecordedPeerLink),
     ):
         run_under_virtual_time(region.clock, scenario)
 
@@ -367,12 +367,12 @@
 ) -> None:
     """Play a story in a region without optional parts."""
     clock = FakeClock()
-    region = _RecordedRegion(clock)
+    region = RecordedRegion(clock)
 
     async def begin() -> None:
         await scenario(SimulatedRegion(region, counts))
 
-    _play(region, _MessageLog(recorder, clock, counts), begin)
+    _play(region, MessageLog(recorder, clock, counts), begin)
 
 
 def play_multihost(
@@ -382,13 +382,13 @@
 ) -> None:
     """Play a story in a region with multi-machine replicas."""
     clock = FakeClock()
-    region = _RecordedMultihostRegion(clock)
+    region = RecordedMultihostRegion(clock)
 
     async def begin() -> None:
         await curio.spawn(region.watch, daemon=True)
         await scenario(SimulatedMultihostRegion(region, counts))
 
-    _play(region, _MessageLog(recorder, clock, counts), begin)
+    _play(region, MessageLog(recorder, clock, counts), begin)
 
 
 def play_recovery(
@@ -398,14 +398,14 @@
 ) -> None:
     """Play a story in a region with recovery on."""
     clock = FakeClock()
-    region = _RecordedRecoveryRegion(
+    region = RecordedRecoveryRegion(
         clock, recovery_settings(brake_least=BRAKE_LEAST, brake_share=BRAKE_SHARE)
     )
 
     async def begin() -> None:
         await scenario(SimulatedRecoveryRegion(region, counts))
 
-    _play(region, _MessageLog(recorder, clock, counts), begin)
+    _play(region, MessageLog(recorder, clock, counts), begin)
 
 
 @contextmanager
@@ -417,5 +417,5 @@
     ) -> Any:
         return assign_tasks(spec, tasks, capacities[1:] or capacities, *rest)
 
-    with _replaced(placement, "assign_tasks", changed_assign):
+    with replaced_attribute(placement, "assign_tasks", changed_assign):
         yield
--- a/tests/trace_comparison.py
+++ b/tests/trace_comparison.py
@@ -31,7 +31,7 @@
     return None
 
 
-def _lines(path: Path) -> list[str]:
+def _read_lines(path: Path) -> list[str]:
     return path.read_text().splitlines() if path.exists() else []
 
 
@@ -40,7 +40,9 @@
     names = sorted({path.name for top in (before, after) for path in top.glob("*.txt")})
     found: dict[str, list[Difference]] = {}
     for name in names:
-        difference = first_difference_of(name, _lines(before / name), _lines(after / name))
+        difference = first_difference_of(
+            name, _read_lines(before / name), _read_lines(after / name)
+        )
         if difference is not None:
             run = "-".join(name.split("-")[:2])
             found.setdefault(run, []).append(difference)
--- a/tests/trace_determinism.py
+++ b/tests/trace_determinism.py
@@ -8,7 +8,7 @@
 
 
 @contextmanager
-def _replaced(owner: Any, name: str, value: Any) -> Iterator[None]:
+def replaced_attribute(owner: Any, name: str, value: Any) -> Iterator[None]:
     """Replace an attribute for a while."""
     before = getattr(owner, name)
     setattr(owner, name, value)
@@ -18,7 +18,7 @@
         setattr(owner, name, before)
 
 
-class _ArrivalOrder(dict[Any, None]):
+class ArrivalOrder(dict[Any, None]):
     """Tasks in the order in which they came, in place of curio's sets."""
 
     def add(self, task: Any) -> None:
@@ -40,16 +40,16 @@
         return task
 
 
-def _wait_in_order(barrier: Any) -> None:
+def wait_in_order(barrier: Any) -> None:
     """The barrier's initialiser. Curio keeps the tasks that wait for an event in a set, whose order
     depends on their addresses in memory, so they wake in an order that differs between runs.
     """
-    barrier._tasks = _ArrivalOrder()
+    barrier._tasks = ArrivalOrder()
 
 
-class _OrderedTaskGroup(curio.TaskGroup):  # type: ignore[misc]
+class OrderedTaskGroup(curio.TaskGroup):  # type: ignore[misc]
     """A group, made without tasks, that cancels them in the order in which they were spawned."""
 
     def __init__(self) -> None:
         super().__init__()
-        self._running = _ArrivalOrder()
+        self._running = ArrivalOrder()
--- a/tests/trace_faults.py
+++ b/tests/trace_faults.py
@@ -10,7 +10,7 @@
 ZONES = ("north", "south")
 
 
-class Troubles:
+class FaultSequence:
     """Every kind of trouble once, in an order and with durations drawn by lot."""
 
     def __init__(self, region: SimulatedRegion, draw: random.Random) -> None:
--- a/tests/trace_messages.py
+++ b/tests/trace_messages.py
@@ -48,7 +48,7 @@
         """Take a message; its answer is filled in later."""
 
 
-class _MessageLog:
+class MessageLog:
     """Records a controller's messages with the times of a region's clock."""
 
     def __init__(self, recorder: Recorder, clock: FakeClock, counts: Counter[str]) -> None:
@@ -69,10 +69,10 @@
         message.answered_at = self.clock.now()
 
 
-class _RecordedLink:
+class RecordedLink:
     """A link of a controller, whose requests are recorded."""
 
-    def __init__(self, link: Http, log: _MessageLog, controller: str, counterpart: str) -> None:
+    def __init__(self, link: Http, log: MessageLog, controller: str, counterpart: str) -> None:
         self._link, self._log = link, log
         self._controller, self._counterpart = controller, counterpart
 
@@ -93,11 +93,11 @@
         return status, answer
 
 
-class _RecordedCloud(CloudService):
+class RecordedCloud(CloudService):
     """The region's cloud as one controller reaches it."""
 
-    def __init__(self, cloud: CloudService, log: _MessageLog, controller: str) -> None:
-        self._link = _RecordedLink(cloud, log, controller, "cloud")
+    def __init__(self, cloud: CloudService, log: MessageLog, controller: str) -> None:
+        self._link = RecordedLink(cloud, log, controller, "cloud")
 
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
@@ -105,24 +105,24 @@
         return await self._link.request(method, path, body, timeout_s)
 
 
-class _RecordedRegion(Region):
+class RecordedRegion(Region):
     """A region whose controllers' messages are recorded."""
 
-    log: _MessageLog
+    log: MessageLog
 
-    def attach(self, log: _MessageLog) -> None:
+    def attach(self, log: MessageLog) -> None:
         """Record from now on; called before any controller starts."""
         self.log = log
         self._shared_cloud = self.cloud
         links = {
-            label: _RecordedLink(link, log, label, "state")
+            label: RecordedLink(link, log, label, "state")
             for label, link in self.state_links.items()
         }
         self.state_links = links  # type: ignore[assignment]
 
     async def start(self, label: str) -> SteppedController:
         # the region hands its cloud to the controller before anything else can run
-        self.cloud = _RecordedCloud(self._shared_cloud, self.log, label)
+        self.cloud = RecordedCloud(self._shared_cloud, self.log, label)
         return await super().start(label)
 
     def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
@@ -140,7 +140,7 @@
         connect = node.command_sender.connect
 
         def recorded(endpoint: Any) -> Http:
-            return _RecordedLink(connect(endpoint), self.log, label, f"worker:{endpoint.port}")
+            return RecordedLink(connect(endpoint), self.log, label, f"worker:{endpoint.port}")
 
         node.command_sender.connect = recorded
 
@@ -184,7 +184,7 @@
         return status, answer
 
 
-class _RecordedMultihostRegion(_RecordedRegion, MultihostRegion):
+class RecordedMultihostRegion(RecordedRegion, MultihostRegion):
     """A region with multi-machine replicas, recorded."""
 
     def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
@@ -194,7 +194,7 @@
         return parts
 
 
-class _RecordedRecoveryRegion(_RecordedRegion, RecoveryRegion):
+class RecordedRecoveryRegion(RecordedRegion, RecoveryRegion):
     """A region with recovery on, recorded."""
 
     def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
@@ -204,14 +204,14 @@
         return parts
 
 
-class _RecordedPeerLink(PeerLink):
+class RecordedPeerLink(PeerLink):
     """The line from one controller to another, whose requests are recorded at the sender."""
 
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
         region = self._region
-        assert isinstance(region, _RecordedRegion)
+        assert isinstance(region, RecordedRegion)
         line = PeerLink(region, self._source, self._label)
-        link = _RecordedLink(line, region.log, self._source, f"peer:{self._label}")
+        link = RecordedLink(line, region.log, self._source, f"peer:{self._label}")
         return await link.request(method, path, body, timeout_s)
--- a/tests/trace_recorder.py
+++ b/tests/trace_recorder.py
@@ -10,7 +10,7 @@
 DIGEST_CHARACTERS = 16
 
 
-def _text(body: bytes) -> str:
+def _body_text(body: bytes) -> str:
     return body.decode("utf-8", "backslashreplace").replace("\n", "\\n") or "-"
 
 
@@ -23,9 +23,9 @@
         message.counterpart,
         message.method,
         message.path,
-        _text(message.body),
+        _body_text(message.body),
         str(message.status),
-        _text(message.answer),
+        _body_text(message.answer),
         answered,
     )
     return "\t".join(parts)
--- a/tests/trace_scenarios.py
+++ b/tests/trace_scenarios.py
@@ -16,7 +16,7 @@
     play_ordinary,
     play_recovery,
 )
-from .trace_faults import ZONES, Troubles
+from .trace_faults import ZONES, FaultSequence
 from .trace_recorder import TraceRecorder
 from .trace_users import Users
 
@@ -35,16 +35,16 @@
 QUICK_SPAN_S = 15.0
 
 
-async def _add_workers(region: SimulatedRegion, each: int) -> None:
-    for number in range(each * SHARDS):
+async def _add_workers(region: SimulatedRegion, workers_per_shard: int) -> None:
+    for number in range(workers_per_shard * SHARDS):
         zone, is_spot = ZONES[number % len(ZONES)], number % 4 == 3
         await region.add_worker(f"n-9{number:05d}", zone, number % SHARDS, is_spot)
 
 
-async def _under_trouble(region: SimulatedRegion, seed: int, jobs: int) -> None:
+async def _run_under_faults(region: SimulatedRegion, seed: int, jobs: int) -> None:
     users = Users(region, random.Random(seed + 1), jobs, 90.0)
     submitting = await curio.spawn(users.run)
-    await Troubles(region, random.Random(seed)).run()
+    await FaultSequence(region, random.Random(seed)).run()
     await submitting.join()
     region.heal()
     await curio.sleep(SETTLE_S)
@@ -54,36 +54,36 @@
 def _count_end(region: SimulatedRegion) -> None:
     for verb, number in region.orders().items():
         region.counts[f"orders to workers: {verb}"] += number
-    region.counts["complaints of the region's judge"] += len(region.broken_rules())
+    region.counts["complaints of the region's judge"] += len(region.violations())
 
 
 def play_rented(recorder: TraceRecorder, counts: Counter[str], seed: int) -> None:
     """A region whose leader rents machines, with all ordinary troubles."""
 
-    async def story(region: SimulatedRegion) -> None:
+    async def scenario(region: SimulatedRegion) -> None:
         await region.begin()
         await _add_workers(region, 1)
         await region.begin_leading()
-        await _under_trouble(region, seed, 60)
+        await _run_under_faults(region, seed, 60)
 
-    play_ordinary(recorder, counts, story)
+    play_ordinary(recorder, counts, scenario)
 
 
 def play_crowded(recorder: TraceRecorder, counts: Counter[str], seed: int) -> None:
     """A region of few machines that nobody adds to, so that lesser work is preempted."""
 
-    async def story(region: SimulatedRegion) -> None:
+    async def scenario(region: SimulatedRegion) -> None:
         await region.begin()
         await _add_workers(region, 3)
-        await _under_trouble(region, seed, 70)
+        await _run_under_faults(region, seed, 70)
 
-    play_ordinary(recorder, counts, story)
+    play_ordinary(recorder, counts, scenario)
 
 
 def play_quick(recorder: TraceRecorder, counts: Counter[str], seed: int) -> None:
     """A short region without troubles but one controller's end, for tests of the trace itself."""
 
-    async def story(region: SimulatedRegion) -> None:
+    async def scenario(region: SimulatedRegion) -> None:
         await region.begin()
         await _add_workers(region, 2)
         users = Users(region, random.Random(seed), QUICK_JOBS, QUICK_SPAN_S)
@@ -92,16 +92,16 @@
         await region.end(CONTROLLERS[1])
         await submitting.join()
 
-    play_ordinary(recorder, counts, story)
+    play_ordinary(recorder, counts, scenario)
 
 
 def play_replicas(recorder: TraceRecorder, counts: Counter[str], seed: int) -> None:
     """Multi-machine replicas under troubles, with notices and a set of higher priority."""
 
-    async def story(region: SimulatedMultihostRegion) -> None:
+    async def scenario(region: SimulatedMultihostRegion) -> None:
         draw = random.Random(seed)
         kinds = await region.begin_pool(seed)
-        await curio.spawn(_look_at_sets, region, daemon=True)
+        await curio.spawn(_poll_replica_sets, region, daemon=True)
         await curio.sleep(15.0)
         order = [*kinds, "spot notice", "owner frozen", "zone cut", "urgent set"]
         for name in draw.sample(order, len(order)):
@@ -109,23 +109,23 @@
             if name in kinds:
                 await kinds[name]()
             else:
-                await _replica_trouble(region, draw, name)
+                await _inject_replica_fault(region, draw, name)
             await curio.sleep(draw.uniform(0.0, 6.0))
         await region.mend()
         await curio.sleep(SETTLE_S)
         counts["replica generations at the end"] += region.generations()
-        counts["complaints of the region's judge"] += len(region.broken_rules())
+        counts["complaints of the region's judge"] += len(region.violations())
 
-    play_multihost(recorder, counts, story)
+    play_multihost(recorder, counts, scenario)
 
 
-async def _look_at_sets(region: SimulatedMultihostRegion) -> None:
+async def _poll_replica_sets(region: SimulatedMultihostRegion) -> None:
     while True:
-        await region.look()
+        await region.poll_replica_sets()
         await curio.sleep(2.0)
 
 
-async def _replica_trouble(
+async def _inject_replica_fault(
     region: SimulatedMultihostRegion, draw: random.Random, name: str
 ) -> None:
     if name == "spot notice":
@@ -149,7 +149,7 @@
 def play_recovered(recorder: TraceRecorder, counts: Counter[str], seed: int) -> None:
     """Controllers end together while work goes on, once with the state restored from a copy."""
 
-    async def story(region: SimulatedRecoveryRegion) -> None:
+    async def scenario(region: SimulatedRecoveryRegion) -> None:
         draw = random.Random(seed)
         await region.begin()
         await _add_workers(region, 4)
@@ -172,7 +172,7 @@
         await curio.sleep(SETTLE_S)
         _count_end(region)
 
-    play_recovery(recorder, counts, story)
+    play_recovery(recorder, counts, scenario)
 
 
 async def _restart_all(region: SimulatedRecoveryRegion, draw: random.Random) -> None:
--- a/tests/trace_users.py
+++ b/tests/trace_users.py
@@ -44,7 +44,7 @@
 
     async def run(self) -> None:
         """Submit all jobs over the span."""
-        await curio.spawn(self._look, daemon=True)
+        await curio.spawn(self._poll_jobs, daemon=True)
         for number in range(self.jobs):
             job = self._job(number)
             if job.needs:
@@ -56,20 +56,22 @@
                 ("jobs for spot machines", job.may_use_spot),
             ):
                 self.region.counts[name] += is_so
-            await curio.spawn(self._one, job, daemon=True)
+            await curio.spawn(self._submit_and_cancel, job, daemon=True)
             await curio.sleep(self.draw.uniform(0.2, 1.8) * self.span_s / self.jobs)
 
-    async def _one(self, job: JobRequest) -> None:
+    async def _submit_and_cancel(self, job: JobRequest) -> None:
         is_cancelled, wait_s = self.draw.random() < 0.25, self.draw.choice([0.0, 1.0, 4.0, 12.0])
-        if not await self._until_answered(lambda label: self.region.submit(label, job)):
+        if not await self._retry_until_answered(lambda label: self.region.submit(label, job)):
             return
         self.accepted.append(job.name)
         if is_cancelled:
             await curio.sleep(wait_s)
-            done = await self._until_answered(lambda label: self.region.cancel(label, job.name))
+            done = await self._retry_until_answered(
+                lambda label: self.region.cancel(label, job.name)
+            )
             self.region.counts["cancellations answered"] += done
 
-    async def _until_answered(self, ask: Callable[[str], Awaitable[int]]) -> bool:
+    async def _retry_until_answered(self, ask: Callable[[str], Awaitable[int]]) -> bool:
         for _ in range(USER_PATIENCE):
             living = self.region.living()
             if living and await ask(self.draw.choice(living)) in (200, 201):
@@ -77,7 +79,7 @@
             await curio.sleep(1.0)
         return False
 
-    async def _look(self) -> None:
+    async def _poll_jobs(self) -> None:
         while True:
             living = self.region.living()
             if living and self.accepted:
