--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,4 +1,4 @@
-"""The test command: lint, types and tests, in that order; the first failure ends it.
+"""The test command: runs the linter, mypy and the tests; the first failure ends it.
 
 Tests that fail for a real fault may be listed in KNOWN-RED.txt (tests/known_red.py).
 """
@@ -24,6 +24,7 @@
 
 
 def main() -> int:
+    """Run all steps and return the exit code."""
     for step in STEPS:
         code = _run(*step).returncode
         if code:
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -7,11 +7,12 @@
 from crossmill.settings import Settings, parse
 from crossmill.wire.users import JobSpec, parse_spec
 
-# the machines of most stories stand in node-0's zone, where it is the only controller
+# the machines of most scenarios stand in node-0's zone, where it is the only controller
 ZONES = {"node-0": "north", "node-1": "south", "node-2": "south"}
 
 
 def settings_table(label: str = "node-0", **changes: Any) -> dict[str, Any]:
+    """Return the settings file's content for one of three controllers."""
     labels = [f"node-{i}" for i in range(3)]
     table: dict[str, Any] = {
         "label": label,
@@ -52,10 +53,12 @@
 
 
 def make_settings(label: str = "node-0") -> Settings:
+    """Return the parsed settings of a controller."""
     return parse(settings_table(label))
 
 
 def submission(**changes: Any) -> dict[str, Any]:
+    """Return a job's submission as a user sends it; the changes are fields of the wire."""
     data: dict[str, Any] = {
         "nameId": "wk-000001",
         "grist": "chat",
@@ -83,12 +86,14 @@
 
 
 def make_spec(**changes: Any) -> JobSpec:
+    """Return the parsed submission."""
     return parse_spec(submission(**changes))
 
 
 def heartbeat_body(
     machine: str, session: int, seq: int, token: int, *tasks: dict[str, Any]
 ) -> bytes:
+    """Return a worker's heartbeat with status as it is sent."""
     return orjson.dumps(
         {
             "stone": machine,
@@ -108,6 +113,7 @@
 def reported_task(
     job: str, index: int, attempt: int, state: str, cause: str = ""
 ) -> dict[str, Any]:
+    """Return a task's entry in a heartbeat."""
     task: dict[str, Any] = {"sack": f"{job}/{index}", "turn": attempt, "stage": state}
     if cause:
         task["cause"] = cause
--- a/tests/fake_cloud.py
+++ b/tests/fake_cloud.py
@@ -36,7 +36,10 @@
 
 
 class CloudService:
-    """The cloud as PROTOCOL describes it; `script` holds what the next rentals get."""
+    """The cloud as PROTOCOL describes it.
+
+    `script` holds what the next rentals meet: "none" finds no capacity, "lose" loses the response.
+    """
 
     def __init__(self) -> None:
         self.machines: dict[str, dict[str, Any]] = {}
@@ -46,9 +49,26 @@
         self.released: list[str] = []
         self.down = False
 
+    def list_machines(self) -> None:
+        """List all machines that were rented and not released, as running."""
+        self.listed = [
+            {
+                "nameId": machine,
+                "address": "127.0.0.1:1",
+                "frame": data["frame"],
+                "yard": data["yard"],
+                "loaners": data["loaners"],
+                "stage": "running",
+                "heldS": 1000.0,
+            }
+            for machine, data in sorted(self.machines.items())
+            if machine not in self.released
+        ]
+
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
+        """Answer a request at once; raise NoResponseError where the script says so."""
         if self.down:
             return 503, b'{"error":"trouble"}'
         data = orjson.loads(body) if body else {}
--- a/tests/fake_state_service.py
+++ b/tests/fake_state_service.py
@@ -14,8 +14,11 @@
 
 
 class StateService:
-    """The state service as PROTOCOL describes it, kept in memory. Tests may make pages and the
-    history of changes shorter, so that few keys do what thousands do in production.
+    """The state service as PROTOCOL describes it, in memory.
+
+    Tests may make pages and the history of changes shorter, so that few keys have the effect of
+    thousands. `script` holds, by path, what the next requests meet: "lose" executes one without a
+    response, "drop" does neither, "refuse" fails the connection.
     """
 
     def __init__(self, kept_changes: int = KEPT_CHANGES) -> None:
@@ -28,8 +31,6 @@
         self._compacted = 0
         self.down = False
         self.calls: list[tuple[str, str]] = []
-        # what is done to the next calls of a path: "lose" executes but gives no answer,
-        # "drop" does neither
         self.script: dict[str, list[str]] = {}
         self.puts = 0
         self.limits = StateLimits(100.0, 60.0, 32 * 1024, 20)
@@ -37,6 +38,7 @@
         self.too_large = 0
 
     def end_lease(self, lease: int) -> None:
+        """Expire a lease and delete its keys."""
         self.leases.discard(lease)
         for key in [k for k, (_, _, held) in self.keys.items() if held == lease]:
             self.revision += 1
@@ -52,16 +54,17 @@
         self.changes.append((self.revision, key, value))
 
     def delete(self, key: str) -> None:
-        """Another client deletes the key."""
+        """Delete a key, as another client."""
         self.revision += 1
         self._delete(key)
 
     def compact(self) -> None:
-        """All changes so far are no longer kept: a watch that missed one is answered 410."""
+        """Drop all changes so far; a watch that missed one is answered 410."""
         self._compacted = self.revision
         self.changes.clear()
 
     def put(self, key: str, value: Any, lease: int | None = None) -> None:
+        """Write a key, as another client."""
         self.revision += 1
         self._write(key, value, lease)
 
@@ -72,6 +75,7 @@
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
+        """Answer a request at once; raise a connection error where the script says so."""
         parts = urlsplit(path)
         self.calls.append((method, parts.path))
         action = ""
--- a/tests/fault_injection.py
+++ b/tests/fault_injection.py
@@ -1,32 +1,52 @@
-"""MultihostFaults and traffic that randomised scenarios of several test files share."""
+"""Faults and traffic that scenarios of several test files inject into a simulated region."""
 
 import random
 from collections.abc import Awaitable, Callable
 
 import curio
 
+from .simulated_links import TransactionFault
 from .simulated_region import Region
 
+RANDOM_FAULTS = (
+    "restart",
+    "isolate",
+    "refuse",
+    "outage",
+    "late transactions",
+    "lost responses",
+    "worker",
+    "reconnect",
+    "repeated heartbeats",
+    "slow state",
+)
+WORKER_FAULTS = ("inbound_lost", "heartbeats_lost", "is_frozen")
+
 
 def every_request(method: str, path: str) -> bool:
+    """Refuse every request."""
     return True
 
 
 def all_but_leases(method: str, path: str) -> bool:
-    """The lease is renewed, but nothing is read or written."""
+    """Refuse all requests but those for leases: nothing is read or written."""
     return not path.startswith("/holds")
 
 
-def lose_answers(number: int, region: Region, late_s: float, at_once: bool, for_s: float) -> None:
-    """Every so manyth transaction gets no answer, and is carried out at once or late."""
+def lose_responses(
+    number: int, region: Region, delay_s: float, executes_at_once: bool, for_s: float
+) -> None:
+    """Leave every `number`th transaction unanswered; it is executed at once or after the delay."""
     end, count = region.clock.now() + for_s, 0
 
-    def transaction_fault(label: str, method: str, path: str) -> tuple[float, bool] | None:
+    def transaction_fault(label: str, method: str, path: str) -> TransactionFault | None:
         nonlocal count
         if path != "/txn" or region.clock.now() > end:
             return None
         count += 1
-        return (late_s + count % 5, at_once) if count % number == 0 else None
+        if count % number:
+            return None
+        return TransactionFault(delay_s + count % 5, executes_at_once)
 
     region.transaction_fault = transaction_fault
 
@@ -34,7 +54,7 @@
 async def submit_single_task_jobs(
     region: Region, jobs: int, every_s: float, cancelled: int = 4
 ) -> None:
-    """One-task jobs at all controllers in turn, some cancelled while they run or wait."""
+    """Submit one-task jobs at all controllers in turn; cancel some while they run or wait."""
     async with curio.TaskGroup() as group:
         for n in range(jobs):
             job, label = f"wk-{100000 + n}", list(region.nodes or region.LABELS)[n % 3 - 1]
@@ -57,23 +77,23 @@
 
 
 async def wait_until_all_ended(region: Region, within_s: float = 90.0) -> None:
-    """Every accepted job is done or cancelled, and says so at every controller."""
-
+    """Wait until every accepted job has ended and every controller says so; fail after the time."""
     end = region.clock.now() + within_s
-    # a controller that has just come back does not know anything yet
+    # a controller that has just started has not read the state yet
     await curio.sleep(3.0)
     for job, facts in region.checker.jobs.items():
         while facts.done is None and facts.cancelled is None:
             if await region.show(next(iter(region.nodes)), job) != 200 or not (
                 facts.done or facts.cancelled
             ):
-                assert region.clock.now() < end, f"{job} is not over"
+                assert region.clock.now() < end, f"{job} has not ended"
                 await curio.sleep(0.5)
         for label in region.nodes:
             assert await region.show(label, job) == 200
 
 
 async def cancel_services_and_wait(region: Region) -> None:
+    """Cancel the jobs that do not end by themselves and wait until all jobs have ended."""
     for job, facts in list(region.checker.jobs.items()):
         if facts.run_s is None:
             assert await region.cancel_until_confirmed("node-1", job, 60.0)
@@ -81,25 +101,26 @@
 
 
 async def inject_random_fault(region: Region, rng: random.Random) -> None:
+    """Inject one fault, or end some; the generator draws which."""
     label, worker = rng.choice(region.LABELS), rng.choice(list(region.workers.values()))
-    kind = rng.choice(["end", "cut", "refuse", "out", "late", "lost", "odd", "mend", "old", "slow"])
-    if kind == "end":
+    kind = rng.choice(RANDOM_FAULTS)
+    if kind == "restart":
         await region.restart(label, rng.choice([0.1, 1.0, 4.0]))
-    elif kind == "cut":
+    elif kind == "isolate":
         region.isolate(label)
     elif kind == "refuse":
         region.refused_requests[label] = every_request
-    elif kind == "out":
+    elif kind == "outage":
         region.state.down = not region.state.down
-    elif kind in ("late", "lost"):
-        lose_answers(rng.choice([2, 3, 5]), region, 2.0, kind == "lost", 10.0)
-    elif kind == "odd":
-        fault = rng.choice(["inbound_lost", "heartbeats_lost", "is_frozen"])
+    elif kind in ("late transactions", "lost responses"):
+        lose_responses(rng.choice([2, 3, 5]), region, 2.0, kind == "lost responses", 10.0)
+    elif kind == "worker":
+        fault = rng.choice(WORKER_FAULTS)
         setattr(worker, fault, not getattr(worker, fault))
-    elif kind == "mend":
+    elif kind == "reconnect":
         region.reconnect()
         region.state.down = False
-    elif kind == "slow":
+    elif kind == "slow state":
         region.state_delay_s = rng.choice([0.0, 0.3])
     else:
         for body in worker.sent_heartbeats:
@@ -107,6 +128,7 @@
 
 
 def clear_faults(region: Region) -> None:
+    """End all faults but frozen and ended controllers."""
     region.state.down = False
     region.state_delay_s = 0.0
     region.reconnect()
--- a/tests/full_fleet.py
+++ b/tests/full_fleet.py
@@ -14,7 +14,7 @@
 
 
 def full_fleet(state: StateService, clock: FakeClock, machines: int) -> None:
-    """Every GPU of the machines runs a task."""
+    """Store a fleet and jobs such that every GPU of the machines runs a task."""
     seed(state, clock, machines=0)
     for number in range(machines):
         add_machine(state, clock, f"n-{number}")
@@ -34,7 +34,7 @@
 
 
 def report_all(node: SteppedController, machines: int, seq: int = 1) -> None:
-    """Every worker reports that its tasks run."""
+    """Deliver a heartbeat of every worker, which says that its tasks run."""
     for number in range(machines):
         job, first = (
             f"wk-{number // GPUS_PER_MACHINE:06d}",
--- a/tests/invariant_checker.py
+++ b/tests/invariant_checker.py
@@ -1,4 +1,8 @@
-"""The judge of PROTOCOL's rules in a simulated region; tested itself in tests/test_judge.py."""
+"""Checks PROTOCOL's rules in a simulated region.
+
+`Region` runs the checker every half second and on every start of a task; each response to a user
+goes through it. tests/test_invariant_checker.py plants a violation of each rule.
+"""
 
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
@@ -15,6 +19,8 @@
 
 @dataclass
 class JobFacts:
+    """A job's submission and what users were told of it, with the times of the region's clock."""
+
     spec: dict[str, Any]
     run_s: float | None
     submitted: float
@@ -25,14 +31,15 @@
     finished: set[int] = field(default_factory=set)
 
     def dependencies(self) -> list[str]:
-        """The jobs that it names."""
+        """Return the jobs that it depends on directly."""
         return list(self.spec.get("awaits") or [])
 
 
 class InvariantChecker:
-    """PROTOCOL's rules, looked at on every start and every half second. Of its own it asks that
-    each task on a machine is in a durable plan: it is started from one, and its row goes only
-    when it is proved over.
+    """Collects violations of PROTOCOL's rules.
+
+    One rule is the checker's own: each task that runs is in a durable plan, since it is started
+    from one, and its planned attempt is removed only when its end is proved.
     """
 
     def __init__(self, region: "Region") -> None:
@@ -42,10 +49,12 @@
         self.late_starts = 0
         self.violations: list[str] = []
 
-    def report_violation(self, what: str) -> None:
-        self.violations.append(f"{self._region.clock.now():.2f} {what}")
+    def report_violation(self, description: str) -> None:
+        """Keep a violation, with its time; the description begins with the rule's name."""
+        self.violations.append(f"{self._region.clock.now():.2f} {description}")
 
     def check_start(self, worker: Worker, key: tuple[str, int]) -> None:
+        """Check the start of a task, given by job and index, on a worker."""
         now, facts = self._region.clock.now(), self.jobs[key[0]]
         self.starts.append((now, *key, worker.machine))
         self._check_order(key[0])
@@ -61,27 +70,27 @@
         self.check()
 
     def _check_order(self, job: str) -> None:
-        """A task starts only when all jobs that its job needs are done."""
+        """Check that all jobs that the started job depends on are done."""
         self.check()
-        for need in self.jobs[job].dependencies():
-            before = self.jobs[need]
-            if len(before.finished) < before.spec["sacks"]:
-                self.report_violation(f"too_early {job} before {need}")
+        for dependency in self.jobs[job].dependencies():
+            facts = self.jobs[dependency]
+            if len(facts.finished) < facts.spec["sacks"]:
+                self.report_violation(f"too_early {job} before {dependency}")
 
-    def _before(self, job: str) -> set[str]:
-        """All jobs that this one needs, directly or through others."""
+    def _all_dependencies(self, job: str) -> set[str]:
+        """Return all jobs that this one depends on, directly or through others."""
         found: set[str] = set()
         pending = [job]
         while pending:
-            for need in self.jobs[pending.pop()].dependencies():
-                if need not in found:
-                    found.add(need)
-                    pending.append(need)
+            for dependency in self.jobs[pending.pop()].dependencies():
+                if dependency not in found:
+                    found.add(dependency)
+                    pending.append(dependency)
         return found
 
     def _check_orphans(self, job: str, stage: str, asked_at: float) -> None:
-        """A job is not called queued or running long after one before it was cancelled."""
-        for before in self._before(job):
+        """Check that no job is called queued or running long after a dependency was cancelled."""
+        for before in self._all_dependencies(job):
             confirmed = self.jobs[before].cancelled
             late = (
                 confirmed is not None
@@ -119,7 +128,7 @@
                     self.report_violation(f"quota {team.name} {used[team.name]}")
 
     def _planned(self) -> set[tuple[str, int, int, str]]:
-        """Job, task, attempt and machine of every durable row, copies of chunks included."""
+        """Return job, task, attempt and machine of every durable planned attempt."""
         return {
             (name[len(keys.PLAN) :].rpartition("/")[0], row[0], row[1], row[2])
             for name, (value, _, _) in self._region.state.keys.items()
@@ -128,7 +137,7 @@
         }
 
     def _check_unplanned(self) -> None:
-        """A task that runs and that no plan holds is known to nobody."""
+        """Check that every task that runs is in a durable plan; no controller knows of others."""
         region, now = self._region, self._region.clock.now()
         planned = self._planned()
         for worker in region.workers.values():
@@ -140,7 +149,7 @@
                     self.report_violation(f"orphaned {job}/{index} {worker.machine}: in no plan")
 
     def check_response(self, job: str, response: Response, asked_at: float) -> None:
-        """An answer arrived. It is compared with what had been told before it was asked for."""
+        """Compare a response with what users had been told before they sent the request."""
         facts, now = self.jobs[job], self._region.clock.now()
         if response.status == 404 and facts.accepted is not None and facts.accepted < asked_at:
             self.report_violation(f"forgotten {job}")
@@ -156,7 +165,9 @@
         if facts.done is not None and stage != "done":
             self.report_violation(f"went_back {job}: {stage} after done")
         if stage == "withdrawn":
-            asked = any(self.jobs[x].cancellation_requested for x in (job, *self._before(job)))
+            asked = any(
+                self.jobs[x].cancellation_requested for x in (job, *self._all_dependencies(job))
+            )
             if not asked:
                 self.report_violation(f"went_back {job}: nobody cancelled it")
             facts.cancelled = facts.cancelled if facts.cancelled is not None else now
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,5 +1,8 @@
-"""KNOWN-RED.txt: tests that fail for a real fault which is not mended yet, one line each as
-`test, cause, issue`, three at most. The test command passes over just these, and prints them.
+"""Reads KNOWN-RED.txt, the list of tests that fail for a real fault which is not fixed yet.
+
+Each line is `test, cause, issue`; three lines at most. The test command (tests/__main__.py)
+deselects
+just these tests, prints them, and fails if one of them passes.
 """
 
 from dataclasses import dataclass
@@ -10,18 +13,24 @@
 
 
 class KnownRedListError(ValueError):
-    """The list can't be taken as it is."""
+    """The list has too many lines or a malformed one."""
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
+    """A listed test, why it fails, and the issue that is open for it."""
+
     test: str
     cause: str
     issue: str
 
 
 def load(path: Path) -> list[Entry]:
-    """The entries; an empty or absent file has none."""
+    """Return the entries; an empty or absent file has none.
+
+    Raises:
+        KnownRedListError: The list can't be used as it is.
+    """
     text = path.read_text() if path.exists() else ""
     lines = [line for line in text.splitlines() if line.strip()]
     if len(lines) > MAX_ENTRIES:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""Stand-ins on loopback, for tests over real sockets."""
+"""Serves the fake services on loopback, for tests over real sockets."""
 
 import socket
 import threading
@@ -8,18 +8,19 @@
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 from typing import Protocol
 
-# a state service's watch is answered so much later: the stand-in itself never waits
+# a state service's watch is answered so much later: the fake service itself never waits
 WATCH_S = 0.1
 
 
 class FakeService(Protocol):
-    """A stand-in that answers without ever waiting."""
+    """A fake service, which answers without ever waiting."""
 
-    async def request(self, method: str, path: str, body: bytes = b"") -> tuple[int, bytes]: ...
+    async def request(self, method: str, path: str, body: bytes = b"") -> tuple[int, bytes]:
+        """Answer a request at once."""
 
 
 def free_ports(number: int) -> list[int]:
-    """Ports that nobody listens on."""
+    """Return so many ports that are not in use."""
     held = [socket.socket() for _ in range(number)]
     for sock in held:
         sock.bind(("127.0.0.1", 0))
@@ -30,13 +31,13 @@
 
 
 def _answer_now(service: FakeService, method: str, path: str, body: bytes) -> tuple[int, bytes]:
-    """The answer of a coroutine that ends without waiting."""
+    """Return the result of a coroutine that ends without waiting."""
     try:
         service.request(method, path, body).send(None)
     except StopIteration as ended:
         status, data = ended.value
         return status, data
-    raise AssertionError(f"the stand-in waits: {method} {path}")
+    raise AssertionError(f"the fake service waits: {method} {path}")
 
 
 def _handler(service: FakeService) -> type[BaseHTTPRequestHandler]:
@@ -66,7 +67,7 @@
 
 @contextmanager
 def serving(service: FakeService, port: int) -> Iterator[None]:
-    """Serves the stand-in on a port of loopback meanwhile."""
+    """Serve the fake service on a port of loopback for the duration of the context."""
     server = ThreadingHTTPServer(("127.0.0.1", port), _handler(service))
     server.daemon_threads = True
     thread = threading.Thread(target=server.serve_forever, daemon=True)
--- a/tests/profile_controller.py
+++ b/tests/profile_controller.py
@@ -126,6 +126,7 @@
 
 
 def main() -> None:
+    """Profile a controller of the size that the arguments give."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--machines", type=int, default=304, help="default %(default)s")
     parser.add_argument("--jobs", type=int, default=200, help="of the burst, default %(default)s")
--- a/tests/simulated_links.py
+++ b/tests/simulated_links.py
@@ -1,6 +1,9 @@
-"""Links of a controller in a simulated region: to the state service and to other controllers."""
+"""Links of a controller in a simulated region: to the state service and to other controllers.
 
-from typing import TYPE_CHECKING
+The links apply the faults that the region's attributes name.
+"""
+
+from typing import TYPE_CHECKING, NamedTuple
 from urllib.parse import parse_qs, urlsplit
 
 import curio
@@ -8,16 +11,28 @@
 
 from crossmill.net.client import ConnectionFailedError, NoResponseError
 from crossmill.net.server import Request
-from crossmill.wire import peers
 
 if TYPE_CHECKING:
     from .simulated_region import Region
 
 from .simulated_worker import HOP_S
 
+OUTAGE_RETRY_S = 0.1
+LEAST_WATCH_WAIT_S = 0.05
+
+
+class TransactionFault(NamedTuple):
+    """The fault of a request that gets no response.
+
+    The state service executes the request at once, or else after the delay.
+    """
+
+    delay_s: float
+    executes_at_once: bool
+
 
 class StateLink:
-    """A controller's line to the state service: refused alone, cut, slow or late as scripted."""
+    """A controller's link to the state service, which may be refused, cut, slow or unanswered."""
 
     def __init__(self, region: "Region", label: str) -> None:
         self._region = region
@@ -26,59 +41,70 @@
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
+        """Send a request; raise NoResponseError where a fault leaves it unanswered."""
         region = self._region
         until = region.clock.now() + timeout_s
         await curio.sleep(HOP_S + region.state_delay_s)
         if self._label in region.cut_from_state:
             await curio.sleep(max(0.0, until - region.clock.now()))
             raise NoResponseError(path)
-        refuses = region.refused_requests.get(self._label)
-        if region.state.down or (refuses is not None and refuses(method, path)):
+        if self._is_refused(method, path):
             return 503, b"{}"
-        transaction_fault = region.transaction_fault(self._label, method, path)
-        if transaction_fault is not None:
-            late_s, at_once = transaction_fault
-            if at_once:
+        fault = region.transaction_fault(self._label, method, path)
+        if fault is not None:
+            if fault.executes_at_once:
                 await region.state.request(method, path, body)
             else:
-                await curio.spawn(self._late, late_s, method, path, body, daemon=True)
+                await curio.spawn(
+                    self._execute_late, fault.delay_s, method, path, body, daemon=True
+                )
             await curio.sleep(max(0.0, until - region.clock.now()))
             raise NoResponseError(path)
         if path.startswith("/changes"):
             return await self._watch(method, path, body)
         status, data = await region.state.request(method, path, body)
-        region.note_lease_request(method, path, body, status, data)
-        slow = path == "/txn" and self._label in region.transaction_delay_s
-        await curio.sleep(region.transaction_delay_s[self._label] if slow else HOP_S)
+        region.simulated_state.note_lease_request(method, path, body, status, data)
+        is_delayed = path == "/txn" and self._label in region.transaction_delay_s
+        await curio.sleep(region.transaction_delay_s[self._label] if is_delayed else HOP_S)
         return status, data
 
-    async def _late(self, late_s: float, method: str, path: str, body: bytes) -> None:
-        await curio.sleep(late_s)
+    def _is_refused(self, method: str, path: str) -> bool:
+        if self._region.state.down:
+            return True
+        refuses = self._region.refused_requests.get(self._label)
+        return refuses is not None and refuses(method, path)
+
+    async def _execute_late(self, delay_s: float, method: str, path: str, body: bytes) -> None:
+        await curio.sleep(delay_s)
         while self._region.state.down:
-            await curio.sleep(0.1)
+            await curio.sleep(OUTAGE_RETRY_S)
         await self._region.state.request(method, path, body)
-        await self._region.notify_watches()
+        await self._region.simulated_state.notify_watches()
 
     async def _watch(self, method: str, path: str, body: bytes) -> tuple[int, bytes]:
         region = self._region
         query = parse_qs(urlsplit(path).query)
         end = region.clock.now() + int(query.get("holdMs", ["0"])[0]) / 1000
         while True:
-            shut = (
-                region.state.down
-                or self._label in region.refused_requests
-                or self._label in region.cut_from_state
-            )
-            if not shut:
+            if not self._is_watch_blocked():
                 status, data = await region.state.request(method, path, body)
                 if status != 200 or orjson.loads(data)["log"] or region.clock.now() >= end:
                     await curio.sleep(HOP_S)
                     return status, data
-            await curio.ignore_after(max(0.05, end - region.clock.now()), region.state_changed.wait)
+            wait_s = max(LEAST_WATCH_WAIT_S, end - region.clock.now())
+            await curio.ignore_after(wait_s, region.simulated_state.changed.wait)
+
+    def _is_watch_blocked(self) -> bool:
+        region = self._region
+        return (
+            region.state.down
+            or self._label in region.refused_requests
+            or self._label in region.cut_from_state
+        )
 
 
 class PeerLink:
-    """The line from one controller to another."""
+    """The link from one controller to another, which may be cut or frozen."""
 
     def __init__(self, region: "Region", source: str, label: str) -> None:
         self._region, self._source, self._label = region, source, label
@@ -86,6 +112,7 @@
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
+        """Send a request; raise ConnectionFailedError or NoResponseError where a fault says so."""
         region = self._region
         await curio.sleep(HOP_S)
         node = region.nodes.get(self._label)
@@ -94,8 +121,6 @@
         if region.is_frozen(self._label):
             await curio.sleep(timeout_s)
             raise NoResponseError(path)
-        asked = path in (peers.ATTESTATION_PATH, peers.CANCELLATION_PATH)
-        handler = node.partition_protocol if asked else node.lease_extensions
-        response = handler.handle(Request(method, path, body))
+        response = node.handle_peer_request(Request(method, path, body))
         await curio.sleep(HOP_S)
         return response.status, response.body
--- /dev/null
+++ b/tests/simulated_state.py
@@ -0,0 +1,71 @@
+"""Leases and watches of a simulated region's state service, which need time to pass.
+
+`StateService` answers requests at once; this module expires its leases and wakes the requests that
+wait for changes. `Region` runs it, and `StateLink` reports each lease request to it.
+"""
+
+from typing import NamedTuple
+
+import curio
+
+from crossmill.wire.checks import load_object
+
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
+
+STEP_S = 0.02
+
+
+class _LeaseExpiry(NamedTuple):
+    at: float
+    ttl_s: float
+
+
+class SimulatedState:
+    """Expires the state service's leases and tells watches of changes."""
+
+    def __init__(self, clock: FakeClock, state: StateService) -> None:
+        self._clock = clock
+        self._state = state
+        self._expiries: dict[int, _LeaseExpiry] = {}
+        self.changed = curio.Event()
+
+    def note_lease_request(
+        self, method: str, path: str, body: bytes, status: int, data: bytes
+    ) -> None:
+        """Take a served request; one that acquires or renews a lease moves its expiry."""
+        if status != 200:
+            return
+        if method == "POST" and path == "/holds":
+            ttl_s = load_object(body)["ttlMs"] / 1000
+            self._extend(load_object(data)["tenure"], ttl_s)
+        elif path.endswith("/renew"):
+            lease = int(path.split("/")[2])
+            self._extend(lease, self._expiries[lease].ttl_s)
+
+    def _extend(self, lease: int, ttl_s: float) -> None:
+        self._expiries[lease] = _LeaseExpiry(self._clock.now() + ttl_s, ttl_s)
+
+    async def notify_watches(self) -> None:
+        """Wake all requests that wait for a change."""
+        await self.changed.set()
+        self.changed.clear()
+
+    async def run(self) -> None:
+        """Expire leases and notify watches; in an outage no lease expires."""
+        revision = -1
+        while True:
+            self._expire_leases()
+            if self._state.revision != revision and not self._state.down:
+                revision = self._state.revision
+                await self.notify_watches()
+            await curio.sleep(STEP_S)
+
+    def _expire_leases(self) -> None:
+        now = self._clock.now()
+        for lease, expiry in list(self._expiries.items()):
+            if self._state.down:
+                self._extend(lease, expiry.ttl_s)
+            elif now > expiry.at:
+                del self._expiries[lease]
+                self._state.end_lease(lease)
--- /dev/null
+++ b/tests/simulated_users.py
@@ -0,0 +1,91 @@
+"""Users of a simulated region: they submit, read and cancel jobs at its controllers.
+
+`Region` inherits these methods. Each response goes to the region's invariant checker, which keeps
+what users were told.
+"""
+
+from typing import Any
+
+import curio
+import orjson
+
+from .builders import submission
+from .fake_clock import FakeClock
+from .invariant_checker import InvariantChecker, JobFacts
+from .stepped_controller import SteppedController
+
+CANCELLATION_RETRY_S = 0.5
+FROZEN_RETRY_S = 0.1
+# each repetition of `show_everywhere` waits so much longer than the one before
+SHOW_INTERVAL_S = 0.003
+
+
+class SimulatedUsers:
+    """The users' requests to a region's controllers; what they need of the region is declared."""
+
+    clock: FakeClock
+    checker: InvariantChecker
+    nodes: dict[str, SteppedController]
+
+    def is_frozen(self, label: str) -> bool:
+        """Whether the controller's process runs nothing now."""
+        raise NotImplementedError
+
+    def expect(self, job: str, run_s: float | None = None, **fields: Any) -> dict[str, Any]:
+        """Register a job with the invariant checker and return its submission.
+
+        A job without `run_s` is a service, which runs until it is cancelled.
+        """
+        fields = {"cut": "service" if run_s is None else "array", "dueS": None} | fields
+        spec = submission(**{"nameId": job, **fields})
+        self.checker.jobs.setdefault(job, JobFacts(spec, run_s, self.clock.now()))
+        return spec
+
+    async def submit(self, label: str, job: str, run_s: float | None = None, **fields: Any) -> int:
+        """Submit a job at a controller and return the response's status."""
+        spec = self.expect(job, run_s, **fields)
+        return await self._request(label, job, "POST", "/v1/jobs", orjson.dumps(spec))
+
+    async def show(self, label: str, job: str) -> int:
+        """Ask a controller for the job's state and return the response's status."""
+        return await self._request(label, job, "GET", f"/v1/jobs/{job}")
+
+    async def cancel(self, label: str, job: str) -> int:
+        """Cancel the job at a controller and return the response's status."""
+        self.checker.jobs[job].cancellation_requested = True
+        return await self._request(label, job, "POST", f"/v1/jobs/{job}/withdraw")
+
+    async def cancel_until_confirmed(self, label: str, job: str, within_s: float) -> bool:
+        """Repeat the cancellation until it is confirmed; False if it is not within the time."""
+        end = self.clock.now() + within_s
+        while self.clock.now() < end:
+            if await self.cancel(label, job) == 200:
+                return True
+            await curio.sleep(CANCELLATION_RETRY_S)
+        return False
+
+    async def show_everywhere(self, job: str, times: int = 3) -> None:
+        """Ask all controllers at once for the job's state, repeatedly within milliseconds."""
+        async with curio.TaskGroup() as group:
+            for n in range(times):
+                for label in list(self.nodes):
+                    await group.spawn(self.show, label, job)
+                await curio.sleep(SHOW_INTERVAL_S * n)
+
+    def is_accepted(self, job: str) -> bool:
+        """Whether a controller has confirmed the job's submission."""
+        return self.checker.jobs[job].accepted is not None
+
+    def has_finished(self, job: str, tasks: int) -> bool:
+        """Whether so many of the job's tasks are done."""
+        return len(self.checker.jobs[job].finished) >= tasks
+
+    async def _request(
+        self, label: str, job: str, method: str, path: str, body: bytes = b""
+    ) -> int:
+        asked_at = self.clock.now()
+        while self.is_frozen(label):
+            await curio.sleep(FROZEN_RETRY_S)
+        response = await self.nodes[label].ask(method, path, body)
+        self.checker.check_response(job, response, asked_at)
+        return response.status
--- a/tests/simulated_worker.py
+++ b/tests/simulated_worker.py
@@ -1,4 +1,8 @@
-"""A worker after PROTOCOL under virtual time, and the link on which controllers reach it."""
+"""A worker as PROTOCOL describes it, under virtual time, and the link on which controllers reach
+it.
+
+A worker belongs to a `Region`, sends heartbeats to its controllers, and follows their commands.
+"""
 
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
@@ -9,17 +13,24 @@
 from crossmill.net.client import NoResponseError
 from crossmill.wire.checks import load_object
 
-from .builders import heartbeat_body
+from .builders import heartbeat_body, reported_task
 
 if TYPE_CHECKING:
     from .simulated_region import Region
 
 # how long a message takes from one host to another
 HOP_S = 0.002
+# after so long a worker gives up waiting for a response
+RESPONSE_TIMEOUT_S = 4.0
+RETRY_S = 1.0
+REDIRECT_S = 0.2
+FROZEN_POLL_S = 0.1
+KEPT_HEARTBEATS = 40
+FIRST_PORT = 20000
 
 
 class WorkerLink:
-    """The line from a controller to a worker's own address."""
+    """The link from a controller to a worker's own address."""
 
     def __init__(self, worker: "Worker") -> None:
         self._worker = worker
@@ -27,11 +38,12 @@
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
+        """Deliver commands; raise NoResponseError while the worker is frozen or unreachable."""
         worker = self._worker
         await curio.sleep(HOP_S)
         if worker.inbound_lost or worker.is_frozen:
             if worker.is_frozen:
-                # carried out when the machine goes on, if token and session still match
+                # carried out when the worker resumes, if token and session still match
                 worker.delayed_commands.append(load_object(body))
             await curio.sleep(timeout_s)
             raise NoResponseError(path)
@@ -40,6 +52,8 @@
 
 @dataclass
 class Task:
+    """A task on a worker: its attempt, its state and since when, and the cause of its end."""
+
     attempt: int
     state: str
     since: float
@@ -47,41 +61,46 @@
 
 
 class Worker:
-    """A machine as PROTOCOL describes it; images are there at once."""
+    """A machine's worker; images are loaded at once and tasks run for as long as their job says."""
 
     def __init__(self, region: "Region", machine: str, number: int, zone: str) -> None:
         self.region, self.machine, self.number, self.zone = region, machine, number, zone
         self.session, self.seq, self.token = 1, 0, 0
         self.tasks: dict[tuple[str, int], Task] = {}
         self.lease_renewed_at = region.clock.now()
+        # faults: responses and commands to it are lost; its heartbeats are lost; its process runs
+        # nothing, and commands that arrive meanwhile are carried out when it resumes
         self.inbound_lost: bool = False
         self.heartbeats_lost: bool = False
         self.is_frozen: bool = False
+        # the machine was released
         self.is_terminated: bool = False
         self.target_index = 0
         self.sent_heartbeats: list[bytes] = []
         self.delayed_commands: list[dict[str, Any]] = []
-        # the cloud will take the machine away; nothing is placed on it meanwhile
+        # in how long the cloud takes the machine away; nothing is placed on it meanwhile
         self.notice_s: float | None = None
-        # the orders that it got: when, in which session, what
+        # the commands that it got: when, in which session, what
         self.orders: list[tuple[float, int, dict[str, Any]]] = []
 
+    def terminate(self) -> None:
+        """End the machine and all tasks on it."""
+        self.is_terminated = True
+        self.tasks.clear()
+
     def _report(self) -> bytes:
         self.seq += 1
         tasks = []
         for (job, index), task in self.tasks.items():
-            row = {"sack": f"{job}/{index}", "turn": task.attempt, "stage": task.state}
-            if task.cause:
-                row["cause"] = task.cause
-            tasks.append(row)
+            tasks.append(reported_task(job, index, task.attempt, task.state, task.cause))
         report = load_object(
             heartbeat_body(self.machine, self.session, self.seq, self.token, *tasks)
         )
-        address = f"127.0.0.1:{20000 + self.number}"
+        address = f"127.0.0.1:{FIRST_PORT + self.number}"
         report.update(address=address, yard=self.zone, recallS=self.notice_s)
         return orjson.dumps(report)
 
-    def _tick(self) -> None:
+    def _advance_tasks(self) -> None:
         now, checker = self.region.clock.now(), self.region.checker
         if now - self.lease_renewed_at > self.region.worker_lease_s:
             self.session += 1
@@ -93,13 +112,14 @@
                 task.state, task.cause = "exited", "done"
 
     async def run(self) -> None:
+        """Send heartbeats until the machine is terminated."""
         labels = list(self.region.state_links)
         self.target_index = self.number % len(labels)
         while not self.is_terminated:
             if self.is_frozen:
-                await curio.sleep(0.1)
+                await curio.sleep(FROZEN_POLL_S)
                 continue
-            self._tick()
+            self._advance_tasks()
             while self.delayed_commands:
                 self.command(self.delayed_commands.pop(0))
             wait_s = self.region.heartbeat_interval_s
@@ -107,36 +127,37 @@
             answer = await self._call(label)
             if answer is None or answer[0] != 200:
                 named = str(answer[1].get("foreman")) if answer is not None else ""
-                moves = named in labels and named != label
+                is_redirected = named in labels and named != label
                 self.target_index = (
-                    labels.index(named) if moves else (self.target_index + 1) % len(labels)
+                    labels.index(named) if is_redirected else (self.target_index + 1) % len(labels)
                 )
-                wait_s = 0.2 if moves else 1.0
+                wait_s = REDIRECT_S if is_redirected else RETRY_S
             await curio.sleep(wait_s)
 
     async def _call(self, label: str) -> tuple[int, dict[str, Any]] | None:
         body, sent, session = self._report(), self.region.clock.now(), self.session
-        self.sent_heartbeats = [*self.sent_heartbeats[-40:], body]
+        self.sent_heartbeats = [*self.sent_heartbeats[-KEPT_HEARTBEATS:], body]
         await curio.sleep(HOP_S)
         if self.region.is_frozen(label) or label in self.region.powered_off:
-            await curio.sleep(4.0)
+            await curio.sleep(RESPONSE_TIMEOUT_S)
             return None
         if self.heartbeats_lost or not self.region.can_reach(self, label):
             return None
         status, data = self.region.deliver(body, label)
         await curio.sleep(HOP_S)
         if self.inbound_lost or self.is_frozen or not self.region.can_reach(self, label):
-            await curio.sleep(4.0)
+            await curio.sleep(RESPONSE_TIMEOUT_S)
             return None
         answer = load_object(data)
-        self._tick()
+        self._advance_tasks()
         if status == 200 and session == self.session and answer["warrant"] >= self.token:
             self.token, self.lease_renewed_at = answer["warrant"], sent
             self._apply_orders(answer["orders"])
         return status, answer
 
     def command(self, data: dict[str, Any]) -> tuple[int, bytes]:
-        self._tick()
+        """Take commands at the worker's own address; 409 if token or session are outdated."""
+        self._advance_tasks()
         if data["warrant"] < self.token or data["shift"] != self.session:
             return 409, self._report()
         self.token = data["warrant"]
--- a/tests/stepped_controller.py
+++ b/tests/stepped_controller.py
@@ -1,4 +1,9 @@
-"""One controller, or several, over the stand-ins; stepped by hand under a held clock."""
+"""Controllers over the fake services, stepped by hand under a clock that only the test moves.
+
+`SteppedController` wires a controller as crossmill/app.py does, without sockets. `run_scenario`
+runs
+a test's coroutine with a new state service and clock.
+"""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -45,7 +50,7 @@
 
 
 class InMemoryPeerLink:
-    """The line to a peer's handler; cut, it reaches nobody."""
+    """The link to a peer's handler; a peer that is unreachable fails the connection."""
 
     def __init__(self, nodes: dict[str, "SteppedController"], label: str) -> None:
         self._nodes = nodes
@@ -54,17 +59,20 @@
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
+        """Let the peer handle the request at once."""
         node = self._nodes.get(self._label)
         if node is None or node.is_unreachable:
             raise ConnectionFailedError(self._label)
-        request = Request(method, path, body)
-        asked = path in (peers.ATTESTATION_PATH, peers.CANCELLATION_PATH)
-        response = (node.partition_protocol if asked else node.lease_extensions).handle(request)
+        response = node.handle_peer_request(Request(method, path, body))
         return response.status, response.body
 
 
 class ScriptedWorkerLink:
-    """The line to a worker's own address: what it does with direct commands is scripted."""
+    """The link to a worker's own address; its response to commands is scripted.
+
+    `sent` keeps the decoded bodies. `answer` makes the response, or is the error to raise; without
+    it the connection fails.
+    """
 
     def __init__(self) -> None:
         self.sent: list[dict[str, Any]] = []
@@ -73,6 +81,7 @@
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
+        """Keep the request's body and answer as scripted."""
         data = load_object(body)
         self.sent.append(data)
         if isinstance(self.answer, Exception):
@@ -83,6 +92,11 @@
 
 
 class SteppedController:
+    """A controller whose parts are made as in production and run only as a test steps them.
+
+    `nodes` holds all controllers of the test by label; the new one is added to it.
+    """
+
     def __init__(
         self,
         state: Http,
@@ -101,7 +115,7 @@
         self.mirror = Mirror()
         self.cluster = ClusterState(self.mirror, s)
         self.watcher = StateWatcher(self.client, self.mirror, clock, keys.ROOT, s)
-        # the held clock does not move in it
+        # the clock does not move while it waits
         self.watcher._pause_s = 0.0
         self.writer = Writer(self.client, self.mirror, clock, s, lambda: self.cluster.limits)
         self.controller_lease = ControllerLease(self.client, clock, s)
@@ -176,7 +190,8 @@
         )
 
     async def boot(self, waited: bool = True) -> None:
-        """Started, and long enough ago to take shards that have no owner."""
+        """Start; unless `waited` is False, the time has passed after which it may take unowned
+        shards."""
         if waited:
             self.clock.time += self.settings.lease_extension_grant_s * 1.1
         await curio.spawn(self.writer.run, daemon=True)
@@ -186,15 +201,17 @@
         await self.membership.step()
 
     async def renew_and_sync(self) -> None:
-        """What a running controller does all the time: it renews its lease, and reads."""
+        """Renew the lease and read the state, as a running controller does all the time."""
         await self.controller_lease.step()
         if not self.controller_lease.is_failing:
             await self.watcher.sync(1.0)
 
     async def sync(self) -> None:
+        """Read the state up to now."""
         assert await self.watcher.sync(1.0)
 
     async def round(self, shard: int = 0) -> None:
+        """Run one scheduling round of a shard and wait for all of its writes."""
         ownership = self.membership.active_ownership(shard)
         assert ownership is not None
         await self.scheduling_loop.run_round(shard, ownership)
@@ -203,21 +220,30 @@
             await intent.future.wait()
 
     def token(self, shard: int = 0) -> int:
+        """Return the fencing token under which the controller owns the shard."""
         return self.membership.ownerships[shard].token
 
     def report(
         self, machine: str, session: int, seq: int, token: int, *tasks: Any
     ) -> HeartbeatResponse:
+        """Deliver a worker's heartbeat with status."""
         body = load_object(heartbeat_body(machine, session, seq, token, *tasks))
         report = parse_heartbeat(body, self.heartbeats.read_task_status)
         return self.heartbeats.handle(report)
 
+    def handle_peer_request(self, request: Request) -> Response:
+        """Answer another controller's request, as the listener for peers routes it."""
+        if request.path in (peers.ATTESTATION_PATH, peers.CANCELLATION_PATH):
+            return self.partition_protocol.handle(request)
+        return self.lease_extensions.handle(request)
+
     async def ask(self, method: str, path: str, body: bytes = b"") -> Response:
+        """Send a user's request."""
         return await self.jobs.handle(Request(method, path, body))
 
 
 def seed(state: StateService, clock: FakeClock, machines: int = 2, shard: int = 0) -> None:
-    """A catalog and machines that a leader has rented."""
+    """Store a catalog and machines that a leader has rented."""
     state.put(keys.CATALOG, stored_catalog(parse_catalog(CATALOG)))
     for number in range(machines):
         add_machine(state, clock, f"n-{number}", shard)
@@ -226,6 +252,7 @@
 def add_machine(
     state: StateService, clock: FakeClock, machine: str, shard: int = 0, **changes: Any
 ) -> None:
+    """Store a machine's record."""
     value = {
         "type": "g4",
         "zone": "north",
@@ -240,6 +267,7 @@
 
 
 def add_job(state: StateService, clock: FakeClock, **changes: Any) -> str:
+    """Store an accepted job's record and return the job's id."""
     spec = make_spec(**changes)
     value = load_object(orjson.dumps(encode_job(spec, clock.wall())))
     state.put(keys.job(spec.id), value)
@@ -249,6 +277,7 @@
 def run_scenario(
     scenario: Callable[[StateService, FakeClock, dict[str, SteppedController]], Awaitable[None]],
 ) -> None:
+    """Run a scenario with a new state service, a new clock and no controllers yet."""
     state, clock = StateService(), FakeClock()
     curio.run(scenario, state, clock, {})
 
@@ -259,7 +288,7 @@
 async def start_placed_task(
     state: StateService, clock: FakeClock, nodes: Nodes, **job: object
 ) -> SteppedController:
-    """A node whose machine n-0 runs the job's one task, attempt 1, in session 1."""
+    """Return a controller whose machine n-0 runs the job's one task: attempt 1, session 1."""
     seed(state, clock, machines=1)
     job_id = add_job(state, clock, **{"sacks": 1, **job})
     node = SteppedController(state, clock, nodes)
--- a/tests/test_answer_consistency.py
+++ b/tests/test_answer_consistency.py
@@ -7,7 +7,7 @@
 import pytest
 
 from .fault_injection import (
-    lose_answers,
+    lose_responses,
     submit_single_task_jobs,
     wait_until_all_ended,
 )
@@ -25,7 +25,7 @@
 
     async def scenario(region: Region) -> None:
         await region.begin(machines=3)
-        lose_answers(3, region, 2.0, at_once, 30.0)
+        lose_responses(3, region, 2.0, at_once, 30.0)
         traffic = await curio.spawn(submit_single_task_jobs, region, 24, 0.7)
         if ends:
             await curio.sleep(8.0)
@@ -41,7 +41,7 @@
 
     async def scenario(region: Region) -> None:
         await region.begin(machines=3)
-        lose_answers(4, region, 2.0, True, 60.0)
+        lose_responses(4, region, 2.0, True, 60.0)
         for n in range(9):
             job, label = f"wk-{200000 + n}", region.LABELS[n % 3]
             other = region.LABELS[(n + 1) % 3]
--- a/tests/test_concurrent_cancellations.py
+++ b/tests/test_concurrent_cancellations.py
@@ -7,6 +7,7 @@
     all_but_leases,
     every_request,
 )
+from .simulated_links import TransactionFault
 from .simulated_region import Region, simulate
 
 
@@ -70,11 +71,11 @@
         await curio.sleep(4.0)
         region.can_reach = lambda worker, label: label == "node-0"
 
-        def transaction_fault(label: str, method: str, path: str) -> tuple[float, bool] | None:
+        def transaction_fault(label: str, method: str, path: str) -> TransactionFault | None:
             if (label, path) != ("node-0", "/txn"):
                 return None
             region.isolate("node-0")
-            return 0.0, True
+            return TransactionFault(0.0, True)
 
         region.transaction_fault = transaction_fault
         asking = await curio.spawn(region.cancel, "node-0", "wk-000001")
--- a/tests/test_controller_failovers.py
+++ b/tests/test_controller_failovers.py
@@ -9,7 +9,7 @@
 
 from .fault_injection import (
     cancel_services_and_wait,
-    lose_answers,
+    lose_responses,
     submit_single_task_jobs,
     wait_until_all_ended,
 )
@@ -111,7 +111,7 @@
     async def scenario(region: Region) -> None:
         await region.begin(machines=0)
         await region.run_provisioners()
-        lose_answers(2, region, 2.0, False, 25.0)
+        lose_responses(2, region, 2.0, False, 25.0)
         for n in range(4):
             await region.submit("node-1", f"wk-{800000 + n}", run_s=6.0, sacks=4)
         await region.wait_until(lambda: len(region.workers) > 0, 40.0)
--- a/tests/test_invariant_checker.py
+++ b/tests/test_invariant_checker.py
@@ -1,4 +1,4 @@
-"""The judge of the simulated region condemns a planted breach of each rule."""
+"""The invariant checker reports a planted violation of each rule."""
 
 from collections.abc import Awaitable, Callable
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -17,6 +17,7 @@
 from .builders import make_settings, make_spec, reported_task, settings_table, submission
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
+from .simulated_links import TransactionFault
 from .simulated_region import Region, simulate
 from .stepped_controller import (
     RECORD_BYTES,
@@ -127,11 +128,11 @@
     async def scenario(region: Region) -> None:
         lost: list[str] = []
 
-        def transaction_fault(label: str, method: str, path: str) -> tuple[float, bool] | None:
+        def transaction_fault(label: str, method: str, path: str) -> TransactionFault | None:
             # every controller's first transactions are carried out without an answer
             if path == "/txn" and lost.count(label) < 6:
                 lost.append(label)
-                return 0.0, True
+                return TransactionFault(0.0, True)
             return None
 
         region.transaction_fault = transaction_fault
--- a/tests/test_worker_faults.py
+++ b/tests/test_worker_faults.py
@@ -7,6 +7,7 @@
     cancel_services_and_wait,
     wait_until_all_ended,
 )
+from .simulated_links import TransactionFault
 from .simulated_region import Region, simulate
 
 
@@ -113,7 +114,7 @@
         )
         if mode == "answer lost":
             region.transaction_fault = (
-                lambda label, method, path: (0.5, True) if path == "/txn" else None
+                lambda label, method, path: TransactionFault(0.5, True) if path == "/txn" else None
             )
         region.isolate("node-0")
         region.workers["n-2"].is_frozen = True
--- a/tests/trace_adapter.py
+++ b/tests/trace_adapter.py
@@ -24,7 +24,7 @@
 from . import simulated_region
 from .builders import ZONES
 from .fake_clock import FakeClock
-from .fault_injection import clear_faults, every_request, lose_answers
+from .fault_injection import clear_faults, every_request, lose_responses
 from .multihost_fault_injection import MultihostFaults
 from .recovery_region import recovery_settings
 from .simulated_region import Region
@@ -146,9 +146,9 @@
         """Let the state service refuse one controller."""
         self._region.refused_requests[controller] = every_request
 
-    def lose_answers(self, each: int, carried_out: bool, for_s: float) -> None:
+    def lose_responses(self, each: int, carried_out: bool, for_s: float) -> None:
         """Give no answer to every so manyth transaction, carried out at once or late."""
-        lose_answers(each, self._region, 2.0, carried_out, for_s)
+        lose_responses(each, self._region, 2.0, carried_out, for_s)
 
     def slow_state(self, late_s: float) -> None:
         """Hold up all requests to the state service."""
--- a/tests/trace_faults.py
+++ b/tests/trace_faults.py
@@ -83,11 +83,11 @@
         self.region.heal()
 
     async def _answers_lost(self) -> None:
-        self.region.lose_answers(self.draw.choice([2, 3, 5]), True, 10.0)
+        self.region.lose_responses(self.draw.choice([2, 3, 5]), True, 10.0)
         await curio.sleep(10.0)
 
     async def _transactions_late(self) -> None:
-        self.region.lose_answers(self.draw.choice([2, 3, 5]), False, 10.0)
+        self.region.lose_responses(self.draw.choice([2, 3, 5]), False, 10.0)
         await curio.sleep(10.0)
 
     async def _state_slow(self) -> None:
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -1,5 +1,7 @@
-"""Time that jumps: nothing waits in real time. When every task sleeps, the clock goes on to the
-next that wakes, so a story says the same on every machine.
+"""Runs coroutines under virtual time, so that nothing waits in real time.
+
+When every task sleeps, the clock jumps to the next wake-up; a scenario has the same result on every
+machine.
 """
 
 import logging
@@ -14,35 +16,43 @@
 
 from .fake_clock import FakeClock
 
+LEAST_STEP_S = 1e-7
+
 
 class VirtualTime(selectors.BaseSelector):
-    """What curio's kernel asks for the time and waits with."""
+    """A clock and selector for curio's kernel; waiting moves the clock."""
 
     def __init__(self, clock: FakeClock) -> None:
         self._clock = clock
         self._files: dict[Any, selectors.SelectorKey] = {}
 
     def monotonic(self) -> float:
+        """Return the virtual time in seconds."""
         return self._clock.time
 
     def register(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
+        """Keep the file; it never becomes ready."""
         self._files[fileobj] = selectors.SelectorKey(fileobj, 0, events, data)
         return self._files[fileobj]
 
     def unregister(self, fileobj: Any) -> selectors.SelectorKey:
+        """Drop the file."""
         return self._files.pop(fileobj)
 
     def get_key(self, fileobj: Any) -> selectors.SelectorKey:
+        """Return a registered file's key."""
         return self._files[fileobj]
 
     def get_map(self) -> dict[Any, selectors.SelectorKey]:
+        """Return the registered files' keys."""
         return self._files
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        assert timeout is not None, "every task waits for ever"
+        """Move the clock by the timeout; no file is ever ready."""
+        assert timeout is not None, "every task waits without a timeout"
         # a little even when something is ready: a wait too short for the clock to show it would
         # otherwise never end
-        self._clock.time += max(1e-7, timeout)
+        self._clock.time += max(LEAST_STEP_S, timeout)
         return []
 
 
@@ -50,8 +60,9 @@
 def run_with_freezes(
     part: Coroutine[Any, Any, None], until: Callable[[], float], clock: FakeClock
 ) -> Generator[Any, Any, None]:
-    """Runs a controller's part so that it can stand still between any two awaits: what it waited
-    for has come, its clock runs on, and it goes on only then.
+    """Run a controller's loop so that it can freeze between any two awaits.
+
+    What it waited for arrives and its clock runs on, but it continues only after `until()`.
     """
     step: Callable[[], Any] = lambda: part.send(None)  # noqa: E731
     while True:
@@ -73,20 +84,21 @@
 
 
 class ErrorCollector(logging.Handler):
-    """A part that fails would otherwise only be logged."""
+    """Collects errors that curio only logs, as when a daemon task fails."""
 
     def __init__(self) -> None:
         super().__init__(logging.ERROR)
         self.seen: list[str] = []
 
     def emit(self, record: logging.LogRecord) -> None:
+        """Keep the record's message."""
         self.seen.append(record.getMessage())
 
 
 def run_under_virtual_time(
     clock: FakeClock, scenario: Callable[[], Coroutine[Any, Any, None]]
 ) -> None:
-    """Plays a story whose waits cost no time; parts that fail fail it."""
+    """Run a scenario whose waits cost no real time; an error in any of its tasks fails it."""
     virtual = VirtualTime(clock)
     kernel_time, crashes = curio.kernel.time, ErrorCollector()
     logging.getLogger("curio").addHandler(crashes)
