--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of crossmill, and the modules that support them."""
--- a/tests/behavior_trace.py
+++ b/tests/behavior_trace.py
@@ -1,12 +1,16 @@
-"""Behaviour trace: every message of the controllers of simulated regions, in order and with its
-virtual time, as a digest per scenario, seed and controller. Two commits whose digests agree have
-taken the same decisions in these scenarios.
+"""Shows whether two commits take the same decisions in simulated regions.
+
+Every message of the controllers is kept in order and with its virtual time, as a digest per
+scenario,
+seed and controller. Two commits whose digests agree have taken the same decisions in these
+scenarios.
 
     python -m tests.behavior_trace --check tests/data/behavior_trace.json
     python -m tests.behavior_trace --text DIR
     python -m tests.behavior_trace --difference DIR DIR
 
-Troubles are drawn from the seed. Only tests/trace_adapter.py knows the code under test.
+Faults are drawn from the seed. Only tests/trace_adapter.py, trace_messages.py and
+trace_determinism.py know the code under test.
 """
 
 import argparse
--- a/tests/fake_state_service.py
+++ b/tests/fake_state_service.py
@@ -87,37 +87,43 @@
             raise ConnectionFailedError(path)
         if self.down:
             return 503, b"{}"
-        status, answer = self._serve(method, parts.path, parse_qs(parts.query), body)
+        status, answer = self._serve(parts.path, parse_qs(parts.query), body)
         if action == "lose":
             raise NoResponseError(path)
         return status, orjson.dumps(answer)
 
     def _serve(
-        self, method: str, path: str, query: dict[str, list[str]], body: bytes
+        self, path: str, query: dict[str, list[str]], body: bytes
     ) -> tuple[int, dict[str, Any]]:
-        data = orjson.loads(body) if body else {}
         if path == "/txn":
-            return self._txn(data)
+            return self._commit(orjson.loads(body))
+        if path.startswith("/holds"):
+            return self._serve_lease(path)
+        if path == "/changes":
+            return self._list_changes(int(query["after"][0]), query["prefix"][0])
+        if path == "/keys":
+            return self._page(query["prefix"][0], query.get("after", [""])[0])
+        return self._read(path.removeprefix("/keys/"))
+
+    def _serve_lease(self, path: str) -> tuple[int, dict[str, Any]]:
         if path == "/holds":
             lease = len(self.calls)
             self.leases.add(lease)
             return 200, {"tenure": lease}
-        if path.startswith("/holds/"):
-            lease = int(path.split("/")[2])
-            return (200 if lease in self.leases else 404), {"tenure": lease}
-        if path == "/changes":
-            after, prefix = int(query["after"][0]), query["prefix"][0]
-            if after < self._compacted:
-                return 410, {}
-            log = [
-                {"delete": k, "stamp": r} if v is None else {"write": k, "data": v, "stamp": r}
-                for r, k, v in self.changes
-                if r > after and k.startswith(prefix)
-            ]
-            return 200, {"ledgerRev": self.revision, "log": log}
-        if path == "/keys":
-            return self._page(query["prefix"][0], query.get("after", [""])[0])
-        key = path.removeprefix("/keys/")
+        lease = int(path.split("/")[2])
+        return (200 if lease in self.leases else 404), {"tenure": lease}
+
+    def _list_changes(self, after: int, prefix: str) -> tuple[int, dict[str, Any]]:
+        if after < self._compacted:
+            return 410, {}
+        log = [
+            {"delete": k, "stamp": r} if v is None else {"write": k, "data": v, "stamp": r}
+            for r, k, v in self.changes
+            if r > after and k.startswith(prefix)
+        ]
+        return 200, {"ledgerRev": self.revision, "log": log}
+
+    def _read(self, key: str) -> tuple[int, dict[str, Any]]:
         if key not in self.keys:
             return 404, {"ledgerRev": self.revision}
         value, version, _ = self.keys[key]
@@ -144,7 +150,7 @@
             or any(len(value) > self.limits.value_bytes for value in values)
         )
 
-    def _txn(self, data: dict[str, Any]) -> tuple[int, dict[str, Any]]:
+    def _commit(self, data: dict[str, Any]) -> tuple[int, dict[str, Any]]:
         for change in data["apply"]:
             if change.get("tenure") is not None and change["tenure"] not in self.leases:
                 return 400, {"error": "no such lease"}
--- a/tests/invariant_checker.py
+++ b/tests/invariant_checker.py
@@ -4,6 +4,8 @@
 goes through it. tests/test_invariant_checker.py plants a violation of each rule.
 """
 
+from collections import Counter
+from collections.abc import Iterator
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
@@ -100,32 +102,38 @@
                 self.report_violation(f"orphaned {job}: {stage}, {before} is cancelled")
 
     def check(self) -> None:
-        now, region = self._region.clock.now(), self._region
-        used: dict[str, float] = {}
-        for worker in region.workers.values():
-            if worker.is_terminated or worker.lease_renewed_at + region.worker_lease_s < now:
-                continue
+        """Check the tasks on all workers and the teams' quotas."""
+        gpus_used: Counter[str] = Counter()
+        for worker in self._live_workers():
             for (job, index), task in worker.tasks.items():
                 facts = self.jobs[job]
-                if task.state == "exited":
-                    if task.cause == "done":
-                        facts.finished.add(index)
-                    continue
-                team = facts.spec["crew"]
-                used[team] = used.get(team, 0.0) + facts.spec["cards"]
-                over = (
-                    facts.cancelled is not None
-                    and now - facts.cancelled > region.cancellation_deadline_s
-                )
-                if over:
-                    self.report_violation(f"ran_cancelled {job}/{index} {worker.machine}")
-                if facts.spec["yard"] not in (None, worker.zone):
-                    self.report_violation(f"wrong_place {job}/{index} {worker.machine}")
+                if task.state != "exited":
+                    gpus_used[facts.spec["crew"]] += facts.spec["cards"]
+                    self._check_running(facts, f"{job}/{index}", worker)
+                elif task.cause == "done":
+                    facts.finished.add(index)
         self._check_unplanned()
-        for node in region.nodes.values():
+        self._check_quotas(gpus_used)
+
+    def _live_workers(self) -> Iterator[Worker]:
+        """Iterate over the workers that have a lease and so may run tasks."""
+        region, now = self._region, self._region.clock.now()
+        for worker in region.workers.values():
+            if not worker.is_terminated and worker.lease_renewed_at + region.worker_lease_s >= now:
+                yield worker
+
+    def _check_running(self, facts: JobFacts, task: str, worker: Worker) -> None:
+        now, deadline_s = self._region.clock.now(), self._region.cancellation_deadline_s
+        if facts.cancelled is not None and now - facts.cancelled > deadline_s:
+            self.report_violation(f"ran_cancelled {task} {worker.machine}")
+        if facts.spec["yard"] not in (None, worker.zone):
+            self.report_violation(f"wrong_place {task} {worker.machine}")
+
+    def _check_quotas(self, gpus_used: Counter[str]) -> None:
+        for node in self._region.nodes.values():
             for team in node.settings.teams:
-                if 0 < team.gpus_max < used.get(team.name, 0.0):
-                    self.report_violation(f"quota {team.name} {used[team.name]}")
+                if 0 < team.gpus_max < gpus_used[team.name]:
+                    self.report_violation(f"quota {team.name} {gpus_used[team.name]}")
 
     def _planned(self) -> set[tuple[str, int, int, str]]:
         """Return job, task, attempt and machine of every durable planned attempt."""
@@ -138,14 +146,11 @@
 
     def _check_unplanned(self) -> None:
         """Check that every task that runs is in a durable plan; no controller knows of others."""
-        region, now = self._region, self._region.clock.now()
         planned = self._planned()
-        for worker in region.workers.values():
-            if worker.is_terminated or worker.lease_renewed_at + region.worker_lease_s < now:
-                continue
+        for worker in self._live_workers():
             for (job, index), task in worker.tasks.items():
-                row = (job, index, task.attempt, worker.machine)
-                if task.state != "exited" and row not in planned:
+                attempt = (job, index, task.attempt, worker.machine)
+                if task.state != "exited" and attempt not in planned:
                     self.report_violation(f"orphaned {job}/{index} {worker.machine}: in no plan")
 
     def check_response(self, job: str, response: Response, asked_at: float) -> None:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -57,7 +57,8 @@
             self.end_headers()
             self.wfile.write(data)
 
-        do_GET = do_POST = do_DELETE = _answer
+        # the names that http.server looks for
+        do_GET = do_POST = do_DELETE = _answer  # noqa: N815
 
         def log_message(self, format: str, *args: object) -> None:
             """Nothing is logged."""
--- a/tests/profile_controller.py
+++ b/tests/profile_controller.py
@@ -1,6 +1,7 @@
 """Where a controller's processor time and memory go: `python -m tests.profile_controller`.
 
-One whole controller over the stand-ins, at the size given, by phases: the start's reading, reports,
+One whole controller over the fake services, at the size given, by phases: the start's reading,
+reports,
 rounds without news, a burst of jobs, and HTTP over loopback. Prints the processor time of each
 phase by part of the program, its dearest functions, and the memory held after the start by file.
 Not a part of the test command's verdict: times differ from machine to machine.
@@ -16,7 +17,7 @@
 from pathlib import Path
 
 import curio
-import curio.socket as socket
+from curio import socket
 
 from crossmill.net.server import Request, Response, Server
 from crossmill.settings import Endpoint
--- a/tests/simulated_region.py
+++ b/tests/simulated_region.py
@@ -1,5 +1,4 @@
-"""A small region under virtual time: several controllers with their real loops, and all around
-them.
+"""Runs several controllers with their real loops in a region under virtual time.
 
 The state service, the cloud, workers and users are simulated (tests/fake_*.py,
 tests/simulated_*.py).
@@ -210,8 +209,7 @@
         await self.start(label)
 
     def isolate(self, label: str) -> None:
-        """Cut a controller from the state service and its peers; workers and users still reach
-        it."""
+        """Cut a controller from the state service and its peers, but not from workers and users."""
         self.cut_from_state.add(label)
         self.cut_from_peers.add(label)
 
--- a/tests/simulated_worker.py
+++ b/tests/simulated_worker.py
@@ -1,5 +1,4 @@
-"""A worker as PROTOCOL describes it, under virtual time, and the link on which controllers reach
-it.
+"""Simulates a worker as PROTOCOL describes it, and the link on which controllers reach it.
 
 A worker belongs to a `Region`, sends heartbeats to its controllers, and follows their commands.
 """
--- a/tests/stepped_controller.py
+++ b/tests/stepped_controller.py
@@ -97,7 +97,7 @@
     `nodes` holds all controllers of the test by label; the new one is added to it.
     """
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 - each is what some test replaces
         self,
         state: Http,
         clock: FakeClock,
@@ -190,8 +190,10 @@
         )
 
     async def boot(self, waited: bool = True) -> None:
-        """Start; unless `waited` is False, the time has passed after which it may take unowned
-        shards."""
+        """Start the controller.
+
+        Unless `waited` is False, the time has passed after which it may take shards without owner.
+        """
         if waited:
             self.clock.time += self.settings.lease_extension_grant_s * 1.1
         await curio.spawn(self.writer.run, daemon=True)
--- a/tests/test_answer_consistency.py
+++ b/tests/test_answer_consistency.py
@@ -19,8 +19,10 @@
 def test_lost_transaction_responses_during_cancellations_and_a_restart(
     at_once: bool, ends: bool
 ) -> None:
-    """Every third transaction gets no answer, is carried out at once or seconds late, while
-    users cancel and, in one variant, the owner's process is replaced.
+    """Responses to every third transaction are lost while users cancel jobs.
+
+    The transactions are executed at once or seconds late; in one variant the owner's process is
+    replaced.
     """
 
     async def scenario(region: Region) -> None:
@@ -37,7 +39,7 @@
 
 
 def test_no_controller_answers_older_state_right_after_a_change() -> None:
-    """Right after something was told, no controller says anything older."""
+    """No controller answers with state that is older than what any has told."""
 
     async def scenario(region: Region) -> None:
         await region.begin(machines=3)
@@ -67,8 +69,9 @@
 
 
 def test_a_slow_response_to_a_submission_includes_a_later_cancellation() -> None:
-    """The job was durable, seen and cancelled elsewhere while the answer was held up: `queued`
-    after `withdrawn`.
+    """A response said `queued` after others had said `withdrawn`.
+
+    The job was durable, read and cancelled elsewhere while the response was delayed.
     """
 
     async def scenario(region: Region) -> None:
@@ -84,7 +87,7 @@
 
 
 def test_invalid_jobs_are_never_accepted_and_repeats_are_not_refused() -> None:
-    """Under trouble too; and a repeat of an accepted job gets neither 400 nor 422."""
+    """In an outage too; and the repeat of an accepted job gets neither 400 nor 422."""
 
     async def scenario(region: Region) -> None:
         await region.begin(machines=1)
--- a/tests/test_attempt_end_proofs.py
+++ b/tests/test_attempt_end_proofs.py
@@ -133,8 +133,11 @@
 
 
 def test_a_session_known_from_command_responses_alone_has_its_own_lease() -> None:
-    """A worker whose reports go astray begins a new session; what was placed there was counted
-    as over from our last answer, long before, and began elsewhere while it ran.
+    """Attempts that still ran were taken for ended and started elsewhere.
+
+    A worker whose heartbeats are lost begins a new session; the lease of what was placed there was
+    counted
+    from the last heartbeat that was answered, long before.
     """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
--- a/tests/test_command_delivery.py
+++ b/tests/test_command_delivery.py
@@ -51,7 +51,7 @@
         await node.round()
         await curio.sleep(0.01)
         assert node.worker.sent[0]["orders"][0]["verb"] == "start"
-        # withdrawn, and a newer report shows it absent: the start may still come
+        # cancelled, and a newer heartbeat does not list it: the start may still arrive
         version = state.keys[keys.job(job)]
         state.put(keys.job(job), {**version[0], "end": "cancelled"})
         await node.sync()
@@ -116,8 +116,9 @@
 
 
 def test_a_command_response_without_the_task_does_not_prove_that_it_will_not_start() -> None:
-    """The start may be in the answer to the last report, still on its way: the row went, and the
-    task was free to be placed elsewhere while it began here.
+    """A task that was taken for not started began while it was placed elsewhere.
+
+    The start may be in the response to the last heartbeat, which has not arrived yet.
     """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
@@ -141,8 +142,11 @@
 
 
 def test_an_attempt_found_not_started_is_never_started() -> None:
-    """The plan's write was known from the watch before its answer: a report without the task
-    showed it over on a machine to be returned, and then the answer brought a direct start.
+    """A task was started by command after its attempt had been found not started.
+
+    The watch showed the plan before its write was answered: a heartbeat without the task ended the
+    attempt
+    on a machine to be released, and then the write's answer brought the command.
     """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
--- a/tests/test_concurrent_cancellations.py
+++ b/tests/test_concurrent_cancellations.py
@@ -14,8 +14,10 @@
 async def _cancel_in_outage_after_refusal(
     region: Region, refused: str, refuses: object, alone_s: float
 ) -> None:
-    """node-0 is refused alone; another controller confirms a cancellation; then all are refused
-    for longer than cancel_s, while the worker goes on reporting to node-0.
+    """Confirm a cancellation elsewhere while one controller is refused, then refuse all.
+
+    The outage lasts longer than cancel_s, and the worker goes on reporting to the refused
+    controller.
     """
     await region.wait_until(lambda: len(region.workers_running("wk-000001")) > 0)
     before = region.clock.now()
@@ -32,27 +34,29 @@
     await curio.sleep(region.cancellation_deadline_s * 1.4)
     region.state.down = False
     await curio.sleep(10.0)
-    assert confirmed, "the story is about a cancellation that was confirmed"
+    assert confirmed, "the cancellation was not confirmed"
     assert not region.workers_running("wk-000001")
 
 
 @pytest.mark.parametrize("refuses", [every_request, all_but_leases, "flapping"])
 @pytest.mark.parametrize("alone_s", [1.5, 8.0, 14.0, 36.0])
-@pytest.mark.parametrize("peers", ["together", "apart"])
+@pytest.mark.parametrize("peers", ["reachable", "unreachable"])
 def test_a_cancellation_in_an_outage_after_a_refusal_of_one_controller(
     refuses: object, alone_s: float, peers: str
 ) -> None:
-    """A controller that is refused alone knows of no cancellation that others confirm, and what
-    it keeps alive must end in time all the same. On its lease alone it went on for ever where
+    """A controller that is refused alone still ends cancelled tasks in time.
+
+    It knows of no cancellation that others confirm. On its lease alone it kept the tasks for ever
+    where
     renewals succeeded and reads did not.
     """
 
     async def scenario(region: Region) -> None:
-        # apart from the others it could not be told as its zone's deputy, and the user would wait
-        await region.begin(machines=2, zone="south" if peers == "apart" else "north")
+        # as the zone's only controller it would have to be told, and the cancellation would wait
+        await region.begin(machines=2, zone="south" if peers == "unreachable" else "north")
         await region.submit("node-1", "wk-000001", sacks=2)
         await region.wait_until(lambda: len(region.workers_running("wk-000001")) > 0)
-        if peers == "apart":
+        if peers == "unreachable":
             region.cut_from_peers.add("node-0")
         await _cancel_in_outage_after_refusal(region, "node-0", refuses, alone_s)
 
@@ -60,8 +64,9 @@
 
 
 def test_an_isolated_controller_ends_the_job_whose_cancellation_it_requested() -> None:
-    """The only controller of a zone asks that a job be cancelled and never hears that it was;
-    cut off with its zone it would have kept the job's tasks for three leases.
+    """A zone's only controller requests a cancellation and never reads that it was made.
+
+    Cut off with its zone it would have kept the job's tasks alive for three leases.
     """
 
     async def scenario(region: Region) -> None:
@@ -109,8 +114,9 @@
 
 
 def test_a_team_at_its_limit_waits_for_proof_that_cancelled_tasks_ended() -> None:
-    """Every machine of the team hangs or can't be reached, its jobs are cancelled and the owner
-    ends: what comes next waits until the old tasks are proved over.
+    """New tasks of a team at its limit wait until its cancelled tasks are proved ended.
+
+    Machines of the team are frozen or unreachable, its jobs are cancelled, and the owner ends.
     """
 
     async def scenario(region: Region) -> None:
@@ -136,7 +142,7 @@
 
 
 def test_jobs_are_cancelled_during_failovers() -> None:
-    """Taken over, handed back, given up: some job is cancelled every quarter of a second."""
+    """A job is cancelled every quarter of a second while shards change owner."""
 
     async def scenario(region: Region) -> None:
         await region.begin(machines=4)
@@ -164,7 +170,7 @@
 
 
 def test_an_isolated_leader_answers_nothing_stale_while_others_cancel() -> None:
-    """Workers and users still reach it: it answers nothing old, and keeps nothing too long."""
+    """Workers and users still reach the leader; it answers nothing stale and ends tasks in time."""
 
     async def scenario(region: Region) -> None:
         await region.begin(machines=2)
@@ -185,7 +191,7 @@
 
 
 def test_cancellations_during_slow_responses_a_refusal_and_an_outage() -> None:
-    """Users cancel and ask while the state service is slow, refuses the owner, and is out."""
+    """Users cancel and read jobs while the state service is slow, refuses one, and is down."""
 
     async def scenario(region: Region) -> None:
         await region.begin(machines=3)
--- a/tests/test_controller_failovers.py
+++ b/tests/test_controller_failovers.py
@@ -17,7 +17,7 @@
 
 
 def test_jobs_run_and_are_cancelled_without_faults() -> None:
-    """What all other stories here begin with; it also shows that the judge sees tasks run."""
+    """Jobs run and end without faults; this also shows that the checker sees tasks run."""
 
     async def scenario(region: Region) -> None:
         await region.begin(machines=2)
@@ -72,7 +72,7 @@
 
 
 def test_no_task_runs_again_after_failovers_between_its_jobs_tasks() -> None:
-    """One after the other on one machine, an owner's end between each and the next."""
+    """The tasks run one after the other on one machine, with a failover between each two."""
 
     async def scenario(region: Region) -> None:
         await region.begin(machines=1)
@@ -88,7 +88,7 @@
 
 
 def test_a_stream_of_single_task_jobs_leaves_nothing_behind() -> None:
-    """Nothing grows with them for good, none starves, none is forgotten."""
+    """No state is left of them, and none is forgotten."""
 
     async def scenario(region: Region) -> None:
         await region.begin(machines=8)
@@ -104,8 +104,9 @@
 
 
 def test_machines_that_come_up_before_their_records_are_written() -> None:
-    """Rented and up within two seconds, before their records: workers without a record, records
-    written late, and the next leader renting again.
+    """Machines are rented and up within two seconds, before their records are written.
+
+    Workers without a record report, records are written late, and the next leader rents again.
     """
 
     async def scenario(region: Region) -> None:
--- a/tests/test_controller_outages.py
+++ b/tests/test_controller_outages.py
@@ -1,5 +1,8 @@
-"""What the operators' on-call people met: controllers that stand still and go on with clocks that
-ran, all but one gone for a minute, machines that come up late or never, broken jobs, guests.
+"""Incidents that operators reported, replayed in a simulated region.
+
+Controllers freeze and resume, all but one end for a minute, machines come up late or never, jobs
+fail
+on every machine, and many small jobs arrive at once.
 """
 
 import random
@@ -33,7 +36,7 @@
 
 
 def _freeze(freeze_s: float, seed_s: float) -> Callable[[Region], Awaitable[None]]:
-    """The owner of a shard stands still; its jobs are cancelled meanwhile through another."""
+    """Return a scenario in which an owner freezes while its jobs are cancelled through another."""
 
     async def scenario(region: Region) -> None:
         await _begin(region)
@@ -105,8 +108,9 @@
 
 
 def test_simultaneous_status_requests_share_reads() -> None:
-    """Eight questions a second for each of fifty jobs: those that come together share a read, and
-    workers are answered and work begins meanwhile.
+    """Status requests that come together share one read of the state service.
+
+    Eight requests a second for each of fifty jobs; workers are answered and work begins meanwhile.
     """
 
     async def scenario(region: Region) -> None:
@@ -185,7 +189,7 @@
 
 
 def test_jobs_that_fail_on_three_machines_make_none_of_them_faulty() -> None:
-    """Several broken jobs begin on the same machine: until they fail elsewhere it looks faulty."""
+    """Until the jobs fail elsewhere too, the machine on which they began looks faulty."""
     settings, clock = make_settings(), FakeClock()
     failures = TaskFailures(settings, clock, ClusterState(Mirror(), settings))
     jobs = [Job(f"wk-{n:06d}", spec=make_spec(nameId=f"wk-{n:06d}")) for n in range(2)]
@@ -226,9 +230,7 @@
 @pytest.mark.parametrize("step", ["rent", "release"])
 @pytest.mark.parametrize("stands_still", [False, True])
 def test_a_leader_neither_rents_nor_releases_after_a_freeze(step: str, stands_still: bool) -> None:
-    """It stands still while it waits for the cloud's pace, between its look at its right to lead
-    and the request.
-    """
+    """The leader freezes between its check of the leadership and the request to the cloud."""
 
     async def scenario(
         state: StateService, clock: FakeClock, nodes: dict[str, SteppedController]
@@ -252,7 +254,7 @@
 
 
 def _agrees(region: Region, worker: Worker) -> bool:
-    """Whether some controller acts for the machine and believes what is on it."""
+    """Whether some controller acts for the worker and has a correct view of its tasks."""
     for node in region.nodes.values():
         machine = node.cluster.machines.get(worker.machine)
         if machine is None or node.membership.active_ownership(machine.shard) is None:
@@ -265,8 +267,9 @@
 
 @pytest.mark.parametrize("seed_number", range(900, 908))
 def test_views_agree_soon_after_random_freezes(seed_number: int) -> None:
-    """Controllers stand still at drawn moments, in the middle of whatever each of their loops waits
-    for, while jobs come, end and are cancelled; the judge looks on.
+    """After random freezes some controller soon has a correct view of each worker.
+
+    The controllers freeze at any await of their loops, while jobs arrive, end and are cancelled.
     """
     rng = random.Random(seed_number)
 
--- a/tests/test_job_api.py
+++ b/tests/test_job_api.py
@@ -16,7 +16,7 @@
         job = add_job(state, clock)
         node = SteppedController(state, clock, nodes)
         await node.boot()
-        # told elsewhere to be withdrawn; this mirror lags
+        # cancelled at another controller; this mirror lags
         state.put(keys.job(job), {**state.keys[keys.job(job)][0], "end": "cancelled"})
         answer = await node.ask("GET", f"/v1/jobs/{job}")
         assert orjson.loads(answer.body)["stage"] == "withdrawn"
--- a/tests/test_lease_extensions.py
+++ b/tests/test_lease_extensions.py
@@ -34,7 +34,7 @@
 
 
 def test_a_controller_that_is_refused_alone_lets_its_extensions_expire() -> None:
-    """It went on asking, so that no peer took its shards, and its workers' leases ended."""
+    """It went on asking for extensions, so no peer took its shards and worker leases expired."""
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
@@ -115,7 +115,7 @@
         lease = first.controller_lease.lease_id
         assert lease is not None
         state.end_lease(lease)
-        # node-0 acts on promises while its key is gone; node-1 has just started anew
+        # node-0 acts on lease extensions while its key is gone; node-1 has just restarted
         other = SteppedController(state, clock, nodes, "node-1")
         first.is_unreachable = True
         await other.boot(waited=False)
--- a/tests/test_machine_transfer.py
+++ b/tests/test_machine_transfer.py
@@ -158,9 +158,19 @@
     run_scenario(scenario)
 
 
+async def _step_all(clock: FakeClock, *controllers: SteppedController) -> None:
+    """Let a quarter of a second pass for controllers that run."""
+    clock.time += 0.25
+    for controller in controllers:
+        await controller.controller_lease.step()
+        await controller.sync()
+        await controller.membership.step()
+
+
 def test_a_controller_without_heartbeats_releases_its_shards() -> None:
-    """A cut between a controller and all workers cost 90 tasks: it kept its shards, and every
-    peer sent the workers back to it until their leases ended.
+    """Ninety tasks were lost when no worker reached the owner of their shard.
+
+    It kept its shards, and every peer redirected the workers to it until their leases expired.
     """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
@@ -171,14 +181,9 @@
         )
         await node.boot()
         await other.boot(waited=False)
-        s = node.settings
-        given = 0.0
+        released_at = 0.0
         for tick in range(1, 200):
-            clock.time += 0.25
-            for each in (node, other):
-                await each.controller_lease.step()
-                await each.sync()
-                await each.membership.step()
+            await _step_all(clock, node, other)
             if tick < 40:
                 token = node.token() if 0 in node.membership.ownerships else 0
                 for number in range(4):
@@ -186,20 +191,16 @@
             if tick < 40:
                 assert 0 in node.membership.ownerships
                 silent_at = clock.time
-            elif 0 not in node.membership.ownerships and not given:
-                given = clock.time
-                assert given - silent_at < 2 * s.heartbeat_interval_s + 1
-            if given and clock.time > given + 1.0:
+            elif 0 not in node.membership.ownerships and not released_at:
+                released_at = clock.time
+                assert released_at - silent_at < 2 * node.settings.heartbeat_interval_s + 1
+            if released_at and clock.time > released_at + 1.0:
                 assert state.keys[keys.shard(0)][0]["owner"] == "node-1"
                 break
-        assert given
-        # heard again, it is as good as any other, and gets its own back in time
+        assert released_at
+        # once heartbeats arrive again it gets its own shard back in time
         for tick in range(200, 300):
-            clock.time += 0.25
-            for each in (node, other):
-                await each.controller_lease.step()
-                await each.sync()
-                await each.membership.step()
+            await _step_all(clock, node, other)
             node.report("n-0", 1, tick, 1)
             other.report("n-0", 1, tick, 1)
         assert 0 in node.membership.ownerships
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -17,9 +17,7 @@
 
 @pytest.mark.parametrize("seed_number", [0, 1, 131, 148, 177, 2060])
 def test_random_faults_break_no_rule(seed_number: int) -> None:
-    """Whatever meets whatever: the lots are drawn from a fixed seed, so each story is the same
-    on every machine.
-    """
+    """Faults are drawn from a fixed seed, so each scenario is the same on every machine."""
 
     async def scenario(region: Region) -> None:
         rng = random.Random(seed_number)
@@ -39,8 +37,9 @@
 
 @pytest.mark.parametrize("seed_number", range(4))
 def test_random_faults_with_services_at_the_teams_limit(seed_number: int) -> None:
-    """A team at its limit, work that makes room for other work, bursts of cancellations, zones
-    cut off and all controllers ended: drawn from a fixed seed as above.
+    """Services at a team's limit, preemption and bursts of cancellations meet random faults.
+
+    Zones are cut off and all controllers end, as drawn from a fixed seed.
     """
 
     async def scenario(region: Region) -> None:
--- a/tests/test_random_faults_at_limits.py
+++ b/tests/test_random_faults_at_limits.py
@@ -1,6 +1,8 @@
-"""Randomised scenarios that have what only size brings: readings of many pages, changes that are
-no longer kept, jobs archived soon after their end, controllers that stand still, many owners in a
-row; with pipelines and cancellations. The limits are made small instead of the numbers large.
+"""Randomised scenarios with small limits, which have the effects of a large fleet.
+
+Reads take many pages, changes are no longer kept, jobs are archived soon after their end,
+controllers
+freeze, and shards change owner often; there are pipelines and cancellations too.
 """
 
 import random
@@ -25,7 +27,7 @@
 
 
 async def _answered(region: Region, rng: random.Random, job: str, cancel: bool) -> None:
-    """A user, who asks one controller after another until answered."""
+    """Send a user's request to one controller after another until it is confirmed."""
     facts = region.checker.jobs[job]
     for _ in range(PATIENCE):
         labels = list(region.nodes)
@@ -80,7 +82,7 @@
 
 
 async def _inject_fault(region: Region, rng: random.Random) -> None:
-    """One trouble that takes a controller out of what the others do, or any other."""
+    """Inject a fault that keeps a controller from seeing changes, or any other fault."""
     label = rng.choice(region.LABELS)
     kind = rng.choice(["unseen", "still", "compact", "lost", "other", "other"])
     if kind == "unseen":
@@ -100,7 +102,7 @@
 
 
 async def _check_all_ended(region: Region) -> None:
-    """Every accepted job comes to its end, and every controller says so."""
+    """Wait until every accepted job has ended and every controller says so."""
     for job in [job for job in region.checker.jobs if region.is_accepted(job)]:
         for label in list(region.nodes):
             for _ in range(PATIENCE):
@@ -114,7 +116,7 @@
 
 
 def run_random_scenario(seed_number: int, monkeypatch: pytest.MonkeyPatch) -> Region:
-    """The scenario drawn from the seed."""
+    """Run the scenario that the seed draws."""
     monkeypatch.setattr(Settings, "max_ended_jobs", ENDED_KEPT)
     state = StateService(KEPT_CHANGES)
     state.page_items = PAGE_ITEMS
@@ -146,5 +148,5 @@
 
 @pytest.mark.parametrize("seed_number", [0, 1, 2, 3])
 def test_random_faults_with_small_limits(seed_number: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """No rule is broken, no task runs that no plan holds, and every job comes to its end."""
+    """No rule is violated, no task runs without a planned attempt, and every job ends."""
     run_random_scenario(seed_number, monkeypatch)
--- a/tests/test_recovery_service.py
+++ b/tests/test_recovery_service.py
@@ -58,7 +58,8 @@
     script = """
 import sys
 import crossmill.cli, crossmill.app
-from tests.fake_services import FakeClock, make_settings
+from tests.builders import make_settings
+from tests.fake_clock import FakeClock
 app = crossmill.app.App(make_settings(), FakeClock())
 assert app.heartbeats.gate is None
 print(*(name for name in sys.modules if "recovery" in name))
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""A thousand machines and several thousand tasks: what is done is counted, never timed."""
+"""Work of a controller with a thousand machines is counted, never timed."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -65,8 +65,9 @@
 def test_a_round_checks_each_machines_free_capacity_once_for_similar_jobs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Asked for each waiting job, the rooms took a fifth of a controller's time and the team's
-    earlier jobs two fifths.
+    """Free capacity is not compared with each waiting job by itself.
+
+    That took a fifth of a controller's time, and the team's earlier jobs two fifths.
     """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
@@ -225,7 +226,8 @@
 def test_a_round_recomputes_free_capacity_only_for_changed_machines(
     machines: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # guards against rooms of the whole fleet in each round: a quarter of the rounds' time
+    # guards against recomputing the whole fleet's free capacity in each round: a quarter of its
+    # time
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         full_fleet(state, clock, machines)
         add_job(state, clock, nameId="wk-900000", grist="batch")
--- a/tests/test_start_compiles_nothing.py
+++ b/tests/test_start_compiles_nothing.py
@@ -1,5 +1,6 @@
-"""A controller that is started as deploy/service.toml says compiles nothing from source: on a
-small share of a processor that takes longer than all else of a start.
+"""A controller that is started as deploy/service.toml says compiles nothing from source.
+
+On a small share of a processor, compiling takes longer than all else of a start.
 """
 
 import os
@@ -140,9 +141,7 @@
 
 
 class Served(NamedTuple):
-    """What a controller compiled from its start to its first answers, and what a client verb
-    printed that was sent to its peers' address then.
-    """
+    """The files that a controller compiled until its first answers, and a client verb's output."""
 
     compiled: list[str]
     shown: str
--- a/tests/test_unanswered_requests.py
+++ b/tests/test_unanswered_requests.py
@@ -33,8 +33,9 @@
 
 
 def test_later_writes_of_others_are_known_once_an_unanswered_write_is_resolved() -> None:
-    """Whoever gave a machine away believed for a while longer that it was its own, and would
-    have answered its worker: the new owner's record was read and not kept.
+    """The former owner of a transferred machine answered its worker for a while.
+
+    The new owner's record was read while the transfer's write was unresolved, and was not kept.
     """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
--- a/tests/test_worker_faults.py
+++ b/tests/test_worker_faults.py
@@ -12,7 +12,7 @@
 
 
 def test_repeated_old_heartbeats_during_a_failover_are_harmless() -> None:
-    """Copies from before, from an earlier session too, with the highest token ever seen."""
+    """Copies of old heartbeats, from an earlier session too, arrive with the highest token seen."""
 
     async def scenario(region: Region) -> None:
         await region.begin(machines=2)
@@ -39,8 +39,9 @@
 
 @pytest.mark.parametrize("fault", ["inbound_lost", "heartbeats_lost", "is_frozen"])
 def test_jobs_move_away_from_a_worker_with_lost_messages(fault: str) -> None:
-    """A machine in trouble keeps no job waiting that another could take, and what was cancelled
-    on it meanwhile is over in time.
+    """Jobs that another machine could run do not wait for a faulty one.
+
+    What was cancelled on the faulty machine meanwhile ends in time.
     """
 
     async def scenario(region: Region) -> None:
@@ -67,8 +68,9 @@
 def test_a_delayed_start_command_is_harmless_after_the_machine_resumes(
     hang_s: float, cancelled: bool
 ) -> None:
-    """A direct start reaches a machine that hangs; it is carried out when the machine goes on,
-    after the job was cancelled, or its owner replaced, or the task given up.
+    """A frozen machine carries out a start command when it resumes.
+
+    By then the job was cancelled, or its owner replaced, or the attempt ended.
     """
 
     async def scenario(region: Region) -> None:
@@ -97,7 +99,7 @@
 
 @pytest.mark.parametrize("mode", ["cancel", "answer lost"])
 def test_a_zone_partition_that_outlasts_the_worker_lease(mode: str) -> None:
-    """Jobs bound to the zone, arrays too, lose machines at the same time."""
+    """Jobs bound to the zone lose machines at the same time."""
 
     async def scenario(region: Region) -> None:
         await region.begin(machines=3)
--- a/tests/trace_adapter.py
+++ b/tests/trace_adapter.py
@@ -1,8 +1,8 @@
-"""Adapter between the behaviour trace and the code under test. It is the only module of the trace
-that names classes of crossmill or of the simulated region, so a refactoring edits this file alone.
+"""Gives the behaviour trace's scenarios a region, whatever the code under test is named.
 
-Messages are recorded where they are bytes of the protocol: at the links on which a controller
-sends requests, and at the handlers that answer requests to it.
+A refactoring edits this module, trace_messages.py and trace_determinism.py; the rest of the trace
+names
+no class of crossmill or of the simulated region.
 """
 
 from collections import Counter
@@ -248,7 +248,7 @@
         return Counter(order[2]["verb"] for worker in workers for order in worker.orders)
 
     def violations(self) -> list[str]:
-        """What the region's judge found fault with."""
+        """Return the violations that the region's invariant checker reported."""
         return list(self._region.checker.violations)
 
 
@@ -258,7 +258,7 @@
     _region: RecordedMultihostRegion
 
     async def begin_pool(self, seed: int) -> dict[str, Callable[[], Awaitable[None]]]:
-        """Start a drawn pool with replica sets; the troubles that end by themselves, by name."""
+        """Start a random pool with replica sets; return the faults that end by themselves."""
         self._faults = faults = MultihostFaults(self._region, seed)
         await faults.begin()
         return {
@@ -312,7 +312,7 @@
                 agent.heartbeats_lost = is_lost
 
     async def mend(self) -> None:
-        """End the troubles; machines that died are back."""
+        """End the faults and revive machines that died."""
         await self._faults.mend()
 
     def generations(self) -> int:
@@ -365,7 +365,7 @@
     counts: Counter[str],
     scenario: Callable[[SimulatedRegion], Awaitable[None]],
 ) -> None:
-    """Play a story in a region without optional parts."""
+    """Run a scenario in a region without optional parts."""
     clock = FakeClock()
     region = RecordedRegion(clock)
 
@@ -380,7 +380,7 @@
     counts: Counter[str],
     scenario: Callable[[SimulatedMultihostRegion], Awaitable[None]],
 ) -> None:
-    """Play a story in a region with multi-machine replicas."""
+    """Run a scenario in a region with multi-machine replicas."""
     clock = FakeClock()
     region = RecordedMultihostRegion(clock)
 
@@ -396,7 +396,7 @@
     counts: Counter[str],
     scenario: Callable[[SimulatedRecoveryRegion], Awaitable[None]],
 ) -> None:
-    """Play a story in a region with recovery on."""
+    """Run a scenario in a region with recovery on."""
     clock = FakeClock()
     region = RecordedRecoveryRegion(
         clock, recovery_settings(brake_least=BRAKE_LEAST, brake_share=BRAKE_SHARE)
@@ -410,7 +410,7 @@
 
 @contextmanager
 def changed_placement() -> Iterator[None]:
-    """Plant a change of one decision: the first machine that has room is passed over."""
+    """Change one decision for the context: the first machine with capacity is passed over."""
 
     def changed_assign(
         spec: JobSpec, tasks: int, capacities: list[FreeCapacity], *rest: Any
--- a/tests/trace_determinism.py
+++ b/tests/trace_determinism.py
@@ -41,8 +41,9 @@
 
 
 def wait_in_order(barrier: Any) -> None:
-    """The barrier's initialiser. Curio keeps the tasks that wait for an event in a set, whose order
-    depends on their addresses in memory, so they wake in an order that differs between runs.
+    """Initialise a barrier of curio's so that its tasks wake in the order in which they came.
+
+    Curio keeps them in a set, whose order depends on addresses in memory and differs between runs.
     """
     barrier._tasks = ArrivalOrder()
 
--- a/tests/trace_faults.py
+++ b/tests/trace_faults.py
@@ -11,13 +11,13 @@
 
 
 class FaultSequence:
-    """Every kind of trouble once, in an order and with durations drawn by lot."""
+    """Injects every kind of fault once, in a random order and for random durations."""
 
     def __init__(self, region: SimulatedRegion, draw: random.Random) -> None:
         self.region, self.draw = region, draw
 
     async def run(self) -> None:
-        """Play them, with pauses between."""
+        """Inject the faults, with pauses between them."""
         kinds: dict[str, Callable[[], Awaitable[None]]] = {
             "state outage": self._state_outage,
             "controller ends": self._controller_ends,
@@ -38,7 +38,7 @@
             "cloud without capacity": self._no_capacity,
         }
         for name in self.draw.sample(sorted(kinds), len(kinds)):
-            self.region.counts[f"trouble: {name}"] += 1
+            self.region.counts[f"fault: {name}"] += 1
             await kinds[name]()
             await curio.sleep(self.draw.uniform(0.5, 4.0))
 
--- a/tests/trace_messages.py
+++ b/tests/trace_messages.py
@@ -79,6 +79,7 @@
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
+        """Send a request and record it with its response."""
         request = Request(method, path, body)
         message = self._log.open(self._controller, SENT, self._counterpart, request)
         try:
@@ -102,6 +103,7 @@
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
+        """Send a request and record it with its response."""
         return await self._link.request(method, path, body, timeout_s)
 
 
@@ -121,11 +123,13 @@
         self.state_links = links  # type: ignore[assignment]
 
     async def start(self, label: str) -> SteppedController:
+        """Start a controller whose requests to the cloud are recorded."""
         # the region hands its cloud to the controller before anything else can run
         self.cloud = RecordedCloud(self._shared_cloud, self.log, label)
         return await super().start(label)
 
     def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
+        """Record the new controller's links and handlers before any loop runs."""
         self.cloud = self._shared_cloud
         parts = super().extra_loops(node)
         label = node.settings.label
@@ -176,6 +180,7 @@
         handler.handle = recorded
 
     def deliver(self, body: bytes, label: str) -> tuple[int, bytes]:
+        """Deliver a heartbeat and record it with its response."""
         machine = orjson.loads(body)["stone"]
         request = Request("POST", "heartbeat", body)
         message = self.log.open(label, RECEIVED, f"heartbeat:{machine}", request)
@@ -188,6 +193,7 @@
     """A region with multi-machine replicas, recorded."""
 
     def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
+        """Record the new controller's links and handlers before any loop runs."""
         parts = super().extra_loops(node)
         label = node.settings.label
         self._record_async_handler(self.services[label], "multihost", label)
@@ -198,6 +204,7 @@
     """A region with recovery on, recorded."""
 
     def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
+        """Record the new controller's links and handlers before any loop runs."""
         parts = super().extra_loops(node)
         label = node.settings.label
         self._record_async_handler(self.apis[label], "recovery operator", label)
@@ -210,6 +217,7 @@
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
+        """Send a request and record it with its response."""
         region = self._region
         assert isinstance(region, RecordedRegion)
         line = PeerLink(region, self._source, self._label)
--- a/tests/trace_scenarios.py
+++ b/tests/trace_scenarios.py
@@ -54,11 +54,11 @@
 def _count_end(region: SimulatedRegion) -> None:
     for verb, number in region.orders().items():
         region.counts[f"orders to workers: {verb}"] += number
-    region.counts["complaints of the region's judge"] += len(region.violations())
+    region.counts["invariant violations"] += len(region.violations())
 
 
 def play_rented(recorder: TraceRecorder, counts: Counter[str], seed: int) -> None:
-    """A region whose leader rents machines, with all ordinary troubles."""
+    """Run a region whose leader rents machines, with all ordinary faults."""
 
     async def scenario(region: SimulatedRegion) -> None:
         await region.begin()
@@ -70,7 +70,7 @@
 
 
 def play_crowded(recorder: TraceRecorder, counts: Counter[str], seed: int) -> None:
-    """A region of few machines that nobody adds to, so that lesser work is preempted."""
+    """Run a region with few machines, so that work of lower priority is preempted."""
 
     async def scenario(region: SimulatedRegion) -> None:
         await region.begin()
@@ -81,7 +81,7 @@
 
 
 def play_quick(recorder: TraceRecorder, counts: Counter[str], seed: int) -> None:
-    """A short region without troubles but one controller's end, for tests of the trace itself."""
+    """Run a short scenario in which one controller ends, for tests of the trace itself."""
 
     async def scenario(region: SimulatedRegion) -> None:
         await region.begin()
@@ -96,7 +96,7 @@
 
 
 def play_replicas(recorder: TraceRecorder, counts: Counter[str], seed: int) -> None:
-    """Multi-machine replicas under troubles, with notices and a set of higher priority."""
+    """Run multi-machine replicas under faults, with spot notices and a set of higher priority."""
 
     async def scenario(region: SimulatedMultihostRegion) -> None:
         draw = random.Random(seed)
@@ -105,7 +105,7 @@
         await curio.sleep(15.0)
         order = [*kinds, "spot notice", "owner frozen", "zone cut", "urgent set"]
         for name in draw.sample(order, len(order)):
-            counts[f"replica trouble: {name}"] += 1
+            counts[f"replica fault: {name}"] += 1
             if name in kinds:
                 await kinds[name]()
             else:
@@ -114,7 +114,7 @@
         await region.mend()
         await curio.sleep(SETTLE_S)
         counts["replica generations at the end"] += region.generations()
-        counts["complaints of the region's judge"] += len(region.violations())
+        counts["invariant violations"] += len(region.violations())
 
     play_multihost(recorder, counts, scenario)
 
@@ -147,7 +147,7 @@
 
 
 def play_recovered(recorder: TraceRecorder, counts: Counter[str], seed: int) -> None:
-    """Controllers end together while work goes on, once with the state restored from a copy."""
+    """End all controllers together while work goes on, once with the state restored from a copy."""
 
     async def scenario(region: SimulatedRecoveryRegion) -> None:
         draw = random.Random(seed)
@@ -196,7 +196,7 @@
 
 
 class Scenario(NamedTuple):
-    """A story that is drawn from a seed."""
+    """A scenario and the seeds from which it is drawn."""
 
     play: Callable[[TraceRecorder, Counter[str], int], None]
     seeds: tuple[int, ...]
--- a/tests/trace_users.py
+++ b/tests/trace_users.py
@@ -16,7 +16,7 @@
 
 @dataclass
 class Users:
-    """Users who submit, look at and cancel jobs at controllers drawn by lot."""
+    """Users who submit, read and cancel jobs at random controllers."""
 
     region: SimulatedRegion
     draw: random.Random
