--- a/tests/test_job_api.py
+++ b/tests/test_job_api.py
@@ -1,6 +1,9 @@
 """Answers to users who submit jobs and ask for them."""
 
+from typing import Any
+
 import orjson
+import pytest
 
 from crossmill.cluster import keys
 
@@ -31,7 +34,7 @@
     run_scenario(scenario)
 
 
-def test_submissions_are_validated_and_idempotent() -> None:
+def test_a_submission_before_the_catalog_is_read_is_refused_for_now() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = SteppedController(state, clock, nodes)
         await node.boot()
@@ -42,20 +45,51 @@
         await node.sync()
         assert (await node.ask("POST", "/v1/jobs", body)).status == 201
         assert state.keys[keys.job("wk-000001")][0]["spec"]["tasks"] == 2
+
+    run_scenario(scenario)
+
+
+def test_an_invalid_repeat_of_a_submission_is_accepted_at_another_controller() -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        seed(state, clock)
+        node = SteppedController(state, clock, nodes)
+        await node.boot()
+        assert (await node.ask("POST", "/v1/jobs", orjson.dumps(submission()))).status == 201
         # another node that has not seen it, and a repeat that is broken by now
         other = SteppedController(state, clock, nodes, "node-1")
         await other.boot()
         broken = orjson.dumps({"nameId": "wk-000001", "cpus": -1})
         assert (await other.ask("POST", "/v1/jobs", broken)).status == 200
-        for change, status in (
-            ({"cpus": True}, 400),
-            ({"crew": "nobody"}, 422),
-            ({"cards": 5.0}, 422),
-            ({"cut": "service", "sacks": 17}, 422),
-            ({"sacks": 17}, 201),
-        ):
-            data = orjson.dumps(submission(nameId="wk-000007", **change))
-            assert (await node.ask("POST", "/v1/jobs", data)).status == status, change
+
+    run_scenario(scenario)
+
+
+@pytest.mark.parametrize(
+    ("change", "status"),
+    [
+        ({"cpus": True}, 400),
+        ({"crew": "nobody"}, 422),
+        ({"cards": 5.0}, 422),
+        ({"cut": "service", "sacks": 17}, 422),
+        ({"sacks": 17}, 201),
+    ],
+)
+def test_a_submission_is_validated(change: dict[str, Any], status: int) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        seed(state, clock)
+        node = SteppedController(state, clock, nodes)
+        await node.boot()
+        data = orjson.dumps(submission(nameId="wk-000007", **change))
+        assert (await node.ask("POST", "/v1/jobs", data)).status == status
+
+    run_scenario(scenario)
+
+
+def test_a_submission_in_an_outage_is_refused_for_now() -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        seed(state, clock)
+        node = SteppedController(state, clock, nodes)
+        await node.boot()
         state.down = True
         refused = await node.ask("POST", "/v1/jobs", orjson.dumps(submission(nameId="wk-000008")))
         assert (refused.status, refused.retry_after_s) == (503, 1)
