--- /dev/null
+++ b/tests/fake_state_service.py
@@ -0,0 +1,172 @@
+"""An in-memory state service as PROTOCOL describes it, called without sockets."""
+
+from collections import deque
+from typing import Any
+from urllib.parse import parse_qs, urlsplit
+
+import orjson
+
+from crossmill.net.client import ConnectionFailedError, NoResponseError
+from crossmill.settings import StateLimits
+
+# PROTOCOL: what a list's answer holds at most, and how many changes are kept
+PAGE_ITEMS, PAGE_BYTES, KEPT_CHANGES = 1000, 512 * 1024, 10_000
+
+
+class StateService:
+    """The state service as PROTOCOL describes it, in memory.
+
+    Tests may make pages and the history of changes shorter, so that few keys have the effect of
+    thousands. `script` holds, by path, what the next requests meet: "lose" executes one without a
+    response, "drop" does neither, "refuse" fails the connection.
+    """
+
+    def __init__(self, kept_changes: int = KEPT_CHANGES) -> None:
+        self.revision = 0
+        self.keys: dict[str, tuple[Any, int, int | None]] = {}
+        self.leases: set[int] = set()
+        self.changes: deque[tuple[int, str, Any]] = deque(maxlen=kept_changes)
+        self.page_items = PAGE_ITEMS
+        # the revision up to which changes are no longer kept
+        self._compacted = 0
+        self.down = False
+        self.calls: list[tuple[str, str]] = []
+        self.script: dict[str, list[str]] = {}
+        self.puts = 0
+        self.limits = StateLimits(100.0, 60.0, 32 * 1024, 20)
+        # transactions refused for their size
+        self.too_large = 0
+
+    def end_lease(self, lease: int) -> None:
+        """Expire a lease and delete its keys."""
+        self.leases.discard(lease)
+        for key in [k for k, (_, _, held) in self.keys.items() if held == lease]:
+            self.revision += 1
+            self._delete(key)
+
+    def _delete(self, key: str) -> None:
+        if self.keys.pop(key, None) is not None:
+            self._record(key, None)
+
+    def _record(self, key: str, value: Any) -> None:
+        if len(self.changes) == self.changes.maxlen:
+            self._compacted = self.changes[0][0]
+        self.changes.append((self.revision, key, value))
+
+    def delete(self, key: str) -> None:
+        """Delete a key, as another client."""
+        self.revision += 1
+        self._delete(key)
+
+    def compact(self) -> None:
+        """Drop all changes so far; a watch that missed one is answered 410."""
+        self._compacted = self.revision
+        self.changes.clear()
+
+    def put(self, key: str, value: Any, lease: int | None = None) -> None:
+        """Write a key, as another client."""
+        self.revision += 1
+        self._write(key, value, lease)
+
+    def _write(self, key: str, value: Any, lease: int | None) -> None:
+        self.keys[key] = (value, self.revision, lease)
+        self._record(key, value)
+
+    async def request(
+        self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
+    ) -> tuple[int, bytes]:
+        """Answer a request at once; raise a connection error where the script says so."""
+        parts = urlsplit(path)
+        self.calls.append((method, parts.path))
+        action = ""
+        if self.script.get(parts.path):
+            action = self.script[parts.path].pop(0)
+        if action == "drop":
+            raise NoResponseError(path)
+        if action == "refuse":
+            raise ConnectionFailedError(path)
+        if self.down:
+            return 503, b"{}"
+        status, answer = self._serve(parts.path, parse_qs(parts.query), body)
+        if action == "lose":
+            raise NoResponseError(path)
+        return status, orjson.dumps(answer)
+
+    def _serve(
+        self, path: str, query: dict[str, list[str]], body: bytes
+    ) -> tuple[int, dict[str, Any]]:
+        if path == "/txn":
+            return self._commit(orjson.loads(body))
+        if path.startswith("/holds"):
+            return self._serve_lease(path)
+        if path == "/changes":
+            return self._list_changes(int(query["after"][0]), query["prefix"][0])
+        if path == "/keys":
+            return self._page(query["prefix"][0], query.get("after", [""])[0])
+        return self._read(path.removeprefix("/keys/"))
+
+    def _serve_lease(self, path: str) -> tuple[int, dict[str, Any]]:
+        if path == "/holds":
+            lease = len(self.calls)
+            self.leases.add(lease)
+            return 200, {"tenure": lease}
+        lease = int(path.split("/")[2])
+        return (200 if lease in self.leases else 404), {"tenure": lease}
+
+    def _list_changes(self, after: int, prefix: str) -> tuple[int, dict[str, Any]]:
+        if after < self._compacted:
+            return 410, {}
+        log = [
+            {"delete": k, "stamp": r} if v is None else {"write": k, "data": v, "stamp": r}
+            for r, k, v in self.changes
+            if r > after and k.startswith(prefix)
+        ]
+        return 200, {"ledgerRev": self.revision, "log": log}
+
+    def _read(self, key: str) -> tuple[int, dict[str, Any]]:
+        if key not in self.keys:
+            return 404, {"ledgerRev": self.revision}
+        value, version, _ = self.keys[key]
+        return 200, {"k": key, "data": value, "stamp": version}
+
+    def _page(self, prefix: str, after: str) -> tuple[int, dict[str, Any]]:
+        names = sorted(k for k in self.keys if k.startswith(prefix) and k > after)
+        rows: list[dict[str, Any]] = []
+        size = 0
+        for name in names[: self.page_items]:
+            row = {"k": name, "data": self.keys[name][0], "stamp": self.keys[name][1]}
+            size += len(orjson.dumps(row))
+            if rows and size > PAGE_BYTES:
+                break
+            rows.append(row)
+        more = len(names) > len(rows)
+        return 200, {"rows": rows, "hasNext": more, "ledgerRev": self.revision}
+
+    def _is_too_large(self, data: dict[str, Any]) -> bool:
+        values = [orjson.dumps(c["data"]) for c in data["apply"] if "write" in c]
+        return (
+            len(data["apply"]) > self.limits.txn_ops
+            or len(data["when"]) > self.limits.conditions
+            or any(len(value) > self.limits.value_bytes for value in values)
+        )
+
+    def _commit(self, data: dict[str, Any]) -> tuple[int, dict[str, Any]]:
+        for change in data["apply"]:
+            if change.get("tenure") is not None and change["tenure"] not in self.leases:
+                return 400, {"error": "no such lease"}
+        if self._is_too_large(data):
+            self.too_large += 1
+            return 400, {"error": "too large"}
+        failed = [
+            c["k"] for c in data["when"] if self.keys.get(c["k"], (None, 0, None))[1] != c["stamp"]
+        ]
+        if failed:
+            return 409, {"failed": failed, "ledgerRev": self.revision}
+        self.puts += len(data["apply"])
+        self.revision += 1
+        for change in data["apply"]:
+            if "write" in change:
+                self._write(change["write"], change["data"], change.get("tenure"))
+            else:
+                self._delete(change["delete"])
+        return 200, {"ledgerRev": self.revision}
--- a/tests/invariant_checker.py
+++ b/tests/invariant_checker.py
@@ -1,5 +1,11 @@
-"""The judge of PROTOCOL's rules in a simulated region; tested itself in tests/test_judge.py."""
+"""Checks PROTOCOL's rules in a simulated region.
 
+`Region` runs the checker every half second and on every start of a task; each response to a user
+goes through it. tests/test_invariant_checker.py plants a violation of each rule.
+"""
+
+from collections import Counter
+from collections.abc import Iterator
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
@@ -15,24 +21,27 @@
 
 @dataclass
 class JobFacts:
+    """A job's submission and what users were told of it, with the times of the region's clock."""
+
     spec: dict[str, Any]
     run_s: float | None
     submitted: float
     accepted: float | None = None
-    cancel_asked: bool = False
+    cancellation_requested: bool = False
     cancelled: float | None = None
     done: float | None = None
     finished: set[int] = field(default_factory=set)
 
-    def needs(self) -> list[str]:
-        """The jobs that it names."""
+    def dependencies(self) -> list[str]:
+        """Return the jobs that it depends on directly."""
         return list(self.spec.get("awaits") or [])
 
 
 class InvariantChecker:
-    """PROTOCOL's rules, looked at on every start and every half second. Of its own it asks that
-    each task on a machine is in a durable plan: it is started from one, and its row goes only
-    when it is proved over.
+    """Collects violations of PROTOCOL's rules.
+
+    One rule is the checker's own: each task that runs is in a durable plan, since it is started
+    from one, and its planned attempt is removed only when its end is proved.
     """
 
     def __init__(self, region: "Region") -> None:
@@ -42,79 +51,92 @@
         self.late_starts = 0
         self.violations: list[str] = []
 
-    def report_violation(self, what: str) -> None:
-        self.violations.append(f"{self._region.clock.now():.2f} {what}")
+    def report_violation(self, description: str) -> None:
+        """Keep a violation, with its time; the description begins with the rule's name."""
+        self.violations.append(f"{self._region.clock.now():.2f} {description}")
 
-    def started(self, worker: Worker, key: tuple[str, int]) -> None:
+    def check_start(self, worker: Worker, key: tuple[str, int]) -> None:
+        """Check the start of a task, given by job and index, on a worker."""
         now, facts = self._region.clock.now(), self.jobs[key[0]]
         self.starts.append((now, *key, worker.machine))
         self._check_order(key[0])
         for other in self._region.workers.values():
             task = other.tasks.get(key)
-            alive = other is not worker and other.answered + self._region.worker_lease_s >= now
+            alive = (
+                other is not worker and other.lease_renewed_at + self._region.worker_lease_s >= now
+            )
             if alive and task is not None and task.state != "exited":
                 self.report_violation(f"ran_twice {key} {worker.machine} {other.machine}")
         if facts.cancelled is not None:
             self.late_starts += 1
-        self.look()
+        self.check()
 
     def _check_order(self, job: str) -> None:
-        """A task starts only when all jobs that its job needs are done."""
-        self.look()
-        for need in self.jobs[job].needs():
-            before = self.jobs[need]
-            if len(before.finished) < before.spec["sacks"]:
-                self.report_violation(f"too_early {job} before {need}")
-
-    def _before(self, job: str) -> set[str]:
-        """All jobs that this one needs, directly or through others."""
+        """Check that all jobs that the started job depends on are done."""
+        self.check()
+        for dependency in self.jobs[job].dependencies():
+            facts = self.jobs[dependency]
+            if len(facts.finished) < facts.spec["sacks"]:
+                self.report_violation(f"too_early {job} before {dependency}")
+
+    def _all_dependencies(self, job: str) -> set[str]:
+        """Return all jobs that this one depends on, directly or through others."""
         found: set[str] = set()
         pending = [job]
         while pending:
-            for need in self.jobs[pending.pop()].needs():
-                if need not in found:
-                    found.add(need)
-                    pending.append(need)
+            for dependency in self.jobs[pending.pop()].dependencies():
+                if dependency not in found:
+                    found.add(dependency)
+                    pending.append(dependency)
         return found
 
     def _check_orphans(self, job: str, stage: str, asked_at: float) -> None:
-        """A job is not called queued or running long after one before it was cancelled."""
-        for before in self._before(job):
-            told = self.jobs[before].cancelled
-            late = told is not None and asked_at - told > self._region.cancellation_deadline_s
+        """Check that no job is called queued or running long after a dependency was cancelled."""
+        for before in self._all_dependencies(job):
+            confirmed = self.jobs[before].cancelled
+            late = (
+                confirmed is not None
+                and asked_at - confirmed > self._region.cancellation_deadline_s
+            )
             if late and stage in ("queued", "running"):
                 self.report_violation(f"orphaned {job}: {stage}, {before} is cancelled")
 
-    def look(self) -> None:
-        now, region = self._region.clock.now(), self._region
-        used: dict[str, float] = {}
-        for worker in region.workers.values():
-            if worker.gone or worker.answered + region.worker_lease_s < now:
-                continue
+    def check(self) -> None:
+        """Check the tasks on all workers and the teams' quotas."""
+        gpus_used: Counter[str] = Counter()
+        for worker in self._live_workers():
             for (job, index), task in worker.tasks.items():
                 facts = self.jobs[job]
-                if task.state == "exited":
-                    if task.cause == "done":
-                        facts.finished.add(index)
-                    continue
-                team = facts.spec["crew"]
-                used[team] = used.get(team, 0.0) + facts.spec["cards"]
-                over = (
-                    facts.cancelled is not None
-                    and now - facts.cancelled > region.cancellation_deadline_s
-                )
-                if over:
-                    self.report_violation(f"ran_cancelled {job}/{index} {worker.machine}")
-                if facts.spec["yard"] not in (None, worker.zone):
-                    self.report_violation(f"wrong_place {job}/{index} {worker.machine}")
+                if task.state != "exited":
+                    gpus_used[facts.spec["crew"]] += facts.spec["cards"]
+                    self._check_running(facts, f"{job}/{index}", worker)
+                elif task.cause == "done":
+                    facts.finished.add(index)
         self._check_unplanned()
-        for node in region.nodes.values():
+        self._check_quotas(gpus_used)
+
+    def _live_workers(self) -> Iterator[Worker]:
+        """Iterate over the workers that have a lease and so may run tasks."""
+        region, now = self._region, self._region.clock.now()
+        for worker in region.workers.values():
+            if not worker.is_terminated and worker.lease_renewed_at + region.worker_lease_s >= now:
+                yield worker
+
+    def _check_running(self, facts: JobFacts, task: str, worker: Worker) -> None:
+        now, deadline_s = self._region.clock.now(), self._region.cancellation_deadline_s
+        if facts.cancelled is not None and now - facts.cancelled > deadline_s:
+            self.report_violation(f"ran_cancelled {task} {worker.machine}")
+        if facts.spec["yard"] not in (None, worker.zone):
+            self.report_violation(f"wrong_place {task} {worker.machine}")
+
+    def _check_quotas(self, gpus_used: Counter[str]) -> None:
+        for node in self._region.nodes.values():
             for team in node.settings.teams:
-                if 0 < team.gpus_max < used.get(team.name, 0.0):
-                    self.report_violation(f"quota {team.name} {used[team.name]}")
+                if 0 < team.gpus_max < gpus_used[team.name]:
+                    self.report_violation(f"quota {team.name} {gpus_used[team.name]}")
 
     def _planned(self) -> set[tuple[str, int, int, str]]:
-        """Job, task, attempt and machine of every durable row, copies of chunks included."""
+        """Return job, task, attempt and machine of every durable planned attempt."""
         return {
             (name[len(keys.PLAN) :].rpartition("/")[0], row[0], row[1], row[2])
             for name, (value, _, _) in self._region.state.keys.items()
@@ -123,19 +145,16 @@
         }
 
     def _check_unplanned(self) -> None:
-        """A task that runs and that no plan holds is known to nobody."""
-        region, now = self._region, self._region.clock.now()
+        """Check that every task that runs is in a durable plan; no controller knows of others."""
         planned = self._planned()
-        for worker in region.workers.values():
-            if worker.gone or worker.answered + region.worker_lease_s < now:
-                continue
+        for worker in self._live_workers():
             for (job, index), task in worker.tasks.items():
-                row = (job, index, task.attempt, worker.machine)
-                if task.state != "exited" and row not in planned:
+                attempt = (job, index, task.attempt, worker.machine)
+                if task.state != "exited" and attempt not in planned:
                     self.report_violation(f"orphaned {job}/{index} {worker.machine}: in no plan")
 
-    def told(self, job: str, response: Response, asked_at: float) -> None:
-        """An answer arrived. It is compared with what had been told before it was asked for."""
+    def check_response(self, job: str, response: Response, asked_at: float) -> None:
+        """Compare a response with what users had been told before they sent the request."""
         facts, now = self.jobs[job], self._region.clock.now()
         if response.status == 404 and facts.accepted is not None and facts.accepted < asked_at:
             self.report_violation(f"forgotten {job}")
@@ -151,12 +170,14 @@
         if facts.done is not None and stage != "done":
             self.report_violation(f"went_back {job}: {stage} after done")
         if stage == "withdrawn":
-            asked = any(self.jobs[x].cancel_asked for x in (job, *self._before(job)))
+            asked = any(
+                self.jobs[x].cancellation_requested for x in (job, *self._all_dependencies(job))
+            )
             if not asked:
                 self.report_violation(f"went_back {job}: nobody cancelled it")
             facts.cancelled = facts.cancelled if facts.cancelled is not None else now
         elif stage == "done":
-            self.look()
+            self.check()
             if len(facts.finished) < facts.spec["sacks"]:
                 self.report_violation(f"not_done {job}: {len(facts.finished)}")
             facts.done = facts.done if facts.done is not None else now
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""Stand-ins on loopback, for tests over real sockets."""
+"""Serves the fake services on loopback, for tests over real sockets."""
 
 import socket
 import threading
@@ -8,18 +8,19 @@
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 from typing import Protocol
 
-# a state service's watch is answered so much later: the stand-in itself never waits
+# a state service's watch is answered so much later: the fake service itself never waits
 WATCH_S = 0.1
 
 
-class StandIn(Protocol):
-    """A stand-in that answers without ever waiting."""
+class FakeService(Protocol):
+    """A fake service, which answers without ever waiting."""
 
-    async def request(self, method: str, path: str, body: bytes = b"") -> tuple[int, bytes]: ...
+    async def request(self, method: str, path: str, body: bytes = b"") -> tuple[int, bytes]:
+        """Answer a request at once."""
 
 
 def free_ports(number: int) -> list[int]:
-    """Ports that nobody listens on."""
+    """Return so many ports that are not in use."""
     held = [socket.socket() for _ in range(number)]
     for sock in held:
         sock.bind(("127.0.0.1", 0))
@@ -29,17 +30,17 @@
     return ports
 
 
-def _answer_now(stand_in: StandIn, method: str, path: str, body: bytes) -> tuple[int, bytes]:
-    """The answer of a coroutine that ends without waiting."""
+def _answer_now(service: FakeService, method: str, path: str, body: bytes) -> tuple[int, bytes]:
+    """Return the result of a coroutine that ends without waiting."""
     try:
-        stand_in.request(method, path, body).send(None)
+        service.request(method, path, body).send(None)
     except StopIteration as ended:
         status, data = ended.value
         return status, data
-    raise AssertionError(f"the stand-in waits: {method} {path}")
+    raise AssertionError(f"the fake service waits: {method} {path}")
 
 
-def _handler(stand_in: StandIn) -> type[BaseHTTPRequestHandler]:
+def _handler(service: FakeService) -> type[BaseHTTPRequestHandler]:
     lock = threading.Lock()
 
     class Handler(BaseHTTPRequestHandler):
@@ -50,12 +51,13 @@
             if self.path.startswith("/changes"):
                 time.sleep(WATCH_S)
             with lock:
-                status, data = _answer_now(stand_in, self.command, self.path, body)
+                status, data = _answer_now(service, self.command, self.path, body)
             self.send_response(status)
             self.send_header("content-length", str(len(data)))
             self.end_headers()
             self.wfile.write(data)
 
+        # the names that http.server looks for
         do_GET = do_POST = do_DELETE = _answer
 
         def log_message(self, format: str, *args: object) -> None:
@@ -65,9 +67,9 @@
 
 
 @contextmanager
-def serving(stand_in: StandIn, port: int) -> Iterator[None]:
-    """Serves the stand-in on a port of loopback meanwhile."""
-    server = ThreadingHTTPServer(("127.0.0.1", port), _handler(stand_in))
+def serving(service: FakeService, port: int) -> Iterator[None]:
+    """Serve the fake service on a port of loopback for the duration of the context."""
+    server = ThreadingHTTPServer(("127.0.0.1", port), _handler(service))
     server.daemon_threads = True
     thread = threading.Thread(target=server.serve_forever, daemon=True)
     thread.start()
--- a/tests/measure_multihost.py
+++ b/tests/measure_multihost.py
@@ -23,7 +23,8 @@
 from crossmill.multihost import candidates, keys
 from crossmill.settings import Settings
 
-from .fake_services import FakeClock, StateService
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .multihost_pool import add_ready_pairs, booted_pool, send_all_heartbeats
 from .multihost_region import CHECK_INTERVAL_S, SETTINGS, MultihostRegion, simulate_multihost
 from .report_multihost import write_report
@@ -160,7 +161,7 @@
         await region.begin(machines=2 * members + 4)
         # one task a machine
         await region.submit("node-0", "wk-000001", sacks=members, cpus=20.0, cards=0.0)
-        await region.until(lambda: _running(region) == set(range(members)))
+        await region.wait_until(lambda: _running(region) == set(range(members)))
         await curio.sleep(draw.uniform(20.0, 23.0))
         holders = {
             index: worker for worker in region.workers.values() for (_, index) in worker.tasks
@@ -173,7 +174,7 @@
         }[failure]
         begun = region.clock.now()
         for index in dying:
-            holders[index].gone = holders[index].hung = True
+            holders[index].is_terminated = holders[index].is_frozen = True
         wrong, last, serving = 0.0, 0.0, None
         while region.clock.now() - begun < LONGEST_S:
             at, running = region.clock.now() - begun, _running(region)
@@ -198,7 +199,7 @@
         index
         for worker in region.workers.values()
         for (_, index), task in worker.tasks.items()
-        if not worker.gone and task.state == "running"
+        if not worker.is_terminated and task.state == "running"
     }
 
 
@@ -212,7 +213,7 @@
         await region.begin_pool(WAITING_POOL_SIZE)
         for number in range(SMALL_SETS):
             await region.declare(f"small-{number}", members=2, image_gb=0.0)
-        await region.until(
+        await region.wait_until(
             lambda: sum(_has_served(region, n) for n in range(SMALL_SETS)) == SMALL_SETS
         )
         await region.declare("large", members=6, image_gb=0.0)
@@ -290,7 +291,7 @@
         result["start"] = service.writer.transactions - before
         before = service.writer.transactions
         region.agents_of("chat/0")[1].dead = True
-        await region.until(
+        await region.wait_until(
             lambda: any(
                 a.serves("chat/0") == GENERATION_AFTER_REPAIR for a in region.agents.values()
             )
--- a/tests/measure_recovery.py
+++ b/tests/measure_recovery.py
@@ -88,7 +88,7 @@
         for first in range(0, len(slots), TASKS_PER_JOB):
             _put_job(region, f"wk-{number:06d}", team, slots[first : first + TASKS_PER_JOB])
             number += 1
-    await region.until(
+    await region.wait_until(
         lambda: all(len(w.tasks) == TASKS_PER_WORKER for w in region.workers.values())
     )
     await curio.sleep(4.0)
@@ -186,8 +186,8 @@
     while region.clock.now() - ended_at < OBSERVED_S:
         await curio.sleep(POLL_INTERVAL_S)
         passed_s = round(region.clock.now() - ended_at, 2)
-        connected = [w for w in region.workers.values() if not w.mute]
-        answered = sum(worker.answered > ended_at + POLL_INTERVAL_S for worker in connected)
+        connected = [w for w in region.workers.values() if not w.heartbeats_lost]
+        answered = sum(worker.lease_renewed_at > ended_at + POLL_INTERVAL_S for worker in connected)
         if first_worker is None and answered:
             first_worker = passed_s
         if all_workers is None and answered == len(connected):
--- a/tests/multihost_fault_injection.py
+++ b/tests/multihost_fault_injection.py
@@ -109,11 +109,11 @@
     async def machine_hangs(self) -> None:
         """Freeze a machine for a while."""
         agent = self.region.agents[self._machine()]
-        agent.hung = True
+        agent.is_frozen = True
 
         async def back() -> None:
             await self._later(0.5, 15.0)
-            agent.hung = False
+            agent.is_frozen = False
 
         await curio.spawn(back, daemon=True)
 
@@ -194,7 +194,9 @@
         for agent in self.random.sample(
             sorted(self.region.agents.values(), key=lambda a: a.number), k=2
         ):
-            for body in self.random.sample(agent.copies, k=min(3, len(agent.copies))):
+            for body in self.random.sample(
+                agent.sent_heartbeats, k=min(3, len(agent.sent_heartbeats))
+            ):
                 for label in list(self.region.services):
                     await self.region.deliver_heartbeat(agent, label, body)
 
@@ -206,6 +208,6 @@
         region.delay_s = lambda _: 0.0
         region.cut_links.clear()
         for machine, agent in list(region.agents.items()):
-            agent.hung = agent.drops_heartbeats = agent.drops_answers = False
+            agent.is_frozen = agent.drops_heartbeats = agent.drops_answers = False
             if agent.dead:
                 await region.revive(machine)
--- a/tests/multihost_invariants.py
+++ b/tests/multihost_invariants.py
@@ -73,7 +73,7 @@
         ):
             self.report_violation(f"ordered_early {order.replica} generation {order.generation}")
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Check everything that holds at any moment."""
         serving: dict[str, list[tuple[Agent, int]]] = {}
         for agent in self.region.agents.values():
@@ -194,5 +194,5 @@
                 planned.setdefault(member.machine, set()).add(str(replica_id))
         for agent in self.region.agents.values():
             extra = set(agent.members) - planned.get(agent.machine, set())
-            if extra and not agent.dead and not agent.hung:
+            if extra and not agent.dead and not agent.is_frozen:
                 self.report_violation(f"leaked {agent.machine} runs {extra}")
--- a/tests/multihost_pool.py
+++ b/tests/multihost_pool.py
@@ -29,7 +29,8 @@
     MemberState,
 )
 
-from .fake_services import FakeClock, StateService
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .multihost_region import SETTINGS
 from .stepped_controller import SteppedController, seed
 
--- a/tests/multihost_region.py
+++ b/tests/multihost_region.py
@@ -17,7 +17,8 @@
 from crossmill.net.server import Request
 from crossmill.settings import Endpoint
 
-from .fake_services import FakeClock, StateService
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .multihost_agents import Agent, heartbeat_request
 from .multihost_invariants import InvariantViolationError, MultihostInvariantChecker
 from .simulated_region import Region
@@ -58,7 +59,7 @@
         self.tolerance_s = 2 * CHECK_INTERVAL_S
         self._processes = 0
 
-    def more_parts(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
+    def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
         """Return the loops of a controller's multihost service."""
         self._processes += 1
         service = MultihostService(
@@ -86,7 +87,7 @@
         await self.begin(machines=0)
         for number in range(machines):
             await self.add_agent(f"h-{number:03d}", zones[number % len(zones)])
-        await self.until(lambda: self.pool_size() == machines)
+        await self.wait_until(lambda: self.pool_size() == machines)
 
     async def add_agent(self, machine: str, zone: str) -> Agent:
         """Add a machine to the region and start its agent."""
@@ -115,7 +116,7 @@
         """Deliver a heartbeat to a controller; return the status and the answer, None if lost."""
         service = self.services.get(label)
         is_lost = agent.drops_heartbeats or agent.dead
-        if service is None or is_lost or self.stands_still(label):
+        if service is None or is_lost or self.is_frozen(label):
             return None
         response = await service.handle(heartbeat_request(body))
         return response.status, response.body
@@ -124,7 +125,7 @@
         """Deliver a ping to another machine and return whether its answer confirms the member."""
         await curio.sleep(HOP_S + self.delay_s(source))
         target = next((a for a in self.agents.values() if a.address == address), None)
-        if target is None or target.dead or target.hung or source.dead:
+        if target is None or target.dead or target.is_frozen or source.dead:
             return False
         if (source.machine, target.machine) in self.cut_links:
             return False
@@ -188,13 +189,13 @@
     async def until_serving(self, name: str, within_s: float = 60.0) -> float:
         """Wait until exactly one front member serves; return how long it took, in seconds."""
         begun = self.clock.now()
-        await self.until(lambda: len(self.serving(name)) == 1, within_s)
+        await self.wait_until(lambda: len(self.serving(name)) == 1, within_s)
         return self.clock.now() - begun
 
     async def run_checks(self) -> None:
         """Check the invariants again and again."""
         while True:
-            self.checker.look()
+            self.checker.check()
             await curio.sleep(CHECK_INTERVAL_S)
 
     def set_record(self, name: str) -> Any:
@@ -219,7 +220,7 @@
         regions.append(region)
         await curio.spawn(region.run_checks, daemon=True)
         await scenario(region)
-        region.checker.look()
+        region.checker.check()
 
     run_under_virtual_time(clock, play)
     if check_invariants and regions[0].checker.violations:
--- a/tests/multihost_scenarios.py
+++ b/tests/multihost_scenarios.py
@@ -43,7 +43,7 @@
         def is_repaired() -> bool:
             return region.generation("chat/0") > before and len(region.serving("chat/0")) == 1
 
-        await region.until(is_repaired, GIVE_UP_AFTER_S)
+        await region.wait_until(is_repaired, GIVE_UP_AFTER_S)
         repaired_after_s.append(region.clock.now() - begun)
         await curio.sleep(SETTINGS.agent_lease_s * 2)
         region.checker.check_end()
--- a/tests/profile_controller.py
+++ b/tests/profile_controller.py
@@ -1,6 +1,7 @@
 """Where a controller's processor time and memory go: `python -m tests.profile_controller`.
 
-One whole controller over the stand-ins, at the size given, by phases: the start's reading, reports,
+One whole controller over the fake services, at the size given, by phases: the start's reading,
+reports,
 rounds without news, a burst of jobs, and HTTP over loopback. Prints the processor time of each
 phase by part of the program, its dearest functions, and the memory held after the start by file.
 Not a part of the test command's verdict: times differ from machine to machine.
@@ -16,12 +17,13 @@
 from pathlib import Path
 
 import curio
-import curio.socket as socket
+from curio import socket
 
 from crossmill.net.server import Request, Response, Server
 from crossmill.settings import Endpoint
 
-from .fake_services import FakeClock, StateService
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .full_fleet import full_fleet, report_all
 from .stepped_controller import SteppedController, add_job, run_scenario
 
@@ -125,6 +127,7 @@
 
 
 def main() -> None:
+    """Profile a controller of the size that the arguments give."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--machines", type=int, default=304, help="default %(default)s")
     parser.add_argument("--jobs", type=int, default=200, help="of the burst, default %(default)s")
--- a/tests/recovery_region.py
+++ b/tests/recovery_region.py
@@ -19,7 +19,8 @@
 from crossmill.recovery.shard_recovery import ShardRecovery
 from crossmill.wire.recovery import APPROVE_PATH, RECOVERY_PATH, Approval, approval_body
 
-from .fake_services import FakeClock, make_settings
+from .builders import make_settings
+from .fake_clock import FakeClock
 from .simulated_region import Region
 from .simulated_worker import Task, Worker
 from .stepped_controller import SteppedController
@@ -65,7 +66,7 @@
         self.services: dict[str, RecoveryService] = {}
         self.apis: dict[str, RecoveryApi] = {}
 
-    def more_parts(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
+    def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
         """Adds recovery to a controller that starts, and returns its loop."""
         if self.recovery is None:
             return []
@@ -101,7 +102,7 @@
             await self.submit_until_accepted(label, job, 400.0, **fields)
         await curio.sleep(10.0)
         if self.recovery is not None:
-            await self.until(self.is_steady, 120.0)
+            await self.wait_until(self.is_steady, 120.0)
         self.clear_orders()
         return jobs
 
@@ -121,7 +122,7 @@
             label = self.LABELS[n % len(self.LABELS)]
             fields = {"crew": team, "sacks": tasks, "spread": n % 3 == 0}
             await self.submit_until_accepted(label, job, None, **fields)
-        await self.until(lambda: all(self.has_running(j, tasks) for j in jobs), 120.0)
+        await self.wait_until(lambda: all(self.has_running(j, tasks) for j in jobs), 120.0)
         return jobs
 
     # -- faults ----------------------------------------------------------------------
@@ -188,7 +189,7 @@
         """Whether exactly so many tasks of the job run."""
         return tasks == sum(
             task.state == "running"
-            for worker in self.running(job)
+            for worker in self.workers_running(job)
             for key, task in worker.tasks.items()
             if key[0] == job
         )
@@ -232,13 +233,13 @@
 def disconnect(workers: Iterable[Worker]) -> None:
     """Cuts workers off: neither heartbeats nor answers nor commands arrive."""
     for worker in workers:
-        worker.mute = worker.deaf = True
+        worker.heartbeats_lost = worker.inbound_lost = True
 
 
 def reconnect(workers: Iterable[Worker]) -> None:
     """Ends what `disconnect` began."""
     for worker in workers:
-        worker.mute = worker.deaf = False
+        worker.heartbeats_lost = worker.inbound_lost = False
 
 
 class RateViolation(NamedTuple):
@@ -282,7 +283,7 @@
 
     async def begin() -> None:
         await scenario(region)
-        region.checker.look()
+        region.checker.check()
 
     run_under_virtual_time(clock, begin)
     violations = [
--- a/tests/simulated_region.py
+++ b/tests/simulated_region.py
@@ -1,12 +1,13 @@
-"""A small region under virtual time (tests/virtual_time.py): real loops of several controllers, the
-stand-ins, workers and users, and a judge who knows PROTOCOL's rules (tests/invariant_checker.py).
+"""Runs several controllers with their real loops in a region under virtual time.
+
+The state service, the cloud, workers and users are simulated (tests/fake_*.py,
+tests/simulated_*.py).
+An invariant checker compares what happens with PROTOCOL's rules. Scenarios run by `simulate`.
 """
 
 from collections.abc import Awaitable, Callable
-from typing import Any
 
 import curio
-import curio.kernel
 import orjson
 
 from crossmill.cluster import keys
@@ -14,101 +15,87 @@
 from crossmill.wire.checks import load_object
 from crossmill.wire.workers import answer_body, parse_heartbeat
 
-from .fake_services import CloudService, FakeClock, StateService, submission
-from .invariant_checker import InvariantChecker, JobFacts
-from .simulated_links import PeerLink, StateLink
-from .simulated_worker import Worker, WorkerLink
+from .fake_clock import FakeClock
+from .fake_cloud import CloudService
+from .fake_state_service import StateService
+from .invariant_checker import InvariantChecker
+from .simulated_links import PeerLink, StateLink, TransactionFault
+from .simulated_state import SimulatedState
+from .simulated_users import SimulatedUsers
+from .simulated_worker import FIRST_PORT, Worker, WorkerLink
 from .stepped_controller import SteppedController, seed
-from .virtual_time import run_under_virtual_time, standing_still
+from .virtual_time import run_under_virtual_time, run_with_freezes
+
+CHECK_INTERVAL_S = 0.5
+POLL_INTERVAL_S = 0.05
+CLOUD_INTERVAL_S = 1.0
+
 
+class Region(SimulatedUsers):
+    """Controllers, workers, users, a state service and a cloud under virtual time.
+
+    Faults are injected by setting the attributes below; `fault_injection.clear_faults` ends them.
+    """
 
-class Region:
     LABELS = ("node-0", "node-1", "node-2")
 
     def __init__(self, clock: FakeClock, state: StateService | None = None) -> None:
         self.clock = clock
         self.state = state or StateService()
+        self.simulated_state = SimulatedState(clock, self.state)
         self.cloud = CloudService()
+        # the controllers that run, by label
         self.nodes: dict[str, SteppedController] = {}
-        self.lines = {label: StateLink(self, label) for label in self.LABELS}
+        self.state_links = {label: StateLink(self, label) for label in self.LABELS}
         self._tasks: dict[str, list[curio.Task]] = {}
         self.workers: dict[str, Worker] = {}
         self.checker = InvariantChecker(self)
-        self.bell = curio.Event()
-        self.slow_s = 0.0
-        # by label: how long the answers to its transactions are held up
-        self.answer_s: dict[str, float] = {}
-        # by label: which requests the state service refuses; who gets no answer from it at all;
-        # who reaches no other controller
-        self.refused: dict[str, Callable[[str, str], bool]] = {}
-        self.lost: set[str] = set()
-        # by label: until when its process stands still
-        self.still_until: dict[str, float] = {}
-        self.apart: set[str] = set()
+        self._provisions = False
+        self._process_count = 0
+        # delay of every request to the state service
+        self.state_delay_s = 0.0
+        # by label: delay of the responses to a controller's transactions
+        self.transaction_delay_s: dict[str, float] = {}
+        # by label: which of a controller's requests the state service refuses
+        self.refused_requests: dict[str, Callable[[str, str], bool]] = {}
+        # controllers that get no response from the state service
+        self.cut_from_state: set[str] = set()
+        # controllers that reach no other controller
+        self.cut_from_peers: set[str] = set()
+        # by label: until when a controller's process runs nothing
+        self.frozen_until: dict[str, float] = {}
         # controllers whose machine has no power: connections to it hang
-        self.dark: set[str] = set()
-        # which of the cloud's machines come up at all
-        self.boots: Callable[[str], bool] = lambda machine: True
-        # what becomes of a transaction: (seconds late, carried out at once), or nothing odd
-        self.fate: Callable[[str, str, str], tuple[float, bool] | None] = lambda *_: None
-        self._ends: dict[int, tuple[float, float]] = {}
-        self._leads = False
-        self._begun = 0
-        self.reaches: Callable[[Worker, str], bool] = lambda worker, label: label in self.nodes
-
-    # -- the state service's leases and watches --------------------------------------
-
-    def touch(self, method: str, path: str, body: bytes, status: int, data: bytes) -> None:
-        if method == "POST" and path == "/holds" and status == 200:
-            ttl_s = load_object(body)["ttlMs"] / 1000
-            self._ends[load_object(data)["tenure"]] = (self.clock.now() + ttl_s, ttl_s)
-        elif path.endswith("/renew") and status == 200:
-            lease = int(path.split("/")[2])
-            ttl_s = self._ends[lease][1]
-            self._ends[lease] = (self.clock.now() + ttl_s, ttl_s)
-
-    async def ring(self) -> None:
-        await self.bell.set()
-        self.bell.clear()
-
-    async def _state_runs(self) -> None:
-        revision = -1
-        while True:
-            now = self.clock.now()
-            for lease, (end, ttl_s) in list(self._ends.items()):
-                if self.state.down:
-                    self._ends[lease] = (now + ttl_s, ttl_s)
-                elif now > end:
-                    del self._ends[lease]
-                    self.state.end_lease(lease)
-            if self.state.revision != revision and not self.state.down:
-                revision = self.state.revision
-                await self.ring()
-            await curio.sleep(0.02)
+        self.powered_off: set[str] = set()
+        # which of the cloud's machines come up after they are rented
+        self.comes_up: Callable[[str], bool] = lambda machine: True
+        # the fault of a controller's request to the state service, by label, method and path
+        self.transaction_fault: Callable[[str, str, str], TransactionFault | None] = lambda *_: None
+        # whether a worker and a controller reach each other
+        self.can_reach: Callable[[Worker, str], bool] = lambda worker, label: label in self.nodes
 
     async def _check_invariants(self) -> None:
         while True:
-            self.checker.look()
-            await curio.sleep(0.5)
-
-    # -- who takes part --------------------------------------------------------------
+            self.checker.check()
+            await curio.sleep(CHECK_INTERVAL_S)
 
     async def begin(self, machines: int = 2, zone: str = "north") -> None:
+        """Start all controllers, wait until each shard has an owner, and add workers."""
         seed(self.state, self.clock, machines=0)
-        await curio.spawn(self._state_runs, daemon=True)
+        await curio.spawn(self.simulated_state.run, daemon=True)
         await curio.spawn(self._check_invariants, daemon=True)
         for label in self.LABELS:
             await self.start(label)
         self.heartbeat_interval_s = self.nodes["node-0"].settings.heartbeat_interval_s
         self.worker_lease_s = self.nodes["node-0"].settings.worker_lease_s
         self.cancellation_deadline_s = self.nodes["node-0"].settings.cancellation_deadline_s
-        await self.until(lambda: len(self.owners()) == 3)
+        await self.wait_until(lambda: len(self.owners()) == 3)
         for number in range(machines):
             await self.add_worker(f"n-{number}", zone)
 
     async def add_worker(
         self, machine: str, zone: str = "north", shard: int = 0, record: bool = True
     ) -> Worker:
+        """Start a worker on a new machine, which has a record unless the caller stored one."""
         if record:
             value = {"type": "g4", "zone": zone, "spot": False, "shard": shard}
             value |= {"at": self.clock.wall(), "retiring": "", "up": False}
@@ -118,18 +105,18 @@
         return worker
 
     async def start(self, label: str) -> SteppedController:
+        """Start a controller's process with all its loops."""
+
         def connect(peer: Peer) -> PeerLink:
             return PeerLink(self, label, peer.label)
 
-        self._begun += 1
-        unique = f"process-{self._begun}"
+        self._process_count += 1
+        unique = f"process-{self._process_count}"
         node = SteppedController(
-            self.lines[label], self.clock, self.nodes, label, self.cloud, connect, unique
+            self.state_links[label], self.clock, self.nodes, label, self.cloud, connect, unique
         )
         node.watcher._pause_s = 4 / node.settings.state_request_rate
-        node.command_sender.connect = lambda endpoint: WorkerLink(
-            next(w for w in self.workers.values() if 20000 + w.number == endpoint.port)
-        )
+        node.command_sender.connect = lambda endpoint: WorkerLink(self._worker_at(endpoint.port))
         parts: list[Callable[[], Awaitable[None]]] = [
             node.controller_lease.run,
             node.watcher.run,
@@ -140,172 +127,124 @@
             node.partition_protocol.run,
             node.scheduling_loop.run,
             node.record_repair.run,
-            *self.more_parts(node),
+            *self.extra_loops(node),
         ]
-        if self._leads:
+        if self._provisions:
             parts.append(node.provisioner.run)
         self._tasks[label] = [
             await curio.spawn(self._run_part, label, p, daemon=True) for p in parts
         ]
         return node
 
-    def more_parts(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
-        """Loops that a controller runs beside the ordinary ones, made before any of them runs."""
+    def _worker_at(self, port: int) -> Worker:
+        return next(w for w in self.workers.values() if FIRST_PORT + w.number == port)
+
+    def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
+        """Return loops that a controller runs beside its own; called before any of them runs."""
         return []
 
     async def _run_part(self, label: str, part: Callable[[], Awaitable[None]]) -> None:
         def until() -> float:
-            return self.still_until.get(label, 0.0)
+            return self.frozen_until.get(label, 0.0)
 
-        await standing_still(part(), until, self.clock)  # type: ignore[arg-type]
+        await run_with_freezes(part(), until, self.clock)  # type: ignore[arg-type]
 
-    def stands_still(self, label: str) -> bool:
+    def is_frozen(self, label: str) -> bool:
         """Whether the controller's process runs nothing now."""
-        return self.clock.now() < self.still_until.get(label, 0.0)
+        return self.clock.now() < self.frozen_until.get(label, 0.0)
 
-    async def lead_everywhere(self) -> None:
-        """The leaders' loops run too, and the cloud's machines are up a second after renting."""
-        self._leads = True
+    async def run_provisioners(self) -> None:
+        """Run the provisioners too; rented machines come up about a second later."""
+        self._provisions = True
         for label, node in self.nodes.items():
             self._tasks[label].append(await curio.spawn(node.provisioner.run, daemon=True))
-        await curio.spawn(self._cloud_runs, daemon=True)
+        await curio.spawn(self._run_cloud, daemon=True)
 
-    async def _cloud_runs(self) -> None:
+    async def _run_cloud(self) -> None:
         while True:
-            await curio.sleep(1.0)
-            for machine, data in list(self.cloud.machines.items()):
-                is_new = machine not in self.workers and machine not in self.cloud.released
-                if is_new and self.boots(machine):
-                    await self.add_worker(machine, data["yard"], record=False)
-            for machine in self.cloud.released:
-                worker = self.workers.get(machine)
-                if worker is not None:
-                    worker.gone = True
-                    worker.tasks.clear()
-            self.cloud.listed = [
-                {
-                    "nameId": machine,
-                    "address": "127.0.0.1:1",
-                    "frame": data["frame"],
-                    "yard": data["yard"],
-                    "loaners": data["loaners"],
-                    "stage": "running",
-                    "heldS": 1000.0,
-                }
-                for machine, data in sorted(self.cloud.machines.items())
-                if machine not in self.cloud.released
-            ]
+            await curio.sleep(CLOUD_INTERVAL_S)
+            await self._boot_rented_machines()
+            self._stop_released_machines()
+            self.cloud.list_machines()
+
+    async def _boot_rented_machines(self) -> None:
+        for machine, data in list(self.cloud.machines.items()):
+            is_new = machine not in self.workers and machine not in self.cloud.released
+            if is_new and self.comes_up(machine):
+                await self.add_worker(machine, data["yard"], record=False)
+
+    def _stop_released_machines(self) -> None:
+        for machine in self.cloud.released:
+            worker = self.workers.get(machine)
+            if worker is not None:
+                worker.terminate()
 
     def leader(self) -> str | None:
-        row = self.state.keys.get(keys.LEADER)
-        return None if row is None or row[0]["owner"] not in self.nodes else row[0]["owner"]
+        """Return the controller that leads by the stored state, if it runs."""
+        stored = self.state.keys.get(keys.LEADER)
+        if stored is None or stored[0]["owner"] not in self.nodes:
+            return None
+        return str(stored[0]["owner"])
 
     async def kill(self, label: str) -> None:
-        """Its process ends at once; its key and lease stand until they run out."""
+        """End a controller's process at once; its key and lease stay until the lease expires."""
         self.nodes.pop(label)
         for task in self._tasks.pop(label):
             await task.cancel(blocking=False)
 
-    async def darken(self, label: str) -> None:
-        """Its machine is without power until it is lit again."""
-        self.dark.add(label)
+    async def power_off(self, label: str) -> None:
+        """End a controller and let connections to its machine hang."""
+        self.powered_off.add(label)
         await self.kill(label)
 
-    async def light(self, label: str) -> None:
-        self.dark.discard(label)
+    async def power_on(self, label: str) -> None:
+        """Start a controller whose machine was powered off."""
+        self.powered_off.discard(label)
         await self.start(label)
 
     async def restart(self, label: str, after_s: float) -> None:
+        """End a controller's process and start another after the time."""
         await self.kill(label)
         await curio.sleep(after_s)
         await self.start(label)
 
-    def cut(self, label: str) -> None:
-        """Neither the state service nor another controller; workers and users still come."""
-        self.lost.add(label)
-        self.apart.add(label)
+    def isolate(self, label: str) -> None:
+        """Cut a controller from the state service and its peers, but not from workers and users."""
+        self.cut_from_state.add(label)
+        self.cut_from_peers.add(label)
 
-    def mend(self) -> None:
-        self.lost.clear()
-        self.apart.clear()
-        self.refused.clear()
+    def reconnect(self) -> None:
+        """End all cuts and refusals between controllers and the state service."""
+        self.cut_from_state.clear()
+        self.cut_from_peers.clear()
+        self.refused_requests.clear()
 
     def owners(self) -> dict[int, str]:
+        """Return the owner of each owned shard by the stored state."""
         rows = {k: v for k, v in self.state.keys.items() if k.startswith(keys.SHARD)}
         return {int(k[len(keys.SHARD) :]): v[0]["owner"] for k, v in rows.items()}
 
     def deliver(self, body: bytes, label: str) -> tuple[int, bytes]:
-        """A report reaches a controller, as its own handler would answer it."""
+        """Deliver a heartbeat to a controller and return the response's status and body."""
         answer = self.nodes[label].heartbeats.handle(parse_heartbeat(load_object(body)))
         if answer.status == 200:
             return 200, answer_body(answer.token, list(answer.commands))
         return answer.status, orjson.dumps({"foreman": answer.redirect} if answer.redirect else {})
 
-    # -- users -----------------------------------------------------------------------
-
-    def expect(self, job: str, run_s: float | None = None, **fields: Any) -> dict[str, Any]:
-        """The job as a user submits it; the judge knows of it from now on."""
-        fields = {"cut": "service" if run_s is None else "array", "dueS": None} | fields
-        spec = submission(**{"nameId": job, **fields})
-        self.checker.jobs.setdefault(job, JobFacts(spec, run_s, self.clock.now()))
-        return spec
-
-    async def submit(self, label: str, job: str, run_s: float | None = None, **fields: Any) -> int:
-        spec = self.expect(job, run_s, **fields)
-        return await self._ask(label, job, "POST", "/v1/jobs", orjson.dumps(spec))
-
-    def accepted(self, job: str) -> bool:
-        return self.checker.jobs[job].accepted is not None
-
-    def finished(self, job: str, tasks: int) -> bool:
-        return len(self.checker.jobs[job].finished) >= tasks
-
-    async def show(self, label: str, job: str) -> int:
-        return await self._ask(label, job, "GET", f"/v1/jobs/{job}")
-
-    async def cancel(self, label: str, job: str) -> int:
-        self.checker.jobs[job].cancel_asked = True
-        return await self._ask(label, job, "POST", f"/v1/jobs/{job}/withdraw")
-
-    async def cancel_until_told(self, label: str, job: str, within_s: float) -> bool:
-        end = self.clock.now() + within_s
-        while self.clock.now() < end:
-            if await self.cancel(label, job) == 200:
-                return True
-            await curio.sleep(0.5)
-        return False
-
-    async def _ask(self, label: str, job: str, method: str, path: str, body: bytes = b"") -> int:
-        asked_at = self.clock.now()
-        while self.stands_still(label):
-            await curio.sleep(0.1)
-        response = await self.nodes[label].ask(method, path, body)
-        self.checker.told(job, response, asked_at)
-        return response.status
-
-    async def look_everywhere(self, job: str, times: int = 3) -> None:
-        """Users ask at all controllers at once, again and again within milliseconds."""
-        async with curio.TaskGroup() as group:
-            for n in range(times):
-                for label in list(self.nodes):
-                    await group.spawn(self.show, label, job)
-                await curio.sleep(0.003 * n)
-
-    # -- time ------------------------------------------------------------------------
-
-    async def until(self, what: Callable[[], bool], within_s: float = 60.0) -> None:
+    async def wait_until(self, condition: Callable[[], bool], within_s: float = 60.0) -> None:
+        """Wait until the condition holds; fail if it does not within the time."""
         end = self.clock.now() + within_s
-        while not what():
-            assert self.clock.now() < end, "it did not come about"
-            await curio.sleep(0.05)
+        while not condition():
+            assert self.clock.now() < end, "the condition did not hold in time"
+            await curio.sleep(POLL_INTERVAL_S)
 
-    def running(self, job: str) -> list[Worker]:
-        """The workers with a task of the job, as far as their leases stand."""
+    def workers_running(self, job: str) -> list[Worker]:
+        """Return the workers that run a task of the job and whose lease has not expired."""
         now = self.clock.now()
         return [
             worker
             for worker in self.workers.values()
-            if worker.answered + self.worker_lease_s >= now
+            if worker.lease_renewed_at + self.worker_lease_s >= now
             and any(k[0] == job and t.state == "running" for k, t in worker.tasks.items())
         ]
 
@@ -313,7 +252,7 @@
 def simulate(
     scenario: Callable[[Region], Awaitable[None]], state: StateService | None = None
 ) -> Region:
-    """Play a story; parts that fail and rules that break fail it."""
+    """Run a scenario in a new region; a failed loop or a violated invariant fails it."""
     clock = FakeClock()
     regions: list[Region] = []
 
@@ -321,7 +260,7 @@
         region = Region(clock, state)
         regions.append(region)
         await scenario(region)
-        region.checker.look()
+        region.checker.check()
 
     run_under_virtual_time(clock, begin)
     assert not regions[0].checker.violations, regions[0].checker.violations[:5]
--- a/tests/simulated_worker.py
+++ b/tests/simulated_worker.py
@@ -1,4 +1,7 @@
-"""A worker after PROTOCOL under virtual time, and the link on which controllers reach it."""
+"""Simulates a worker as PROTOCOL describes it, and the link on which controllers reach it.
+
+A worker belongs to a `Region`, sends heartbeats to its controllers, and follows their commands.
+"""
 
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
@@ -9,17 +12,24 @@
 from crossmill.net.client import NoResponseError
 from crossmill.wire.checks import load_object
 
-from .fake_services import beat
+from .builders import heartbeat_body, reported_task
 
 if TYPE_CHECKING:
     from .simulated_region import Region
 
 # how long a message takes from one host to another
 HOP_S = 0.002
+# after so long a worker gives up waiting for a response
+RESPONSE_TIMEOUT_S = 4.0
+RETRY_S = 1.0
+REDIRECT_S = 0.2
+FROZEN_POLL_S = 0.1
+KEPT_HEARTBEATS = 40
+FIRST_PORT = 20000
 
 
 class WorkerLink:
-    """The line from a controller to a worker's own address."""
+    """The link from a controller to a worker's own address."""
 
     def __init__(self, worker: "Worker") -> None:
         self._worker = worker
@@ -27,12 +37,13 @@
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
+        """Deliver commands; raise NoResponseError while the worker is frozen or unreachable."""
         worker = self._worker
         await curio.sleep(HOP_S)
-        if worker.deaf or worker.hung:
-            if worker.hung:
-                # carried out when the machine goes on, if token and session still match
-                worker.held.append(load_object(body))
+        if worker.inbound_lost or worker.is_frozen:
+            if worker.is_frozen:
+                # carried out when the worker resumes, if token and session still match
+                worker.delayed_commands.append(load_object(body))
             await curio.sleep(timeout_s)
             raise NoResponseError(path)
         return worker.command(load_object(body))
@@ -40,6 +51,8 @@
 
 @dataclass
 class Task:
+    """A task on a worker: its attempt, its state and since when, and the cause of its end."""
+
     attempt: int
     state: str
     since: float
@@ -47,99 +60,110 @@
 
 
 class Worker:
-    """A machine as PROTOCOL describes it; images are there at once."""
+    """A machine's worker; images are loaded at once and tasks run for as long as their job says."""
 
     def __init__(self, region: "Region", machine: str, number: int, zone: str) -> None:
         self.region, self.machine, self.number, self.zone = region, machine, number, zone
         self.session, self.seq, self.token = 1, 0, 0
         self.tasks: dict[tuple[str, int], Task] = {}
-        self.answered = region.clock.now()
-        self.deaf: bool = False
-        self.mute: bool = False
-        self.hung: bool = False
-        self.gone: bool = False
-        self.target = 0
-        self.copies: list[bytes] = []
-        self.held: list[dict[str, Any]] = []
-        # the cloud will take the machine away; nothing is placed on it meanwhile
+        self.lease_renewed_at = region.clock.now()
+        # faults: responses and commands to it are lost; its heartbeats are lost; its process runs
+        # nothing, and commands that arrive meanwhile are carried out when it resumes
+        self.inbound_lost: bool = False
+        self.heartbeats_lost: bool = False
+        self.is_frozen: bool = False
+        # the machine was released
+        self.is_terminated: bool = False
+        self.target_index = 0
+        self.sent_heartbeats: list[bytes] = []
+        self.delayed_commands: list[dict[str, Any]] = []
+        # in how long the cloud takes the machine away; nothing is placed on it meanwhile
         self.notice_s: float | None = None
-        # the orders that it got: when, in which session, what
+        # the commands that it got: when, in which session, what
         self.orders: list[tuple[float, int, dict[str, Any]]] = []
 
+    def terminate(self) -> None:
+        """End the machine and all tasks on it."""
+        self.is_terminated = True
+        self.tasks.clear()
+
     def _report(self) -> bytes:
         self.seq += 1
         tasks = []
         for (job, index), task in self.tasks.items():
-            row = {"sack": f"{job}/{index}", "turn": task.attempt, "stage": task.state}
-            if task.cause:
-                row["cause"] = task.cause
-            tasks.append(row)
-        report = load_object(beat(self.machine, self.session, self.seq, self.token, *tasks))
-        address = f"127.0.0.1:{20000 + self.number}"
+            tasks.append(reported_task(job, index, task.attempt, task.state, task.cause))
+        report = load_object(
+            heartbeat_body(self.machine, self.session, self.seq, self.token, *tasks)
+        )
+        address = f"127.0.0.1:{FIRST_PORT + self.number}"
         report.update(address=address, yard=self.zone, recallS=self.notice_s)
         return orjson.dumps(report)
 
-    def _tick(self) -> None:
+    def _advance_tasks(self) -> None:
         now, checker = self.region.clock.now(), self.region.checker
-        if now - self.answered > self.region.worker_lease_s:
+        if now - self.lease_renewed_at > self.region.worker_lease_s:
             self.session += 1
             self.tasks.clear()
-            self.answered = now
+            self.lease_renewed_at = now
         for (job, _), task in self.tasks.items():
             run_s = checker.jobs[job].run_s
             if task.state == "running" and run_s is not None and now - task.since >= run_s:
                 task.state, task.cause = "exited", "done"
 
     async def run(self) -> None:
-        labels = list(self.region.lines)
-        self.target = self.number % len(labels)
-        while not self.gone:
-            if self.hung:
-                await curio.sleep(0.1)
+        """Send heartbeats until the machine is terminated."""
+        labels = list(self.region.state_links)
+        self.target_index = self.number % len(labels)
+        while not self.is_terminated:
+            if self.is_frozen:
+                await curio.sleep(FROZEN_POLL_S)
                 continue
-            self._tick()
-            while self.held:
-                self.command(self.held.pop(0))
+            self._advance_tasks()
+            while self.delayed_commands:
+                self.command(self.delayed_commands.pop(0))
             wait_s = self.region.heartbeat_interval_s
-            label = labels[self.target]
+            label = labels[self.target_index]
             answer = await self._call(label)
             if answer is None or answer[0] != 200:
                 named = str(answer[1].get("foreman")) if answer is not None else ""
-                moves = named in labels and named != label
-                self.target = labels.index(named) if moves else (self.target + 1) % len(labels)
-                wait_s = 0.2 if moves else 1.0
+                is_redirected = named in labels and named != label
+                self.target_index = (
+                    labels.index(named) if is_redirected else (self.target_index + 1) % len(labels)
+                )
+                wait_s = REDIRECT_S if is_redirected else RETRY_S
             await curio.sleep(wait_s)
 
     async def _call(self, label: str) -> tuple[int, dict[str, Any]] | None:
         body, sent, session = self._report(), self.region.clock.now(), self.session
-        self.copies = [*self.copies[-40:], body]
+        self.sent_heartbeats = [*self.sent_heartbeats[-KEPT_HEARTBEATS:], body]
         await curio.sleep(HOP_S)
-        if self.region.stands_still(label) or label in self.region.dark:
-            await curio.sleep(4.0)
+        if self.region.is_frozen(label) or label in self.region.powered_off:
+            await curio.sleep(RESPONSE_TIMEOUT_S)
             return None
-        if self.mute or not self.region.reaches(self, label):
+        if self.heartbeats_lost or not self.region.can_reach(self, label):
             return None
         status, data = self.region.deliver(body, label)
         await curio.sleep(HOP_S)
-        if self.deaf or self.hung or not self.region.reaches(self, label):
-            await curio.sleep(4.0)
+        if self.inbound_lost or self.is_frozen or not self.region.can_reach(self, label):
+            await curio.sleep(RESPONSE_TIMEOUT_S)
             return None
         answer = load_object(data)
-        self._tick()
+        self._advance_tasks()
         if status == 200 and session == self.session and answer["warrant"] >= self.token:
-            self.token, self.answered = answer["warrant"], sent
-            self._obey(answer["orders"])
+            self.token, self.lease_renewed_at = answer["warrant"], sent
+            self._apply_orders(answer["orders"])
         return status, answer
 
     def command(self, data: dict[str, Any]) -> tuple[int, bytes]:
-        self._tick()
+        """Take commands at the worker's own address; 409 if token or session are outdated."""
+        self._advance_tasks()
         if data["warrant"] < self.token or data["shift"] != self.session:
             return 409, self._report()
         self.token = data["warrant"]
-        self._obey(data["orders"])
+        self._apply_orders(data["orders"])
         return 200, self._report()
 
-    def _obey(self, orders: list[dict[str, Any]]) -> None:
+    def _apply_orders(self, orders: list[dict[str, Any]]) -> None:
         for order in orders:
             self.orders.append((self.region.clock.now(), self.session, order))
             job, _, index = order["sack"].rpartition("/")
@@ -148,7 +172,7 @@
             if order["verb"] == "start":
                 if task is None:
                     self.tasks[key] = Task(attempt, "running", self.region.clock.now())
-                    self.region.checker.started(self, key)
+                    self.region.checker.check_start(self, key)
             elif task is not None and task.attempt == attempt:
                 if order["verb"] == "reap" and task.state == "exited":
                     del self.tasks[key]
--- a/tests/test_behavior_trace.py
+++ b/tests/test_behavior_trace.py
@@ -5,16 +5,10 @@
 
 import pytest
 
-from .behavior_trace import (
-    Entry,
-    TraceKey,
-    TraceRecorder,
-    compare,
-    digest,
-    first_difference,
-    play_quick,
-)
 from .trace_adapter import CONTROLLERS, changed_placement
+from .trace_comparison import compare, first_difference
+from .trace_recorder import Entry, TraceKey, TraceRecorder, digest
+from .trace_scenarios import play_quick
 
 SEED = 1
 
@@ -49,7 +43,7 @@
         return _take()
 
 
-def test_the_trace_has_every_seam(lines: Lines) -> None:
+def test_the_trace_has_messages_of_every_kind(lines: Lines) -> None:
     fields = [line.split("\t") for rows in lines.values() for line in rows]
     seams = {(field[1], field[2].partition(":")[0]) for field in fields}
     assert seams >= {
--- a/tests/test_boot_times.py
+++ b/tests/test_boot_times.py
@@ -10,7 +10,8 @@
 from crossmill.state.mirror import Mirror
 from crossmill.wire.cloud import parse_catalog
 
-from .fake_services import CATALOG, make_settings
+from .builders import make_settings
+from .fake_cloud import CATALOG
 from .simulated_region import Region, simulate
 
 # the boot time of CATALOG's g4
@@ -104,16 +105,16 @@
 def test_machines_that_all_boot_slowly_join_and_are_not_replaced(slow: float) -> None:
     async def scenario(region: Region) -> None:
         await region.begin(machines=0)
-        await region.lead_everywhere()
+        await region.run_provisioners()
         rented_at: dict[str, float] = {}
 
         def boots(machine: str) -> bool:
             first_asked_at = rented_at.setdefault(machine, region.clock.now())
             return region.clock.now() - first_asked_at > slow * BOOT_S
 
-        region.boots = boots
+        region.comes_up = boots
         assert await region.submit("node-0", "wk-000001", 10.0, crew="blue", sacks=16) == 201
-        await region.until(lambda: region.finished("wk-000001", 16), 600.0)
+        await region.wait_until(lambda: region.has_finished("wk-000001", 16), 600.0)
         # the machines that were rented first did the work
         assert not {"n-000000", "n-000001"} & set(region.cloud.released)
         assert len(region.cloud.machines) <= 12
--- a/tests/test_controller_outages.py
+++ b/tests/test_controller_outages.py
@@ -1,5 +1,8 @@
-"""What the operators' on-call people met: controllers that stand still and go on with clocks that
-ran, all but one gone for a minute, machines that come up late or never, broken jobs, guests.
+"""Incidents that operators reported, replayed in a simulated region.
+
+Controllers freeze and resume, all but one end for a minute, machines come up late or never, jobs
+fail
+on every machine, and many small jobs arrive at once.
 """
 
 import random
@@ -16,8 +19,10 @@
 from crossmill.state.mirror import Mirror
 from crossmill.workers.attempt_outcomes import AttemptOutcome, EndReason
 
-from .fake_services import FakeClock, StateService, make_settings, make_spec
-from .fault_injection import all_over_but_services
+from .builders import make_settings, make_spec
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
+from .fault_injection import cancel_services_and_wait
 from .simulated_region import Region, simulate
 from .simulated_worker import Worker
 from .stepped_controller import SteppedController, add_machine, run_scenario, seed
@@ -31,7 +36,7 @@
 
 
 def _freeze(freeze_s: float, seed_s: float) -> Callable[[Region], Awaitable[None]]:
-    """The owner of a shard stands still; its jobs are cancelled meanwhile through another."""
+    """Return a scenario in which an owner freezes while its jobs are cancelled through another."""
 
     async def scenario(region: Region) -> None:
         await _begin(region)
@@ -40,17 +45,17 @@
             crew = ("red", "blue", "green")[n % 3]
             label = region.LABELS[n % 3]
             assert await region.submit(label, job, None, crew=crew, sacks=2) == 201
-        await region.until(lambda: all(region.running(job) for job in jobs))
+        await region.wait_until(lambda: all(region.workers_running(job) for job in jobs))
         await curio.sleep(seed_s)
         frozen = region.nodes["node-1"]
         held = set(frozen.membership.ownerships)
-        region.still_until["node-1"] = region.clock.now() + freeze_s
+        region.frozen_until["node-1"] = region.clock.now() + freeze_s
         for job in jobs[:5]:
-            assert await region.cancel_until_told("node-2", job, 20.0)
+            assert await region.cancel_until_confirmed("node-2", job, 20.0)
         # a moment before it goes on: in its own eyes its rights are over, though nothing told it so
-        left_s = region.still_until["node-1"] - region.clock.now()
+        left_s = region.frozen_until["node-1"] - region.clock.now()
         await curio.sleep(max(0.0, left_s - 0.001))
-        if region.stands_still("node-1"):
+        if region.is_frozen("node-1"):
             assert all(frozen.membership.active_ownership(shard) is None for shard in held)
             assert all(frozen.membership.heartbeat_authority(shard) is None for shard in held)
             assert frozen.membership.leadership_version() is None
@@ -58,53 +63,54 @@
             crew = ("red", "blue", "green")[n % 3]
             await region.submit("node-2", job, 5.0, crew=crew, sacks=2)
         await curio.sleep(40.0)
-        assert not any(region.running(job) for job in jobs[:5])
-        assert all(region.running(job) for job in jobs[5:])
+        assert not any(region.workers_running(job) for job in jobs[:5])
+        assert all(region.workers_running(job) for job in jobs[5:])
 
     return scenario
 
 
 @pytest.mark.parametrize("freeze_s", [5.0, 9.0, 25.0])
 @pytest.mark.parametrize("seed_s", [0.0, 0.37, 0.81])
-def test_a_controller_that_stood_still_acts_on_nothing_old(freeze_s: float, seed_s: float) -> None:
+def test_a_controller_acts_on_nothing_stale_after_a_freeze(freeze_s: float, seed_s: float) -> None:
     simulate(_freeze(freeze_s, seed_s))
 
 
-def test_rights_that_outlast_a_freeze_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_lease_that_outlasts_a_freeze_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ControllerLease, "is_held", lambda self: self.lease_id is not None)
     with pytest.raises(AssertionError):
         simulate(_freeze(25.0, 0.0))
 
 
 @pytest.mark.parametrize("alone", ["node-0", "node-1", "node-2"])
-def test_all_but_one_are_gone_for_more_than_a_minute(alone: str) -> None:
+def test_one_controller_serves_alone_for_more_than_a_minute(alone: str) -> None:
     async def scenario(region: Region) -> None:
         await _begin(region)
         others = [label for label in region.LABELS if label != alone]
         assert await region.submit(others[0], "wk-000001", None, crew="blue", sacks=3) == 201
-        await region.until(lambda: bool(region.running("wk-000001")))
+        await region.wait_until(lambda: bool(region.workers_running("wk-000001")))
         for label in others:
-            await region.darken(label)
+            await region.power_off(label)
         await curio.sleep(15.0)
         # it serves alone: jobs run, end and are cancelled
         assert await region.submit(alone, "wk-000002", 10.0, crew="green", sacks=4) == 201
         assert await region.submit(alone, "wk-000003", None, crew="green", sacks=1) == 201
-        await region.until(lambda: region.finished("wk-000002", 4))
-        assert await region.cancel_until_told(alone, "wk-000003", 10.0)
+        await region.wait_until(lambda: region.has_finished("wk-000002", 4))
+        assert await region.cancel_until_confirmed(alone, "wk-000003", 10.0)
         await curio.sleep(40.0)
         for label in others:
-            await region.light(label)
+            await region.power_on(label)
         await curio.sleep(40.0)
-        assert region.running("wk-000001")
-        assert not region.running("wk-000003")
+        assert region.workers_running("wk-000001")
+        assert not region.workers_running("wk-000003")
         assert region.owners() == {0: "node-0", 1: "node-1", 2: "node-2"}
 
     simulate(scenario)
 
 
-def test_questions_of_all_users_at_once_cost_the_one_that_serves_alone_few_reads() -> None:
-    """Eight questions a second for each of fifty jobs: those that come together share a read, and
-    workers are answered and work begins meanwhile.
+def test_simultaneous_status_requests_share_reads() -> None:
+    """Status requests that come together share one read of the state service.
+
+    Eight requests a second for each of fifty jobs; workers are answered and work begins meanwhile.
     """
 
     async def scenario(region: Region) -> None:
@@ -113,9 +119,9 @@
         small = {"crew": "blue", "cards": 0.0, "cpus": 0.25, "ramGb": 0.5}
         for job in jobs:
             assert await region.submit("node-0", job, None, sacks=1, **small) == 201
-        await region.until(lambda: all(region.running(job) for job in jobs))
+        await region.wait_until(lambda: all(region.workers_running(job) for job in jobs))
         for label in ("node-1", "node-2"):
-            await region.darken(label)
+            await region.power_off(label)
         await curio.sleep(20.0)
         reads = len(region.state.calls)
         for _ in range(8 * 10):
@@ -126,20 +132,22 @@
         # 4,000 questions; a read serves all that were asked before it
         assert len(region.state.calls) - reads < 1000
         assert await region.submit("node-0", "wk-000100", 5.0, sacks=2, **small) == 201
-        await region.until(lambda: region.finished("wk-000100", 2), 20.0)
-        assert all(region.running(job) for job in jobs)
+        await region.wait_until(lambda: region.has_finished("wk-000100", 2), 20.0)
+        assert all(region.workers_running(job) for job in jobs)
 
     simulate(scenario)
 
 
-def test_machines_that_never_come_up_are_given_up_and_replaced() -> None:
+def test_machines_that_never_come_up_are_replaced() -> None:
     async def scenario(region: Region) -> None:
         await region.begin(machines=0)
-        await region.lead_everywhere()
-        region.boots = lambda machine: int(machine[2:]) >= 2
+        await region.run_provisioners()
+        region.comes_up = lambda machine: int(machine[2:]) >= 2
         assert await region.submit("node-0", "wk-000001", 10.0, crew="blue", sacks=8) == 201
-        await region.until(lambda: region.finished("wk-000001", 8), 400.0)
-        await region.until(lambda: {"n-000000", "n-000001"} <= set(region.cloud.released), 400.0)
+        await region.wait_until(lambda: region.has_finished("wk-000001", 8), 400.0)
+        await region.wait_until(
+            lambda: {"n-000000", "n-000001"} <= set(region.cloud.released), 400.0
+        )
 
     simulate(scenario)
 
@@ -150,7 +158,7 @@
             task.state, task.cause = "exited", "error"
 
 
-def test_broken_jobs_of_several_teams_are_cancelled_while_they_are_tried_again() -> None:
+def test_failing_jobs_are_cancelled_while_they_are_retried() -> None:
     async def scenario(region: Region) -> None:
         await _begin(region)
         broken = {f"wk-{n:06d}" for n in range(6)}
@@ -170,18 +178,18 @@
         assert await region.submit("node-0", "wk-000100", 10.0, crew="blue", sacks=12) == 201
         await region.kill("node-1")
         for job in sorted(broken):
-            assert await region.cancel_until_told("node-2", job, 20.0)
+            assert await region.cancel_until_confirmed("node-2", job, 20.0)
         await region.start("node-1")
         # others' work is not held up
-        await region.until(lambda: region.finished("wk-000100", 12), 90.0)
+        await region.wait_until(lambda: region.has_finished("wk-000100", 12), 90.0)
         await curio.sleep(region.cancellation_deadline_s)
         assert not any(job in broken for w in region.workers.values() for job, _ in w.tasks)
 
     simulate(scenario)
 
 
-def test_jobs_that_fail_on_a_third_machine_say_nothing_against_the_first_two() -> None:
-    """Several broken jobs begin on the same machine: until they fail elsewhere it looks faulty."""
+def test_jobs_that_fail_on_three_machines_make_none_of_them_faulty() -> None:
+    """Until the jobs fail elsewhere too, the machine on which they began looks faulty."""
     settings, clock = make_settings(), FakeClock()
     failures = TaskFailures(settings, clock, ClusterState(Mirror(), settings))
     jobs = [Job(f"wk-{n:06d}", spec=make_spec(nameId=f"wk-{n:06d}")) for n in range(2)]
@@ -199,10 +207,10 @@
     assert not any(failures.is_faulty(f"n-{number}") for number in range(3))
 
 
-def test_a_guests_array_swarm_and_idle_batch_while_leaders_change() -> None:
+def test_idle_batch_work_finishes_during_failovers() -> None:
     async def scenario(region: Region) -> None:
         await _begin(region)
-        await region.lead_everywhere()
+        await region.run_provisioners()
         small = {"crew": "green", "precedence": "idle", "cards": 0.0, "cpus": 0.25, "ramGb": 0.5}
         assert await region.submit("node-0", "wk-100000", 3.0, sacks=600, **small) == 201
         assert await region.submit("node-1", "wk-100001", 40.0, sacks=60, **small) == 201
@@ -212,19 +220,17 @@
         for label in ("node-2", "node-0", "node-1"):
             await curio.sleep(8.0)
             await region.restart(label, 4.0)
-        await region.until(lambda: region.finished("wk-100000", 600), 300.0)
-        assert len(region.running("wk-000001")) > 0
-        await all_over_but_services(region)
+        await region.wait_until(lambda: region.has_finished("wk-100000", 600), 300.0)
+        assert len(region.workers_running("wk-000001")) > 0
+        await cancel_services_and_wait(region)
 
     simulate(scenario)
 
 
 @pytest.mark.parametrize("step", ["rent", "release"])
 @pytest.mark.parametrize("stands_still", [False, True])
-def test_a_leader_that_stood_still_neither_rents_nor_returns(step: str, stands_still: bool) -> None:
-    """It stands still while it waits for the cloud's pace, between its look at its right to lead
-    and the request.
-    """
+def test_a_leader_neither_rents_nor_releases_after_a_freeze(step: str, stands_still: bool) -> None:
+    """The leader freezes between its check of the leadership and the request to the cloud."""
 
     async def scenario(
         state: StateService, clock: FakeClock, nodes: dict[str, SteppedController]
@@ -248,7 +254,7 @@
 
 
 def _agrees(region: Region, worker: Worker) -> bool:
-    """Whether some controller acts for the machine and believes what is on it."""
+    """Whether some controller acts for the worker and has a correct view of its tasks."""
     for node in region.nodes.values():
         machine = node.cluster.machines.get(worker.machine)
         if machine is None or node.membership.active_ownership(machine.shard) is None:
@@ -260,9 +266,10 @@
 
 
 @pytest.mark.parametrize("seed_number", range(900, 908))
-def test_views_agree_soon_after_freezes_drawn_by_lot(seed_number: int) -> None:
-    """Controllers stand still at drawn moments, in the middle of whatever each of their loops waits
-    for, while jobs come, end and are cancelled; the judge looks on.
+def test_views_agree_soon_after_random_freezes(seed_number: int) -> None:
+    """After random freezes some controller soon has a correct view of each worker.
+
+    The controllers freeze at any await of their loops, while jobs arrive, end and are cancelled.
     """
     rng = random.Random(seed_number)
 
@@ -272,25 +279,25 @@
         for n, job in enumerate(services):
             crew = ("red", "blue", "green")[n % 3]
             assert await region.submit("node-0", job, None, crew=crew, sacks=2) == 201
-        await region.until(lambda: all(region.running(job) for job in services))
+        await region.wait_until(lambda: all(region.workers_running(job) for job in services))
         for freeze in range(3):
             label = rng.choice(region.LABELS)
             freeze_s = rng.uniform(5.0, 25.0)
             traffic = await curio.spawn(_traffic, region, label, freeze, daemon=True)
             await curio.sleep(rng.uniform(0.0, 3.0))
-            region.still_until[label] = region.clock.now() + freeze_s
+            region.frozen_until[label] = region.clock.now() + freeze_s
             others = [other for other in region.LABELS if other != label]
-            assert await region.cancel_until_told(rng.choice(others), services[freeze], 20.0)
-            await curio.sleep(max(0.0, region.still_until[label] - region.clock.now()))
+            assert await region.cancel_until_confirmed(rng.choice(others), services[freeze], 20.0)
+            await curio.sleep(max(0.0, region.frozen_until[label] - region.clock.now()))
             await traffic.join()
             # all shards go home within two leases; from then on nobody's view may be old
             await curio.sleep(2 * region.worker_lease_s)
-            await region.until(
+            await region.wait_until(
                 lambda: all(_agrees(region, worker) for worker in region.workers.values()),
                 2 * region.heartbeat_interval_s,
             )
-        assert not any(region.running(job) for job in services[:3])
-        assert all(len(region.running(job)) > 0 for job in services[3:])
+        assert not any(region.workers_running(job) for job in services[:3])
+        assert all(len(region.workers_running(job)) > 0 for job in services[3:])
 
     simulate(scenario)
 
--- /dev/null
+++ b/tests/test_job_api.py
@@ -0,0 +1,97 @@
+"""Answers to users who submit jobs and ask for them."""
+
+from typing import Any
+
+import orjson
+import pytest
+
+from crossmill.cluster import keys
+
+from .builders import submission
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
+from .stepped_controller import Nodes, SteppedController, add_job, run_scenario, seed
+
+
+def test_a_state_that_is_not_final_is_read_before_it_is_answered() -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        seed(state, clock)
+        job = add_job(state, clock)
+        node = SteppedController(state, clock, nodes)
+        await node.boot()
+        # cancelled at another controller; this mirror lags
+        state.put(keys.job(job), {**state.keys[keys.job(job)][0], "end": "cancelled"})
+        answer = await node.ask("GET", f"/v1/jobs/{job}")
+        assert orjson.loads(answer.body)["stage"] == "withdrawn"
+        state.put(keys.job("wk-000002"), state.keys[keys.job(job)][0])
+        assert (await node.ask("GET", "/v1/jobs/wk-000002")).status == 200
+        assert (await node.ask("GET", "/v1/jobs/wk-000009")).status == 404
+        state.down = True
+        assert (await node.ask("GET", "/v1/jobs/wk-000009")).status == 503
+        # what is final needs no proof
+        assert (await node.ask("GET", f"/v1/jobs/{job}")).status == 200
+
+    run_scenario(scenario)
+
+
+def test_a_submission_before_the_catalog_is_read_is_refused_for_now() -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        node = SteppedController(state, clock, nodes)
+        await node.boot()
+        body = orjson.dumps(submission())
+        early = await node.ask("POST", "/v1/jobs", body)
+        assert (early.status, early.retry_after_s) == (503, 1)
+        seed(state, clock)
+        await node.sync()
+        assert (await node.ask("POST", "/v1/jobs", body)).status == 201
+        assert state.keys[keys.job("wk-000001")][0]["spec"]["tasks"] == 2
+
+    run_scenario(scenario)
+
+
+def test_an_invalid_repeat_of_a_submission_is_accepted_at_another_controller() -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        seed(state, clock)
+        node = SteppedController(state, clock, nodes)
+        await node.boot()
+        assert (await node.ask("POST", "/v1/jobs", orjson.dumps(submission()))).status == 201
+        # another node that has not seen it, and a repeat that is broken by now
+        other = SteppedController(state, clock, nodes, "node-1")
+        await other.boot()
+        broken = orjson.dumps({"nameId": "wk-000001", "cpus": -1})
+        assert (await other.ask("POST", "/v1/jobs", broken)).status == 200
+
+    run_scenario(scenario)
+
+
+@pytest.mark.parametrize(
+    ("change", "status"),
+    [
+        ({"cpus": True}, 400),
+        ({"crew": "nobody"}, 422),
+        ({"cards": 5.0}, 422),
+        ({"cut": "service", "sacks": 17}, 422),
+        ({"sacks": 17}, 201),
+    ],
+)
+def test_a_submission_is_validated(change: dict[str, Any], status: int) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        seed(state, clock)
+        node = SteppedController(state, clock, nodes)
+        await node.boot()
+        data = orjson.dumps(submission(nameId="wk-000007", **change))
+        assert (await node.ask("POST", "/v1/jobs", data)).status == status
+
+    run_scenario(scenario)
+
+
+def test_a_submission_in_an_outage_is_refused_for_now() -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        seed(state, clock)
+        node = SteppedController(state, clock, nodes)
+        await node.boot()
+        state.down = True
+        refused = await node.ask("POST", "/v1/jobs", orjson.dumps(submission(nameId="wk-000008")))
+        assert (refused.status, refused.retry_after_s) == (503, 1)
+
+    run_scenario(scenario)
--- a/tests/test_job_records.py
+++ b/tests/test_job_records.py
@@ -6,7 +6,9 @@
 from crossmill.cluster import keys
 from crossmill.cluster.records import encode_job
 
-from .fake_services import FakeClock, StateService, make_settings, make_spec, on, submission
+from .builders import make_settings, make_spec, reported_task, submission
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .stepped_controller import SteppedController, add_job, add_machine, run_scenario, seed
 
 Nodes = dict[str, SteppedController]
@@ -59,7 +61,7 @@
             state.put(keys.plan(job, name), plan)
         node = SteppedController(state, clock, nodes)
         await node.boot()
-        ended = [on(job, index, 1, "exited", "done") for index in (0, size)]
+        ended = [reported_task(job, index, 1, "exited", "done") for index in (0, size)]
         node.report("n-0", 1, 1, node.token(), *ended)
         for _ in range(2):
             await node.round()
--- a/tests/test_machine_maintenance.py
+++ b/tests/test_machine_maintenance.py
@@ -5,7 +5,9 @@
 from crossmill.cluster import keys
 from crossmill.wire.workers import CommandKind
 
-from .fake_services import FakeClock, StateService, on
+from .builders import reported_task
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .stepped_controller import SteppedController, add_job, boot_with_job, run_scenario, seed
 
 Nodes = dict[str, SteppedController]
@@ -21,7 +23,9 @@
             for number in range(4):
                 machine = f"n-{number}"
                 attempts = node.cluster.machines[machine].attempts.values()
-                failed = [on(a.job, a.index, a.number, "exited", "error") for a in attempts]
+                failed = [
+                    reported_task(a.job, a.index, a.number, "exited", "error") for a in attempts
+                ]
                 starts += len(failed)
                 node.report(machine, 1, seq, node.token(), *failed)
             await node.round()
@@ -38,7 +42,7 @@
         await node.sync()
         await node.round()
         attempts = node.cluster.machines["n-0"].attempts.values()
-        failed = [on(a.job, a.index, a.number, "exited", "error") for a in attempts]
+        failed = [reported_task(a.job, a.index, a.number, "exited", "error") for a in attempts]
         assert len(failed) == 2
         node.report("n-0", 1, 3, node.token(), *failed)
         clock.time += node.settings.worker_lease_expiry_s + 1
@@ -60,7 +64,7 @@
         await node.boot()
         for seq in range(1, 60):
             clock.time += 1.0
-            await node.live()
+            await node.renew_and_sync()
             node.report("n-0", 1, seq, node.token())
             await node.round()
         assert node.cluster.machines["n-0"].retiring == "idle"
@@ -81,7 +85,7 @@
         node = await boot_with_job(
             state, clock, nodes, machines=1, sacks=1, baggingS=10.0, sealS=3.0
         )
-        node.report("n-0", 1, 2, node.token(), on("wk-000001", 0, 1, "running"))
+        node.report("n-0", 1, 2, node.token(), reported_task("wk-000001", 0, 1, "running"))
         view = node.heartbeats.find_view("n-0")
         assert view is not None
         view.termination_at = clock.now() + left_s
@@ -98,7 +102,7 @@
         node = await boot_with_job(
             state, clock, nodes, machines=1, sacks=1, baggingS=10.0, sealS=3.0
         )
-        node.report("n-0", 1, 2, node.token(), on("wk-000001", 0, 1, "running"))
+        node.report("n-0", 1, 2, node.token(), reported_task("wk-000001", 0, 1, "running"))
         view = node.heartbeats.find_view("n-0")
         assert view is not None
         view.termination_at = clock.now() + left_s
--- a/tests/test_missed_watch_events.py
+++ b/tests/test_missed_watch_events.py
@@ -14,7 +14,9 @@
 from crossmill.wire.checks import load_object
 from crossmill.workers.attempt_outcomes import StopReason
 
-from .fake_services import FakeClock, StateService, make_spec, on
+from .builders import make_spec, reported_task
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .stepped_controller import RECORD_BYTES, SteppedController, add_job, run_scenario, seed
 
 Nodes = dict[str, SteppedController]
@@ -51,7 +53,7 @@
     state.delete(keys.shard(0))
     for _ in range(12):
         clock.time += node.settings.lease_renewal_interval_s / 2
-        await node.live()
+        await node.renew_and_sync()
         await node.membership.step()
         if node.membership.active_ownership(0) is not None:
             return
@@ -118,12 +120,12 @@
         await node.sync()
         await node.membership.step()
         await _acquire_shard_again(state, clock, node)
-        node.report("n-0", 1, 4, 0, on(JOB, 0, 1, "running"))
+        node.report("n-0", 1, 4, 0, reported_task(JOB, 0, 1, "running"))
         await node.round()
         assert state.keys[keys.plan(JOB, "0")][0][
             "rows"
         ], "a running task was removed from the plan"
-        response = node.report("n-0", 1, 5, node.token(), on(JOB, 0, 1, "running"))
+        response = node.report("n-0", 1, 5, node.token(), reported_task(JOB, 0, 1, "running"))
         assert [command.op for command in response.commands] == []
 
     run_scenario(scenario)
@@ -300,14 +302,14 @@
             spec = make_spec(nameId=f"wk-{1000 + number:06d}")
             state.put(keys.job(spec.id), encode_end(DONE, spec, clock.wall(), RECORD_BYTES))
         await node.boot()
-        node.report("n-0", 1, 1, 0, on(JOB, 0, 1, "running"))
+        node.report("n-0", 1, 1, 0, reported_task(JOB, 0, 1, "running"))
         for _ in range(6):
             clock.time += 1
-            await node.live()
+            await node.renew_and_sync()
             await node.round()
         assert any(key.startswith(keys.ARCHIVE) for key in state.keys)
         assert keys.job(JOB) in state.keys
-        response = node.report("n-0", 1, 2, node.token(), on(JOB, 0, 1, "running"))
+        response = node.report("n-0", 1, 2, node.token(), reported_task(JOB, 0, 1, "running"))
         assert [command.op for command in response.commands] == ["stop"]
 
     run_scenario(scenario)
@@ -325,7 +327,7 @@
             state.put(keys.archived(JOB), {"end": CANCELLED, "done": 0})
         node = SteppedController(state, clock, nodes)
         await node.boot()
-        running = on(JOB, 0, 1, "running")
+        running = reported_task(JOB, 0, 1, "running")
         node.report("n-0", 1, 1, 0, running)
         response = node.report("n-0", 1, 2, node.token(), running)
         assert [command.op for command in response.commands] == []
@@ -333,11 +335,11 @@
         assert (await node.ask("GET", f"/v1/jobs/{JOB}")).status == (200 if is_archived else 404)
         response = node.report("n-0", 1, 3, node.token(), running)
         assert [command.op for command in response.commands] == (["stop"] if is_archived else [])
-        ended = [on(JOB, 0, 1, "exited", "halted")] if is_archived else [running]
+        ended = [reported_task(JOB, 0, 1, "exited", "halted")] if is_archived else [running]
         node.report("n-0", 1, 4, node.token(), *ended)
         for _ in range(4):
             clock.time += 1
-            await node.live()
+            await node.renew_and_sync()
             await node.round()
         assert (plan not in state.keys) is is_archived
         assert (JOB not in node.cluster.jobs) is is_archived
--- a/tests/test_multihost_drain.py
+++ b/tests/test_multihost_drain.py
@@ -18,7 +18,7 @@
         assert status == 200
         await region.until_serving("chat/1", REPAIR_BOUND_S)
         # the old one serves until the new one does
-        await region.until(lambda: region.phase("chat/0") == "", 20.0)
+        await region.wait_until(lambda: region.phase("chat/0") == "", 20.0)
         assert not region.agents[machine].members
         region.checker.check_end()
 
@@ -37,7 +37,7 @@
         assert len(region.serving("chat/0")) == 1
         for number in range(4):
             await region.add_agent(f"new-{number}", "north")
-        await region.until(lambda: region.phase("chat/0") == "", REPAIR_BOUND_S + 10.0)
+        await region.wait_until(lambda: region.phase("chat/0") == "", REPAIR_BOUND_S + 10.0)
         assert len(region.serving("chat/1")) == 1
 
     simulate_multihost(scenario)
@@ -66,13 +66,13 @@
         assert (await region.operate("POST", f"machines/{agent.machine}/release"))[0] == 200
         await region.until_serving("chat/1", REPAIR_BOUND_S)
         assert region.state.keys[record][0]["type"] == "multihost/g4"
-        await region.until(lambda: agent.has_left, 20.0)
+        await region.wait_until(lambda: agent.has_left, 20.0)
         assert not agent.members
         assert region.state.keys[record][0]["type"] == "g4"
         assert (await region.operate("POST", f"machines/{agent.machine}/undrain"))[0] == 409
         # once the machine is returned nothing is left of it
         region.state.delete(record)
-        await region.until(lambda: region.pool_size() == 9)
+        await region.wait_until(lambda: region.pool_size() == 9)
 
     simulate_multihost(scenario)
 
@@ -85,7 +85,7 @@
         agent = region.agents_of("chat/0")[1]
         agent.notice_s = 30.0
         await region.until_serving("chat/1", REPAIR_BOUND_S)
-        await region.until(lambda: not agent.members, 20.0)
+        await region.wait_until(lambda: not agent.members, 20.0)
 
     simulate_multihost(scenario)
 
@@ -97,7 +97,7 @@
         await region.until_serving("chat/0")
         await region.until_serving("chat/1")
         assert (await region.operate("DELETE", "replica-sets/chat"))[0] == 200
-        await region.until(lambda: not any(a.members for a in region.agents.values()), 20.0)
+        await region.wait_until(lambda: not any(a.members for a in region.agents.values()), 20.0)
         await curio.sleep(5.0)
         assert not [k for k in region.state.keys if "chat" in k]
 
--- a/tests/test_multihost_failover.py
+++ b/tests/test_multihost_failover.py
@@ -25,7 +25,7 @@
         if phase == "repairing":
             await region.until_serving("chat/0")
             region.agents_of("chat/0")[2].dead = True
-        await region.until(lambda: region.phase("chat/0") == phase)
+        await region.wait_until(lambda: region.phase("chat/0") == phase)
         # the record has just been written, and no agent has been told yet
         if with_member and region.agents_of("chat/0"):
             region.agents_of("chat/0")[1].dead = True
@@ -45,16 +45,16 @@
         await region.begin_pool(8)
         owner = region.owner()
         other = next(label for label in region.services if label != owner)
-        region.answer_s[owner] = 0.4
+        region.transaction_delay_s[owner] = 0.4
         for number in range(3):
             body: dict[str, Any] = {"members": 2, "replicas": 1, "image": "weights"}
             body |= {"image_gb": 1, "cpus": 16, "gpus": 4, "memory_gb": 64}
             await region.operate("PUT", f"replica-sets/pair-{number}", body, label=other)
-        await region.until(lambda: any(region.agents_of(f"pair-{n}/0") for n in range(3)))
+        await region.wait_until(lambda: any(region.agents_of(f"pair-{n}/0") for n in range(3)))
         lease = region.state.keys[cluster_keys.shard(0)][2]
         assert lease is not None
         region.state.end_lease(lease)
-        region.answer_s.clear()
+        region.transaction_delay_s.clear()
         for number in range(3):
             await region.until_serving(f"pair-{number}/0")
 
@@ -82,7 +82,7 @@
         await region.declare("chat", image_gb=LOAD_S)
         await region.until_serving("chat/0")
         region.agents_of("chat/0")[1].dead = True
-        await region.until(lambda: region.phase("chat/0") == "repairing")
+        await region.wait_until(lambda: region.phase("chat/0") == "repairing")
         region.state.down = True
         await curio.sleep(15.0)
         assert not region.serving("chat/0")
--- a/tests/test_multihost_invariants.py
+++ b/tests/test_multihost_invariants.py
@@ -64,7 +64,7 @@
         await curio.sleep(1.0)
         assert not region.checker.violations
         violation(region)
-        region.checker.look()
+        region.checker.check()
         await curio.sleep(0.1 if named != "incomplete" else 8.0)
         region.checker.check_end()
 
--- a/tests/test_multihost_loopback.py
+++ b/tests/test_multihost_loopback.py
@@ -12,7 +12,7 @@
 from crossmill.settings import Endpoint
 from crossmill.wire.multihost import HEARTBEAT_PATH, PING_PATH
 
-from .fake_services import FakeClock
+from .fake_clock import FakeClock
 from .loopback import free_ports
 from .multihost_agents import Agent
 from .multihost_region import SETTINGS, MultihostRegion
@@ -45,11 +45,11 @@
         self._ports = iter(free_ports(40))
         self._clients: dict[Endpoint, Client] = {}
 
-    def more_parts(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
+    def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
         """Return the loops of a controller's service, with its server."""
         listen = Endpoint("127.0.0.1", next(self._ports))
         self.multihost = replace(FAST, listen=listen)
-        parts = super().more_parts(node)
+        parts = super().extra_loops(node)
         return [*parts, self.services[node.settings.label].server.run]
 
     async def add_agent(self, machine: str, zone: str) -> Agent:
@@ -85,7 +85,7 @@
         """Send a ping over HTTP and return whether the answer confirms the member."""
         host, _, port = address.rpartition(":")
         target = next(a for a in self.agents.values() if a.address == address)
-        if source.dead or target.dead or target.hung:
+        if source.dead or target.dead or target.is_frozen:
             return False
         reply = await self._post(Endpoint(host, int(port)), PING_PATH, body)
         return reply is not None and reply[0] == 200
@@ -101,7 +101,7 @@
         await region.declare("chat", members=4, image_gb=LOAD_S)
         await region.until_serving("chat/0", SLACK_S)
         region.agents_of("chat/0")[2].dead = True
-        await region.until(lambda: not region.serving("chat/0"), FAST.serving_lease_s + 1.0)
+        await region.wait_until(lambda: not region.serving("chat/0"), FAST.serving_lease_s + 1.0)
         taken_s = await region.until_serving("chat/0", SLACK_S)
         print(f"back after {taken_s:.1f} s, bound {bound_s:.1f} s")
         assert region.generation("chat/0") == 2
--- a/tests/test_multihost_member_failures.py
+++ b/tests/test_multihost_member_failures.py
@@ -18,7 +18,9 @@
     async def fault(region: MultihostRegion, agents: list[Agent]) -> None:
         agents[2].dead = True
         begun = region.clock.now()
-        await region.until(lambda: not region.serving("chat/0"), SETTINGS.serving_lease_s + 0.1)
+        await region.wait_until(
+            lambda: not region.serving("chat/0"), SETTINGS.serving_lease_s + 0.1
+        )
         assert region.clock.now() - begun <= SETTINGS.serving_lease_s + 0.1
 
     assert time_to_repair(fault) <= REPAIR_BOUND_S
@@ -68,7 +70,7 @@
     async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(8)
         await region.declare("chat", image_gb=LOAD_S)
-        await region.until(lambda: region.phase("chat/0") == "starting")
+        await region.wait_until(lambda: region.phase("chat/0") == "starting")
         await curio.sleep(after_s)
         region.agents_of("chat/0")[2].dead = True
         await curio.sleep(SETTINGS.serving_lease_s + 0.5)
@@ -89,9 +91,9 @@
         await region.declare("chat", image_gb=LOAD_S)
         await region.until_serving("chat/0")
         agent = region.agents_of("chat/0")[rank]
-        agent.hung = True
+        agent.is_frozen = True
         await curio.sleep(hang_s)
-        agent.hung = False
+        agent.is_frozen = False
         await curio.sleep(1.0)
         await region.until_serving("chat/0", REPAIR_BOUND_S + 1.0)
         await curio.sleep(SETTINGS.agent_lease_s * 2)
@@ -108,7 +110,7 @@
         await region.until_serving("chat/0")
         agent = region.agents_of("chat/0")[1]
         start = next(o for _, o in agent.orders if o.op is OrderKind.START)
-        old_copy = agent.copies[-1]
+        old_copy = agent.sent_heartbeats[-1]
         agent.restart()
         await curio.sleep(90.0)
         await region.until_serving("chat/0")
@@ -136,7 +138,7 @@
         dead = region.agents_of("chat/0")[1:3]
         for agent in dead:
             agent.dead = True
-        await region.until(lambda: region.phase("chat/0") == "repairing")
+        await region.wait_until(lambda: region.phase("chat/0") == "repairing")
         await curio.sleep(10.0 + 2 * SETTINGS.heartbeat_interval_s)
         assert region.phase("chat/0") == "pending"
         assert not region.agents_of("chat/0")
@@ -159,7 +161,7 @@
             if bad not in region.agents_of("chat/0"):
                 break
             bad.restart()
-            await region.until(lambda: not region.serving("chat/0"))
+            await region.wait_until(lambda: not region.serving("chat/0"))
             await region.until_serving("chat/0")
         assert bad not in region.agents_of("chat/0")
 
--- a/tests/test_multihost_member_reports.py
+++ b/tests/test_multihost_member_reports.py
@@ -24,7 +24,7 @@
     async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(5)
         await region.declare("chat", image_gb=LOAD_S)
-        await region.until(lambda: region.phase("chat/0") == "starting")
+        await region.wait_until(lambda: region.phase("chat/0") == "starting")
         agent = region.agents_of("chat/0")[1]
         agent.forged_reports = [forged]
         await curio.sleep(LOAD_S + 5.0)
@@ -41,7 +41,7 @@
     async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(5)
         await region.declare("chat", image_gb=LOAD_S)
-        await region.until(lambda: region.phase("chat/0") == "starting")
+        await region.wait_until(lambda: region.phase("chat/0") == "starting")
         right = MemberReport("chat/0", 1, 1, MemberState.LOADED)
         outsider = next(a for a in region.agents.values() if a not in region.agents_of("chat/0"))
         outsider.forged_reports = [right]
--- a/tests/test_multihost_operator_api.py
+++ b/tests/test_multihost_operator_api.py
@@ -14,7 +14,8 @@
 from crossmill.net.server import Server
 from crossmill.settings import Endpoint
 
-from .fake_services import FakeClock, StateService
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .multihost_pool import (
     booted_pool,
 )
--- a/tests/test_multihost_partitions.py
+++ b/tests/test_multihost_partitions.py
@@ -19,7 +19,9 @@
                 region.cut_links.add((front.machine, other.machine))
             if direction in ("in", "both"):
                 region.cut_links.add((other.machine, front.machine))
-        await region.until(lambda: not region.serving("chat/0"), SETTINGS.serving_lease_s + 0.5)
+        await region.wait_until(
+            lambda: not region.serving("chat/0"), SETTINGS.serving_lease_s + 0.5
+        )
         # the front member notices it only when its leases on the other members have expired
         await region.until_serving("chat/0", SETTINGS.serving_lease_s + REPAIR_BOUND_S)
         assert region.agents_of("chat/0")[0] is not front
--- a/tests/test_multihost_random_faults.py
+++ b/tests/test_multihost_random_faults.py
@@ -24,7 +24,7 @@
         await faults.begin()
         await faults.run(SPAN_S)
         await faults.mend()
-        await region.until(lambda: all_serve(region), RECOVERY_S)
+        await region.wait_until(lambda: all_serve(region), RECOVERY_S)
         await curio.sleep(2 * SETTINGS.agent_lease_s)
         region.checker.check_end()
 
--- a/tests/test_multihost_reconciliation.py
+++ b/tests/test_multihost_reconciliation.py
@@ -8,7 +8,8 @@
 from crossmill.multihost import candidates
 from crossmill.wire.multihost import MemberReport, MemberState
 
-from .fake_services import FakeClock, StateService
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .multihost_pool import (
     add_ready_pairs,
     booted_pool,
@@ -50,7 +51,7 @@
         assert await examined_in_a_pass() == machines // 2
         transactions = service.writer.transactions
         clock.time += 0.9
-        await node.live()
+        await node.renew_and_sync()
         send_all_heartbeats(node, service, machines, 2)
         assert await examined_in_a_pass() == 0
         # one member fails: only its replica is examined, and no machine while none waits
@@ -82,7 +83,7 @@
         service.heartbeats.handle(heartbeat_of(node, 0, 1)._replace(proof=None))
         for seen in (0, 0, 0, 1, 1, 1):
             clock.time += 2.0
-            await node.live()
+            await node.renew_and_sync()
             ownership = node.membership.command_ownership(SETTINGS.pool_shard)
             assert ownership is not None
             await service.coordinator.reconcile(ownership)
--- a/tests/test_multihost_registration.py
+++ b/tests/test_multihost_registration.py
@@ -6,7 +6,8 @@
 from crossmill.multihost.phases import ReplicaPhase
 from crossmill.multihost.records import encode_chunk, encode_replica, reservation_record
 
-from .fake_services import FakeClock, StateService
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .multihost_pool import (
     booted_pool,
     heartbeat_of,
--- a/tests/test_multihost_reservations.py
+++ b/tests/test_multihost_reservations.py
@@ -18,7 +18,7 @@
         service = region.services[region.owner()]
         assert ReservationWriter(service.writer, service.pool).members_per_chunk() < 40
         region.agents_of("large/0")[33].dead = True
-        await region.until(lambda: region.generation("large/0") == 2)
+        await region.wait_until(lambda: region.generation("large/0") == 2)
         await region.until_serving("large/0", REPAIR_BOUND_S + 5.0)
 
     simulate_multihost(scenario)
@@ -27,10 +27,10 @@
 def test_the_next_owner_finishes_a_reservation_in_steps() -> None:
     async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(50)
-        region.answer_s[region.owner()] = 0.3
+        region.transaction_delay_s[region.owner()] = 0.3
         await region.declare("large", members=40, image_gb=LOAD_S, hold_s=60.0)
-        await region.until(lambda: region.phase("large/0") == "reserving")
-        await region.until(lambda: len(region.agents_of("large/0")) > 0)
+        await region.wait_until(lambda: region.phase("large/0") == "reserving")
+        await region.wait_until(lambda: len(region.agents_of("large/0")) > 0)
         assert len(region.agents_of("large/0")) < 40
         await region.kill(region.owner())
         await region.until_serving("large/0", 60.0)
@@ -42,9 +42,9 @@
 def test_no_second_reservation_in_steps_is_begun_while_one_is_open() -> None:
     async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(60)
-        region.answer_s[region.owner()] = 0.3
+        region.transaction_delay_s[region.owner()] = 0.3
         await region.declare("first", members=40, image_gb=LOAD_S, hold_s=25.0)
-        await region.until(lambda: len(region.agents_of("first/0")) > 0)
+        await region.wait_until(lambda: len(region.agents_of("first/0")) > 0)
         # too few machines are left, so that the next owner can only wait until hold_s has passed
         await region.kill(region.owner())
         for agent in list(region.agents.values())[:25]:
@@ -64,14 +64,14 @@
 def test_a_reservation_in_steps_that_can_not_be_finished_is_undone() -> None:
     async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(42)
-        region.answer_s[region.owner()] = 0.3
+        region.transaction_delay_s[region.owner()] = 0.3
         await region.declare("large", members=40, image_gb=LOAD_S, hold_s=8.0)
-        await region.until(lambda: region.phase("large/0") == "reserving")
-        await region.until(lambda: len(region.agents_of("large/0")) > 0)
+        await region.wait_until(lambda: region.phase("large/0") == "reserving")
+        await region.wait_until(lambda: len(region.agents_of("large/0")) > 0)
         await region.kill(region.owner())
         for agent in list(region.agents.values())[-5:]:
             agent.dead = True
-        await region.until(lambda: region.phase("large/0") == "pending", 40.0)
+        await region.wait_until(lambda: region.phase("large/0") == "pending", 40.0)
         await curio.sleep(5.0)
         assert not region.agents_of("large/0")
 
--- a/tests/test_multihost_restart_budget.py
+++ b/tests/test_multihost_restart_budget.py
@@ -12,8 +12,8 @@
     for _ in range(3):
         await region.until_serving("chat/0")
         region.agents_of("chat/0")[1].restart()
-        await region.until(lambda: not region.serving("chat/0"))
-    await region.until(lambda: region.phase("chat/0") == "failed")
+        await region.wait_until(lambda: not region.serving("chat/0"))
+    await region.wait_until(lambda: region.phase("chat/0") == "failed")
     await curio.sleep(20.0)
 
 
--- a/tests/test_multihost_serving_safety.py
+++ b/tests/test_multihost_serving_safety.py
@@ -27,7 +27,7 @@
         region.ping_answer_delay_s = 1.8
         await curio.sleep(10.0)
         sent = victim.sequence
-        await region.until(lambda: victim.sequence > sent)
+        await region.wait_until(lambda: victim.sequence > sent)
         await curio.sleep(death_s)
         victim.dead = True
         await curio.sleep(SETTINGS.serving_lease_s + 3.0)
--- a/tests/test_multihost_settings.py
+++ b/tests/test_multihost_settings.py
@@ -10,7 +10,7 @@
 from crossmill.multihost.settings import load, parse
 from crossmill.settings import SettingsError
 
-from .fake_services import make_settings
+from .builders import make_settings
 
 ROOT = Path(__file__).resolve().parent.parent
 
--- a/tests/test_partition_keepalive.py
+++ b/tests/test_partition_keepalive.py
@@ -17,10 +17,12 @@
 from crossmill.wire.state import Put, Txn
 from crossmill.wire.workers import Command, CommandKind
 
-from .fake_services import FakeClock, StateService, on
+from .builders import reported_task
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .stepped_controller import (
     RECORD_BYTES,
-    PeerLine,
+    InMemoryPeerLink,
     SteppedController,
     add_job,
     add_machine,
@@ -29,7 +31,7 @@
 )
 
 Nodes = dict[str, SteppedController]
-RUNNING = on("wk-000001", 0, 1, "running")
+RUNNING = reported_task("wk-000001", 0, 1, "running")
 
 
 class PartitionableLink:
@@ -67,7 +69,7 @@
         await self.owner.boot()
         for _ in range(12):
             self.clock.time += self.owner.settings.controller_lease_ttl_s / 3
-            await self.owner.live()
+            await self.owner.renew_and_sync()
             await self.owner.membership.step()
         token = self.token = self.owner.token()
         self.owner.report("n-0", 1, 1, 0)
@@ -101,12 +103,12 @@
     def cut(self) -> None:
         """Partitions the north: node-0 reaches neither the state service nor the south."""
         self.link.is_cut = True
-        self.nodes["node-0"].cut = self.nodes["node-1"].cut = True
+        self.nodes["node-0"].is_unreachable = self.nodes["node-1"].is_unreachable = True
 
-    def heal(self) -> None:
+    def clear_faults(self) -> None:
         """Ends the partition."""
         self.link.is_cut = False
-        self.nodes["node-0"].cut = self.nodes["node-1"].cut = False
+        self.nodes["node-0"].is_unreachable = self.nodes["node-1"].is_unreachable = False
 
     def planned_on_machine(self) -> int:
         """How many attempts the owner has planned onto the machine."""
@@ -133,7 +135,7 @@
         assert it.planned_on_machine() == 1
         assert not it.owner.cluster.machines["n-0"].retiring
         # the partition ends: the attestation of node-0 says that it has answered just now
-        it.heal()
+        it.clear_faults()
         await it.pass_time(0.9 * it.s.worker_lease_s)
         assert it.planned_on_machine() == 1
         await it.pass_time(0.3 * it.s.worker_lease_s)
@@ -199,7 +201,7 @@
     it.cut()
     await it.zone_controller.controller_lease.step()
     it.zone_controller.report("n-0", 1, 900, it.token, RUNNING)
-    it.heal()
+    it.clear_faults()
     lease_id = it.zone_controller.controller_lease.lease_id
     it.zone_controller.cluster.controllers["node-0"] = ControllerRecord(lease_id)
     await it.zone_controller.controller_lease.step()
@@ -209,7 +211,7 @@
 async def _cut_except_from_south(it: PartitionScenario) -> None:
     """Cuts node-0 off from the state service while node-1 answers its probes."""
     it.cut()
-    it.nodes["node-1"].cut = False
+    it.nodes["node-1"].is_unreachable = False
     await it.zone_controller.controller_lease.step()
     await it.zone_controller.partition_protocol.step()
 
@@ -303,7 +305,7 @@
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = SteppedController(state, clock, nodes)
         nodes["node-1"] = node
-        link = PeerLine(nodes, "node-1")
+        link = InMemoryPeerLink(nodes, "node-1")
         assert (await link.request("POST", path, body))[0] == 400
 
     run_scenario(scenario)
@@ -396,7 +398,7 @@
         replacement = SteppedController(it.state, it.clock, it.nodes, "node-0")
         await replacement.boot(waited=False)
         await replacement.partition_protocol.step()
-        replacement.cut = True
+        replacement.is_unreachable = True
         it.state.end_lease(replacement.controller_lease.lease_id or 0)
         await it.owner.sync()
         await it.pass_time(it.s.partition_keepalive_s)
@@ -411,7 +413,7 @@
     """While a packet filter separated controllers, no such job could be cancelled."""
 
     async def scenario(it: PartitionScenario) -> None:
-        it.nodes["node-0"].cut = it.nodes["node-1"].cut = True
+        it.nodes["node-0"].is_unreachable = it.nodes["node-1"].is_unreachable = True
         path = "/v1/jobs/wk-000001/withdraw"
         assert (await it.owner.ask("POST", path)).status == 503
         assert (await it.owner.ask("POST", path)).status == 503
@@ -443,7 +445,7 @@
         add_machine(it.state, it.clock, "s-0", zone="south")
         other = SteppedController(it.state, it.clock, it.nodes, "node-2")
         await other.boot()
-        await it.owner.live()
+        await it.owner.renew_and_sync()
         told = it.zone_controller.partition_protocol.handle
         plan = it.state.keys[keys.plan("wk-000001", "0")][0]
 
@@ -473,7 +475,7 @@
         await it.begin()
         owner = it.owner
         add_machine(it.state, it.clock, "s-0", zone="south")
-        await owner.live()
+        await owner.renew_and_sync()
         await owner.partition_protocol.step()
         owner.report("s-0", 1, 1, 0)
         owner.report("s-0", 1, 2, it.token)
--- a/tests/test_pipelines_under_faults.py
+++ b/tests/test_pipelines_under_faults.py
@@ -5,7 +5,7 @@
 import curio
 import pytest
 
-from .fault_injection import all_over_but_services, heal, inject_random_fault
+from .fault_injection import cancel_services_and_wait, clear_faults, inject_random_fault
 from .simulated_region import Region, simulate
 
 JobIds = list[str]
@@ -33,9 +33,9 @@
 async def _user(region: Region, job: str, dependencies: JobIds, is_cancelled: bool) -> None:
     for dependency in dependencies:
         # a user names only jobs that were accepted
-        await region.until(lambda job=dependency: region.accepted(job), 200.0)  # type: ignore[misc]
+        await region.wait_until(lambda job=dependency: region.is_accepted(job), 200.0)  # type: ignore[misc]
     await _ask_until_answered(region, job, dependencies, False)
-    if is_cancelled and region.accepted(job):
+    if is_cancelled and region.is_accepted(job):
         await curio.sleep(1.0)
         await _ask_until_answered(region, job, dependencies, True)
 
@@ -45,7 +45,7 @@
     async with curio.TaskGroup() as group:
         for number in range(jobs):
             job = f"wk-{200000 + number}"
-            accepted = [job_id for job_id in job_ids if region.accepted(job_id)]
+            accepted = [job_id for job_id in job_ids if region.is_accepted(job_id)]
             dependencies = rng.sample(
                 accepted[-6:], min(len(accepted[-6:]), rng.choice([0, 1, 1, 2]))
             )
@@ -57,14 +57,14 @@
 
 async def _poll_random_jobs(region: Region, rng: random.Random) -> None:
     while True:
-        known = [job for job in region.checker.jobs if region.accepted(job)]
+        known = [job for job in region.checker.jobs if region.is_accepted(job)]
         if known and region.nodes:
             await region.show(rng.choice(list(region.nodes)), rng.choice(known))
         await curio.sleep(0.2)
 
 
-@pytest.mark.parametrize("seed_n", [0, 1, 2, 3])
-def test_pipelines_are_consistent_under_random_faults(seed_n: int) -> None:
+@pytest.mark.parametrize("seed_number", [0, 1, 2, 3])
+def test_pipelines_are_consistent_under_random_faults(seed_number: int) -> None:
     """No task starts before its dependencies are done, and no job is left unfinished.
 
     Stages of three teams, some cancelled midway, while controllers end, the state service is down
@@ -72,19 +72,21 @@
     """
 
     async def scenario(region: Region) -> None:
-        rng = random.Random(seed_n)
+        rng = random.Random(seed_number)
         await region.begin(machines=0)
         for shard in range(3):
             for number in range(2):
                 await region.add_worker(f"n-{shard}{number}", shard=shard)
-        users = await curio.spawn(_users, region, random.Random(seed_n + 1), 40)
-        polls = await curio.spawn(_poll_random_jobs, region, random.Random(seed_n + 2), daemon=True)
+        users = await curio.spawn(_users, region, random.Random(seed_number + 1), 40)
+        polls = await curio.spawn(
+            _poll_random_jobs, region, random.Random(seed_number + 2), daemon=True
+        )
         for _ in range(7):
             await curio.sleep(rng.uniform(1.0, 8.0))
             await inject_random_fault(region, rng)
-        heal(region)
+        clear_faults(region)
         await users.join()
         await polls.cancel()
-        await all_over_but_services(region)
+        await cancel_services_and_wait(region)
 
     simulate(scenario)
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -26,7 +26,8 @@
 from crossmill.wire.cloud import parse_catalog
 from crossmill.wire.users import JobSpec
 
-from .fake_services import CATALOG, make_settings, make_spec
+from .builders import make_settings, make_spec
+from .fake_cloud import CATALOG
 
 TYPES = parse_catalog(CATALOG)
 TYPICAL_GPU_TASK = TaskFootprint(5.0, 1.0, 35.0)
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -5,7 +5,9 @@
 from crossmill.jobs.preemption import StoppableJob, charge_excess
 from crossmill.wire.users import JobSpec
 
-from .fake_services import FakeClock, StateService, on
+from .builders import reported_task
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .stepped_controller import (
     SteppedController,
     add_job,
@@ -22,7 +24,7 @@
 
 def _running(job: str, tasks: int) -> list[dict[str, object]]:
     """Statuses of a job's first tasks, placed one after the other."""
-    return [on(job, index, index + 1, "running") for index in range(tasks)]
+    return [reported_task(job, index, index + 1, "running") for index in range(tasks)]
 
 
 def test_capacity_freed_for_a_service_is_not_placed_with_array_tasks_again() -> None:
@@ -40,14 +42,14 @@
         # one of the two has ended, which is not enough for the replica
         left = [status for status in running if status["sack"] != stopped[0]]
         index = int(stopped[0].rpartition("/")[2])
-        ended = on(ARRAY, index, index + 1, "exited", "halted")
+        ended = reported_task(ARRAY, index, index + 1, "exited", "halted")
         node.report("n-0", 1, 4, node.token(), *left, ended)
         await node.round()
         await node.round()
         assert node.cluster.jobs[ARRAY].planned_task_count() == 3
         # both have ended
         index = int(stopped[1].rpartition("/")[2])
-        ended = on(ARRAY, index, index + 1, "exited", "halted")
+        ended = reported_task(ARRAY, index, index + 1, "exited", "halted")
         node.report("n-0", 1, 5, node.token(), *left[:-1], ended)
         await node.round()
         await node.round()
@@ -65,7 +67,7 @@
         await node.sync()
         await node.round()
         (attempt,) = node.heartbeats.stop_requests
-        ended = on(attempt[0], attempt[1], attempt[2], "exited", "halted")
+        ended = reported_task(attempt[0], attempt[1], attempt[2], "exited", "halted")
         left = [status for status in running if status["turn"] != attempt[2]]
         node.report("n-0", 1, 3, node.token(), *left, ended)
         await node.round()
@@ -124,10 +126,10 @@
         await node.round()
         assert len(node.cluster.machines[other].attempts) == 4
         running = _running(array, 4)
-        node.report(attempt.machine, 1, 2, node.token(), on(service, 0, 1, "running"))
+        node.report(attempt.machine, 1, 2, node.token(), reported_task(service, 0, 1, "running"))
         for seq in range(2, 60):
             clock.time += node.settings.heartbeat_interval_s / 2
-            await node.live()
+            await node.renew_and_sync()
             node.report(other, 1, seq, node.token(), *running)
             await node.round()
         assert len(node.heartbeats.stop_requests) == 4
--- a/tests/test_recovery_classification.py
+++ b/tests/test_recovery_classification.py
@@ -24,7 +24,9 @@
 from crossmill.recovery.differences import classify_machine_tasks
 from crossmill.wire.workers import Command
 
-from .fake_services import FakeClock, StateService, make_spec, on
+from .builders import make_spec, reported_task
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .stepped_controller import RECORD_BYTES, SteppedController, add_job, run_scenario, seed
 
 REPORTING = WorkerContact.REPORTING
@@ -153,7 +155,7 @@
             if rng.random() < 0.7:
                 exited = rng.random() < 0.3
                 state, cause = ("exited", "done") if exited else ("running", "")
-                drawn.reported.append(on(job, index, rng.randint(1, 3), state, cause))
+                drawn.reported.append(reported_task(job, index, rng.randint(1, 3), state, cause))
     return drawn
 
 
--- a/tests/test_recovery_decisions.py
+++ b/tests/test_recovery_decisions.py
@@ -16,7 +16,8 @@
 from crossmill.wire.checks import MalformedMessageError
 from crossmill.wire.recovery import Approval, approval_body, parse_approval
 
-from .fake_services import FakeClock, StateService
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .recovery_region import recovery_settings
 from .stepped_controller import SteppedController, run_scenario, seed
 
--- a/tests/test_recovery_dry_run.py
+++ b/tests/test_recovery_dry_run.py
@@ -17,7 +17,7 @@
 from crossmill.wire.checks import load_object
 from crossmill.wire.recovery import APPROVE_PATH, RECOVERY_PATH, Approval, approval_body
 
-from .fake_services import settings_table
+from .builders import settings_table
 from .recovery_region import (
     RecoveryRegion,
     give_unplanned,
@@ -39,7 +39,7 @@
     region.clear_orders()
     await curio.sleep(2.0)
     await region.start_all()
-    await region.until(lambda: len(region.owners()) == 3, 30.0)
+    await region.wait_until(lambda: len(region.owners()) == 3, 30.0)
     await curio.sleep(30.0)
 
 
@@ -133,7 +133,7 @@
         assert (await region.request(label, "POST", APPROVE_PATH, approval)).status == 409
         stored = {key: region.state.keys[key][0] for key in later}
         assert stored == later
-        await region.until(region.is_steady, 60.0)
+        await region.wait_until(region.is_steady, 60.0)
 
     with caplog.at_level("WARNING"):
         simulate_recovery(scenario, recovery_settings(), is_unplanned)
--- a/tests/test_recovery_failures.py
+++ b/tests/test_recovery_failures.py
@@ -37,9 +37,9 @@
                 return region.is_steady()
             return phase in seen or region.is_steady()
 
-        await region.until(is_reached, 60.0)
+        await region.wait_until(is_reached, 60.0)
         await region.restart_all(1.0)
-        await region.until(region.is_steady, 90.0)
+        await region.wait_until(region.is_steady, 90.0)
         await curio.sleep(10.0)
         assert region.orders(others) == {}
         assert all(index < 70 for worker in affected for _, index in worker.tasks)
@@ -52,18 +52,18 @@
 
 
 def _make_slow(region: RecoveryRegion) -> None:
-    region.slow_s = 0.7
+    region.state_delay_s = 0.7
 
 
 def _make_read_only(region: RecoveryRegion) -> None:
     for label in region.LABELS:
-        region.refused[label] = lambda method, path: path == "/txn"
+        region.refused_requests[label] = lambda method, path: path == "/txn"
 
 
 def _repair(region: RecoveryRegion) -> None:
     region.state.down = False
-    region.slow_s = 0.0
-    region.mend()
+    region.state_delay_s = 0.0
+    region.reconnect()
 
 
 @pytest.mark.parametrize("fault", [_make_unavailable, _make_slow, _make_read_only])
@@ -79,7 +79,7 @@
         await region.start_all()
         await curio.sleep(1.5)
         _repair(region)
-        await region.until(region.is_steady, 90.0)
+        await region.wait_until(region.is_steady, 90.0)
         await curio.sleep(10.0)
         assert region.orders() == {}
         assert region.running_tasks() == running
@@ -98,7 +98,7 @@
         await region.start_all()
         await curio.sleep(60.0)
         reconnect(south)
-        await region.until(region.is_steady, 120.0)
+        await region.wait_until(region.is_steady, 120.0)
         await curio.sleep(30.0)
         # tasks in the south ended with their workers' leases and may be placed again in the north
         ended = [v for verbs in region.orders(north).values() for v in verbs if v != "start"]
@@ -114,7 +114,7 @@
         give_unplanned(affected, "wk-000001", 70, 9)
         others = [w for w in region.workers.values() if w is not affected]
         await region.restart_all(1.0)
-        await region.until(
+        await region.wait_until(
             lambda: any(r.phase is RecoveryPhase.SETTLING for r in region.recoveries())
         )
         frozen = next(
@@ -122,9 +122,9 @@
             for label, service in region.services.items()
             if any(r.phase is RecoveryPhase.SETTLING for r in service.recoveries())
         )
-        region.still_until[frozen] = region.clock.now() + 8.0
+        region.frozen_until[frozen] = region.clock.now() + 8.0
         await curio.sleep(12.0)
-        await region.until(region.is_steady, 90.0)
+        await region.wait_until(region.is_steady, 90.0)
         await curio.sleep(10.0)
         assert region.orders(others) == {}
         assert ("wk-000001", 70) not in affected.tasks
@@ -138,7 +138,7 @@
 
     async def scenario(region: RecoveryRegion) -> None:
         await region.begin_busy()
-        region.refused["node-1"] = lambda method, path: path.startswith("/changes")
+        region.refused_requests["node-1"] = lambda method, path: path.startswith("/changes")
         for number in range(6):
             job = f"wk-{800000 + number}"
             assert await region.submit("node-0", job, None, crew="blue", sacks=1) in (201, 503)
@@ -148,9 +148,9 @@
         await region.kill("node-0")
         await region.kill("node-2")
         await curio.sleep(6.0)
-        region.mend()
+        region.reconnect()
         await region.start_all()
-        await region.until(region.is_steady, 90.0)
+        await region.wait_until(region.is_steady, 90.0)
         await curio.sleep(10.0)
         ended = [v for verbs in region.orders().values() for v in verbs if v != "start"]
         assert ended == []
--- a/tests/test_recovery_restart.py
+++ b/tests/test_recovery_restart.py
@@ -32,7 +32,7 @@
         running = region.running_tasks()
         assert sum(map(len, running.values())) > 2 * MANY_SERVICES
         await region.restart_all(2.0, apart_s)
-        await region.until(region.is_steady, 60.0)
+        await region.wait_until(region.is_steady, 60.0)
         await curio.sleep(20.0)
         assert region.orders() == {}
         assert region.running_tasks() == running
@@ -70,14 +70,14 @@
         await curio.sleep(2.0)
         await region.start_all()
         for job in cancelled:
-            assert await region.cancel_until_told("node-0", job, 30.0)
-        await region.until(region.is_steady, 60.0)
+            assert await region.cancel_until_confirmed("node-0", job, 30.0)
+        await region.wait_until(region.is_steady, 60.0)
         assert unplanned[:2] not in affected.tasks
         assert region.orders([affected]) == {affected.machine: ["kill", "reap"]}
         # the tasks of disconnected workers are placed again after their leases have expired:
         # healthy
         # workers may get starts, but no stops
-        await region.until(lambda: all(region.has_running(job, 3) for job in displaced), 60.0)
+        await region.wait_until(lambda: all(region.has_running(job, 3) for job in displaced), 60.0)
         stops = [v for verbs in region.orders(healthy).values() for v in verbs if v != "start"]
         assert stops == []
         # after this time the scheduler may also drain machines that are mostly idle
@@ -102,10 +102,10 @@
             del region.workers[machine].tasks[key]
         await curio.sleep(1.0)
         await region.start_all()
-        await region.until(lambda: len(region.recoveries()) > 0, 20.0)
+        await region.wait_until(lambda: len(region.recoveries()) > 0, 20.0)
         started = [key in region.workers[machine].tasks for machine, key in missing.items()]
         assert not all(started)
-        await region.until(
+        await region.wait_until(
             lambda: all(key in region.workers[m].tasks for m, key in missing.items()), 3.5
         )
 
@@ -132,7 +132,7 @@
         assert braked
         assert all(report["releases"] > 1 for report in braked)
         assert set(await region.approve("node-2", braked)) == {200}
-        await region.until(lambda: released() == len(disconnected), 60.0)
+        await region.wait_until(lambda: released() == len(disconnected), 60.0)
 
     simulate_recovery(scenario, recovery_settings(brake_least=1, brake_share=0.0))
 
@@ -142,7 +142,7 @@
         await region.begin_busy()
         for _ in range(4):
             await region.restart_all(1.0)
-            await region.until(region.is_steady, 60.0)
+            await region.wait_until(region.is_steady, 60.0)
             await curio.sleep(1.0)
         records = (await region.overview())["records"]
         by_shard = Counter(record["shard"] for record in records)
@@ -189,18 +189,18 @@
     async def scenario(region: RecoveryRegion) -> None:
         await region.begin_busy()
         busy = [w for w in region.workers.values() if w.tasks]
-        old = [worker.copies[0] for worker in busy]
+        old = [worker.sent_heartbeats[0] for worker in busy]
         assert all(b'"sacks":[]' in copy for copy in old)
         await region.restart_all(1.0)
         for worker in busy:
-            worker.mute = True
-        await region.until(lambda: _is_each_shard_served(region))
+            worker.heartbeats_lost = True
+        await region.wait_until(lambda: _is_each_shard_served(region))
         for copy in old:
             for label in region.LABELS:
                 region.deliver(copy, label)
         for worker in busy:
-            worker.mute = False
-        await region.until(region.is_steady, 60.0)
+            worker.heartbeats_lost = False
+        await region.wait_until(region.is_steady, 60.0)
         newest = (await region.overview())["records"][-3:]
         classes = [record["classes"] for record in newest]
         assert sum(c.get("healthy", 0) for c in classes) > 0
--- a/tests/test_recovery_restored_state.py
+++ b/tests/test_recovery_restored_state.py
@@ -73,7 +73,7 @@
         approved_at = region.clock.now()
         # any controller accepts an approval
         assert set(await region.approve("node-1", braked)) == {200}
-        await region.until(region.is_steady, 200.0)
+        await region.wait_until(region.is_steady, 200.0)
         assert not any(worker.tasks for worker in region.workers.values())
         assert (await region.overview())["braked"] == []
         assert region.recovery is not None
@@ -116,7 +116,7 @@
         shard = braked[0]["shard"]
         owner = region.owners()[shard]
         # the approval is stored, but its owner ends before it reads it
-        region.still_until[owner] = region.clock.now() + 2.0
+        region.frozen_until[owner] = region.clock.now() + 2.0
         other = next(label for label in region.LABELS if label != owner)
         assert set(await region.approve(other, braked[:1])) == {200}
         await region.kill(owner)
@@ -167,11 +167,11 @@
         fields = {k: v for k, v in facts.spec.items() if k != "nameId"}
         await region.submit_until_accepted("node-0", job, None, **fields)
         await curio.sleep(20.0)
-        assert region.running(job)
+        assert region.workers_running(job)
         assert (await region.overview())["braked"]
-        assert await region.cancel_until_told("node-1", job, 30.0)
+        assert await region.cancel_until_confirmed("node-1", job, 30.0)
         await curio.sleep(region.cancellation_deadline_s + 1.0)
-        assert not region.running(job)
+        assert not region.workers_running(job)
 
     simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
 
@@ -182,7 +182,7 @@
 
     async def scenario(region: RecoveryRegion) -> None:
         await _restore_older_state(region)
-        await region.until(region.is_steady, 200.0)
+        await region.wait_until(region.is_steady, 200.0)
         times.extend(region.stop_times(since=0.0))
 
     simulate_recovery(scenario, settings, expected=is_unplanned)
--- a/tests/test_recovery_service.py
+++ b/tests/test_recovery_service.py
@@ -16,7 +16,9 @@
 from crossmill.recovery.service import RecoveryService
 from crossmill.wire.recovery import APPROVE_PATH, RECOVERY_PATH, Approval, approval_body
 
-from .fake_services import FakeClock, StateService, make_settings, settings_table
+from .builders import make_settings, settings_table
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .recovery_region import add_recovery, recovery_settings
 from .stepped_controller import SteppedController, run_scenario, seed
 
@@ -54,7 +56,8 @@
     script = """
 import sys
 import crossmill.cli, crossmill.app
-from tests.fake_services import FakeClock, make_settings
+from tests.builders import make_settings
+from tests.fake_clock import FakeClock
 app = crossmill.app.App(make_settings(), FakeClock())
 assert app.heartbeats.gate is None
 print(*(name for name in sys.modules if "recovery" in name))
--- a/tests/test_recovery_unplanned_tasks.py
+++ b/tests/test_recovery_unplanned_tasks.py
@@ -34,7 +34,7 @@
             give_unplanned(affected, "wk-000001", 100 + index, 9)
         affected.tasks.update(tasks)
         await region.restart_all(1.0)
-        assert await region.cancel_until_told("node-0", job, 30.0)
+        assert await region.cancel_until_confirmed("node-0", job, 30.0)
         await curio.sleep(3 * region.heartbeat_interval_s)
         assert not any(key[0] == job and t.state == "running" for key, t in affected.tasks.items())
 
@@ -84,10 +84,10 @@
         await region.start_all()
         await curio.sleep(15.0)
         assert (job, index) in affected.tasks
-        await region.until(
+        await region.wait_until(
             lambda: "kill" in region.orders([affected]).get(affected.machine, []), 90.0
         )
-        await region.until(lambda: region.has_running(job, 3), 90.0)
+        await region.wait_until(lambda: region.has_running(job, 3), 90.0)
 
     slow = recovery_settings(orders_per_s=0.1)
     simulate_recovery(scenario, slow, expected=is_unplanned)
@@ -112,7 +112,7 @@
         give_unplanned(after, job, index, task.attempt + 1)
         await curio.sleep(1.0)
         await region.start_all()
-        await region.until(lambda: (job, index) in before.tasks, 120.0)
+        await region.wait_until(lambda: (job, index) in before.tasks, 120.0)
         assert (job, index) not in after.tasks or after.tasks[job, index].state == "exited"
 
     simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
@@ -140,14 +140,14 @@
         give_unplanned(affected, "wk-000001", 70, 9)
         shard = region.nodes["node-0"].cluster.machines[affected.machine].shard
         await region.restart_all(1.0)
-        await region.until(lambda: any(r.shard == shard for r in region.recoveries()))
+        await region.wait_until(lambda: any(r.shard == shard for r in region.recoveries()))
         # the shard is ready; from now on all reads fail
         for label in region.LABELS:
-            region.refused[label] = lambda method, path: path.startswith("/changes")
+            region.refused_requests[label] = lambda method, path: path.startswith("/changes")
         await curio.sleep(2.5)
         assert region.orders([affected]) == {}
-        region.mend()
-        await region.until(lambda: ("wk-000001", 70) not in affected.tasks)
+        region.reconnect()
+        await region.wait_until(lambda: ("wk-000001", 70) not in affected.tasks)
 
     simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""A thousand machines and several thousand tasks: what is done is counted, never timed."""
+"""Work of a controller with a thousand machines is counted, never timed."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -27,8 +27,10 @@
 from crossmill.workers.attempt_outcomes import AttemptOutcome, EndReason
 
 from . import stepped_controller
-from .fake_services import FakeClock, StateService, beat, make_settings, on
-from .full_fleet import EACH, full_fleet, report_all
+from .builders import heartbeat_body, make_settings, reported_task
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
+from .full_fleet import GPUS_PER_MACHINE, full_fleet, report_all
 from .stepped_controller import SteppedController, add_job, run_scenario
 
 Nodes = dict[str, SteppedController]
@@ -38,7 +40,7 @@
 @pytest.fixture(autouse=True)
 def _large_team(monkeypatch: pytest.MonkeyPatch) -> None:
     """The one team is guaranteed all GPUs, and may use more."""
-    teams = (Team("red", 0.0, 0.0, 1.0 * MACHINES * EACH, 0.0),)
+    teams = (Team("red", 0.0, 0.0, 1.0 * MACHINES * GPUS_PER_MACHINE, 0.0),)
     monkeypatch.setattr(
         stepped_controller,
         "make_settings",
@@ -60,11 +62,12 @@
     monkeypatch.setattr(owner, name, counted)
 
 
-def test_a_round_over_a_full_fleet_asks_each_room_once_for_jobs_that_are_alike(
+def test_a_round_checks_each_machines_free_capacity_once_for_similar_jobs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Asked for each waiting job, the rooms took a fifth of a controller's time and the team's
-    earlier jobs two fifths.
+    """Free capacity is not compared with each waiting job by itself.
+
+    That took a fifth of a controller's time, and the team's earlier jobs two fifths.
     """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
@@ -78,14 +81,14 @@
         _count(monkeypatch, counts, FreeCapacity, "fits")
         _count(monkeypatch, counts, Job, "done_task_count")
         await node.round()
-        jobs = MACHINES * EACH // 16 + 300
+        jobs = MACHINES * GPUS_PER_MACHINE // 16 + 300
         assert MACHINES <= counts["fits"] <= 2 * MACHINES
         assert counts["done_task_count"] <= 20 * jobs
 
     run_scenario(scenario)
 
 
-def test_a_report_looks_at_its_own_machine_only() -> None:
+def test_a_heartbeat_reads_only_its_own_machine() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         full_fleet(state, clock, MACHINES)
         node = SteppedController(state, clock, nodes)
@@ -100,13 +103,13 @@
 
         node.cluster.machines.__class__ = MachinesByKeyOnly
         node.cluster.jobs.__class__ = JobsByKeyOnly
-        tasks = [on("wk-000000", i, i + 1, "running") for i in range(EACH)]
+        tasks = [reported_task("wk-000000", i, i + 1, "running") for i in range(GPUS_PER_MACHINE)]
         assert node.report("n-0", 1, 2, node.token(), *tasks).status == 200
 
     run_scenario(scenario)
 
 
-def test_a_takeover_reads_by_pages_and_writes_no_more_than_the_shards_key() -> None:
+def test_a_failover_reads_by_pages_and_writes_only_the_shards_key() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         full_fleet(state, clock, MACHINES)
         stored = len(state.keys)
@@ -116,7 +119,10 @@
         assert len(pages) <= stored // 1000 + 1
         # each shard's key and the counter of tokens, this controller's own key and the leader's
         assert state.puts <= 2 * node.settings.controller_count + 2
-        assert sum(j.planned_task_count() for j in node.cluster.jobs.values()) == MACHINES * EACH
+        assert (
+            sum(j.planned_task_count() for j in node.cluster.jobs.values())
+            == MACHINES * GPUS_PER_MACHINE
+        )
         before = state.puts
         report_all(node, MACHINES)
         await node.round()
@@ -125,7 +131,7 @@
     run_scenario(scenario)
 
 
-def test_a_zone_that_falls_silent_is_asked_about_in_one_message_to_each_controller() -> None:
+def test_attestations_for_a_silent_zone_are_requested_in_one_message() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         full_fleet(state, clock, MACHINES)
         node = SteppedController(state, clock, nodes, "node-1")
@@ -155,7 +161,7 @@
     run_scenario(scenario)
 
 
-def test_a_burst_of_submissions_does_not_wait_for_this_controllers_share_of_the_rate() -> None:
+def test_a_burst_of_submissions_may_exceed_the_controllers_write_rate() -> None:
     # guards against a pipeline's stages, submitted one after the other, taking a second each
     async def scenario(
         state: StateService, clock: FakeClock, nodes: dict[str, SteppedController]
@@ -176,7 +182,7 @@
     run_scenario(scenario)
 
 
-def test_a_round_writes_no_more_chunks_than_the_rate_takes_and_urgent_ones_first() -> None:
+def test_a_round_writes_urgent_chunks_first_and_keeps_to_the_write_rate() -> None:
     # guards against rounds of many seconds: the next stage of a pipeline waits for each
     def news(number: int, attempts: int, why: str = "done") -> ChunkOutcomes:
         attempt = PlannedAttempt(f"wk-{number:06d}", 0, 1, "n-0", 1)
@@ -193,7 +199,7 @@
     assert select([*many, last, failed], 1) == [last, failed, many[0]]
 
 
-def test_a_shard_changes_hands_before_submissions_that_wait_for_the_rate() -> None:
+def test_a_shard_release_is_written_before_queued_submissions() -> None:
     # guards against a shard that nobody acts for while cancellations queue up before its key
     async def scenario(
         state: StateService, clock: FakeClock, nodes: dict[str, SteppedController]
@@ -219,10 +225,11 @@
 
 
 @pytest.mark.parametrize("machines", [200, MACHINES])
-def test_a_round_makes_rooms_anew_for_changed_machines_only(
+def test_a_round_recomputes_free_capacity_only_for_changed_machines(
     machines: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # guards against rooms of the whole fleet in each round: a quarter of the rounds' time
+    # guards against recomputing the whole fleet's free capacity in each round: a quarter of its
+    # time
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         full_fleet(state, clock, machines)
         add_job(state, clock, nameId="wk-900000", grist="batch")
@@ -237,7 +244,10 @@
         await node.round()
         assert counts["free_capacity"] == 0
         # one task of one job ends: its machine alone is looked at anew
-        rows = {i: PlannedAttempt("wk-000000", i, i + 1, f"n-{i // EACH}", 1) for i in range(1, 16)}
+        rows = {
+            i: PlannedAttempt("wk-000000", i, i + 1, f"n-{i // GPUS_PER_MACHINE}", 1)
+            for i in range(1, 16)
+        }
         state.put(keys.plan("wk-000000", "0"), encode_chunk(PlanChunk(17, 1, rows)))
         await node.sync()
         await node.round()
@@ -247,7 +257,7 @@
     run_scenario(scenario)
 
 
-def test_steady_reports_of_four_thousand_machines_cost_the_cheap_path(
+def test_repeated_heartbeats_of_four_thousand_machines_are_served_from_caches(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # guards against bounds of kept requests and tasks below the largest fleet: each pass over it
@@ -260,7 +270,13 @@
     _count(monkeypatch, counts, checks, "one_of")
 
     def report(machine: int) -> None:
-        body = beat(f"n-{machine}", 1, 1, 1, *(on("wk-1", i, 1, "running") for i in mine(machine)))
+        body = heartbeat_body(
+            f"n-{machine}",
+            1,
+            1,
+            1,
+            *(reported_task("wk-1", i, 1, "running") for i in mine(machine)),
+        )
         # each worker's head differs: it comes by an address of its own
         target = f"/agent/beat?machine={machine}"
         request = h11.Request(
@@ -285,7 +301,7 @@
     assert counts == {"parsed": machines, "one_of": tasks}
 
 
-def test_a_report_without_news_checks_no_task_anew(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_unchanged_heartbeat_parses_no_task_again(monkeypatch: pytest.MonkeyPatch) -> None:
     # guards against parsing every task of every machine in each report interval
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         full_fleet(state, clock, 40)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -9,7 +9,7 @@
 from crossmill.cli import ServiceArguments, _plain_serve_arguments, main
 from crossmill.settings import SettingsError, parse
 
-from .fake_services import make_settings, settings_table
+from .builders import make_settings, settings_table
 
 
 def test_unknown_fields_are_ignored() -> None:
--- a/tests/test_start_compiles_nothing.py
+++ b/tests/test_start_compiles_nothing.py
@@ -1,5 +1,6 @@
-"""A controller that is started as deploy/service.toml says compiles nothing from source: on a
-small share of a processor that takes longer than all else of a start.
+"""A controller that is started as deploy/service.toml says compiles nothing from source.
+
+On a small share of a processor, compiling takes longer than all else of a start.
 """
 
 import os
@@ -23,7 +24,10 @@
 from crossmill.wire.users import JOBS_PATH
 from crossmill.wire.workers import HEARTBEAT_PATH
 
-from .fake_services import CloudService, FakeClock, StateService, beat, settings_table, submission
+from .builders import heartbeat_body, settings_table, submission
+from .fake_clock import FakeClock
+from .fake_cloud import CloudService
+from .fake_state_service import StateService
 from .loopback import free_ports, serving
 from .stepped_controller import seed
 
@@ -117,7 +121,7 @@
         job = submission()
         for method, path, body, wanted in (
             ("GET", "/healthz", b"", 200),
-            ("POST", HEARTBEAT_PATH, beat("n-0", 1, 1, 0), 200),
+            ("POST", HEARTBEAT_PATH, heartbeat_body("n-0", 1, 1, 0), 200),
             ("POST", JOBS_PATH, orjson.dumps(job), 201),
             ("GET", f"{JOBS_PATH}/{job['nameId']}", b"", 200),
         ):
@@ -137,9 +141,7 @@
 
 
 class Served(NamedTuple):
-    """What a controller compiled from its start to its first answers, and what a client verb
-    printed that was sent to its peers' address then.
-    """
+    """The files that a controller compiled until its first answers, and a client verb's output."""
 
     compiled: list[str]
     shown: str
--- a/tests/test_state_client.py
+++ b/tests/test_state_client.py
@@ -6,7 +6,8 @@
 from crossmill.net.client import ConnectionFailedError, NoResponseError
 from crossmill.state.client import OutcomeUnknownError, RequestRefusedError, StateClient
 
-from .fake_services import FakeClock, make_settings
+from .builders import make_settings
+from .fake_clock import FakeClock
 
 
 class _FailingLink:
--- a/tests/test_state_watcher.py
+++ b/tests/test_state_watcher.py
@@ -10,7 +10,9 @@
 from crossmill.state.mirror import Mirror
 from crossmill.state.watcher import StateWatcher
 
-from .fake_services import FakeClock, StateService, make_settings
+from .builders import make_settings
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
 from .stepped_controller import SteppedController, run_scenario, seed
 
 Nodes = dict[str, SteppedController]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,15 +14,10 @@
 from crossmill.state.writer import WriteIntent, WriteResult
 from crossmill.wire.state import Put, Txn
 
-from .fake_services import (
-    FakeClock,
-    StateService,
-    make_settings,
-    make_spec,
-    on,
-    settings_table,
-    submission,
-)
+from .builders import make_settings, make_spec, reported_task, settings_table, submission
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
+from .simulated_links import TransactionFault
 from .simulated_region import Region, simulate
 from .stepped_controller import (
     RECORD_BYTES,
@@ -127,7 +122,7 @@
         assert keys.feature("node-0") in state.keys
         for _ in range(4):
             clock.time += node.settings.controller_lease_ttl_s / 3
-            await node.live()
+            await node.renew_and_sync()
             await node.membership.step()
         assert node.membership.leadership_version() is not None
         await node.feature_level.step()
@@ -147,20 +142,20 @@
     async def scenario(region: Region) -> None:
         lost: list[str] = []
 
-        def fate(label: str, method: str, path: str) -> tuple[float, bool] | None:
+        def transaction_fault(label: str, method: str, path: str) -> TransactionFault | None:
             # every controller's first transactions are carried out without a response
             if path == "/txn" and lost.count(label) < 6:
                 lost.append(label)
-                return 0.0, True
+                return TransactionFault(0.0, executes_at_once=True)
             return None
 
-        region.fate = fate
+        region.transaction_fault = transaction_fault
         await region.begin(machines=0)
         region.state.down = True
         await curio.sleep(3)
         region.state.down = False
         await region.restart("node-1", 1.0)
-        await region.until(lambda: all(n.cluster.level for n in region.nodes.values()), 90)
+        await region.wait_until(lambda: all(n.cluster.level for n in region.nodes.values()), 90)
         assert region.state.keys[keys.LEVEL][0]["level"] == 1
 
     simulate(scenario)
@@ -179,7 +174,7 @@
         assert (await node.ask("POST", "/v1/jobs", body)).status == 201
         await node.round()
         _read_as_production(state)
-        done = [on(JOB, i, 1 + i, "exited", "done") for i in range(2)]
+        done = [reported_task(JOB, i, 1 + i, "exited", "done") for i in range(2)]
         node.report("n-0", 1, 2, node.token(), *done)
         node.report("n-1", 1, 2, node.token(), *done)
         await node.round()
@@ -289,7 +284,7 @@
                 node = SteppedController(state, clock, nodes)
                 await node.boot()
             clock.time += 0.5
-            await node.live()
+            await node.renew_and_sync()
             await node.round()
             assert _planned_tasks(state) == planned
             job = node.cluster.jobs[JOB]
@@ -321,7 +316,7 @@
         await node.sync()
         for _ in range(8):
             clock.time += 0.5
-            await node.live()
+            await node.renew_and_sync()
             await node.round()
         job = node.cluster.jobs[JOB]
         assert keys.plan(JOB, "0") not in state.keys
@@ -350,7 +345,7 @@
         assert "0" not in clearable
         for _ in range(20):
             clock.time += 0.5
-            await node.live()
+            await node.renew_and_sync()
             await node.round()
             assert node.cluster.jobs[JOB].planned_task_count() == 0
         assert not [k for k in state.keys if k.startswith(keys.PLAN)]
@@ -439,7 +434,7 @@
         await region.begin(machines=0)
         for number in range(3):
             await region.add_worker(f"n-{number}", shard=0)
-        await region.until(lambda: all(n.cluster.level for n in region.nodes.values()))
+        await region.wait_until(lambda: all(n.cluster.level for n in region.nodes.values()))
         small: dict[str, Any] = {"cpus": 0.1, "cards": 0.0, "ramGb": 0.1, "pullGb": 0.0}
         first, second = "wk-000101", "wk-000102"
         assert await region.submit("node-0", first, run_s=4.0, sacks=150, **small) == 201
@@ -451,7 +446,7 @@
         region.state.limits = StateLimits(100, 40, 2048, 6)
         owner = region.owners()[0]
         await region.restart(owner, 2.0)
-        await region.until(lambda: region.finished(second, 40), 120)
+        await region.wait_until(lambda: region.has_finished(second, 40), 120)
         assert region.state.too_large == 0
 
     simulate(scenario)
@@ -470,7 +465,7 @@
         await node.boot()
         for turn in range(6):
             clock.time += 0.5
-            await node.live()
+            await node.renew_and_sync()
             for number in range(40):
                 node.report(f"n-{number}", 1, turn + 1, node.token())
             await node.round()
@@ -497,7 +492,7 @@
             assert response.status == 200
         else:
             await node.round()
-            node.report("n-0", 1, 2, node.token(), on(JOB, 0, 1, "exited", "done"))
+            node.report("n-0", 1, 2, node.token(), reported_task(JOB, 0, 1, "exited", "done"))
             await node.round()
         stored = state.keys[keys.job(JOB)][0]
         assert stored["end"] == end
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -16,7 +16,7 @@
     parse_heartbeat,
 )
 
-from .fake_services import beat, on, submission
+from .builders import heartbeat_body, reported_task, submission
 
 
 @pytest.mark.parametrize(
@@ -70,7 +70,9 @@
 
 def test_heartbeats_and_commands_use_internal_names() -> None:
     heartbeat = parse_heartbeat(
-        load_object(beat("n-1", 2, 7, 41, on("wk-1", 3, 2, "exited", "halted")))
+        load_object(
+            heartbeat_body("n-1", 2, 7, 41, reported_task("wk-1", 3, 2, "exited", "halted"))
+        )
     )
     task = heartbeat.tasks[0]
     assert (task.job, task.index, task.attempt, task.exit_reason) == ("wk-1", 3, 2, "stopped")
@@ -92,10 +94,10 @@
 )
 def test_a_cached_task_status_is_not_used_for_another_task(change: dict[str, Any]) -> None:
     # true and 1.0 equal the cached 1, but are malformed
-    task = on("wk-000001", 0, 1, "running")
+    task = reported_task("wk-000001", 0, 1, "running")
     read = cached_task_status_reader(8)
-    cached = parse_heartbeat(load_object(beat("n-0", 1, 1, 1, task)), read)
-    again = parse_heartbeat(load_object(beat("n-0", 1, 2, 1, task)), read)
+    cached = parse_heartbeat(load_object(heartbeat_body("n-0", 1, 1, 1, task)), read)
+    again = parse_heartbeat(load_object(heartbeat_body("n-0", 1, 2, 1, task)), read)
     assert again.tasks[0] is cached.tasks[0]
     with pytest.raises(MalformedMessageError):
-        parse_heartbeat(load_object(beat("n-0", 1, 3, 1, {**task, **change})), read)
+        parse_heartbeat(load_object(heartbeat_body("n-0", 1, 3, 1, {**task, **change})), read)
