--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -58,7 +58,7 @@
             self.wfile.write(data)
 
         # the names that http.server looks for
-        do_GET = do_POST = do_DELETE = _answer
+        do_GET = do_POST = do_DELETE = _answer  # noqa: N815 - named by http.server
 
         def log_message(self, format: str, *args: object) -> None:
             """Nothing is logged."""
--- a/tests/stepped_controller.py
+++ b/tests/stepped_controller.py
@@ -99,7 +99,7 @@
     `nodes` holds all controllers of the test by label; the new one is added to it.
     """
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 - each is what some test replaces
         self,
         state: Http,
         clock: FakeClock,
--- a/tests/test_boot_times.py
+++ b/tests/test_boot_times.py
@@ -29,16 +29,19 @@
         self._revision = 1
 
     def write(self, machine: str, rented: float = 0.0, boot_s: float | None = None) -> None:
+        """Writes the machine's record."""
         self._revision += 1
         value = {"type": "g4", "zone": "north", "spot": False, "shard": 0, "at": rented}
         value |= {"retiring": "", "up": boot_s is not None, "boot_s": boot_s}
         self.mirror.written(keys.machine(machine), value, self._revision)
 
     def is_expected(self, machine: str, age: float) -> bool:
+        """Whether the machine, rented so many boot times ago, is counted on."""
         machine_type = self.cluster.catalog["g4"]
         return self.times.is_expected(self.cluster.machines[machine], machine_type, age * BOOT_S)
 
     def has_failed(self, machine: str, age: float) -> bool:
+        """Whether the machine, rented so many boot times ago, counts as never coming up."""
         machine_type = self.cluster.catalog["g4"]
         return self.times.has_failed(self.cluster.machines[machine], machine_type, age * BOOT_S)
 
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -147,8 +147,10 @@
 
 @pytest.mark.parametrize("large", [{"dueS": 60.0}, {"dueS": None}])
 def test_no_job_is_passed_over_indefinitely_by_newer_ones(large: dict[str, float | None]) -> None:
-    """More work arrives than can be done, for minutes. The largest array, and the job without a
-    deadline, still start once their budgets end, since later jobs have later ends.
+    """More work arrives than can be done, for minutes.
+
+    The largest array, and the job without a deadline, still start once their budgets end, since
+    later jobs have later ends.
     """
     slots, default_queue_wait_s, large_tasks = 8, 45.0, 90
     waiting: list[_QueuedTasks] = []
@@ -285,8 +287,9 @@
 
 
 def test_the_only_type_that_a_class_fits_on_is_filled_up_last_by_tasks_without_gpus() -> None:
-    """Production replicas waited for capacity that equal ones without GPUs had taken, while a type
-    that these could have used as well had free capacity.
+    """Production replicas waited for capacity that equal ones without GPUs had taken.
+
+    A type that these could have used as well had free capacity meanwhile.
     """
     small = make_spec(cut="service", sacks=40, cards=0.0, cpus=4.0, ramGb=2.0)
     capacities = [
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -29,9 +29,9 @@
             answer = b""
             while part := await sock.recv(65536):
                 answer += part
-            return answer
         except OSError:
             return b"reset"
+        return answer
 
 
 @pytest.mark.parametrize(
