--- /dev/null
+++ b/tests/test_readme.py
@@ -0,0 +1,124 @@
+"""The commands of README's quick start work on a fresh clone, also where the environment forbids
+Python to write bytecode, as many container images do.
+"""
+
+import os
+import re
+import shlex
+import shutil
+import subprocess
+import sys
+import threading
+from importlib.util import find_spec
+from pathlib import Path
+
+import pytest
+import tomli_w
+
+from .fake_services import settings_table
+from .loopback import free_ports
+
+ROOT = Path(__file__).resolve().parent.parent
+INSTALL = "pip install"
+SETTINGS_FILE = "my-settings.toml"
+# what requirements.txt installs, and how long a command may take beside other load
+LIBRARIES = ("curio", "h11", "orjson")
+PATIENCE_S = 60.0
+COMMAND = re.compile(r"^ {4}(python3 .*?)(?: {2,}#.*)?$", re.MULTILINE)
+
+
+def _quick_start() -> list[str]:
+    """The commands of the section "Quick start", in order, without their comments."""
+    section = (ROOT / "README.md").read_text().split("## Quick start\n")[1].split("\n## ")[0]
+    return COMMAND.findall(section)
+
+
+def _environment() -> dict[str, str]:
+    """No bytecode may be written, and `python3` is the interpreter that runs the tests."""
+    path = f"{Path(sys.executable).parent}:{os.environ['PATH']}"
+    return {**os.environ, "PATH": path, "PYTHONDONTWRITEBYTECODE": "1"}
+
+
+def _link_libraries(checkout: Path) -> None:
+    """Stands in for the install command: a test does not use the network. The packages of the
+    present environment are linked to where the command would put them.
+    """
+    target = checkout / "target" / "deps"
+    target.mkdir(parents=True)
+    for name in LIBRARIES:
+        spec = find_spec(name)
+        assert spec is not None
+        assert spec.origin is not None
+        (target / name).symlink_to(Path(spec.origin).parent)
+
+
+@pytest.fixture(scope="module")
+def checkout(tmp_path_factory: pytest.TempPathFactory) -> Path:
+    """The tracked files as they are in the working tree, and a settings file."""
+    root = tmp_path_factory.mktemp("clone")
+    listed = subprocess.run(
+        ["git", "ls-files", "-z"], cwd=ROOT, check=True, capture_output=True, text=True
+    ).stdout
+    for name in filter(None, listed.split("\0")):
+        if (ROOT / name).is_file():
+            (root / name).parent.mkdir(parents=True, exist_ok=True)
+            shutil.copy2(ROOT / name, root / name)
+    bind, peer_listen, state, cloud = free_ports(4)
+    table = settings_table(
+        bind=f"127.0.0.1:{bind}",
+        peer_listen=f"127.0.0.1:{peer_listen}",
+        members=[],
+        external={"cloud": f"127.0.0.1:{cloud}", "state": f"127.0.0.1:{state}"},
+    )
+    (root / SETTINGS_FILE).write_text(tomli_w.dumps(table))
+    return root
+
+
+def _starts(checkout: Path, command: list[str]) -> bool:
+    """Whether the controller says that it starts; it runs until it is killed."""
+    process = subprocess.Popen(
+        command, cwd=checkout, env=_environment(), stderr=subprocess.PIPE, text=True
+    )
+    assert process.stderr is not None
+    timeout = threading.Timer(PATIENCE_S, process.kill)
+    timeout.start()
+    try:
+        return any("starting controller=" in line for line in process.stderr)
+    finally:
+        timeout.cancel()
+        process.kill()
+        process.wait()
+        process.stderr.close()
+
+
+def test_the_quick_start_works_on_a_fresh_clone_where_no_bytecode_may_be_written(
+    checkout: Path,
+) -> None:
+    commands = _quick_start()
+    install = [command for command in commands if INSTALL in command]
+    run = [command for command in commands if INSTALL not in command]
+    assert len(install) == 1
+    assert "--target target/deps -r requirements.txt" in install[0]
+    assert commands[0] == install[0]
+    _link_libraries(checkout)
+    assert run
+    *steps, serve = (shlex.split(command) for command in run)
+    for step in steps:
+        result = subprocess.run(
+            step,
+            cwd=checkout,
+            env=_environment(),
+            capture_output=True,
+            text=True,
+            check=False,
+            timeout=PATIENCE_S,
+        )
+        assert result.returncode == 0, f"{shlex.join(step)}: {result.stderr}"
+    assert _starts(checkout, serve)
+
+
+def test_the_quick_start_builds_as_the_deploy_file_does() -> None:
+    build = (ROOT / "deploy" / "service.toml").read_text()
+    compiling = [command for command in _quick_start() if "compile" in command]
+    assert len(compiling) == 1
+    assert compiling[0] in build
