--- a/tests/test_missed_watch_events.py
+++ b/tests/test_missed_watch_events.py
@@ -1,7 +1,7 @@
 """What a controller makes of changes that it did not see one by one: it was cut off or stood still
 while others acted, and reads the state anew, page by page.
 
-The causes of what broke at production size (docs/safety.md, "Beliefs and their proofs").
+The causes of what broke at production size (docs/safety.md, "Observed state and conclusions").
 """
 
 from collections.abc import Callable
