--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,5 +1,7 @@
-"""The commands of README's quick start work on a fresh clone, also where the environment forbids
-Python to write bytecode, as many container images do.
+"""README's quick start works on a fresh clone, and links between the pages lead to files.
+
+The commands run where the environment forbids Python to write bytecode, as many container images
+do.
 """
 
 import os
@@ -24,6 +26,7 @@
 # what requirements.txt installs, and how long a command may take beside other load
 LIBRARIES = ("curio", "h11", "orjson")
 PATIENCE_S = 60.0
+LINK = re.compile(r"\]\(([^)#:]+)\)")
 COMMAND = re.compile(r"^ {4}(python3 .*?)(?: {2,}#.*)?$", re.MULTILINE)
 
 
@@ -34,14 +37,15 @@
 
 
 def _environment() -> dict[str, str]:
-    """No bytecode may be written, and `python3` is the interpreter that runs the tests."""
+    """Forbids to write bytecode; `python3` is the interpreter that runs the tests."""
     path = f"{Path(sys.executable).parent}:{os.environ['PATH']}"
     return {**os.environ, "PATH": path, "PYTHONDONTWRITEBYTECODE": "1"}
 
 
 def _link_libraries(checkout: Path) -> None:
-    """Stands in for the install command: a test does not use the network. The packages of the
-    present environment are linked to where the command would put them.
+    """Links the packages of the present environment to where the install command would put them.
+
+    It stands in for that command, since a test does not use the network.
     """
     target = checkout / "target" / "deps"
     target.mkdir(parents=True)
@@ -122,3 +126,14 @@
     compiling = [command for command in _quick_start() if "compile" in command]
     assert len(compiling) == 1
     assert compiling[0] in build
+
+
+@pytest.mark.parametrize("page", ["README.md", "CONTRIBUTING.md", "docs/*.md"])
+def test_links_between_the_pages_lead_to_files(page: str) -> None:
+    missing = [
+        f"{path.relative_to(ROOT)}: {link}"
+        for path in ROOT.glob(page)
+        for link in LINK.findall(path.read_text())
+        if not (path.parent / link).exists()
+    ]
+    assert missing == []
