--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -17,7 +17,7 @@
 import pytest
 import tomli_w
 
-from .fake_services import settings_table
+from .builders import settings_table
 from .loopback import free_ports
 
 ROOT = Path(__file__).resolve().parent.parent
