--- /dev/null
+++ b/tests/partition_scenario.py
@@ -0,0 +1,105 @@
+"""A partitioned zone whose controller keeps the machine of another owner alive."""
+
+from collections.abc import Awaitable, Callable
+
+from crossmill.net.client import ConnectionFailedError
+
+from .builders import reported_task
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
+from .stepped_controller import Nodes, SteppedController, add_job, run_scenario, seed
+
+RUNNING = reported_task("wk-000001", 0, 1, "running")
+
+
+class PartitionableLink:
+    """A link to the state service that can be cut."""
+
+    def __init__(self, state: StateService) -> None:
+        self._state = state
+        self.is_cut = False
+
+    async def request(
+        self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
+    ) -> tuple[int, bytes]:
+        """Passes the request on; raises ConnectionFailedError while the link is cut."""
+        if self.is_cut:
+            raise ConnectionFailedError(path)
+        return await self._state.request(method, path, body, timeout_s)
+
+
+class PartitionScenario:
+    """node-1 (south) owns machine n-0 (north), which runs a task; node-0 is in the north.
+
+    `owner` is node-1, `zone_controller` is node-0.
+    """
+
+    def __init__(self, state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        self.state, self.clock, self.nodes = state, clock, nodes
+        self.link = PartitionableLink(state)
+        self.seq = 10
+
+    async def begin(self) -> None:
+        """Starts both controllers, and has the owner start the task on the machine."""
+        seed(self.state, self.clock, machines=1)
+        self.job = add_job(self.state, self.clock, sacks=1, cut="service", grindS=0.0, dueS=None)
+        self.owner = SteppedController(self.state, self.clock, self.nodes, "node-1")
+        await self.owner.boot()
+        for _ in range(12):
+            self.clock.time += self.owner.settings.controller_lease_ttl_s / 3
+            await self.owner.renew_and_sync()
+            await self.owner.membership.step()
+        token = self.token = self.owner.token()
+        self.owner.report("n-0", 1, 1, 0)
+        self.owner.report("n-0", 1, 2, token)
+        await self.owner.round()
+        assert [command.op for command in self.owner.report("n-0", 1, 3, token).commands] == [
+            "start"
+        ]
+        self.zone_controller = SteppedController(self.link, self.clock, self.nodes, "node-0")
+        await self.zone_controller.boot()
+        self.s = self.zone_controller.settings
+
+    async def pass_time(self, seconds: float, to: SteppedController | None = None) -> None:
+        """Passes time: the machine sends heartbeats to one controller, the owner decides."""
+        end = self.clock.time + seconds
+        while self.clock.time < end:
+            self.clock.time += 0.5
+            for node in (self.owner, self.zone_controller):
+                await node.controller_lease.step()
+                await node.partition_protocol.step()
+            if to is not None:
+                self.seq += 1
+                answer = to.report("n-0", 1, self.seq, self.token, RUNNING)
+                assert (answer.status, answer.token) == (200, self.token), self.clock.time
+            await self.owner.round()
+
+    async def settle(self) -> None:
+        """Passes enough time for node-0 to have the right to keep workers alive."""
+        await self.pass_time(2, self.owner)
+
+    def cut(self) -> None:
+        """Partitions the north: node-0 reaches neither the state service nor the south."""
+        self.link.is_cut = True
+        self.nodes["node-0"].is_unreachable = self.nodes["node-1"].is_unreachable = True
+
+    def clear_faults(self) -> None:
+        """Ends the partition."""
+        self.link.is_cut = False
+        self.nodes["node-0"].is_unreachable = self.nodes["node-1"].is_unreachable = False
+
+    def planned_on_machine(self) -> int:
+        """How many attempts the owner has planned onto the machine."""
+        return len(self.owner.cluster.machines["n-0"].attempts)
+
+
+def run_settled(scenario: Callable[[PartitionScenario], Awaitable[None]]) -> None:
+    """Runs a scenario from where node-0 may keep workers alive once its zone is partitioned."""
+
+    async def begin(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        it = PartitionScenario(state, clock, nodes)
+        await it.begin()
+        await it.settle()
+        await scenario(it)
+
+    run_scenario(begin)
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -17,9 +17,8 @@
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
 from .simulated_region import Region, simulate
-from .stepped_controller import RECORD_BYTES, SteppedController, add_job, run_scenario, seed
+from .stepped_controller import RECORD_BYTES, Nodes, SteppedController, add_job, run_scenario, seed
 
-Nodes = dict[str, SteppedController]
 A, B, C, D = (f"wk-00000{n}" for n in range(1, 5))
 
 
--- a/tests/test_missed_watch_events.py
+++ b/tests/test_missed_watch_events.py
@@ -17,9 +17,8 @@
 from .builders import make_spec, reported_task
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
-from .stepped_controller import RECORD_BYTES, SteppedController, add_job, run_scenario, seed
+from .stepped_controller import RECORD_BYTES, Nodes, SteppedController, add_job, run_scenario, seed
 
-Nodes = dict[str, SteppedController]
 JOB = "wk-000001"
 
 
--- /dev/null
+++ b/tests/test_silent_machines.py
@@ -0,0 +1,79 @@
+"""Silent machines are retired only when no partitioned controller can keep them alive."""
+
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
+from .partition_scenario import PartitionScenario, run_settled
+from .stepped_controller import Nodes, SteppedController, add_machine, run_scenario, seed
+
+
+def test_machines_silent_since_a_takeover_are_not_retired_during_a_possible_partition() -> None:
+    """Half a fleet was released as never started, 16 s after a takeover during a partition."""
+
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        seed(state, clock, machines=3)
+        for number in range(3):
+            add_machine(state, clock, f"s-{number}", zone="south", at=clock.wall() - 1000)
+        node = SteppedController(state, clock, nodes)
+        await node.boot()
+        up = ["n-0", "n-1", "n-2"]
+        for seq in range(1, 140):
+            clock.time += 0.5
+            await node.controller_lease.step()
+            for machine in up:
+                node.report(machine, 1, seq, node.token())
+            await node.round()
+            retiring = {m.id for m in node.cluster.machines.values() if m.retiring == "silent"}
+            if seq * 0.5 < node.settings.partition_keepalive_s + node.settings.worker_lease_s:
+                assert not retiring, seq
+        assert retiring == {"s-0", "s-1", "s-2"}
+
+    run_scenario(scenario)
+
+
+def test_no_machine_is_retired_while_a_zone_falls_silent_and_comes_back_one_by_one() -> None:
+    """A zone's machines that fall silent one by one are not retired.
+
+    The first to fall silent were retired before the rest were silent, and the last to come back
+    as soon as most others had.
+    """
+
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        seed(state, clock, machines=0)
+        names = [f"s-{number}" for number in range(6)]
+        for name in names:
+            add_machine(state, clock, name, zone="south")
+        node = SteppedController(state, clock, nodes)
+        await node.boot()
+        worker_lease_s = node.settings.worker_lease_s
+        for seq in range(1, 130):
+            clock.time += 0.5
+            await node.controller_lease.step()
+            for number, name in enumerate(names):
+                # silent for two leases, each a little later than the one before
+                if not 0 < seq * 0.5 - 10 - 0.8 * number < 2 * worker_lease_s:
+                    node.report(name, 1, seq, node.token())
+            await node.round()
+        assert not any(m.retiring == "silent" for m in node.cluster.machines.values())
+
+    run_scenario(scenario)
+
+
+def test_an_absence_counts_anew_when_the_controller_was_back_unnoticed() -> None:
+    async def scenario(it: PartitionScenario) -> None:
+        it.cut()
+        it.state.end_lease(it.zone_controller.controller_lease.lease_id or 0)
+        await it.pass_time(it.s.partition_keepalive_s + it.s.worker_lease_s - 1)
+        assert it.planned_on_machine() == 1
+        # while the owner is stalled node-0 comes back, reads all that is durable, and ends again
+        replacement = SteppedController(it.state, it.clock, it.nodes, "node-0")
+        await replacement.boot(waited=False)
+        await replacement.partition_protocol.step()
+        replacement.is_unreachable = True
+        it.state.end_lease(replacement.controller_lease.lease_id or 0)
+        await it.owner.sync()
+        await it.pass_time(it.s.partition_keepalive_s)
+        assert it.planned_on_machine() == 1
+        await it.pass_time(it.s.worker_lease_s + 2)
+        assert it.planned_on_machine() == 0
+
+    run_settled(scenario)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -21,6 +21,7 @@
 from .simulated_region import Region, simulate
 from .stepped_controller import (
     RECORD_BYTES,
+    Nodes,
     SteppedController,
     add_job,
     add_machine,
@@ -28,7 +29,6 @@
     seed,
 )
 
-Nodes = dict[str, SteppedController]
 JOB = "wk-000001"
 
 # what the version in production writes, and all that it reads
