--- /dev/null
+++ b/tests/test_dependency_cancellation.py
@@ -0,0 +1,87 @@
+"""Cancellation of a job cancels all jobs that depend on it."""
+
+from crossmill.cluster import keys
+from crossmill.cluster.dependencies import DependencyGraph
+from crossmill.cluster.model import ACTIVE, CANCELLED, DONE, Job
+from crossmill.cluster.records import encode_end, encode_job
+
+from .builders import make_spec
+from .dependency_scenario import A, B, D, shown_stage, start_controller, submit_job
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
+from .stepped_controller import RECORD_BYTES, Nodes, SteppedController, run_scenario
+
+
+def test_more_dependents_than_a_transaction_allows_are_cancelled_at_once_and_recorded_later() -> (
+    None
+):
+    # guards against `orphaned`: one write cancels all jobs that depend on this one
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        node = await start_controller(state, clock, nodes)
+        other = SteppedController(state, clock, nodes, "node-1")
+        await other.boot()
+        # only controllers of the job's zone have to be told, and this is the only one
+        await submit_job(node, A, yard="north")
+        fan = [f"wk-{n:06d}" for n in range(100, 200)]
+        for name in fan:
+            state.put(keys.job(name), encode_job(make_spec(nameId=name), clock.wall(), (A,)))
+        await node.sync()
+        assert (await submit_job(node, D, fan[0], fan[-1])).status == 201
+        response = await node.ask("POST", f"/v1/jobs/{A}/withdraw")
+        assert response.status == 200
+        assert b"withdrawn" in response.body
+        # before any further write, and also on a controller that only reads
+        for name in (*fan, D):
+            assert await shown_stage(other, name) == "withdrawn"
+        assert state.keys[keys.job(fan[0])][0]["end"] == ACTIVE
+        # in an outage an end that is known to be final is still reported
+        state.down = True
+        assert await shown_stage(other, D) == "withdrawn"
+        state.down = False
+        for _ in range(40):
+            clock.time += 1
+            await node.renew_and_sync()
+            await node.round()
+        ends = {state.keys[keys.job(name)][0]["end"] for name in (*fan, D)}
+        assert ends == {CANCELLED}
+        assert not node.cluster.jobs.unrecorded_cancellations[0]
+
+    run_scenario(scenario)
+
+
+def test_a_chain_of_thousands_is_cancelled_without_recursion() -> None:
+    jobs: dict[str, Job] = {}
+    graph = DependencyGraph(jobs)
+    for number in range(5000):
+        needs = (f"wk-{number - 1:06d}",) if number else ()
+        spec = make_spec(nameId=f"wk-{number:06d}")
+        job = jobs[spec.id] = Job(spec.id, spec=spec, dependencies=needs)
+        graph.add(job)
+    first = jobs["wk-000000"]
+    first.end = CANCELLED
+    assert len(graph.apply_end(first)) == 4999
+    assert {job.end for job in jobs.values()} == {CANCELLED}
+
+
+def test_a_job_that_depends_on_a_cancelled_one_is_accepted_and_cancelled() -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        node = await start_controller(state, clock, nodes)
+        state.put(keys.archived(A), {"end": "cancelled", "done": 0})
+        response = await submit_job(node, B, A)
+        assert response.status == 201
+        assert b"withdrawn" in response.body
+        assert await shown_stage(node, B) == "withdrawn"
+
+    run_scenario(scenario)
+
+
+def test_cancelling_a_job_that_is_done_leaves_its_dependents() -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        node = await start_controller(state, clock, nodes)
+        state.put(keys.job(A), encode_end(DONE, make_spec(nameId=A), clock.wall(), RECORD_BYTES))
+        await submit_job(node, B, A)
+        response = await node.ask("POST", f"/v1/jobs/{A}/withdraw")
+        assert b"done" in response.body
+        assert await shown_stage(node, B) == "queued"
+
+    run_scenario(scenario)
