--- /dev/null
+++ b/tests/test_feature_level.py
@@ -0,0 +1,67 @@
+"""The feature level is raised once all controllers support it."""
+
+import curio
+import orjson
+import pytest
+
+from crossmill.cluster import keys
+
+from .builders import submission
+from .fake_clock import FakeClock
+from .fake_state_service import StateService
+from .simulated_links import TransactionFault
+from .simulated_region import Region, simulate
+from .stepped_controller import Nodes, SteppedController, add_job, run_scenario, seed
+
+
+@pytest.mark.parametrize("upgraded", [(), ("node-1",), ("node-1", "node-2")])
+def test_the_leader_raises_the_level_once_all_controllers_have_written_their_notes(
+    upgraded: tuple[str, ...],
+) -> None:
+    async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
+        seed(state, clock)
+        for label in upgraded:
+            state.put(keys.feature(label), {"level": 1})
+        node = SteppedController(state, clock, nodes)
+        await node.boot()
+        await node.feature_level.step()
+        assert keys.feature("node-0") in state.keys
+        for _ in range(4):
+            clock.time += node.settings.controller_lease_ttl_s / 3
+            await node.renew_and_sync()
+            await node.membership.step()
+        assert node.membership.leadership_version() is not None
+        await node.feature_level.step()
+        assert (keys.LEVEL in state.keys) is (len(upgraded) == 2)
+        # a job with dependencies is only accepted after that
+        add_job(state, clock, nameId="wk-000009", sacks=1)
+        await node.sync()
+        body = orjson.dumps(submission(nameId="wk-000010", awaits=["wk-000009"]))
+        response = await node.ask("POST", "/v1/jobs", body)
+        assert response.status == (201 if len(upgraded) == 2 else 503)
+        assert response.retry_after_s is not None or response.status == 201
+
+    run_scenario(scenario)
+
+
+def test_the_level_is_raised_despite_lost_responses_and_an_outage() -> None:
+    async def scenario(region: Region) -> None:
+        lost: list[str] = []
+
+        def transaction_fault(label: str, method: str, path: str) -> TransactionFault | None:
+            # every controller's first transactions are carried out without a response
+            if path == "/txn" and lost.count(label) < 6:
+                lost.append(label)
+                return TransactionFault(0.0, executes_at_once=True)
+            return None
+
+        region.transaction_fault = transaction_fault
+        await region.begin(machines=0)
+        region.state.down = True
+        await curio.sleep(3)
+        region.state.down = False
+        await region.restart("node-1", 1.0)
+        await region.wait_until(lambda: all(n.cluster.level for n in region.nodes.values()), 90)
+        assert region.state.keys[keys.LEVEL][0]["level"] == 1
+
+    simulate(scenario)
