--- a/tests/dependency_scenario.py
+++ b/tests/dependency_scenario.py
@@ -2,9 +2,6 @@
 
 import orjson
 
-from crossmill.cluster import keys
-from crossmill.cluster.model import Level
-from crossmill.cluster.records import encode_level
 from crossmill.net.server import Response
 from crossmill.wire.checks import load_object
 
@@ -12,15 +9,11 @@
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
 from .stepped_controller import Nodes, SteppedController, seed
+from .stored_records import raise_feature_level
 
 A, B, C, D = (f"wk-00000{n}" for n in range(1, 5))
 
 
-def raise_level(state: StateService) -> None:
-    """Raises the feature level, from which on dependencies are accepted."""
-    state.put(keys.LEVEL, encode_level(Level(1, 512, 32)))
-
-
 async def submit_job(node: SteppedController, job: str, *needs: str, **fields: object) -> Response:
     """Submits a job that depends on the given ones."""
     body = submission(nameId=job, awaits=list(needs), **{"sacks": 1, **fields})
@@ -39,7 +32,7 @@
 ) -> SteppedController:
     """Starts a controller that owns a machine and accepts dependencies."""
     seed(state, clock, machines=1)
-    raise_level(state)
+    raise_feature_level(state)
     node = SteppedController(state, clock, nodes)
     await node.boot()
     node.report("n-0", 1, 1, 0)
--- a/tests/stepped_controller.py
+++ b/tests/stepped_controller.py
@@ -1,8 +1,7 @@
 """Controllers over the fake services, stepped by hand under a clock that only the test moves.
 
 `SteppedController` wires a controller as crossmill/app.py does, without sockets. `run_scenario`
-runs
-a test's coroutine with a new state service and clock.
+runs a test's coroutine with a new state service and clock.
 """
 
 from collections.abc import Awaitable, Callable
@@ -262,18 +261,30 @@
     return spec.id
 
 
-async def boot_with_job(
+async def boot_with_waiting_job(
     state: StateService,
     clock: FakeClock,
     nodes: dict[str, SteppedController],
     machines: int,
     **job: Any,
 ) -> SteppedController:
-    """A controller with machines that have reported, after one round that placed a job."""
+    """Return a controller with an accepted job, before any machine has reported."""
     seed(state, clock, machines=machines)
     add_job(state, clock, **job)
     node = SteppedController(state, clock, nodes)
     await node.boot()
+    return node
+
+
+async def boot_with_job(
+    state: StateService,
+    clock: FakeClock,
+    nodes: dict[str, SteppedController],
+    machines: int,
+    **job: Any,
+) -> SteppedController:
+    """A controller with machines that have reported, after one round that placed a job."""
+    node = await boot_with_waiting_job(state, clock, nodes, machines, **job)
     for number in range(machines):
         node.report(f"n-{number}", 1, 1, node.token())
     await node.round()
@@ -295,10 +306,8 @@
     state: StateService, clock: FakeClock, nodes: Nodes, **job: object
 ) -> SteppedController:
     """Return a controller whose machine n-0 runs the job's one task: attempt 1, session 1."""
-    seed(state, clock, machines=1)
-    job_id = add_job(state, clock, **{"sacks": 1, **job})
-    node = SteppedController(state, clock, nodes)
-    await node.boot()
+    node = await boot_with_waiting_job(state, clock, nodes, 1, **{"sacks": 1, **job})
+    (job_id,) = node.cluster.jobs
     token = node.token()
     node.report("n-0", 1, 1, 0)
     node.report("n-0", 1, 2, token)
--- a/tests/test_command_delivery.py
+++ b/tests/test_command_delivery.py
@@ -12,22 +12,14 @@
 from .builders import heartbeat_body, reported_task
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
-from .stepped_controller import (
-    Nodes,
-    SteppedController,
-    add_job,
-    run_scenario,
-    seed,
-    start_placed_task,
-)
+from .stepped_controller import Nodes, boot_with_waiting_job, run_scenario, start_placed_task
+
+JOB = "wk-000001"
 
 
 def test_a_start_is_sent_only_from_a_durable_plan() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        seed(state, clock, machines=1)
-        add_job(state, clock, sacks=1)
-        node = SteppedController(state, clock, nodes)
-        await node.boot()
+        node = await boot_with_waiting_job(state, clock, nodes, machines=1, sacks=1)
         node.report("n-0", 1, 1, node.token())
         state.script["/txn"] = ["refuse"] * 2
         task = await curio.spawn(node.round)
@@ -41,10 +33,7 @@
 
 def test_an_unanswered_start_command_may_still_arrive_until_a_higher_token() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        seed(state, clock, machines=1)
-        job = add_job(state, clock, sacks=1)
-        node = SteppedController(state, clock, nodes)
-        await node.boot()
+        node = await boot_with_waiting_job(state, clock, nodes, machines=1, sacks=1)
         node.worker.answer = NoResponseError("held back")
         token = node.token()
         node.report("n-0", 1, 1, token)
@@ -52,21 +41,21 @@
         await curio.sleep(0.01)
         assert node.worker.sent[0]["orders"][0]["verb"] == "start"
         # cancelled, and a newer heartbeat does not list it: the start may still arrive
-        version = state.keys[keys.job(job)]
-        state.put(keys.job(job), {**version[0], "end": "cancelled"})
+        version = state.keys[keys.job(JOB)]
+        state.put(keys.job(JOB), {**version[0], "end": "cancelled"})
         await node.sync()
         node.report("n-0", 1, 2, token)
         await node.round()
-        assert node.cluster.jobs[job].planned_task_count() == 1
+        assert node.cluster.jobs[JOB].planned_task_count() == 1
         await node.membership.step()
         higher = node.token()
         assert higher > token
         node.report("n-0", 1, 3, token)
         await node.round()
-        assert node.cluster.jobs[job].planned_task_count() == 1
+        assert node.cluster.jobs[JOB].planned_task_count() == 1
         node.report("n-0", 1, 4, higher)
         await node.round()
-        assert node.cluster.jobs[job].planned_task_count() == 0
+        assert node.cluster.jobs[JOB].planned_task_count() == 0
 
     run_scenario(scenario)
 
@@ -74,28 +63,25 @@
 def test_an_outcome_is_durable_before_the_task_is_forgotten() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
-        done = reported_task("wk-000001", 0, 1, "exited", "done")
+        done = reported_task(JOB, 0, 1, "exited", "done")
         assert node.report("n-0", 1, 5, node.token(), done).commands == ()
         await node.round()
-        assert state.keys[keys.job("wk-000001")][0]["end"] == "done"
+        assert state.keys[keys.job(JOB)][0]["end"] == "done"
         orders = node.report("n-0", 1, 6, node.token(), done).commands
-        assert orders == (Command(CommandKind.FORGET, "wk-000001/0", 1),)
+        assert orders == (Command(CommandKind.FORGET, f"{JOB}/0", 1),)
 
     run_scenario(scenario)
 
 
 def test_a_cancellation_at_another_controller_prevents_a_planned_start() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        seed(state, clock, machines=1)
-        job = add_job(state, clock, sacks=1)
-        node = SteppedController(state, clock, nodes)
-        await node.boot()
+        node = await boot_with_waiting_job(state, clock, nodes, machines=1, sacks=1)
         node.report("n-0", 1, 1, node.token())
         # another controller's write that this mirror has not seen yet
-        state.put(keys.job(job), {**state.keys[keys.job(job)][0], "end": "cancelled"})
+        state.put(keys.job(JOB), {**state.keys[keys.job(JOB)][0], "end": "cancelled"})
         await node.round()
-        assert node.cluster.jobs[job].planned_task_count() == 0
-        assert keys.plan(job, "0") not in state.keys
+        assert node.cluster.jobs[JOB].planned_task_count() == 0
+        assert keys.plan(JOB, "0") not in state.keys
 
     run_scenario(scenario)
 
@@ -103,14 +89,14 @@
 def test_tasks_of_a_cancelled_job_are_stopped_and_its_end_stays() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
-        answer = await node.ask("POST", "/v1/jobs/wk-000001/withdraw")
+        answer = await node.ask("POST", f"/v1/jobs/{JOB}/withdraw")
         assert (answer.status, orjson.loads(answer.body)["stage"]) == (200, "withdrawn")
-        running = reported_task("wk-000001", 0, 1, "running")
+        running = reported_task(JOB, 0, 1, "running")
         orders = node.report("n-0", 1, 5, node.token(), running).commands
-        assert orders == (Command(CommandKind.STOP, "wk-000001/0", 1, 0.0),)
-        node.report("n-0", 1, 6, node.token(), reported_task("wk-000001", 0, 1, "exited", "done"))
+        assert orders == (Command(CommandKind.STOP, f"{JOB}/0", 1, 0.0),)
+        node.report("n-0", 1, 6, node.token(), reported_task(JOB, 0, 1, "exited", "done"))
         await node.round()
-        assert state.keys[keys.job("wk-000001")][0]["end"] == "cancelled"
+        assert state.keys[keys.job(JOB)][0]["end"] == "cancelled"
 
     run_scenario(scenario)
 
@@ -122,16 +108,13 @@
     """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        seed(state, clock, machines=1)
-        add_job(state, clock, sacks=1)
-        node = SteppedController(state, clock, nodes)
-        await node.boot()
+        node = await boot_with_waiting_job(state, clock, nodes, machines=1, sacks=1)
         token = node.token()
         node.report("n-0", 1, 1, 0)
         node.report("n-0", 1, 2, token)
         await node.round()
         assert node.report("n-0", 1, 3, token).commands[0].op == "start"
-        node.heartbeats.stop_requests[AttemptId("wk-000001", 0, 1)] = StopReason.PREEMPTED
+        node.heartbeats.stop_requests[AttemptId(JOB, 0, 1)] = StopReason.PREEMPTED
         node.command_sender._apply_response("n-0", 200, heartbeat_body("n-0", 1, 4, token))
         assert not node.heartbeats.outcomes
         # a report is sent only when the answer to the one before has come or is given up
@@ -145,24 +128,20 @@
     """A task was started by command after its attempt had been found not started.
 
     The watch showed the plan before its write was answered: a heartbeat without the task ended the
-    attempt
-    on a machine to be released, and then the write's answer brought the command.
+    attempt on a machine to be released, and then the write's answer brought the command.
     """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        seed(state, clock, machines=1)
-        add_job(state, clock, sacks=1)
-        node = SteppedController(state, clock, nodes)
-        await node.boot()
+        node = await boot_with_waiting_job(state, clock, nodes, machines=1, sacks=1)
         token = node.token()
         node.report("n-0", 1, 1, 0)
         node.report("n-0", 1, 2, token)
         node.worker.answer = lambda data: (200, heartbeat_body("n-0", 1, 90, token))
-        row = PlannedAttempt("wk-000001", 0, 1, "n-0", 1)
+        row = PlannedAttempt(JOB, 0, 1, "n-0", 1)
         plan = {"next": 2, "done": "0", "rows": [[0, 1, "n-0", 1]]}
-        state.put(keys.plan("wk-000001", "0"), plan)
+        state.put(keys.plan(JOB, "0"), plan)
         await node.sync()
-        node.heartbeats.stop_requests[AttemptId("wk-000001", 0, 1)] = StopReason.PREEMPTED
+        node.heartbeats.stop_requests[AttemptId(JOB, 0, 1)] = StopReason.PREEMPTED
         node.report("n-0", 1, 3, token)
         assert [outcome.reason for outcome in node.heartbeats.outcomes.values()] == ["not started"]
         # its end is being written, and the reason for it has gone
--- a/tests/test_contradictory_records.py
+++ b/tests/test_contradictory_records.py
@@ -7,13 +7,14 @@
 import pytest
 
 from crossmill.cluster import keys
-from crossmill.cluster.model import CANCELLED, DONE
+from crossmill.cluster.model import CANCELLED
 from crossmill.cluster.records import encode_end
 
 from .builders import make_spec, reported_task
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
 from .stepped_controller import RECORD_BYTES, Nodes, SteppedController, run_scenario, seed
+from .stored_records import store_finished_jobs_beyond
 
 JOB = "wk-000001"
 
@@ -27,9 +28,7 @@
         state.put(keys.job(JOB), record)
         state.put(keys.plan(JOB, "0"), {"next": 2, "done": "0", "rows": [[0, 1, "n-0", 1]]})
         node = SteppedController(state, clock, nodes)
-        for number in range(node.settings.max_ended_jobs + 5):
-            spec = make_spec(nameId=f"wk-{1000 + number:06d}")
-            state.put(keys.job(spec.id), encode_end(DONE, spec, clock.wall(), RECORD_BYTES))
+        store_finished_jobs_beyond(state, clock, node.settings.max_ended_jobs)
         await node.boot()
         node.report("n-0", 1, 1, 0, reported_task(JOB, 0, 1, "running"))
         for _ in range(6):
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -22,6 +22,7 @@
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
 from .stepped_controller import RECORD_BYTES, Nodes, SteppedController, add_job, run_scenario, seed
+from .stored_records import store_finished_job, store_finished_jobs_beyond
 
 
 def test_a_dependent_starts_only_after_the_durable_end_of_its_dependency() -> None:
@@ -95,7 +96,7 @@
         handler = node.jobs._cancellation
         preconditions = await handler._preconditions(job)
         assert preconditions == {keys.job(A): node.cluster.jobs[A].version}
-        state.put(keys.job(A), encode_end(DONE, make_spec(nameId=A), clock.wall(), RECORD_BYTES))
+        store_finished_job(state, clock, A)
         conditions = {keys.job(B): job.version, **preconditions}
         assert not await handler._commit(B, make_spec(nameId=B), conditions)
         assert await shown_stage(node, B) == "queued"
@@ -103,18 +104,21 @@
     run_scenario(scenario)
 
 
+def _finish_and_archive(state: StateService, clock: FakeClock, job_id: str) -> None:
+    """Stores what another owner writes when a job finishes and is archived at once."""
+    store_finished_job(state, clock, job_id)
+    state.put(keys.archived(job_id), {"end": "done", "done": 1})
+    state.put(keys.ARCHIVINGS, {"n": 1})
+    state.delete(keys.job(job_id))
+
+
 def test_archiving_and_accepting_do_not_race() -> None:
     # guards against a job that waits for ever for one whose record was deleted
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_controller(state, clock, nodes)
         await submit_job(node, A)
         # another owner ends and archives it, unnoticed here, during the submission
-        value = encode_end(DONE, make_spec(nameId=A), clock.wall(), RECORD_BYTES)
-        state.put(keys.job(A), value)
-        state.put(keys.archived(A), {"end": "done", "done": 1})
-        state.put(keys.ARCHIVINGS, {"n": 1})
-        state.revision += 1
-        state._delete(keys.job(A))
+        _finish_and_archive(state, clock, A)
         # checked again within the request: accepted on the archived end, and not blocked
         assert (await submit_job(node, B, A)).status == 201
         assert not node.cluster.jobs[B].is_blocked
@@ -134,12 +138,7 @@
         read = check._read
 
         async def slow_read(dependency_id: str) -> Job | None:
-            value = encode_end(DONE, make_spec(nameId=A), clock.wall(), RECORD_BYTES)
-            state.put(keys.job(A), value)
-            state.put(keys.archived(A), {"end": "done", "done": 1})
-            state.put(keys.ARCHIVINGS, {"n": 1})
-            state.revision += 1
-            state._delete(keys.job(A))
+            _finish_and_archive(state, clock, A)
             await node.sync()
             check._read = read  # type: ignore[method-assign]
             return await read(dependency_id)
@@ -157,10 +156,8 @@
         node = await start_controller(state, clock, nodes)
         await submit_job(node, A)
         await submit_job(node, B, A)
-        state.put(keys.job(A), encode_end(DONE, make_spec(nameId=A), clock.wall(), RECORD_BYTES))
-        for number in range(node.settings.max_ended_jobs + 5):
-            spec = make_spec(nameId=f"wk-{1000 + number:06d}")
-            state.put(keys.job(spec.id), encode_end(DONE, spec, clock.wall(), RECORD_BYTES))
+        store_finished_job(state, clock, A)
+        store_finished_jobs_beyond(state, clock, node.settings.max_ended_jobs)
         await node.sync()
         for _ in range(10):
             clock.time += 1
@@ -187,10 +184,8 @@
         other = SteppedController(state, clock, nodes, "node-1")
         await other.boot()
         # A ends; the other controller's watch lags behind
-        state.put(keys.job(A), encode_end(DONE, make_spec(nameId=A), clock.wall(), RECORD_BYTES))
-        for number in range(owner.settings.max_ended_jobs + 5):
-            spec = make_spec(nameId=f"wk-{1000 + number:06d}")
-            state.put(keys.job(spec.id), encode_end(DONE, spec, clock.wall(), RECORD_BYTES))
+        store_finished_job(state, clock, A)
+        store_finished_jobs_beyond(state, clock, owner.settings.max_ended_jobs)
         await owner.renew_and_sync()
         assert owner.cluster.jobs[A].end == DONE
         assert other.cluster.jobs[A].end == ACTIVE
--- a/tests/test_dependency_cancellation.py
+++ b/tests/test_dependency_cancellation.py
@@ -2,14 +2,15 @@
 
 from crossmill.cluster import keys
 from crossmill.cluster.dependencies import DependencyGraph
-from crossmill.cluster.model import ACTIVE, CANCELLED, DONE, Job
-from crossmill.cluster.records import encode_end, encode_job
+from crossmill.cluster.model import ACTIVE, CANCELLED, Job
+from crossmill.cluster.records import encode_job
 
 from .builders import make_spec
 from .dependency_scenario import A, B, D, shown_stage, start_controller, submit_job
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
-from .stepped_controller import RECORD_BYTES, Nodes, SteppedController, run_scenario
+from .stepped_controller import Nodes, SteppedController, run_scenario
+from .stored_records import store_finished_job
 
 
 def test_more_dependents_than_a_transaction_allows_are_cancelled_at_once_and_recorded_later() -> (
@@ -78,7 +79,7 @@
 def test_cancelling_a_job_that_is_done_leaves_its_dependents() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_controller(state, clock, nodes)
-        state.put(keys.job(A), encode_end(DONE, make_spec(nameId=A), clock.wall(), RECORD_BYTES))
+        store_finished_job(state, clock, A)
         await submit_job(node, B, A)
         response = await node.ask("POST", f"/v1/jobs/{A}/withdraw")
         assert b"done" in response.body
--- a/tests/test_lease_extensions.py
+++ b/tests/test_lease_extensions.py
@@ -6,11 +6,34 @@
 from .stepped_controller import Nodes, SteppedController, run_scenario, start_placed_task
 
 
+async def _boot_peers(
+    state: StateService, clock: FakeClock, nodes: Nodes
+) -> list[SteppedController]:
+    """Starts the two peers of node-0, which can grant it lease extensions."""
+    peers = [SteppedController(state, clock, nodes, label) for label in ("node-1", "node-2")]
+    for peer in peers:
+        await peer.boot()
+    return peers
+
+
+async def _request_extensions(node: SteppedController) -> None:
+    await node.lease_extensions.request_grants(sorted(node.membership.ownerships))
+
+
+async def _fail_to_renew(
+    clock: FakeClock, node: SteppedController, peers: list[SteppedController]
+) -> None:
+    """Has all controllers try to renew their leases, and node request extensions."""
+    clock.time += node.settings.lease_renewal_interval_s
+    for controller in (node, *peers):
+        await controller.controller_lease.step()
+    await _request_extensions(node)
+
+
 def test_workers_are_kept_alive_only_while_a_quorum_extends_the_lease() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
-        for label in ("node-1", "node-2"):
-            await SteppedController(state, clock, nodes, label).boot()
+        await _boot_peers(state, clock, nodes)
         running = reported_task("wk-000001", 0, 1, "running")
         await node.renew_and_sync()
         state.down = True
@@ -20,14 +43,14 @@
             clock.time += node.settings.lease_renewal_interval_s
             seq += 1
             await node.controller_lease.step()
-            await node.lease_extensions.request_grants(sorted(node.membership.ownerships))
+            await _request_extensions(node)
             answer = node.report("n-0", 1, seq, node.token(), running)
             assert answer.status == 200
         # bound, the others do not take it even when its key has gone
         assert nodes["node-1"].lease_extensions.is_granted_to_peer(0)
         nodes["node-2"].is_unreachable = True
         clock.time += node.settings.lease_extension_grant_s
-        await node.lease_extensions.request_grants(sorted(node.membership.ownerships))
+        await _request_extensions(node)
         assert node.report("n-0", 1, seq + 1, node.token(), running).status in (421, 503)
 
     run_scenario(scenario)
@@ -38,9 +61,7 @@
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
-        peers = [SteppedController(state, clock, nodes, label) for label in ("node-1", "node-2")]
-        for peer in peers:
-            await peer.boot()
+        peers = await _boot_peers(state, clock, nodes)
         for _ in range(8):
             clock.time += node.settings.lease_renewal_interval_s / 2
             for peer in peers:
@@ -48,10 +69,10 @@
             state.down = True
             await node.controller_lease.step()
             state.down = False
-            await node.lease_extensions.request_grants(sorted(node.membership.ownerships))
+            await _request_extensions(node)
         assert node.lease_extensions.is_only_one_refused
         clock.time += node.settings.lease_extension_grant_s * 1.1
-        await node.lease_extensions.request_grants(sorted(node.membership.ownerships))
+        await _request_extensions(node)
         assert not peers[0].lease_extensions.is_granted_to_peer(0)
         assert not node.lease_extensions.is_extended()
 
@@ -61,15 +82,10 @@
 def test_no_controller_takes_an_outage_for_all_as_a_refusal_of_itself_alone() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
-        peers = [SteppedController(state, clock, nodes, label) for label in ("node-1", "node-2")]
-        for peer in peers:
-            await peer.boot()
+        peers = await _boot_peers(state, clock, nodes)
         state.down = True
         while not node.lease_extensions.is_only_one_refused and clock.now() < 2000:
-            clock.time += node.settings.lease_renewal_interval_s
-            for each in (node, *peers):
-                await each.controller_lease.step()
-            await node.lease_extensions.request_grants(sorted(node.membership.ownerships))
+            await _fail_to_renew(clock, node, peers)
             since = node.lease_extensions._failing_since
             assert since is not None
             if (
@@ -89,20 +105,15 @@
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
-        peers = [SteppedController(state, clock, nodes, label) for label in ("node-1", "node-2")]
-        for peer in peers:
-            await peer.boot()
+        peers = await _boot_peers(state, clock, nodes)
         state.down = True
         for _ in range(3):
-            clock.time += node.settings.lease_renewal_interval_s
-            for each in (node, *peers):
-                await each.controller_lease.step()
-            await node.lease_extensions.request_grants(sorted(node.membership.ownerships))
+            await _fail_to_renew(clock, node, peers)
         state.down = False
         await peers[0].controller_lease.step()
         clock.time += 0.1
-        await node.lease_extensions.request_grants(sorted(node.membership.ownerships))
-        await node.lease_extensions.request_grants(sorted(node.membership.ownerships))
+        await _request_extensions(node)
+        await _request_extensions(node)
         assert not node.lease_extensions.is_only_one_refused
 
     run_scenario(scenario)
--- a/tests/test_lowered_limits.py
+++ b/tests/test_lowered_limits.py
@@ -6,8 +6,6 @@
 import pytest
 
 from crossmill.cluster import keys
-from crossmill.cluster.model import Level
-from crossmill.cluster.records import encode_level
 from crossmill.settings import SettingsError, StateLimits, parse
 from crossmill.state.writer import WriteIntent, WriteResult
 from crossmill.wire.state import Put, Txn
@@ -18,6 +16,7 @@
 from .production_records import JOB, PRODUCTION_JOB, PRODUCTION_SPEC
 from .simulated_region import Region, simulate
 from .stepped_controller import Nodes, SteppedController, add_job, add_machine, run_scenario, seed
+from .stored_records import raise_feature_level
 
 
 def test_of_the_next_limits_only_the_lower_ones_count() -> None:
@@ -88,7 +87,7 @@
         seed(state, clock, machines=0)
         for number in range(40):
             add_machine(state, clock, f"n-{number}")
-        state.put(keys.LEVEL, encode_level(Level(1, 512, 32)))
+        raise_feature_level(state)
         state.limits = StateLimits(100, 40, 2048, 6)
         add_job(state, clock, nameId=JOB, sacks=40, cpus=32.0, cards=0.0, ramGb=1.0)
         node = SteppedController(state, clock, nodes)
@@ -112,7 +111,7 @@
         seed(state, clock, machines=1)
         spec = {**PRODUCTION_SPEC, "tasks": 1, "image": "i" * 3000, "zone": "north"}
         state.put(keys.job(JOB), {**PRODUCTION_JOB, "spec": spec})
-        state.put(keys.LEVEL, encode_level(Level(1, 512, 32)))
+        raise_feature_level(state)
         state.limits = StateLimits(100, 40, 2048, 6)
         node = SteppedController(state, clock, nodes)
         await node.boot()
--- a/tests/test_machine_transfer.py
+++ b/tests/test_machine_transfer.py
@@ -46,16 +46,24 @@
     run_scenario(scenario)
 
 
+async def _boot_owner_of_all_shards(
+    state: StateService, clock: FakeClock, nodes: Nodes
+) -> SteppedController:
+    """Returns the only controller, which has acquired all shards; shard 0 has one machine."""
+    seed(state, clock, machines=1)
+    node = SteppedController(state, clock, nodes)
+    await node.boot()
+    for _ in range(12):
+        clock.time += node.settings.controller_lease_ttl_s / 3
+        await node.renew_and_sync()
+        await node.membership.step()
+    return node
+
+
 def test_a_machine_transferred_to_another_shard_obeys_only_its_new_owner() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        seed(state, clock, machines=1)
-        node = SteppedController(state, clock, nodes)
-        await node.boot()
+        node = await _boot_owner_of_all_shards(state, clock, nodes)
         other = node.settings.shard_of_team("blue")
-        for _ in range(12):
-            clock.time += node.settings.controller_lease_ttl_s / 3
-            await node.renew_and_sync()
-            await node.membership.step()
         assert other in node.membership.ownerships
         assert other != 0
         # shard 0 has an idle machine; the job waits in the other shard, and no cloud is there
@@ -110,17 +118,17 @@
 def test_a_machine_with_tasks_or_pending_starts_is_not_transferred() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
-        giving = node.scheduling_loop._machine_transfer
+        transfer = node.scheduling_loop._machine_transfer
         machine = node.cluster.machines["n-0"]
-        giving._leaving["n-0"] = PlannedTransfer(1, clock.now() + 9)
-        assert giving.target(machine) is None
+        transfer._leaving["n-0"] = PlannedTransfer(1, clock.now() + 9)
+        assert transfer.target(machine) is None
         machine.attempts.clear()
-        assert giving.target(machine) is None, "the worker still reports a task"
+        assert transfer.target(machine) is None, "the worker still reports a task"
         node.report("n-0", 1, 5, node.token())
-        assert giving.target(machine) == 1
+        assert transfer.target(machine) == 1
         start = PlannedAttempt("wk-000001", 0, 1, "n-0", 1)
         node.heartbeats.reconciler.unacknowledged_starts.record("n-0", [start], node.token())
-        assert giving.target(machine) is None, "a start sent to it may still arrive"
+        assert transfer.target(machine) is None, "a start sent to it may still arrive"
 
     run_scenario(scenario)
 
@@ -129,14 +137,8 @@
     """The start's write rests on the machine's stamp but leaves it: both would be carried out."""
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        seed(state, clock, machines=1)
-        node = SteppedController(state, clock, nodes)
-        await node.boot()
+        node = await _boot_owner_of_all_shards(state, clock, nodes)
         other = node.settings.shard_of_team("blue")
-        for _ in range(12):
-            clock.time += node.settings.controller_lease_ttl_s / 3
-            await node.controller_lease.step()
-            await node.membership.step()
         add_job(state, clock, crew="blue", sacks=1)
         await node.sync()
         for seq in range(1, 30):
@@ -177,10 +179,8 @@
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=4)
-        node, other = (
-            SteppedController(state, clock, nodes),
-            SteppedController(state, clock, nodes, "node-1"),
-        )
+        node = SteppedController(state, clock, nodes)
+        other = SteppedController(state, clock, nodes, "node-1")
         await node.boot()
         await other.boot(waited=False)
         released_at = 0.0
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -3,14 +3,15 @@
 import orjson
 
 from crossmill.cluster import keys
-from crossmill.cluster.model import ACTIVE, CANCELLED, DONE, Level
-from crossmill.cluster.records import decode_job, encode_end, encode_job, encode_level
+from crossmill.cluster.model import ACTIVE, CANCELLED, DONE
+from crossmill.cluster.records import decode_job, encode_end, encode_job
 
 from .builders import make_spec, reported_task, submission
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
 from .production_records import JOB, PRODUCTION_JOB, PRODUCTION_SPEC, read_as_production
 from .stepped_controller import RECORD_BYTES, Nodes, SteppedController, run_scenario, seed
+from .stored_records import raise_feature_level
 
 
 def test_a_job_record_is_written_and_read_in_the_format_of_production() -> None:
@@ -60,7 +61,7 @@
     # that end has no time, so the times of the jobs that wait count from their submission
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock)
-        state.put(keys.LEVEL, encode_level(Level(1, 512, 32)))
+        raise_feature_level(state)
         state.put(keys.job(JOB), PRODUCTION_JOB)
         waits = make_spec(nameId="wk-000002")
         state.put(keys.job("wk-000002"), encode_job(waits, clock.wall(), (JOB,)))
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -15,6 +15,7 @@
 from .fake_state_service import StateService
 from .production_records import JOB, PRODUCTION_JOB, PRODUCTION_SPEC
 from .stepped_controller import Nodes, SteppedController, add_job, run_scenario, seed
+from .stored_records import raise_feature_level
 
 
 def test_segments_nest_in_legacy_chunks() -> None:
@@ -66,6 +67,24 @@
     return node
 
 
+async def _boot_and_begin_migration(
+    state: StateService, clock: FakeClock, nodes: Nodes
+) -> SteppedController:
+    """Returns a controller after the round that copied the first of 400 tasks into segments."""
+    node = await _boot_with_legacy_plan(state, clock, nodes, 400)
+    raise_feature_level(state)
+    await node.sync()
+    await node.round()
+    return node
+
+
+async def _run_rounds(clock: FakeClock, node: SteppedController, rounds: int) -> None:
+    for _ in range(rounds):
+        clock.time += 0.5
+        await node.renew_and_sync()
+        await node.round()
+
+
 def _planned_tasks(state: StateService) -> list[int]:
     """Task indexes in the chunks that are in effect, as stored in the state service."""
     prefix = keys.PLAN + JOB + "/"
@@ -83,7 +102,7 @@
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _boot_with_legacy_plan(state, clock, nodes, tasks)
         planned = [i for i in range(tasks) if i not in (0, 2)]
-        state.put(keys.LEVEL, encode_level(Level(1, 512, 32)))
+        raise_feature_level(state)
         if is_lowered:
             state.limits = StateLimits(100, 40, 2048, 6)
         await node.sync()
@@ -93,9 +112,7 @@
             if turn == 1:
                 node = SteppedController(state, clock, nodes)
                 await node.boot()
-            clock.time += 0.5
-            await node.renew_and_sync()
-            await node.round()
+            await _run_rounds(clock, node, 1)
             assert _planned_tasks(state) == planned
             job = node.cluster.jobs[JOB]
             assert sorted(r.index for r in job.attempts()) == planned
@@ -114,20 +131,14 @@
 
 def test_a_plan_that_changes_while_it_is_copied_is_copied_again() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        node = await _boot_with_legacy_plan(state, clock, nodes, 400)
-        state.put(keys.LEVEL, encode_level(Level(1, 512, 32)))
-        await node.sync()
-        await node.round()
+        node = await _boot_and_begin_migration(state, clock, nodes)
         assert node.cluster.jobs[JOB].staged
         # as by a transaction that was still in flight: task 7 is done
         old = state.keys[keys.plan(JOB, "0")][0]
         rows = [r for r in old["rows"] if r[0] != 7]
         state.put(keys.plan(JOB, "0"), {**old, "done": f"{0b10000101:x}", "rows": rows})
         await node.sync()
-        for _ in range(8):
-            clock.time += 0.5
-            await node.renew_and_sync()
-            await node.round()
+        await _run_rounds(clock, node, 8)
         job = node.cluster.jobs[JOB]
         assert keys.plan(JOB, "0") not in state.keys
         assert 7 not in _planned_tasks(state)
@@ -138,10 +149,7 @@
 
 def test_staged_copies_of_a_cancelled_job_never_take_effect() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        node = await _boot_with_legacy_plan(state, clock, nodes, 400)
-        state.put(keys.LEVEL, encode_level(Level(1, 512, 32)))
-        await node.sync()
-        await node.round()
+        node = await _boot_and_begin_migration(state, clock, nodes)
         assert node.cluster.jobs[JOB].staged
         state.put(keys.job(JOB), {"end": "cancelled", "spec": state.keys[keys.job(JOB)][0]["spec"]})
         state.put(keys.plan(JOB, "0"), {"next": 401, "done": "5", "rows": []})
@@ -154,9 +162,7 @@
         assert clearable
         assert "0" not in clearable
         for _ in range(20):
-            clock.time += 0.5
-            await node.renew_and_sync()
-            await node.round()
+            await _run_rounds(clock, node, 1)
             assert node.cluster.jobs[JOB].planned_task_count() == 0
         assert not [k for k in state.keys if k.startswith(keys.PLAN)]
 
@@ -172,7 +178,7 @@
         await node.boot()
         node.report("n-0", 1, 1, node.token())
         # raised, but not seen here yet
-        state.put(keys.LEVEL, encode_level(Level(1, 512, 32)))
+        raise_feature_level(state)
         await node.round()
         assert not [k for k in state.keys if k.startswith(keys.PLAN)]
         await node.sync()
@@ -187,7 +193,7 @@
         node = SteppedController(state, clock, nodes)
         await node.boot()
         assert node.cluster.limits == node.settings.state_limits
-        state.put(keys.LEVEL, encode_level(Level(1, 512, 32)))
+        raise_feature_level(state)
         await node.sync()
         assert node.cluster.limits == StateLimits(100.0, 40.0, 2048, 6)
         await node.membership.step()
