--- a/tests/test_dependency_submission.py
+++ b/tests/test_dependency_submission.py
@@ -57,24 +57,27 @@
     run_scenario(scenario)
 
 
-def test_impossible_dependencies_are_refused() -> None:
+@pytest.mark.parametrize(
+    "dependency",
+    [pytest.param(A, id="unknown"), pytest.param(B, id="itself"), pytest.param(C, id="service")],
+)
+def test_impossible_dependencies_are_refused(dependency: str) -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_controller(state, clock, nodes)
-        # an unknown job, the job itself, and a service, which never ends
-        assert (await submit_job(node, B, A)).status == 422
-        assert (await submit_job(node, B, B)).status == 422
+        # a service never ends
         add_job(state, clock, nameId=C, cut="service")
-        assert (await submit_job(node, B, C)).status == 422
+        assert (await submit_job(node, B, dependency)).status == 422
 
     run_scenario(scenario)
 
 
-def test_no_dependency_is_refused_for_good_while_the_state_service_cannot_be_read() -> None:
+@pytest.mark.parametrize(("key", "fault"), [(keys.job(A), "refuse"), (keys.archived(A), "drop")])
+def test_no_dependency_is_refused_for_good_while_the_state_service_cannot_be_read(
+    key: str, fault: str
+) -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_controller(state, clock, nodes)
-        state.script["/keys/" + keys.job(A)] = ["refuse"]
-        assert (await submit_job(node, B, A)).status == 503
-        state.script["/keys/" + keys.archived(A)] = ["drop"]
+        state.script["/keys/" + key] = [fault]
         assert (await submit_job(node, B, A)).status == 503
 
     run_scenario(scenario)
--- a/tests/test_recovery_decisions.py
+++ b/tests/test_recovery_decisions.py
@@ -22,14 +22,16 @@
 from .stepped_controller import SteppedController, run_scenario, seed
 
 
-def test_only_the_listed_phase_transitions_are_permitted() -> None:
-    for old in RecoveryPhase:
-        for new in RecoveryPhase:
-            if new in TRANSITIONS[old]:
-                check_transition(old, new)
-            else:
-                with pytest.raises(RecoveryTransitionError):
-                    check_transition(old, new)
+@pytest.mark.parametrize("old", RecoveryPhase)
+@pytest.mark.parametrize("new", RecoveryPhase)
+def test_only_the_listed_phase_transitions_are_permitted(
+    old: RecoveryPhase, new: RecoveryPhase
+) -> None:
+    if new in TRANSITIONS[old]:
+        check_transition(old, new)
+    else:
+        with pytest.raises(RecoveryTransitionError):
+            check_transition(old, new)
 
 
 def test_batches_double_until_one_times_out() -> None:
--- a/tests/test_recovery_service.py
+++ b/tests/test_recovery_service.py
@@ -129,10 +129,24 @@
         assert (await ask("POST", APPROVE_PATH, b"{}"))[0] == 400
         assert (await ask("POST", APPROVE_PATH, approval))[0] == 409
         assert (await ask("PUT", RECOVERY_PATH))[0] == 404
+
+    run_scenario(scenario)
+
+
+@pytest.mark.parametrize(
+    ("method", "path", "body"),
+    [("GET", RECOVERY_PATH, b""), ("POST", APPROVE_PATH, approval_body(Approval(0, "ab")))],
+)
+def test_operators_are_told_to_retry_while_the_state_service_is_down(
+    method: str, path: str, body: bytes
+) -> None:
+    async def scenario(
+        state: StateService, clock: FakeClock, nodes: dict[str, SteppedController]
+    ) -> None:
+        api = await _api(state, clock, nodes)
         state.down = True
-        for method, path, body in (("GET", RECOVERY_PATH, b""), ("POST", APPROVE_PATH, approval)):
-            response = await api.handle(Request(method, path, body))
-            assert response.status == 503
-            assert response.retry_after_s is not None
+        response = await api.handle(Request(method, path, body))
+        assert response.status == 503
+        assert response.retry_after_s is not None
 
     run_scenario(scenario)
