--- a/tests/dependency_scenario.py
+++ b/tests/dependency_scenario.py
@@ -14,9 +14,11 @@
 A, B, C, D = (f"wk-00000{n}" for n in range(1, 5))
 
 
-async def submit_job(node: SteppedController, job: str, *needs: str, **fields: object) -> Response:
+async def submit_job(
+    node: SteppedController, job: str, *dependencies: str, **fields: object
+) -> Response:
     """Submits a job that depends on the given ones."""
-    body = submission(nameId=job, awaits=list(needs), **{"sacks": 1, **fields})
+    body = submission(nameId=job, awaits=list(dependencies), **{"sacks": 1, **fields})
     return await node.ask("POST", "/v1/jobs", orjson.dumps(body))
 
 
--- a/tests/partition_scenario.py
+++ b/tests/partition_scenario.py
@@ -3,6 +3,7 @@
 from collections.abc import Awaitable, Callable
 
 from crossmill.net.client import ConnectionFailedError
+from crossmill.workers.heartbeat_handler import HeartbeatResponse
 
 from .builders import reported_task
 from .fake_clock import FakeClock
@@ -58,7 +59,7 @@
         ]
         self.zone_controller = SteppedController(self.link, self.clock, self.nodes, "node-0")
         await self.zone_controller.boot()
-        self.s = self.zone_controller.settings
+        self.settings = self.zone_controller.settings
 
     async def pass_time(self, seconds: float, to: SteppedController | None = None) -> None:
         """Passes time: the machine sends heartbeats to one controller, the owner decides."""
@@ -74,6 +75,10 @@
                 assert (answer.status, answer.token) == (200, self.token), self.clock.time
             await self.owner.round()
 
+    def report_to_zone_controller(self, seq: int) -> HeartbeatResponse:
+        """Delivers the machine's heartbeat, in which its task runs, to node-0."""
+        return self.zone_controller.report("n-0", 1, seq, self.token, RUNNING)
+
     async def settle(self) -> None:
         """Passes enough time for node-0 to have the right to keep workers alive."""
         await self.pass_time(2, self.owner)
@@ -97,9 +102,9 @@
     """Runs a scenario from where node-0 may keep workers alive once its zone is partitioned."""
 
     async def begin(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        it = PartitionScenario(state, clock, nodes)
-        await it.begin()
-        await it.settle()
-        await scenario(it)
+        partition = PartitionScenario(state, clock, nodes)
+        await partition.begin()
+        await partition.settle()
+        await scenario(partition)
 
     run_scenario(begin)
--- a/tests/test_command_delivery.py
+++ b/tests/test_command_delivery.py
@@ -41,8 +41,8 @@
         await curio.sleep(0.01)
         assert node.worker.sent[0]["orders"][0]["verb"] == "start"
         # cancelled, and a newer heartbeat does not list it: the start may still arrive
-        version = state.keys[keys.job(JOB)]
-        state.put(keys.job(JOB), {**version[0], "end": "cancelled"})
+        record = state.keys[keys.job(JOB)]
+        state.put(keys.job(JOB), {**record[0], "end": "cancelled"})
         await node.sync()
         node.report("n-0", 1, 2, token)
         await node.round()
@@ -67,8 +67,8 @@
         assert node.report("n-0", 1, 5, node.token(), done).commands == ()
         await node.round()
         assert state.keys[keys.job(JOB)][0]["end"] == "done"
-        orders = node.report("n-0", 1, 6, node.token(), done).commands
-        assert orders == (Command(CommandKind.FORGET, f"{JOB}/0", 1),)
+        commands = node.report("n-0", 1, 6, node.token(), done).commands
+        assert commands == (Command(CommandKind.FORGET, f"{JOB}/0", 1),)
 
     run_scenario(scenario)
 
@@ -92,8 +92,8 @@
         answer = await node.ask("POST", f"/v1/jobs/{JOB}/withdraw")
         assert (answer.status, orjson.loads(answer.body)["stage"]) == (200, "withdrawn")
         running = reported_task(JOB, 0, 1, "running")
-        orders = node.report("n-0", 1, 5, node.token(), running).commands
-        assert orders == (Command(CommandKind.STOP, f"{JOB}/0", 1, 0.0),)
+        commands = node.report("n-0", 1, 5, node.token(), running).commands
+        assert commands == (Command(CommandKind.STOP, f"{JOB}/0", 1, 0.0),)
         node.report("n-0", 1, 6, node.token(), reported_task(JOB, 0, 1, "exited", "done"))
         await node.round()
         assert state.keys[keys.job(JOB)][0]["end"] == "cancelled"
@@ -137,7 +137,7 @@
         node.report("n-0", 1, 1, 0)
         node.report("n-0", 1, 2, token)
         node.worker.answer = lambda data: (200, heartbeat_body("n-0", 1, 90, token))
-        row = PlannedAttempt(JOB, 0, 1, "n-0", 1)
+        attempt = PlannedAttempt(JOB, 0, 1, "n-0", 1)
         plan = {"next": 2, "done": "0", "rows": [[0, 1, "n-0", 1]]}
         state.put(keys.plan(JOB, "0"), plan)
         await node.sync()
@@ -147,7 +147,7 @@
         # its end is being written, and the reason for it has gone
         node.heartbeats.outcomes.clear()
         node.heartbeats.stop_requests.clear()
-        await node.command_sender.send([row], [])
+        await node.command_sender.send([attempt], [])
         await curio.sleep(0.01)
         assert not node.worker.sent
         assert not node.report("n-0", 1, 4, token).commands
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -73,9 +73,9 @@
         first, second = make_spec(nameId=before), make_spec(nameId=after)
         state.put(keys.job(before), encode_end(CANCELLED, first, 5.0, RECORD_BYTES))
         state.put(keys.job(after), encode_job(second, 1.0, (before,)))
-        done, waits = make_spec(nameId=C), make_spec(nameId=D)
+        done, dependent = make_spec(nameId=C), make_spec(nameId=D)
         state.put(keys.job(C), encode_end(DONE, done, 7.0, RECORD_BYTES))
-        state.put(keys.job(D), encode_job(waits, 1.0, (C,)))
+        state.put(keys.job(D), encode_job(dependent, 1.0, (C,)))
         node = SteppedController(state, clock, nodes)
         await node.boot()
         assert node.cluster.jobs[after].end == CANCELLED
@@ -202,10 +202,10 @@
 
 
 @pytest.mark.parametrize(
-    ("end", "told"), [(DONE, "queued"), (CANCELLED, "withdrawn"), ("", "queued")]
+    ("end", "stage"), [(DONE, "queued"), (CANCELLED, "withdrawn"), ("", "queued")]
 )
 def test_a_job_left_without_its_dependency_by_an_earlier_version_is_repaired(
-    end: str, told: str
+    end: str, stage: str
 ) -> None:
     # guards against a job that waits for ever; without an archived end nothing is concluded
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
@@ -225,13 +225,13 @@
         await node.renew_and_sync()
         await node.record_repair.step()
         await other.sync()
-        assert await shown_stage(node, B) == await shown_stage(other, B) == told
-        for seen in (node, other):
-            assert seen.cluster.jobs[B].is_blocked is (end != DONE)
-            assert seen.cluster.jobs[B].waiting_task_count() == (end == DONE)
+        assert await shown_stage(node, B) == await shown_stage(other, B) == stage
+        for controller in (node, other):
+            assert controller.cluster.jobs[B].is_blocked is (end != DONE)
+            assert controller.cluster.jobs[B].waiting_task_count() == (end == DONE)
         late = SteppedController(state, clock, nodes, "node-2")
         await late.boot()
-        assert await shown_stage(late, B) == told
+        assert await shown_stage(late, B) == stage
         assert late.cluster.jobs[B].is_blocked is (end == "")
 
     run_scenario(scenario)
--- a/tests/test_dependency_cancellation.py
+++ b/tests/test_dependency_cancellation.py
@@ -23,18 +23,18 @@
         await other.boot()
         # only controllers of the job's zone have to be told, and this is the only one
         await submit_job(node, A, yard="north")
-        fan = [f"wk-{n:06d}" for n in range(100, 200)]
-        for name in fan:
+        dependents = [f"wk-{n:06d}" for n in range(100, 200)]
+        for name in dependents:
             state.put(keys.job(name), encode_job(make_spec(nameId=name), clock.wall(), (A,)))
         await node.sync()
-        assert (await submit_job(node, D, fan[0], fan[-1])).status == 201
+        assert (await submit_job(node, D, dependents[0], dependents[-1])).status == 201
         response = await node.ask("POST", f"/v1/jobs/{A}/withdraw")
         assert response.status == 200
         assert b"withdrawn" in response.body
         # before any further write, and also on a controller that only reads
-        for name in (*fan, D):
+        for name in (*dependents, D):
             assert await shown_stage(other, name) == "withdrawn"
-        assert state.keys[keys.job(fan[0])][0]["end"] == ACTIVE
+        assert state.keys[keys.job(dependents[0])][0]["end"] == ACTIVE
         # in an outage an end that is known to be final is still reported
         state.down = True
         assert await shown_stage(other, D) == "withdrawn"
@@ -43,7 +43,7 @@
             clock.time += 1
             await node.renew_and_sync()
             await node.round()
-        ends = {state.keys[keys.job(name)][0]["end"] for name in (*fan, D)}
+        ends = {state.keys[keys.job(name)][0]["end"] for name in (*dependents, D)}
         assert ends == {CANCELLED}
         assert not node.cluster.jobs.unrecorded_cancellations[0]
 
@@ -54,9 +54,9 @@
     jobs: dict[str, Job] = {}
     graph = DependencyGraph(jobs)
     for number in range(5000):
-        needs = (f"wk-{number - 1:06d}",) if number else ()
+        dependencies = (f"wk-{number - 1:06d}",) if number else ()
         spec = make_spec(nameId=f"wk-{number:06d}")
-        job = jobs[spec.id] = Job(spec.id, spec=spec, dependencies=needs)
+        job = jobs[spec.id] = Job(spec.id, spec=spec, dependencies=dependencies)
         graph.add(job)
     first = jobs["wk-000000"]
     first.end = CANCELLED
--- a/tests/test_dependency_failovers.py
+++ b/tests/test_dependency_failovers.py
@@ -7,14 +7,14 @@
 from .simulated_region import Region, simulate
 
 
-async def _pipeline(region: Region, label: str = "node-0") -> None:
+async def _submit_diamond(region: Region, label: str = "node-0") -> None:
     assert await region.submit(label, A, run_s=3.0, sacks=2) == 201
     assert await region.submit(label, B, run_s=3.0, sacks=2, awaits=[A]) == 201
     assert await region.submit(label, C, run_s=3.0, sacks=2, awaits=[A], crew="blue") == 201
     assert await region.submit(label, D, run_s=2.0, sacks=1, awaits=[B, C], crew="green") == 201
 
 
-async def _begin(region: Region) -> None:
+async def _begin_with_workers(region: Region) -> None:
     await region.begin(machines=0)
     for shard in range(3):
         await region.add_worker(f"n-{shard}", shard=shard)
@@ -23,8 +23,8 @@
 
 def test_a_diamond_over_three_teams_runs_in_order_through_a_restart_of_all_controllers() -> None:
     async def scenario(region: Region) -> None:
-        await _begin(region)
-        await _pipeline(region)
+        await _begin_with_workers(region)
+        await _submit_diamond(region)
         await region.wait_until(lambda: bool(region.workers_running(A)))
         for label in Region.LABELS:
             await region.kill(label)
@@ -42,8 +42,8 @@
 ) -> None:
     # the state service may also be down right after the confirmation, for longer than `cancel_s`
     async def scenario(region: Region) -> None:
-        await _begin(region)
-        await _pipeline(region)
+        await _begin_with_workers(region)
+        await _submit_diamond(region)
         assert await region.cancel_until_confirmed("node-1", A, 20)
         region.state.down = outage_s > 0
         for label in Region.LABELS:
@@ -64,7 +64,7 @@
 
 def test_a_dependent_submitted_at_one_node_while_its_dependency_is_cancelled_at_another() -> None:
     async def scenario(region: Region) -> None:
-        await _begin(region)
+        await _begin_with_workers(region)
         assert await region.submit("node-0", A, run_s=30.0, sacks=1) == 201
         async with curio.TaskGroup() as group:
             await group.spawn(region.cancel_until_confirmed, "node-1", A, 20.0)
--- a/tests/test_dependency_submission.py
+++ b/tests/test_dependency_submission.py
@@ -39,20 +39,20 @@
         with_dependencies(b"[]", [C])
 
 
-@pytest.mark.parametrize("state_of", ["at hand", "in the state service only", "archived"])
-def test_a_dependency_is_found_wherever_its_record_is(state_of: str) -> None:
+@pytest.mark.parametrize("location", ["at hand", "in the state service only", "archived"])
+def test_a_dependency_is_found_wherever_its_record_is(location: str) -> None:
     # guards against 422 for a job that another controller has accepted a moment ago, and
     # against one that was archived
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_controller(state, clock, nodes)
-        if state_of == "archived":
+        if location == "archived":
             state.put(keys.archived(A), {"end": "done", "done": 1})
         else:
             add_job(state, clock, nameId=A, sacks=1)
-        if state_of == "at hand":
+        if location == "at hand":
             await node.sync()
         assert (await submit_job(node, B, A)).status == 201
-        assert node.cluster.jobs[B].is_blocked is (state_of != "archived")
+        assert node.cluster.jobs[B].is_blocked is (location != "archived")
 
     run_scenario(scenario)
 
--- a/tests/test_gpu_footprints.py
+++ b/tests/test_gpu_footprints.py
@@ -8,13 +8,15 @@
 from .builders import make_spec
 from .planning_builders import TYPES, empty_machine
 
-WIDE = make_spec(grist="train", sacks=50, cpus=4.0, cards=1.0, ramGb=16.0)
-TALL = make_spec(grist="chat", sacks=2, cpus=8.0, cards=4.0, ramGb=200.0)
+MANY_SMALL_TASKS = make_spec(grist="train", sacks=50, cpus=4.0, cards=1.0, ramGb=16.0)
+FEW_LARGE_TASKS = make_spec(grist="chat", sacks=2, cpus=8.0, cards=4.0, ramGb=200.0)
 SMALL_TYPE = TYPES["g4"]._replace(name="g2", memory_gb=64.0)
 
 
 def test_the_typical_footprint_is_that_of_the_class_with_the_most_tasks() -> None:
-    footprints = gpu_footprints([WIDE, TALL, TALL], [TYPES["g4"], SMALL_TYPE])
+    footprints = gpu_footprints(
+        [MANY_SMALL_TASKS, FEW_LARGE_TASKS, FEW_LARGE_TASKS], [TYPES["g4"], SMALL_TYPE]
+    )
     assert footprints.typical == TaskFootprint(4.0, 1.0, 16.0)
 
 
@@ -24,12 +26,14 @@
 def test_a_type_is_exclusive_to_the_class_that_fits_on_no_other_but_not_on_spot_machines(
     spot: bool, expected: TaskFootprint | None
 ) -> None:
-    footprints = gpu_footprints([WIDE, TALL, TALL], [TYPES["g4"], SMALL_TYPE])
+    footprints = gpu_footprints(
+        [MANY_SMALL_TASKS, FEW_LARGE_TASKS, FEW_LARGE_TASKS], [TYPES["g4"], SMALL_TYPE]
+    )
     assert footprints.exclusive_to(empty_machine("a", spot=spot)) == expected
 
 
 def test_no_type_is_exclusive_if_all_classes_fit_on_one_type_only() -> None:
-    assert gpu_footprints([WIDE, TALL], [TYPES["g4"]]).exclusive == {}
+    assert gpu_footprints([MANY_SMALL_TASKS, FEW_LARGE_TASKS], [TYPES["g4"]]).exclusive == {}
 
 
 @pytest.mark.parametrize(
--- a/tests/test_latency_split.py
+++ b/tests/test_latency_split.py
@@ -7,7 +7,10 @@
 
 def _options(name: str, finishes: list[float], rates: list[float]) -> tuple[MachineOption, ...]:
     pairs = zip(finishes, rates, strict=True)
-    return tuple(MachineOption(f"{name}/{i}", 1.0, t, f) for i, (f, t) in enumerate(pairs))
+    return tuple(
+        MachineOption(f"{name}/{i}", 1.0, rate, finish_s)
+        for i, (finish_s, rate) in enumerate(pairs)
+    )
 
 
 # module M_1 of the paper's Table I, with batches of 5, 20 and 100 requests
--- a/tests/test_lease_extensions.py
+++ b/tests/test_lease_extensions.py
@@ -46,7 +46,7 @@
             await _request_extensions(node)
             answer = node.report("n-0", 1, seq, node.token(), running)
             assert answer.status == 200
-        # bound, the others do not take it even when its key has gone
+        # peers that granted it don't acquire the shard, even when its owner's key has gone
         assert nodes["node-1"].lease_extensions.is_granted_to_peer(0)
         nodes["node-2"].is_unreachable = True
         clock.time += node.settings.lease_extension_grant_s
@@ -86,10 +86,10 @@
         state.down = True
         while not node.lease_extensions.is_only_one_refused and clock.now() < 2000:
             await _fail_to_renew(clock, node, peers)
-            since = node.lease_extensions._failing_since
-            assert since is not None
+            failing_since = node.lease_extensions._failing_since
+            assert failing_since is not None
             if (
-                clock.now() - since
+                clock.now() - failing_since
                 > node.settings.max_lease_extension_s + node.settings.lease_extension_grant_s * 1.1
             ):
                 break
--- a/tests/test_lowered_limits.py
+++ b/tests/test_lowered_limits.py
@@ -57,8 +57,10 @@
     run_scenario(scenario)
 
 
-@pytest.mark.parametrize("seed_s", [2.0, 6.0, 11.0])
-def test_limits_are_lowered_while_pipelines_run_and_a_controller_restarts(seed_s: float) -> None:
+@pytest.mark.parametrize("lowered_after_s", [2.0, 6.0, 11.0])
+def test_limits_are_lowered_while_pipelines_run_and_a_controller_restarts(
+    lowered_after_s: float,
+) -> None:
     async def scenario(region: Region) -> None:
         await region.begin(machines=0)
         for number in range(3):
@@ -71,7 +73,7 @@
             await region.submit("node-1", second, run_s=4.0, sacks=40, awaits=[first], **small)
             == 201
         )
-        await curio.sleep(seed_s)
+        await curio.sleep(lowered_after_s)
         region.state.limits = StateLimits(100, 40, 2048, 6)
         owner = region.owners()[0]
         await region.restart(owner, 2.0)
--- a/tests/test_machine_transfer.py
+++ b/tests/test_machine_transfer.py
@@ -80,7 +80,7 @@
         machine = node.cluster.machines["n-0"]
         assert machine.shard == other
         assert machine.token > max(old, node.token(other))
-        # what the worker said under the old token is not believed, nor anything begun on it
+        # heartbeats under the old token are not trusted, and nothing is started on them
         answer = node.report("n-0", 1, 50, old)
         assert (answer.token, answer.commands) == (machine.token, ())
         await node.round(other)
@@ -109,7 +109,7 @@
         assert node.report("n-0", 1, 2, node.token()).status == 421
         await task.join()
         assert node.cluster.machines["n-0"].shard == 1
-        # an older view must not be believed again if the machine comes back
+        # an older view must not be trusted again if the machine comes back
         assert node.heartbeats.find_view("n-0") is None
 
     run_scenario(scenario)
@@ -134,7 +134,10 @@
 
 
 def test_no_start_is_planned_on_a_machine_in_the_round_that_transfers_it() -> None:
-    """The start's write rests on the machine's stamp but leaves it: both would be carried out."""
+    """A start planned then would be applied together with the transfer.
+
+    Its write is conditional on the machine's version, which it doesn't change.
+    """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _boot_owner_of_all_shards(state, clock, nodes)
@@ -145,7 +148,7 @@
             clock.time += 0.4
             await node.controller_lease.step()
             if seq == 8:
-                # all is ready for the machine to be given; now its own shard gets a task too
+                # the machine is about to be transferred; now its own shard gets a task too
                 node.scheduling_loop._machine_transfer._checked_at[0] = 0.0
                 add_job(state, clock, nameId="wk-000002", sacks=1)
                 await node.sync()
--- a/tests/test_partition_cancellations.py
+++ b/tests/test_partition_cancellations.py
@@ -11,56 +11,60 @@
 from crossmill.wire.state import Put, Txn
 from crossmill.wire.workers import Command, CommandKind
 
-from .partition_scenario import RUNNING, PartitionScenario, run_settled
+from .partition_scenario import PartitionScenario, run_settled
 from .stepped_controller import RECORD_BYTES, SteppedController, add_machine
 
 
 def test_a_cancellation_is_confirmed_only_when_no_keepalive_can_outlast_it() -> None:
-    async def scenario(it: PartitionScenario) -> None:
-        it.cut()
-        await it.pass_time(2, it.zone_controller)
+    async def scenario(partition: PartitionScenario) -> None:
+        partition.cut()
+        await partition.pass_time(2, partition.zone_controller)
         path = "/v1/jobs/wk-000001"
-        answer = await it.owner.ask("POST", path + "/withdraw")
+        answer = await partition.owner.ask("POST", path + "/withdraw")
         assert (answer.status, answer.retry_after_s) == (503, 1)
-        assert b"withdrawn" not in (await it.owner.ask("GET", path)).body
+        assert b"withdrawn" not in (await partition.owner.ask("GET", path)).body
         # once node-0 must have stopped early enough, it need not be told
-        it.state.end_lease(it.zone_controller.controller_lease.lease_id or 0)
-        await it.pass_time(
-            it.s.partition_keepalive_s + it.s.worker_lease_s - it.s.cancellation_deadline_s
+        partition.state.end_lease(partition.zone_controller.controller_lease.lease_id or 0)
+        await partition.pass_time(
+            partition.settings.partition_keepalive_s
+            + partition.settings.worker_lease_s
+            - partition.settings.cancellation_deadline_s
         )
-        assert (await it.owner.ask("POST", path + "/withdraw")).status == 503
-        await it.pass_time(3)
-        assert (await it.owner.ask("POST", path + "/withdraw")).status == 200
+        assert (await partition.owner.ask("POST", path + "/withdraw")).status == 503
+        await partition.pass_time(3)
+        assert (await partition.owner.ask("POST", path + "/withdraw")).status == 200
 
     run_settled(scenario)
 
 
 def test_keepalive_stops_tasks_of_a_job_whose_cancellation_was_announced() -> None:
-    async def scenario(it: PartitionScenario) -> None:
-        answer = await it.owner.ask("POST", "/v1/jobs/wk-000001/withdraw")
+    async def scenario(partition: PartitionScenario) -> None:
+        answer = await partition.owner.ask("POST", "/v1/jobs/wk-000001/withdraw")
         assert answer.status == 200
         # the mirror of node-0 has not received it: only the announcement counts
-        assert it.zone_controller.cluster.jobs["wk-000001"].end == ""
-        it.cut()
-        await it.zone_controller.controller_lease.step()
-        commands = it.zone_controller.report("n-0", 1, 900, it.token, RUNNING).commands
+        assert partition.zone_controller.cluster.jobs["wk-000001"].end == ""
+        partition.cut()
+        await partition.zone_controller.controller_lease.step()
+        commands = partition.report_to_zone_controller(900).commands
         assert commands == (Command(CommandKind.STOP, "wk-000001/0", 1, 0.0),)
 
     run_settled(scenario)
 
 
 def test_a_cancellation_is_conditional_on_the_processes_that_were_told() -> None:
-    async def scenario(it: PartitionScenario) -> None:
-        job = it.owner.cluster.jobs["wk-000001"]
-        preconditions = await it.owner.partition_protocol.cancellations.announce(job.id, ["north"])
-        assert preconditions == {"cm/n/node-0": it.state.keys["cm/n/node-0"][1]}
+    async def scenario(partition: PartitionScenario) -> None:
+        job = partition.owner.cluster.jobs["wk-000001"]
+        preconditions = await partition.owner.partition_protocol.cancellations.announce(
+            job.id, ["north"]
+        )
+        assert preconditions == {"cm/n/node-0": partition.state.keys["cm/n/node-0"][1]}
         # node-0 ends, and its new process does not know of the cancellation
-        replacement = SteppedController(it.state, it.clock, it.nodes, "node-0")
+        replacement = SteppedController(partition.state, partition.clock, partition.nodes, "node-0")
         await replacement.boot(waited=False)
         assert job.spec is not None
         put = Put("cm/j/wk-000001", encode_end(CANCELLED, job.spec, 0.0, RECORD_BYTES))
         late = WriteIntent(Txn({"cm/j/wk-000001": job.version, **preconditions}, [put]))
-        assert await it.owner.writer.commit(late) == WriteResult.CONFLICT
+        assert await partition.owner.writer.commit(late) == WriteResult.CONFLICT
 
     run_settled(scenario)
 
@@ -68,24 +72,24 @@
 def test_a_cancellation_is_announced_through_the_state_service_if_peers_are_unreachable() -> None:
     """While a packet filter separated controllers, no such job could be cancelled."""
 
-    async def scenario(it: PartitionScenario) -> None:
-        it.nodes["node-0"].is_unreachable = it.nodes["node-1"].is_unreachable = True
+    async def scenario(partition: PartitionScenario) -> None:
+        partition.nodes["node-0"].is_unreachable = partition.nodes["node-1"].is_unreachable = True
         path = "/v1/jobs/wk-000001/withdraw"
-        assert (await it.owner.ask("POST", path)).status == 503
-        assert (await it.owner.ask("POST", path)).status == 503
+        assert (await partition.owner.ask("POST", path)).status == 503
+        assert (await partition.owner.ask("POST", path)).status == 503
         # node-0 reads the note and announces so; cut off after that, it stops the job's tasks
-        await it.zone_controller.sync()
-        await it.zone_controller.membership.step()
-        await it.zone_controller.partition_protocol.step()
-        assert (await it.owner.ask("POST", path)).status == 200
-        it.cut()
-        await it.zone_controller.controller_lease.step()
-        commands = it.zone_controller.report("n-0", 1, 900, it.token, RUNNING).commands
+        await partition.zone_controller.sync()
+        await partition.zone_controller.membership.step()
+        await partition.zone_controller.partition_protocol.step()
+        assert (await partition.owner.ask("POST", path)).status == 200
+        partition.cut()
+        await partition.zone_controller.controller_lease.step()
+        commands = partition.report_to_zone_controller(900).commands
         assert [command.op for command in commands] == ["stop"]
         # the note is deleted in the next scheduling round
-        assert "cm/w/wk-000001" in it.state.keys
-        await it.owner.round()
-        assert "cm/w/wk-000001" not in it.state.keys
+        assert "cm/w/wk-000001" in partition.state.keys
+        await partition.owner.round()
+        assert "cm/w/wk-000001" not in partition.state.keys
 
     run_settled(scenario)
 
@@ -97,20 +101,20 @@
     moved to a zone whose controllers were not.
     """
 
-    async def scenario(it: PartitionScenario) -> None:
-        add_machine(it.state, it.clock, "s-0", zone="south")
-        other = SteppedController(it.state, it.clock, it.nodes, "node-2")
+    async def scenario(partition: PartitionScenario) -> None:
+        add_machine(partition.state, partition.clock, "s-0", zone="south")
+        other = SteppedController(partition.state, partition.clock, partition.nodes, "node-2")
         await other.boot()
-        await it.owner.renew_and_sync()
-        told = it.zone_controller.partition_protocol.handle
-        plan = it.state.keys[keys.plan("wk-000001", "0")][0]
+        await partition.owner.renew_and_sync()
+        handle = partition.zone_controller.partition_protocol.handle
+        plan = partition.state.keys[keys.plan("wk-000001", "0")][0]
 
-        def moves(request: Request) -> Response:
-            it.state.put(keys.plan("wk-000001", "0"), {**plan, "rows": [[0, 2, "s-0", 1]]})
-            return told(request)
+        def handle_after_move(request: Request) -> Response:
+            partition.state.put(keys.plan("wk-000001", "0"), {**plan, "rows": [[0, 2, "s-0", 1]]})
+            return handle(request)
 
-        it.zone_controller.partition_protocol.handle = moves  # type: ignore[method-assign]
-        answer = await it.owner.ask("POST", "/v1/jobs/wk-000001/withdraw")
+        partition.zone_controller.partition_protocol.handle = handle_after_move  # type: ignore[method-assign]
+        answer = await partition.owner.ask("POST", "/v1/jobs/wk-000001/withdraw")
         assert (
             answer.status == 503
             or "wk-000001" in other.partition_protocol.keepalive.pending_cancellations
--- a/tests/test_partition_keepalive.py
+++ b/tests/test_partition_keepalive.py
@@ -21,46 +21,48 @@
 
 
 def test_workers_of_a_partitioned_zone_are_kept_alive_and_not_presumed_lost() -> None:
-    async def scenario(it: PartitionScenario) -> None:
-        it.cut()
-        await it.pass_time(4)
-        await it.pass_time(2 * it.s.worker_lease_s, it.zone_controller)
-        assert it.planned_on_machine() == 1
-        assert not it.owner.cluster.machines["n-0"].retiring
+    async def scenario(partition: PartitionScenario) -> None:
+        partition.cut()
+        await partition.pass_time(4)
+        await partition.pass_time(2 * partition.settings.worker_lease_s, partition.zone_controller)
+        assert partition.planned_on_machine() == 1
+        assert not partition.owner.cluster.machines["n-0"].retiring
         # the partition ends: the attestation of node-0 says that it has answered just now
-        it.clear_faults()
-        await it.pass_time(0.9 * it.s.worker_lease_s)
-        assert it.planned_on_machine() == 1
-        await it.pass_time(0.3 * it.s.worker_lease_s)
-        assert it.planned_on_machine() == 0
+        partition.clear_faults()
+        await partition.pass_time(0.9 * partition.settings.worker_lease_s)
+        assert partition.planned_on_machine() == 1
+        await partition.pass_time(0.3 * partition.settings.worker_lease_s)
+        assert partition.planned_on_machine() == 0
 
     run_settled(scenario)
 
 
 def test_keepalive_stops_before_the_absence_of_its_controller_proves_an_expired_lease() -> None:
-    async def scenario(it: PartitionScenario) -> None:
-        it.cut()
-        it.state.end_lease(it.zone_controller.controller_lease.lease_id or 0)
-        await it.pass_time(it.s.partition_keepalive_s - 1, it.zone_controller)
-        await it.pass_time(2)
-        assert it.zone_controller.report("n-0", 1, 900, it.token, RUNNING).status == 421
-        await it.pass_time(it.s.worker_lease_s - 3)
-        assert it.planned_on_machine() == 1
-        await it.pass_time(6)
-        assert it.planned_on_machine() == 0
+    async def scenario(partition: PartitionScenario) -> None:
+        partition.cut()
+        partition.state.end_lease(partition.zone_controller.controller_lease.lease_id or 0)
+        await partition.pass_time(
+            partition.settings.partition_keepalive_s - 1, partition.zone_controller
+        )
+        await partition.pass_time(2)
+        assert partition.report_to_zone_controller(900).status == 421
+        await partition.pass_time(partition.settings.worker_lease_s - 3)
+        assert partition.planned_on_machine() == 1
+        await partition.pass_time(6)
+        assert partition.planned_on_machine() == 0
 
     run_settled(scenario)
 
 
 def test_a_controller_does_not_keep_a_machine_alive_after_attesting_its_silence() -> None:
-    async def scenario(it: PartitionScenario) -> None:
+    async def scenario(partition: PartitionScenario) -> None:
         # silent to its owner, which requests attestations; then the zone is cut off
-        await it.pass_time(it.s.heartbeat_timeout_s + 1.5)
-        it.cut()
-        await it.pass_time(2)
-        assert it.zone_controller.report("n-0", 1, 900, it.token, RUNNING).status == 421
-        await it.pass_time(it.s.worker_lease_expiry_s)
-        assert it.planned_on_machine() == 0
+        await partition.pass_time(partition.settings.heartbeat_timeout_s + 1.5)
+        partition.cut()
+        await partition.pass_time(2)
+        assert partition.report_to_zone_controller(900).status == 421
+        await partition.pass_time(partition.settings.worker_lease_expiry_s)
+        assert partition.planned_on_machine() == 0
 
     run_settled(scenario)
 
@@ -68,53 +70,53 @@
 async def _begin_unsettled(
     state: StateService, clock: FakeClock, nodes: Nodes
 ) -> PartitionScenario:
-    it = PartitionScenario(state, clock, nodes)
-    await it.begin()
-    return it
+    partition = PartitionScenario(state, clock, nodes)
+    await partition.begin()
+    return partition
 
 
 def test_no_keepalive_before_the_controller_has_announced_itself() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        it = await _begin_unsettled(state, clock, nodes)
+        partition = await _begin_unsettled(state, clock, nodes)
         # the process before this one may have attested that it leaves the machine alone
-        it.zone_controller.cluster.controllers["node-0"] = ControllerRecord(-1)
-        await it.zone_controller.partition_protocol.durable_read.refresh()
-        assert it.zone_controller.partition_protocol.durable_read.sent_at is None
-        it.cut()
-        await it.zone_controller.controller_lease.step()
-        assert it.zone_controller.report("n-0", 1, 900, it.token, RUNNING).status == 421
+        partition.zone_controller.cluster.controllers["node-0"] = ControllerRecord(-1)
+        await partition.zone_controller.partition_protocol.durable_read.refresh()
+        assert partition.zone_controller.partition_protocol.durable_read.sent_at is None
+        partition.cut()
+        await partition.zone_controller.controller_lease.step()
+        assert partition.report_to_zone_controller(900).status == 421
 
     run_scenario(scenario)
 
 
-async def _announce_and_settle(it: PartitionScenario) -> None:
+async def _announce_and_settle(partition: PartitionScenario) -> None:
     """Has node-0 announced only after a first partition, as a process that has just started."""
-    it.zone_controller.cluster.controllers["node-0"] = ControllerRecord(-1)
-    await it.zone_controller.partition_protocol.durable_read.refresh()
-    it.cut()
-    await it.zone_controller.controller_lease.step()
-    it.zone_controller.report("n-0", 1, 900, it.token, RUNNING)
-    it.clear_faults()
-    lease_id = it.zone_controller.controller_lease.lease_id
-    it.zone_controller.cluster.controllers["node-0"] = ControllerRecord(lease_id)
-    await it.zone_controller.controller_lease.step()
-    await it.settle()
-
-
-async def _cut_except_from_south(it: PartitionScenario) -> None:
+    partition.zone_controller.cluster.controllers["node-0"] = ControllerRecord(-1)
+    await partition.zone_controller.partition_protocol.durable_read.refresh()
+    partition.cut()
+    await partition.zone_controller.controller_lease.step()
+    partition.report_to_zone_controller(900)
+    partition.clear_faults()
+    lease_id = partition.zone_controller.controller_lease.lease_id
+    partition.zone_controller.cluster.controllers["node-0"] = ControllerRecord(lease_id)
+    await partition.zone_controller.controller_lease.step()
+    await partition.settle()
+
+
+async def _cut_except_from_south(partition: PartitionScenario) -> None:
     """Cuts node-0 off from the state service while node-1 answers its probes."""
-    it.cut()
-    it.nodes["node-1"].is_unreachable = False
-    await it.zone_controller.controller_lease.step()
-    await it.zone_controller.partition_protocol.step()
+    partition.cut()
+    partition.nodes["node-1"].is_unreachable = False
+    await partition.zone_controller.controller_lease.step()
+    await partition.zone_controller.partition_protocol.step()
 
 
 def test_no_keepalive_while_another_zone_answers() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        it = await _begin_unsettled(state, clock, nodes)
-        await _announce_and_settle(it)
-        await _cut_except_from_south(it)
-        answer = it.zone_controller.report("n-0", 1, 901, it.token, RUNNING)
+        partition = await _begin_unsettled(state, clock, nodes)
+        await _announce_and_settle(partition)
+        await _cut_except_from_south(partition)
+        answer = partition.report_to_zone_controller(901)
         assert (answer.status, answer.redirect) == (421, "node-1")
 
     run_scenario(scenario)
@@ -123,13 +125,16 @@
 def test_no_keepalive_under_a_token_that_is_not_known() -> None:
     # with such a token another controller acts for the machine, and reaches it
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        it = await _begin_unsettled(state, clock, nodes)
-        await _announce_and_settle(it)
-        await _cut_except_from_south(it)
-        it.cut()
-        it.zone_controller.partition_protocol.peers.last_answer_at.clear()
-        assert it.zone_controller.report("n-0", 1, 902, it.token + 1, RUNNING).status == 421
-        assert it.zone_controller.report("n-0", 1, 903, it.token, RUNNING).status == 200
+        partition = await _begin_unsettled(state, clock, nodes)
+        await _announce_and_settle(partition)
+        await _cut_except_from_south(partition)
+        partition.cut()
+        partition.zone_controller.partition_protocol.peers.last_answer_at.clear()
+        assert (
+            partition.zone_controller.report("n-0", 1, 902, partition.token + 1, RUNNING).status
+            == 421
+        )
+        assert partition.report_to_zone_controller(903).status == 200
 
     run_scenario(scenario)
 
@@ -147,32 +152,41 @@
 
 
 def test_an_attestation_is_void_once_its_process_has_been_replaced() -> None:
-    async def scenario(it: PartitionScenario) -> None:
+    async def scenario(partition: PartitionScenario) -> None:
         # the machine falls silent; node-0 is asked, and attests that it has not answered it
-        it.clock.time += it.s.heartbeat_timeout_s + 0.5
-        await it.owner.controller_lease.step()
-        await it.owner.round()
-        await it.owner.partition_protocol.step()
-        assert it.owner.partition_protocol.expiry_proof._attestations
+        partition.clock.time += partition.settings.heartbeat_timeout_s + 0.5
+        await partition.owner.controller_lease.step()
+        await partition.owner.round()
+        await partition.owner.partition_protocol.step()
+        assert partition.owner.partition_protocol.expiry_proof._attestations
         # node-0 ends; its new process does not know of the attestation, and keeps workers alive
-        it.zone_controller = SteppedController(it.link, it.clock, it.nodes, "node-0")
-        await it.zone_controller.boot(waited=False)
-        await it.zone_controller.partition_protocol.step()
-        it.cut()
-        await it.zone_controller.controller_lease.step()
-        assert it.zone_controller.report("n-0", 1, 900, it.token, RUNNING).status == 200
+        partition.zone_controller = SteppedController(
+            partition.link, partition.clock, partition.nodes, "node-0"
+        )
+        await partition.zone_controller.boot(waited=False)
+        await partition.zone_controller.partition_protocol.step()
+        partition.cut()
+        await partition.zone_controller.controller_lease.step()
+        assert partition.report_to_zone_controller(900).status == 200
         # the owner does not know: its write is conditional on the old version of the key of node-0
-        it.clock.time += it.s.worker_lease_expiry_s - it.s.heartbeat_timeout_s
-        await it.owner.controller_lease.step()
-        machine, view = it.owner.cluster.machines["n-0"], it.owner.heartbeats.find_view("n-0")
+        partition.clock.time += (
+            partition.settings.worker_lease_expiry_s - partition.settings.heartbeat_timeout_s
+        )
+        await partition.owner.controller_lease.step()
+        machine, view = (
+            partition.owner.cluster.machines["n-0"],
+            partition.owner.heartbeats.find_view("n-0"),
+        )
         assert view
-        assert it.owner.partition_protocol.expiry_proof.preconditions(machine, view.answered_at)
-        await it.owner.round()
-        assert it.planned_on_machine() == 1
+        assert partition.owner.partition_protocol.expiry_proof.preconditions(
+            machine, view.answered_at
+        )
+        await partition.owner.round()
+        assert partition.planned_on_machine() == 1
         # and once it knows, it no longer presumes that the lease has expired
-        await it.owner.sync()
+        await partition.owner.sync()
         assert (
-            it.owner.partition_protocol.expiry_proof.preconditions(machine, view.answered_at)
+            partition.owner.partition_protocol.expiry_proof.preconditions(machine, view.answered_at)
             is None
         )
 
@@ -183,30 +197,30 @@
     """A worker's lease counts from the last answer, also from one without authority as owner.
 
     The owner's authority had ended and its lease outlasted the outage: it then counted from its
-    last answer as owner, and the task was placed again while it ran (lot 2060).
+    last answer as owner, and the task was placed again while it ran (random faults from seed 2060).
     """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        it = PartitionScenario(state, clock, nodes)
-        await it.begin()
-        owner = it.owner
-        add_machine(it.state, it.clock, "s-0", zone="south")
+        partition = PartitionScenario(state, clock, nodes)
+        await partition.begin()
+        owner = partition.owner
+        add_machine(partition.state, partition.clock, "s-0", zone="south")
         await owner.renew_and_sync()
         await owner.partition_protocol.step()
         owner.report("s-0", 1, 1, 0)
-        owner.report("s-0", 1, 2, it.token)
+        owner.report("s-0", 1, 2, partition.token)
         view = owner.heartbeats.find_view("s-0")
         assert view is not None
-        it.cut()
+        partition.cut()
         state.down = True
         for seq in range(3, 50):
             clock.time += 0.5
             await owner.controller_lease.step()
             await owner.partition_protocol.step()
-            owner.report("s-0", 1, seq, it.token)
+            owner.report("s-0", 1, seq, partition.token)
         assert owner.membership.heartbeat_authority(owner.cluster.machines["s-0"].shard) is None
         assert (
-            owner.report("s-0", 1, 50, it.token).status == 200
+            owner.report("s-0", 1, 50, partition.token).status == 200
         ), "kept alive without authority as owner"
         assert view.answered_at == clock.now()
 
--- a/tests/test_silent_machines.py
+++ b/tests/test_silent_machines.py
@@ -15,11 +15,11 @@
             add_machine(state, clock, f"s-{number}", zone="south", at=clock.wall() - 1000)
         node = SteppedController(state, clock, nodes)
         await node.boot()
-        up = ["n-0", "n-1", "n-2"]
+        reporting = ["n-0", "n-1", "n-2"]
         for seq in range(1, 140):
             clock.time += 0.5
             await node.controller_lease.step()
-            for machine in up:
+            for machine in reporting:
                 node.report(machine, 1, seq, node.token())
             await node.round()
             retiring = {m.id for m in node.cluster.machines.values() if m.retiring == "silent"}
@@ -59,21 +59,23 @@
 
 
 def test_an_absence_counts_anew_when_the_controller_was_back_unnoticed() -> None:
-    async def scenario(it: PartitionScenario) -> None:
-        it.cut()
-        it.state.end_lease(it.zone_controller.controller_lease.lease_id or 0)
-        await it.pass_time(it.s.partition_keepalive_s + it.s.worker_lease_s - 1)
-        assert it.planned_on_machine() == 1
+    async def scenario(partition: PartitionScenario) -> None:
+        partition.cut()
+        partition.state.end_lease(partition.zone_controller.controller_lease.lease_id or 0)
+        await partition.pass_time(
+            partition.settings.partition_keepalive_s + partition.settings.worker_lease_s - 1
+        )
+        assert partition.planned_on_machine() == 1
         # while the owner is stalled node-0 comes back, reads all that is durable, and ends again
-        replacement = SteppedController(it.state, it.clock, it.nodes, "node-0")
+        replacement = SteppedController(partition.state, partition.clock, partition.nodes, "node-0")
         await replacement.boot(waited=False)
         await replacement.partition_protocol.step()
         replacement.is_unreachable = True
-        it.state.end_lease(replacement.controller_lease.lease_id or 0)
-        await it.owner.sync()
-        await it.pass_time(it.s.partition_keepalive_s)
-        assert it.planned_on_machine() == 1
-        await it.pass_time(it.s.worker_lease_s + 2)
-        assert it.planned_on_machine() == 0
+        partition.state.end_lease(replacement.controller_lease.lease_id or 0)
+        await partition.owner.sync()
+        await partition.pass_time(partition.settings.partition_keepalive_s)
+        assert partition.planned_on_machine() == 1
+        await partition.pass_time(partition.settings.worker_lease_s + 2)
+        assert partition.planned_on_machine() == 0
 
     run_settled(scenario)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -155,12 +155,12 @@
         state.put(keys.plan(JOB, "0"), {"next": 401, "done": "5", "rows": []})
         await node.sync()
         # the chunk that they were copied from goes last: its deletion would make them effective
-        clearable = [
+        deletable = [
             name
             for name, _ in node.scheduling_loop._cleanup._deletable_chunks(node.cluster.jobs[JOB])
         ]
-        assert clearable
-        assert "0" not in clearable
+        assert deletable
+        assert "0" not in deletable
         for _ in range(20):
             await _run_rounds(clock, node, 1)
             assert node.cluster.jobs[JOB].planned_task_count() == 0
@@ -197,7 +197,7 @@
         await node.sync()
         assert node.cluster.limits == StateLimits(100.0, 40.0, 2048, 6)
         await node.membership.step()
-        share = node.writer._pacer
-        assert share.wait_s(40.0) > 0
+        pacer = node.writer._pacer
+        assert pacer.wait_s(40.0) > 0
 
     run_scenario(scenario)
