--- a/tests/stepped_controller.py
+++ b/tests/stepped_controller.py
@@ -37,11 +37,11 @@
 from crossmill.wire import peers
 from crossmill.wire.checks import load_object
 from crossmill.wire.cloud import parse_catalog
-from crossmill.wire.workers import Command, CommandKind, parse_heartbeat
+from crossmill.wire.workers import parse_heartbeat
 from crossmill.workers.command_sender import CommandSender
 from crossmill.workers.heartbeat_handler import HeartbeatHandler, HeartbeatResponse
 
-from .builders import heartbeat_body, make_settings, make_spec, reported_task
+from .builders import heartbeat_body, make_settings, make_spec
 from .fake_clock import FakeClock
 from .fake_cloud import CATALOG, CloudService
 from .fake_state_service import StateService
@@ -261,36 +261,6 @@
     return spec.id
 
 
-async def boot_with_waiting_job(
-    state: StateService,
-    clock: FakeClock,
-    nodes: dict[str, SteppedController],
-    machines: int,
-    **job: Any,
-) -> SteppedController:
-    """Return a controller with an accepted job, before any machine has reported."""
-    seed(state, clock, machines=machines)
-    add_job(state, clock, **job)
-    node = SteppedController(state, clock, nodes)
-    await node.boot()
-    return node
-
-
-async def boot_with_job(
-    state: StateService,
-    clock: FakeClock,
-    nodes: dict[str, SteppedController],
-    machines: int,
-    **job: Any,
-) -> SteppedController:
-    """A controller with machines that have reported, after one round that placed a job."""
-    node = await boot_with_waiting_job(state, clock, nodes, machines, **job)
-    for number in range(machines):
-        node.report(f"n-{number}", 1, 1, node.token())
-    await node.round()
-    return node
-
-
 def run_scenario(
     scenario: Callable[[StateService, FakeClock, dict[str, SteppedController]], Awaitable[None]],
 ) -> None:
@@ -300,20 +270,3 @@
 
 
 Nodes = dict[str, SteppedController]
-
-
-async def start_placed_task(
-    state: StateService, clock: FakeClock, nodes: Nodes, **job: object
-) -> SteppedController:
-    """Return a controller whose machine n-0 runs the job's one task: attempt 1, session 1."""
-    node = await boot_with_waiting_job(state, clock, nodes, 1, **{"sacks": 1, **job})
-    (job_id,) = node.cluster.jobs
-    token = node.token()
-    node.report("n-0", 1, 1, 0)
-    node.report("n-0", 1, 2, token)
-    await node.round()
-    assert node.report("n-0", 1, 3, token).commands == (
-        Command(CommandKind.START, f"{job_id}/0", 1),
-    )
-    node.report("n-0", 1, 4, token, reported_task(job_id, 0, 1, "running"))
-    return node
--- a/tests/test_attempt_end_proofs.py
+++ b/tests/test_attempt_end_proofs.py
@@ -7,13 +7,8 @@
 from .builders import heartbeat_body, reported_task
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
-from .stepped_controller import (
-    Nodes,
-    SteppedController,
-    add_machine,
-    run_scenario,
-    start_placed_task,
-)
+from .placed_jobs import start_placed_task
+from .stepped_controller import Nodes, SteppedController, add_machine, run_scenario
 
 
 def test_a_heartbeat_from_before_a_failover_is_not_believed() -> None:
--- a/tests/test_command_delivery.py
+++ b/tests/test_command_delivery.py
@@ -12,7 +12,8 @@
 from .builders import heartbeat_body, reported_task
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
-from .stepped_controller import Nodes, boot_with_waiting_job, run_scenario, start_placed_task
+from .placed_jobs import boot_with_waiting_job, start_placed_task
+from .stepped_controller import Nodes, run_scenario
 
 JOB = "wk-000001"
 
--- a/tests/test_lease_extensions.py
+++ b/tests/test_lease_extensions.py
@@ -3,7 +3,8 @@
 from .builders import reported_task
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
-from .stepped_controller import Nodes, SteppedController, run_scenario, start_placed_task
+from .placed_jobs import start_placed_task
+from .stepped_controller import Nodes, SteppedController, run_scenario
 
 
 async def _boot_peers(
--- a/tests/test_machine_maintenance.py
+++ b/tests/test_machine_maintenance.py
@@ -8,7 +8,8 @@
 from .builders import reported_task
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
-from .stepped_controller import SteppedController, add_job, boot_with_job, run_scenario, seed
+from .placed_jobs import boot_with_job
+from .stepped_controller import SteppedController, add_job, run_scenario, seed
 
 Nodes = dict[str, SteppedController]
 
--- a/tests/test_machine_transfer.py
+++ b/tests/test_machine_transfer.py
@@ -8,14 +8,8 @@
 
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
-from .stepped_controller import (
-    Nodes,
-    SteppedController,
-    add_job,
-    run_scenario,
-    seed,
-    start_placed_task,
-)
+from .placed_jobs import start_placed_task
+from .stepped_controller import Nodes, SteppedController, add_job, run_scenario, seed
 
 
 def test_a_former_owner_writes_nothing() -> None:
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -8,13 +8,8 @@
 from .builders import reported_task
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
-from .stepped_controller import (
-    SteppedController,
-    add_job,
-    add_machine,
-    boot_with_job,
-    run_scenario,
-)
+from .placed_jobs import boot_with_job
+from .stepped_controller import SteppedController, add_job, add_machine, run_scenario
 
 Nodes = dict[str, SteppedController]
 
