--- a/tests/stepped_controller.py
+++ b/tests/stepped_controller.py
@@ -1,8 +1,7 @@
 """Controllers over the fake services, stepped by hand under a clock that only the test moves.
 
 `SteppedController` wires a controller as crossmill/app.py does, without sockets. `run_scenario`
-runs
-a test's coroutine with a new state service and clock.
+runs a test's coroutine with a new state service and clock.
 """
 
 from collections.abc import Awaitable, Callable
@@ -38,11 +37,11 @@
 from crossmill.wire import peers
 from crossmill.wire.checks import load_object
 from crossmill.wire.cloud import parse_catalog
-from crossmill.wire.workers import Command, CommandKind, parse_heartbeat
+from crossmill.wire.workers import parse_heartbeat
 from crossmill.workers.command_sender import CommandSender
 from crossmill.workers.heartbeat_handler import HeartbeatHandler, HeartbeatResponse
 
-from .builders import heartbeat_body, make_settings, make_spec, reported_task
+from .builders import heartbeat_body, make_settings, make_spec
 from .fake_clock import FakeClock
 from .fake_cloud import CATALOG, CloudService
 from .fake_state_service import StateService
@@ -262,24 +261,6 @@
     return spec.id
 
 
-async def boot_with_job(
-    state: StateService,
-    clock: FakeClock,
-    nodes: dict[str, SteppedController],
-    machines: int,
-    **job: Any,
-) -> SteppedController:
-    """A controller with machines that have reported, after one round that placed a job."""
-    seed(state, clock, machines=machines)
-    add_job(state, clock, **job)
-    node = SteppedController(state, clock, nodes)
-    await node.boot()
-    for number in range(machines):
-        node.report(f"n-{number}", 1, 1, node.token())
-    await node.round()
-    return node
-
-
 def run_scenario(
     scenario: Callable[[StateService, FakeClock, dict[str, SteppedController]], Awaitable[None]],
 ) -> None:
@@ -289,22 +270,3 @@
 
 
 Nodes = dict[str, SteppedController]
-
-
-async def start_placed_task(
-    state: StateService, clock: FakeClock, nodes: Nodes, **job: object
-) -> SteppedController:
-    """Return a controller whose machine n-0 runs the job's one task: attempt 1, session 1."""
-    seed(state, clock, machines=1)
-    job_id = add_job(state, clock, **{"sacks": 1, **job})
-    node = SteppedController(state, clock, nodes)
-    await node.boot()
-    token = node.token()
-    node.report("n-0", 1, 1, 0)
-    node.report("n-0", 1, 2, token)
-    await node.round()
-    assert node.report("n-0", 1, 3, token).commands == (
-        Command(CommandKind.START, f"{job_id}/0", 1),
-    )
-    node.report("n-0", 1, 4, token, reported_task(job_id, 0, 1, "running"))
-    return node
--- a/tests/test_machine_transfer.py
+++ b/tests/test_machine_transfer.py
@@ -8,14 +8,8 @@
 
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
-from .stepped_controller import (
-    Nodes,
-    SteppedController,
-    add_job,
-    run_scenario,
-    seed,
-    start_placed_task,
-)
+from .placed_jobs import start_placed_task
+from .stepped_controller import Nodes, SteppedController, add_job, run_scenario, seed
 
 
 def test_a_former_owner_writes_nothing() -> None:
@@ -46,16 +40,24 @@
     run_scenario(scenario)
 
 
+async def _boot_owner_of_all_shards(
+    state: StateService, clock: FakeClock, nodes: Nodes
+) -> SteppedController:
+    """Returns the only controller, which has acquired all shards; shard 0 has one machine."""
+    seed(state, clock, machines=1)
+    node = SteppedController(state, clock, nodes)
+    await node.boot()
+    for _ in range(12):
+        clock.time += node.settings.controller_lease_ttl_s / 3
+        await node.renew_and_sync()
+        await node.membership.step()
+    return node
+
+
 def test_a_machine_transferred_to_another_shard_obeys_only_its_new_owner() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        seed(state, clock, machines=1)
-        node = SteppedController(state, clock, nodes)
-        await node.boot()
+        node = await _boot_owner_of_all_shards(state, clock, nodes)
         other = node.settings.shard_of_team("blue")
-        for _ in range(12):
-            clock.time += node.settings.controller_lease_ttl_s / 3
-            await node.renew_and_sync()
-            await node.membership.step()
         assert other in node.membership.ownerships
         assert other != 0
         # shard 0 has an idle machine; the job waits in the other shard, and no cloud is there
@@ -72,7 +74,7 @@
         machine = node.cluster.machines["n-0"]
         assert machine.shard == other
         assert machine.token > max(old, node.token(other))
-        # what the worker said under the old token is not believed, nor anything begun on it
+        # heartbeats under the old token are not trusted, and nothing is started on them
         answer = node.report("n-0", 1, 50, old)
         assert (answer.token, answer.commands) == (machine.token, ())
         await node.round(other)
@@ -101,7 +103,7 @@
         assert node.report("n-0", 1, 2, node.token()).status == 421
         await task.join()
         assert node.cluster.machines["n-0"].shard == 1
-        # an older view must not be believed again if the machine comes back
+        # an older view must not be trusted again if the machine comes back
         assert node.heartbeats.find_view("n-0") is None
 
     run_scenario(scenario)
@@ -110,40 +112,37 @@
 def test_a_machine_with_tasks_or_pending_starts_is_not_transferred() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
-        giving = node.scheduling_loop._machine_transfer
+        transfer = node.scheduling_loop._machine_transfer
         machine = node.cluster.machines["n-0"]
-        giving._leaving["n-0"] = PlannedTransfer(1, clock.now() + 9)
-        assert giving.target(machine) is None
+        transfer._leaving["n-0"] = PlannedTransfer(1, clock.now() + 9)
+        assert transfer.target(machine) is None
         machine.attempts.clear()
-        assert giving.target(machine) is None, "the worker still reports a task"
+        assert transfer.target(machine) is None, "the worker still reports a task"
         node.report("n-0", 1, 5, node.token())
-        assert giving.target(machine) == 1
+        assert transfer.target(machine) == 1
         start = PlannedAttempt("wk-000001", 0, 1, "n-0", 1)
         node.heartbeats.reconciler.unacknowledged_starts.record("n-0", [start], node.token())
-        assert giving.target(machine) is None, "a start sent to it may still arrive"
+        assert transfer.target(machine) is None, "a start sent to it may still arrive"
 
     run_scenario(scenario)
 
 
 def test_no_start_is_planned_on_a_machine_in_the_round_that_transfers_it() -> None:
-    """The start's write rests on the machine's stamp but leaves it: both would be carried out."""
+    """A start planned then would be applied together with the transfer.
+
+    Its write is conditional on the machine's version, which it doesn't change.
+    """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        seed(state, clock, machines=1)
-        node = SteppedController(state, clock, nodes)
-        await node.boot()
+        node = await _boot_owner_of_all_shards(state, clock, nodes)
         other = node.settings.shard_of_team("blue")
-        for _ in range(12):
-            clock.time += node.settings.controller_lease_ttl_s / 3
-            await node.controller_lease.step()
-            await node.membership.step()
         add_job(state, clock, crew="blue", sacks=1)
         await node.sync()
         for seq in range(1, 30):
             clock.time += 0.4
             await node.controller_lease.step()
             if seq == 8:
-                # all is ready for the machine to be given; now its own shard gets a task too
+                # the machine is about to be transferred; now its own shard gets a task too
                 node.scheduling_loop._machine_transfer._checked_at[0] = 0.0
                 add_job(state, clock, nameId="wk-000002", sacks=1)
                 await node.sync()
@@ -177,10 +176,8 @@
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=4)
-        node, other = (
-            SteppedController(state, clock, nodes),
-            SteppedController(state, clock, nodes, "node-1"),
-        )
+        node = SteppedController(state, clock, nodes)
+        other = SteppedController(state, clock, nodes, "node-1")
         await node.boot()
         await other.boot(waited=False)
         released_at = 0.0
