--- a/crossmill/jobs/capacity_selection.py
+++ b/crossmill/jobs/capacity_selection.py
@@ -72,7 +72,7 @@
         self._shapes_without_capacity.clear()
         return self._stops
 
-    def take(
+    def assign_capacity(
         self,
         request: PlacementRequest,
         failures: JobFailures | None,
@@ -90,8 +90,8 @@
         request.may_preempt = self._may_preempt(request, failures)
         if request.may_preempt:
             preemptible = self._available_to(job, failures, capacities)
-            return self._take_or_preempt(request, free, preemptible)
-        return self._take_or_preempt(request, free, free) if free else []
+            return self._assign_or_preempt(request, free, preemptible)
+        return self._assign_or_preempt(request, free, free) if free else []
 
     def _fitting(self, spec: JobSpec, capacities: list[FreeCapacity]) -> list[FreeCapacity]:
         """Returns the capacities where at least one such task fits.
@@ -129,8 +129,8 @@
             return False
         trial = [capacity.copy() for capacity in capacities]
         zones = ZoneAllowance(spec, self._cluster.machines.task_counts_by_zone(job))
-        taken = assign_tasks(spec, request.tasks, trial, zones)
-        return sum(task_count for _, task_count in taken) == job.waiting_task_count()
+        assignments = assign_tasks(spec, request.tasks, trial, zones)
+        return sum(task_count for _, task_count in assignments) == job.waiting_task_count()
 
     def _may_preempt(self, request: PlacementRequest, failures: JobFailures | None) -> bool:
         """Whether other tasks may be stopped for the job.
@@ -143,7 +143,7 @@
         has_own_failures = failures is not None and (not is_service or failures.failures != 0)
         return not has_own_failures and self._preemption.can_preempt_for(request.job, request.usage)
 
-    def _take_or_preempt(
+    def _assign_or_preempt(
         self,
         request: PlacementRequest,
         free: list[FreeCapacity],
@@ -160,7 +160,7 @@
         )
         # a failed claim is not repeated: then any capacity will do
         has_failed_claim = self._preemption.has_failed_claim(job)
-        taken: list[TaskAssignment] = []
+        assignments: list[TaskAssignment] = []
         if start_objective_s is not None and not has_failed_claim:
             max_delay_s = MAX_IMAGE_DELAY_SHARE * start_objective_s
 
@@ -171,30 +171,30 @@
                     spec
                 ) < max_delay_s or self._preemption.is_reserved_for(capacity, job)
 
-            taken = self._assign(request, list(filter(starts_in_time, free)))
+            assignments = self._assign(request, list(filter(starts_in_time, free)))
             if request.tasks and request.may_preempt:
                 if self._preemption.has_claim(job):
-                    return taken
+                    return assignments
                 self._preempt(request, list(filter(starts_in_time, preemptible)))
         if request.tasks:
-            taken += self._assign(request, free)
+            assignments += self._assign(request, free)
         if request.tasks and request.may_preempt and not has_failed_claim:
             self._preempt(request, preemptible)
-        return taken
+        return assignments
 
     def _assign(
         self, request: PlacementRequest, capacities: list[FreeCapacity]
     ) -> list[TaskAssignment]:
         """Takes free capacity for as many of the tasks as fit."""
-        taken = assign_tasks(
+        assignments = assign_tasks(
             request.spec,
             request.tasks,
             capacities,
             request.zones,
             self._settings.max_replica_share_per_machine,
         )
-        request.tasks -= sum(task_count for _, task_count in taken)
-        return taken
+        request.tasks -= sum(task_count for _, task_count in assignments)
+        return assignments
 
     def _preempt(self, request: PlacementRequest, capacities: list[FreeCapacity]) -> None:
         """Requests stops of other tasks for the tasks left."""
--- a/crossmill/jobs/machine_drain.py
+++ b/crossmill/jobs/machine_drain.py
@@ -20,7 +20,7 @@
 MAX_CANDIDATES_CHECKED = 8
 
 
-class _Candidate:
+class _DrainCandidate:
     """A machine that could be drained, with the price saved for each replica moved."""
 
     __slots__ = ("machine", "price_per_task")
@@ -56,7 +56,7 @@
         `capacities` is called only if a machine is looked for.
         """
         now = self._clock.now()
-        self._drop_finished(now)
+        self._drop_finished_drains(now)
         checked_at = max(ownership.acquired_at, self._checked_at.get(shard, 0.0))
         if self._draining_until or now - checked_at < self._settings.drain_interval_s:
             return
@@ -70,7 +70,7 @@
             self._heartbeats.request_stop(attempt, StopReason.DRAINED)
             yield attempt
 
-    def _drop_finished(self, now: float) -> None:
+    def _drop_finished_drains(self, now: float) -> None:
         for machine_id in list(self._draining_until):
             machine = self._cluster.machines.get(machine_id)
             if machine is None or machine.retiring or now > self._draining_until[machine_id]:
@@ -78,12 +78,12 @@
 
     def _best_candidate(self, shard: int, capacities: list[FreeCapacity]) -> Machine | None:
         """Returns the redundant machine whose return saves most for each replica moved."""
-        candidates: list[_Candidate] = []
+        candidates: list[_DrainCandidate] = []
         for capacity in capacities:
             machine = self._cluster.machines[capacity.machine]
-            kind = self._cluster.catalog.get(machine.type)
-            if kind is not None and self._is_drainable(machine):
-                candidates.append(_Candidate(machine, kind.price))
+            machine_type = self._cluster.catalog.get(machine.type)
+            if machine_type is not None and self._is_drainable(machine):
+                candidates.append(_DrainCandidate(machine, machine_type.price))
         # stable also in reverse: of equal candidates the first stays first
         candidates.sort(key=attrgetter("price_per_task"), reverse=True)
         for candidate in candidates[:MAX_CANDIDATES_CHECKED]:
--- a/crossmill/jobs/machine_maintenance.py
+++ b/crossmill/jobs/machine_maintenance.py
@@ -66,7 +66,7 @@
         self._checked_at: dict[int, float] = {}
         self._spare_checked_at: dict[int, float] = {}
         # by shard and zone, until when the zone counts as silent
-        self._silent_until: dict[tuple[int, str], float] = {}
+        self._unreachable_until: dict[tuple[int, str], float] = {}
 
     def writes(
         self, shard: int, ownership: ShardOwnership, machines: list[Machine]
@@ -80,12 +80,12 @@
         if now - self._checked_at.get(shard, -inf) < self._settings.maintenance_interval_s:
             return []
         self._checked_at[shard] = now
-        intents = self._up_writes(shard, ownership, machines)
-        silent_zones = self._silent_zones(shard, machines, now)
+        intents = self._boot_writes(shard, ownership, machines)
+        unreachable_zones = self._unreachable_zones(shard, machines, now)
         spare = self._spare_machines(shard, machines, now)
         for machine in machines:
             timeout_s = self._settings.worker_lease_expiry_s
-            if machine.zone in silent_zones:
+            if machine.zone in unreachable_zones:
                 # many silent machines are a partition or a fault of this controller, not of the
                 # machines: in a partitioned zone a peer may keep the workers alive
                 timeout_s += self._settings.partition_keepalive_s
@@ -109,7 +109,7 @@
         txn = Txn({key: machine.version}, [Put(key, value)])
         return shard_intent(self._membership, shard, ownership, WriteRank.BACKGROUND, txn)
 
-    def _up_writes(
+    def _boot_writes(
         self, shard: int, ownership: ShardOwnership, machines: list[Machine]
     ) -> list[WriteIntent]:
         """Returns writes for machines that sent their first heartbeat, with their boot times."""
@@ -133,29 +133,29 @@
             intents.append(self._intent(shard, ownership, machine, value))
         return intents
 
-    def _silent_zones(self, shard: int, machines: list[Machine], now: float) -> set[str]:
+    def _unreachable_zones(self, shard: int, machines: list[Machine], now: float) -> set[str]:
         """Returns the zones where most machines that were up are silent, or were until recently.
 
         Machines of a partitioned zone fall silent and come back one by one. None should be
         retired because it was the first to fall silent or the last to come back.
         """
         up: Counter[str] = Counter()
-        silent: Counter[str] = Counter()
+        unreachable: Counter[str] = Counter()
         for machine in machines:
             if machine.up:
                 view = self._heartbeats.find_view(machine.id)
                 up[machine.zone] += 1
                 if view is None or not view.is_fresh(now, self._settings.heartbeat_timeout_s):
-                    silent[machine.zone] += 1
-        for zone, silent_count in silent.items():
-            if 2 * silent_count > up[zone] and (
-                silent_count > 1 or self._expiry_proof.is_zone_unreachable(zone)
+                    unreachable[machine.zone] += 1
+        for zone, unreachable_count in unreachable.items():
+            if 2 * unreachable_count > up[zone] and (
+                unreachable_count > 1 or self._expiry_proof.is_zone_unreachable(zone)
             ):
-                self._silent_until[shard, zone] = now + self._settings.worker_lease_s
+                self._unreachable_until[shard, zone] = now + self._settings.worker_lease_s
         return {
             zone
-            for (of_shard, zone), until in self._silent_until.items()
-            if of_shard == shard and now < until
+            for (zone_shard, zone), until in self._unreachable_until.items()
+            if zone_shard == shard and now < until
         }
 
     def _spare_machines(self, shard: int, machines: list[Machine], now: float) -> set[str]:
@@ -167,12 +167,12 @@
         checked_at = self._spare_checked_at.get(shard, 0.0)
         if now - checked_at < self._settings.heartbeat_interval_s:
             return set()
-        if not any(not m.retiring and self._is_idle(m, now) for m in machines):
+        if not any(not m.retiring and self._has_exceeded_idle_timeout(m, now) for m in machines):
             return set()
         self._spare_checked_at[shard] = now
         return self._forecast.plan(shard).spare_machines
 
-    def _is_idle(self, machine: Machine, now: float) -> bool:
+    def _has_exceeded_idle_timeout(self, machine: Machine, now: float) -> bool:
         """Whether the machine has been empty for longer than the timeout."""
         view = self._heartbeats.find_view(machine.id)
         since = view.idle_since if view is not None else None
@@ -183,31 +183,33 @@
     ) -> RetireReason | None:
         """Returns why the machine is to be retired; None if it stays."""
         view = self._heartbeats.find_view(machine.id)
-        kind = self._cluster.catalog.get(machine.type)
-        if view is None or kind is None:
+        machine_type = self._cluster.catalog.get(machine.type)
+        if view is None or machine_type is None:
             return None
         if not view.has_confirmed_token:
             if now - view.answered_at <= timeout_s:
                 return None
-            return self._reason_without_heartbeat(machine, view, kind)
+            return self._reason_without_heartbeat(machine, view, machine_type)
         if not view.is_fresh(now, timeout_s):
             return RetireReason.SILENT
         if self._failures.is_faulty(machine.id):
             return RetireReason.FAULTY if not machine.attempts else None
-        return self._reason_when_empty(machine, view, now, spare)
+        return self._reason_when_idle(machine, view, now, spare)
 
     def _reason_without_heartbeat(
-        self, machine: Machine, view: WorkerView, kind: MachineType
+        self, machine: Machine, view: WorkerView, machine_type: MachineType
     ) -> RetireReason | None:
         """Returns the reason for a machine that this owner has no trusted heartbeat of."""
         if machine.up or view.has_been_answered:
             # an earlier owner has heard it. Without this check, a controller that took a shard
             # over while its zone was partitioned took half a fleet for never come up
             return RetireReason.SILENT
-        has_failed = self._forecast.capacity.has_boot_failed(machine, kind, self._clock.wall())
+        has_failed = self._forecast.capacity.has_boot_failed(
+            machine, machine_type, self._clock.wall()
+        )
         return RetireReason.NEVER_UP if has_failed else None
 
-    def _reason_when_empty(
+    def _reason_when_idle(
         self, machine: Machine, view: WorkerView, now: float, spare: set[str]
     ) -> RetireReason | None:
         """Notes since when the machine is empty; returns the reason if it has been for long."""
@@ -217,6 +219,6 @@
             view.idle_since = now
         elif self._machine_drain.is_draining(machine.id):
             return RetireReason.DRAINED
-        elif machine.id in spare and self._is_idle(machine, now):
+        elif machine.id in spare and self._has_exceeded_idle_timeout(machine, now):
             return RetireReason.IDLE
         return None
--- a/crossmill/jobs/machine_transfer.py
+++ b/crossmill/jobs/machine_transfer.py
@@ -26,11 +26,11 @@
 class PlannedTransfer:
     """The shard that a machine goes to once it is empty, and until when that is tried."""
 
-    __slots__ = ("shard", "until")
+    __slots__ = ("expires_at", "shard")
 
-    def __init__(self, shard: int, until: float) -> None:
+    def __init__(self, shard: int, expires_at: float) -> None:
         self.shard = shard
-        self.until = until
+        self.expires_at = expires_at
 
 
 class MachineTransfer:
@@ -44,22 +44,22 @@
         self._forecast = context.forecast
         self._membership = membership
         # by machine
-        self._leaving: dict[str, PlannedTransfer] = {}
+        self._planned_transfers: dict[str, PlannedTransfer] = {}
         # by job, until when the machines chosen for it are waited for
         self._pending_until: dict[str, float] = {}
         # by shard
         self._checked_at: dict[int, float] = {}
 
-    def is_leaving(self, machine_id: str) -> bool:
+    def has_planned_transfer(self, machine_id: str) -> bool:
         """Whether the machine goes to another shard once it is empty."""
-        return machine_id in self._leaving
+        return machine_id in self._planned_transfers
 
-    def target(self, machine: Machine) -> int | None:
+    def target_shard(self, machine: Machine) -> int | None:
         """Returns the shard that the machine may go to now.
 
         None if it stays, a task is on it, or a start sent to it may still arrive.
         """
-        planned = self._leaving.get(machine.id)
+        planned = self._planned_transfers.get(machine.id)
         view = self._heartbeats.find_view(machine.id)
         if planned is None or view is None or machine.attempts or view.tasks or machine.retiring:
             return None
@@ -74,12 +74,12 @@
         obeys no command of this shard's owner afterwards. One machine at a time: each write raises
         the counter that all tokens come from.
         """
-        for machine in machines if self._leaving else ():
-            target = self.target(machine)
-            if target is not None:
+        for machine in machines if self._planned_transfers else ():
+            target_shard = self.target_shard(machine)
+            if target_shard is not None:
                 token, version = self._membership.next_token()
                 key = keys.machine(machine.id)
-                record = encode_machine(machine, assignment=ShardAssignment(target, token))
+                record = encode_machine(machine, assignment=ShardAssignment(target_shard, token))
                 txn = Txn({key: machine.version}, [Put(key, record)])
                 intent = shard_intent(self._membership, shard, ownership, WriteRank.BACKGROUND, txn)
                 intent.txn.conditions[keys.TOKEN] = version
@@ -89,35 +89,35 @@
 
     def forget_transferred(self, machine_id: str) -> None:
         """Drops the machine, whose transfer is durable."""
-        self._leaving.pop(machine_id, None)
+        self._planned_transfers.pop(machine_id, None)
 
     def choose_machines(self, shard: int) -> Iterator[PlannedAttempt]:
         """Chooses machines of the shard for other shards; yields the attempts to be stopped."""
         now = self._clock.now()
-        self._drop_finished(now)
+        self._drop_finished_transfers(now)
         if now - self._checked_at.get(shard, 0.0) < self._settings.machine_transfer_interval_s:
             return
         self._checked_at[shard] = now
-        wall = self._clock.wall()
+        wall_time = self._clock.wall()
         for other in range(self._settings.shard_count):
             if other == shard or other not in self._cluster.shard_owners:
                 continue
-            for demand in self._forecast.unplaced_demands(other, wall):
-                yield from self._choose_for(demand, shard, other, wall)
+            for demand in self._forecast.unplaced_demands(other, wall_time):
+                yield from self._choose_for(demand, shard, other, wall_time)
 
-    def _drop_finished(self, now: float) -> None:
-        for machine_id, planned in list(self._leaving.items()):
+    def _drop_finished_transfers(self, now: float) -> None:
+        for machine_id, planned in list(self._planned_transfers.items()):
             machine = self._cluster.machines.get(machine_id)
             if (
                 machine is None
                 or machine.shard == planned.shard
                 or machine.retiring
-                or now > planned.until
+                or now > planned.expires_at
             ):
-                del self._leaving[machine_id]
+                del self._planned_transfers[machine_id]
 
     def _choose_for(
-        self, demand: TaskDemand, shard: int, other: int, wall: float
+        self, demand: TaskDemand, shard: int, other: int, wall_time: float
     ) -> Iterator[PlannedAttempt]:
         """Chooses machines for a demand of the other shard, if this shard can spare most."""
         now, job = self._clock.now(), self._cluster.jobs[demand.spec.id]
@@ -125,19 +125,21 @@
             return
         # transferring an idle machine is better than renting one; running tasks are stopped only
         # for replicas, and only after the cloud had its time
-        may_stop = demand.spec.is_service and wall - job.ready_at > self._settings.worker_lease_s
+        may_stop = (
+            demand.spec.is_service and wall_time - job.ready_at > self._settings.worker_lease_s
+        )
         for is_busy in (False, True) if may_stop else (False,):
             candidates = self._candidates(shard, demand, is_busy)
             if not candidates or self._has_better_donor(
                 demand, is_busy, len(candidates), shard, other
             ):
                 continue
-            chosen = self._select(candidates, demand, is_busy)
-            until = now + self._settings.worker_lease_s
+            chosen = self._select_machines(candidates, demand, is_busy)
+            expires_at = now + self._settings.worker_lease_s
             for machine in chosen:
-                yield from self._begin(machine, PlannedTransfer(other, until), job)
+                yield from self._plan_transfer(machine, PlannedTransfer(other, expires_at), job)
             if chosen:
-                self._pending_until[job.id] = until
+                self._pending_until[job.id] = expires_at
                 return
 
     def _has_better_donor(
@@ -150,7 +152,7 @@
             if third not in (shard, other)
         )
 
-    def _select(
+    def _select_machines(
         self, candidates: list[Machine], demand: TaskDemand, is_busy: bool
     ) -> list[Machine]:
         """Returns enough of the candidates for the demand's tasks, within the limit."""
@@ -159,16 +161,16 @@
         for machine in candidates[: self._settings.max_machines_per_transfer]:
             if tasks_left <= 0:
                 break
-            if machine.id not in self._leaving and self._is_ready(machine, is_busy):
+            if machine.id not in self._planned_transfers and self._is_ready(machine, is_busy):
                 tasks_left -= slots_on(demand.spec, self._cluster.catalog[machine.type])
                 selected.append(machine)
         return selected
 
-    def _begin(
+    def _plan_transfer(
         self, machine: Machine, planned: PlannedTransfer, job: Job
     ) -> Iterator[PlannedAttempt]:
         """Plans the machine's transfer; yields its attempts, which are to be stopped."""
-        self._leaving[machine.id] = planned
+        self._planned_transfers[machine.id] = planned
         log.info(
             "machine transfer planned machine=%s shard=%d for_job=%s tasks=%d",
             machine.id,
@@ -210,14 +212,14 @@
 
     def _is_candidate(self, machine: Machine, demand: TaskDemand, is_busy: bool) -> bool:
         spec = demand.spec
-        kind = self._cluster.catalog.get(machine.type)
-        if kind is None or machine.retiring or not machine.up:
+        machine_type = self._cluster.catalog.get(machine.type)
+        if machine_type is None or machine.retiring or not machine.up:
             return False
         if bool(machine.attempts) is not is_busy or demand.zones.remaining(machine.zone) <= 0:
             return False
         if not is_allowed(spec, machine.type, machine.zone, machine.spot):
             return False
-        return slots_on(spec, kind) > 0 and all(
+        return slots_on(spec, machine_type) > 0 and all(
             self._is_preemptible_by(demand, attempt) for attempt in machine.attempts.values()
         )
 
--- a/crossmill/jobs/placement.py
+++ b/crossmill/jobs/placement.py
@@ -21,9 +21,9 @@
 log = logging.getLogger(__name__)
 
 
-def _slots(taken: list[TaskAssignment]) -> list[str]:
+def _assigned_machines(assignments: list[TaskAssignment]) -> list[str]:
     """Returns the machine for each of the tasks."""
-    return [capacity.machine for capacity, task_count in taken for _ in range(task_count)]
+    return [capacity.machine for capacity, task_count in assignments for _ in range(task_count)]
 
 
 class TaskPlacement:
@@ -52,18 +52,18 @@
         # by shard, the job with which the next round begins
         self._resume_at: dict[int, str] = {}
         # whether a round ran out of time; cleared by `start_rounds`
-        self._is_unfinished = False
+        self._has_unfinished_round = False
         # of this round, with what it has placed
         self._usage: UsageByTeam = {}
 
     @property
-    def is_unfinished(self) -> bool:
+    def has_unfinished_round(self) -> bool:
         """Whether a round ran out of time, so that the next ones should follow at once."""
-        return self._is_unfinished
+        return self._has_unfinished_round
 
     def start_rounds(self) -> None:
-        """Starts the rounds of all shards: `is_unfinished` refers to these from now on."""
-        self._is_unfinished = False
+        """Starts the rounds of all shards: `has_unfinished_round` refers to these from now on."""
+        self._has_unfinished_round = False
 
     def place(
         self, shard: int, ownership: ShardOwnership, machines: list[Machine], edits: PlanEdits
@@ -84,16 +84,16 @@
         started_at = self._clock.now()
         capacities = self._schedulable_capacities(machines)
         self._usage = self._quotas.usage(shard)
-        for job in self._resumed(shard, queue):
+        for job in self._rotated_queue(shard, queue):
             if self._clock.now() - started_at > self._settings.scheduling_time_budget_s:
                 self._resume_at[shard] = job.id
-                self._is_unfinished = True
+                self._has_unfinished_round = True
                 break
             if job.spec is not None:
                 self._place_job(job, job.spec, capacities, edits)
         return stops
 
-    def _resumed(self, shard: int, queue: list[Job]) -> list[Job]:
+    def _rotated_queue(self, shard: int, queue: list[Job]) -> list[Job]:
         """Returns the queue, rotated to where the last round ran out of time."""
         resume_at = self._resume_at.pop(shard, None)
         if resume_at is None:
@@ -113,16 +113,16 @@
             and view.termination_at is None
             and not self._failures.is_faulty(machine.id)
             and not self._machine_drain.is_draining(machine.id)
-            and not self._machine_transfer.is_leaving(machine.id)
+            and not self._machine_transfer.has_planned_transfer(machine.id)
             and not self._heartbeats.is_transferring(machine.id)
         )
 
     def _schedulable_capacities(self, machines: list[Machine]) -> list[FreeCapacity]:
         now = self._clock.now()
         schedulable = [
-            (machine, kind)
+            (machine, machine_type)
             for machine in machines
-            if (kind := self._cluster.catalog.get(machine.type)) is not None
+            if (machine_type := self._cluster.catalog.get(machine.type)) is not None
             and self._is_schedulable(machine, now)
         ]
         return self._forecast.capacity.cached_capacities(self._capacity_cache, schedulable)
@@ -139,12 +139,14 @@
             return
         zones = ZoneAllowance(spec, self._cluster.machines.task_counts_by_zone(job))
         request = PlacementRequest(job, spec, tasks, zones, self._usage)
-        slots = _slots(self._selection.take(request, failures, capacities))
-        if not slots:
+        machine_ids = _assigned_machines(
+            self._selection.assign_capacity(request, failures, capacities)
+        )
+        if not machine_ids:
             return
-        for index, machine_id in zip(self._placeable_tasks(job, spec), slots, strict=False):
+        for index, machine_id in zip(self._placeable_tasks(job, spec), machine_ids, strict=False):
             self._plan_start(job, index, machine_id, edits)
-        usage.add(spec, len(slots))
+        usage.add(spec, len(machine_ids))
 
     def _tasks_to_place(
         self, job: Job, spec: JobSpec, failures: JobFailures | None, usage: ResourceUsage
--- a/crossmill/jobs/preemption.py
+++ b/crossmill/jobs/preemption.py
@@ -23,16 +23,16 @@
 class StoppableJob:
     """A job whose tasks may be stopped for another job."""
 
-    __slots__ = ("charged_team", "spec")
+    __slots__ = ("over_quota_team", "spec")
 
-    def __init__(self, spec: JobSpec, charged_team: str | None = None) -> None:
+    def __init__(self, spec: JobSpec, over_quota_team: str | None = None) -> None:
         self.spec = spec
         # the team whose use in excess of its quota the stops reduce; None for work of lower
         # priority
-        self.charged_team = charged_team
+        self.over_quota_team = over_quota_team
 
 
-class Preempted:
+class PreemptionResult:
     """The result of one preemption: attempts to be stopped, and how many tasks fit after that."""
 
     __slots__ = ("attempts", "tasks_covered")
@@ -45,14 +45,14 @@
 class _Reservation:
     """A machine reserved for the job for which its tasks were stopped."""
 
-    __slots__ = ("job_id", "until")
+    __slots__ = ("expires_at", "job_id")
 
-    def __init__(self, job_id: str, until: float) -> None:
+    def __init__(self, job_id: str, expires_at: float) -> None:
         self.job_id = job_id
-        self.until = until
+        self.expires_at = expires_at
 
 
-class _PreemptorClass(NamedTuple):
+class _PreemptorKey(NamedTuple):
     """What jobs have in common for which the same jobs may be stopped."""
 
     shard: int
@@ -62,7 +62,7 @@
     may_stop_replicas: bool
 
 
-class _Option:
+class _PreemptionOption:
     """Attempts whose stops let one task start on a machine, with what decides among options."""
 
     __slots__ = ("capacity", "contention_cost", "lost_runtime_s", "needs_image_fetch", "victims")
@@ -81,7 +81,7 @@
         self.victims = victims
 
 
-_cost = attrgetter("contention_cost", "needs_image_fetch", "lost_runtime_s")
+_option_cost = attrgetter("contention_cost", "needs_image_fetch", "lost_runtime_s")
 
 StoppableJobs = dict[str, StoppableJob]
 
@@ -102,7 +102,7 @@
         # before the large one fits
         self._reservations: dict[str, _Reservation] = {}
         # of this round
-        self._stoppable: dict[_PreemptorClass, StoppableJobs] = {}
+        self._stoppable: dict[_PreemptorKey, StoppableJobs] = {}
 
     def has_claim(self, job: Job) -> bool:
         """Whether tasks are being stopped for the job."""
@@ -122,7 +122,7 @@
             if job is None or job.waiting_task_count() == 0:
                 del self._claims[job_id]
         for machine_id, reservation in list(self._reservations.items()):
-            if reservation.job_id not in self._claims or now > reservation.until:
+            if reservation.job_id not in self._claims or now > reservation.expires_at:
                 del self._reservations[machine_id]
 
     def is_available_to(self, capacity: FreeCapacity, job: Job) -> bool:
@@ -146,7 +146,7 @@
         capacities: list[FreeCapacity],
         zones: ZoneAllowance,
         usage: UsageByTeam,
-    ) -> Preempted:
+    ) -> PreemptionResult:
         """Requests the stops that let up to this many tasks of the job start on the machines.
 
         `zones` counts the tasks of the job placed so far, and is charged for those covered here.
@@ -154,12 +154,12 @@
         """
         now = self._clock.now()
         if job.spec is None or self.has_claim(job):
-            return Preempted([], 0)
+            return PreemptionResult([], 0)
         stoppable = self._stoppable_jobs(job, usage)
         if not stoppable:
-            return Preempted([], 0)
-        options = self._options(job, job.spec, capacities, stoppable)
-        chosen = self._choose(options, tasks, zones, stoppable, usage)
+            return PreemptionResult([], 0)
+        options = self._preemption_options(job, job.spec, capacities, stoppable)
+        chosen = self._select_options(options, tasks, zones, stoppable, usage)
         attempts = [attempt for option in chosen for attempt in option.victims]
         if attempts:
             self._claim(job, chosen, stoppable, now)
@@ -172,13 +172,13 @@
                 job.id,
             )
             self._heartbeats.request_stop(attempt, StopReason.PREEMPTED)
-        return Preempted(attempts, len(chosen))
+        return PreemptionResult(attempts, len(chosen))
 
-    def _options(
+    def _preemption_options(
         self, job: Job, spec: JobSpec, capacities: list[FreeCapacity], stoppable: StoppableJobs
-    ) -> list[_Option]:
+    ) -> list[_PreemptionOption]:
         """Returns an option for each machine where stops let a task start, cheapest first."""
-        options: list[_Option] = []
+        options: list[_PreemptionOption] = []
         for capacity in capacities:
             if not is_allowed(spec, capacity.type, capacity.zone, capacity.spot):
                 continue
@@ -187,42 +187,46 @@
             victims = self._victims(spec, capacity, stoppable)
             if victims is not None:
                 lost_s = sum(self._lost_runtime_s(victim, stoppable) for victim in victims)
-                options.append(_Option(spec, capacity, victims, lost_s))
-        options.sort(key=_cost)
+                options.append(_PreemptionOption(spec, capacity, victims, lost_s))
+        options.sort(key=_option_cost)
         return options
 
-    def _choose(
+    def _select_options(
         self,
-        options: list[_Option],
+        options: list[_PreemptionOption],
         tasks: int,
         zones: ZoneAllowance,
         stoppable: StoppableJobs,
         usage: UsageByTeam,
-    ) -> list[_Option]:
+    ) -> list[_PreemptionOption]:
         """Returns the options to be carried out, one for each task that they let start."""
-        teams = {entry.charged_team for entry in stoppable.values()}
+        teams = {entry.over_quota_team for entry in stoppable.values()}
         excess_gpus = {
             team: self._quotas.gpus_over_quota(team, usage) for team in teams if team is not None
         }
-        chosen: list[_Option] = []
+        chosen: list[_PreemptionOption] = []
         for option in options:
             if len(chosen) >= tasks:
                 break
             zone = option.capacity.zone
-            if zones.remaining(zone) > 0 and charge_excess(option.victims, stoppable, excess_gpus):
+            if zones.remaining(zone) > 0 and deduct_excess_gpus(
+                option.victims, stoppable, excess_gpus
+            ):
                 zones.reserve(zone, 1)
                 chosen.append(option)
         return chosen
 
-    def _claim(self, job: Job, chosen: list[_Option], stoppable: StoppableJobs, now: float) -> None:
+    def _claim(
+        self, job: Job, chosen: list[_PreemptionOption], stoppable: StoppableJobs, now: float
+    ) -> None:
         """Reserves the machines for the job until the stops should have been carried out."""
         save_s = max(
             stoppable[victim.job].spec.save_s for option in chosen for victim in option.victims
         )
-        until = now + 2 * self._settings.heartbeat_interval_s + 2 * save_s
-        self._claims[job.id] = until
+        expires_at = now + 2 * self._settings.heartbeat_interval_s + 2 * save_s
+        self._claims[job.id] = expires_at
         for option in chosen:
-            self._reservations[option.capacity.machine] = _Reservation(job.id, until)
+            self._reservations[option.capacity.machine] = _Reservation(job.id, expires_at)
 
     def _lost_runtime_s(self, attempt: PlannedAttempt, stoppable: StoppableJobs) -> float:
         """Returns the run time that stopping this attempt throws away."""
@@ -251,7 +255,7 @@
         is_within_quota = self._quotas.is_within_quota(job)
         priority = self._forecast.priority(job)
         team = spec.team if is_within_quota else None
-        preemptor = _PreemptorClass(job.shard, priority, team, may_stop_replicas)
+        preemptor = _PreemptorKey(job.shard, priority, team, may_stop_replicas)
         known = self._stoppable.get(preemptor)
         if known is not None:
             return known
@@ -303,21 +307,21 @@
         return None
 
 
-def charge_excess(
+def deduct_excess_gpus(
     victims: list[PlannedAttempt], stoppable: StoppableJobs, excess_gpus: dict[str, float]
 ) -> bool:
     """Takes the victims' GPUs off what their teams use in excess of their quotas.
 
     False, and nothing is taken, if a team would be left with less than its quota.
     """
-    charges: dict[str, float] = {}
+    gpus_by_team: dict[str, float] = {}
     for attempt in victims:
         entry = stoppable[attempt.job]
-        if entry.charged_team is not None:
-            charged = charges.get(entry.charged_team, 0.0)
-            charges[entry.charged_team] = charged + entry.spec.gpus
-    if any(gpus > excess_gpus[team] for team, gpus in charges.items()):
+        if entry.over_quota_team is not None:
+            charged = gpus_by_team.get(entry.over_quota_team, 0.0)
+            gpus_by_team[entry.over_quota_team] = charged + entry.spec.gpus
+    if any(gpus > excess_gpus[team] for team, gpus in gpus_by_team.items()):
         return False
-    for team, gpus in charges.items():
+    for team, gpus in gpus_by_team.items():
         excess_gpus[team] -= gpus
     return True
--- a/crossmill/jobs/scheduling_loop.py
+++ b/crossmill/jobs/scheduling_loop.py
@@ -104,7 +104,7 @@
         if the last ones ran out of their time budget.
         """
         while True:
-            if not self._placement.is_unfinished:
+            if not self._placement.has_unfinished_round:
                 await curio.ignore_after(self._settings.heartbeat_interval_s / 2, self._wake.wait)
             self._placement.start_rounds()
             self._wake.clear()
@@ -142,7 +142,7 @@
         transfers = self._machine_transfer.writes(shard, ownership, machines)
         writes += [_RoundWrite(intent, []) for intent in (*maintenance, *transfers.values())]
         await self._submit(writes, transfers)
-        await self._follow_up(writes)
+        await self._send_durable_starts(writes)
 
     def _place(
         self, shard: int, ownership: ShardOwnership, machines: list[Machine], edits: PlanEdits
@@ -190,7 +190,7 @@
         finally:
             self._heartbeats.end_transfers(transfers)
 
-    async def _follow_up(self, writes: list[_RoundWrite]) -> None:
+    async def _send_durable_starts(self, writes: list[_RoundWrite]) -> None:
         """Sends the starts of plans that are durable now, and logs the jobs that are done."""
         for write in writes:
             if await write.intent.future.wait() != WriteResult.OK:
@@ -233,16 +233,16 @@
         """Moves the outcomes that this round writes into `edits`."""
         outcomes = self._heartbeats.outcomes
         batches = collect(self._cluster, outcomes, shard, ownership.term)
-        self._drop_void_outcomes(shard, batches)
+        self._drop_stale_outcomes(shard, batches)
         max_writes = self._writer.writes_within(self._settings.heartbeat_interval_s)
         for batch in select(batches, max_writes):
             edit = edit_of(edits, batch.job, batch.name)
             for outcome in batch.outcomes:
                 del outcomes[outcome.attempt.job, outcome.attempt.index]
-                self._learn(batch.job, outcome)
+                self._record_outcome(batch.job, outcome)
                 edit.outcomes.append(outcome)
 
-    def _drop_void_outcomes(self, shard: int, batches: list[ChunkOutcomes]) -> None:
+    def _drop_stale_outcomes(self, shard: int, batches: list[ChunkOutcomes]) -> None:
         """Drops outcomes that no longer match the plan, or whose shard has another owner now."""
         outcomes = self._heartbeats.outcomes
         valid = {
@@ -259,7 +259,7 @@
             ):
                 del outcomes[key]
 
-    def _learn(self, job: Job, outcome: AttemptOutcome) -> None:
+    def _record_outcome(self, job: Job, outcome: AttemptOutcome) -> None:
         """Logs that an attempt has ended, and updates failures and run time estimates."""
         spec, attempt = job.spec, outcome.attempt
         log.info(
--- a/crossmill/jobs/team_quotas.py
+++ b/crossmill/jobs/team_quotas.py
@@ -102,11 +102,11 @@
         for team_name, claims in claims_by_team.items():
             team = self._settings.team(team_name)
             if team is not None and team.gpus > 0:
-                within_quota.update(_claims_within(claims, team.gpus))
+                within_quota.update(_job_ids_within(claims, team.gpus))
         return within_quota
 
 
-def _claims_within(claims: list[_QuotaClaim], quota_gpus: float) -> list[str]:
+def _job_ids_within(claims: list[_QuotaClaim], quota_gpus: float) -> list[str]:
     """Returns the ids of the earliest jobs that fit into the quota together."""
     claims.sort()
     job_ids: list[str] = []
--- a/tests/test_machine_maintenance.py
+++ b/tests/test_machine_maintenance.py
@@ -78,9 +78,9 @@
     run_scenario(scenario)
 
 
-@pytest.mark.parametrize(("left_s", "stops"), [(20.0, 0), (5.0, 1)])
+@pytest.mark.parametrize(("remaining_s", "stops"), [(20.0, 0), (5.0, 1)])
 def test_a_task_saves_its_checkpoint_shortly_before_its_spot_machine_ends(
-    left_s: float, stops: int
+    remaining_s: float, stops: int
 ) -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await boot_with_job(
@@ -89,16 +89,18 @@
         node.report("n-0", 1, 2, node.token(), reported_task("wk-000001", 0, 1, "running"))
         view = node.heartbeats.find_view("n-0")
         assert view is not None
-        view.termination_at = clock.now() + left_s
+        view.termination_at = clock.now() + remaining_s
         ownership = node.membership.ownerships[0]
-        orders = node.heartbeats.reconciler.commands(node.cluster.machines["n-0"], view, ownership)
-        assert [c.op for c in orders].count(CommandKind.STOP) == stops
+        commands = node.heartbeats.reconciler.commands(
+            node.cluster.machines["n-0"], view, ownership
+        )
+        assert [c.op for c in commands].count(CommandKind.STOP) == stops
 
     run_scenario(scenario)
 
 
-@pytest.mark.parametrize("left_s", [20.0, 5.0])
-def test_a_spot_machine_that_is_to_end_gets_no_start(left_s: float) -> None:
+@pytest.mark.parametrize("remaining_s", [20.0, 5.0])
+def test_a_spot_machine_that_is_to_end_gets_no_start(remaining_s: float) -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await boot_with_job(
             state, clock, nodes, machines=1, sacks=1, baggingS=10.0, sealS=3.0
@@ -106,7 +108,7 @@
         node.report("n-0", 1, 2, node.token(), reported_task("wk-000001", 0, 1, "running"))
         view = node.heartbeats.find_view("n-0")
         assert view is not None
-        view.termination_at = clock.now() + left_s
+        view.termination_at = clock.now() + remaining_s
         add_job(state, clock, nameId="wk-000002", sacks=1)
         await node.sync()
         await node.round()
@@ -115,7 +117,7 @@
     run_scenario(scenario)
 
 
-def test_spot_machines_for_arrays_are_requested_before_the_arrays_come() -> None:
+def test_spot_machines_for_arrays_are_requested_before_the_arrays_arrive() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         # arrays came all the time and are done: no waiting task asks for a machine
         array = {"sacks": 20, "loaners": True, "grindS": 10.0}
--- a/tests/test_machine_transfer.py
+++ b/tests/test_machine_transfer.py
@@ -68,15 +68,15 @@
             clock.time += 0.4
             await node.renew_and_sync()
             if node.cluster.machines["n-0"].shard != other:
-                answer = node.report("n-0", 1, seq, old)
-                assert (answer.status, answer.token) == (200, old)
+                response = node.report("n-0", 1, seq, old)
+                assert (response.status, response.token) == (200, old)
                 await node.round()
         machine = node.cluster.machines["n-0"]
         assert machine.shard == other
         assert machine.token > max(old, node.token(other))
         # heartbeats under the old token are not trusted, and nothing is started on them
-        answer = node.report("n-0", 1, 50, old)
-        assert (answer.token, answer.commands) == (machine.token, ())
+        response = node.report("n-0", 1, 50, old)
+        assert (response.token, response.commands) == (machine.token, ())
         await node.round(other)
         assert not machine.attempts
         node.report("n-0", 1, 51, machine.token)
@@ -96,7 +96,9 @@
         await node.boot()
         node.report("n-0", 1, 1, node.token())
         await node.round()
-        node.scheduling_loop._machine_transfer._leaving["n-0"] = PlannedTransfer(1, clock.now() + 9)
+        node.scheduling_loop._machine_transfer._planned_transfers["n-0"] = PlannedTransfer(
+            1, clock.now() + 9
+        )
         state.script["/txn"] = ["refuse"] * 2
         task = await curio.spawn(node.round)
         await curio.sleep(0)
@@ -114,15 +116,15 @@
         node = await start_placed_task(state, clock, nodes)
         transfer = node.scheduling_loop._machine_transfer
         machine = node.cluster.machines["n-0"]
-        transfer._leaving["n-0"] = PlannedTransfer(1, clock.now() + 9)
-        assert transfer.target(machine) is None
+        transfer._planned_transfers["n-0"] = PlannedTransfer(1, clock.now() + 9)
+        assert transfer.target_shard(machine) is None
         machine.attempts.clear()
-        assert transfer.target(machine) is None, "the worker still reports a task"
+        assert transfer.target_shard(machine) is None, "the worker still reports a task"
         node.report("n-0", 1, 5, node.token())
-        assert transfer.target(machine) == 1
+        assert transfer.target_shard(machine) == 1
         start = PlannedAttempt("wk-000001", 0, 1, "n-0", 1)
         node.heartbeats.reconciler.unacknowledged_starts.record("n-0", [start], node.token())
-        assert transfer.target(machine) is None, "a start sent to it may still arrive"
+        assert transfer.target_shard(machine) is None, "a start sent to it may still arrive"
 
     run_scenario(scenario)
 
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from crossmill.jobs.preemption import StoppableJob, charge_excess
+from crossmill.jobs.preemption import StoppableJob, deduct_excess_gpus
 from crossmill.wire.users import JobSpec
 
 from .builders import reported_task
@@ -132,7 +132,7 @@
     run_scenario(scenario)
 
 
-def test_the_stoppable_jobs_are_worked_out_once_for_a_job_in_a_round() -> None:
+def test_stoppable_jobs_are_computed_once_per_job_and_round() -> None:
     """Worked out for each task on each machine, they took two thirds of a controller's CPU time.
 
     Simulated days of 300 machines did not end within the CPU time that they are given.
@@ -141,11 +141,11 @@
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await boot_with_job(state, clock, nodes, machines=3, sacks=12)
         assert node.cluster.jobs[ARRAY].planned_task_count() == 12
-        asked: list[str] = []
+        queried_job_ids: list[str] = []
         is_out_of_capacity = node.forecast.is_out_of_capacity
 
         def counting(spec: JobSpec) -> bool:
-            asked.append(spec.id)
+            queried_job_ids.append(spec.id)
             return is_out_of_capacity(spec)
 
         node.forecast.is_out_of_capacity = counting  # type: ignore[method-assign]
@@ -154,7 +154,7 @@
         await node.round()
         assert len(node.heartbeats.stop_requests) == 1
         # once for machines that have its image, at most once more for all others
-        assert 1 <= len(asked) <= 2
+        assert 1 <= len(queried_job_ids) <= 2
 
     run_scenario(scenario)
 
@@ -162,7 +162,7 @@
 # -- quotas --------------------------------------------------------------------------
 
 
-def test_stops_for_a_quota_leave_other_teams_their_own() -> None:
+def test_stops_for_a_quota_leave_other_teams_their_quota() -> None:
     """Whole arrays were stopped for one task's quota once, other teams' own share included."""
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
@@ -170,11 +170,11 @@
         victims = list(node.cluster.jobs[ARRAY].attempts())
         spec = node.cluster.jobs[ARRAY].spec
         assert spec is not None
-        stoppable = {ARRAY: StoppableJob(spec, charged_team="red")}
+        stoppable = {ARRAY: StoppableJob(spec, over_quota_team="red")}
         excess_gpus = {"red": 2.0}
-        assert not charge_excess(victims, stoppable, excess_gpus)
-        assert charge_excess(victims[:2], stoppable, excess_gpus)
-        assert not charge_excess(victims[2:], stoppable, excess_gpus)
+        assert not deduct_excess_gpus(victims, stoppable, excess_gpus)
+        assert deduct_excess_gpus(victims[:2], stoppable, excess_gpus)
+        assert not deduct_excess_gpus(victims[2:], stoppable, excess_gpus)
 
     run_scenario(scenario)
 
@@ -185,7 +185,7 @@
         victims = list(node.cluster.jobs[ARRAY].attempts())
         spec = node.cluster.jobs[ARRAY].spec
         assert spec is not None
-        assert charge_excess(victims, {ARRAY: StoppableJob(spec)}, {"red": 0.0})
+        assert deduct_excess_gpus(victims, {ARRAY: StoppableJob(spec)}, {"red": 0.0})
 
     run_scenario(scenario)
 
