--- a/crossmill/jobs/capacity_selection.py
+++ b/crossmill/jobs/capacity_selection.py
@@ -1,7 +1,7 @@
 """Selection of the machines for one job's waiting tasks, by free capacity and by preemption.
 
-Called by placement for each job in the order of the queue. Owns, for one round, the attempts to be
-stopped and the task shapes that fit nowhere.
+Placement calls it for each job in queue order. It owns, for one round, the attempts to be stopped
+and the task shapes that fit on no machine.
 """
 
 from typing import NamedTuple
@@ -20,12 +20,12 @@
 from .preemption import Preemption
 from .team_quotas import UsageByTeam
 
-# the image fetch may take this share of the time in which a service's replicas should start
+# largest share of a service's start objective that the image fetch may take
 MAX_IMAGE_DELAY_SHARE = 0.75
 
 
 class _TaskShape(NamedTuple):
-    """What decides on which machines a task fits."""
+    """The properties of a task that determine the machines on which it fits."""
 
     cpus: float
     gpus: float
@@ -45,30 +45,30 @@
     ) -> None:
         self.job = job
         self.spec = spec
-        # how many tasks neither have a machine yet nor are covered by a preemption
+        # number of tasks that have no machine yet and are not covered by a preemption
         self.tasks = tasks
         self.zones = zones
         self.usage = usage
-        # whether other tasks may be stopped for these
+        # whether other tasks may be stopped for these tasks
         self.may_preempt = False
 
 
 class CapacitySelection:
-    """Takes free capacity for tasks, and requests preemptions for those that find none."""
+    """Assignment of free capacity to tasks, and preemption for tasks that find none."""
 
     def __init__(self, context: SchedulingContext, preemption: Preemption) -> None:
         self._settings = context.settings
         self._cluster = context.cluster
         self._preemption = preemption
-        # of this round: attempts to be stopped, and shapes that fit nowhere any more (capacity
-        # only shrinks during a round)
+        # attempts to be stopped, chosen in this round, and task shapes that fit on no machine for
+        # the rest of the round, since free capacity only shrinks during a round
         self._stops: list[PlannedAttempt] = []
         self._shapes_without_capacity: set[_TaskShape] = set()
 
     def start_round(self) -> list[PlannedAttempt]:
-        """Starts a round; returns the list to which its attempts to be stopped are added."""
+        """Start a round, and return the list that collects its attempts to be stopped."""
         self._stops = []
-        self._preemption.drop_expired_claims()
+        self._preemption.start_round()
         self._shapes_without_capacity.clear()
         return self._stops
 
@@ -78,10 +78,10 @@
         failures: JobFailures | None,
         capacities: list[FreeCapacity],
     ) -> list[TaskAssignment]:
-        """Takes free capacity for the request's tasks, and requests preemptions for the others.
+        """Assign free capacity to the request's tasks, and request preemptions for the rest.
 
-        Returns the capacities with the number of tasks placed on each. Tasks for which others are
-        stopped are placed in a later round.
+        Returns the capacities with the number of tasks placed on each. Tasks covered by a
+        preemption are placed in a later round.
         """
         job, spec = request.job, request.spec
         free = self._available_to(job, failures, self._fitting(spec, capacities))
@@ -94,10 +94,10 @@
         return self._assign_or_preempt(request, free, free) if free else []
 
     def _fitting(self, spec: JobSpec, capacities: list[FreeCapacity]) -> list[FreeCapacity]:
-        """Returns the capacities where at least one such task fits.
+        """Return the capacities where at least one such task fits.
 
-        Most waiting jobs have the same shape as others, and most machines are full: shapes that
-        fit nowhere are not checked again in the same round.
+        Many waiting jobs share a shape, and most machines are full, so a shape that fits on no
+        machine is not checked again in the same round.
         """
         shape = _TaskShape(spec.cpus, spec.gpus, spec.memory_gb, spec.types, spec.zone, spec.spot)
         if shape in self._shapes_without_capacity:
@@ -114,7 +114,7 @@
     def _available_to(
         self, job: Job, failures: JobFailures | None, capacities: list[FreeCapacity]
     ) -> list[FreeCapacity]:
-        """Returns the capacities not reserved for other jobs, where the job has not failed yet."""
+        """Return the capacities not reserved for other jobs, where the job has not failed."""
         excluded = failures.machines if failures is not None else ()
         return [
             capacity
@@ -123,7 +123,7 @@
         ]
 
     def _fits_whole_gang(self, request: PlacementRequest, capacities: list[FreeCapacity]) -> bool:
-        """Whether all tasks of the gang fit: they are placed together or not at all."""
+        """Return whether all tasks of the gang fit, as they are placed together or not at all."""
         job, spec = request.job, request.spec
         if job.planned_task_count():
             return False
@@ -133,11 +133,12 @@
         return sum(task_count for _, task_count in assignments) == job.waiting_task_count()
 
     def _may_preempt(self, request: PlacementRequest, failures: JobFailures | None) -> bool:
-        """Whether other tasks may be stopped for the job.
+        """Return whether other tasks may be stopped for the job.
 
-        A replica that ended with its machine is no failure of the job: only failures of its own
-        bar a service from preemption. An array preempts only until its first task has ended: for
-        each task again, two arrays would stop one another's tasks in turn.
+        Only failures of its own replicas bar a service from preemption; a replica that ended with
+        its machine does not count as one. An array may preempt only until its first task has ended.
+        If it could preempt again for each task, two arrays would stop each other's tasks
+        alternately.
         """
         is_service = request.spec.is_service
         has_own_failures = failures is not None and (not is_service or failures.failures != 0)
@@ -149,24 +150,24 @@
         free: list[FreeCapacity],
         preemptible: list[FreeCapacity],
     ) -> list[TaskAssignment]:
-        """Takes capacity and requests preemptions, in the order that suits the job.
+        """Assign capacity and request preemptions, in the order that suits the job.
 
-        A class that must start soon is rather given the capacity of preempted tasks on a machine
-        that has its image than free capacity where it would wait for the image.
+        For a job class with a start objective, capacity of preempted tasks on a machine that has
+        the image is preferred to free capacity on a machine that must first fetch it.
         """
         job, spec = request.job, request.spec
         start_objective_s = (
             self._settings.start_objective_s(spec.job_class) if spec.is_service else None
         )
-        # a failed claim is not repeated: then any capacity will do
+        # after a failed claim there is no further preemption, and any free capacity is accepted
         has_failed_claim = self._preemption.has_failed_claim(job)
         assignments: list[TaskAssignment] = []
         if start_objective_s is not None and not has_failed_claim:
             max_delay_s = MAX_IMAGE_DELAY_SHARE * start_objective_s
 
             def starts_in_time(capacity: FreeCapacity) -> bool:
-                # reserved capacity counts wherever it is, or it would stay unused until the
-                # claim ends
+                # capacity reserved for the job is accepted even without the image; otherwise it
+                # would stay unused until the claim expires
                 return capacity.image_delay_s(
                     spec
                 ) < max_delay_s or self._preemption.is_reserved_for(capacity, job)
@@ -185,7 +186,7 @@
     def _assign(
         self, request: PlacementRequest, capacities: list[FreeCapacity]
     ) -> list[TaskAssignment]:
-        """Takes free capacity for as many of the tasks as fit."""
+        """Assign free capacity to as many of the tasks as fit."""
         assignments = assign_tasks(
             request.spec,
             request.tasks,
@@ -197,7 +198,7 @@
         return assignments
 
     def _preempt(self, request: PlacementRequest, capacities: list[FreeCapacity]) -> None:
-        """Requests stops of other tasks for the tasks left."""
+        """Request stops of other tasks for the remaining tasks."""
         preempted = self._preemption.preempt(
             request.job, request.tasks, capacities, request.zones, request.usage
         )
--- a/crossmill/jobs/machine_drain.py
+++ b/crossmill/jobs/machine_drain.py
@@ -1,7 +1,7 @@
 """Drains machines whose replicas fit on other machines, so that the machines can be returned.
 
-Called by placement in rounds without waiting tasks. Owns which machines are being drained; the
-answers to heartbeats carry the stops out.
+Placement calls it in rounds without waiting tasks. It owns the set of machines being drained. The
+stops are sent to workers in the responses to their heartbeats.
 """
 
 import logging
@@ -16,7 +16,8 @@
 
 log = logging.getLogger(__name__)
 
-# only the most promising candidates are checked for redundancy, which is costly
+# only this many candidates, those that save the most, are checked for redundancy, since the check
+# is costly
 MAX_CANDIDATES_CHECKED = 8
 
 
@@ -31,7 +32,7 @@
 
 
 class MachineDrain:
-    """Evicts the replicas of at most one machine at a time."""
+    """Eviction of replicas from at most one machine at a time."""
 
     def __init__(self, context: SchedulingContext) -> None:
         self._settings = context.settings
@@ -39,21 +40,21 @@
         self._cluster = context.cluster
         self._heartbeats = context.heartbeats
         self._forecast = context.forecast
-        # by machine, until when the drain is tried
+        # deadlines of drains in seconds, by machine ID
         self._draining_until: dict[str, float] = {}
-        # by shard, when a machine was looked for last
+        # times of the last searches for a machine to drain, in seconds, by shard
         self._checked_at: dict[int, float] = {}
 
     def is_draining(self, machine_id: str) -> bool:
-        """Whether the machine is being drained, so that nothing may be placed on it."""
+        """Return whether the machine is being drained, so that no task may be placed on it."""
         return machine_id in self._draining_until
 
     def drain(
         self, shard: int, ownership: ShardOwnership, capacities: Callable[[], list[FreeCapacity]]
     ) -> Iterator[PlannedAttempt]:
-        """Chooses a machine to drain if one is due, and yields the attempts to be stopped for it.
+        """Choose a machine to drain if a drain is due, and yield the attempts to be stopped.
 
-        `capacities` is called only if a machine is looked for.
+        `capacities` is called only if a search for a machine is due.
         """
         now = self._clock.now()
         self._drop_finished_drains(now)
@@ -77,14 +78,14 @@
                 del self._draining_until[machine_id]
 
     def _best_candidate(self, shard: int, capacities: list[FreeCapacity]) -> Machine | None:
-        """Returns the redundant machine whose return saves most for each replica moved."""
+        """Return the redundant machine whose return saves the most for each replica moved."""
         candidates: list[_DrainCandidate] = []
         for capacity in capacities:
             machine = self._cluster.machines[capacity.machine]
             machine_type = self._cluster.catalog.get(machine.type)
             if machine_type is not None and self._is_drainable(machine):
                 candidates.append(_DrainCandidate(machine, machine_type.price))
-        # stable also in reverse: of equal candidates the first stays first
+        # the sort is stable also in reverse: equal candidates keep their order
         candidates.sort(key=attrgetter("price_per_task"), reverse=True)
         for candidate in candidates[:MAX_CANDIDATES_CHECKED]:
             if self._forecast.is_redundant(shard, candidate.machine, capacities):
@@ -92,15 +93,15 @@
         return None
 
     def _is_drainable(self, machine: Machine) -> bool:
-        """Whether the machine has few tasks, all of them replicas that have run for a while."""
+        """Return whether the machine has few tasks, all of them settled replicas."""
         if not 0 < len(machine.attempts) <= self._settings.max_tasks_to_drain:
             return False
         return all(self._is_settled(attempt) for attempt in machine.attempts.values())
 
     def _is_settled(self, attempt: PlannedAttempt) -> bool:
-        """Whether this is a replica that has run for a while.
+        """Return whether the attempt is a replica that has run longer than the settle time.
 
-        One that is stopped soon after its start counts as not started.
+        A replica that is stopped soon after its start counts as not started.
         """
         view = self._heartbeats.find_view(attempt.machine)
         since = view.running_since.get((attempt.job, attempt.index)) if view is not None else None
--- a/crossmill/jobs/machine_maintenance.py
+++ b/crossmill/jobs/machine_maintenance.py
@@ -1,7 +1,7 @@
-"""Maintenance of a shard's machines: records which have come up, and retires others.
+"""Maintenance of a shard's machines: records machines that have booted, and retires machines.
 
-Called by the scheduling loop in each round. Owns which zones were silent lately; the cloud returns
-a machine once its record says that it is retiring (fleet/provisioner.py).
+The scheduling loop calls it in each round. It owns the set of zones that were recently unreachable.
+A machine is returned to the cloud once its record marks it as retiring (fleet/provisioner.py).
 """
 
 import logging
@@ -28,22 +28,22 @@
 
 
 class RetireReason(StrEnum):
-    """Why a machine is retired; the values are stored in its record."""
+    """The reason why a machine is retired, which is stored in its record."""
 
-    # no heartbeat for longer than its worker's lease
+    # no heartbeat was received for longer than its worker's lease
     SILENT = "silent"
-    # never reported, long after it should have booted
+    # no heartbeat was ever received, long after it should have booted
     NEVER_UP = "never-up"
-    # several jobs failed on it
+    # tasks of several jobs failed on it
     FAULTY = "faulty"
     # its replicas were moved to other machines
     DRAINED = "drained"
-    # nothing ran on it for a while, and nothing is expected to
+    # it had no task for a while, and no task is expected to need it
     IDLE = "idle"
 
 
 class MachineMaintenance:
-    """Finds machines that have come up, or are to be retired."""
+    """Detection of machines that have booted or are to be retired."""
 
     def __init__(
         self,
@@ -62,19 +62,19 @@
         self._expiry_proof = expiry_proof
         self._machine_drain = machine_drain
         self._failures = failures
-        # by shard
+        # times of the last maintenance checks and spare machine forecasts, in seconds, by shard
         self._checked_at: dict[int, float] = {}
         self._spare_checked_at: dict[int, float] = {}
-        # by shard and zone, until when the zone counts as silent
+        # times in seconds until which a zone counts as unreachable, by shard and zone
         self._unreachable_until: dict[tuple[int, str], float] = {}
 
     def writes(
         self, shard: int, ownership: ShardOwnership, machines: list[Machine]
     ) -> list[WriteIntent]:
-        """Returns the writes for machines that have come up or are to be retired.
+        """Return the writes for machines that have booted or are to be retired.
 
-        Limited to one check in an interval: what it reads changes with heartbeats and boots, so
-        rounds between two heartbeats find little that is new.
+        Checks are limited to one per maintenance interval: their inputs change with heartbeats and
+        boots, so rounds between two heartbeats would find few changes.
         """
         now = self._clock.now()
         if now - self._checked_at.get(shard, -inf) < self._settings.maintenance_interval_s:
@@ -86,8 +86,9 @@
         for machine in machines:
             timeout_s = self._settings.worker_lease_expiry_s
             if machine.zone in unreachable_zones:
-                # many silent machines are a partition or a fault of this controller, not of the
-                # machines: in a partitioned zone a peer may keep the workers alive
+                # if many machines send no heartbeats, the cause is a network partition or a fault
+                # of this controller, not of the machines. In a partitioned zone, a peer may keep
+                # the workers alive
                 timeout_s += self._settings.partition_keepalive_s
             if machine.retiring or now - ownership.acquired_at < timeout_s:
                 continue
@@ -112,13 +113,13 @@
     def _boot_writes(
         self, shard: int, ownership: ShardOwnership, machines: list[Machine]
     ) -> list[WriteIntent]:
-        """Returns writes for machines that sent their first heartbeat, with their boot times."""
+        """Return writes for machines that sent their first heartbeat, with their boot times."""
         intents: list[WriteIntent] = []
         for machine in machines:
             view = self._heartbeats.find_view(machine.id)
             if machine.up or view is None or not view.has_confirmed_token:
                 continue
-            # boot times are learned only for types that the catalog has
+            # boot times are recorded only for machine types in the catalog
             boot_s = None
             if machine.type in self._cluster.catalog:
                 boot_s = round(self._clock.wall() - machine.rented, 1)
@@ -134,10 +135,10 @@
         return intents
 
     def _unreachable_zones(self, shard: int, machines: list[Machine], now: float) -> set[str]:
-        """Returns the zones where most machines that were up are silent, or were until recently.
+        """Return the zones where most booted machines send no heartbeats, or recently sent none.
 
-        Machines of a partitioned zone fall silent and come back one by one. None should be
-        retired because it was the first to fall silent or the last to come back.
+        Machines of a partitioned zone become unreachable and reachable one by one. None should be
+        retired because it was the first to become unreachable or the last to become reachable.
         """
         up: Counter[str] = Counter()
         unreachable: Counter[str] = Counter()
@@ -159,10 +160,10 @@
         }
 
     def _spare_machines(self, shard: int, machines: list[Machine], now: float) -> set[str]:
-        """Returns machines that neither waiting nor expected tasks would use.
+        """Return the machines that neither waiting nor expected tasks would use.
 
-        The forecast is costly: it is asked only if some machine has been empty for long enough,
-        and no more often than workers send heartbeats.
+        The forecast is costly: it is computed only if some machine has exceeded the idle timeout,
+        and at most once per heartbeat interval.
         """
         checked_at = self._spare_checked_at.get(shard, 0.0)
         if now - checked_at < self._settings.heartbeat_interval_s:
@@ -173,7 +174,7 @@
         return self._forecast.plan(shard).spare_machines
 
     def _has_exceeded_idle_timeout(self, machine: Machine, now: float) -> bool:
-        """Whether the machine has been empty for longer than the timeout."""
+        """Return whether the machine has been idle for longer than the timeout."""
         view = self._heartbeats.find_view(machine.id)
         since = view.idle_since if view is not None else None
         return since is not None and now - since > self._settings.idle_machine_timeout_s
@@ -181,7 +182,7 @@
     def _retire_reason(
         self, machine: Machine, now: float, timeout_s: float, spare: set[str]
     ) -> RetireReason | None:
-        """Returns why the machine is to be retired; None if it stays."""
+        """Return the reason to retire the machine, or None if it is kept."""
         view = self._heartbeats.find_view(machine.id)
         machine_type = self._cluster.catalog.get(machine.type)
         if view is None or machine_type is None:
@@ -199,10 +200,11 @@
     def _reason_without_heartbeat(
         self, machine: Machine, view: WorkerView, machine_type: MachineType
     ) -> RetireReason | None:
-        """Returns the reason for a machine that this owner has no trusted heartbeat of."""
+        """Return the reason to retire a machine that sent this owner no trusted heartbeat."""
         if machine.up or view.has_been_answered:
-            # an earlier owner has heard it. Without this check, a controller that took a shard
-            # over while its zone was partitioned took half a fleet for never come up
+            # an earlier owner has received its heartbeats. Without this check, a controller that
+            # took over a shard while its zone was partitioned classified half of the fleet as never
+            # booted
             return RetireReason.SILENT
         has_failed = self._forecast.capacity.has_boot_failed(
             machine, machine_type, self._clock.wall()
@@ -212,7 +214,7 @@
     def _reason_when_idle(
         self, machine: Machine, view: WorkerView, now: float, spare: set[str]
     ) -> RetireReason | None:
-        """Notes since when the machine is empty; returns the reason if it has been for long."""
+        """Update the time since which the machine is idle, and return any reason to retire it."""
         if machine.attempts or view.tasks:
             view.idle_since = None
         elif view.idle_since is None:
--- a/crossmill/jobs/machine_transfer.py
+++ b/crossmill/jobs/machine_transfer.py
@@ -1,8 +1,8 @@
-"""Transfers of machines to another shard whose tasks find no capacity while the cloud has none.
+"""Transfers of machines to shards whose tasks find no capacity while the cloud has none.
 
-Every controller sees the same durable facts, so each works out by itself what the other shards lack
-and which shard can spare most; only a machine's present owner transfers it (docs/safety.md). Called
-by the scheduling loop; owns which machines are to leave their shard.
+Every controller reads the same durable state, so each one computes which capacity the other shards
+lack and which shard can spare the most machines. Only a machine's current owner transfers it
+(docs/safety.md). The scheduling loop calls this module, which owns the planned transfers.
 """
 
 import logging
@@ -24,7 +24,7 @@
 
 
 class PlannedTransfer:
-    """The shard that a machine goes to once it is empty, and until when that is tried."""
+    """The shard to which a machine is transferred once it is idle, and the expiry of the plan."""
 
     __slots__ = ("expires_at", "shard")
 
@@ -34,7 +34,7 @@
 
 
 class MachineTransfer:
-    """Chooses machines for shards whose jobs find no capacity, and writes their transfers."""
+    """Selection of machines for shards whose jobs find no capacity, and writes of transfers."""
 
     def __init__(self, context: SchedulingContext, membership: Membership) -> None:
         self._settings = context.settings
@@ -43,21 +43,22 @@
         self._heartbeats = context.heartbeats
         self._forecast = context.forecast
         self._membership = membership
-        # by machine
+        # planned transfers by machine ID
         self._planned_transfers: dict[str, PlannedTransfer] = {}
-        # by job, until when the machines chosen for it are waited for
+        # expiry times in seconds of the transfers planned for a job, by job ID
         self._pending_until: dict[str, float] = {}
-        # by shard
+        # times of the last searches for machines to transfer, in seconds, by shard
         self._checked_at: dict[int, float] = {}
 
     def has_planned_transfer(self, machine_id: str) -> bool:
-        """Whether the machine goes to another shard once it is empty."""
+        """Return whether the machine is to be transferred to another shard once it is idle."""
         return machine_id in self._planned_transfers
 
     def target_shard(self, machine: Machine) -> int | None:
-        """Returns the shard that the machine may go to now.
+        """Return the shard to which the machine may be transferred now.
 
-        None if it stays, a task is on it, or a start sent to it may still arrive.
+        None if no transfer is planned, if the machine is retiring or has a task, or if a start that
+        was sent to it may still arrive.
         """
         planned = self._planned_transfers.get(machine.id)
         view = self._heartbeats.find_view(machine.id)
@@ -68,11 +69,11 @@
     def writes(
         self, shard: int, ownership: ShardOwnership, machines: list[Machine]
     ) -> dict[str, WriteIntent]:
-        """Returns the write that transfers a machine, by the machine's id; empty if none is due.
+        """Return the write that transfers a machine, by machine ID; empty if none is due.
 
-        The machine gets a fencing token of its own, higher than all before, so that its worker
-        obeys no command of this shard's owner afterwards. One machine at a time: each write raises
-        the counter that all tokens come from.
+        The machine gets its own fencing token, higher than all earlier ones, so that its worker
+        rejects later commands of this shard's owner. Machines are transferred one at a time, since
+        each write increments the counter from which all tokens are taken.
         """
         for machine in machines if self._planned_transfers else ():
             target_shard = self.target_shard(machine)
@@ -88,11 +89,11 @@
         return {}
 
     def forget_transferred(self, machine_id: str) -> None:
-        """Drops the machine, whose transfer is durable."""
+        """Drop the planned transfer of the machine after the transfer has become durable."""
         self._planned_transfers.pop(machine_id, None)
 
     def choose_machines(self, shard: int) -> Iterator[PlannedAttempt]:
-        """Chooses machines of the shard for other shards; yields the attempts to be stopped."""
+        """Choose machines of the shard for other shards, and yield the attempts to be stopped."""
         now = self._clock.now()
         self._drop_finished_transfers(now)
         if now - self._checked_at.get(shard, 0.0) < self._settings.machine_transfer_interval_s:
@@ -119,12 +120,12 @@
     def _choose_for(
         self, demand: TaskDemand, shard: int, other: int, wall_time: float
     ) -> Iterator[PlannedAttempt]:
-        """Chooses machines for a demand of the other shard, if this shard can spare most."""
+        """Choose machines for a demand of the other shard, if this shard can spare the most."""
         now, job = self._clock.now(), self._cluster.jobs[demand.spec.id]
         if self._pending_until.get(job.id, 0.0) > now:
             return
-        # transferring an idle machine is better than renting one; running tasks are stopped only
-        # for replicas, and only after the cloud had its time
+        # transferring an idle machine is better than renting one. Running tasks are stopped only
+        # for replicas, and only after the cloud had time to provide a machine
         may_stop = (
             demand.spec.is_service and wall_time - job.ready_at > self._settings.worker_lease_s
         )
@@ -145,7 +146,7 @@
     def _has_better_donor(
         self, demand: TaskDemand, is_busy: bool, own_count: int, shard: int, other: int
     ) -> bool:
-        """Whether a third shard has more candidates, or as many and a lower number."""
+        """Return whether a third shard has more candidates, or as many and a lower number."""
         return any(
             (-len(self._candidates(third, demand, is_busy)), third) < (-own_count, shard)
             for third in range(self._settings.shard_count)
@@ -155,7 +156,7 @@
     def _select_machines(
         self, candidates: list[Machine], demand: TaskDemand, is_busy: bool
     ) -> list[Machine]:
-        """Returns enough of the candidates for the demand's tasks, within the limit."""
+        """Return enough of the candidates for the demand's tasks, within the transfer limit."""
         selected: list[Machine] = []
         tasks_left = demand.tasks
         for machine in candidates[: self._settings.max_machines_per_transfer]:
@@ -169,7 +170,7 @@
     def _plan_transfer(
         self, machine: Machine, planned: PlannedTransfer, job: Job
     ) -> Iterator[PlannedAttempt]:
-        """Plans the machine's transfer; yields its attempts, which are to be stopped."""
+        """Plan the machine's transfer, and yield its attempts, which are to be stopped."""
         self._planned_transfers[machine.id] = planned
         log.info(
             "machine transfer planned machine=%s shard=%d for_job=%s tasks=%d",
@@ -183,9 +184,9 @@
             yield attempt
 
     def _is_ready(self, machine: Machine, is_busy: bool) -> bool:
-        """Whether the machine is healthy and, unless its tasks are to be stopped, idle long enough.
+        """Return whether the machine is healthy and, unless `is_busy`, has been idle long enough.
 
-        Two heartbeats without a task show that no start is on its way.
+        Two heartbeat intervals without a task show that no start is in flight.
         """
         now = self._clock.now()
         view = self._heartbeats.find_view(machine.id)
@@ -198,9 +199,9 @@
         return is_busy or (since is not None and now - since > min_idle_s)
 
     def _candidates(self, shard: int, demand: TaskDemand, is_busy: bool) -> list[Machine]:
-        """Returns the shard's machines that suit the demand, those with fewest attempts first.
+        """Return the shard's machines that suit the demand, those with fewest attempts first.
 
-        Empty machines or, if `is_busy`, those whose tasks are all preemptible by the demand.
+        These are idle machines or, if `is_busy`, machines whose tasks the demand may all preempt.
         """
         result = [
             machine
@@ -224,7 +225,7 @@
         )
 
     def _is_preemptible_by(self, demand: TaskDemand, attempt: PlannedAttempt) -> bool:
-        """Whether the attempt is of lower priority, and is no replica."""
+        """Return whether the attempt has lower priority than the demand and is not a replica."""
         job = self._cluster.jobs.get(attempt.job)
         if job is None or job.spec is None or job.spec.is_service:
             return False
--- a/crossmill/jobs/placement.py
+++ b/crossmill/jobs/placement.py
@@ -1,7 +1,8 @@
-"""Placement of waiting tasks on machines, in the order of the queue.
+"""Placement of waiting tasks on machines, in queue order.
 
-Called by the scheduling loop once per round and shard. Owns where a round that ran out of its time
-budget continues; what it decides goes into the round's plan edits.
+The scheduling loop calls it once per round and shard. It owns the queue position at which the next
+round continues after a round exceeded its time budget. Its decisions are added to the round's plan
+edits.
 """
 
 import logging
@@ -22,12 +23,15 @@
 
 
 def _assigned_machines(assignments: list[TaskAssignment]) -> list[str]:
-    """Returns the machine for each of the tasks."""
+    """Return the machine ID for each assigned task."""
     return [capacity.machine for capacity, task_count in assignments for _ in range(task_count)]
 
 
 class TaskPlacement:
-    """Places waiting tasks within a time budget; the next round continues where one stopped."""
+    """Placement of waiting tasks within a time budget per round.
+
+    A round that exceeds its budget is continued by the next one.
+    """
 
     def __init__(
         self,
@@ -49,26 +53,26 @@
         self._machine_transfer = machine_transfer
         self._failures = failures
         self._capacity_cache = context.forecast.capacity.new_cache()
-        # by shard, the job with which the next round begins
+        # ID of the job with which the next round begins, by shard
         self._resume_at: dict[int, str] = {}
-        # whether a round ran out of time; cleared by `start_rounds`
+        # whether a round exceeded its time budget; cleared by `start_rounds`
         self._has_unfinished_round = False
-        # of this round, with what it has placed
+        # resource usage in this round, including the tasks it has placed
         self._usage: UsageByTeam = {}
 
     @property
     def has_unfinished_round(self) -> bool:
-        """Whether a round ran out of time, so that the next ones should follow at once."""
+        """Whether a round exceeded its time budget, so that the next should follow immediately."""
         return self._has_unfinished_round
 
     def start_rounds(self) -> None:
-        """Starts the rounds of all shards: `has_unfinished_round` refers to these from now on."""
+        """Begin new rounds for all shards, and reset `has_unfinished_round`."""
         self._has_unfinished_round = False
 
     def place(
         self, shard: int, ownership: ShardOwnership, machines: list[Machine], edits: PlanEdits
     ) -> list[PlannedAttempt]:
-        """Adds starts of the shard's waiting tasks to `edits`.
+        """Add starts of the shard's waiting tasks to `edits`.
 
         Returns the attempts to be stopped, either for waiting tasks or to drain a machine.
         """
@@ -94,17 +98,17 @@
         return stops
 
     def _rotated_queue(self, shard: int, queue: list[Job]) -> list[Job]:
-        """Returns the queue, rotated to where the last round ran out of time."""
+        """Return the queue, rotated to the job where the last round exceeded its time budget."""
         resume_at = self._resume_at.pop(shard, None)
         if resume_at is None:
             return queue
         start = next((i for i, job in enumerate(queue) if job.id == resume_at), 0)
         return queue[start:] + queue[:start]
 
-    # -- which machines --------------------------------------------------------------
+    # -- machines --------------------------------------------------------------------
 
     def _is_schedulable(self, machine: Machine, now: float) -> bool:
-        """Whether tasks may be placed on the machine."""
+        """Return whether tasks may be placed on the machine."""
         view = self._heartbeats.find_view(machine.id)
         return (
             view is not None
@@ -127,7 +131,7 @@
         ]
         return self._forecast.capacity.cached_capacities(self._capacity_cache, schedulable)
 
-    # -- one job ---------------------------------------------------------------------
+    # -- jobs ------------------------------------------------------------------------
 
     def _place_job(
         self, job: Job, spec: JobSpec, capacities: list[FreeCapacity], edits: PlanEdits
@@ -151,7 +155,7 @@
     def _tasks_to_place(
         self, job: Job, spec: JobSpec, failures: JobFailures | None, usage: ResourceUsage
     ) -> int:
-        """Returns how many tasks may be placed now, within limits and after failures."""
+        """Return the number of tasks that team limits and earlier failures allow to place now."""
         tasks = min(job.waiting_task_count(), self._tasks_within_limit(spec, usage))
         if failures is None:
             return tasks
@@ -160,7 +164,7 @@
         return min(tasks, 1 - job.planned_task_count()) if failures.is_suspect else tasks
 
     def _tasks_within_limit(self, spec: JobSpec, usage: ResourceUsage) -> int:
-        """Returns how many more tasks of the job the team's limits allow."""
+        """Return the number of further tasks of the job that the team's limits allow."""
         team = self._settings.team(spec.team)
         if team is None:
             return 0
@@ -173,10 +177,10 @@
                 tasks = min(tasks, int((limit - used + LIMIT_TOLERANCE) / per_task))
         return max(0, tasks)
 
-    # -- its tasks -------------------------------------------------------------------
+    # -- tasks -----------------------------------------------------------------------
 
     def _waiting_tasks(self, job: Job, spec: JobSpec) -> list[int]:
-        """Returns indexes of tasks with neither an attempt nor a result, lowest first, bounded."""
+        """Return a bounded list of the lowest indexes of tasks without an attempt or a result."""
         layout = self._cluster.layout
         indexes: list[int] = []
         for chunk_range in layout.chunks(spec.tasks, job.chunks):
@@ -193,7 +197,7 @@
         return indexes
 
     def _placeable_tasks(self, job: Job, spec: JobSpec) -> list[int]:
-        """Returns those waiting tasks that no worker runs without a plan."""
+        """Return the waiting tasks, except those that a worker already runs without a plan."""
         gate = self._heartbeats.gate
         waiting = self._waiting_tasks(job, spec)
         if gate is None:
@@ -201,7 +205,7 @@
         return [index for index in waiting if not gate.is_claimed(job.id, index)]
 
     def _plan_start(self, job: Job, index: int, machine_id: str, edits: PlanEdits) -> None:
-        """Adds the start of the task on the machine to the edits, if the write has space for it."""
+        """Add the task's start to the edits, if the chunk's transaction has space for it."""
         view = self._heartbeats.find_view(machine_id)
         name = self._cluster.layout.chunk_of(index, job.chunks).name
         edit = edit_of(edits, job, name)
@@ -210,7 +214,7 @@
             return
         number = edit.base.next if edit.base else 1
         if job.spec is not None and not job.spec.is_gang:
-            # a gang's tasks find one another by a common attempt number
+            # a gang's tasks find one another by their common attempt number
             number += len(edit.starts)
         machine = self._cluster.machines[machine_id]
         edit.start(PlannedAttempt(job.id, index, number, machine_id, view.session), machine)
--- a/crossmill/jobs/preemption.py
+++ b/crossmill/jobs/preemption.py
@@ -1,8 +1,8 @@
 """Preemption: stops tasks so that waiting jobs of higher priority, or within quota, can start.
 
-Called by placement for jobs that find no free capacity. Owns the claims of jobs for which tasks are
-being stopped, and the reservations of the machines concerned. Both are only in memory: the answers
-to heartbeats carry the stops out.
+Placement calls it for jobs that find no free capacity. It owns the claims of jobs for which tasks
+are being stopped, and the reservations of the machines concerned. Both exist only in memory. The
+stops are sent to workers in the responses to their heartbeats.
 """
 
 import logging
@@ -27,13 +27,13 @@
 
     def __init__(self, spec: JobSpec, over_quota_team: str | None = None) -> None:
         self.spec = spec
-        # the team whose use in excess of its quota the stops reduce; None for work of lower
-        # priority
+        # the team over its quota whose excess the stops reduce; None if the job may be stopped for
+        # its lower priority
         self.over_quota_team = over_quota_team
 
 
 class PreemptionResult:
-    """The result of one preemption: attempts to be stopped, and how many tasks fit after that."""
+    """The attempts that one preemption stops, and the number of tasks that can then start."""
 
     __slots__ = ("attempts", "tasks_covered")
 
@@ -53,17 +53,17 @@
 
 
 class _PreemptorKey(NamedTuple):
-    """What jobs have in common for which the same jobs may be stopped."""
+    """Properties of a preempting job that determine which other jobs may be stopped for it."""
 
     shard: int
     priority: int
-    # of jobs within their team's quota
+    # the team of a job within its team's quota; None for other jobs
     team: str | None
     may_stop_replicas: bool
 
 
 class _PreemptionOption:
-    """Attempts whose stops let one task start on a machine, with what decides among options."""
+    """Attempts whose stops let one task start on a machine, with the costs that rank options."""
 
     __slots__ = ("capacity", "contention_cost", "lost_runtime_s", "needs_image_fetch", "victims")
 
@@ -87,7 +87,7 @@
 
 
 class Preemption:
-    """Stops tasks for jobs that find no free capacity."""
+    """Preemption of running tasks for jobs that find no free capacity."""
 
     def __init__(self, context: SchedulingContext, quotas: TeamQuotas) -> None:
         self._settings = context.settings
@@ -96,25 +96,28 @@
         self._heartbeats = context.heartbeats
         self._forecast = context.forecast
         self._quotas = quotas
-        # by job for which tasks are being stopped, until when their end is waited for
+        # expiry times in seconds of preemption claims, by ID of the job for which tasks are stopped
         self._claims: dict[str, float] = {}
-        # by machine; without reservations small tasks would take what is freed piece by piece
-        # before the large one fits
+        # reservations by machine ID. Without them, small tasks would occupy the freed capacity
+        # piece by piece before the large task fits
         self._reservations: dict[str, _Reservation] = {}
-        # of this round
+        # jobs that may be stopped, by preemptor, computed in this round
         self._stoppable: dict[_PreemptorKey, StoppableJobs] = {}
 
     def has_claim(self, job: Job) -> bool:
-        """Whether tasks are being stopped for the job."""
+        """Return whether tasks are being stopped for the job."""
         return self._claims.get(job.id, 0.0) > self._clock.now()
 
     def has_failed_claim(self, job: Job) -> bool:
-        """Whether tasks were recently stopped for the job and it still waits."""
+        """Return whether a claim of the job expired recently while the job still waits."""
         since = self._clock.now() - self._claims.get(job.id, -inf)
         return 0 <= since < self._settings.default_queue_wait_s
 
-    def drop_expired_claims(self) -> None:
-        """Starts a round: drops claims of jobs that no longer wait, and expired reservations."""
+    def start_round(self) -> None:
+        """Start a round: drop cached results, claims of jobs that no longer wait, and reservations.
+
+        A reservation is dropped when it has expired or when its job has no claim any more.
+        """
         now = self._clock.now()
         self._stoppable.clear()
         for job_id in list(self._claims):
@@ -126,17 +129,17 @@
                 del self._reservations[machine_id]
 
     def is_available_to(self, capacity: FreeCapacity, job: Job) -> bool:
-        """Whether the machine is not reserved for another job."""
+        """Return whether the machine is not reserved for another job."""
         reservation = self._reservations.get(capacity.machine)
         return reservation is None or reservation.job_id == job.id
 
     def is_reserved_for(self, capacity: FreeCapacity, job: Job) -> bool:
-        """Whether the machine is reserved for this job."""
+        """Return whether the machine is reserved for this job."""
         reservation = self._reservations.get(capacity.machine)
         return reservation is not None and reservation.job_id == job.id
 
     def can_preempt_for(self, job: Job, usage: UsageByTeam) -> bool:
-        """Whether tasks are being stopped for the job, or there are any that may be stopped."""
+        """Return whether tasks are being stopped for the job or may be stopped for it."""
         return self.has_claim(job) or bool(self._stoppable_jobs(job, usage))
 
     def preempt(
@@ -147,9 +150,9 @@
         zones: ZoneAllowance,
         usage: UsageByTeam,
     ) -> PreemptionResult:
-        """Requests the stops that let up to this many tasks of the job start on the machines.
+        """Request the stops that let up to this many tasks of the job start on the machines.
 
-        `zones` counts the tasks of the job placed so far, and is charged for those covered here.
+        `zones` counts the tasks of the job placed so far; the tasks covered here are added to it.
         Nothing is stopped while an earlier claim of the job is pending.
         """
         now = self._clock.now()
@@ -177,7 +180,7 @@
     def _preemption_options(
         self, job: Job, spec: JobSpec, capacities: list[FreeCapacity], stoppable: StoppableJobs
     ) -> list[_PreemptionOption]:
-        """Returns an option for each machine where stops let a task start, cheapest first."""
+        """Return an option for each machine where stops let a task start, cheapest first."""
         options: list[_PreemptionOption] = []
         for capacity in capacities:
             if not is_allowed(spec, capacity.type, capacity.zone, capacity.spot):
@@ -199,7 +202,7 @@
         stoppable: StoppableJobs,
         usage: UsageByTeam,
     ) -> list[_PreemptionOption]:
-        """Returns the options to be carried out, one for each task that they let start."""
+        """Return the options to be executed, one for each task that can then start."""
         teams = {entry.over_quota_team for entry in stoppable.values()}
         excess_gpus = {
             team: self._quotas.gpus_over_quota(team, usage) for team in teams if team is not None
@@ -219,7 +222,7 @@
     def _claim(
         self, job: Job, chosen: list[_PreemptionOption], stoppable: StoppableJobs, now: float
     ) -> None:
-        """Reserves the machines for the job until the stops should have been carried out."""
+        """Reserve the machines for the job until the stops should have taken effect."""
         save_s = max(
             stoppable[victim.job].spec.save_s for option in chosen for victim in option.victims
         )
@@ -229,7 +232,7 @@
             self._reservations[option.capacity.machine] = _Reservation(job.id, expires_at)
 
     def _lost_runtime_s(self, attempt: PlannedAttempt, stoppable: StoppableJobs) -> float:
-        """Returns the run time that stopping this attempt throws away."""
+        """Return the run time in seconds that is lost if this attempt is stopped."""
         view = self._heartbeats.find_view(attempt.machine)
         since = view.running_since.get((attempt.job, attempt.index)) if view is not None else None
         runtime_s = 0.0 if since is None else self._clock.now() - since
@@ -237,20 +240,21 @@
         has_checkpoint = 0 < spec.checkpoint_s < runtime_s
         lost_s = spec.save_s if has_checkpoint else runtime_s
         if runtime_s < self._settings.min_useful_runtime_s:
-            # stopped this soon, the start with its image fetch was wasted altogether
+            # an attempt stopped this early also wastes its start and image fetch
             lost_s += self._settings.min_useful_runtime_s
         return lost_s
 
     def _stoppable_jobs(self, job: Job, usage: UsageByTeam) -> StoppableJobs:
-        """Returns the jobs whose tasks may be stopped for this one, by id.
+        """Return the jobs whose tasks may be stopped for this one, by ID.
 
-        Worked out once in a round for jobs that are alike, not for each task on each machine: that
-        took two thirds of a controller's CPU time on a large fleet.
+        The result is cached for the round, and jobs with equal `_PreemptorKey`s share it. Computing
+        it for each task on each machine took two thirds of a controller's CPU time on a large
+        fleet.
         """
         spec = job.spec
         if spec is None:
             return {}
-        # stopping a replica costs as much as starting one late, as long as the cloud has machines
+        # while the cloud has machines, stopping a replica costs as much as starting one late
         may_stop_replicas = spec.is_service and self._forecast.is_out_of_capacity(spec)
         is_within_quota = self._quotas.is_within_quota(job)
         priority = self._forecast.priority(job)
@@ -279,9 +283,9 @@
     def _victims(
         self, spec: JobSpec, capacity: FreeCapacity, stoppable: StoppableJobs
     ) -> list[PlannedAttempt] | None:
-        """Returns the attempts whose end lets one task start, those that lose least first.
+        """Return the attempts whose end lets one task start, least lost run time first.
 
-        None if stopping all that may be stopped would not suffice.
+        None if stopping every attempt that may be stopped would not free enough capacity.
         """
         machine = self._cluster.machines.get(capacity.machine)
         if machine is None:
@@ -310,9 +314,9 @@
 def deduct_excess_gpus(
     victims: list[PlannedAttempt], stoppable: StoppableJobs, excess_gpus: dict[str, float]
 ) -> bool:
-    """Takes the victims' GPUs off what their teams use in excess of their quotas.
+    """Deduct the victims' GPUs from their teams' usage in excess of their quotas.
 
-    False, and nothing is taken, if a team would be left with less than its quota.
+    Returns False, without a deduction, if a team would be left with less than its quota.
     """
     gpus_by_team: dict[str, float] = {}
     for attempt in victims:
--- a/crossmill/jobs/scheduling_loop.py
+++ b/crossmill/jobs/scheduling_loop.py
@@ -1,9 +1,9 @@
-"""The scheduling loop: reconciles the durable plans of the shards this controller acts for.
+"""The scheduling loop: reconciles the durable plans of the shards that this controller owns.
 
-A round turns outcomes of tasks into plan changes, places waiting tasks, maintains the machines,
-and makes all of it durable in transactions conditional on the versions it was decided on. Starts
-are sent to workers only from durable plans. The loop runs in every controller (crossmill/app.py);
-it is woken by changes in the state service and by outcomes in heartbeats.
+A round turns task outcomes into plan changes, places waiting tasks and maintains the machines. It
+writes its decisions in transactions that are conditional on the versions on which they are based.
+Starts are sent to workers only from durable plans. The loop runs in every controller
+(crossmill/app.py); changes in the state service and outcomes in heartbeats wake it.
 """
 
 import logging
@@ -41,7 +41,7 @@
 
 
 class _RoundWrite:
-    """A write of a round, and the starts that may be sent once it is durable."""
+    """A write of a round, with the starts that may be sent once the write is durable."""
 
     __slots__ = ("intent", "starts")
 
@@ -51,9 +51,9 @@
 
 
 class SchedulingLoop:
-    """Runs rounds for each shard, and carries out what they decide."""
+    """Scheduling rounds for each owned shard, and the execution of their decisions."""
 
-    def __init__(  # noqa: PLR0913 - wired by the application; grouped right here for its parts
+    def __init__(  # noqa: PLR0913 - wired by the application; grouped below for the components
         self,
         settings: Settings,
         clock: Clock,
@@ -81,7 +81,7 @@
         self._migration = PlanMigration(cluster, membership)
         self._plan_writer = PlanWriter(clock, cluster, membership, self._migration)
         self._cleanup = Cleanup(settings, clock, cluster, membership)
-        # by shard, the writes for ended jobs that are under way
+        # the last writes for ended jobs, by shard
         self._cleanup_writes: dict[int, list[WriteIntent]] = {}
         machine_drain = MachineDrain(context)
         self._maintenance = MachineMaintenance(
@@ -98,10 +98,10 @@
         self._wake = wake
 
     async def run(self) -> None:
-        """Runs rounds for all shards that this controller acts for, until cancelled.
+        """Run rounds for all shards that this controller owns, until cancelled.
 
-        They follow when something has changed or half a heartbeat interval has passed, and at once
-        if the last ones ran out of their time budget.
+        The next rounds begin when something has changed or half a heartbeat interval has passed,
+        and without waiting for either if a round exceeded its time budget.
         """
         while True:
             if not self._placement.has_unfinished_round:
@@ -115,9 +115,9 @@
             await curio.sleep(self._settings.scheduling_interval_s)
 
     async def wait_for_cleanup(self, shard: int) -> None:
-        """Waits until the results of the shard's last writes for ended jobs are known.
+        """Wait until the results of the shard's last writes for ended jobs are known.
 
-        Rounds don't wait for them.
+        Rounds don't wait for these writes.
         """
         for intent in self._cleanup_writes.get(shard, ()):
             await intent.future.wait()
@@ -125,7 +125,7 @@
     # -- one round -------------------------------------------------------------------
 
     async def run_round(self, shard: int, ownership: ShardOwnership) -> None:
-        """Runs one round for a shard, and waits until its writes are settled."""
+        """Run one round for a shard, and wait until its writes are settled."""
         edits: PlanEdits = {}
         machines = list(self._cluster.machines.by_shard[shard].values())
         for machine in machines:
@@ -147,10 +147,10 @@
     def _place(
         self, shard: int, ownership: ShardOwnership, machines: list[Machine], edits: PlanEdits
     ) -> list[PlannedAttempt]:
-        """Adds starts to `edits`; returns the attempts to be stopped.
+        """Add starts to `edits`, and return the attempts to be stopped.
 
-        Machines for other shards are chosen before tasks are placed: a start planned in the same
-        round would go with its machine to a shard that does not know the job.
+        Machines for other shards are chosen before tasks are placed: a start planned on such a
+        machine in the same round would move with it to a shard that does not know the job.
         """
         gate = self._heartbeats.gate
         if gate is not None and not gate.may_place(shard):
@@ -161,7 +161,7 @@
     def _plan_writes(
         self, shard: int, ownership: ShardOwnership, edits: PlanEdits
     ) -> list[_RoundWrite]:
-        """Returns the writes of edited chunks, finished jobs and plan migrations."""
+        """Return the writes for edited chunks, finished jobs and plan migrations."""
         writes: list[_RoundWrite] = []
         for edit in edits.values():
             intent = self._plan_writer.intent(edit, shard, ownership)
@@ -173,10 +173,10 @@
         return writes
 
     async def _submit(self, writes: list[_RoundWrite], transfers: dict[str, WriteIntent]) -> None:
-        """Queues the writes, and waits for those that transfer machines.
+        """Submit the writes, and wait for those that transfer machines.
 
-        Until the result of its transfer is known, a machine's heartbeats are not answered: its new
-        owner counts the worker's lease from the transfer.
+        Until the result of its transfer is known, a machine's heartbeats are redirected, because
+        its new owner counts the worker's lease from the transfer.
         """
         self._heartbeats.begin_transfers(transfers)
         try:
@@ -191,7 +191,7 @@
             self._heartbeats.end_transfers(transfers)
 
     async def _send_durable_starts(self, writes: list[_RoundWrite]) -> None:
-        """Sends the starts of plans that are durable now, and logs the jobs that are done."""
+        """Send the starts whose plans have become durable, and log the jobs that are done."""
         for write in writes:
             if await write.intent.future.wait() != WriteResult.OK:
                 continue
@@ -201,7 +201,7 @@
                     log.info("job done job=%s", put.key[len(keys.JOB) :])
 
     async def _clean_up(self, shard: int, ownership: ShardOwnership) -> bool:
-        """Submits what is due for ended jobs, once all earlier writes for them are settled.
+        """Submit the due writes for ended jobs, once all earlier ones are settled.
 
         Returns whether there was anything to write.
         """
@@ -215,10 +215,10 @@
     # -- outcomes --------------------------------------------------------------------
 
     def _record_released(self, shard: int, ownership: ShardOwnership) -> None:
-        """Records that attempts on released machines have ended.
+        """Record that attempts on released machines have ended.
 
-        A machine's record is deleted only after the cloud confirmed its release. The write of the
-        outcome is conditional on the absence of the record.
+        A machine's record is deleted only after the cloud confirmed the machine's release. The
+        write of the outcome is conditional on the absence of the record.
         """
         for attempt in list(self._cluster.machines.orphaned_attempts()):
             job = self._cluster.jobs.get(attempt.job)
@@ -230,7 +230,7 @@
                 self._heartbeats.outcomes.record(outcome)
 
     def _add_outcomes(self, shard: int, ownership: ShardOwnership, edits: PlanEdits) -> None:
-        """Moves the outcomes that this round writes into `edits`."""
+        """Move the outcomes that this round writes into `edits`."""
         outcomes = self._heartbeats.outcomes
         batches = collect(self._cluster, outcomes, shard, ownership.term)
         self._drop_stale_outcomes(shard, batches)
@@ -243,7 +243,7 @@
                 edit.outcomes.append(outcome)
 
     def _drop_stale_outcomes(self, shard: int, batches: list[ChunkOutcomes]) -> None:
-        """Drops outcomes that no longer match the plan, or whose shard has another owner now."""
+        """Drop outcomes that no longer match the plan or whose shard has another owner now."""
         outcomes = self._heartbeats.outcomes
         valid = {
             (outcome.attempt.job, outcome.attempt.index)
@@ -260,7 +260,7 @@
                 del outcomes[key]
 
     def _record_outcome(self, job: Job, outcome: AttemptOutcome) -> None:
-        """Logs that an attempt has ended, and updates failures and run time estimates."""
+        """Log that an attempt has ended, and update failures and run time estimates."""
         spec, attempt = job.spec, outcome.attempt
         log.info(
             "task ended job=%s task=%d attempt=%d machine=%s reason=%s",
--- a/crossmill/jobs/team_quotas.py
+++ b/crossmill/jobs/team_quotas.py
@@ -1,6 +1,6 @@
-"""Teams' guaranteed quotas: what teams use, and which jobs are within their team's quota.
+"""Teams' guaranteed quotas: each team's resource usage, and the jobs within their team's quota.
 
-Called by placement and preemption. Owns which jobs are within quota, worked out once per round.
+Placement and preemption call it. It owns the set of jobs within quota, computed once per round.
 """
 
 from itertools import groupby
@@ -12,7 +12,7 @@
 from ..settings import Settings
 from ..wire.users import JobSpec
 
-# sums of floats may exceed a limit by rounding alone
+# allows for sums of floats that exceed a limit only through rounding
 LIMIT_TOLERANCE = 1e-6
 
 
@@ -26,17 +26,20 @@
         self.gpus = 0.0
 
     def add(self, spec: JobSpec, task_count: int) -> None:
-        """Adds what this many tasks of the job use."""
+        """Add the resources that this many tasks of the job use."""
         self.cpus += task_count * spec.cpus
         self.gpus += task_count * spec.gpus
 
 
-# by name of the team; teams that use nothing may be missing
+# resource usage by team name; teams without planned tasks may be missing
 UsageByTeam = dict[str, ResourceUsage]
 
 
 class _QuotaClaim(NamedTuple):
-    """What a job's unfinished tasks take of its team's quota; sorts by order of acceptance."""
+    """The GPUs of a job's unfinished tasks, which count against its team's quota.
+
+    Sorts by order of acceptance.
+    """
 
     order: int
     gpus: float
@@ -44,7 +47,7 @@
 
 
 class TeamQuotas:
-    """Tells which jobs are within their team's quota, and by how much teams exceed theirs."""
+    """The jobs within their team's quota, and the usage of teams in excess of their quota."""
 
     def __init__(self, settings: Settings, cluster: ClusterState) -> None:
         self._settings = settings
@@ -52,7 +55,7 @@
         self._within_quota: dict[int, set[str]] = {}
 
     def usage(self, shard: int) -> UsageByTeam:
-        """Returns what each team's planned tasks use.
+        """Return the resource usage of each team's planned tasks.
 
         Attempts whose state on the worker is unknown count too.
         """
@@ -66,18 +69,18 @@
         return usage
 
     def gpus_over_quota(self, team_name: str, usage: UsageByTeam) -> float:
-        """Returns the GPUs that the team uses in excess of its quota; 0 without a quota."""
+        """Return the GPUs that the team uses in excess of its quota; 0 without a quota."""
         team = self._settings.team(team_name)
         used = usage.get(team_name)
         gpus = used.gpus if used is not None else 0.0
         return gpus - team.gpus if team is not None and team.gpus > 0 else 0.0
 
     def start_round(self, shard: int) -> None:
-        """Starts a new round: which jobs are within quota is worked out anew."""
+        """Start a new round, in which the jobs within quota are computed again."""
         self._within_quota.pop(shard, None)
 
     def is_within_quota(self, job: Job) -> bool:
-        """Whether the job fits into its team's quota together with the team's earlier jobs.
+        """Return whether the job fits into its team's quota together with the team's earlier jobs.
 
         Only such jobs may preempt tasks of teams that exceed their quota.
         """
@@ -86,14 +89,14 @@
         return job.id in self._within_quota[job.shard]
 
     def _jobs_within_quota(self, shard: int) -> set[str]:
-        """Returns the jobs of all teams that are within quota.
+        """Return the IDs of the jobs of all teams that are within quota.
 
-        Computed for all jobs at once: summing up a team's earlier jobs for each job separately
-        took two fifths of a controller's CPU time with some 600 machines.
+        The result is computed in one pass over all jobs. Summing up a team's earlier jobs for each
+        job separately took two fifths of a controller's CPU time with some 600 machines.
         """
         claims_by_team: dict[str, list[_QuotaClaim]] = {}
         for job in self._cluster.jobs.active[shard].values():
-            # a job that waits for its dependencies takes no part of a quota
+            # a job that waits for its dependencies does not count against a quota
             if job.spec is not None and not job.is_blocked:
                 gpus = job.spec.gpus * (job.spec.tasks - job.done_task_count())
                 claim = _QuotaClaim(job.order, gpus, job.id)
@@ -107,11 +110,11 @@
 
 
 def _job_ids_within(claims: list[_QuotaClaim], quota_gpus: float) -> list[str]:
-    """Returns the ids of the earliest jobs that fit into the quota together."""
+    """Return the IDs of the earliest jobs that fit into the quota together."""
     claims.sort()
     job_ids: list[str] = []
     gpus = 0.0
-    # jobs accepted in one transaction have the same place in the order: all fit, or none
+    # jobs accepted in one transaction have the same order, so either all of them fit or none
     for _, same_order in groupby(claims, key=attrgetter("order")):
         group = list(same_order)
         gpus += sum(claim.gpus for claim in group)
--- a/tests/full_fleet.py
+++ b/tests/full_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet on which every GPU runs a task, for what is counted or profiled at size."""
+"""A fleet on which every GPU runs a task, for scale tests and profiles."""
 
 from crossmill.cluster import keys
 from crossmill.cluster.model import PlanChunk, PlannedAttempt
@@ -9,7 +9,7 @@
 from .fake_state_service import StateService
 from .stepped_controller import SteppedController, add_job, add_machine, seed
 
-# GPUs of a machine, and the tasks of a job: it stands on four machines
+# GPUs per machine, and tasks per job: a job occupies four machines
 GPUS_PER_MACHINE, TASKS_PER_JOB = 4, 16
 
 
@@ -19,7 +19,7 @@
     for number in range(machines):
         add_machine(state, clock, f"n-{number}")
     for job in range(machines * GPUS_PER_MACHINE // TASKS_PER_JOB):
-        # the highest priority, so that nothing may be stopped for anybody
+        # the highest priority, so that no task may be stopped for another job
         name = f"wk-{job:06d}"
         add_job(
             state, clock, nameId=name, sacks=TASKS_PER_JOB, grist="batch", precedence="production"
@@ -34,7 +34,7 @@
 
 
 def report_all(node: SteppedController, machines: int, seq: int = 1) -> None:
-    """Deliver a heartbeat of every worker, which says that its tasks run."""
+    """Deliver a heartbeat from every worker, which reports that its tasks run."""
     for number in range(machines):
         job, first = (
             f"wk-{number // GPUS_PER_MACHINE:06d}",
--- a/tests/placed_jobs.py
+++ b/tests/placed_jobs.py
@@ -1,4 +1,4 @@
-"""Controllers with machines and a job: waiting, placed on a machine, or running there."""
+"""Test controllers with machines and a job that is waiting, placed or running."""
 
 from typing import Any
 
@@ -17,7 +17,7 @@
     machines: int,
     **job: Any,
 ) -> SteppedController:
-    """Return a controller with an accepted job, before any machine has reported."""
+    """Return a controller with an accepted job, before any machine has sent a heartbeat."""
     seed(state, clock, machines=machines)
     add_job(state, clock, **job)
     node = SteppedController(state, clock, nodes)
@@ -32,7 +32,7 @@
     machines: int,
     **job: Any,
 ) -> SteppedController:
-    """A controller with machines that have reported, after one round that placed a job."""
+    """Return a controller after its machines sent heartbeats and one round placed a job."""
     node = await boot_with_waiting_job(state, clock, nodes, machines, **job)
     for number in range(machines):
         node.report(f"n-{number}", 1, 1, node.token())
@@ -43,7 +43,7 @@
 async def start_placed_task(
     state: StateService, clock: FakeClock, nodes: Nodes, **job: object
 ) -> SteppedController:
-    """Return a controller whose machine n-0 runs the job's one task: attempt 1, session 1."""
+    """Return a controller whose machine n-0 runs the job's only task: attempt 1, session 1."""
     node = await boot_with_waiting_job(state, clock, nodes, 1, **{"sacks": 1, **job})
     (job_id,) = node.cluster.jobs
     token = node.token()
--- a/tests/test_machine_maintenance.py
+++ b/tests/test_machine_maintenance.py
@@ -1,4 +1,4 @@
-"""Machines: which are retired and why, which get no starts, and which are rented ahead."""
+"""Tests of machine retirement, machines that get no starts, and machines rented in advance."""
 
 import pytest
 
@@ -50,7 +50,7 @@
         await node.controller_lease.step()
         node.report("n-0", 1, 4, node.token())
         await node.round()
-        # its attempts have left the plan by now; the next maintenance check retires it
+        # its attempts have been removed from the plan; the next maintenance check retires it
         clock.time += node.settings.maintenance_interval_s
         await node.round()
         assert node.cluster.machines["n-0"].retiring == "faulty"
@@ -119,7 +119,7 @@
 
 def test_spot_machines_for_arrays_are_requested_before_the_arrays_arrive() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        # arrays came all the time and are done: no waiting task asks for a machine
+        # arrays arrived regularly and are done: no waiting task requests a machine
         array = {"sacks": 20, "loaners": True, "grindS": 10.0}
         node = await boot_with_job(state, clock, nodes, machines=0, **array)
         for number in range(2, 11):
@@ -130,7 +130,7 @@
             state.put(keys.job(job_id), {**state.keys[keys.job(job_id)][0], "end": "done"})
         await node.sync()
         requests = node.forecast.plan(0).machine_requests
-        # 10 arrays of 20 tasks of 10 s, in the window that is looked back on
+        # 10 arrays of 20 tasks of 10 s within the arrival window
         tasks = 10 * 20 * 10.0 / node.settings.arrival_window_s * node.settings.spot_baseline_ratio
         assert {request.source.spot for request in requests.values()} == {True}
         machines = sum(request.number for request in requests.values())
--- a/tests/test_machine_transfer.py
+++ b/tests/test_machine_transfer.py
@@ -1,4 +1,4 @@
-"""Transfers of machines and shards to another owner."""
+"""Tests of transfers of machines and shards to another owner."""
 
 import curio
 
@@ -43,7 +43,7 @@
 async def _boot_owner_of_all_shards(
     state: StateService, clock: FakeClock, nodes: Nodes
 ) -> SteppedController:
-    """Returns the only controller, which has acquired all shards; shard 0 has one machine."""
+    """Return the only controller, which has acquired all shards; shard 0 has one machine."""
     seed(state, clock, machines=1)
     node = SteppedController(state, clock, nodes)
     await node.boot()
@@ -60,7 +60,7 @@
         other = node.settings.shard_of_team("blue")
         assert other in node.membership.ownerships
         assert other != 0
-        # shard 0 has an idle machine; the job waits in the other shard, and no cloud is there
+        # shard 0 has an idle machine; the job waits in the other shard, and there is no cloud
         add_job(state, clock, crew="blue", sacks=1)
         await node.sync()
         old = node.token()
@@ -88,7 +88,7 @@
 
 
 def test_a_heartbeat_is_redirected_while_the_machines_transfer_is_written() -> None:
-    """Its new owner counts the worker's lease from when it learns of the move."""
+    """The new owner counts the worker's lease from the time at which it reads the transfer."""
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
@@ -105,7 +105,7 @@
         assert node.report("n-0", 1, 2, node.token()).status == 421
         await task.join()
         assert node.cluster.machines["n-0"].shard == 1
-        # an older view must not be trusted again if the machine comes back
+        # an older view must not be trusted again if the machine is transferred back
         assert node.heartbeats.find_view("n-0") is None
 
     run_scenario(scenario)
@@ -130,9 +130,9 @@
 
 
 def test_no_start_is_planned_on_a_machine_in_the_round_that_transfers_it() -> None:
-    """A start planned then would be applied together with the transfer.
+    """A start planned in that round would be committed together with the transfer.
 
-    Its write is conditional on the machine's version, which it doesn't change.
+    The write of the start is conditional on the machine's version but does not change it.
     """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
@@ -144,7 +144,7 @@
             clock.time += 0.4
             await node.controller_lease.step()
             if seq == 8:
-                # the machine is about to be transferred; now its own shard gets a task too
+                # the machine is about to be transferred when its own shard also receives a task
                 node.scheduling_loop._machine_transfer._checked_at[0] = 0.0
                 add_job(state, clock, nameId="wk-000002", sacks=1)
                 await node.sync()
@@ -162,7 +162,7 @@
 
 
 async def _step_all(clock: FakeClock, *controllers: SteppedController) -> None:
-    """Let a quarter of a second pass for controllers that run."""
+    """Advance the clock by a quarter of a second, and step the running controllers."""
     clock.time += 0.25
     for controller in controllers:
         await controller.controller_lease.step()
@@ -171,9 +171,10 @@
 
 
 def test_a_controller_without_heartbeats_releases_its_shards() -> None:
-    """Ninety tasks were lost when no worker reached the owner of their shard.
+    """Ninety tasks were lost when no worker could reach the owner of their shard.
 
-    It kept its shards, and every peer redirected the workers to it until their leases expired.
+    The owner kept its shards, and every peer redirected the workers to it until the workers'
+    leases expired.
     """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
@@ -199,7 +200,7 @@
                 assert state.keys[keys.shard(0)][0]["owner"] == "node-1"
                 break
         assert released_at
-        # once heartbeats arrive again it gets its own shard back in time
+        # once heartbeats arrive again, the controller eventually gets its own shard back
         for tick in range(200, 300):
             await _step_all(clock, node, other)
             node.report("n-0", 1, tick, 1)
--- a/tests/test_placement_limits.py
+++ b/tests/test_placement_limits.py
@@ -1,4 +1,4 @@
-"""Limits of teams and jobs count attempts whose end is not proved."""
+"""Tests that limits of teams and jobs count attempts that are not proved to have ended."""
 
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
@@ -16,7 +16,7 @@
         await node.round()
         add_job(state, clock, nameId="wk-000002")
         await node.sync()
-        # every machine silent: the sixteen may all be running still
+        # no machine has a recent heartbeat, so all sixteen tasks may still be running
         clock.time += node.settings.heartbeat_timeout_s
         for number in range(6):
             node.report(f"n-{number}", 1, 2, node.token())
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -1,4 +1,4 @@
-"""Preemption: which tasks are stopped for jobs of higher priority, or within their team's quota."""
+"""Tests of the choice of tasks stopped for jobs of higher priority or within quota."""
 
 import pytest
 
@@ -18,7 +18,7 @@
 
 
 def _running(job: str, tasks: int) -> list[dict[str, object]]:
-    """Statuses of a job's first tasks, placed one after the other."""
+    """Return the statuses of a job's first running tasks, placed one after the other."""
     return [reported_task(job, index, index + 1, "running") for index in range(tasks)]
 
 
@@ -34,18 +34,18 @@
         commands = node.report("n-0", 1, 3, node.token(), *running).commands
         stopped = [command.task for command in commands if command.op == "stop"]
         assert len(stopped) == 2
-        # one of the two has ended, which is not enough for the replica
-        left = [status for status in running if status["sack"] != stopped[0]]
+        # one of the two has ended, which does not free enough capacity for the replica
+        remaining = [status for status in running if status["sack"] != stopped[0]]
         index = int(stopped[0].rpartition("/")[2])
         ended = reported_task(ARRAY, index, index + 1, "exited", "halted")
-        node.report("n-0", 1, 4, node.token(), *left, ended)
+        node.report("n-0", 1, 4, node.token(), *remaining, ended)
         await node.round()
         await node.round()
         assert node.cluster.jobs[ARRAY].planned_task_count() == 3
         # both have ended
         index = int(stopped[1].rpartition("/")[2])
         ended = reported_task(ARRAY, index, index + 1, "exited", "halted")
-        node.report("n-0", 1, 5, node.token(), *left[:-1], ended)
+        node.report("n-0", 1, 5, node.token(), *remaining[:-1], ended)
         await node.round()
         await node.round()
         assert node.cluster.jobs[SERVICE].planned_task_count() == 1
@@ -63,8 +63,8 @@
         await node.round()
         (attempt,) = node.heartbeats.stop_requests
         ended = reported_task(attempt[0], attempt[1], attempt[2], "exited", "halted")
-        left = [status for status in running if status["turn"] != attempt[2]]
-        node.report("n-0", 1, 3, node.token(), *left, ended)
+        remaining = [status for status in running if status["turn"] != attempt[2]]
+        node.report("n-0", 1, 3, node.token(), *remaining, ended)
         await node.round()
         await node.round()
         assert node.cluster.jobs[SERVICE].planned_task_count() == 1
@@ -73,9 +73,10 @@
 
 
 def test_nothing_is_stopped_in_a_zone_that_has_the_jobs_share_of_replicas_already() -> None:
-    """Seen in a recorded load: half of a job's replicas were placed in one zone.
+    """Guards against preemption in a zone that already has its share of a job's replicas.
 
-    Tasks were stopped there for the other half too, which then waited until the claim expired.
+    Under a recorded load, half of a job's replicas were placed in one zone. Tasks were stopped in
+    that zone for the other half too, and those replicas waited until the claim expired.
     """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
@@ -109,7 +110,7 @@
 
 
 def test_a_replica_that_ended_with_its_machine_may_preempt_again() -> None:
-    """Any ended attempt counted as a failure once, and the replica waited for a free machine."""
+    """A replica waited for a free machine when every ended attempt counted as a failure."""
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         service, array = "wk-000001", "wk-000002"
@@ -133,9 +134,9 @@
 
 
 def test_stoppable_jobs_are_computed_once_per_job_and_round() -> None:
-    """Worked out for each task on each machine, they took two thirds of a controller's CPU time.
+    """Computing them for each task on each machine took two thirds of a controller's CPU time.
 
-    Simulated days of 300 machines did not end within the CPU time that they are given.
+    Simulated days of 300 machines did not end within their CPU time limit.
     """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
@@ -153,17 +154,14 @@
         await node.sync()
         await node.round()
         assert len(node.heartbeats.stop_requests) == 1
-        # once for machines that have its image, at most once more for all others
+        # once for machines that have the job's image, and at most once more for all others
         assert 1 <= len(queried_job_ids) <= 2
 
     run_scenario(scenario)
 
 
-# -- quotas --------------------------------------------------------------------------
-
-
 def test_stops_for_a_quota_leave_other_teams_their_quota() -> None:
-    """Whole arrays were stopped for one task's quota once, other teams' own share included."""
+    """Whole arrays were stopped for one task, so that their team fell below its own quota."""
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await boot_with_job(state, clock, nodes, machines=1, sacks=3)
@@ -195,7 +193,7 @@
     job_id: str, is_within: bool
 ) -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        # red's quota is 4 GPUs: the first job takes 3 of them, the second one needs 2
+        # the quota of team red is 4 GPUs: the first job uses 3 of them, the second needs 2
         node = await boot_with_job(state, clock, nodes, machines=1, sacks=3)
         add_job(state, clock, nameId="wk-000002", sacks=2)
         await node.sync()
