--- a/crossmill/jobs/api.py
+++ b/crossmill/jobs/api.py
@@ -48,7 +48,7 @@
             case [[], "POST"]:
                 return await self._submission.handle(request)
             case [[job_id], "GET"]:
-                return await self._lookup.show(job_id)
+                return await self._lookup.status_response(job_id)
             case [[job_id, wire.WITHDRAW], "POST"]:
                 return await self._cancellation.handle(job_id)
             case (([] | [_] | [_, wire.WITHDRAW]), _):
--- a/crossmill/jobs/cancellation.py
+++ b/crossmill/jobs/cancellation.py
@@ -17,7 +17,7 @@
 from ..wire.state import Put, Txn
 from ..wire.users import JobSpec
 from .context import JobRequestContext
-from .lookup import NO_SUCH_JOB, NOT_NOW
+from .lookup import NO_SUCH_JOB, UNAVAILABLE
 
 log = logging.getLogger(__name__)
 
@@ -44,18 +44,18 @@
             response = await self._try_to_cancel(job_id)
             if response is not None:
                 return response
-        return NOT_NOW
+        return UNAVAILABLE
 
     async def _try_to_cancel(self, job_id: str) -> Response | None:
         """Returns the response, or None if the job changed meanwhile: to be tried again."""
-        job = self._lookup.final(job_id)
+        job = self._lookup.ended_job(job_id)
         if job is not None:
             return Response(200, wire.status_body(job_id, job.end))
-        if not await self._lookup.is_current():
-            return NOT_NOW
-        job = self._lookup.known(job_id)
+        if not await self._lookup.wait_until_current():
+            return UNAVAILABLE
+        job = self._lookup.recorded_job(job_id)
         if job is None:
-            return await self._lookup.archived(job_id)
+            return await self._lookup.archived_status_response(job_id)
         if job.end != ACTIVE or job.spec is None:
             return None
         return await self._cancel(job, job.spec)
@@ -65,7 +65,7 @@
         version = job.version
         preconditions = await self._preconditions(job)
         if preconditions is None:
-            return NOT_NOW
+            return UNAVAILABLE
         if not await self._commit(job.id, spec, {keys.job(job.id): version, **preconditions}):
             return None
         log.info("job cancelled job=%s", job.id)
@@ -78,7 +78,7 @@
             # the job has no task anywhere, and gets none before the dependency's record changes
             return {keys.job(dependency.id): dependency.version}
         # taken before the announcement: the plan must not change while it is made
-        zones, plan_versions = self._zones(job), self._versions_of_planned_chunks(job)
+        zones, plan_versions = self._affected_zones(job), self._versions_of_planned_chunks(job)
         if len(plan_versions) > self._cluster.limits.machines_per_txn:
             zones.update(self._settings.zones)
         version = job.version
@@ -127,7 +127,7 @@
     def _deadline(self) -> float:
         return self._clock.now() + self._settings.submission_timeout_s
 
-    def _zones(self, job: Job) -> set[str]:
+    def _affected_zones(self, job: Job) -> set[str]:
         """Returns the zones where tasks of the job run, or may start before its end is durable."""
         zones = {
             zone
--- a/crossmill/jobs/dependency_check.py
+++ b/crossmill/jobs/dependency_check.py
@@ -61,7 +61,7 @@
         for dependency_id in dependency_ids:
             if dependency_id == job_id:
                 raise DependencyRefusedError("a job can't wait for itself")
-            job = self._known(dependency_id) or await self._read(dependency_id)
+            job = self._recorded_job(dependency_id) or await self._read_job(dependency_id)
             if job is not None and job.spec is not None and job.spec.is_service:
                 raise DependencyRefusedError(f"{dependency_id} is a service and is never done")
             end = job.end if job is not None else await self._archived_end(dependency_id)
@@ -71,11 +71,11 @@
                 result.unfinished[dependency_id] = job.version
         return result
 
-    def _known(self, dependency_id: str) -> Job | None:
+    def _recorded_job(self, dependency_id: str) -> Job | None:
         job = self._cluster.jobs.get(dependency_id)
         return job if job is not None and job.spec is not None else None
 
-    async def _read(self, dependency_id: str) -> Job | None:
+    async def _read_job(self, dependency_id: str) -> Job | None:
         """Reads the job's record from the state service into the mirror."""
         if dependency_id in self._archived_ends:
             return None
@@ -85,7 +85,7 @@
             raise DependencyUnknownError(dependency_id) from exc
         if record is not None:
             self._mirror.merge_read(record)
-        return self._known(dependency_id)
+        return self._recorded_job(dependency_id)
 
     async def _archived_end(self, dependency_id: str) -> str:
         end = self._archived_ends.get(dependency_id)
--- a/crossmill/jobs/failures.py
+++ b/crossmill/jobs/failures.py
@@ -50,7 +50,7 @@
         # the jobs that failed on a machine, except those that are the cause themselves
         self._by_machine: dict[str, set[str]] = {}
 
-    def of(self, job_id: str) -> JobFailures | None:
+    def for_job(self, job_id: str) -> JobFailures | None:
         """Returns the job's failures; None if none of its tasks has ended yet."""
         return self._by_job.get(job_id)
 
@@ -84,8 +84,8 @@
 
     def _backoff_s(self, entry: JobFailures) -> float:
         factor: int = 2 ** min(entry.failures, MAX_BACKOFF_DOUBLINGS)
-        wait_s = self._settings.heartbeat_interval_s * factor
-        return min(wait_s, self._settings.max_retry_backoff_s)
+        backoff_s = self._settings.heartbeat_interval_s * factor
+        return min(backoff_s, self._settings.max_retry_backoff_s)
 
     def forget_ended(self, shard: int) -> None:
         """Drops the failures of the shard's jobs that are no longer active."""
--- a/crossmill/jobs/lookup.py
+++ b/crossmill/jobs/lookup.py
@@ -14,11 +14,11 @@
 from ..wire import users as wire
 
 RETRY_AFTER_S = 1
-NOT_NOW = Response(503, wire.error_body("not now"), retry_after_s=RETRY_AFTER_S)
+UNAVAILABLE = Response(503, wire.error_body("not now"), retry_after_s=RETRY_AFTER_S)
 NO_SUCH_JOB = Response(404, wire.error_body("no such job"))
 
 
-def status_of(job: Job) -> bytes:
+def encode_status(job: Job) -> bytes:
     """Returns the body with the job's state, which all controllers derive from the same records."""
     running = job.planned_task_count()
     state = job.end or ("running" if running else "queued")
@@ -36,7 +36,7 @@
         self._watcher = watcher
         self._client = client
 
-    def is_served(self) -> bool:
+    def is_available(self) -> bool:
         """Whether the mirror is loaded and the state service answers.
 
         During an outage users are refused at once, since no response could be shown to be current.
@@ -44,42 +44,42 @@
         is_down = self._client.down_for_s() > self._settings.lease_renewal_interval_s / 2
         return self._watcher.ready.is_set() and not is_down
 
-    async def is_current(self) -> bool:
+    async def wait_until_current(self) -> bool:
         """Waits until the mirror has everything that was durable at the call; false on a timeout.
 
         After that, no response contradicts one that another controller has given before.
         """
-        return self.is_served() and await self._watcher.sync(self._settings.submission_timeout_s)
+        return self.is_available() and await self._watcher.sync(self._settings.submission_timeout_s)
 
-    def final(self, job_id: str) -> Job | None:
+    def ended_job(self, job_id: str) -> Job | None:
         """Returns the job if it has ended; such a state never changes again."""
         job = self._cluster.jobs.get(job_id)
         return job if job is not None and job.has_record and job.has_ended else None
 
-    def known(self, job_id: str) -> Job | None:
+    def recorded_job(self, job_id: str) -> Job | None:
         """Returns the job if the mirror has its record: accepted and not archived."""
         job = self._cluster.jobs.get(job_id)
         return job if job is not None and job.spec is not None else None
 
-    async def show(self, job_id: str) -> Response:
+    async def status_response(self, job_id: str) -> Response:
         """Returns the response to a poll or to a repeated submission."""
         if not wire.is_job_id(job_id):
             return NO_SUCH_JOB
-        job = self.final(job_id)
+        job = self.ended_job(job_id)
         if job is None:
-            if not await self.is_current():
-                return NOT_NOW
-            job = self.known(job_id)
+            if not await self.wait_until_current():
+                return UNAVAILABLE
+            job = self.recorded_job(job_id)
         if job is None:
-            return await self.archived(job_id)
-        return Response(200, status_of(job))
+            return await self.archived_status_response(job_id)
+        return Response(200, encode_status(job))
 
-    async def archived(self, job_id: str) -> Response:
+    async def archived_status_response(self, job_id: str) -> Response:
         """Returns the response for a job without a record, from the archive if it has the job."""
         try:
             record = await self._client.get(keys.archived(job_id))
         except (RequestRefusedError, OutcomeUnknownError):
-            return NOT_NOW
+            return UNAVAILABLE
         if record is None:
             return NO_SUCH_JOB
         return Response(200, wire.status_body(job_id, record.value["end"], record.value["done"]))
--- a/crossmill/jobs/outcome_batch.py
+++ b/crossmill/jobs/outcome_batch.py
@@ -31,11 +31,13 @@
         """Whether a task has to be placed again, or the chunk's last attempts have ended."""
         if self.job.end != ACTIVE:
             return False
-        is_last = len(self.outcomes) == len(self.chunk.attempts)
-        return is_last or any(outcome.reason != EndReason.DONE for outcome in self.outcomes)
+        ends_all_attempts = len(self.outcomes) == len(self.chunk.attempts)
+        return ends_all_attempts or any(
+            outcome.reason != EndReason.DONE for outcome in self.outcomes
+        )
 
 
-def collect(
+def collect_outcomes(
     cluster: ClusterState, outcomes: Mapping[TaskKey, AttemptOutcome], shard: int, term: int
 ) -> list[ChunkOutcomes]:
     """Returns the outcomes proved in the owner's present term by chunk, oldest first."""
@@ -52,7 +54,7 @@
     return list(batches.values())
 
 
-def select(batches: list[ChunkOutcomes], max_writes: int) -> list[ChunkOutcomes]:
+def select_batches(batches: list[ChunkOutcomes], max_writes: int) -> list[ChunkOutcomes]:
     """Returns the batches to be written now, about `max_writes` of them.
 
     All urgent ones are taken and at least one of the others, oldest first, so that none starves.
--- a/crossmill/jobs/placement.py
+++ b/crossmill/jobs/placement.py
@@ -15,7 +15,7 @@
 from .failures import JobFailures, TaskFailures
 from .machine_drain import MachineDrain
 from .machine_transfer import MachineTransfer
-from .plan_writer import PlanEdits, edit_of
+from .plan_writer import PlanEdits, get_or_create_edit
 from .team_quotas import LIMIT_TOLERANCE, ResourceUsage, TeamQuotas, UsageByTeam
 
 log = logging.getLogger(__name__)
@@ -133,7 +133,7 @@
         self, job: Job, spec: JobSpec, capacities: list[FreeCapacity], edits: PlanEdits
     ) -> None:
         usage = self._usage.setdefault(spec.team, ResourceUsage())
-        failures = self._failures.of(job.id)
+        failures = self._failures.for_job(job.id)
         tasks = self._tasks_to_place(job, spec, failures, usage)
         if tasks <= 0:
             return
@@ -202,7 +202,7 @@
         """Adds the start of the task on the machine to the edits, if the write has space for it."""
         view = self._heartbeats.find_view(machine_id)
         name = self._cluster.layout.chunk_of(index, job.chunks).name
-        edit = edit_of(edits, job, name)
+        edit = get_or_create_edit(edits, job, name)
         max_machines = self._cluster.limits.machines_per_txn
         if view is None or len({start.machine for start in edit.starts}) >= max_machines:
             return
--- a/crossmill/jobs/plan_migration.py
+++ b/crossmill/jobs/plan_migration.py
@@ -47,7 +47,7 @@
         tasks = job.spec.tasks if job.spec is not None else chunk_range.end
         return min(chunk_range.end, tasks) - chunk_range.first > layout.segment_tasks
 
-    def steps(self, shard: int, ownership: ShardOwnership) -> list[WriteIntent]:
+    def intents(self, shard: int, ownership: ShardOwnership) -> list[WriteIntent]:
         """Returns the next transaction for each chunk of the shard that has to be migrated."""
         intents: list[WriteIntent] = []
         for (_, name), job in list(self._cluster.plans.legacy_chunks.items()):
@@ -55,17 +55,19 @@
                 break
             is_obsolete = job.end != ACTIVE and not job.chunks[name].attempts
             if job.shard == shard and not is_obsolete and self.is_due(job, name):
-                intents.append(self._step(job, name, shard, ownership))
+                intents.append(self._next_intent(job, name, shard, ownership))
         return intents
 
-    def _step(self, job: Job, name: str, shard: int, ownership: ShardOwnership) -> WriteIntent:
+    def _next_intent(
+        self, job: Job, name: str, shard: int, ownership: ShardOwnership
+    ) -> WriteIntent:
         """Returns a transaction with as many changes of copies as fit.
 
         It deletes the legacy chunk too if that fits beside all changes that are left.
         """
         legacy = job.chunks[name]
         legacy_key = keys.plan(job.id, name)
-        changes = self._changes(job, self._cluster.layout.parse(name), legacy)
+        changes = self._pending_changes(job, self._cluster.layout.parse(name), legacy)
         max_ops = self._cluster.limits.txn_ops
         is_last = len(changes) < max_ops
         txn = Txn({legacy_key: legacy.version})
@@ -81,10 +83,12 @@
             log.info("plan moved into segments job=%s chunk=%s", job.id, name)
         return shard_intent(self._membership, shard, ownership, WriteRank.PLACEMENT, txn)
 
-    def _changes(self, job: Job, legacy_range: ChunkRange, legacy: PlanChunk) -> list[_CopyChange]:
+    def _pending_changes(
+        self, job: Job, legacy_range: ChunkRange, legacy: PlanChunk
+    ) -> list[_CopyChange]:
         """Returns the differences between the staged copies and what they have to be."""
         tasks = job.spec.tasks if job.spec is not None else legacy_range.end
-        copies = self._copies(legacy_range, legacy, tasks)
+        copies = self._split_into_segments(legacy_range, legacy, tasks)
         changes: list[_CopyChange] = []
         for name, copy in copies.items():
             staged = job.staged.get(name)
@@ -99,7 +103,7 @@
         )
         return changes
 
-    def _copies(
+    def _split_into_segments(
         self, legacy_range: ChunkRange, legacy: PlanChunk, tasks: int
     ) -> dict[str, PlanChunk]:
         """Returns the legacy chunk cut into segments, by name.
--- a/crossmill/jobs/plan_writer.py
+++ b/crossmill/jobs/plan_writer.py
@@ -28,7 +28,7 @@
     has changed since.
     """
 
-    __slots__ = ("base", "chunk", "job", "job_version", "machines", "outcomes", "starts")
+    __slots__ = ("base", "chunk", "job", "job_version", "machine_versions", "outcomes", "starts")
 
     def __init__(self, job: Job, chunk: str) -> None:
         self.job = job
@@ -39,19 +39,19 @@
         self.outcomes: list[AttemptOutcome] = []
         self.starts: list[PlannedAttempt] = []
         # versions of the records of the machines that the starts are on
-        self.machines: dict[str, int] = {}
+        self.machine_versions: dict[str, int] = {}
 
     def start(self, attempt: PlannedAttempt, machine: Machine) -> None:
         """Adds the start of an attempt on the machine as the mirror has it now."""
         self.starts.append(attempt)
-        self.machines[machine.id] = machine.version
+        self.machine_versions[machine.id] = machine.version
 
 
 # by job id and name of the chunk
 PlanEdits = dict[tuple[str, str], PlanEdit]
 
 
-def edit_of(edits: PlanEdits, job: Job, chunk: str) -> PlanEdit:
+def get_or_create_edit(edits: PlanEdits, job: Job, chunk: str) -> PlanEdit:
     """Returns the round's edit of the chunk, a new one if there is none yet."""
     edit = edits.get((job.id, chunk))
     if edit is None:
@@ -100,7 +100,7 @@
         rank = WriteRank.PLACEMENT if edit.starts or is_finished else WriteRank.OUTCOME
         return shard_intent(self._membership, shard, ownership, rank, txn)
 
-    def finish(self, shard: int, ownership: ShardOwnership) -> list[WriteIntent]:
+    def job_end_intents(self, shard: int, ownership: ShardOwnership) -> list[WriteIntent]:
         """Returns the writes that end jobs whose last chunks were finished at the same time.
 
         The write of neither chunk could include the job's end, since each saw the other one
@@ -120,7 +120,7 @@
     def _start_conditions(self, edit: PlanEdit) -> dict[str, int]:
         """Returns the conditions of starts: the job not cancelled, no machine retired since."""
         conditions = {keys.job(edit.job.id): edit.job_version}
-        for machine_id, version in edit.machines.items():
+        for machine_id, version in edit.machine_versions.items():
             conditions[keys.machine(machine_id)] = version
         return conditions
 
@@ -152,8 +152,8 @@
         for outcome in edit.outcomes:
             conditions = {**txn.conditions, **outcome.preconditions}
             index = outcome.attempt.index
-            is_void = outcome.term != ownership.term or new.attempts.get(index) != outcome.attempt
-            if is_void or (outcome.preconditions and len(conditions) > max_conditions):
+            is_stale = outcome.term != ownership.term or new.attempts.get(index) != outcome.attempt
+            if is_stale or (outcome.preconditions and len(conditions) > max_conditions):
                 continue
             txn.conditions = conditions
             del new.attempts[index]
--- a/crossmill/jobs/scheduling_loop.py
+++ b/crossmill/jobs/scheduling_loop.py
@@ -30,10 +30,10 @@
 from .machine_drain import MachineDrain
 from .machine_maintenance import MachineMaintenance
 from .machine_transfer import MachineTransfer
-from .outcome_batch import ChunkOutcomes, collect, select
+from .outcome_batch import ChunkOutcomes, collect_outcomes, select_batches
 from .placement import TaskPlacement
 from .plan_migration import PlanMigration
-from .plan_writer import PlanEdits, PlanWriter, edit_of
+from .plan_writer import PlanEdits, PlanWriter, get_or_create_edit
 from .preemption import Preemption
 from .team_quotas import TeamQuotas
 
@@ -167,8 +167,8 @@
             intent = self._plan_writer.intent(edit, shard, ownership)
             if intent is not None:
                 writes.append(_RoundWrite(intent, edit.starts))
-        finished = self._plan_writer.finish(shard, ownership)
-        migrations = self._migration.steps(shard, ownership)
+        finished = self._plan_writer.job_end_intents(shard, ownership)
+        migrations = self._migration.intents(shard, ownership)
         writes += [_RoundWrite(intent, []) for intent in (*finished, *migrations)]
         return writes
 
@@ -232,11 +232,11 @@
     def _add_outcomes(self, shard: int, ownership: ShardOwnership, edits: PlanEdits) -> None:
         """Moves the outcomes that this round writes into `edits`."""
         outcomes = self._heartbeats.outcomes
-        batches = collect(self._cluster, outcomes, shard, ownership.term)
+        batches = collect_outcomes(self._cluster, outcomes, shard, ownership.term)
         self._drop_void_outcomes(shard, batches)
         max_writes = self._writer.writes_within(self._settings.heartbeat_interval_s)
-        for batch in select(batches, max_writes):
-            edit = edit_of(edits, batch.job, batch.name)
+        for batch in select_batches(batches, max_writes):
+            edit = get_or_create_edit(edits, batch.job, batch.name)
             for outcome in batch.outcomes:
                 del outcomes[outcome.attempt.job, outcome.attempt.index]
                 self._learn(batch.job, outcome)
--- a/crossmill/jobs/submission.py
+++ b/crossmill/jobs/submission.py
@@ -26,13 +26,13 @@
     DependencyRefusedError,
     DependencyUnknownError,
 )
-from .lookup import NOT_NOW, status_of
+from .lookup import UNAVAILABLE, encode_status
 from .team_quotas import LIMIT_TOLERANCE
 
 log = logging.getLogger(__name__)
 
 # status codes of the protocol; UNPROCESSABLE is a job that can never run
-OK, CREATED, MALFORMED, NOT_FOUND, UNPROCESSABLE = 200, 201, 400, 404, 422
+OK, CREATED, BAD_REQUEST, NOT_FOUND, UNPROCESSABLE = 200, 201, 400, 404, 422
 # how often a submission is tried again when a precondition of its write has changed
 MAX_ATTEMPTS = 3
 # far above what users name; each may have to be read from the archive
@@ -63,44 +63,44 @@
             data = _parse_body(request)
             job_id = wire.parse_id(data)
         except MalformedMessageError as exc:
-            return Response(MALFORMED, wire.error_body(str(exc)))
-        job = self._lookup.final(job_id)
+            return Response(BAD_REQUEST, wire.error_body(str(exc)))
+        job = self._lookup.ended_job(job_id)
         if job is not None:
-            return Response(OK, status_of(job))
-        if self._lookup.known(job_id) is not None:
-            return await self._lookup.show(job_id)
+            return Response(OK, encode_status(job))
+        if self._lookup.recorded_job(job_id) is not None:
+            return await self._lookup.status_response(job_id)
         try:
             submission = wire.parse_submission(data)
         except MalformedMessageError as exc:
-            return await self._refuse(job_id, MALFORMED, str(exc))
-        return await self._decide(submission)
+            return await self._refuse(job_id, BAD_REQUEST, str(exc))
+        return await self._validate_and_accept(submission)
 
-    async def _refuse(self, job_id: str, status: int, why: str) -> Response:
+    async def _refuse(self, job_id: str, status: int, reason: str) -> Response:
         """Returns the refusal, or the job's state if a job with this id was accepted before."""
-        known = await self._lookup.show(job_id)
-        if known.status != NOT_FOUND:
-            return known
-        return Response(status, wire.error_body(why))
+        response = await self._lookup.status_response(job_id)
+        if response.status != NOT_FOUND:
+            return response
+        return Response(status, wire.error_body(reason))
 
-    async def _decide(self, submission: Submission) -> Response:
+    async def _validate_and_accept(self, submission: Submission) -> Response:
         spec, dependency_ids = submission.spec, submission.dependencies
         if not self._cluster.catalog:
-            return NOT_NOW
-        why = self._why_unschedulable(spec)
-        if why is None and len(dependency_ids) > MAX_DEPENDENCIES:
-            why = f"more than {MAX_DEPENDENCIES} jobs to wait for"
-        if why is not None:
-            return await self._refuse(spec.id, UNPROCESSABLE, why)
-        if not self._lookup.is_served():
-            return NOT_NOW
+            return UNAVAILABLE
+        reason = self._unschedulable_reason(spec)
+        if reason is None and len(dependency_ids) > MAX_DEPENDENCIES:
+            reason = f"more than {MAX_DEPENDENCIES} jobs to wait for"
+        if reason is not None:
+            return await self._refuse(spec.id, UNPROCESSABLE, reason)
+        if not self._lookup.is_available():
+            return UNAVAILABLE
         if not dependency_ids:
-            return await self._accept(spec, Dependencies()) or NOT_NOW
+            return await self._accept(spec, Dependencies()) or UNAVAILABLE
         return await self._accept_dependent(spec, dependency_ids)
 
     async def _accept_dependent(self, spec: JobSpec, dependency_ids: tuple[str, ...]) -> Response:
         if self._cluster.level is None:
             # a controller of the previous version would start the job at once
-            return NOT_NOW
+            return UNAVAILABLE
         for _ in range(MAX_ATTEMPTS):
             # read before the first dependency is resolved: archiving one meanwhile raises it
             archivings_version = self._archivings_version()
@@ -109,27 +109,27 @@
             except DependencyRefusedError as exc:
                 return await self._refuse(spec.id, UNPROCESSABLE, str(exc))
             except DependencyUnknownError:
-                return NOT_NOW
+                return UNAVAILABLE
             response = await self._accept(spec, dependencies, archivings_version)
             if response is not None:
                 return response
-        return NOT_NOW
+        return UNAVAILABLE
 
     def _archivings_version(self) -> int:
         return self._cluster.mirror.version(keys.ARCHIVINGS)
 
-    def _why_unschedulable(self, spec: JobSpec) -> str | None:
+    def _unschedulable_reason(self, spec: JobSpec) -> str | None:
         """Returns the reason why the job can never run; None if it can."""
         team = self._settings.team(spec.team)
         if team is None:
             return "unknown team"
-        kinds = [
-            kind
-            for name, kind in self._cluster.catalog.items()
+        machine_types = [
+            machine_type
+            for name, machine_type in self._cluster.catalog.items()
             if (spec.types is None or name in spec.types)
-            and (spec.zone is None or spec.zone in kind.zones)
+            and (spec.zone is None or spec.zone in machine_type.zones)
         ]
-        if not any(slots_on(spec, kind) for kind in kinds):
+        if not any(slots_on(spec, machine_type) for machine_type in machine_types):
             return "a task fits no allowed machine type"
         # the tasks of an array may run one after the other, all others run at the same time
         tasks = 1 if spec.is_array else spec.tasks
@@ -146,12 +146,12 @@
         None means that a precondition of the write has changed. The mirror has the change by then,
         so the dependencies can be resolved again.
         """
-        now, wall = self._clock.now(), self._clock.wall()
+        now, wall_time = self._clock.now(), self._clock.wall()
         key = keys.job(spec.id)
         if dependencies.is_cancelled:
-            record = encode_end(CANCELLED, spec, wall, self._cluster.limits.record_bytes)
+            record = encode_end(CANCELLED, spec, wall_time, self._cluster.limits.record_bytes)
         else:
-            record = encode_job(spec, wall, tuple(dependencies.unfinished))
+            record = encode_job(spec, wall_time, tuple(dependencies.unfinished))
         encoded = orjson.dumps(record)
         if len(encoded) > self._cluster.limits.record_bytes:
             return await self._refuse(spec.id, UNPROCESSABLE, "too long to be stored")
@@ -169,13 +169,13 @@
                 spec.tasks,
                 len(dependencies.unfinished),
             )
-            return await self._accepted(spec.id, self._is_slow(intent, now))
-        if result is None or not await self._lookup.is_current():
-            return NOT_NOW
-        known = await self._lookup.show(spec.id)
-        return None if known.status == NOT_FOUND else known
+            return await self._accepted_response(spec.id, self._is_slow_write(intent, now))
+        if result is None or not await self._lookup.wait_until_current():
+            return UNAVAILABLE
+        response = await self._lookup.status_response(spec.id)
+        return None if response.status == NOT_FOUND else response
 
-    def _is_slow(self, intent: WriteIntent, submitted_at: float) -> bool:
+    def _is_slow_write(self, intent: WriteIntent, submitted_at: float) -> bool:
         """Whether others may have answered about the job's later states before this response.
 
         They see the job as soon as it is durable; after a slow write they may have told its end.
@@ -204,10 +204,10 @@
         txn.conditions[keys.ARCHIVINGS] = archivings_version
         txn.puts.append(Put(keys.ARCHIVINGS, {"n": counter["n"] + 1}))
 
-    async def _accepted(self, job_id: str, is_slow: bool) -> Response:
-        if is_slow and not await self._lookup.is_current():
-            return NOT_NOW
-        job = self._lookup.known(job_id)
+    async def _accepted_response(self, job_id: str, is_slow: bool) -> Response:
+        if is_slow and not await self._lookup.wait_until_current():
+            return UNAVAILABLE
+        job = self._lookup.recorded_job(job_id)
         if job is None:
-            return await self._lookup.archived(job_id)
-        return Response(CREATED, status_of(job))
+            return await self._lookup.archived_status_response(job_id)
+        return Response(CREATED, encode_status(job))
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -135,15 +135,15 @@
         await submit_job(node, A)
         add_job(state, clock, nameId=C, sacks=1)
         check = node.jobs._submission._dependencies
-        read = check._read
+        read = check._read_job
 
         async def slow_read(dependency_id: str) -> Job | None:
             _finish_and_archive(state, clock, A)
             await node.sync()
-            check._read = read  # type: ignore[method-assign]
+            check._read_job = read  # type: ignore[method-assign]
             return await read(dependency_id)
 
-        check._read = slow_read  # type: ignore[method-assign]
+        check._read_job = slow_read  # type: ignore[method-assign]
         assert (await submit_job(node, B, A, C)).status == 201
         assert node.cluster.jobs[B].unmet_dependencies == {C}
         assert state.keys[keys.job(B)][0]["needs"] == [C]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -15,7 +15,7 @@
 from crossmill.cluster.model import Job, PlanChunk, PlannedAttempt
 from crossmill.cluster.records import encode_chunk
 from crossmill.fleet.capacity import FleetCapacity
-from crossmill.jobs.outcome_batch import ChunkOutcomes, select
+from crossmill.jobs.outcome_batch import ChunkOutcomes, select_batches
 from crossmill.net.request_heads import RequestHeads
 from crossmill.planning.free_capacity import FreeCapacity
 from crossmill.settings import Team
@@ -193,10 +193,10 @@
 
     many = [news(number, 9) for number in range(20)]
     last, failed = news(90, 1), news(91, 9, "error")
-    assert select(many[:3], 4) == many[:3]
-    assert select([*many, last, failed], 4) == [last, failed, *many[:2]]
+    assert select_batches(many[:3], 4) == many[:3]
+    assert select_batches([*many, last, failed], 4) == [last, failed, *many[:2]]
     # some progress even where all is urgent
-    assert select([*many, last, failed], 1) == [last, failed, many[0]]
+    assert select_batches([*many, last, failed], 1) == [last, failed, many[0]]
 
 
 def test_a_shard_release_is_written_before_queued_submissions() -> None:
