--- a/crossmill/jobs/__init__.py
+++ b/crossmill/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs: their submission, lookup, cancellation and scheduling, and the writes about them."""
+"""Submission, lookup, cancellation and scheduling of jobs, and the writes to their records."""
--- a/crossmill/jobs/api.py
+++ b/crossmill/jobs/api.py
@@ -1,7 +1,7 @@
-"""The users' HTTP interface for jobs: routes each request to its handler.
+"""The HTTP API for users' jobs: routes each request to its handler.
 
-Every controller serves it; `crossmill/app.py` passes on the requests under the path of jobs. It
-owns no state of its own.
+Every controller serves this API. `crossmill/app.py` dispatches requests under the jobs path to it.
+The API owns no state.
 """
 
 from ..cluster.cancellation_announcement import CancellationAnnouncement
@@ -24,9 +24,9 @@
 
 
 class JobApi:
-    """Routes requests about jobs."""
+    """Routes job requests to their handlers."""
 
-    def __init__(  # noqa: PLR0913 - wired by the application; grouped right here for the handlers
+    def __init__(  # noqa: PLR0913 - the application passes all collaborators; they are grouped here
         self,
         settings: Settings,
         clock: Clock,
@@ -43,7 +43,7 @@
         self._cancellation = CancellationHandler(context, announcement)
 
     async def handle(self, request: Request) -> Response:
-        """Returns the response to a request under the path of jobs."""
+        """Return the response to a request under the jobs path."""
         match request.path.strip("/").split("/")[2:], request.method:
             case [[], "POST"]:
                 return await self._submission.handle(request)
--- a/crossmill/jobs/cancellation.py
+++ b/crossmill/jobs/cancellation.py
@@ -1,8 +1,9 @@
-"""Handler of users' requests to cancel a job.
+"""Handler of requests to cancel a job.
 
-A cancellation is confirmed only once no task of the job can start any more. It writes the job's
-record; the jobs that depend on it are cancelled by that too, whatever their number
-(cluster/dependencies.py). Called by the users' interface; owns no state.
+A cancellation is confirmed only once no task of the job can start any more. The handler writes only
+the job's record. Every controller derives from it that all jobs that depend on the job are
+cancelled too, however many there are (cluster/dependencies.py). Called by the job API; owns no
+state.
 """
 
 import logging
@@ -21,12 +22,12 @@
 
 log = logging.getLogger(__name__)
 
-# how often a cancellation is tried again when a precondition of its write has changed
+# maximum attempts at a cancellation if a precondition of its write changes
 MAX_ATTEMPTS = 3
 
 
 class CancellationHandler:
-    """Answers requests to cancel a job."""
+    """Handles requests to cancel a job."""
 
     def __init__(self, context: JobRequestContext, announcement: CancellationAnnouncement) -> None:
         self._settings = context.settings
@@ -37,7 +38,7 @@
         self._announcement = announcement
 
     async def handle(self, job_id: str) -> Response:
-        """Returns the response to one request to cancel the job."""
+        """Return the response to one request to cancel the job."""
         if not wire.is_job_id(job_id):
             return NO_SUCH_JOB
         for _ in range(MAX_ATTEMPTS):
@@ -47,7 +48,7 @@
         return UNAVAILABLE
 
     async def _try_to_cancel(self, job_id: str) -> Response | None:
-        """Returns the response, or None if the job changed meanwhile: to be tried again."""
+        """Return the response, or None if the job has changed and the caller should retry."""
         job = self._lookup.ended_job(job_id)
         if job is not None:
             return Response(200, wire.status_body(job_id, job.end))
@@ -61,7 +62,7 @@
         return await self._cancel(job, job.spec)
 
     async def _cancel(self, job: Job, spec: JobSpec) -> Response | None:
-        # taken before the announcement: if the job ends during it, the write has to fail
+        # read before the announcement: if the job ends during it, the write must fail
         version = job.version
         preconditions = await self._preconditions(job)
         if preconditions is None:
@@ -72,12 +73,12 @@
         return Response(200, wire.status_body(job.id, CANCELLED))
 
     async def _preconditions(self, job: Job) -> dict[str, int] | None:
-        """Returns the key versions that the write needs; None if it can't be confirmed yet."""
+        """Return the key versions that the write requires, or None if it can't be confirmed yet."""
         dependency = next(self._cluster.jobs.graph.unfinished_dependencies(job), None)
         if dependency is not None:
-            # the job has no task anywhere, and gets none before the dependency's record changes
+            # the job has no tasks and gets none until the dependency's record changes
             return {keys.job(dependency.id): dependency.version}
-        # taken before the announcement: the plan must not change while it is made
+        # read before the announcement: the plan must not change during it
         zones, plan_versions = self._affected_zones(job), self._versions_of_planned_chunks(job)
         if len(plan_versions) > self._cluster.limits.machines_per_txn:
             zones.update(self._settings.zones)
@@ -87,14 +88,14 @@
             await self._write_note(job.id, version)
             return None
         if not zones.issuperset(self._settings.zones):
-            # the other zones did not hear the announcement: no task may have moved there meanwhile
+            # the announcement did not go to the other zones: no task may have moved there since
             preconditions |= plan_versions
         return preconditions
 
     def _versions_of_planned_chunks(self, job: Job) -> dict[str, int]:
-        """Returns the plan keys of the chunks with planned attempts, with their versions.
+        """Return the versions of the chunks with planned attempts, by plan key.
 
-        The other chunks have neither planned nor waiting tasks when no task of the job waits.
+        If no task of the job is waiting, the other chunks contain only finished tasks.
         """
         return {
             keys.plan(job.id, name): chunk.version
@@ -103,10 +104,10 @@
         }
 
     async def _write_note(self, job_id: str, version: int) -> None:
-        """Writes a cancellation note for the controllers that the announcement did not reach.
+        """Write a cancellation note for the controllers that the announcement did not reach.
 
-        They read it through the state service and confirm it in their own keys, which a later
-        attempt of the user then finds.
+        They read the note through the state service and confirm it in their own keys. A later
+        cancellation request of the user finds the confirmations.
         """
         if job_id in self._cluster.cancellation_notes:
             return
@@ -128,7 +129,7 @@
         return self._clock.now() + self._settings.submission_timeout_s
 
     def _affected_zones(self, job: Job) -> set[str]:
-        """Returns the zones where tasks of the job run, or may start before its end is durable."""
+        """Return the zones where the job's tasks run or may start before its end is durable."""
         zones = {
             zone
             for zone, task_count in self._cluster.machines.task_counts_by_zone(job).items()
--- a/crossmill/jobs/cleanup.py
+++ b/crossmill/jobs/cleanup.py
@@ -1,7 +1,8 @@
-"""Writes about jobs that have ended, made by the owner of their shard.
+"""Cleanup of the stored state of ended jobs, done by the owner of their shard.
 
-Records of cancelled dependents are written, plans without attempts deleted, cancellation notes
-deleted, and old records archived. Called by the scheduling loop in each round; owns no state.
+The cleanup writes the records of cancelled dependents, deletes plan chunks without attempts,
+deletes cancellation notes and archives old records. Called by the scheduling loop in each round;
+owns no state.
 """
 
 from collections.abc import Iterator
@@ -19,7 +20,7 @@
 
 
 class Cleanup:
-    """Makes each round's writes for the ended jobs of a shard, bounded in number."""
+    """Creates each round's writes for a shard's ended jobs, bounded in number."""
 
     def __init__(
         self, settings: Settings, clock: Clock, cluster: ClusterState, membership: Membership
@@ -30,7 +31,7 @@
         self._membership = membership
 
     def intents(self, shard: int, ownership: ShardOwnership) -> list[WriteIntent]:
-        """Returns all writes that are due for the shard's ended jobs."""
+        """Return the writes that are due for the shard's ended jobs."""
         max_txns = self._cluster.limits.txn_ops
         txns = [
             *self._record_cancellations(shard)[:max_txns],
@@ -44,7 +45,7 @@
         ]
 
     def _record_cancellations(self, shard: int) -> list[Txn]:
-        """Writes the records of jobs that were cancelled because a dependency was cancelled."""
+        """Return the writes that record jobs as cancelled because a dependency was cancelled."""
         txns: list[Txn] = []
         for job in list(self._cluster.jobs.unrecorded_cancellations[shard].values()):
             if job.spec is not None:
@@ -55,7 +56,7 @@
         return txns
 
     def _delete_plans(self, shard: int, max_txns: int) -> list[Txn]:
-        """Deletes an ended job's plan chunks that have no attempt on a machine any more."""
+        """Return the deletions of ended jobs' plan chunks that have no attempts left."""
         txns: list[Txn] = []
         for job in list(self._cluster.jobs.ended[shard].values()):
             for name, version in self._deletable_chunks(job):
@@ -66,10 +67,10 @@
         return txns
 
     def _deletable_chunks(self, job: Job) -> Iterator[tuple[str, int]]:
-        """Yields names and versions of the job's chunks without attempts.
+        """Yield names and versions of the job's chunks without attempts.
 
-        Staged copies of a legacy chunk go before the chunk itself, whose deletion would make them
-        effective.
+        The staged copies of a legacy chunk are deleted before the chunk itself, because its
+        deletion would make them effective.
         """
         layout = self._cluster.layout
         copied: set[str] = set()
@@ -83,11 +84,11 @@
                 yield name, chunk.version
 
     def _delete_notes(self, shard: int) -> list[Txn]:
-        """Deletes cancellation notes of ended jobs, and notes that are older than their TTL."""
+        """Return the deletions of cancellation notes of ended jobs and of expired notes."""
         txns: list[Txn] = []
         for job_id, note in self._cluster.cancellation_notes.items():
             job = self._cluster.jobs.get(job_id)
-            # the first shard's owner sees to the notes of jobs that are not known
+            # the owner of the first shard deletes the notes of unknown jobs
             if (job.shard if job is not None else 0) != shard:
                 continue
             if job is None or job.end != ACTIVE or self._is_expired(note):
@@ -100,10 +101,11 @@
         return age_s > self._settings.cancellation_note_ttl_s
 
     def _archive(self, shard: int) -> list[Txn]:
-        """Moves records of old jobs out of memory and the watch into the archive.
+        """Return the write that moves records of old jobs to the archive, if any is due.
 
-        Archived jobs are never deleted. Each archiving raises a counter, which is a condition of
-        the write that accepts a job with many dependencies (jobs/submission.py).
+        Archived records are neither kept in memory nor watched, and are never deleted. Each
+        archiving write increments a counter, which is a condition of the write that accepts a job
+        with many dependencies (jobs/submission.py).
         """
         archivable = self._cluster.jobs.archivable[shard]
         excess = len(archivable) - self._settings.max_ended_jobs
@@ -125,10 +127,11 @@
         return [txn] if txn.deletes else []
 
     def _is_archivable(self, job: Job) -> bool:
-        """Whether the job's record says how it ended, and no unfinished job depends on it.
+        """Return whether the job's end is recorded and no unfinished job depends on it.
 
-        Every job that names it as a dependency was accepted while it was unfinished, so before
-        its last revision: all such jobs are known only once the mirror is past that revision.
+        Every job that names this one as a dependency was accepted while this one was unfinished,
+        so before this record's last revision. All such jobs are known only once the mirror has
+        reached that revision.
         """
         return (
             job.spec is not None
--- a/crossmill/jobs/context.py
+++ b/crossmill/jobs/context.py
@@ -1,7 +1,7 @@
-"""Collaborators that several parts of this package share, grouped to keep constructors narrow.
+"""Groups of collaborators shared within this package, which keep constructors short.
 
-Both classes are immutable by convention and own no state. They are made once: the first by the
-scheduling loop, the second by the users' interface.
+Both classes are immutable by convention and own no state. Each is created once:
+`SchedulingContext` by the scheduling loop, `JobRequestContext` by the job API.
 """
 
 from ..cluster.cluster_state import ClusterState
@@ -14,7 +14,7 @@
 
 
 class SchedulingContext:
-    """What every scheduling decision reads."""
+    """The collaborators that every scheduling decision reads."""
 
     __slots__ = ("clock", "cluster", "forecast", "heartbeats", "settings")
 
@@ -34,7 +34,7 @@
 
 
 class JobRequestContext:
-    """What the handlers of users' requests about jobs read and write with."""
+    """The collaborators that the handlers of job requests use for reads and writes."""
 
     __slots__ = ("clock", "cluster", "lookup", "settings", "writer")
 
--- a/crossmill/jobs/dependency_check.py
+++ b/crossmill/jobs/dependency_check.py
@@ -1,6 +1,6 @@
 """Resolution of the jobs that a submission names as its dependencies.
 
-Called by the submission handler. Owns a bounded cache of the ends of archived jobs.
+Called by the submission handler. Owns a bounded cache of the end states of archived jobs.
 """
 
 from ..cluster import keys
@@ -9,39 +9,39 @@
 from ..state.client import OutcomeUnknownError, RequestRefusedError, StateClient
 from ..state.mirror import Mirror
 
-# archived jobs whose ends are cached; they never change
+# bounds the cache of archived jobs' end states; cached entries never change
 MAX_CACHED_ENDS = 1000
 
 
 class DependencyError(Exception):
-    """A submission's dependencies could not be resolved; base of the errors of this module."""
+    """The dependencies of a submission could not be resolved; base of this module's errors."""
 
 
 class DependencyRefusedError(DependencyError):
-    """The submission can never be accepted; the text tells the user why."""
+    """The submission can never be accepted; the message is returned to the user."""
 
 
 class DependencyUnknownError(DependencyError):
-    """It is unknown at present whether a job that is named was accepted; a retry may succeed."""
+    """It can't be determined now whether a dependency was accepted; a retry may succeed."""
 
 
 class Dependencies:
-    """The state of the jobs that a submission names."""
+    """The states of the jobs that a submission depends on."""
 
     __slots__ = ("is_cancelled", "unfinished")
 
     def __init__(self) -> None:
-        # by job id, the version at which the record was seen to be unfinished
+        # the record's version at which each unfinished dependency was read, by job ID
         self.unfinished: dict[str, int] = {}
-        # whether one of the jobs was cancelled, and with it the job that is submitted
+        # whether a dependency was cancelled, which also cancels the submitted job
         self.is_cancelled = False
 
 
 class DependencyCheck:
-    """Resolves dependencies from the mirror or, where it lacks a record, from the state service.
+    """Resolves dependencies from the mirror or, if it lacks a record, from the state service.
 
-    There the job's key is read first and the archive second, in the order in which a record
-    moves, so that none is missed.
+    In the state service the job's key is read before the archive. Archiving moves records in that
+    order, so the two reads can't miss a record.
     """
 
     def __init__(self, cluster: ClusterState, mirror: Mirror, client: StateClient) -> None:
@@ -51,11 +51,11 @@
         self._archived_ends: dict[str, str] = {}
 
     async def resolve(self, job_id: str, dependency_ids: tuple[str, ...]) -> Dependencies:
-        """Returns the state of the dependencies of the job.
+        """Return the states of the job's dependencies.
 
         Raises:
-            DependencyRefusedError: A job that is named can't be waited for.
-            DependencyUnknownError: The state service did not answer.
+            DependencyRefusedError: The job can never depend on one of them.
+            DependencyUnknownError: The state service did not respond.
         """
         result = Dependencies()
         for dependency_id in dependency_ids:
@@ -76,7 +76,7 @@
         return job if job is not None and job.spec is not None else None
 
     async def _read_job(self, dependency_id: str) -> Job | None:
-        """Reads the job's record from the state service into the mirror."""
+        """Read the job's record from the state service into the mirror."""
         if dependency_id in self._archived_ends:
             return None
         try:
--- a/crossmill/jobs/failures.py
+++ b/crossmill/jobs/failures.py
@@ -1,7 +1,7 @@
-"""Failures of tasks: decides which jobs are retried more rarely and which machines are faulty.
+"""Task failures: decides which jobs are retried with backoff and which machines are faulty.
 
-Owns the failures seen since this process began; they are not stored. The scheduling loop records
-outcomes, placement and machine maintenance ask.
+Owns the failures recorded since this process started; they are not stored. The scheduling loop
+records outcomes; placement and machine maintenance query them.
 """
 
 from ..cluster.cluster_state import ClusterState
@@ -10,18 +10,18 @@
 from ..settings import Settings
 from ..workers.attempt_outcomes import AttemptOutcome, EndReason
 
-# a job that failed on this many machines is suspected to be the cause itself
+# a job that failed on this many machines is suspected to cause its failures itself
 SUSPECT_MACHINES = 2
-# a job that failed on this many machines and never succeeded is the cause
+# a job that failed on this many machines and never succeeded causes its failures itself
 JOB_AT_FAULT_MACHINES = 3
-# a machine is faulty if this many jobs failed on it that are not the cause themselves
+# a machine is faulty if this many jobs failed on it that don't cause their failures themselves
 FAULTY_MACHINE_JOBS = 2
 # bounds the exponent of the retry backoff
 MAX_BACKOFF_DOUBLINGS = 8
 
 
 class JobFailures:
-    """The failures of one job's tasks."""
+    """Failures of the tasks of one job."""
 
     __slots__ = ("failures", "machines", "not_before", "succeeded")
 
@@ -30,36 +30,36 @@
         self.machines: set[str] = set()
         self.failures = 0
         self.succeeded = False
-        # when the next task of the job may be placed (the controller's own clock)
+        # the earliest time for placing the job's next task, in seconds on the controller's clock
         self.not_before = 0.0
 
     @property
     def is_suspect(self) -> bool:
-        """Whether the job itself may be the cause, so that only one task is tried at a time."""
+        """Whether the job itself may cause the failures, so one task is tried at a time."""
         return len(self.machines) >= SUSPECT_MACHINES and not self.succeeded
 
 
 class TaskFailures:
-    """Failures by job and by machine since this process began."""
+    """Task failures by job and by machine since this process started."""
 
     def __init__(self, settings: Settings, clock: Clock, cluster: ClusterState) -> None:
         self._settings = settings
         self._clock = clock
         self._cluster = cluster
         self._by_job: dict[str, JobFailures] = {}
-        # the jobs that failed on a machine, except those that are the cause themselves
+        # IDs of the jobs that failed on each machine, by machine ID; without jobs that are at fault
         self._by_machine: dict[str, set[str]] = {}
 
     def for_job(self, job_id: str) -> JobFailures | None:
-        """Returns the job's failures; None if none of its tasks has ended yet."""
+        """Return the job's failures, or None if none of its tasks has ended yet."""
         return self._by_job.get(job_id)
 
     def is_faulty(self, machine_id: str) -> bool:
-        """Whether so many jobs failed on the machine that the machine is the cause."""
+        """Return whether enough jobs failed on the machine to consider the machine faulty."""
         return len(self._by_machine.get(machine_id, ())) >= FAULTY_MACHINE_JOBS
 
     def record(self, job: Job, outcome: AttemptOutcome) -> None:
-        """Records that an attempt of the job has ended."""
+        """Record that an attempt of the job has ended."""
         entry = self._by_job.setdefault(job.id, JobFailures())
         machine = outcome.attempt.machine
         if outcome.reason == EndReason.DONE:
@@ -72,8 +72,8 @@
         machine = outcome.attempt.machine
         entry.failures += 1
         entry.machines.add(machine)
-        # a job that fails on several machines is the cause itself: it is retried ever more
-        # rarely, and its failures don't count against the machines
+        # a job that fails on several machines probably causes the failures itself: it is retried
+        # with exponential backoff, and its failures don't count against the machines
         if len(entry.machines) >= SUSPECT_MACHINES or outcome.reason == EndReason.UNKNOWN:
             entry.not_before = self._clock.now() + self._backoff_s(entry)
         if len(entry.machines) < JOB_AT_FAULT_MACHINES or entry.succeeded:
@@ -88,7 +88,7 @@
         return min(backoff_s, self._settings.max_retry_backoff_s)
 
     def forget_ended(self, shard: int) -> None:
-        """Drops the failures of the shard's jobs that are no longer active."""
+        """Drop the failures of the shard's jobs that are no longer active."""
         active = self._cluster.jobs.active[shard]
         self._by_job = {
             job_id: entry
--- a/crossmill/jobs/lookup.py
+++ b/crossmill/jobs/lookup.py
@@ -1,7 +1,7 @@
-"""Reads of jobs for users: from memory if the state is final, otherwise after a current read.
+"""Lookup of jobs for users: from memory if the state is final, otherwise after a current read.
 
-Owns no state. The handlers of submissions and cancellations use it too: a repeated submission and
-a cancellation of a job that has ended are answered like a poll.
+Owns no state. The handlers of submissions and cancellations also use it: the response to a repeated
+submission, or to the cancellation of an ended job, comes from the same lookup as that to a poll.
 """
 
 from ..cluster import keys
@@ -19,14 +19,14 @@
 
 
 def encode_status(job: Job) -> bytes:
-    """Returns the body with the job's state, which all controllers derive from the same records."""
+    """Return the status body of the job, which all controllers derive from the same records."""
     running = job.planned_task_count()
     state = job.end or ("running" if running else "queued")
     return wire.status_body(job.id, state, job.done_task_count(), 0 if job.end else running)
 
 
 class JobLookup:
-    """Reads jobs for the handlers of the users' interface."""
+    """Looks up jobs for the handlers of the job API."""
 
     def __init__(
         self, settings: Settings, cluster: ClusterState, watcher: StateWatcher, client: StateClient
@@ -37,32 +37,34 @@
         self._client = client
 
     def is_available(self) -> bool:
-        """Whether the mirror is loaded and the state service answers.
+        """Return whether the mirror is loaded and the state service responds.
 
-        During an outage users are refused at once, since no response could be shown to be current.
+        During an outage requests are refused immediately, since no response could be verified to
+        be current.
         """
         is_down = self._client.down_for_s() > self._settings.lease_renewal_interval_s / 2
         return self._watcher.ready.is_set() and not is_down
 
     async def wait_until_current(self) -> bool:
-        """Waits until the mirror has everything that was durable at the call; false on a timeout.
+        """Wait until the mirror includes every write that was durable at the call.
 
-        After that, no response contradicts one that another controller has given before.
+        After that, no response contradicts an earlier response of another controller. Returns
+        False on a timeout, and immediately if `is_available` is false.
         """
         return self.is_available() and await self._watcher.sync(self._settings.submission_timeout_s)
 
     def ended_job(self, job_id: str) -> Job | None:
-        """Returns the job if it has ended; such a state never changes again."""
+        """Return the job if it has ended; such a state never changes again."""
         job = self._cluster.jobs.get(job_id)
         return job if job is not None and job.has_record and job.has_ended else None
 
     def recorded_job(self, job_id: str) -> Job | None:
-        """Returns the job if the mirror has its record: accepted and not archived."""
+        """Return the job if the mirror has its record: accepted and not archived."""
         job = self._cluster.jobs.get(job_id)
         return job if job is not None and job.spec is not None else None
 
     async def status_response(self, job_id: str) -> Response:
-        """Returns the response to a poll or to a repeated submission."""
+        """Return the response to a poll or to a repeated submission."""
         if not wire.is_job_id(job_id):
             return NO_SUCH_JOB
         job = self.ended_job(job_id)
@@ -75,7 +77,7 @@
         return Response(200, encode_status(job))
 
     async def archived_status_response(self, job_id: str) -> Response:
-        """Returns the response for a job without a record, from the archive if it has the job."""
+        """Return the response for a job without a record, from the archive if it has the job."""
         try:
             record = await self._client.get(keys.archived(job_id))
         except (RequestRefusedError, OutcomeUnknownError):
--- a/crossmill/jobs/outcome_batch.py
+++ b/crossmill/jobs/outcome_batch.py
@@ -1,8 +1,8 @@
-"""Selection of the task outcomes that a round writes.
+"""Selection of the task outcomes that a scheduling round writes.
 
-Outcomes of one plan chunk are a single write, however many they are. When more chunks have outcomes
-than this controller's share of the write rate takes soon, urgent chunks go first, and the others
-gather more outcomes until a later round. Pure functions, called by the scheduling loop.
+All outcomes of one plan chunk are combined into a single write. When more chunks have outcomes than
+this controller's share of the write rate allows per round, urgent chunks are written first, and the
+others collect more outcomes until a later round. Pure functions, called by the scheduling loop.
 """
 
 from collections.abc import Mapping
@@ -14,7 +14,7 @@
 
 
 class ChunkOutcomes:
-    """The outcomes proved for the tasks of one plan chunk, which are written together."""
+    """The confirmed outcomes of one plan chunk's tasks, which are written together."""
 
     __slots__ = ("chunk", "job", "name", "outcomes")
 
@@ -40,7 +40,7 @@
 def collect_outcomes(
     cluster: ClusterState, outcomes: Mapping[TaskKey, AttemptOutcome], shard: int, term: int
 ) -> list[ChunkOutcomes]:
-    """Returns the outcomes proved in the owner's present term by chunk, oldest first."""
+    """Return the outcomes confirmed in the owner's current term by chunk, oldest first."""
     batches: dict[tuple[str, str], ChunkOutcomes] = {}
     for (job_id, index), outcome in outcomes.items():
         job = cluster.jobs.get(job_id)
@@ -55,9 +55,10 @@
 
 
 def select_batches(batches: list[ChunkOutcomes], max_writes: int) -> list[ChunkOutcomes]:
-    """Returns the batches to be written now, about `max_writes` of them.
+    """Return the batches to write now, about `max_writes` of them.
 
-    All urgent ones are taken and at least one of the others, oldest first, so that none starves.
+    All urgent batches are selected and at least one of the others, oldest first, so that no batch
+    starves.
     """
     if len(batches) <= max_writes:
         return batches
--- a/crossmill/jobs/plan_migration.py
+++ b/crossmill/jobs/plan_migration.py
@@ -1,10 +1,10 @@
-"""Migration of plans from legacy chunks into segments that fit the state service's next limits.
+"""Migration of plans from legacy chunks to segments that fit the state service's next limits.
 
 The segments are first written as staged copies, which have no effect while the legacy chunk exists.
-The chunk's deletion, in a transaction conditional on the version that was copied, makes all of them
-effective at once. Where the copies fit beside the deletion, that is one transaction. At no time
-does a planned task seem to be free, and a crash between two steps leaves the legacy chunk in
-effect. Called by the scheduling loop and the plan writer; owns no state.
+The chunk's deletion, in a transaction conditional on the copied version, makes all copies effective
+atomically. If the copies and the deletion fit into one transaction, a single one does both. At no
+time does a planned task appear to be unplanned, and after a crash between two transactions the
+legacy chunk is still in effect. Called by the scheduling loop and the plan writer; owns no state.
 """
 
 import logging
@@ -24,7 +24,7 @@
 
 
 class _CopyChange(NamedTuple):
-    """A staged copy to be written, or deleted if `copy` is None, at its key's present version."""
+    """The write of a staged copy, or its deletion if `copy` is None, at the key's version."""
 
     name: str
     copy: PlanChunk | None
@@ -32,14 +32,14 @@
 
 
 class PlanMigration:
-    """Tells which legacy chunks have to be migrated, and makes the next step of each."""
+    """Selects the legacy chunks to migrate and creates the next transaction for each."""
 
     def __init__(self, cluster: ClusterState, membership: Membership) -> None:
         self._cluster = cluster
         self._membership = membership
 
     def is_due(self, job: Job, name: str) -> bool:
-        """Whether the chunk is a legacy one that covers more tasks than a segment."""
+        """Return whether the chunk is a legacy chunk with more tasks than fit into a segment."""
         layout = self._cluster.layout
         if layout.segment_tasks is None or (job.id, name) not in self._cluster.plans.legacy_chunks:
             return False
@@ -48,7 +48,7 @@
         return min(chunk_range.end, tasks) - chunk_range.first > layout.segment_tasks
 
     def intents(self, shard: int, ownership: ShardOwnership) -> list[WriteIntent]:
-        """Returns the next transaction for each chunk of the shard that has to be migrated."""
+        """Return the next transaction for each of the shard's chunks to be migrated."""
         intents: list[WriteIntent] = []
         for (_, name), job in list(self._cluster.plans.legacy_chunks.items()):
             if len(intents) >= self._cluster.limits.txn_ops:
@@ -61,9 +61,9 @@
     def _next_intent(
         self, job: Job, name: str, shard: int, ownership: ShardOwnership
     ) -> WriteIntent:
-        """Returns a transaction with as many changes of copies as fit.
+        """Return a transaction with as many changes of staged copies as fit.
 
-        It deletes the legacy chunk too if that fits beside all changes that are left.
+        If all remaining changes and the deletion of the legacy chunk fit, it includes the deletion.
         """
         legacy = job.chunks[name]
         legacy_key = keys.plan(job.id, name)
@@ -86,7 +86,7 @@
     def _pending_changes(
         self, job: Job, legacy_range: ChunkRange, legacy: PlanChunk
     ) -> list[_CopyChange]:
-        """Returns the differences between the staged copies and what they have to be."""
+        """Return the changes that bring the staged copies up to date with the legacy chunk."""
         tasks = job.spec.tasks if job.spec is not None else legacy_range.end
         copies = self._split_into_segments(legacy_range, legacy, tasks)
         changes: list[_CopyChange] = []
@@ -106,10 +106,10 @@
     def _split_into_segments(
         self, legacy_range: ChunkRange, legacy: PlanChunk, tasks: int
     ) -> dict[str, PlanChunk]:
-        """Returns the legacy chunk cut into segments, by name.
+        """Return the segments into which the legacy chunk is split, by name.
 
-        Each segment continues with the next attempt number of the whole chunk, so that no attempt
-        number is used twice.
+        Each segment starts with the next attempt number of the whole chunk, so that no attempt
+        number is reused.
         """
         layout = self._cluster.layout
         copies: dict[str, PlanChunk] = {}
--- a/crossmill/jobs/plan_writer.py
+++ b/crossmill/jobs/plan_writer.py
@@ -1,4 +1,4 @@
-"""Plan changes as transactions, conditional on the versions of everything they were decided on.
+"""Encoding of plan changes as transactions, conditional on the versions they are based on.
 
 Called by the scheduling loop with a round's edits; owns no state.
 """
@@ -22,10 +22,10 @@
 
 
 class PlanEdit:
-    """A round's changes to one chunk of a job's plan, with the versions they were decided on.
+    """A round's changes to one chunk of a job's plan, with the versions they are based on.
 
-    It begins empty, with the chunk as the mirror has it now. The write fails if any of the versions
-    has changed since.
+    A new edit contains no changes and refers to the chunk's current version in the mirror. Its
+    write fails if any of the versions has changed since.
     """
 
     __slots__ = ("base", "chunk", "job", "job_version", "machine_versions", "outcomes", "starts")
@@ -35,24 +35,24 @@
         self.chunk = chunk
         self.base: PlanChunk | None = job.chunks.get(chunk)
         self.job_version = job.version
-        # attempts that have ended
+        # outcomes of attempts that have ended
         self.outcomes: list[AttemptOutcome] = []
         self.starts: list[PlannedAttempt] = []
-        # versions of the records of the machines that the starts are on
+        # record versions of the machines that `starts` uses, by machine ID
         self.machine_versions: dict[str, int] = {}
 
     def start(self, attempt: PlannedAttempt, machine: Machine) -> None:
-        """Adds the start of an attempt on the machine as the mirror has it now."""
+        """Add the start of an attempt on the machine at its current version in the mirror."""
         self.starts.append(attempt)
         self.machine_versions[machine.id] = machine.version
 
 
-# by job id and name of the chunk
+# edits by job ID and chunk name
 PlanEdits = dict[tuple[str, str], PlanEdit]
 
 
 def get_or_create_edit(edits: PlanEdits, job: Job, chunk: str) -> PlanEdit:
-    """Returns the round's edit of the chunk, a new one if there is none yet."""
+    """Return the round's edit of the chunk, creating it if there is none yet."""
     edit = edits.get((job.id, chunk))
     if edit is None:
         edit = edits[job.id, chunk] = PlanEdit(job, chunk)
@@ -60,7 +60,7 @@
 
 
 class PlanWriter:
-    """Turns a round's edits into write intents."""
+    """Converts a round's edits to write intents."""
 
     def __init__(
         self, clock: Clock, cluster: ClusterState, membership: Membership, migration: PlanMigration
@@ -71,13 +71,13 @@
         self._membership = membership
 
     def intent(self, edit: PlanEdit, shard: int, ownership: ShardOwnership) -> WriteIntent | None:
-        """Returns the write of an edited chunk; None if nothing is to be written."""
+        """Return the write of an edited chunk, or None if there is nothing to write."""
         job, spec = edit.job, edit.job.spec
         if not (edit.outcomes or edit.starts) or not (job.has_record or job.has_ended):
             return None
         if self._migration.is_due(job, edit.chunk):
-            # the chunk may no longer fit as it is; the outcomes are proved again by the next
-            # heartbeats, and the starts are placed again
+            # the chunk may exceed the new size limit; the next heartbeats confirm the outcomes
+            # again, and a later round places the tasks again
             return None
         old = edit.base
         chunk_range = self._cluster.layout.parse(edit.chunk)
@@ -101,10 +101,10 @@
         return shard_intent(self._membership, shard, ownership, rank, txn)
 
     def job_end_intents(self, shard: int, ownership: ShardOwnership) -> list[WriteIntent]:
-        """Returns the writes that end jobs whose last chunks were finished at the same time.
+        """Return the writes that end jobs whose last chunks were finished at the same time.
 
-        The write of neither chunk could include the job's end, since each saw the other one
-        unfinished. Tasks that are done stay done, so only the job's record is a condition.
+        Neither chunk's write could include the job's end, since each was based on the other chunk
+        being unfinished. Finished tasks stay finished, so only the job's record is a condition.
         """
         intents: list[WriteIntent] = []
         for job in self._cluster.jobs.all_tasks_done[shard].values():
@@ -118,17 +118,17 @@
         return intents
 
     def _start_conditions(self, edit: PlanEdit) -> dict[str, int]:
-        """Returns the conditions of starts: the job not cancelled, no machine retired since."""
+        """Return the conditions of starts: job not cancelled, no machine retired since."""
         conditions = {keys.job(edit.job.id): edit.job_version}
         for machine_id, version in edit.machine_versions.items():
             conditions[keys.machine(machine_id)] = version
         return conditions
 
     def _layout_conditions(self, job: Job, chunk_range: ChunkRange) -> dict[str, int]:
-        """Returns the conditions of creating a chunk.
+        """Return the conditions of creating a chunk.
 
-        Tasks are planned in a legacy chunk or in segments, never in both, however late a
-        transaction is carried out.
+        They ensure that tasks are planned in a legacy chunk or in segments, never in both, no
+        matter how late a transaction is executed.
         """
         if chunk_range.is_segment:
             legacy = self._cluster.layout.legacy_of(chunk_range.first)
@@ -143,10 +143,10 @@
         new: PlanChunk,
         txn: Txn,
     ) -> None:
-        """Removes the attempts that have ended from the new chunk.
+        """Remove the attempts that have ended from the new chunk.
 
-        An outcome of another term or of another attempt is ignored, and so is one whose
-        preconditions don't fit into the transaction: it is proved again later.
+        An outcome of another term or of another attempt is ignored. So is an outcome whose
+        preconditions exceed the transaction's limit; it is confirmed again later.
         """
         max_conditions = self._cluster.limits.conditions - OTHER_CONDITIONS
         for outcome in edit.outcomes:
@@ -161,7 +161,7 @@
                 new.done |= 1 << (index - chunk_range.first)
 
     def _is_finished(self, edit: PlanEdit, spec: JobSpec, new: PlanChunk) -> bool:
-        """Whether all tasks of the job are done with the new chunk; a service never is."""
+        """Return whether the new chunk completes the job's last tasks; a service never finishes."""
         job = edit.job
         if not job.is_active or spec.is_service:
             return False
--- a/crossmill/jobs/record_repair.py
+++ b/crossmill/jobs/record_repair.py
@@ -1,12 +1,13 @@
-"""Repair of contradictory records: a job whose dependency is gone, a plan without a job.
+"""Repair of contradictory records: a job with a missing dependency, or a plan without a job.
 
-No job is archived while another depends on it or a plan of it exists (cluster/dependencies.py,
-jobs/cleanup.py). Earlier versions did not ensure that in every case. The archive says how the
-missing job ended: the record of a waiting job is rewritten accordingly, so that all controllers
-derive the same from one durable fact, and the tasks of a plan are ended by whoever owns their
-machines' shard. Records that the archive can't explain stay as they are, and are logged.
+No job is archived while another job depends on it or while it has a plan (cluster/dependencies.py,
+jobs/cleanup.py). Earlier versions did not ensure this in every case. The archive records how the
+missing job ended. The record of a waiting job is rewritten accordingly, so that all controllers
+derive the same state from one durable record. The tasks of a plan without a job are ended by the
+owner of their machines' shard. If the archive has no entry either, the records are left unchanged
+and an error is logged.
 
-Runs as a loop of its own in every controller (crossmill/app.py); owns no state.
+Runs as a separate loop in every controller (crossmill/app.py); owns no state.
 """
 
 import logging
@@ -31,7 +32,7 @@
 
 
 class RecordRepair:
-    """Checks the waiting jobs of owned shards, and plans without a job, once per worker lease."""
+    """Checks the owned shards' waiting jobs and plans without a job, once per worker lease."""
 
     def __init__(
         self,
@@ -50,7 +51,7 @@
         self._writer = writer
 
     async def run(self) -> None:
-        """Checks periodically until cancelled."""
+        """Check periodically until cancelled."""
         while True:
             await curio.sleep(self._settings.worker_lease_s)
             try:
@@ -59,11 +60,11 @@
                 log.debug("archive not read error=%s", exc)
 
     async def step(self) -> None:
-        """Checks all shards that this controller acts for, once.
+        """Check all shards that this controller actively owns, once.
 
         Raises:
             RequestRefusedError: The state service refused a read.
-            OutcomeUnknownError: The state service did not answer.
+            OutcomeUnknownError: The state service did not respond.
         """
         for shard in range(self._settings.shard_count):
             for job, dependency in list(self._missing_dependencies(shard)):
@@ -76,7 +77,7 @@
                 await self._repair_plan_without_job(job, shard)
 
     def _missing_dependencies(self, shard: int) -> Iterator[tuple[Job, str]]:
-        """Yields waiting jobs, each with the first of its dependencies that has no record."""
+        """Yield waiting jobs, each with the first of its dependencies that has no record."""
         for job in self._cluster.jobs.active[shard].values():
             for dependency in job.unmet_dependencies:
                 if not self._has_record(dependency):
@@ -88,7 +89,7 @@
         return job is not None and job.has_record
 
     def _shard_of(self, job: Job) -> int:
-        """Returns the shard of the machines that the plan names; the first if it names none."""
+        """Return the shard of the plan's machines, or the first shard if none of them is known."""
         for attempt in job.attempts():
             machine = self._cluster.machines.get(attempt.machine)
             if machine is not None:
@@ -97,7 +98,7 @@
 
     async def _repair_plan_without_job(self, job: Job, shard: int) -> None:
         if await self._client.get(keys.job(job.id)) is not None:
-            # accepted recently: the watch will deliver the record
+            # accepted recently; the watch will deliver the record
             return
         archived = await self._client.get(keys.archived(job.id))
         if job.id not in self._cluster.jobs.without_record:
@@ -116,7 +117,7 @@
     ) -> None:
         version = job.version
         if await self._client.get(keys.job(dependency)) is not None:
-            # accepted recently: the watch will deliver the record
+            # accepted recently; the watch will deliver the record
             return
         archived = await self._client.get(keys.archived(dependency))
         if self._has_record(dependency) or job.spec is None or job.version != version:
@@ -136,7 +137,7 @@
     def _repaired_record(
         self, job: Job, spec: JobSpec, dependency: str, end: str
     ) -> dict[str, object] | None:
-        """Returns the job's record that follows from the dependency's end; None if unknown."""
+        """Return the job's record given the dependency's end, or None if that end is unknown."""
         if end == CANCELLED:
             max_bytes = self._cluster.limits.record_bytes
             return encode_end(CANCELLED, spec, self._clock.wall(), max_bytes)
--- a/crossmill/jobs/submission.py
+++ b/crossmill/jobs/submission.py
@@ -1,7 +1,7 @@
-"""Handler of users' submissions: a job is accepted once its record is durable.
+"""Handler of job submissions: a job is accepted once its record is durable.
 
-Submissions are idempotent: a repeated one is answered with the state of the job, whatever else it
-says. Called by the users' interface; owns no state.
+Submissions are idempotent: the response to a repeated submission is the job's current state, even
+if the rest of the request differs or is invalid. Called by the job API; owns no state.
 """
 
 import logging
@@ -31,23 +31,27 @@
 
 log = logging.getLogger(__name__)
 
-# status codes of the protocol; UNPROCESSABLE is a job that can never run
+# HTTP status codes; UNPROCESSABLE rejects a job that can never run
 OK, CREATED, BAD_REQUEST, NOT_FOUND, UNPROCESSABLE = 200, 201, 400, 404, 422
-# how often a submission is tried again when a precondition of its write has changed
+# maximum attempts at a submission if a precondition of its write changes
 MAX_ATTEMPTS = 3
-# far above what users name; each may have to be read from the archive
+# far above what users submit; bounds the archive reads, since each dependency may need one
 MAX_DEPENDENCIES = 256
 
 
 def _parse_body(request: Request) -> dict[str, Any]:
-    """Returns the body's fields; raises MalformedMessageError."""
+    """Return the body's fields.
+
+    Raises:
+        MalformedMessageError: The body is too large or not a JSON object.
+    """
     if request.too_large:
         raise MalformedMessageError("body over 64 KiB")
     return load_object(request.body)
 
 
 class SubmissionHandler:
-    """Answers submissions of jobs."""
+    """Handles job submissions."""
 
     def __init__(self, context: JobRequestContext, dependencies: DependencyCheck) -> None:
         self._settings = context.settings
@@ -58,7 +62,7 @@
         self._dependencies = dependencies
 
     async def handle(self, request: Request) -> Response:
-        """Returns the response to one submission."""
+        """Return the response to one submission."""
         try:
             data = _parse_body(request)
             job_id = wire.parse_id(data)
@@ -76,7 +80,7 @@
         return await self._validate_and_accept(submission)
 
     async def _refuse(self, job_id: str, status: int, reason: str) -> Response:
-        """Returns the refusal, or the job's state if a job with this id was accepted before."""
+        """Return the refusal, or the job's state if a job with this ID was accepted before."""
         response = await self._lookup.status_response(job_id)
         if response.status != NOT_FOUND:
             return response
@@ -99,10 +103,10 @@
 
     async def _accept_dependent(self, spec: JobSpec, dependency_ids: tuple[str, ...]) -> Response:
         if self._cluster.level is None:
-            # a controller of the previous version would start the job at once
+            # a controller of the previous version would start the job without waiting
             return UNAVAILABLE
         for _ in range(MAX_ATTEMPTS):
-            # read before the first dependency is resolved: archiving one meanwhile raises it
+            # read before dependencies are resolved: archiving one of them later raises the version
             archivings_version = self._archivings_version()
             try:
                 dependencies = await self._dependencies.resolve(spec.id, dependency_ids)
@@ -119,7 +123,7 @@
         return self._cluster.mirror.version(keys.ARCHIVINGS)
 
     def _unschedulable_reason(self, spec: JobSpec) -> str | None:
-        """Returns the reason why the job can never run; None if it can."""
+        """Return the reason why the job can never run, or None if it can."""
         team = self._settings.team(spec.team)
         if team is None:
             return "unknown team"
@@ -131,7 +135,7 @@
         ]
         if not any(slots_on(spec, machine_type) for machine_type in machine_types):
             return "a task fits no allowed machine type"
-        # the tasks of an array may run one after the other, all others run at the same time
+        # the tasks of an array job may run one after the other; other jobs run them in parallel
         tasks = 1 if spec.is_array else spec.tasks
         for limit, per_task in ((team.cpus_max, spec.cpus), (team.gpus_max, spec.gpus)):
             if limit > 0 and tasks * per_task > limit + LIMIT_TOLERANCE:
@@ -141,10 +145,10 @@
     async def _accept(
         self, spec: JobSpec, dependencies: Dependencies, archivings_version: int = 0
     ) -> Response | None:
-        """Writes the job's record and returns the response.
+        """Write the job's record and return the response.
 
-        None means that a precondition of the write has changed. The mirror has the change by then,
-        so the dependencies can be resolved again.
+        None means that a precondition of the write has changed. By then the mirror includes the
+        change, so the dependencies can be resolved again.
         """
         now, wall_time = self._clock.now(), self._clock.wall()
         key = keys.job(spec.id)
@@ -176,9 +180,10 @@
         return None if response.status == NOT_FOUND else response
 
     def _is_slow_write(self, intent: WriteIntent, submitted_at: float) -> bool:
-        """Whether others may have answered about the job's later states before this response.
+        """Return whether other controllers may have reported a later state of the job by now.
 
-        They see the job as soon as it is durable; after a slow write they may have told its end.
+        They see the job as soon as it is durable, so during a slow write they may already have
+        reported the job's end to users.
         """
         took_s = self._clock.now() - submitted_at
         return intent.outcome_unknown or took_s > self._settings.lease_renewal_interval_s / 4
@@ -186,12 +191,13 @@
     def _add_preconditions(
         self, dependencies: Dependencies, archivings_version: int, txn: Txn
     ) -> None:
-        """Adds the conditions that the dependencies are unfinished when the job is accepted.
+        """Add the conditions that the dependencies are still unfinished when the job is accepted.
 
-        A job may name another as unfinished only before that one's end is written: whoever archives
-        the other has seen everything up to there, and so knows of this job. Where the records
-        exceed a transaction's conditions, the counter of archivings stands for them. This write
-        raises it too, which keeps controllers that have not seen the job from archiving.
+        A job may list a dependency as unfinished only before the dependency's end is written. The
+        controller that archives the dependency has seen all writes up to that end, so it knows of
+        this job. If the records exceed the limit on a transaction's conditions, the archiving
+        counter replaces them as a condition. This write also increments the counter, which makes
+        an archiving write fail on controllers that have not seen the job yet.
         """
         records = {
             keys.job(dependency_id): version
