--- a/crossmill/jobs/cleanup.py
+++ b/crossmill/jobs/cleanup.py
@@ -130,8 +130,8 @@
         """Return whether the job's end is recorded and no unfinished job depends on it.
 
         Every job that names this one as a dependency was accepted while this one was unfinished,
-        so before this record's last revision. All such jobs are known only once the mirror has
-        reached that revision.
+        hence before the last revision of this job's record. Only a mirror that has reached that
+        revision includes all such jobs.
         """
         return (
             job.spec is not None
--- a/crossmill/jobs/plan_migration.py
+++ b/crossmill/jobs/plan_migration.py
@@ -24,7 +24,7 @@
 
 
 class _CopyChange(NamedTuple):
-    """The write of a staged copy, or its deletion if `copy` is None, at the key's version."""
+    """Write of a staged copy, or its deletion if `copy` is None, at the key's current version."""
 
     name: str
     copy: PlanChunk | None
--- a/tests/dependency_scenario.py
+++ b/tests/dependency_scenario.py
@@ -1,4 +1,4 @@
-"""Steps of the tests of job dependencies: a controller, submissions, and what a user is shown."""
+"""Steps shared by the dependency tests: starting a controller, submitting and polling jobs."""
 
 import orjson
 
@@ -17,13 +17,13 @@
 async def submit_job(
     node: SteppedController, job: str, *dependencies: str, **fields: object
 ) -> Response:
-    """Submits a job that depends on the given ones."""
+    """Submit a job that depends on the given jobs."""
     body = submission(nameId=job, awaits=list(dependencies), **{"sacks": 1, **fields})
     return await node.ask("POST", "/v1/jobs", orjson.dumps(body))
 
 
 async def shown_stage(node: SteppedController, job: str) -> str:
-    """Returns the stage that a user is shown for a job."""
+    """Return the stage that the API shows for a job."""
     response = await node.ask("GET", f"/v1/jobs/{job}")
     assert response.status == 200, response.status
     return str(load_object(response.body)["stage"])
@@ -32,7 +32,7 @@
 async def start_controller(
     state: StateService, clock: FakeClock, nodes: Nodes
 ) -> SteppedController:
-    """Starts a controller that owns a machine and accepts dependencies."""
+    """Start a controller that owns one machine and accepts dependencies."""
     seed(state, clock, machines=1)
     raise_feature_level(state)
     node = SteppedController(state, clock, nodes)
@@ -42,7 +42,7 @@
     return node
 
 
-def started_tasks(node: SteppedController, seq: int, *tasks: object) -> list[str]:
-    """Sends a heartbeat of the machine; returns the tasks that the response starts."""
+def tasks_started_by_heartbeat(node: SteppedController, seq: int, *tasks: object) -> list[str]:
+    """Send a heartbeat of the machine and return the tasks that the response starts."""
     commands = node.report("n-0", 1, seq, node.token(), *tasks).commands
-    return [c.task for c in commands if c.op == "start"]
+    return [command.task for command in commands if command.op == "start"]
--- a/tests/test_answer_consistency.py
+++ b/tests/test_answer_consistency.py
@@ -1,4 +1,4 @@
-"""Answers to users never contradict earlier ones, also under faults."""
+"""Responses to users never contradict earlier responses, even under faults."""
 
 from functools import partial
 from typing import Any
@@ -14,32 +14,32 @@
 from .simulated_region import Region, simulate
 
 
-@pytest.mark.parametrize("at_once", [True, False])
-@pytest.mark.parametrize("ends", [False, True])
+@pytest.mark.parametrize("executes_immediately", [True, False])
+@pytest.mark.parametrize("replaces_owner", [False, True])
 def test_lost_transaction_responses_during_cancellations_and_a_restart(
-    at_once: bool, ends: bool
+    executes_immediately: bool, replaces_owner: bool
 ) -> None:
     """Responses to every third transaction are lost while users cancel jobs.
 
-    The transactions are executed at once or seconds late; in one variant the owner's process is
-    replaced.
+    The transactions are executed immediately or seconds late; in half of the cases the owner's
+    process is also replaced.
     """
 
     async def scenario(region: Region) -> None:
         await region.begin(machines=3)
-        lose_responses(3, region, 2.0, at_once, 30.0)
-        traffic = await curio.spawn(submit_single_task_jobs, region, 24, 0.7)
-        if ends:
+        lose_responses(3, region, 2.0, executes_immediately, 30.0)
+        submissions = await curio.spawn(submit_single_task_jobs, region, 24, 0.7)
+        if replaces_owner:
             await curio.sleep(8.0)
             await region.restart("node-0", 0.3)
-        await traffic.join()
+        await submissions.join()
         await wait_until_all_ended(region)
 
     simulate(scenario)
 
 
-def test_no_controller_answers_older_state_right_after_a_change() -> None:
-    """No controller answers with state that is older than what any has told."""
+def test_no_controller_responds_with_older_state_right_after_a_change() -> None:
+    """No controller responds with older state than any controller has already reported."""
 
     async def scenario(region: Region) -> None:
         await region.begin(machines=3)
@@ -48,7 +48,7 @@
             job, label = f"wk-{200000 + n}", region.LABELS[n % 3]
             other = region.LABELS[(n + 1) % 3]
             async with curio.TaskGroup() as group:
-                # a slow answer, a repeat elsewhere, and a cancellation in between
+                # a slow submission, its repeat at another controller, and a cancellation in between
                 await group.spawn(region.submit, label, job, 1.0)
                 await curio.sleep(0.004 * (n % 4))
                 await group.spawn(region.submit, other, job, 1.0)
@@ -69,9 +69,10 @@
 
 
 def test_a_slow_response_to_a_submission_includes_a_later_cancellation() -> None:
-    """A response said `queued` after others had said `withdrawn`.
+    """Guards against a response `queued` after other responses have reported `withdrawn`.
 
-    The job was durable, read and cancelled elsewhere while the response was delayed.
+    While the submission's response is delayed, the job is already durable and is read and cancelled
+    at another controller.
     """
 
     async def scenario(region: Region) -> None:
@@ -87,11 +88,11 @@
 
 
 def test_invalid_jobs_are_never_accepted_and_repeats_are_not_refused() -> None:
-    """In an outage too; and the repeat of an accepted job gets neither 400 nor 422."""
+    """A repeat of an accepted job gets neither 400 nor 422; both also hold during an outage."""
 
     async def scenario(region: Region) -> None:
         await region.begin(machines=1)
-        odd: list[dict[str, Any]] = [
+        invalid_fields: list[dict[str, Any]] = [
             {"cpus": 500.0},
             {"crew": "nobody"},
             {"frames": ["no-such"]},
@@ -104,7 +105,7 @@
         await region.submit("node-1", "wk-000001", run_s=2.0)
         for down in (False, True):
             region.state.down = down
-            for n, fields in enumerate(odd):
+            for n, fields in enumerate(invalid_fields):
                 status = await region.submit("node-2", f"wk-70000{n}", **fields)
                 assert status in ((503,) if down else (400, 422)), fields
                 assert await region.submit("node-2", "wk-000001", run_s=2.0, **fields) in (
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -1,4 +1,4 @@
-"""Job dependencies: start, quota, archiving, and what a restart derives."""
+"""Job dependencies: start, quota, archiving, repair, and derivation after a restart."""
 
 import orjson
 import pytest
@@ -16,8 +16,8 @@
     D,
     shown_stage,
     start_controller,
-    started_tasks,
     submit_job,
+    tasks_started_by_heartbeat,
 )
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
@@ -26,24 +26,25 @@
 
 
 def test_a_dependent_starts_only_after_the_durable_end_of_its_dependency() -> None:
-    # guards against `too_early`: a job is planned only once its dependency has durably ended
+    # guards against the violation `too_early`: a dependent starts before the end of its dependency
+    # is durable
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_controller(state, clock, nodes)
         assert (await submit_job(node, A)).status == 201
         assert (await submit_job(node, B, A)).status == 201
         await node.round()
-        assert started_tasks(node, 3) == [f"{A}/0"]
+        assert tasks_started_by_heartbeat(node, 3) == [f"{A}/0"]
         assert await shown_stage(node, B) == "queued"
-        # the worker reports that it is done, but nothing of that is durable yet
+        # the worker reports the task as done, but the outcome is not durable yet
         done = reported_task(A, 0, 1, "exited", "done")
-        assert started_tasks(node, 4, done) == []
+        assert tasks_started_by_heartbeat(node, 4, done) == []
         await node.round()
         clock.time += 5
         await node.renew_and_sync()
         assert node.cluster.jobs[B].ready_at == pytest.approx(clock.wall() - 5)
-        assert started_tasks(node, 5) == []
+        assert tasks_started_by_heartbeat(node, 5) == []
         await node.round()
-        assert started_tasks(node, 6) == [f"{B}/0"]
+        assert tasks_started_by_heartbeat(node, 6) == [f"{B}/0"]
 
     run_scenario(scenario)
 
@@ -56,17 +57,17 @@
         await submit_job(node, C, sacks=3, cards=1.0)
         job = node.cluster.jobs[C]
         node.scheduling_loop._quotas.start_round(0)
-        # red has a quota of four GPUs: one and three fit, the four of the blocked job do not count
+        # team red has a quota of four GPUs: one and three fit, the blocked job's four do not count
         assert node.scheduling_loop._quotas.is_within_quota(job)
         assert [j.id for j in node.forecast.waiting_jobs(0)] == [A, C]
 
     run_scenario(scenario)
 
 
-@pytest.mark.parametrize("order", ["needed first", "needed last"])
-def test_a_restart_derives_the_same_in_whatever_order_records_are_read(order: str) -> None:
-    # keys are read in the order of their names, which is not that of dependencies
-    before, after = (A, B) if order == "needed first" else (B, A)
+@pytest.mark.parametrize("order", ["dependency first", "dependency last"])
+def test_a_restart_derives_the_same_state_whatever_the_order_of_records(order: str) -> None:
+    # keys are read in the order of their names, which differs from the order of dependencies
+    before, after = (A, B) if order == "dependency first" else (B, A)
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock)
@@ -85,9 +86,9 @@
     run_scenario(scenario)
 
 
-def test_a_blocked_job_is_cancelled_without_telling_peers_unless_it_may_start_meanwhile() -> None:
-    # the cancellation is conditional on the job that it waits for: once that has ended, a task may
-    # be about to start, and the peers have to be told first
+def test_a_blocked_job_is_cancelled_without_notifying_peers_unless_it_may_start() -> None:
+    # the cancellation is conditional on the unfinished dependency: once it has ended, a task may be
+    # about to start, and the peers must be notified first
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_controller(state, clock, nodes)
         await submit_job(node, A)
@@ -105,21 +106,21 @@
 
 
 def _finish_and_archive(state: StateService, clock: FakeClock, job_id: str) -> None:
-    """Stores what another owner writes when a job finishes and is archived at once."""
+    """Store what another owner writes when a job finishes and is archived immediately."""
     store_finished_job(state, clock, job_id)
     state.put(keys.archived(job_id), {"end": "done", "done": 1})
     state.put(keys.ARCHIVINGS, {"n": 1})
     state.delete(keys.job(job_id))
 
 
-def test_archiving_and_accepting_do_not_race() -> None:
-    # guards against a job that waits for ever for one whose record was deleted
+def test_archiving_a_dependency_does_not_race_with_accepting_a_dependent() -> None:
+    # guards against a job that waits forever for a dependency whose record was deleted
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_controller(state, clock, nodes)
         await submit_job(node, A)
-        # another owner ends and archives it, unnoticed here, during the submission
+        # another owner ends and archives A; this controller's mirror does not include that yet
         _finish_and_archive(state, clock, A)
-        # checked again within the request: accepted on the archived end, and not blocked
+        # the request resolves A again, from the archive, so B is accepted and not blocked
         assert (await submit_job(node, B, A)).status == 201
         assert not node.cluster.jobs[B].is_blocked
         assert not node.cluster.jobs[B].dependencies
@@ -129,21 +130,21 @@
 
 
 def test_a_dependency_archived_while_another_is_read_is_noticed() -> None:
-    # guards against a condition on a count of archivings that is newer than the records read
+    # guards against a condition on an archiving counter that is newer than the records read
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_controller(state, clock, nodes)
         await submit_job(node, A)
         add_job(state, clock, nameId=C, sacks=1)
-        check = node.jobs._submission._dependencies
-        read = check._read_job
+        dependency_check = node.jobs._submission._dependencies
+        read = dependency_check._read_job
 
-        async def slow_read(dependency_id: str) -> Job | None:
+        async def archive_first_then_read(dependency_id: str) -> Job | None:
             _finish_and_archive(state, clock, A)
             await node.sync()
-            check._read_job = read  # type: ignore[method-assign]
+            dependency_check._read_job = read  # type: ignore[method-assign]
             return await read(dependency_id)
 
-        check._read_job = slow_read  # type: ignore[method-assign]
+        dependency_check._read_job = archive_first_then_read  # type: ignore[method-assign]
         assert (await submit_job(node, B, A, C)).status == 201
         assert node.cluster.jobs[B].unmet_dependencies == {C}
         assert state.keys[keys.job(B)][0]["needs"] == [C]
@@ -170,33 +171,33 @@
     run_scenario(scenario)
 
 
-@pytest.mark.parametrize("others", [0, 30])
-def test_a_job_accepted_on_an_old_view_of_its_dependency_is_not_left_without_it(
-    others: int,
+@pytest.mark.parametrize("other_count", [0, 30])
+def test_a_job_accepted_from_a_stale_mirror_does_not_lose_its_dependency(
+    other_count: int,
 ) -> None:
-    # also with more dependencies than a transaction has conditions.
-    # guards against a job that waits for ever: it was accepted by a controller that did not know
-    # that its dependency had ended, and the one that archived the dependency did not know of it
+    # guards against a job that waits forever: a controller that did not know of the dependency's
+    # end accepted the job, and the controller that archived the dependency did not know of the
+    # job. The second case has more dependencies than a transaction allows conditions
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         owner = await start_controller(state, clock, nodes)
         await submit_job(owner, A)
-        more = [add_job(state, clock, nameId=f"wk-{5000 + n:06d}") for n in range(others)]
+        other_ids = [add_job(state, clock, nameId=f"wk-{5000 + n:06d}") for n in range(other_count)]
         other = SteppedController(state, clock, nodes, "node-1")
         await other.boot()
-        # A ends; the other controller's watch lags behind
+        # A ends; the other controller's watch lags
         store_finished_job(state, clock, A)
         store_finished_jobs_beyond(state, clock, owner.settings.max_ended_jobs)
         await owner.renew_and_sync()
         assert owner.cluster.jobs[A].end == DONE
         assert other.cluster.jobs[A].end == ACTIVE
-        assert (await submit_job(other, B, A, *more)).status == 201
-        # the owner has not seen B when it archives what it can
+        assert (await submit_job(other, B, A, *other_ids)).status == 201
+        # the owner has not seen B when it archives jobs
         assert B not in owner.cluster.jobs
         for _ in range(3):
             await owner.round()
-        late = SteppedController(state, clock, nodes, "node-2")
-        await late.boot()
-        assert late.cluster.jobs[B].unmet_dependencies == set(more)
+        new_controller = SteppedController(state, clock, nodes, "node-2")
+        await new_controller.boot()
+        assert new_controller.cluster.jobs[B].unmet_dependencies == set(other_ids)
 
     run_scenario(scenario)
 
@@ -204,10 +205,10 @@
 @pytest.mark.parametrize(
     ("end", "stage"), [(DONE, "queued"), (CANCELLED, "withdrawn"), ("", "queued")]
 )
-def test_a_job_left_without_its_dependency_by_an_earlier_version_is_repaired(
+def test_a_job_whose_dependency_was_lost_by_an_earlier_version_is_repaired(
     end: str, stage: str
 ) -> None:
-    # guards against a job that waits for ever; without an archived end nothing is concluded
+    # guards against a job that waits forever; if the archive has no entry, the job stays blocked
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_controller(state, clock, nodes)
         record = encode_job(make_spec(nameId=B, sacks=1), clock.wall(), (A,))
@@ -229,9 +230,9 @@
         for controller in (node, other):
             assert controller.cluster.jobs[B].is_blocked is (end != DONE)
             assert controller.cluster.jobs[B].waiting_task_count() == (end == DONE)
-        late = SteppedController(state, clock, nodes, "node-2")
-        await late.boot()
-        assert await shown_stage(late, B) == stage
-        assert late.cluster.jobs[B].is_blocked is (end == "")
+        new_controller = SteppedController(state, clock, nodes, "node-2")
+        await new_controller.boot()
+        assert await shown_stage(new_controller, B) == stage
+        assert new_controller.cluster.jobs[B].is_blocked is (end == "")
 
     run_scenario(scenario)
--- a/tests/test_dependency_cancellation.py
+++ b/tests/test_dependency_cancellation.py
@@ -1,4 +1,4 @@
-"""Cancellation of a job cancels all jobs that depend on it."""
+"""Cancelling a job cancels all jobs that depend on it."""
 
 from crossmill.cluster import keys
 from crossmill.cluster.dependencies import DependencyGraph
@@ -13,15 +13,14 @@
 from .stored_records import store_finished_job
 
 
-def test_more_dependents_than_a_transaction_allows_are_cancelled_at_once_and_recorded_later() -> (
-    None
-):
-    # guards against `orphaned`: one write cancels all jobs that depend on this one
+def test_more_dependents_than_a_transaction_allows_are_cancelled_by_a_single_write() -> None:
+    # guards against the violation `orphaned`: a dependent not cancelled with its dependency. The
+    # single write cancels all dependents; their own records are written later
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_controller(state, clock, nodes)
         other = SteppedController(state, clock, nodes, "node-1")
         await other.boot()
-        # only controllers of the job's zone have to be told, and this is the only one
+        # only controllers in the job's zone must be notified, and this is the only one there
         await submit_job(node, A, yard="north")
         dependents = [f"wk-{n:06d}" for n in range(100, 200)]
         for name in dependents:
@@ -31,11 +30,11 @@
         response = await node.ask("POST", f"/v1/jobs/{A}/withdraw")
         assert response.status == 200
         assert b"withdrawn" in response.body
-        # before any further write, and also on a controller that only reads
+        # even before any further write, and on a controller that does not write
         for name in (*dependents, D):
             assert await shown_stage(other, name) == "withdrawn"
         assert state.keys[keys.job(dependents[0])][0]["end"] == ACTIVE
-        # in an outage an end that is known to be final is still reported
+        # during an outage a final state is still reported
         state.down = True
         assert await shown_stage(other, D) == "withdrawn"
         state.down = False
@@ -50,7 +49,7 @@
     run_scenario(scenario)
 
 
-def test_a_chain_of_thousands_is_cancelled_without_recursion() -> None:
+def test_a_chain_of_thousands_of_jobs_is_cancelled_without_recursion() -> None:
     jobs: dict[str, Job] = {}
     graph = DependencyGraph(jobs)
     for number in range(5000):
@@ -76,7 +75,7 @@
     run_scenario(scenario)
 
 
-def test_cancelling_a_job_that_is_done_leaves_its_dependents() -> None:
+def test_cancelling_a_finished_job_does_not_cancel_its_dependents() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_controller(state, clock, nodes)
         store_finished_job(state, clock, A)
--- a/tests/test_dependency_failovers.py
+++ b/tests/test_dependency_failovers.py
@@ -1,4 +1,4 @@
-"""Pipelines of jobs in a simulated region whose controllers restart and cancel."""
+"""Job pipelines in a simulated region while controllers restart or cancel jobs."""
 
 import curio
 import pytest
@@ -14,16 +14,16 @@
     assert await region.submit(label, D, run_s=2.0, sacks=1, awaits=[B, C], crew="green") == 201
 
 
-async def _begin_with_workers(region: Region) -> None:
+async def _start_with_workers(region: Region) -> None:
     await region.begin(machines=0)
     for shard in range(3):
         await region.add_worker(f"n-{shard}", shard=shard)
     await region.wait_until(lambda: all(n.cluster.level is not None for n in region.nodes.values()))
 
 
-def test_a_diamond_over_three_teams_runs_in_order_through_a_restart_of_all_controllers() -> None:
+def test_a_diamond_across_three_teams_runs_in_order_through_a_restart_of_all_controllers() -> None:
     async def scenario(region: Region) -> None:
-        await _begin_with_workers(region)
+        await _start_with_workers(region)
         await _submit_diamond(region)
         await region.wait_until(lambda: bool(region.workers_running(A)))
         for label in Region.LABELS:
@@ -37,12 +37,13 @@
 
 
 @pytest.mark.parametrize("outage_s", [0.0, 45.0])
-def test_all_controllers_end_between_a_cancellation_and_its_last_dependent(
+def test_all_controllers_restart_before_cancelled_dependents_are_recorded(
     outage_s: float,
 ) -> None:
-    # the state service may also be down right after the confirmation, for longer than `cancel_s`
+    # in the second case the state service also fails right after the confirmation, for longer than
+    # `cancel_s`
     async def scenario(region: Region) -> None:
-        await _begin_with_workers(region)
+        await _start_with_workers(region)
         await _submit_diamond(region)
         assert await region.cancel_until_confirmed("node-1", A, 20)
         region.state.down = outage_s > 0
@@ -64,7 +65,7 @@
 
 def test_a_dependent_submitted_at_one_node_while_its_dependency_is_cancelled_at_another() -> None:
     async def scenario(region: Region) -> None:
-        await _begin_with_workers(region)
+        await _start_with_workers(region)
         assert await region.submit("node-0", A, run_s=30.0, sacks=1) == 201
         async with curio.TaskGroup() as group:
             await group.spawn(region.cancel_until_confirmed, "node-1", A, 20.0)
--- a/tests/test_dependency_submission.py
+++ b/tests/test_dependency_submission.py
@@ -1,4 +1,4 @@
-"""Which dependencies of a submitted job are accepted."""
+"""Validation of the dependencies in a submission."""
 
 import orjson
 import pytest
@@ -39,17 +39,17 @@
         with_dependencies(b"[]", [C])
 
 
-@pytest.mark.parametrize("location", ["at hand", "in the state service only", "archived"])
+@pytest.mark.parametrize("location", ["in the mirror", "in the state service only", "archived"])
 def test_a_dependency_is_found_wherever_its_record_is(location: str) -> None:
-    # guards against 422 for a job that another controller has accepted a moment ago, and
-    # against one that was archived
+    # guards against a 422 for a dependency that another controller has just accepted, and for one
+    # that was archived
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_controller(state, clock, nodes)
         if location == "archived":
             state.put(keys.archived(A), {"end": "done", "done": 1})
         else:
             add_job(state, clock, nameId=A, sacks=1)
-        if location == "at hand":
+        if location == "in the mirror":
             await node.sync()
         assert (await submit_job(node, B, A)).status == 201
         assert node.cluster.jobs[B].is_blocked is (location != "archived")
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize(("key", "fault"), [(keys.job(A), "refuse"), (keys.archived(A), "drop")])
-def test_no_dependency_is_refused_for_good_while_the_state_service_cannot_be_read(
+def test_no_dependency_is_refused_permanently_while_the_state_service_cannot_be_read(
     key: str, fault: str
 ) -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize("dependency", [A, D, "nonsense"])
-def test_a_repeated_submission_is_answered_whatever_it_depends_on(dependency: str) -> None:
+def test_a_repeated_submission_gets_the_jobs_state_whatever_it_depends_on(dependency: str) -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_controller(state, clock, nodes)
         add_job(state, clock, nameId=D, sacks=1)
--- a/tests/test_job_api.py
+++ b/tests/test_job_api.py
@@ -1,4 +1,4 @@
-"""Answers to users who submit jobs and ask for them."""
+"""Responses to users who submit and look up jobs."""
 
 from typing import Any
 
@@ -13,28 +13,28 @@
 from .stepped_controller import Nodes, SteppedController, add_job, run_scenario, seed
 
 
-def test_a_state_that_is_not_final_is_read_before_it_is_answered() -> None:
+def test_a_state_that_is_not_final_is_read_again_before_each_response() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock)
         job = add_job(state, clock)
         node = SteppedController(state, clock, nodes)
         await node.boot()
-        # cancelled at another controller; this mirror lags
+        # another controller cancels the job, and this controller's mirror lags
         state.put(keys.job(job), {**state.keys[keys.job(job)][0], "end": "cancelled"})
-        answer = await node.ask("GET", f"/v1/jobs/{job}")
-        assert orjson.loads(answer.body)["stage"] == "withdrawn"
+        response = await node.ask("GET", f"/v1/jobs/{job}")
+        assert orjson.loads(response.body)["stage"] == "withdrawn"
         state.put(keys.job("wk-000002"), state.keys[keys.job(job)][0])
         assert (await node.ask("GET", "/v1/jobs/wk-000002")).status == 200
         assert (await node.ask("GET", "/v1/jobs/wk-000009")).status == 404
         state.down = True
         assert (await node.ask("GET", "/v1/jobs/wk-000009")).status == 503
-        # what is final needs no proof
+        # a final state is reported without a read
         assert (await node.ask("GET", f"/v1/jobs/{job}")).status == 200
 
     run_scenario(scenario)
 
 
-def test_a_submission_before_the_catalog_is_read_is_refused_for_now() -> None:
+def test_a_submission_before_the_catalog_is_read_gets_a_503() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = SteppedController(state, clock, nodes)
         await node.boot()
@@ -49,17 +49,17 @@
     run_scenario(scenario)
 
 
-def test_an_invalid_repeat_of_a_submission_is_accepted_at_another_controller() -> None:
+def test_an_invalid_repeat_of_an_accepted_submission_gets_a_200_from_another_controller() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock)
         node = SteppedController(state, clock, nodes)
         await node.boot()
         assert (await node.ask("POST", "/v1/jobs", orjson.dumps(submission()))).status == 201
-        # another node that has not seen it, and a repeat that is broken by now
+        # an invalid repeat, at another controller that has not accepted the job itself
         other = SteppedController(state, clock, nodes, "node-1")
         await other.boot()
-        broken = orjson.dumps({"nameId": "wk-000001", "cpus": -1})
-        assert (await other.ask("POST", "/v1/jobs", broken)).status == 200
+        invalid_repeat = orjson.dumps({"nameId": "wk-000001", "cpus": -1})
+        assert (await other.ask("POST", "/v1/jobs", invalid_repeat)).status == 200
 
     run_scenario(scenario)
 
@@ -85,7 +85,7 @@
     run_scenario(scenario)
 
 
-def test_a_submission_in_an_outage_is_refused_for_now() -> None:
+def test_a_submission_during_an_outage_gets_a_503() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock)
         node = SteppedController(state, clock, nodes)
