--- a/crossmill/jobs/cancellation.py
+++ b/crossmill/jobs/cancellation.py
@@ -88,7 +88,7 @@
             await self._write_note(job.id, version)
             return None
         if not zones.issuperset(self._settings.zones):
-            # the announcement did not go to the other zones: no task may have moved there since
+            # the other zones are not notified, so the write must fail if a task has moved there
             preconditions |= plan_versions
         return preconditions
 
--- a/crossmill/jobs/cleanup.py
+++ b/crossmill/jobs/cleanup.py
@@ -19,7 +19,7 @@
 from ..wire.state import Put, Txn
 
 
-class Cleanup:
+class EndedJobCleanup:
     """Creates each round's writes for a shard's ended jobs, bounded in number."""
 
     def __init__(
--- a/crossmill/jobs/failures.py
+++ b/crossmill/jobs/failures.py
@@ -10,11 +10,11 @@
 from ..settings import Settings
 from ..workers.attempt_outcomes import AttemptOutcome, EndReason
 
-# a job that failed on this many machines is suspected to cause its failures itself
+# a job that failed on this many machines is suspected to be the cause of its failures
 SUSPECT_MACHINES = 2
-# a job that failed on this many machines and never succeeded causes its failures itself
+# a job that failed on this many machines and never succeeded is considered the cause
 JOB_AT_FAULT_MACHINES = 3
-# a machine is faulty if this many jobs failed on it that don't cause their failures themselves
+# a machine is faulty if this many jobs failed on it that are not the cause themselves
 FAULTY_MACHINE_JOBS = 2
 # bounds the exponent of the retry backoff
 MAX_BACKOFF_DOUBLINGS = 8
@@ -26,7 +26,7 @@
     __slots__ = ("failures", "machines", "not_before", "succeeded")
 
     def __init__(self) -> None:
-        # machines on which tasks of the job failed
+        # IDs of the machines on which tasks of the job failed
         self.machines: set[str] = set()
         self.failures = 0
         self.succeeded = False
@@ -35,7 +35,7 @@
 
     @property
     def is_suspect(self) -> bool:
-        """Whether the job itself may cause the failures, so one task is tried at a time."""
+        """Whether the job itself may be the cause, so that one task is tried at a time."""
         return len(self.machines) >= SUSPECT_MACHINES and not self.succeeded
 
 
@@ -47,7 +47,7 @@
         self._clock = clock
         self._cluster = cluster
         self._by_job: dict[str, JobFailures] = {}
-        # IDs of the jobs that failed on each machine, by machine ID; without jobs that are at fault
+        # IDs of the jobs that failed on each machine, by machine ID; excludes jobs at fault
         self._by_machine: dict[str, set[str]] = {}
 
     def for_job(self, job_id: str) -> JobFailures | None:
@@ -72,8 +72,8 @@
         machine = outcome.attempt.machine
         entry.failures += 1
         entry.machines.add(machine)
-        # a job that fails on several machines probably causes the failures itself: it is retried
-        # with exponential backoff, and its failures don't count against the machines
+        # a job that fails on several machines is probably the cause itself: it is retried with
+        # exponential backoff, and its failures don't count against the machines
         if len(entry.machines) >= SUSPECT_MACHINES or outcome.reason == EndReason.UNKNOWN:
             entry.not_before = self._clock.now() + self._backoff_s(entry)
         if len(entry.machines) < JOB_AT_FAULT_MACHINES or entry.succeeded:
--- a/crossmill/jobs/lookup.py
+++ b/crossmill/jobs/lookup.py
@@ -54,7 +54,7 @@
         return self.is_available() and await self._watcher.sync(self._settings.submission_timeout_s)
 
     def ended_job(self, job_id: str) -> Job | None:
-        """Return the job if it has ended; such a state never changes again."""
+        """Return the job if it has ended; the state of an ended job never changes."""
         job = self._cluster.jobs.get(job_id)
         return job if job is not None and job.has_record and job.has_ended else None
 
--- a/crossmill/jobs/scheduling_loop.py
+++ b/crossmill/jobs/scheduling_loop.py
@@ -24,7 +24,7 @@
 from ..workers.command_sender import CommandSender
 from ..workers.heartbeat_handler import HeartbeatHandler
 from .capacity_selection import CapacitySelection
-from .cleanup import Cleanup
+from .cleanup import EndedJobCleanup
 from .context import SchedulingContext
 from .failures import TaskFailures
 from .machine_drain import MachineDrain
@@ -80,7 +80,7 @@
         self._machine_transfer = MachineTransfer(context, membership)
         self._migration = PlanMigration(cluster, membership)
         self._plan_writer = PlanWriter(clock, cluster, membership, self._migration)
-        self._cleanup = Cleanup(settings, clock, cluster, membership)
+        self._cleanup = EndedJobCleanup(settings, clock, cluster, membership)
         # by shard, the writes for ended jobs that are under way
         self._cleanup_writes: dict[int, list[WriteIntent]] = {}
         machine_drain = MachineDrain(context)
--- a/crossmill/jobs/submission.py
+++ b/crossmill/jobs/submission.py
@@ -135,7 +135,7 @@
         ]
         if not any(slots_on(spec, machine_type) for machine_type in machine_types):
             return "a task fits no allowed machine type"
-        # the tasks of an array job may run one after the other; other jobs run them in parallel
+        # tasks of an array job may run one after the other; those of other jobs run in parallel
         tasks = 1 if spec.is_array else spec.tasks
         for limit, per_task in ((team.cpus_max, spec.cpus), (team.gpus_max, spec.gpus)):
             if limit > 0 and tasks * per_task > limit + LIMIT_TOLERANCE:
--- a/tests/test_answer_consistency.py
+++ b/tests/test_answer_consistency.py
@@ -63,7 +63,7 @@
             for label in region.LABELS:
                 await region.submit(label, job, 1.0)
                 await region.cancel(label, job)
-        assert all(f.done or f.cancelled for f in region.checker.jobs.values())
+        assert all(facts.done or facts.cancelled for facts in region.checker.jobs.values())
 
     simulate(scenario)
 
