--- a/crossmill/cluster/lease_extensions.py
+++ b/crossmill/cluster/lease_extensions.py
@@ -16,7 +16,7 @@
 
 import curio
 
-from ..net.client import Client, ConnectionFailedError, Http, NoResponseError
+from ..net.client import Client, ConnectionFailedError, HttpClient, NoResponseError
 from ..net.clock import Clock
 from ..net.server import Request, Response
 from ..settings import Peer, Settings
@@ -47,7 +47,7 @@
         clock: Clock,
         shards: OwnedShards,
         service: ServiceContact,
-        connect: Callable[[Peer], Http] = lambda peer: Client(peer.endpoint, max_sockets=2),
+        connect: Callable[[Peer], HttpClient] = lambda peer: Client(peer.endpoint, max_sockets=2),
     ) -> None:
         self._settings = settings
         self._clock = clock
--- a/crossmill/cluster/partition_protocol.py
+++ b/crossmill/cluster/partition_protocol.py
@@ -9,7 +9,7 @@
 
 import curio
 
-from ..net.client import Client, Http
+from ..net.client import Client, HttpClient
 from ..net.clock import Clock
 from ..net.server import Request, Response
 from ..settings import Peer, Settings
@@ -30,7 +30,7 @@
         settings: Settings,
         clock: Clock,
         state: StateAccess,
-        connect: Callable[[Peer], Http] = lambda peer: Client(peer.endpoint, max_sockets=2),
+        connect: Callable[[Peer], HttpClient] = lambda peer: Client(peer.endpoint, max_sockets=2),
     ) -> None:
         self._settings = settings
         self._controller_lease = state.controller_lease
--- a/crossmill/cluster/peer_links.py
+++ b/crossmill/cluster/peer_links.py
@@ -7,7 +7,7 @@
 import logging
 from collections.abc import Callable, Iterable
 
-from ..net.client import Client, ConnectionFailedError, Http, NoResponseError
+from ..net.client import Client, ConnectionFailedError, HttpClient, NoResponseError
 from ..net.clock import Clock
 from ..settings import Peer, Settings
 
@@ -23,7 +23,7 @@
         self,
         settings: Settings,
         clock: Clock,
-        connect: Callable[[Peer], Http] = lambda peer: Client(peer.endpoint, max_sockets=2),
+        connect: Callable[[Peer], HttpClient] = lambda peer: Client(peer.endpoint, max_sockets=2),
     ) -> None:
         self._settings = settings
         self._clock = clock
--- a/crossmill/fleet/cloud.py
+++ b/crossmill/fleet/cloud.py
@@ -9,9 +9,9 @@
 import curio
 import orjson
 
-from ..net.client import Client, ConnectionFailedError, Http, NoResponseError
+from ..net.client import Client, ConnectionFailedError, HttpClient, NoResponseError
 from ..net.clock import Clock
-from ..net.pacer import Pacer
+from ..net.token_bucket import TokenBucket
 from ..planning.demand import MachineSourceKey
 from ..settings import Settings
 from ..wire import cloud as wire
@@ -73,10 +73,10 @@
         settings: Settings,
         clock: Clock,
         unique: Callable[[], str],
-        http: Http | None = None,
+        http: HttpClient | None = None,
     ) -> None:
         self._http = http or Client(settings.cloud, max_sockets=MAX_SOCKETS)
-        self._pacer = Pacer(clock, settings.cloud_request_rate, settings.cloud_request_rate)
+        self._pacer = TokenBucket(clock, settings.cloud_request_rate, settings.cloud_request_rate)
         self._timeout_s = max(MIN_TIMEOUT_S, TIMEOUT_REQUESTS / settings.cloud_rps)
         self._request_names = (f"{settings.label}-{unique()}-{n}" for n in count(1))
 
@@ -143,8 +143,8 @@
         `may_send` is asked right before: the wait may have been long, and the process may have been
         suspended meanwhile.
         """
-        while not self._pacer.take():
-            await curio.sleep(self._pacer.wait_s())
+        while not self._pacer.try_take():
+            await curio.sleep(self._pacer.delay_s())
         if not may_send():
             raise NotLeaderError(f"{method} {path}: not sent")
         try:
--- a/crossmill/fleet/forecast.py
+++ b/crossmill/fleet/forecast.py
@@ -72,7 +72,7 @@
 
     def plan(self, shard: int) -> CapacityPlan:
         """Plan which machines a shard needs, and which of its machines it can spare."""
-        wall = self._clock.wall()
+        wall = self._clock.wall_time()
         self._arrivals.record(wall)
         demands = self._waiting_demands(shard, wall) + self._arrivals.expected_replicas(shard)
         capacity_plan = plan_capacity(
--- a/crossmill/fleet/pipelines.py
+++ b/crossmill/fleet/pipelines.py
@@ -97,7 +97,7 @@
     def _is_late(self, job: Job, plan: _PipelinePlan) -> bool:
         """Return whether the stage is past its budget and the plan is old enough to be replaced."""
         end = plan.stages[job.id].budget_end
-        now = self._clock.wall()
+        now = self._clock.wall_time()
         return (
             end is not None
             and now > end
@@ -133,7 +133,7 @@
         If a stage is late, the plan is made as of the current replanning interval's begin.
         """
         ready_at = max(job.ready_at for job in members.values())
-        wall = self._clock.wall()
+        wall = self._clock.wall_time()
         interval_start = wall - wall % self._settings.replan_interval_s
         stages = {name: self._stage(job) for name, job in members.items()}
         planned = plan_pipeline(stages, ready_at)
--- a/crossmill/fleet/provisioner.py
+++ b/crossmill/fleet/provisioner.py
@@ -119,7 +119,7 @@
             CloudError: The request failed twice.
         """
         source = request.source.key
-        asked_at = self._clock.wall()
+        asked_at = self._clock.wall_time()
         try:
             rented = await self._rent_with_retry(source, request.number)
         except NoCapacityError:
@@ -190,7 +190,9 @@
         for listed in machines:
             log.info("machine adopted machine=%s shard=%d", listed.id, shard)
             source = MachineSourceKey(listed.type, listed.zone, listed.spot)
-            await self._records.add([listed.id], source, shard, self._clock.wall() - listed.age_s)
+            await self._records.add(
+                [listed.id], source, shard, self._clock.wall_time() - listed.age_s
+            )
             if listed.state == FAILED:
                 await self._retire(listed.id, FAILED)
 
--- a/crossmill/jobs/cancellation.py
+++ b/crossmill/jobs/cancellation.py
@@ -111,13 +111,13 @@
         if job_id in self._cluster.cancellation_notes:
             return
         note = keys.cancellation_note(job_id)
-        put = Put(note, {"at": self._clock.wall()})
+        put = Put(note, {"at": self._clock.wall_time()})
         txn = Txn({keys.job(job_id): version, note: 0}, [put])
         await self._writer.submit(WriteIntent(txn, WriteRank.URGENT, until=self._deadline()))
 
     async def _commit(self, job_id: str, spec: JobSpec, conditions: dict[str, int]) -> bool:
         max_bytes = self._cluster.limits.record_bytes
-        record = encode_end(CANCELLED, spec, self._clock.wall(), max_bytes)
+        record = encode_end(CANCELLED, spec, self._clock.wall_time(), max_bytes)
         txn = Txn(conditions, [Put(keys.job(job_id), record)])
         intent = WriteIntent(txn, WriteRank.URGENT, until=self._deadline())
         await self._writer.submit(intent)
--- a/crossmill/jobs/cleanup.py
+++ b/crossmill/jobs/cleanup.py
@@ -50,7 +50,7 @@
             if job.spec is not None:
                 key = keys.job(job.id)
                 max_bytes = self._cluster.limits.record_bytes
-                value = encode_end(CANCELLED, job.spec, self._clock.wall(), max_bytes)
+                value = encode_end(CANCELLED, job.spec, self._clock.wall_time(), max_bytes)
                 txns.append(Txn({key: job.version}, [Put(key, value)]))
         return txns
 
@@ -96,7 +96,7 @@
         return txns
 
     def _is_expired(self, note: CancellationNote) -> bool:
-        age_s = self._clock.wall() - note.written_at
+        age_s = self._clock.wall_time() - note.written_at
         return age_s > self._settings.cancellation_note_ttl_s
 
     def _archive(self, shard: int) -> list[Txn]:
--- a/crossmill/jobs/failures.py
+++ b/crossmill/jobs/failures.py
@@ -65,7 +65,7 @@
         if outcome.reason == EndReason.DONE:
             entry.succeeded = True
             self._by_machine.pop(machine, None)
-        elif outcome.reason in (EndReason.ERROR, EndReason.UNKNOWN):
+        elif outcome.reason in (EndReason.ERROR, EndReason.TASK_UNKNOWN):
             self._record_failure(job, entry, outcome)
 
     def _record_failure(self, job: Job, entry: JobFailures, outcome: AttemptOutcome) -> None:
@@ -74,7 +74,7 @@
         entry.machines.add(machine)
         # a job that fails on several machines is the cause itself: it is retried ever more
         # rarely, and its failures don't count against the machines
-        if len(entry.machines) >= SUSPECT_MACHINES or outcome.reason == EndReason.UNKNOWN:
+        if len(entry.machines) >= SUSPECT_MACHINES or outcome.reason == EndReason.TASK_UNKNOWN:
             entry.not_before = self._clock.now() + self._backoff_s(entry)
         if len(entry.machines) < JOB_AT_FAULT_MACHINES or entry.succeeded:
             self._by_machine.setdefault(machine, set()).add(job.id)
--- a/crossmill/jobs/machine_maintenance.py
+++ b/crossmill/jobs/machine_maintenance.py
@@ -100,7 +100,7 @@
 
     def _may_retire(self, machine: Machine, reason: RetireReason) -> bool:
         gate = self._heartbeats.gate
-        return gate is None or gate.may_give_up(machine, reason)
+        return gate is None or gate.may_retire(machine, reason)
 
     def _intent(
         self, shard: int, ownership: ShardOwnership, machine: Machine, value: dict[str, Any]
@@ -121,7 +121,7 @@
             # boot times are learned only for types that the catalog has
             boot_s = None
             if machine.type in self._cluster.catalog:
-                boot_s = round(self._clock.wall() - machine.rented, 1)
+                boot_s = round(self._clock.wall_time() - machine.rented, 1)
             log.info(
                 "machine up machine=%s type=%s spot=%s boot_s=%s",
                 machine.id,
@@ -204,7 +204,7 @@
             # an earlier owner has heard it. Without this check, a controller that took a shard
             # over while its zone was partitioned took half a fleet for never come up
             return RetireReason.SILENT
-        has_failed = self._forecast.capacity.has_boot_failed(machine, kind, self._clock.wall())
+        has_failed = self._forecast.capacity.has_boot_failed(machine, kind, self._clock.wall_time())
         return RetireReason.NEVER_UP if has_failed else None
 
     def _reason_when_empty(
--- a/crossmill/jobs/machine_transfer.py
+++ b/crossmill/jobs/machine_transfer.py
@@ -98,7 +98,7 @@
         if now - self._checked_at.get(shard, 0.0) < self._settings.machine_transfer_interval_s:
             return
         self._checked_at[shard] = now
-        wall = self._clock.wall()
+        wall = self._clock.wall_time()
         for other in range(self._settings.shard_count):
             if other == shard or other not in self._cluster.shard_owners:
                 continue
--- a/crossmill/jobs/plan_writer.py
+++ b/crossmill/jobs/plan_writer.py
@@ -172,4 +172,4 @@
 
     def _encode_done(self, spec: JobSpec) -> dict[str, Any]:
         max_bytes = self._cluster.limits.record_bytes
-        return encode_end(DONE, spec, self._clock.wall(), max_bytes)
+        return encode_end(DONE, spec, self._clock.wall_time(), max_bytes)
--- a/crossmill/jobs/record_repair.py
+++ b/crossmill/jobs/record_repair.py
@@ -139,7 +139,7 @@
         """Returns the job's record that follows from the dependency's end; None if unknown."""
         if end == CANCELLED:
             max_bytes = self._cluster.limits.record_bytes
-            return encode_end(CANCELLED, spec, self._clock.wall(), max_bytes)
+            return encode_end(CANCELLED, spec, self._clock.wall_time(), max_bytes)
         if end == DONE:
             dependencies = tuple(name for name in job.dependencies if name != dependency)
             return encode_job(spec, job.submitted, dependencies)
--- a/crossmill/jobs/scheduling_loop.py
+++ b/crossmill/jobs/scheduling_loop.py
@@ -205,7 +205,7 @@
 
         Returns whether there was anything to write.
         """
-        if not all(intent.future.settled for intent in self._cleanup_writes.get(shard, ())):
+        if not all(intent.future.is_settled for intent in self._cleanup_writes.get(shard, ())):
             return False
         intents = self._cleanup_writes[shard] = self._cleanup.intents(shard, ownership)
         for intent in intents:
--- a/crossmill/jobs/submission.py
+++ b/crossmill/jobs/submission.py
@@ -41,7 +41,7 @@
 
 def _parse_body(request: Request) -> dict[str, Any]:
     """Returns the body's fields; raises MalformedMessageError."""
-    if request.too_large:
+    if request.is_too_large:
         raise MalformedMessageError("body over 64 KiB")
     return load_object(request.body)
 
@@ -146,7 +146,7 @@
         None means that a precondition of the write has changed. The mirror has the change by then,
         so the dependencies can be resolved again.
         """
-        now, wall = self._clock.now(), self._clock.wall()
+        now, wall = self._clock.now(), self._clock.wall_time()
         key = keys.job(spec.id)
         if dependencies.is_cancelled:
             record = encode_end(CANCELLED, spec, wall, self._cluster.limits.record_bytes)
--- a/crossmill/multihost/api.py
+++ b/crossmill/multihost/api.py
@@ -145,7 +145,7 @@
         return Response(200, orjson.dumps(describe_set(self._pool, stored)))
 
     async def _list_replicas(self) -> Response:
-        wall = self._clock.wall()
+        wall = self._clock.wall_time()
         replicas = [describe_replica(r, wall) for _, r in sorted(self._pool.replicas.items())]
         return Response(200, orjson.dumps({"replicas": replicas}))
 
@@ -153,7 +153,7 @@
         replica = self._pool.replicas.get(replica_id)
         if replica is None:
             return NO_SUCH_REPLICA
-        return Response(200, orjson.dumps(describe_replica(replica, self._clock.wall())))
+        return Response(200, orjson.dumps(describe_replica(replica, self._clock.wall_time())))
 
     async def _list_machines(self) -> Response:
         machines = [describe_machine(self._pool, m) for _, m in sorted(self._pool.machines.items())]
@@ -234,7 +234,7 @@
         phase = PHASE_AFTER_RESTART.get(replica.phase)
         if phase is None:
             return Response(409, error_body(f"a replica that is {replica.phase} is not restarted"))
-        wall = self._clock.wall()
+        wall = self._clock.wall_time()
         after = after_transition(replica, phase, wall, RESTARTED)
         if phase is ReplicaPhase.PENDING:
             # the operator's restart of a failed replica renews its budget
--- a/crossmill/multihost/coordinator.py
+++ b/crossmill/multihost/coordinator.py
@@ -128,7 +128,7 @@
         """Take everything that has changed or is due its next step."""
         if self._term != ownership.term:
             self._begin_term(ownership)
-        time = DecisionTime(self._clock.now(), self._clock.wall(), ownership.acquired_at)
+        time = DecisionTime(self._clock.now(), self._clock.wall_time(), ownership.acquired_at)
         await self._registration.admit(ownership)
         self._machines.note_changes(time)
         await self._reconcile_changes(ownership, time, self._pool.take_changes())
--- a/crossmill/multihost/registration.py
+++ b/crossmill/multihost/registration.py
@@ -76,7 +76,7 @@
         txn.puts.append(Put(pooled, encode_machine(machine)))
         known = self._cluster.machines.get(machine_id)
         if known is None or not is_reserved_type(known.type):
-            rented = self._clock.wall() if known is None else known.rented
+            rented = self._clock.wall_time() if known is None else known.rented
             record = reservation_record(
                 offer.type, offer.zone, offer.spot, self._ownership.shard, rented
             )
--- a/crossmill/net/client.py
+++ b/crossmill/net/client.py
@@ -30,7 +30,7 @@
     """No answer came: the request may have been executed, or may still be."""
 
 
-class Http(Protocol):
+class HttpClient(Protocol):
     """The interface of a client; tests replace it by simulated services."""
 
     async def request(
--- a/crossmill/net/clock.py
+++ b/crossmill/net/clock.py
@@ -10,6 +10,6 @@
         """Returns the steady time, counted from an arbitrary moment."""
         return time.monotonic()
 
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         """Returns the time of day, counted from the Unix epoch."""
         return time.time()
--- a/crossmill/net/future.py
+++ b/crossmill/net/future.py
@@ -19,13 +19,13 @@
         self.value: Any = None
 
     @property
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         """Whether the reply was given."""
         return bool(self._event.is_set())
 
     async def settle(self, value: Any) -> None:
         """Gives the reply; any later one is ignored."""
-        if not self.settled:
+        if not self.is_settled:
             self.value = value
             await self._event.set()
 
--- a/crossmill/net/request_heads.py
+++ b/crossmill/net/request_heads.py
@@ -39,7 +39,7 @@
         return data[len(data) - self.body_bytes :]
 
 
-def head_of(request: h11.Request) -> RequestHead | None:
+def parsed_head(request: h11.Request) -> RequestHead | None:
     """Returns the head of a request, if it tells the length of the body.
 
     None if it does not, or if the sender waits for leave to send the body.
@@ -50,15 +50,15 @@
             return None
         if name == b"content-length":
             body_bytes = int(value)
-    return RequestHead(request.method.decode("latin-1"), path_of(request), body_bytes)
+    return RequestHead(request.method.decode("latin-1"), request_path(request), body_bytes)
 
 
-def path_of(request: h11.Request) -> str:
+def request_path(request: h11.Request) -> str:
     """Returns a request's path, without the query."""
     return request.target.decode("latin-1").partition("?")[0]
 
 
-class RequestHeads:
+class RequestHeadCache:
     """A table of parsed heads by their bytes; the oldest one is dropped when it is full."""
 
     def __init__(self, max_heads: int) -> None:
@@ -68,7 +68,7 @@
     def __len__(self) -> int:
         return len(self._heads)
 
-    def match(self, data: bytes) -> RequestHead | None:
+    def find(self, data: bytes) -> RequestHead | None:
         """Returns the head, if the data is exactly one request whose head is known."""
         end = data.find(END_OF_HEAD) + len(END_OF_HEAD)
         head = self._heads.get(data[:end])
@@ -76,14 +76,14 @@
             return None
         return head
 
-    def remember(self, data: bytes, request: h11.Request) -> None:
+    def add(self, data: bytes, request: h11.Request) -> None:
         """Adds the head of a request that h11 has read from exactly this data.
 
         The connection must go on after the request. Heads are left out that are too long, that
         don't tell the length of the body, or that ask for no body in the answer.
         """
         end = data.find(END_OF_HEAD) + len(END_OF_HEAD)
-        head = head_of(request)
+        head = parsed_head(request)
         if head is None or head.method == "HEAD":
             return
         if not len(END_OF_HEAD) <= end <= MAX_HEAD_BYTES:
--- a/crossmill/net/server.py
+++ b/crossmill/net/server.py
@@ -14,14 +14,14 @@
 
 from ..settings import Endpoint
 from . import HttpStatus
-from .request_heads import RequestHeads, encoded_response_head, path_of, response_head
+from .request_heads import RequestHeadCache, encoded_response_head, request_path, response_head
 
 log = logging.getLogger(__name__)
 
-MAX_BODY = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024
 RECEIVE_BYTES = 64 * 1024
 # how many times within its time limit a connection's idleness is checked
-IDLE_CHECKS = 4
+IDLE_CHECKS_PER_TIMEOUT = 4
 ACCEPT_RETRY_S = 0.05
 END_OF_MESSAGE = h11.EndOfMessage()
 
@@ -33,13 +33,13 @@
         method: The method.
         path: The path, without the query.
         body: The body; empty if it is too large.
-        too_large: Whether the body is longer than `MAX_BODY`.
+        is_too_large: Whether the body is longer than `MAX_BODY_BYTES`.
     """
 
     method: str
     path: str
     body: bytes
-    too_large: bool = False
+    is_too_large: bool = False
 
 
 class Response(NamedTuple):
@@ -65,16 +65,16 @@
     Attributes:
         sock: The socket.
         h11: The state of the protocol on it.
-        reading_since: The idle check after which the server began to wait for the request that
-            it now reads; None while it answers one.
+        reading_since_check: The number of the idle check after which the server began to wait for
+            the request that it is reading; None while it is handling a request.
     """
 
-    __slots__ = ("h11", "reading_since", "sock")
+    __slots__ = ("h11", "reading_since_check", "sock")
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
         self.h11 = h11.Connection(h11.SERVER)
-        self.reading_since: int | None = None
+        self.reading_since_check: int | None = None
 
 
 class _ReceivedRequest(NamedTuple):
@@ -112,7 +112,7 @@
         self._idle_timeout_s = idle_timeout_s
         self._idle_check_count = 0
         self._connections: dict[_Connection, curio.Task] = {}
-        self._heads = RequestHeads(max_cached_heads)
+        self._heads = RequestHeadCache(max_cached_heads)
         self._open_sockets = 0
 
     @property
@@ -149,11 +149,11 @@
         A client that sends a byte now and then must not keep its socket.
         """
         while True:
-            await curio.sleep(self._idle_timeout_s / IDLE_CHECKS)
+            await curio.sleep(self._idle_timeout_s / IDLE_CHECKS_PER_TIMEOUT)
             self._idle_check_count += 1
-            latest = self._idle_check_count - IDLE_CHECKS
+            latest = self._idle_check_count - IDLE_CHECKS_PER_TIMEOUT
             for connection, task in list(self._connections.items()):
-                since = connection.reading_since
+                since = connection.reading_since_check
                 if since is not None and since < latest:
                     await task.cancel(blocking=False)
 
@@ -183,14 +183,14 @@
         before and after them.
         """
         client = connection.sock
-        connection.reading_since = self._idle_check_count
+        connection.reading_since_check = self._idle_check_count
         # the next request may have come with the last one; h11 has it then
         has_data = bool(connection.h11.trailing_data[0])
         data = None if has_data else await client.recv(RECEIVE_BYTES)
-        head = self._heads.match(data) if data is not None else None
+        head = self._heads.find(data) if data is not None else None
         if data is None or head is None:
             return await self._serve_by_h11(connection, data)
-        connection.reading_since = None
+        connection.reading_since_check = None
         response = await self._handle(Request(head.method, head.path, head.body_in(data)))
         sent = encoded_response_head(response.status, len(response.body), response.retry_after_s)
         await client.sendall(sent + response.body)
@@ -202,14 +202,14 @@
         if data is not None:
             protocol.receive_data(data)
         received = await self._read(connection)
-        connection.reading_since = None
+        connection.reading_since_check = None
         if received is None:
             return False
-        is_too_large = len(received.body) > MAX_BODY
+        is_too_large = len(received.body) > MAX_BODY_BYTES
         response = await self._handle(
             Request(
                 received.head.method.decode("latin-1"),
-                path_of(received.head),
+                request_path(received.head),
                 b"" if is_too_large else received.body,
                 is_too_large,
             )
@@ -219,7 +219,7 @@
             return False
         protocol.start_next_cycle()
         if data is not None and not received.has_received_more:
-            self._heads.remember(data, received.head)
+            self._heads.add(data, received.head)
         return True
 
     async def _send(self, connection: _Connection, response: Response, is_closing: bool) -> None:
@@ -259,7 +259,7 @@
                     await self._send_continue(connection)
             elif isinstance(event, h11.Data):
                 body += event.data
-                if len(body) > MAX_BODY and head is not None:
+                if len(body) > MAX_BODY_BYTES and head is not None:
                     return _ReceivedRequest(head, body, has_received_more)
             elif isinstance(event, h11.EndOfMessage) and head is not None:
                 return _ReceivedRequest(head, body, has_received_more)
--- a/crossmill/net/pacer.py
+++ b/crossmill/net/token_bucket.py
@@ -3,7 +3,7 @@
 from .clock import Clock
 
 
-class Pacer:
+class TokenBucket:
     """A bucket that is refilled at a rate, up to a burst.
 
     An amount above the burst is allowed once the bucket is full, and leaves a debt.
@@ -37,7 +37,7 @@
         self._refill()
         return self._tokens
 
-    def take(self, amount: float = 1.0) -> bool:
+    def try_take(self, amount: float = 1.0) -> bool:
         """Takes the amount if it is available; returns whether it was."""
         self._refill()
         if self._tokens < min(amount, self._burst):
@@ -45,12 +45,12 @@
         self._tokens -= amount
         return True
 
-    def spend(self, amount: float) -> None:
+    def force_take(self, amount: float) -> None:
         """Takes the amount whether it is available or not; the rest becomes a debt."""
         self._refill()
         self._tokens -= amount
 
-    def wait_s(self, amount: float = 1.0, overdraft: float = 0.0) -> float:
+    def delay_s(self, amount: float = 1.0, overdraft: float = 0.0) -> float:
         """Returns in how many seconds the amount may be taken, with a debt of up to `overdraft`."""
         self._refill()
         missing = min(amount, self._burst) - overdraft - self._tokens
--- a/crossmill/recovery/api.py
+++ b/crossmill/recovery/api.py
@@ -85,7 +85,7 @@
 
     async def _store_approval(self, approval: Approval, report: BreakerReport) -> Response:
         """Stores an approval of exactly what the operator was shown."""
-        valid_until = self._clock.wall() + self._recovery.approval_s
+        valid_until = self._clock.wall_time() + self._recovery.approval_s
         stored = StoredApproval(report.token, report.digest, valid_until)
         breaker_key, shard_key = keys.breaker(approval.shard), cluster_keys.shard(approval.shard)
         version = self._cluster.mirror.version
--- a/crossmill/recovery/pacing.py
+++ b/crossmill/recovery/pacing.py
@@ -3,7 +3,7 @@
 from collections.abc import Container, Sequence
 
 from ..net.clock import Clock
-from ..net.pacer import Pacer
+from ..net.token_bucket import TokenBucket
 from .settings import RecoverySettings
 
 
@@ -13,25 +13,27 @@
     def __init__(self, clock: Clock, settings: RecoverySettings) -> None:
         self._clock = clock
         self._settings = settings
-        self._shard = Pacer(clock, settings.shard_orders_per_s, settings.shard_burst)
+        self._shard = TokenBucket(clock, settings.shard_orders_per_s, settings.shard_burst)
         # a new owner starts without a burst: see `RecoverySettings.shard_orders_per_s`
         self._shard.drain()
-        self._workers: dict[str, Pacer] = {}
+        self._workers: dict[str, TokenBucket] = {}
 
     def take_for_shard(self) -> bool:
         """Takes a token of the shard's limit; False if there is none."""
-        return self._shard.take()
+        return self._shard.try_take()
 
     def take_for_worker(self, machine_id: str) -> bool:
         """Takes a token of the shard's limit and of the worker's; False if either has none."""
         worker = self._worker(machine_id)
-        return worker.available() >= 1 and self._shard.take() and worker.take()
+        return worker.available() >= 1 and self._shard.try_take() and worker.try_take()
 
-    def _worker(self, machine_id: str) -> Pacer:
+    def _worker(self, machine_id: str) -> TokenBucket:
         pacer = self._workers.get(machine_id)
         if pacer is None:
             settings = self._settings
-            pacer = Pacer(self._clock, settings.worker_orders_per_s, settings.orders_per_worker)
+            pacer = TokenBucket(
+                self._clock, settings.worker_orders_per_s, settings.orders_per_worker
+            )
             self._workers[machine_id] = pacer
         return pacer
 
--- a/crossmill/recovery/service.py
+++ b/crossmill/recovery/service.py
@@ -57,7 +57,7 @@
 
     # -- the gate --------------------------------------------------------------------
 
-    def screen(
+    def filter_commands(
         self, machine: Machine, view: WorkerView, ownership: ShardOwnership, commands: list[Command]
     ) -> list[Command]:
         """Returns the commands that may answer a heartbeat now, the most urgent ones first."""
@@ -85,7 +85,7 @@
             return False
         return any(r.is_running_unplanned((job, index)) for r in self._shards.values())
 
-    def may_give_up(self, machine: Machine, why: str) -> bool:  # noqa: ARG002 (the gate's interface)
+    def may_retire(self, machine: Machine, reason: str) -> bool:  # noqa: ARG002 (the gate's interface)
         """Whether the machine may be marked for return to the cloud."""
         recovery = self._shards.get(machine.shard)
         if recovery is None or recovery.admit_release(machine):
@@ -154,7 +154,10 @@
         approval = self.notes.approval(recovery.shard)
         if approval is None or approval.token != recovery.term:
             return False
-        return approval.digest == recovery.breaker.digest() and self._clock.wall() < approval.until
+        return (
+            approval.digest == recovery.breaker.digest()
+            and self._clock.wall_time() < approval.until
+        )
 
     async def _store_breaker(self, recovery: ShardRecovery, ownership: ShardOwnership) -> None:
         """Stores what the breaker holds back, so that operators can ask any controller."""
@@ -195,7 +198,7 @@
     async def _write_record(self, recovery: ShardRecovery, ownership: ShardOwnership) -> None:
         """Writes the record of a finished recovery and deletes surplus ones."""
         shard, dry_run = recovery.shard, self._recovery.dry_run
-        record = encode_record(recovery, self._settings.label, self._clock.wall(), dry_run)
+        record = encode_record(recovery, self._settings.label, self._clock.wall_time(), dry_run)
         log.info(
             "recovery finished shard=%d token=%d after_s=%.2f machines=%d tasks=%d orders=%d "
             "dry_run=%s let_through=%d",
--- a/crossmill/state/client.py
+++ b/crossmill/state/client.py
@@ -9,7 +9,7 @@
 import orjson
 
 from ..net import HttpStatus
-from ..net.client import Client, ConnectionFailedError, Http, NoResponseError
+from ..net.client import Client, ConnectionFailedError, HttpClient, NoResponseError
 from ..net.clock import Clock
 from ..settings import Settings
 from ..wire import state as wire
@@ -94,7 +94,7 @@
     OutcomeUnknownError if it may have been.
     """
 
-    def __init__(self, settings: Settings, clock: Clock, http: Http | None = None) -> None:
+    def __init__(self, settings: Settings, clock: Clock, http: HttpClient | None = None) -> None:
         self._http = http or Client(settings.state, max_sockets=CALL_SOCKETS)
         self._watch_http = http or Client(settings.state, max_sockets=WATCH_SOCKETS)
         self._clock = clock
--- a/crossmill/state/writer.py
+++ b/crossmill/state/writer.py
@@ -13,7 +13,7 @@
 import orjson
 
 from ..net.clock import Clock
-from ..net.pacer import Pacer
+from ..net.token_bucket import TokenBucket
 from ..settings import Settings, StateLimits
 from ..wire.state import KeyValue
 from .client import (
@@ -75,7 +75,7 @@
         self._reduced_limits: StateLimits | None = None
         self._lowest_limits = settings.lowest_state_limits
         share = settings.state_write_rate
-        self._pacer = Pacer(clock, share, max(share, 1.0))
+        self._pacer = TokenBucket(clock, share, max(share, 1.0))
         # users' requests and leases need not wait for a share of the rate that others don't use
         self._urgent_overdraft = settings.urgent_write_burst
         self._retry_s = settings.lease_renewal_interval_s / RETRIES_PER_RENEWAL
@@ -169,10 +169,10 @@
     def _rate_wait_s(self, batch: WriteBatch, intent: WriteIntent) -> float:
         """Returns how long the rate delays the batch if the intent is added to it."""
         overdraft = self._urgent_overdraft if intent.rank <= WriteRank.URGENT else 0.0
-        return self._pacer.wait_s(batch.operation_count + intent.operation_count, overdraft)
+        return self._pacer.delay_s(batch.operation_count + intent.operation_count, overdraft)
 
     def _take_out(self, batch: WriteBatch) -> None:
-        self._pacer.spend(batch.operation_count)
+        self._pacer.force_take(batch.operation_count)
         for intent in batch.intents:
             self._queue.remove(intent)
 
--- a/crossmill/workers/attempt_outcomes.py
+++ b/crossmill/workers/attempt_outcomes.py
@@ -27,7 +27,7 @@
 NO_PRECONDITIONS: Mapping[str, int] = MappingProxyType({})
 
 # the fewest concluded attempts at which those that left the plan are dropped
-MIN_CONCLUDED_BEFORE_TRIM = 1000
+MIN_ENDED_BEFORE_TRIM = 1000
 
 
 class EndReason(StrEnum):
@@ -39,9 +39,9 @@
     # the worker refused the start: no free capacity, the task is there already, or is not known
     NO_CAPACITY = "no_room"
     TASK_EXISTS = "busy"
-    UNKNOWN = "unknown"
+    TASK_UNKNOWN = "unknown"
     # a gang-scheduled task that lost its peers
-    PEERS = "peers"
+    PEERS_LOST = "peers"
     # the worker began a new session and has lost its earlier tasks
     SESSION_ENDED = "session over"
     # nobody can have answered the worker for as long as its lease lasts
@@ -82,7 +82,7 @@
 class AttemptOutcomes(dict[TaskKey, AttemptOutcome]):
     """The outcomes that wait to be written, by task, and all attempts known to have ended.
 
-    An attempt counts as ended (`is_concluded`) even after its outcome was taken out to be
+    An attempt counts as ended (`has_ended`) even after its outcome was taken out to be
     written: no start of it may be sent until it has left the plan.
     """
 
@@ -90,8 +90,8 @@
         super().__init__()
         self._cluster = cluster
         # kept until the attempts have left the plan, whatever becomes of the reason for their end
-        self._concluded: set[AttemptId] = set()
-        self._trim_above = MIN_CONCLUDED_BEFORE_TRIM
+        self._ended: set[AttemptId] = set()
+        self._trim_above = MIN_ENDED_BEFORE_TRIM
 
     def record(self, outcome: AttemptOutcome) -> None:
         """Records an outcome; an earlier one of the task is kept if it is of the same term."""
@@ -100,20 +100,20 @@
         known = self.get(key)
         if known is None or known.term != outcome.term:
             self[key] = outcome
-        self._concluded.add(attempt.id)
-        if len(self._concluded) > self._trim_above:
+        self._ended.add(attempt.id)
+        if len(self._ended) > self._trim_above:
             self._trim()
 
-    def is_concluded(self, attempt: PlannedAttempt) -> bool:
+    def has_ended(self, attempt: PlannedAttempt) -> bool:
         """Tells whether the attempt has ended, so that no start of it may be sent."""
-        return attempt.id in self._concluded
+        return attempt.id in self._ended
 
     def end_term(self, shard: int) -> None:
         """Drops all that was concluded for the shard, when its ownership has ended."""
         for key in [key for key in self if self._may_belong_to(key[0], shard)]:
             del self[key]
-        self._concluded = {
-            attempt for attempt in self._concluded if not self._may_belong_to(attempt.job, shard)
+        self._ended = {
+            attempt for attempt in self._ended if not self._may_belong_to(attempt.job, shard)
         }
 
     def _may_belong_to(self, job_id: str, shard: int) -> bool:
@@ -125,8 +125,8 @@
         """Drops concluded attempts that no plan contains any more."""
         machines = self._cluster.machines.values()
         planned = {attempt.id for machine in machines for attempt in machine.attempts.values()}
-        self._concluded &= planned
-        self._trim_above = 2 * len(self._concluded) + MIN_CONCLUDED_BEFORE_TRIM
+        self._ended &= planned
+        self._trim_above = 2 * len(self._ended) + MIN_ENDED_BEFORE_TRIM
 
 
 class StopRequests(dict[AttemptId, StopReason]):
--- a/crossmill/workers/command_gate.py
+++ b/crossmill/workers/command_gate.py
@@ -15,7 +15,7 @@
 class CommandGate(Protocol):
     """Decides what may be done for a shard; a controller without a gate may do everything."""
 
-    def screen(
+    def filter_commands(
         self, machine: Machine, view: WorkerView, ownership: ShardOwnership, commands: list[Command]
     ) -> list[Command]:
         """Returns the commands that may answer a heartbeat now, the most urgent ones first.
@@ -33,5 +33,5 @@
         Such a task may not be placed: it would run twice.
         """
 
-    def may_give_up(self, machine: Machine, why: str) -> bool:
+    def may_retire(self, machine: Machine, reason: str) -> bool:
         """Tells whether the machine may be marked to be returned to the cloud for this reason."""
--- a/crossmill/workers/command_sender.py
+++ b/crossmill/workers/command_sender.py
@@ -15,7 +15,7 @@
 from ..cluster.membership import Membership
 from ..cluster.model import Machine, PlannedAttempt
 from ..net import HttpStatus
-from ..net.client import Client, ConnectionFailedError, Http, NoResponseError
+from ..net.client import Client, ConnectionFailedError, HttpClient, NoResponseError
 from ..settings import Endpoint, Settings
 from ..wire.checks import MalformedMessageError, load_object
 from ..wire.workers import (
@@ -61,9 +61,11 @@
         self._membership = membership
         self._heartbeats = heartbeats
         self._reconciler = heartbeats.reconciler
-        self._clients: dict[str, Http] = {}
+        self._clients: dict[str, HttpClient] = {}
         self._in_flight = 0
-        self.connect: Callable[[Endpoint], Http] = lambda endpoint: Client(endpoint, max_sockets=1)
+        self.connect: Callable[[Endpoint], HttpClient] = lambda endpoint: Client(
+            endpoint, max_sockets=1
+        )
         self._on_response = on_response
 
     async def send(self, starts: list[PlannedAttempt], stops: list[PlannedAttempt]) -> None:
@@ -114,7 +116,7 @@
             and self._reconciler.may_start(attempt, machine)
         )
 
-    def _client(self, address: str) -> Http | None:
+    def _client(self, address: str) -> HttpClient | None:
         """Returns the client for a worker's address; None if the address is malformed."""
         client = self._clients.get(address)
         if client is not None:
@@ -130,7 +132,12 @@
         return client
 
     async def _request(
-        self, client: Http, machine_id: str, body: bytes, starts: list[PlannedAttempt], token: int
+        self,
+        client: HttpClient,
+        machine_id: str,
+        body: bytes,
+        starts: list[PlannedAttempt],
+        token: int,
     ) -> None:
         """Sends a body with commands; the starts stay unacknowledged if no answer comes."""
         unacknowledged = self._reconciler.unacknowledged_starts
--- a/crossmill/workers/heartbeat_handler.py
+++ b/crossmill/workers/heartbeat_handler.py
@@ -107,7 +107,7 @@
 
     # -- views -----------------------------------------------------------------------
 
-    def view_of(self, machine: Machine) -> WorkerView:
+    def ensure_view(self, machine: Machine) -> WorkerView:
         """Returns the view of a machine, which begins anew if the machine came back.
 
         An earlier owner may have answered the worker until this controller took over, so a new
@@ -151,7 +151,7 @@
         token = self.command_token(machine, ownership)
         if heartbeat.token > token:
             return self._answer_newer_token(machine, heartbeat)
-        view = self.view_of(machine)
+        view = self.ensure_view(machine)
         verdict = view.apply_heartbeat(heartbeat, token, self._clock.now())
         if verdict is HeartbeatVerdict.STALE:
             return HeartbeatResponse(HttpStatus.OK, token)
@@ -163,7 +163,7 @@
         if not authority.may_command:
             commands = self._stops_of_ended_jobs(commands)
         if self.gate is not None:
-            commands = self.gate.screen(machine, view, ownership, commands)
+            commands = self.gate.filter_commands(machine, view, ownership, commands)
         # cut only now: commands that are held back must not displace urgent ones
         commands = commands[:MAX_COMMANDS]
         self._log_unplanned_stops(machine, commands)
@@ -287,7 +287,7 @@
         ownership = self._membership.active_ownership(machine.shard)
         if ownership is None:
             return
-        view = self.view_of(machine)
+        view = self.ensure_view(machine)
         if self.is_transferring(machine.id):
             return
         token = self.command_token(machine, ownership)
@@ -296,4 +296,4 @@
 
     def expire_lease(self, machine: Machine, ownership: ShardOwnership) -> None:
         """Ends the machine's attempts if its worker's lease is proved to have expired."""
-        self._lease_expiry.check(machine, self.view_of(machine), ownership)
+        self._lease_expiry.check(machine, self.ensure_view(machine), ownership)
--- a/crossmill/workers/lease_expiry.py
+++ b/crossmill/workers/lease_expiry.py
@@ -44,7 +44,7 @@
         if preconditions is None:
             return
         for attempt in machine.attempts.values():
-            if _is_covered(attempt, view):
+            if _has_bounded_lease(attempt, view):
                 self._outcomes.record(
                     AttemptOutcome(
                         attempt,
@@ -55,6 +55,6 @@
                 )
 
 
-def _is_covered(attempt: PlannedAttempt, view: WorkerView) -> bool:
+def _has_bounded_lease(attempt: PlannedAttempt, view: WorkerView) -> bool:
     """Tells whether the attempt is of a session whose lease the view bounds."""
     return attempt.session <= view.session or not view.has_confirmed_token
--- a/crossmill/workers/reconciliation.py
+++ b/crossmill/workers/reconciliation.py
@@ -63,7 +63,7 @@
 
     def may_start(self, attempt: PlannedAttempt, machine: Machine) -> bool:
         """Tells whether a start of the attempt may still be sent."""
-        return not self.outcomes.is_concluded(attempt) and self._should_run(attempt, machine)
+        return not self.outcomes.has_ended(attempt) and self._should_run(attempt, machine)
 
     def _should_run(self, attempt: PlannedAttempt, machine: Machine) -> bool:
         job = self._cluster.jobs.get(attempt.job)
--- a/tests/fake_clock.py
+++ b/tests/fake_clock.py
@@ -16,6 +16,6 @@
         """Return the monotonic time in seconds."""
         return self.time
 
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         """Return the time of day, in seconds since the epoch."""
         return self.time + EPOCH_S
--- a/tests/measure_recovery.py
+++ b/tests/measure_recovery.py
@@ -105,7 +105,7 @@
         by_chunk.setdefault(layout.chunk_of(index, ()).name, {})[index] = attempt
     for name, attempts in by_chunk.items():
         region.state.put(keys.plan(job, name), encode_chunk(PlanChunk(2, 0, attempts)))
-    record = encode_job(spec, region.clock.wall())
+    record = encode_job(spec, region.clock.wall_time())
     region.state.put(keys.job(job), orjson.loads(orjson.dumps(record)))
 
 
--- a/tests/multihost_pool.py
+++ b/tests/multihost_pool.py
@@ -40,7 +40,9 @@
 def add_ready_pairs(state: StateService, clock: FakeClock, number: int) -> None:
     """Store a set of ready replicas of two members, on the machines of a pool in order."""
     for index in range(number):
-        replica = Replica(ReplicaId("chat", index), ReplicaPhase.READY, 1, 1, since=clock.wall())
+        replica = Replica(
+            ReplicaId("chat", index), ReplicaPhase.READY, 1, 1, since=clock.wall_time()
+        )
         members = tuple(Member(r, f"m-{2 * index + r}", 1, 1) for r in range(2))
         state.put(keys.replica(replica.id), encode_replica(replica))
         state.put(keys.members(replica.id, 0), encode_chunk(1, members))
@@ -72,7 +74,7 @@
     seed(state, clock, machines=0)
     for number in range(machines):
         machine = PoolMachine(f"m-{number}", "north", Resources(32.0, 4.0, 256.0), 1.0)
-        record = reservation_record("g4", "north", False, SETTINGS.pool_shard, clock.wall())
+        record = reservation_record("g4", "north", False, SETTINGS.pool_shard, clock.wall_time())
         state.put(keys.machine(machine.id), encode_machine(machine))
         state.put(cluster_keys.machine(machine.id), record)
     node = SteppedController(state, clock, nodes)
--- a/tests/simulated_region.py
+++ b/tests/simulated_region.py
@@ -98,7 +98,7 @@
         """Start a worker on a new machine, which has a record unless the caller stored one."""
         if record:
             value = {"type": "g4", "zone": zone, "spot": False, "shard": shard}
-            value |= {"at": self.clock.wall(), "retiring": "", "up": False}
+            value |= {"at": self.clock.wall_time(), "retiring": "", "up": False}
             self.state.put(keys.machine(machine), value)
         worker = self.workers[machine] = Worker(self, machine, len(self.workers), zone)
         await curio.spawn(worker.run, daemon=True)
--- a/tests/stepped_controller.py
+++ b/tests/stepped_controller.py
@@ -27,7 +27,7 @@
 from crossmill.jobs.api import JobApi
 from crossmill.jobs.record_repair import RecordRepair
 from crossmill.jobs.scheduling_loop import SchedulingLoop
-from crossmill.net.client import ConnectionFailedError, Http
+from crossmill.net.client import ConnectionFailedError, HttpClient
 from crossmill.net.server import Request, Response
 from crossmill.settings import Peer
 from crossmill.state.client import StateClient
@@ -100,12 +100,12 @@
 
     def __init__(  # noqa: PLR0913 - each is what some test replaces
         self,
-        state: Http,
+        state: HttpClient,
         clock: FakeClock,
         nodes: dict[str, "SteppedController"],
         label: str = "node-0",
         cloud: CloudService | None = None,
-        connect: Callable[[Peer], Http] | None = None,
+        connect: Callable[[Peer], HttpClient] | None = None,
         unique: str = "once",
     ) -> None:
         self.settings = s = make_settings(label)
@@ -121,7 +121,7 @@
         self.writer = Writer(self.client, self.mirror, clock, s, lambda: self.cluster.limits)
         self.controller_lease = ControllerLease(self.client, clock, s)
 
-        def line(peer: Peer) -> Http:
+        def line(peer: Peer) -> HttpClient:
             return connect(peer) if connect is not None else InMemoryPeerLink(nodes, peer.label)
 
         shards = OwnedShards()
@@ -245,7 +245,7 @@
         "zone": "north",
         "spot": False,
         "shard": shard,
-        "at": clock.wall(),
+        "at": clock.wall_time(),
         "retiring": "",
         "up": True,
         **changes,
@@ -256,7 +256,7 @@
 def add_job(state: StateService, clock: FakeClock, **changes: Any) -> str:
     """Store an accepted job's record and return the job's id."""
     spec = make_spec(**changes)
-    value = load_object(orjson.dumps(encode_job(spec, clock.wall())))
+    value = load_object(orjson.dumps(encode_job(spec, clock.wall_time())))
     state.put(keys.job(spec.id), value)
     return spec.id
 
--- a/tests/stored_records.py
+++ b/tests/stored_records.py
@@ -21,7 +21,7 @@
 
 def store_finished_job(state: StateService, clock: FakeClock, job_id: str) -> None:
     """Stores the record of a job that has just finished, in place of any earlier one."""
-    record = encode_end(DONE, make_spec(nameId=job_id), clock.wall(), RECORD_BYTES)
+    record = encode_end(DONE, make_spec(nameId=job_id), clock.wall_time(), RECORD_BYTES)
     state.put(keys.job(job_id), record)
 
 
--- a/tests/test_attempt_end_proofs.py
+++ b/tests/test_attempt_end_proofs.py
@@ -15,15 +15,15 @@
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
         # a new incarnation; a late copy of an old report lists nothing
-        again = SteppedController(state, clock, nodes)
-        await again.boot()
-        assert again.token() > node.token()
-        answer = again.report("n-0", 1, 2, node.token())
+        successor = SteppedController(state, clock, nodes)
+        await successor.boot()
+        assert successor.token() > node.token()
+        answer = successor.report("n-0", 1, 2, node.token())
         assert answer.commands == ()
-        assert answer.token == again.token()
-        assert not again.heartbeats.outcomes
-        await again.round()
-        assert len(again.cluster.machines["n-0"].attempts) == 1
+        assert answer.token == successor.token()
+        assert not successor.heartbeats.outcomes
+        await successor.round()
+        assert len(successor.cluster.machines["n-0"].attempts) == 1
 
     run_scenario(scenario)
 
--- a/tests/test_concurrent_cancellations.py
+++ b/tests/test_concurrent_cancellations.py
@@ -83,12 +83,12 @@
             return TransactionFault(0.0, True)
 
         region.transaction_fault = transaction_fault
-        asking = await curio.spawn(region.cancel, "node-0", "wk-000001")
+        cancellation = await curio.spawn(region.cancel, "node-0", "wk-000001")
         await curio.sleep(2.0)
         await region.show("node-1", "wk-000001")
         assert region.checker.jobs["wk-000001"].cancelled is not None
         await curio.sleep(region.cancellation_deadline_s * 1.5)
-        await asking.cancel()
+        await cancellation.cancel()
         assert not region.workers_running("wk-000001")
 
     simulate(scenario)
@@ -124,17 +124,19 @@
         for n in range(4):
             await region.submit("node-1", f"wk-30000{n}", sacks=4)
         await region.wait_until(lambda: len(region.checker.starts) == 16, 30.0)
-        full = [w for w in region.workers.values() if w.tasks]
-        full[0].is_frozen = True
-        full[1].inbound_lost = True
-        full[2].heartbeats_lost = True
+        busy_workers = [w for w in region.workers.values() if w.tasks]
+        busy_workers[0].is_frozen = True
+        busy_workers[1].inbound_lost = True
+        busy_workers[2].heartbeats_lost = True
         for n in range(4):
             assert await region.cancel_until_confirmed("node-2", f"wk-30000{n}", 20.0)
         for n in range(4):
             await region.submit("node-2", f"wk-40000{n}", sacks=4)
         await region.kill("node-0")
         await curio.sleep(region.worker_lease_s * 0.6)
-        full[0].is_frozen = full[1].inbound_lost = full[2].heartbeats_lost = False
+        busy_workers[0].is_frozen = busy_workers[1].inbound_lost = busy_workers[
+            2
+        ].heartbeats_lost = False
         await region.start("node-0")
         await region.wait_until(lambda: len(region.checker.starts) == 32, 90.0)
 
--- a/tests/test_contradictory_records.py
+++ b/tests/test_contradictory_records.py
@@ -24,7 +24,9 @@
     # as cleaned up; once it was archived, nobody ended its tasks any more
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
-        record = encode_end(CANCELLED, make_spec(nameId=JOB, sacks=1), clock.wall(), RECORD_BYTES)
+        record = encode_end(
+            CANCELLED, make_spec(nameId=JOB, sacks=1), clock.wall_time(), RECORD_BYTES
+        )
         state.put(keys.job(JOB), record)
         state.put(keys.plan(JOB, "0"), {"next": 2, "done": "0", "rows": [[0, 1, "n-0", 1]]})
         node = SteppedController(state, clock, nodes)
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -40,7 +40,7 @@
         await node.round()
         clock.time += 5
         await node.renew_and_sync()
-        assert node.cluster.jobs[B].ready_at == pytest.approx(clock.wall() - 5)
+        assert node.cluster.jobs[B].ready_at == pytest.approx(clock.wall_time() - 5)
         assert started_tasks(node, 5) == []
         await node.round()
         assert started_tasks(node, 6) == [f"{B}/0"]
@@ -210,7 +210,7 @@
     # guards against a job that waits for ever; without an archived end nothing is concluded
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_controller(state, clock, nodes)
-        record = encode_job(make_spec(nameId=B, sacks=1), clock.wall(), (A,))
+        record = encode_job(make_spec(nameId=B, sacks=1), clock.wall_time(), (A,))
         state.put(keys.job(B), load_object(orjson.dumps(record)))
         if end:
             state.put(keys.archived(A), {"end": end, "done": 1})
--- a/tests/test_dependency_cancellation.py
+++ b/tests/test_dependency_cancellation.py
@@ -25,7 +25,7 @@
         await submit_job(node, A, yard="north")
         dependents = [f"wk-{n:06d}" for n in range(100, 200)]
         for name in dependents:
-            state.put(keys.job(name), encode_job(make_spec(nameId=name), clock.wall(), (A,)))
+            state.put(keys.job(name), encode_job(make_spec(nameId=name), clock.wall_time(), (A,)))
         await node.sync()
         assert (await submit_job(node, D, dependents[0], dependents[-1])).status == 201
         response = await node.ask("POST", f"/v1/jobs/{A}/withdraw")
--- a/tests/test_job_records.py
+++ b/tests/test_job_records.py
@@ -156,7 +156,7 @@
         # neither replicas nor jobs that wait for others have outcomes to write
         add_job(state, clock, nameId="wk-000002", crew="green", cut="service")
         spec = make_spec(nameId="wk-000003", crew="green")
-        state.put(keys.job(spec.id), encode_job(spec, clock.wall(), ("wk-000001",)))
+        state.put(keys.job(spec.id), encode_job(spec, clock.wall_time(), ("wk-000001",)))
         await node.sync()
         await node.membership.step()
         assert (node.writer._pacer.rate > even) is is_raised
--- a/tests/test_missed_watch_events.py
+++ b/tests/test_missed_watch_events.py
@@ -66,7 +66,7 @@
 
 def _end_job_by_other_owner(state: StateService, clock: FakeClock) -> None:
     """Writes what another owner does when the job ends: plan deleted, record archived."""
-    record = encode_end(CANCELLED, make_spec(nameId=JOB), clock.wall(), RECORD_BYTES)
+    record = encode_end(CANCELLED, make_spec(nameId=JOB), clock.wall_time(), RECORD_BYTES)
     state.put(keys.job(JOB), record)
     state.delete(keys.plan(JOB, "0"))
     state.put(keys.archived(JOB), {"end": CANCELLED, "done": 0})
@@ -75,7 +75,7 @@
 
 async def _end_job(state: StateService, clock: FakeClock, node: SteppedController) -> None:
     """Writes the regular end of the job, and lets the controller read it."""
-    record = encode_end(DONE, make_spec(nameId=JOB), clock.wall(), RECORD_BYTES)
+    record = encode_end(DONE, make_spec(nameId=JOB), clock.wall_time(), RECORD_BYTES)
     state.put(keys.job(JOB), record)
     await node.sync()
 
@@ -138,7 +138,7 @@
         attempt = node.cluster.machines["n-0"].attempts[JOB, 0]
         await _run_other_tasks()
         node.worker.sent.clear()
-        record = encode_end(CANCELLED, make_spec(nameId=JOB), clock.wall(), RECORD_BYTES)
+        record = encode_end(CANCELLED, make_spec(nameId=JOB), clock.wall_time(), RECORD_BYTES)
         state.put(keys.job(JOB), record)
         interval_s = node.settings.lease_renewal_interval_s
         for _ in range(int(node.settings.cancellation_deadline_s / interval_s) + 1):
@@ -232,7 +232,7 @@
         await node.boot()
         add_job(state, clock, nameId=JOB)
         await node.sync()
-        state.put(keys.cancellation_note("wk-000002"), {"at": clock.wall()})
+        state.put(keys.cancellation_note("wk-000002"), {"at": clock.wall_time()})
         unread = state.revision
         await node.jobs._cancellation._write_note(JOB, node.cluster.jobs[JOB].version)
         await _run_other_tasks()
--- a/tests/test_multihost_loopback.py
+++ b/tests/test_multihost_loopback.py
@@ -31,7 +31,7 @@
         """Return the steady time in seconds."""
         return time.monotonic()
 
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         """Return the wall time in seconds."""
         return time.time()
 
--- a/tests/test_multihost_registration.py
+++ b/tests/test_multihost_registration.py
@@ -22,7 +22,7 @@
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
-        record = reservation_record("g4", "north", False, 0, clock.wall())
+        record = reservation_record("g4", "north", False, 0, clock.wall_time())
         state.put(cluster_keys.machine("m-0"), record)
         state.put(keys.machine("m-0"), {"zone": "north"})
         replica = Replica(ReplicaId("chat", 0), ReplicaPhase.READY, 1, 1)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -139,7 +139,7 @@
         seed(state, clock)
         first, middle, last = (f"wk-00000{n}" for n in (1, 2, 3))
         low = {"precedence": "idle", "dueS": None, "sacks": 4}
-        at = clock.wall()
+        at = clock.wall_time()
         state.put(keys.job(first), encode_job(make_spec(nameId=first, **low), at))
         middle_spec = make_spec(nameId=middle, **low, crew="blue")
         state.put(keys.job(middle), encode_job(middle_spec, at, (first,)))
@@ -150,7 +150,7 @@
         assert priority == 3
         assert end == pytest.approx(at + node.settings.default_queue_wait_s)
         final = make_spec(nameId=last, precedence="high", dueS=300.0, grindS=10.0)
-        state.put(keys.job(last), encode_job(final, clock.wall(), (middle,)))
+        state.put(keys.job(last), encode_job(final, clock.wall_time(), (middle,)))
         await node.sync()
         priority, end, _ = forecast.queue_rank(jobs[first])
         assert priority == 1
@@ -160,7 +160,7 @@
         await other.boot()
         assert other.forecast.queue_rank(jobs[first])[1] == pytest.approx(end)
         # the stage that priority was inherited from is cancelled
-        state.put(keys.job(last), encode_end(CANCELLED, final, clock.wall(), RECORD_BYTES))
+        state.put(keys.job(last), encode_end(CANCELLED, final, clock.wall_time(), RECORD_BYTES))
         await node.sync()
         assert forecast.queue_rank(jobs[first])[0] == 3
 
@@ -170,7 +170,7 @@
 def test_times_count_from_the_last_dependencys_end_but_the_deadline_from_the_submission() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock)
-        at = clock.wall()
+        at = clock.wall_time()
         waits = {"a": 0.0, "b": 300.0}
         spec = make_spec(nameId="wk-000001", dueS=None)
         state.put(keys.job("wk-000001"), encode_job(spec, at))
--- a/tests/test_recovery_classification.py
+++ b/tests/test_recovery_classification.py
@@ -163,7 +163,7 @@
     seed(state, clock, machines=2)
     add_job(state, clock, nameId="wk-000001", sacks=TASKS)
     spec = make_spec(nameId="wk-000002", sacks=TASKS)
-    value = encode_end(CANCELLED, spec, clock.wall(), RECORD_BYTES)
+    value = encode_end(CANCELLED, spec, clock.wall_time(), RECORD_BYTES)
     state.put(keys.job("wk-000002"), value)
     for job, planned in drawn.plans.items():
         chunk = PlanChunk(4, 0, {attempt.index: attempt for attempt in planned})
@@ -207,7 +207,7 @@
             attempt = machine.attempts[key].number if task is None else task.attempt
             if action in OPERATIONS:
                 expected[f"{key[0]}/{key[1]}", attempt] = OPERATIONS[action]
-            has_outcome = planned is not None and node.heartbeats.outcomes.is_concluded(planned)
+            has_outcome = planned is not None and node.heartbeats.outcomes.has_ended(planned)
             # a planned attempt of an earlier session has ended, even where the worker reports
             # another attempt of the task
             is_session_ended = (
--- a/tests/test_recovery_restored_state.py
+++ b/tests/test_recovery_restored_state.py
@@ -134,7 +134,7 @@
         await _restore_older_state(region)
         await curio.sleep(30.0)
         report = (await region.overview())["braked"][0]
-        until = region.clock.wall() + left_s
+        until = region.clock.wall_time() + left_s
         approval = StoredApproval(report["token"], report["digest"], until)
         region.state.put(recovery_keys.approval(report["shard"]), encode_approval(approval))
         await curio.sleep(20.0)
--- a/tests/test_request_heads.py
+++ b/tests/test_request_heads.py
@@ -8,7 +8,7 @@
 import pytest
 from curio import socket
 
-from crossmill.net.request_heads import RequestHead, RequestHeads, encoded_response_head
+from crossmill.net.request_heads import RequestHead, RequestHeadCache, encoded_response_head
 from crossmill.net.server import Request, Response, Server
 from crossmill.settings import Endpoint
 
@@ -24,20 +24,20 @@
     return event
 
 
-def test_a_remembered_head_matches_complete_requests_only() -> None:
-    heads = RequestHeads(max_heads=8)
-    heads.remember(POST, _parsed(POST))
+def test_a_cached_head_matches_complete_requests_only() -> None:
+    heads = RequestHeadCache(max_heads=8)
+    heads.add(POST, _parsed(POST))
     known = RequestHead("POST", "/agent/beat", len(BODY))
     other = POST[:-7] + b'{"b":2}'
-    assert heads.match(POST) == known
+    assert heads.find(POST) == known
     assert known.body_in(POST) == BODY
-    assert heads.match(other) == known
+    assert heads.find(other) == known
     assert known.body_in(other) == b'{"b":2}'
     # a body cut short, a second request behind the first, and another head
-    assert heads.match(POST[:-1]) is None
-    assert heads.match(POST + POST) is None
-    assert heads.match(POST.replace(b"host: a", b"host: b")) is None
-    assert heads.match(b"") is None
+    assert heads.find(POST[:-1]) is None
+    assert heads.find(POST + POST) is None
+    assert heads.find(POST.replace(b"host: a", b"host: b")) is None
+    assert heads.find(b"") is None
 
 
 @pytest.mark.parametrize(
@@ -50,20 +50,20 @@
     ],
 )
 def test_heads_that_need_more_than_a_length_are_left_to_h11(data: bytes) -> None:
-    heads = RequestHeads(max_heads=8)
-    heads.remember(data, _parsed(data))
-    assert heads.match(data) is None
+    heads = RequestHeadCache(max_heads=8)
+    heads.add(data, _parsed(data))
+    assert heads.find(data) is None
     assert len(heads) == 0
 
 
 def test_a_full_table_of_heads_drops_the_oldest() -> None:
     # otherwise memory grows with every job that was ever asked for
-    heads = RequestHeads(max_heads=3)
+    heads = RequestHeadCache(max_heads=3)
     requests = [b"GET /%d HTTP/1.1\r\nhost: a\r\n\r\n" % n for n in range(5)]
     for data in requests:
-        heads.remember(data, _parsed(data))
+        heads.add(data, _parsed(data))
     assert len(heads) == 3
-    assert [heads.match(data) is not None for data in requests] == [False] * 2 + [True] * 3
+    assert [heads.find(data) is not None for data in requests] == [False] * 2 + [True] * 3
 
 
 def test_a_response_head_is_encoded_as_by_h11() -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -16,7 +16,7 @@
 from crossmill.cluster.records import encode_chunk
 from crossmill.fleet.capacity import FleetCapacity
 from crossmill.jobs.outcome_batch import ChunkOutcomes, select
-from crossmill.net.request_heads import RequestHeads
+from crossmill.net.request_heads import RequestHeadCache
 from crossmill.planning.free_capacity import FreeCapacity
 from crossmill.settings import Team
 from crossmill.state.writer import WriteIntent, WriteRank, WriteResult
@@ -207,7 +207,7 @@
         node = SteppedController(state, clock, nodes)
         await node.boot()
         node.writer.allot(1.0)
-        node.writer._pacer.spend(100.0)
+        node.writer._pacer.force_take(100.0)
         for number in range(3):
             await node.writer.submit(
                 WriteIntent(Txn({}, [Put(f"cm/x/{number}", 0)]), WriteRank.URGENT)
@@ -264,7 +264,7 @@
     # would then drop what the next one needs
     machines, tasks = 4000, 10_000
     settings = make_settings()
-    heads = RequestHeads(settings.max_cached_request_heads)
+    heads = RequestHeadCache(settings.max_cached_request_heads)
     read = cached_task_status_reader(settings.max_cached_task_statuses)
     counts: Counter[str] = Counter()
     _count(monkeypatch, counts, checks, "one_of")
@@ -285,9 +285,9 @@
             headers=[("host", "a"), ("content-length", str(len(body)))],
         )
         data = (h11.Connection(h11.CLIENT).send(request) or b"") + body
-        if heads.match(data) is None:
+        if heads.find(data) is None:
             counts["parsed"] += 1
-            heads.remember(data, request)
+            heads.add(data, request)
         parse_heartbeat(load_object(body), read)
 
     def mine(machine: int) -> range:
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -11,7 +11,7 @@
 
 
 async def _handler(request: Request) -> Response:
-    return Response(400 if request.too_large else 200)
+    return Response(400 if request.is_too_large else 200)
 
 
 async def _exchange(port: int, data: bytes, byte_interval_s: float) -> bytes:
--- a/tests/test_silent_machines.py
+++ b/tests/test_silent_machines.py
@@ -12,7 +12,7 @@
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=3)
         for number in range(3):
-            add_machine(state, clock, f"s-{number}", zone="south", at=clock.wall() - 1000)
+            add_machine(state, clock, f"s-{number}", zone="south", at=clock.wall_time() - 1000)
         node = SteppedController(state, clock, nodes)
         await node.boot()
         reporting = ["n-0", "n-1", "n-2"]
@@ -58,7 +58,7 @@
     run_scenario(scenario)
 
 
-def test_an_absence_counts_anew_when_the_controller_was_back_unnoticed() -> None:
+def test_an_outage_is_timed_again_after_an_unnoticed_controller_restart() -> None:
     async def scenario(partition: PartitionScenario) -> None:
         partition.cut()
         partition.state.end_lease(partition.zone_controller.controller_lease.lease_id or 0)
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -64,7 +64,7 @@
         raise_feature_level(state)
         state.put(keys.job(JOB), PRODUCTION_JOB)
         dependent = make_spec(nameId="wk-000002")
-        state.put(keys.job("wk-000002"), encode_job(dependent, clock.wall(), (JOB,)))
+        state.put(keys.job("wk-000002"), encode_job(dependent, clock.wall_time(), (JOB,)))
         node = SteppedController(state, clock, nodes)
         await node.boot()
         assert node.cluster.jobs["wk-000002"].is_blocked
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -198,6 +198,6 @@
         assert node.cluster.limits == StateLimits(100.0, 40.0, 2048, 6)
         await node.membership.step()
         pacer = node.writer._pacer
-        assert pacer.wait_s(40.0) > 0
+        assert pacer.delay_s(40.0) > 0
 
     run_scenario(scenario)
--- a/tests/test_worker_faults.py
+++ b/tests/test_worker_faults.py
@@ -48,15 +48,15 @@
         await region.begin(machines=2)
         await region.submit("node-1", "wk-000001", sacks=4, cards=1.0)
         await region.wait_until(lambda: len(region.checker.starts) == 4)
-        odd = region.workers["n-0"]
-        setattr(odd, fault, True)
+        faulty = region.workers["n-0"]
+        setattr(faulty, fault, True)
         assert await region.cancel_until_confirmed("node-2", "wk-000001", 10.0)
         await region.submit("node-2", "wk-000002", run_s=4.0, sacks=6)
         await region.kill("node-0")
         await region.wait_until(
             lambda: len(region.checker.jobs["wk-000002"].finished) == 6, 4 * region.worker_lease_s
         )
-        setattr(odd, fault, False)
+        setattr(faulty, fault, False)
         await region.start("node-0")
         await wait_until_all_ended(region)
 
@@ -120,14 +120,16 @@
             )
         region.isolate("node-0")
         region.workers["n-2"].is_frozen = True
-        asks = await curio.spawn(region.cancel_until_confirmed, "node-1", "wk-000001", 120.0)
+        cancellation = await curio.spawn(
+            region.cancel_until_confirmed, "node-1", "wk-000001", 120.0
+        )
         await curio.sleep(3.0)
         region.transaction_fault = lambda *_: None
         await curio.sleep(region.worker_lease_s * 2.2)
         region.reconnect()
         region.can_reach = lambda worker, label: label in region.nodes
         region.workers["n-2"].is_frozen = False
-        assert await asks.join()
+        assert await cancellation.join()
         await wait_until_all_ended(region, 120.0)
 
     simulate(scenario)
--- a/tests/trace_adapter.py
+++ b/tests/trace_adapter.py
@@ -177,7 +177,7 @@
     async def add_worker(self, machine: str, zone: str, shard: int, spot: bool = False) -> None:
         """Add a machine that a leader rented earlier."""
         value = {"type": MACHINE_TYPE, "zone": zone, "spot": spot, "shard": shard}
-        value |= {"at": self._region.clock.wall(), "retiring": "", "up": False}
+        value |= {"at": self._region.clock.wall_time(), "retiring": "", "up": False}
         self._region.state.put(keys.machine(machine), value)
         await self._region.add_worker(machine, zone, shard, record=False)
 
--- a/tests/trace_messages.py
+++ b/tests/trace_messages.py
@@ -8,7 +8,7 @@
 import orjson
 
 from crossmill.cluster.model import PlannedAttempt
-from crossmill.net.client import ConnectionFailedError, Http, NoResponseError
+from crossmill.net.client import ConnectionFailedError, HttpClient, NoResponseError
 from crossmill.net.server import Request, Response
 from crossmill.workers.attempt_outcomes import StopReason
 
@@ -72,7 +72,9 @@
 class RecordedLink:
     """A link of a controller, whose requests are recorded."""
 
-    def __init__(self, link: Http, log: MessageLog, controller: str, counterpart: str) -> None:
+    def __init__(
+        self, link: HttpClient, log: MessageLog, controller: str, counterpart: str
+    ) -> None:
         self._link, self._log = link, log
         self._controller, self._counterpart = controller, counterpart
 
@@ -143,7 +145,7 @@
     def _record_direct_commands(self, node: SteppedController, label: str) -> None:
         connect = node.command_sender.connect
 
-        def recorded(endpoint: Any) -> Http:
+        def recorded(endpoint: Any) -> HttpClient:
             return RecordedLink(connect(endpoint), self.log, label, f"worker:{endpoint.port}")
 
         node.command_sender.connect = recorded
