--- a/crossmill/net/__init__.py
+++ b/crossmill/net/__init__.py
@@ -1,10 +1,11 @@
-"""Networking and time: HTTP client and server, token bucket, future and clock."""
+"""Networking and time utilities: HTTP client and server, token bucket, future and clock."""
 
 
 class HttpStatus:
-    """The HTTP status codes that this program sends and understands.
+    """The HTTP status codes that this program sends or handles.
 
-    The standard library's `http` has them too, but would be loaded at each start only for these.
+    They are defined here because importing the standard library's `http` for them alone would slow
+    down each start.
     """
 
     OK = 200
--- a/crossmill/net/client.py
+++ b/crossmill/net/client.py
@@ -1,7 +1,7 @@
-"""An HTTP/1.1 client for one endpoint, with a pool of connections that are kept open.
+"""An HTTP/1.1 client for one endpoint, with a pool of persistent connections.
 
-Calls to the state service, the cloud, workers and other controllers go through it. It owns the
-connections to its endpoint.
+All requests to the state service, the cloud, workers and other controllers use it. A client owns
+the connections to its endpoint.
 """
 
 from typing import Protocol
@@ -19,32 +19,32 @@
 
 
 class HttpClientError(Exception):
-    """A request got no answer."""
+    """A request received no response."""
 
 
 class ConnectionFailedError(HttpClientError):
-    """No connection was made: the request was certainly not executed."""
+    """No connection was established, so the request was not executed."""
 
 
 class NoResponseError(HttpClientError):
-    """No answer came: the request may have been executed, or may still be."""
+    """No response was received: the request may have been executed, or may still be."""
 
 
 class HttpClient(Protocol):
-    """The interface of a client; tests replace it by simulated services."""
+    """The interface of an HTTP client, which tests implement with simulated services."""
 
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = DEFAULT_TIMEOUT_S
     ) -> tuple[int, bytes]:
-        """Returns the answer's status and body.
+        """Send a request and return the status and body of the response.
 
-        Raises ConnectionFailedError or NoResponseError if none comes within the timeout.
+        Raises ConnectionFailedError or NoResponseError if no response arrives within the timeout.
         """
         ...
 
 
 class _Connection:
-    """An open connection, with the state of the protocol on it."""
+    """An open connection with its HTTP protocol state."""
 
     __slots__ = ("h11", "sock")
 
@@ -53,7 +53,7 @@
         self.h11 = h11.Connection(h11.CLIENT)
 
     def is_reusable(self) -> bool:
-        """Tells whether another request may follow a complete answer."""
+        """Return whether another request may be sent after the complete response."""
         return self.h11.our_state is h11.DONE and self.h11.their_state is h11.DONE
 
 
@@ -81,10 +81,10 @@
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = DEFAULT_TIMEOUT_S
     ) -> tuple[int, bytes]:
-        """Returns the answer's status and body.
+        """Send a request and return the status and body of the response.
 
-        Raises ConnectionFailedError or NoResponseError if none comes within the timeout, which
-        includes the wait for a free connection.
+        Raises ConnectionFailedError or NoResponseError if no response arrives within the timeout,
+        which includes the time until a connection is free.
         """
         call = _Call(method, path, body)
         try:
@@ -141,7 +141,7 @@
         return _Connection(sock)
 
     async def _receive(self, connection: _Connection) -> tuple[int, bytes]:
-        """Returns the status and body of the answer that comes next."""
+        """Return the status and body of the next response."""
         status = 0
         parts: list[bytes] = []
         connection.h11.receive_data(await connection.sock.recv(RECEIVE_BYTES))
@@ -156,10 +156,10 @@
             elif isinstance(event, h11.EndOfMessage):
                 return status, b"".join(parts)
             elif isinstance(event, h11.ConnectionClosed):
-                raise OSError("connection closed before the answer")
+                raise OSError("connection closed before the response was complete")
 
     async def close(self) -> None:
-        """Closes the idle connections."""
+        """Close the idle connections."""
         idle, self._idle = self._idle, []
         for connection in idle:
             await connection.sock.close()
--- a/crossmill/net/clock.py
+++ b/crossmill/net/clock.py
@@ -1,15 +1,15 @@
-"""The clock, which everything that needs the time is given, so that tests can control it."""
+"""The clock, which is passed to all code that needs the time, so that tests can control it."""
 
 import time
 
 
 class Clock:
-    """Steady and wall time of this host, in seconds."""
+    """The monotonic time and the wall-clock time of this host, in seconds."""
 
     def now(self) -> float:
-        """Returns the steady time, counted from an arbitrary moment."""
+        """Return the monotonic time since an arbitrary moment."""
         return time.monotonic()
 
     def wall_time(self) -> float:
-        """Returns the time of day, counted from the Unix epoch."""
+        """Return the wall-clock time since the Unix epoch."""
         return time.time()
--- a/crossmill/net/future.py
+++ b/crossmill/net/future.py
@@ -1,4 +1,4 @@
-"""A future for replies between tasks of this process."""
+"""A future for passing a result between Curio tasks of this process."""
 
 from typing import Any
 
@@ -6,10 +6,10 @@
 
 
 class Future:
-    """A reply that one task settles and others wait for.
+    """A result that one task sets and other tasks wait for.
 
     Attributes:
-        value: The reply; None until it is settled.
+        value: The result; None until the future is settled.
     """
 
     __slots__ = ("_event", "value")
@@ -20,17 +20,17 @@
 
     @property
     def is_settled(self) -> bool:
-        """Whether the reply was given."""
+        """Whether the result has been set."""
         return bool(self._event.is_set())
 
     async def settle(self, value: Any) -> None:
-        """Gives the reply; any later one is ignored."""
+        """Set the result; ignore it if the future is already settled."""
         if not self.is_settled:
             self.value = value
             await self._event.set()
 
     async def wait(self, timeout_s: float | None = None) -> Any:
-        """Waits for the reply; returns None if it does not come within the timeout."""
+        """Wait for the result and return it, or return None after the timeout."""
         if timeout_s is None:
             await self._event.wait()
         else:
--- a/crossmill/net/request_heads.py
+++ b/crossmill/net/request_heads.py
@@ -1,9 +1,10 @@
-"""A cache of parsed request heads, and encoded heads of responses.
+"""A cache of parsed request heads, and the encoding of response heads.
 
-Workers and users repeat themselves: on a kept connection nearly every request has a head that is
-byte for byte one that came before. h11 parses each such head once; what it found is kept in a
-table whose size the settings derive from the memory. Only complete requests on connections that go
-on are served from it; everything else is left to h11. Each server owns one table.
+On a persistent connection, nearly every request from a worker or user has a head that is identical,
+byte for byte, to an earlier one. h11 parses each such head once, and the result is cached. The
+settings derive the size of the cache from the available memory. Only complete requests on
+connections that stay open are served from the cache; h11 handles all others. Each server owns one
+cache.
 """
 
 from functools import lru_cache
@@ -13,21 +14,21 @@
 
 MAX_HEAD_BYTES = 1024
 END_OF_HEAD = b"\r\n\r\n"
-# stands for the length of the body in the template of a response's head
+# placeholder for the length of the body in the template of a response head
 LENGTH_PLACEHOLDER = 1_234_567_890
-# pairs of a status and a Retry-After; neither grows with the fleet
+# one template per pair of status and Retry-After, whose number does not grow with the fleet
 MAX_RESPONSE_TEMPLATES = 256
-# h11 frames a response by its request: this stands for any that keeps its connection
+# h11 frames a response according to its request; this one represents all that keep the connection
 PLAIN_REQUEST = b"GET / HTTP/1.1\r\nhost: a\r\n\r\n"
 
 
 class RequestHead(NamedTuple):
-    """What h11 found in a request's head.
+    """The parsed head of a request.
 
     Attributes:
         method: The method.
-        path: The path, without the query.
-        body_bytes: The length of the body.
+        path: The path without the query.
+        body_bytes: The length of the body in bytes.
     """
 
     method: str
@@ -35,14 +36,15 @@
     body_bytes: int
 
     def body_in(self, data: bytes) -> bytes:
-        """Returns the body in the data of a complete request with this head."""
+        """Return the body from the data of a complete request with this head."""
         return data[len(data) - self.body_bytes :]
 
 
 def parsed_head(request: h11.Request) -> RequestHead | None:
-    """Returns the head of a request, if it tells the length of the body.
+    """Return the head of a request, or None if it does not state the length of the body.
 
-    None if it does not, or if the sender waits for leave to send the body.
+    Return None also for a request with an `Expect` header, whose sender waits for permission to
+    send the body.
     """
     body_bytes = 0
     for name, value in request.headers:
@@ -54,12 +56,12 @@
 
 
 def request_path(request: h11.Request) -> str:
-    """Returns a request's path, without the query."""
+    """Return a request's path without the query."""
     return request.target.decode("latin-1").partition("?")[0]
 
 
 class RequestHeadCache:
-    """A table of parsed heads by their bytes; the oldest one is dropped when it is full."""
+    """A cache of parsed heads by their bytes, which evicts the oldest head when it is full."""
 
     def __init__(self, max_heads: int) -> None:
         self._max_heads = max_heads
@@ -69,7 +71,7 @@
         return len(self._heads)
 
     def find(self, data: bytes) -> RequestHead | None:
-        """Returns the head, if the data is exactly one request whose head is known."""
+        """Return the cached head if the data is exactly one request with that head, else None."""
         end = data.find(END_OF_HEAD) + len(END_OF_HEAD)
         head = self._heads.get(data[:end])
         if head is None or len(data) != end + head.body_bytes:
@@ -77,10 +79,11 @@
         return head
 
     def add(self, data: bytes, request: h11.Request) -> None:
-        """Adds the head of a request that h11 has read from exactly this data.
+        """Add the head of a request that h11 has parsed from exactly this data.
 
-        The connection must go on after the request. Heads are left out that are too long, that
-        don't tell the length of the body, or that ask for no body in the answer.
+        The connection must stay open after the request. Some heads are not added: those that are
+        too long, those that don't state the length of the body, and those of HEAD requests, whose
+        response has no body.
         """
         end = data.find(END_OF_HEAD) + len(END_OF_HEAD)
         head = parsed_head(request)
@@ -92,15 +95,15 @@
             return
         if len(self._heads) >= self._max_heads:
             del self._heads[next(iter(self._heads))]
-        # a real copy: a slice of all the data would be the data itself, which keeps the whole
-        # block of memory that it was received into
+        # The memoryview forces a copy. A slice of all the data would be the same object, which
+        # keeps the whole block of memory that it was received into.
         self._heads[bytes(memoryview(data)[:end])] = head
 
 
 def response_head(
     status: int, length: int, retry_after_s: int | None, is_closing: bool
 ) -> h11.Response:
-    """Returns the head of a response; `is_closing` says that the connection ends after it."""
+    """Return the head of a response; `is_closing` states that the connection is then closed."""
     headers = [("content-type", "application/json"), ("content-length", str(length))]
     if retry_after_s is not None:
         headers.append(("retry-after", str(retry_after_s)))
@@ -110,14 +113,14 @@
 
 
 def encoded_response_head(status: int, length: int, retry_after_s: int | None) -> bytes:
-    """Returns a response's head as h11 encodes it on a connection that is kept."""
+    """Return a response head as h11 encodes it on a persistent connection."""
     before, after = _response_template(status, retry_after_s)
     return b"%b%d%b" % (before, length, after)
 
 
 @lru_cache(maxsize=MAX_RESPONSE_TEMPLATES)
 def _response_template(status: int, retry_after_s: int | None) -> tuple[bytes, bytes]:
-    """Returns what h11 writes before and after the length in the head of such a response."""
+    """Return the parts of the encoded response head before and after the body length."""
     connection = h11.Connection(h11.SERVER)
     connection.receive_data(PLAIN_REQUEST)
     connection.next_event()
--- a/crossmill/net/server.py
+++ b/crossmill/net/server.py
@@ -1,7 +1,7 @@
-"""An HTTP/1.1 server: h11 over curio, with bounded sockets and bodies.
+"""An HTTP/1.1 server on h11 and Curio, with limits on connections and body sizes.
 
-The application runs one for users and workers and one for other controllers, each with a handler
-that answers all its requests. The server owns the connections and the cache of request heads.
+The application runs one server for users and workers and another for other controllers. Each has
+one handler for all requests. The server owns the connections and the cache of request heads.
 """
 
 import logging
@@ -20,7 +20,7 @@
 
 MAX_BODY_BYTES = 64 * 1024
 RECEIVE_BYTES = 64 * 1024
-# how many times within its time limit a connection's idleness is checked
+# number of checks for idle connections per idle timeout
 IDLE_CHECKS_PER_TIMEOUT = 4
 ACCEPT_RETRY_S = 0.05
 END_OF_MESSAGE = h11.EndOfMessage()
@@ -31,7 +31,7 @@
 
     Attributes:
         method: The method.
-        path: The path, without the query.
+        path: The path without the query.
         body: The body; empty if it is too large.
         is_too_large: Whether the body is longer than `MAX_BODY_BYTES`.
     """
@@ -43,12 +43,12 @@
 
 
 class Response(NamedTuple):
-    """An answer with a JSON body.
+    """A response with a JSON body.
 
     Attributes:
         status: The HTTP status.
         body: The JSON body.
-        retry_after_s: The value of the Retry-After header, if there is one.
+        retry_after_s: The value of the Retry-After header; None to omit the header.
     """
 
     status: int
@@ -64,7 +64,7 @@
 
     Attributes:
         sock: The socket.
-        h11: The state of the protocol on it.
+        h11: The HTTP protocol state of the connection.
         reading_since_check: The number of the idle check after which the server began to wait for
             the request that it is reading; None while it is handling a request.
     """
@@ -78,12 +78,12 @@
 
 
 class _ReceivedRequest(NamedTuple):
-    """A request as h11 read it.
+    """A request that h11 has parsed.
 
     Attributes:
         head: The head.
-        body: The body; of one that is too large, the part that has come.
-        has_received_more: Whether more data had to be received for it.
+        body: The body; if it is too large, only the part received so far.
+        has_received_more: Whether data was received in addition to the first block.
     """
 
     head: h11.Request
@@ -92,10 +92,10 @@
 
 
 class Server:
-    """Serves one address.
+    """Serves HTTP requests on one address.
 
-    Connections on which no request was completed for `idle_timeout_s` are closed, by one task for
-    all of them: a timer for each request costs more than many a request itself.
+    Connections on which no request was completed for `idle_timeout_s` are closed. One task does
+    this for all connections, as a timer for each request costs more than many requests themselves.
     """
 
     def __init__(
@@ -117,11 +117,11 @@
 
     @property
     def open_sockets(self) -> int:
-        """How many connections are open."""
+        """The number of open connections."""
         return self._open_sockets
 
     async def run(self) -> None:
-        """Accepts and serves connections until the controller ends."""
+        """Accept and serve connections until the controller ends."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, True)
         sock.bind((self._endpoint.host, self._endpoint.port))
@@ -133,7 +133,7 @@
                 try:
                     client, _ = await sock.accept()
                 except OSError as exc:
-                    # no free socket: go on serving the connections that are open
+                    # no free socket: continue to serve the open connections
                     log.info("accepting connections failed error=%s", exc)
                     await curio.sleep(ACCEPT_RETRY_S)
                     continue
@@ -144,9 +144,10 @@
                 await curio.spawn(self._serve, client, daemon=True)
 
     async def _close_idle(self) -> None:
-        """Closes connections whose request has not come in time.
+        """Close connections whose request was not completed within the timeout.
 
-        A client that sends a byte now and then must not keep its socket.
+        The timeout applies to the whole request, so that a client that sends single bytes slowly
+        can't keep its socket.
         """
         while True:
             await curio.sleep(self._idle_timeout_s / IDLE_CHECKS_PER_TIMEOUT)
@@ -171,20 +172,20 @@
             self._open_sockets -= 1
 
     async def _serve_requests(self, connection: _Connection) -> None:
-        # no local variable may refer to a request while the next is waited for: each connection
-        # would keep the memory that its last request was received into
+        # No local variable may refer to a request while the connection waits for the next one.
+        # Otherwise each connection would keep the memory that its last request was received into.
         while await self._serve_one(connection):
             pass
 
     async def _serve_one(self, connection: _Connection) -> bool:
-        """Answers the next request; returns whether the connection goes on.
+        """Respond to the next request; return whether the connection stays open.
 
-        h11 is not told of requests whose heads are known: its connection is between two requests
+        Requests with cached heads bypass h11, whose connection state is between two requests both
         before and after them.
         """
         client = connection.sock
         connection.reading_since_check = self._idle_check_count
-        # the next request may have come with the last one; h11 has it then
+        # h11 may already hold the next request, if it was received together with the last one
         has_data = bool(connection.h11.trailing_data[0])
         data = None if has_data else await client.recv(RECEIVE_BYTES)
         head = self._heads.find(data) if data is not None else None
@@ -197,7 +198,7 @@
         return True
 
     async def _serve_by_h11(self, connection: _Connection, data: bytes | None) -> bool:
-        """Reads a request by h11 and answers it; returns whether the connection goes on."""
+        """Parse a request with h11 and respond; return whether the connection stays open."""
         protocol = connection.h11
         if data is not None:
             protocol.receive_data(data)
@@ -223,7 +224,7 @@
         return True
 
     async def _send(self, connection: _Connection, response: Response, is_closing: bool) -> None:
-        """Sends a response by h11."""
+        """Send a response with h11."""
         protocol = connection.h11
         head = response_head(
             response.status, len(response.body), response.retry_after_s, is_closing
@@ -243,7 +244,7 @@
             return Response(HttpStatus.INTERNAL_SERVER_ERROR, b'{"error":"internal"}')
 
     async def _read(self, connection: _Connection) -> _ReceivedRequest | None:
-        """Reads a request by h11; None when the client has ended the connection."""
+        """Receive and parse a request with h11; return None if the client closed the connection."""
         protocol, client = connection.h11, connection.sock
         head: h11.Request | None = None
         body = b""
@@ -267,6 +268,6 @@
                 return None
 
     async def _send_continue(self, connection: _Connection) -> None:
-        """Gives a client leave to send the body."""
+        """Send a 100 Continue response, which permits the client to send the body."""
         interim = h11.InformationalResponse(status_code=100, headers=[])
         await connection.sock.sendall(connection.h11.send(interim) or b"")
--- a/crossmill/net/token_bucket.py
+++ b/crossmill/net/token_bucket.py
@@ -1,15 +1,16 @@
-"""A token bucket, which limits the rate of requests to a service."""
+"""A token bucket that limits the rate of requests to a service."""
 
 from .clock import Clock
 
 
 class TokenBucket:
-    """A bucket that is refilled at a rate, up to a burst.
+    """A bucket that is refilled at a constant rate, up to the burst size.
 
-    An amount above the burst is allowed once the bucket is full, and leaves a debt.
+    An amount above the burst size may be taken when the bucket is full, and leaves a debt: the
+    number of tokens becomes negative.
 
     Attributes:
-        rate: Tokens a second.
+        rate: The refill rate in tokens per second.
     """
 
     def __init__(self, clock: Clock, rate: float, burst: float) -> None:
@@ -26,19 +27,19 @@
         self._refilled_at = now
 
     def reset(self, rate: float, burst: float) -> None:
-        """Sets rate and burst from now on; tokens are kept up to the new burst."""
+        """Set the rate and the burst size; keep the tokens up to the new burst size."""
         self._refill()
         self.rate = rate
         self._burst = burst
         self._tokens = min(self._tokens, burst)
 
     def available(self) -> float:
-        """Returns how many tokens there are; negative while there is a debt."""
+        """Return the number of tokens, which is negative while there is a debt."""
         self._refill()
         return self._tokens
 
     def try_take(self, amount: float = 1.0) -> bool:
-        """Takes the amount if it is available; returns whether it was."""
+        """Take the amount if it is available; return whether it was taken."""
         self._refill()
         if self._tokens < min(amount, self._burst):
             return False
@@ -46,17 +47,17 @@
         return True
 
     def force_take(self, amount: float) -> None:
-        """Takes the amount whether it is available or not; the rest becomes a debt."""
+        """Take the amount even if it is not available; the missing tokens become a debt."""
         self._refill()
         self._tokens -= amount
 
     def delay_s(self, amount: float = 1.0, overdraft: float = 0.0) -> float:
-        """Returns in how many seconds the amount may be taken, with a debt of up to `overdraft`."""
+        """Return the seconds until the amount may be taken with a debt of up to `overdraft`."""
         self._refill()
         missing = min(amount, self._burst) - overdraft - self._tokens
         return max(0.0, missing / self.rate)
 
     def drain(self) -> None:
-        """Empties the bucket, after the service refused a request for its rate."""
+        """Empty the bucket after the service has rejected a request because of its rate limit."""
         self._refill()
         self._tokens = min(self._tokens, 0.0)
--- a/crossmill/workers/__init__.py
+++ b/crossmill/workers/__init__.py
@@ -1,1 +1,1 @@
-"""Workers' machines: their newest status, their leases, and the commands that they need."""
+"""The status and leases of workers, and the commands that they are sent."""
--- a/crossmill/workers/attempt_outcomes.py
+++ b/crossmill/workers/attempt_outcomes.py
@@ -1,14 +1,14 @@
-"""What is known or decided about attempts besides the durable plan and the workers' statuses.
+"""In-memory state of attempts: outcomes, stop requests and unacknowledged starts.
 
-These are the outcomes of attempts that have ended, kept until they are durably written; the stops
-that were requested; and the starts sent straight to workers that were not acknowledged. An outcome
-frees a planned task, so it names what proves it, the ownership under which it was
-concluded, and the versions of keys under which it is true. It is void once that ownership ends:
-another owner may since have started the very attempt that was found not to have started.
+Outcomes of ended attempts are kept until they are durably written. Writing an outcome lets the task
+be planned again, so each outcome holds the proof that the attempt has ended, the term of the shard
+owner that recorded it, and the key versions that the write is conditional on. An outcome is invalid
+once that term ends: a later owner may have started the same attempt that this owner found not to
+have started.
 
-The reconciliation owns the three collections, in memory only; the next owner derives them anew.
-The reconciliation, the lease expiry and the scheduling loop record outcomes, which the loop writes.
-The scheduling decisions (preemption, drain, transfer) request stops, the command sender records
+The reconciler owns the three collections. They are not stored: the next owner of the shard derives
+them again. The reconciler, the lease expiry check and the scheduling loop record outcomes, and the
+loop writes them. Preemption, drain and machine transfer request stops. The command sender records
 starts.
 """
 
@@ -21,55 +21,55 @@
 from ..cluster.model import AttemptId, PlannedAttempt
 from ..wire.workers import TaskKey, WorkerHeartbeat
 
-# the starts sent to one machine and not acknowledged, with the token that each one carried
+# unacknowledged starts of one machine by attempt ID, with the fencing token they were sent under
 MachineStarts = dict[AttemptId, int]
 
 NO_PRECONDITIONS: Mapping[str, int] = MappingProxyType({})
 
-# the fewest concluded attempts at which those that left the plan are dropped
+# ended attempts that are no longer planned are dropped only above this number of ended attempts
 MIN_ENDED_BEFORE_TRIM = 1000
 
 
 class EndReason(StrEnum):
-    """Why an attempt has ended: what its worker reports, or what proves that it is gone."""
+    """The reason why an attempt has ended, as reported by its worker or as proved otherwise."""
 
     DONE = "done"
     STOPPED = "stopped"
     ERROR = "error"
-    # the worker refused the start: no free capacity, the task is there already, or is not known
+    # the worker refused the start: no free capacity, the task exists there already, or is unknown
     NO_CAPACITY = "no_room"
     TASK_EXISTS = "busy"
     TASK_UNKNOWN = "unknown"
-    # a gang-scheduled task that lost its peers
+    # the other tasks of the gang-scheduled group were lost
     PEERS_LOST = "peers"
-    # the worker began a new session and has lost its earlier tasks
+    # the worker has begun a new session, which ends all tasks of earlier sessions
     SESSION_ENDED = "session over"
-    # nobody can have answered the worker for as long as its lease lasts
+    # no controller can have answered the worker for the duration of its lease
     LEASE_EXPIRED = "lease over"
-    # a newer heartbeat lacks the attempt, and no start of it can arrive any more
+    # a newer heartbeat does not list the attempt, and no start command for it can still arrive
     NOT_STARTED = "not started"
-    # the cloud confirmed that the machine is gone
+    # the cloud has confirmed that the machine is released
     RELEASED = "released"
 
 
 class StopReason(StrEnum):
-    """Why a running attempt is stopped."""
+    """The reason why a running attempt is stopped."""
 
     PREEMPTED = "preempted"
     DRAINED = "drained"
-    # its machine is transferred to another shard
+    # the attempt's machine is being transferred to another shard
     TRANSFERRED = "given"
 
 
 class AttemptOutcome(NamedTuple):
-    """An attempt that has ended, with what is needed to write its end into the plan.
+    """The end of an attempt, with the data needed to write it into the plan.
 
     Attributes:
         attempt: The attempt as it was planned.
-        reason: Why it has ended.
-        term: The owner's term (see `ShardOwnership.term`); a later term must prove it anew.
-        run_s: How long the attempt ran, in seconds, if its start was seen.
-        preconditions: Versions of keys that the write of the outcome must be conditional on.
+        reason: The reason why the attempt has ended.
+        term: The owner's term (see `ShardOwnership.term`); a later term must prove the end again.
+        run_s: The run time of the attempt in seconds; None if no status showed it running.
+        preconditions: Versions by key that the write of the outcome is conditional on.
     """
 
     attempt: PlannedAttempt
@@ -80,21 +80,21 @@
 
 
 class AttemptOutcomes(dict[TaskKey, AttemptOutcome]):
-    """The outcomes that wait to be written, by task, and all attempts known to have ended.
+    """Outcomes that are not yet written, by task, and the IDs of all attempts known to have ended.
 
-    An attempt counts as ended (`has_ended`) even after its outcome was taken out to be
-    written: no start of it may be sent until it has left the plan.
+    An attempt counts as ended (`has_ended`) even after its outcome has been removed for writing: no
+    start of it may be sent as long as the plan contains it.
     """
 
     def __init__(self, cluster: ClusterState) -> None:
         super().__init__()
         self._cluster = cluster
-        # kept until the attempts have left the plan, whatever becomes of the reason for their end
+        # attempts stay here until they have left the plan, even if their outcome is never written
         self._ended: set[AttemptId] = set()
         self._trim_above = MIN_ENDED_BEFORE_TRIM
 
     def record(self, outcome: AttemptOutcome) -> None:
-        """Records an outcome; an earlier one of the task is kept if it is of the same term."""
+        """Record an outcome, unless the task already has one of the same term."""
         attempt = outcome.attempt
         key = (attempt.job, attempt.index)
         known = self.get(key)
@@ -105,11 +105,11 @@
             self._trim()
 
     def has_ended(self, attempt: PlannedAttempt) -> bool:
-        """Tells whether the attempt has ended, so that no start of it may be sent."""
+        """Return whether the attempt has ended, so that no start of it may be sent."""
         return attempt.id in self._ended
 
     def end_term(self, shard: int) -> None:
-        """Drops all that was concluded for the shard, when its ownership has ended."""
+        """Drop the shard's outcomes and ended attempts after its ownership has ended."""
         for key in [key for key in self if self._may_belong_to(key[0], shard)]:
             del self[key]
         self._ended = {
@@ -117,12 +117,12 @@
         }
 
     def _may_belong_to(self, job_id: str, shard: int) -> bool:
-        """Tells whether the job is the shard's; a job without a known record may be."""
+        """Return whether the job may belong to the shard; true for a job without a known record."""
         job = self._cluster.jobs.get(job_id)
         return job is None or not job.has_record or job.shard == shard
 
     def _trim(self) -> None:
-        """Drops concluded attempts that no plan contains any more."""
+        """Drop the ended attempts that are no longer in any plan."""
         machines = self._cluster.machines.values()
         planned = {attempt.id for machine in machines for attempt in machine.attempts.values()}
         self._ended &= planned
@@ -130,18 +130,18 @@
 
 
 class StopRequests(dict[AttemptId, StopReason]):
-    """The attempts that are to be stopped, with the reason for each."""
+    """The attempts to be stopped by attempt ID, with the reason for each."""
 
     def has(self, attempt: PlannedAttempt) -> bool:
-        """Tells whether the attempt is to be stopped.
+        """Return whether the attempt is to be stopped.
 
-        Asked for each task of each heartbeat, mostly while nothing is to be stopped: then no
-        identity is made, which would take a tenth of the time of a heartbeat.
+        This is called for each task of each heartbeat, usually without any stop request. In that
+        case no `AttemptId` is created, which would take a tenth of the time of a heartbeat.
         """
         return bool(self) and attempt.id in self
 
     def end_ownership(self, cluster: ClusterState, shard: int) -> None:
-        """Drops the requests for the shard's jobs, and those for jobs that are not known."""
+        """Drop the stop requests for the shard's jobs and for unknown jobs."""
         for attempt in list(self):
             job = cluster.jobs.get(attempt.job)
             if job is None or job.shard == shard:
@@ -149,10 +149,10 @@
 
 
 class UnacknowledgedStarts:
-    """Starts sent straight to workers and not answered, by machine.
+    """Starts sent directly to workers and not yet acknowledged, by machine.
 
-    Such a start may still be executed until the worker has seen a higher token or has begun a
-    new session.
+    The worker may still execute such a start until it has seen a higher token or has begun a new
+    session.
     """
 
     def __init__(self) -> None:
@@ -161,10 +161,10 @@
     def record(
         self, machine_id: str, attempts: Iterable[PlannedAttempt], token: int
     ) -> MachineStarts:
-        """Records starts that are about to be sent under this token.
+        """Record starts that are about to be sent under this token.
 
         Returns:
-            The machine's starts as they are recorded now, for `discard`.
+            The collection that holds the machine's recorded starts, to be passed to `discard`.
         """
         starts = self._by_machine.setdefault(machine_id, {})
         for attempt in attempts:
@@ -173,16 +173,16 @@
 
     @staticmethod
     def discard(starts: MachineStarts, attempts: Iterable[PlannedAttempt]) -> None:
-        """Removes answered starts from what `record` returned.
+        """Remove acknowledged starts from the collection that `record` returned.
 
-        If the machine was forgotten meanwhile, starts recorded since then stay: the answer says
-        nothing about them.
+        If `forget_machine` was called since, that collection is no longer in use. Starts that were
+        recorded later are then kept, as the response does not acknowledge them.
         """
         for attempt in attempts:
             starts.pop(attempt.id, None)
 
     def acknowledge(self, machine_id: str, heartbeat: WorkerHeartbeat) -> None:
-        """Removes the starts that the worker will refuse, as it has seen a higher token."""
+        """Remove the starts that the worker will refuse because it has seen a higher token."""
         starts = self._by_machine.get(machine_id)
         if starts:
             for attempt, token in list(starts.items()):
@@ -192,17 +192,17 @@
             self._by_machine.pop(machine_id, None)
 
     def has_any(self, machine_id: str) -> bool:
-        """Tells whether a start may still arrive at the machine."""
+        """Return whether any start may still arrive at the machine."""
         return bool(self._by_machine.get(machine_id))
 
     def has_start(self, machine_id: str, attempt: AttemptId) -> bool:
-        """Tells whether a start of the attempt may still arrive at the machine."""
+        """Return whether a start of the attempt may still arrive at the machine."""
         return attempt in self._by_machine.get(machine_id, {})
 
     def drop_start(self, machine_id: str, attempt: AttemptId) -> None:
-        """Drops one start, of a session that has ended."""
+        """Drop the start of an attempt whose session has ended."""
         self._by_machine.get(machine_id, {}).pop(attempt, None)
 
     def forget_machine(self, machine_id: str) -> None:
-        """Drops all starts sent to the machine, when its ownership has ended."""
+        """Drop all starts sent to a machine that this controller no longer owns."""
         self._by_machine.pop(machine_id, None)
--- a/crossmill/workers/command_gate.py
+++ b/crossmill/workers/command_gate.py
@@ -1,6 +1,6 @@
-"""The interface through which a recovering shard holds back commands and placements.
+"""The interface that restricts commands and placements while a shard is recovering.
 
-The heartbeat handler, the placement and the machine maintenance ask the gate before they act;
+The heartbeat handler, the placement and the machine maintenance consult the gate before they act.
 `crossmill/recovery` implements it. The gate owns all of its state.
 """
 
@@ -13,25 +13,25 @@
 
 
 class CommandGate(Protocol):
-    """Decides what may be done for a shard; a controller without a gate may do everything."""
+    """Decides which actions a shard permits; without a gate, all actions are permitted."""
 
     def filter_commands(
         self, machine: Machine, view: WorkerView, ownership: ShardOwnership, commands: list[Command]
     ) -> list[Command]:
-        """Returns the commands that may answer a heartbeat now, the most urgent ones first.
+        """Return the commands that may be sent in response to a heartbeat now, most urgent first.
 
-        Commands that are held back need not be kept: the reconciliation of the next heartbeat
-        derives them again.
+        The other commands need not be kept: the reconciliation of the next heartbeat derives them
+        again.
         """
 
     def may_place(self, shard: int) -> bool:
-        """Tells whether waiting tasks of the shard may be placed."""
+        """Return whether waiting tasks of the shard may be placed."""
 
     def is_claimed(self, job: str, index: int) -> bool:
-        """Tells whether a worker runs the task although no plan contains it.
+        """Return whether a worker runs the task although no plan contains it.
 
-        Such a task may not be placed: it would run twice.
+        Such a task must not be placed, as it would run twice.
         """
 
     def may_retire(self, machine: Machine, reason: str) -> bool:
-        """Tells whether the machine may be marked to be returned to the cloud for this reason."""
+        """Return whether the machine may be marked for release to the cloud for this reason."""
--- a/crossmill/workers/command_sender.py
+++ b/crossmill/workers/command_sender.py
@@ -1,8 +1,8 @@
-"""Sends commands straight to workers, so that starts need not wait for the next heartbeat.
+"""Direct commands to workers, which avoid the delay until the next heartbeat.
 
-A worker may execute such a command late, as long as its token and session match. Until a start is
-answered it is recorded as unacknowledged (see `UnacknowledgedStarts`). The scheduling loop calls
-the sender after its writes; the sender owns the connections to the workers.
+A worker may execute such a command late, as long as the command's token and session match. A start
+is recorded as unacknowledged until the worker responds (see `UnacknowledgedStarts`). The scheduling
+loop calls the sender after its writes. The sender owns the connections to the workers.
 """
 
 import logging
@@ -29,12 +29,12 @@
 
 log = logging.getLogger(__name__)
 
-# a worker answers with its status, whether it has taken the commands or refused them
+# the responses that contain the worker's status: it has accepted or refused the commands
 STATUSES_WITH_HEARTBEAT = (HttpStatus.OK, HttpStatus.CONFLICT)
 
 
 class MachineCommands(NamedTuple):
-    """The attempts to be started and to be stopped on one machine."""
+    """The attempts to start and to stop on one machine."""
 
     starts: list[PlannedAttempt]
     stops: list[PlannedAttempt]
@@ -44,8 +44,8 @@
     """Sends commands to workers' own addresses.
 
     Attributes:
-        connect: Makes the client for a worker's address.
-        on_response: Called after a worker's response was taken in, if it is set.
+        connect: Creates the HTTP client for a worker's address.
+        on_response: Called after a worker's response has been applied; optional.
     """
 
     def __init__(
@@ -69,11 +69,11 @@
         self._on_response = on_response
 
     async def send(self, starts: list[PlannedAttempt], stops: list[PlannedAttempt]) -> None:
-        """Sends the starts of durable plans, and stops, without waiting for the answers.
+        """Send the starts of durable plans, and stops, without waiting for the responses.
 
-        Beyond the limit of connections nothing is sent: the answer to the worker's next
-        heartbeat has the same commands. Stops are not recorded, as a late one only ends an
-        attempt that is to end anyway.
+        Above the limit of connections nothing is sent: the response to the worker's next heartbeat
+        contains the same commands. Stops are not recorded, as a late stop only ends an attempt that
+        is to be stopped anyway.
         """
         by_machine: dict[str, MachineCommands] = {}
         for attempt in starts:
@@ -85,14 +85,14 @@
                 await curio.spawn(self._send_to, machine_id, commands, daemon=True)
 
     async def _send_to(self, machine_id: str, attempts: MachineCommands) -> None:
-        """Sends one machine's commands, if this controller may still give them."""
+        """Send one machine's commands if this controller may still command the machine."""
         machine = self._cluster.machines.get(machine_id)
         view = self._heartbeats.find_view(machine_id)
         if machine is None or view is None:
             return
         ownership = self._membership.command_ownership(machine.shard)
         client = self._client(view.address)
-        # an attempt that was found to have ended while its plan was written must not start now
+        # an attempt that ended while its plan was being written must not be started now
         starts = [start for start in attempts.starts if self._may_send_start(start, machine, view)]
         stops = attempts.stops[:MAX_COMMANDS]
         if ownership is None or client is None or not (starts or stops):
@@ -109,7 +109,7 @@
         await self._request(client, machine_id, body, starts, token)
 
     def _may_send_start(self, attempt: PlannedAttempt, machine: Machine, view: WorkerView) -> bool:
-        """Tells whether the attempt is still planned for the worker's session, and may start."""
+        """Return whether the attempt is still planned in the worker's session and may start."""
         return (
             attempt.session == view.session
             and machine.attempts.get((attempt.job, attempt.index)) == attempt
@@ -117,7 +117,7 @@
         )
 
     def _client(self, address: str) -> HttpClient | None:
-        """Returns the client for a worker's address; None if the address is malformed."""
+        """Return the client for a worker's address, or None if the address is malformed."""
         client = self._clients.get(address)
         if client is not None:
             return client
@@ -125,7 +125,7 @@
         if not host or not port.isdigit():
             return None
         if len(self._clients) >= self._settings.command_sockets:
-            # drop the oldest; its worker still gets its commands with its heartbeats
+            # drop the oldest client: its worker still receives commands with heartbeat responses
             self._clients.pop(next(iter(self._clients)))
         client = self.connect(Endpoint(host, int(port)))
         self._clients[address] = client
@@ -139,7 +139,7 @@
         starts: list[PlannedAttempt],
         token: int,
     ) -> None:
-        """Sends a body with commands; the starts stay unacknowledged if no answer comes."""
+        """Send commands to a worker; without a response the starts stay unacknowledged."""
         unacknowledged = self._reconciler.unacknowledged_starts
         recorded = unacknowledged.record(machine_id, starts, token)
         self._in_flight += 1
@@ -161,7 +161,7 @@
         unacknowledged.discard(recorded, starts)
 
     def _apply_response(self, machine_id: str, status: int, data: bytes) -> None:
-        """Takes in the status with which a worker answers commands."""
+        """Apply the status that a worker's response to direct commands contains."""
         if status not in STATUSES_WITH_HEARTBEAT:
             return
         try:
--- a/crossmill/workers/heartbeat_handler.py
+++ b/crossmill/workers/heartbeat_handler.py
@@ -1,11 +1,13 @@
-"""Answers workers' heartbeats: who may answer a worker, and with which commands.
+"""The handling of workers' heartbeats: authority, responses and commands.
 
-A heartbeat is answered by the owner of the machine's shard, kept alive by a controller of a
-partitioned zone, or redirected. The commands come from the reconciliation of the worker's status
-with the plan. Only answers contain them (besides `CommandSender`): the worker drops a late answer.
+The owner of the machine's shard responds to a heartbeat with commands. A controller of a
+partitioned zone may only keep the worker alive. Any other controller redirects the worker. The
+commands result from the reconciliation of the worker's status with the plan. They are sent only in
+responses (and by `CommandSender`): the worker discards a late response.
 
-The handler owns the views of all workers that this controller has heard. The application calls it
-for each heartbeat, the scheduling loop and the machine maintenance read the views.
+The handler owns the views of all workers that have sent a heartbeat to this controller. The
+application calls it for each heartbeat. The scheduling loop and the machine maintenance read the
+views.
 """
 
 import logging
@@ -32,7 +34,7 @@
 from .reconciliation import Reconciler
 from .views import HeartbeatVerdict, WorkerView
 
-# the protocol is only for the type checker: a start need not load it
+# only the type checker needs the protocol, so the program does not load it at start
 if TYPE_CHECKING:
     from .command_gate import CommandGate
 
@@ -40,12 +42,12 @@
 
 
 class HeartbeatResponse(NamedTuple):
-    """The answer to a heartbeat.
+    """The response to a heartbeat.
 
     Attributes:
         status: The HTTP status.
-        token: The token under which the commands are given.
-        commands: What the worker has to do, at most `MAX_COMMANDS`.
+        token: The fencing token of the commands.
+        commands: The commands for the worker, at most `MAX_COMMANDS`.
         redirect: The controller to which the worker should send its heartbeats instead.
     """
 
@@ -56,14 +58,14 @@
 
 
 class HeartbeatHandler:
-    """Answers heartbeats, and keeps the views of the workers that sent them.
+    """Responds to heartbeats and keeps the views of the workers that sent them.
 
     Attributes:
         reconciler: Compares the workers' statuses with the plan.
-        outcomes: The outcomes of attempts that wait to be written.
-        stop_requests: The attempts that are to be stopped.
-        read_task_status: Reads one task of a heartbeat, from a cache where it can.
-        gate: Holds back commands and placements while a shard recovers; None holds back nothing.
+        outcomes: The outcomes of attempts that are not yet written.
+        stop_requests: The attempts to be stopped.
+        read_task_status: Parses one task of a heartbeat, with a cache of earlier results.
+        gate: Restricts commands and placements while a shard recovers; None for no restriction.
     """
 
     def __init__(
@@ -89,29 +91,30 @@
         self._lease_expiry = WorkerLeaseExpiry(
             settings, clock, partition_protocol.expiry_proof, self.outcomes
         )
-        # machines whose transfer to another shard is being written: the new owner relies on
-        # nobody else answering them, so they are not answered from before the write is sent
+        # Machines whose transfer to another shard is being written. The new owner relies on being
+        # the only controller that responds to them, so this controller stops responding before
+        # it sends the write.
         self._transferring: set[str] = set()
         self._unplanned_stop_count = 0
         self.gate = gate
         membership.subscribe_lost(self._end_ownership)
 
     def _end_ownership(self, shard: int) -> None:
-        """Drops all that is known of a shard which this controller has lost."""
+        """Drop all in-memory state of a shard that this controller has lost."""
         for machine_id in list(self._views):
             machine = self._cluster.machines.get(machine_id)
             if machine is None or machine.shard == shard:
-                # the next owner has a higher token, and relies only on workers that saw it
+                # the next owner has a higher token and trusts only workers that have seen it
                 self.forget_machine(machine_id)
         self.reconciler.end_ownership(shard)
 
     # -- views -----------------------------------------------------------------------
 
     def ensure_view(self, machine: Machine) -> WorkerView:
-        """Returns the view of a machine, which begins anew if the machine came back.
+        """Return the view of a machine, creating it if the machine is new or has returned.
 
-        An earlier owner may have answered the worker until this controller took over, so a new
-        view counts the worker as answered now.
+        An earlier owner may have responded to the worker until this controller took over, so a new
+        view takes the current time as the last response.
         """
         view = self._views.get(machine.id)
         if view is None or view.machine_token != machine.token:
@@ -120,18 +123,18 @@
         return view
 
     def find_view(self, machine_id: str) -> WorkerView | None:
-        """Returns the view of a machine, or None if nothing is known of it."""
+        """Return the view of a machine, or None if it has no view."""
         return self._views.get(machine_id)
 
     def forget_machine(self, machine_id: str) -> None:
-        """Drops what is known of a machine that is now another shard's."""
+        """Drop the state of a machine that now belongs to another shard."""
         self._views.pop(machine_id, None)
         self._unacknowledged_starts.forget_machine(machine_id)
 
     # -- authority -------------------------------------------------------------------
 
     def handle(self, heartbeat: WorkerHeartbeat) -> HeartbeatResponse:
-        """Returns the answer to a heartbeat."""
+        """Return the response to a heartbeat."""
         self._membership.reachability.record_heartbeat()
         machine = self._cluster.machines.get(heartbeat.machine)
         if machine is None:
@@ -146,7 +149,7 @@
     def _answer_as_owner(
         self, machine: Machine, heartbeat: WorkerHeartbeat, authority: HeartbeatAuthority
     ) -> HeartbeatResponse:
-        """Answers a worker of an owned shard; without full authority it is only kept alive."""
+        """Respond to a worker of an owned shard; without full authority, only keep it alive."""
         ownership = authority.ownership
         token = self.command_token(machine, ownership)
         if heartbeat.token > token:
@@ -164,20 +167,20 @@
             commands = self._stops_of_ended_jobs(commands)
         if self.gate is not None:
             commands = self.gate.filter_commands(machine, view, ownership, commands)
-        # cut only now: commands that are held back must not displace urgent ones
+        # truncate after the gate: commands that it withholds must not displace urgent commands
         commands = commands[:MAX_COMMANDS]
         self._log_unplanned_stops(machine, commands)
         return HeartbeatResponse(HttpStatus.OK, token, tuple(commands))
 
     @staticmethod
     def command_token(machine: Machine, ownership: ShardOwnership) -> int:
-        """Returns the token under which the owner of a machine's shard commands it."""
+        """Return the token under which the owner of a machine's shard commands the machine."""
         return max(ownership.token, machine.token)
 
     def _redirect(self, owner: str | None = None) -> HeartbeatResponse:
-        """Redirects a worker to its machine's owner, or to another reachable controller.
+        """Redirect a worker to its machine's owner, or to another reachable controller.
 
-        Without a redirect the worker tries the controllers one after the other.
+        Without a redirect, the worker tries the controllers one after the other.
         """
         redirect = owner or self._membership.owner_selection.reachable_alternative()
         return HeartbeatResponse(HttpStatus.MISDIRECTED_REQUEST, redirect=redirect)
@@ -185,15 +188,15 @@
     def _answer_without_ownership(
         self, machine: Machine, heartbeat: WorkerHeartbeat
     ) -> HeartbeatResponse:
-        """Keeps a worker of a partitioned zone alive, or redirects it to its owner."""
+        """Keep a worker of a partitioned zone alive, or redirect it to its owner."""
         commands = self._keepalive.keep_alive(machine, heartbeat)
         if commands is None:
             shard_owner = self._cluster.shard_owners.get(machine.shard)
             if shard_owner is None or shard_owner.owner == self._settings.label:
                 return self._redirect()
             return self._redirect(shard_owner.owner)
-        # an owner that keeps a worker alive for its zone may regain its authority by the same
-        # lease: this answer renewed the worker's lease all the same
+        # This response renews the worker's lease. The view must record it, because an owner that
+        # keeps a worker alive for its zone may regain its authority under the same lease.
         view = self._views.get(machine.id)
         if view is not None:
             view.answered_at = self._clock.now()
@@ -202,9 +205,9 @@
     def _answer_newer_token(
         self, machine: Machine, heartbeat: WorkerHeartbeat
     ) -> HeartbeatResponse:
-        """Sends a worker elsewhere that has seen a higher token than this owner's.
+        """Redirect a worker that has seen a higher token than this owner's.
 
-        It would drop an answer under the lower token, and its lease would run out meanwhile.
+        The worker would discard a response under the lower token, and its lease would expire.
         """
         self._membership.request_higher_token(machine.shard, heartbeat.token)
         alternative = self._membership.owner_selection.reachable_alternative()
@@ -213,10 +216,10 @@
         return HeartbeatResponse(HttpStatus.MISDIRECTED_REQUEST, redirect=alternative)
 
     def _stops_of_ended_jobs(self, commands: list[Command]) -> list[Command]:
-        """Returns the commands that may be given without full authority.
+        """Return the commands that may be sent without full authority.
 
-        A worker is then only kept alive. To stop a task whose job has ended is right whoever
-        says so, and whenever.
+        Without it, a worker is only kept alive. The exception is stopping a task whose job has
+        ended, which is correct from any controller at any time.
         """
         return [
             command
@@ -229,7 +232,7 @@
         return job is not None and job.has_ended
 
     def _log_unplanned_stops(self, machine: Machine, commands: list[Command]) -> None:
-        """Logs and counts the commands that stop a running task which no plan contains."""
+        """Log and count the commands that stop a running task that no plan contains."""
         for command in commands:
             if command.op is not CommandKind.STOP:
                 continue
@@ -250,37 +253,37 @@
     # -- transfers of machines to other shards ---------------------------------------
 
     def is_transferring(self, machine_id: str) -> bool:
-        """Tells whether the machine's transfer to another shard is being written."""
+        """Return whether the machine's transfer to another shard is being written."""
         return machine_id in self._transferring
 
     def begin_transfers(self, machine_ids: Collection[str]) -> None:
-        """Stops answering these machines until the results of their transfers are known."""
+        """Stop responding to these machines until the results of their transfers are known."""
         self._transferring.update(machine_ids)
 
     def end_transfers(self, machine_ids: Collection[str]) -> None:
-        """Answers these machines again: the results of their transfers are known."""
+        """Respond to these machines again, as the results of their transfers are known."""
         self._transferring.difference_update(machine_ids)
 
     # -- commands and leases ---------------------------------------------------------
 
     def request_stop(self, attempt: PlannedAttempt, reason: StopReason) -> None:
-        """Requests that an attempt is stopped; its worker's heartbeats are answered so."""
+        """Request the stop of an attempt, which is sent with the next heartbeat response."""
         self.stop_requests[attempt.id] = reason
 
     def is_stopping(self, attempt: PlannedAttempt) -> bool:
-        """Tells whether the attempt is to be stopped, for whatever reason."""
+        """Return whether the attempt is to be stopped, for any reason."""
         return self.stop_requests.has(attempt)
 
     def forget_stop(self, attempt: PlannedAttempt) -> None:
-        """Drops the request to stop an attempt that has ended."""
+        """Drop the request to stop an attempt that has ended."""
         self.stop_requests.pop(attempt.id, None)
 
     def has_unacknowledged_starts(self, machine_id: str) -> bool:
-        """Tells whether a start sent straight to the worker may still arrive."""
+        """Return whether a start that was sent directly to the worker may still arrive."""
         return self._unacknowledged_starts.has_any(machine_id)
 
     def apply_command_response(self, heartbeat: WorkerHeartbeat) -> None:
-        """Takes in the status that answers a direct command; it renews no lease."""
+        """Apply the status in a response to a direct command, which renews no lease."""
         machine = self._cluster.machines.get(heartbeat.machine)
         if machine is None:
             return
@@ -295,5 +298,5 @@
             self.reconciler.apply_command_response(machine, view, ownership, heartbeat)
 
     def expire_lease(self, machine: Machine, ownership: ShardOwnership) -> None:
-        """Ends the machine's attempts if its worker's lease is proved to have expired."""
+        """End the machine's attempts if its worker's lease is proved to have expired."""
         self._lease_expiry.check(machine, self.ensure_view(machine), ownership)
--- a/crossmill/workers/lease_expiry.py
+++ b/crossmill/workers/lease_expiry.py
@@ -1,8 +1,8 @@
-"""Ends the attempts of workers whose lease has expired.
+"""The detection of expired worker leases, which end the workers' attempts.
 
-A worker that nobody answers for as long as its lease lasts kills its own tasks. The scheduling
-loop asks for each machine in each round; the outcomes go to the collection of outcomes, and the
-proof that no other controller answered the worker comes from the cluster's lease expiry proof.
+A worker that receives no response for the duration of its lease kills its own tasks. The scheduling
+loop runs the check for each machine in each round. The outcomes are recorded in `AttemptOutcomes`.
+`LeaseExpiryProof` proves that no other controller has responded to the worker.
 """
 
 from ..cluster.lease_expiry_proof import LeaseExpiryProof
@@ -15,7 +15,7 @@
 
 
 class WorkerLeaseExpiry:
-    """Records the outcome of attempts whose worker's lease is proved to have expired."""
+    """Records the outcomes of attempts whose worker's lease is proved to have expired."""
 
     def __init__(
         self,
@@ -30,9 +30,10 @@
         self._outcomes = outcomes
 
     def check(self, machine: Machine, view: WorkerView, ownership: ShardOwnership) -> None:
-        """Ends the machine's attempts if its worker's lease has expired.
+        """End the machine's attempts if its worker's lease has expired.
 
-        Until the proof is complete, each call asks the other controllers for what it lacks.
+        Until the proof is complete, each call requests the missing attestations from the other
+        controllers.
         """
         if not machine.attempts:
             return
@@ -56,5 +57,5 @@
 
 
 def _has_bounded_lease(attempt: PlannedAttempt, view: WorkerView) -> bool:
-    """Tells whether the attempt is of a session whose lease the view bounds."""
+    """Return whether the view bounds the lease of the attempt's session."""
     return attempt.session <= view.session or not view.has_confirmed_token
--- a/crossmill/workers/reconciliation.py
+++ b/crossmill/workers/reconciliation.py
@@ -1,9 +1,9 @@
-"""Reconciles a worker's newest status with the durable plan.
+"""The reconciliation of a worker's newest status with the durable plan.
 
 The comparison yields the commands that the worker needs and the outcomes of attempts that have
-ended. It needs no memory of earlier commands, so commands can be repeated until they show effect.
-The heartbeat handler calls it for each status; it owns the requested stops, the unacknowledged
-starts and the outcomes that wait to be written.
+ended. It does not depend on earlier commands, so commands are repeated until they take effect. The
+heartbeat handler calls the reconciler for each status. The reconciler owns the stop requests, the
+unacknowledged starts and the outcomes that are not yet written.
 """
 
 import logging
@@ -26,19 +26,19 @@
 
 log = logging.getLogger(__name__)
 
-# bound once: looking up an enum's member takes 0.3 us in Python 3.11, here for each task reported
+# looked up once: an enum member lookup takes 0.3 us in Python 3.11, here for each reported task
 _EXITED = TaskState.EXITED
 _RUNNING = TaskState.RUNNING
 _SAVING = TaskState.SAVING
 
-# a checkpoint before a machine's termination is begun so many heartbeats before it must be
+# number of heartbeats by which a checkpoint starts earlier than a machine's termination requires
 TERMINATION_MARGIN_HEARTBEATS = 3
-# a stopped task may take so many times as long to save as its job states
+# a stopped task may save for this multiple of the time that its job declares
 SAVE_GRACE_FACTOR = 2
 
 
 def _task_name(job: str, index: int) -> str:
-    """Returns the name of a task in commands."""
+    """Return the name of a task in commands."""
     return f"{job}/{index}"
 
 
@@ -57,12 +57,12 @@
         self.unacknowledged_starts = UnacknowledgedStarts()
 
     def end_ownership(self, shard: int) -> None:
-        """Drops what was concluded and requested for a shard that this controller has lost."""
+        """Drop the outcomes and stop requests of a shard that this controller has lost."""
         self.outcomes.end_term(shard)
         self.stop_requests.end_ownership(self._cluster, shard)
 
     def may_start(self, attempt: PlannedAttempt, machine: Machine) -> bool:
-        """Tells whether a start of the attempt may still be sent."""
+        """Return whether a start of the attempt may still be sent."""
         return not self.outcomes.has_ended(attempt) and self._should_run(attempt, machine)
 
     def _should_run(self, attempt: PlannedAttempt, machine: Machine) -> bool:
@@ -73,12 +73,12 @@
 
     @staticmethod
     def start_command(attempt: PlannedAttempt) -> Command:
-        """Returns the command that starts a planned attempt."""
+        """Return the command that starts a planned attempt."""
         name = _task_name(attempt.job, attempt.index)
         return Command(CommandKind.START, name, attempt.number)
 
     def stop_command(self, attempt: PlannedAttempt) -> Command:
-        """Returns the command that stops a planned attempt, with time to save if it can."""
+        """Return the command that stops a planned attempt, with a grace period if it can save."""
         job = self._cluster.jobs.get(attempt.job)
         spec = job.spec if job is not None else None
         saves = spec is not None and spec.checkpoint_s > 0
@@ -89,9 +89,9 @@
     def apply_heartbeat(
         self, machine: Machine, view: WorkerView, ownership: ShardOwnership, status: WorkerHeartbeat
     ) -> list[Command]:
-        """Returns the commands that answer a heartbeat, whose status the view already has.
+        """Return the commands for a heartbeat whose status is already applied to the view.
 
-        Outcomes found on the way are recorded.
+        Outcomes that the status shows are recorded.
         """
         self.unacknowledged_starts.acknowledge(machine.id, status)
         return self.commands(machine, view, ownership)
@@ -99,7 +99,7 @@
     def apply_command_response(
         self, machine: Machine, view: WorkerView, ownership: ShardOwnership, status: WorkerHeartbeat
     ) -> None:
-        """Records the outcomes that a response to a direct command shows."""
+        """Record the outcomes that a response to a direct command shows."""
         self.unacknowledged_starts.acknowledge(machine.id, status)
         self.commands(machine, view, ownership, is_command_response=True)
 
@@ -110,10 +110,10 @@
         ownership: ShardOwnership,
         is_command_response: bool = False,
     ) -> list[Command]:
-        """Returns what the worker has to do for its tasks to be those of the plan.
+        """Return the commands that bring the worker's tasks in line with the plan.
 
-        Outcomes found on the way are recorded. `is_command_response` says that the newest status
-        came in response to a direct command rather than with a heartbeat.
+        Outcomes that the status shows are recorded. `is_command_response` states that the newest
+        status was received in response to a direct command rather than with a heartbeat.
         """
         commands: list[Command] = []
         for key, task in view.tasks.items():
@@ -138,14 +138,14 @@
         return commands
 
     def _reconcile_unplanned(self, machine: Machine, task: TaskStatus) -> Command | None:
-        """Handles an attempt that the plan lacks.
+        """Return the command for an attempt that is not in the plan.
 
-        Its outcome is durable, or it must not be on this machine.
+        Either its outcome is durable, or it must not be on this machine.
         """
         name = _task_name(task.job, task.index)
         if task.state is not _EXITED:
             return Command(CommandKind.STOP, name, task.attempt, 0.0)
-        # a start that arrives after the worker has forgotten the attempt would run it again
+        # a start that arrives after the worker has forgotten the attempt would run it a second time
         if self._may_start_arrive(machine, AttemptId(task.job, task.index, task.attempt)):
             return None
         return Command(CommandKind.FORGET, name, task.attempt)
@@ -158,7 +158,7 @@
         ownership: ShardOwnership,
         is_command_response: bool,
     ) -> Command | None:
-        """Handles a planned attempt that the worker does not have."""
+        """Return the command for a planned attempt that the worker does not list."""
         if attempt.session < view.session:
             self.unacknowledged_starts.drop_start(machine.id, attempt.id)
             self.outcomes.record(AttemptOutcome(attempt, EndReason.SESSION_ENDED, ownership.term))
@@ -170,24 +170,24 @@
         if self.may_start(attempt, machine):
             return self.start_command(attempt)
         if self._may_start_arrive(machine, attempt.id) or is_command_response:
-            # the response to a direct command was made while the answer to the last heartbeat,
-            # which may contain the start, was still on its way
+            # the response to a direct command may have been sent while the response to the last
+            # heartbeat, which may contain the start, was still in transit
             return None
-        # a newer heartbeat without it: no start sent before can still arrive
+        # a newer heartbeat does not list the attempt: no start sent earlier can still arrive
         self.outcomes.record(AttemptOutcome(attempt, EndReason.NOT_STARTED, ownership.term))
         return None
 
     def _may_start_arrive(self, machine: Machine, attempt: AttemptId) -> bool:
-        """Tells whether a start of the attempt can still arrive; if so asks for a higher token."""
+        """Return whether a start of the attempt can still arrive; if so, request a higher token."""
         if not self.unacknowledged_starts.has_start(machine.id, attempt):
             return False
         self._membership.request_higher_token(machine.shard)
         return True
 
     def _is_job_known(self, attempt: PlannedAttempt) -> bool:
-        """Tells whether the attempt's job has a record or has ended.
+        """Return whether the attempt's job has a record or has ended.
 
-        Without either, the record was read late or is missing: nothing is started or ended.
+        Otherwise the record has not been read yet or is missing: nothing is started or ended.
         """
         job = self._cluster.jobs.get(attempt.job)
         if job is not None and (job.has_record or job.has_ended):
@@ -207,7 +207,7 @@
         view: WorkerView,
         ownership: ShardOwnership,
     ) -> Command | None:
-        """Handles a planned attempt that the worker has."""
+        """Return the command for a planned attempt that the worker lists."""
         state = task.state
         if state is _EXITED:
             self._record_exit(attempt, task, view, ownership)
@@ -226,9 +226,9 @@
         return None
 
     def _must_save(self, save_s: float, termination_at: float) -> bool:
-        """Tells whether a task must save now to be done before its machine is terminated.
+        """Return whether a task must start saving now to finish before its machine is terminated.
 
-        It saves as late as is safe, so that the machine's last seconds count.
+        It saves as late as is safe, so that the task runs for as long as possible.
         """
         margin_s = TERMINATION_MARGIN_HEARTBEATS * self._settings.heartbeat_interval_s
         return termination_at - self._clock.now() < save_s + margin_s
--- a/crossmill/workers/views.py
+++ b/crossmill/workers/views.py
@@ -1,7 +1,7 @@
-"""What this controller knows of a worker from the heartbeats that it received.
+"""The status of workers as known to this controller from their heartbeats.
 
-A view is held in memory by the heartbeat handler, which creates and drops it; the planning and the
-maintenance of machines read it.
+The heartbeat handler creates views, keeps them in memory and drops them. The placement and the
+machine maintenance read them.
 """
 
 import logging
@@ -11,18 +11,18 @@
 
 log = logging.getLogger(__name__)
 
-# bound once: looking up an enum's member takes 0.3 us in Python 3.11, here for each task reported
+# looked up once: an enum member lookup takes 0.3 us in Python 3.11, here for each reported task
 _RUNNING = TaskState.RUNNING
 
 
 class HeartbeatVerdict(Enum):
-    """What the handler may conclude from a heartbeat."""
+    """The result of applying a heartbeat to a view."""
 
-    # a late copy: it shows nothing, not even that the worker lives
+    # a late copy, which does not even prove that the worker is alive
     STALE = "stale"
-    # the worker lives, but a response to a direct command has already told a newer status
+    # the worker is alive, but a response to a direct command has already reported a newer status
     SUPERSEDED = "superseded"
-    # the worker has not yet seen this owner's token: the heartbeat may predate the ownership
+    # the worker has not seen this owner's token yet, so the heartbeat may predate the ownership
     UNCONFIRMED_TOKEN = "unconfirmed token"
     # the newest status, reported under this owner's token
     ACCEPTED = "accepted"
@@ -31,29 +31,32 @@
 class WorkerView:
     """The newest status of one worker, and bounds on its lease.
 
-    `answered_at` and `session_seen_at` bound the worker's lease: nobody can have answered it
-    later, and its session cannot have begun later than it was first seen. A status counts only
-    once the worker reports this owner's token: only then was it made after the ownership began.
-    All times are steady times of this controller's clock, in seconds.
+    `answered_at` and `session_seen_at` bound the worker's lease: no controller can have responded
+    to the worker later than `answered_at`, and its session cannot have begun later than it was
+    first seen. A status is accepted only if it reports this owner's token, which proves that it was
+    created after the ownership began. All times are monotonic times of this controller's clock, in
+    seconds.
 
     Attributes:
-        machine: The machine's id.
-        machine_token: The machine's own token when this view began. Another token means that
-            the machine was transferred away and came back, so that the view must begin anew.
-        answered_at: The latest time at which the worker may have been answered.
-        has_been_answered: Whether this controller has answered the worker itself.
+        machine: The machine's ID.
+        machine_token: The machine's own token when this view was created. A different token means
+            that the machine was transferred away and has returned, so a new view is needed.
+        answered_at: The latest time at which any controller may have responded to the worker.
+        has_been_answered: Whether this controller itself has responded to the worker.
         session: The worker's newest session (its incarnation).
-        session_seen_at: When that session was first seen.
+        session_seen_at: The time at which that session was first seen.
         seq: The sequence number of the newest status within the session.
-        last_heartbeat_number: Session and sequence number of the newest heartbeat; responses to
+        last_heartbeat_number: The session and sequence number of the newest heartbeat; responses to
             direct commands don't count.
-        last_heartbeat_at: When that heartbeat came; None before the first.
+        last_heartbeat_at: The time at which that heartbeat was received; None before the first.
         has_confirmed_token: Whether the worker has reported this owner's token.
         address: The worker's own address, `host:port`.
-        termination_at: When the cloud will terminate the machine; None without a spot notice.
-        tasks: The tasks of the newest status.
-        running_since: When each running task was first seen to run.
-        idle_since: Since when the machine has had no task, as the maintenance sees it.
+        termination_at: The time at which the cloud will terminate the machine; None without a spot
+            termination notice.
+        tasks: The tasks of the newest status by job ID and index.
+        running_since: The time at which each running task was first reported as running.
+        idle_since: The time since which the machine has had no task, set by the machine
+            maintenance; None while it has tasks.
     """
 
     __slots__ = (
@@ -94,11 +97,11 @@
     def apply_heartbeat(
         self, heartbeat: WorkerHeartbeat, token: int, now: float
     ) -> HeartbeatVerdict:
-        """Takes in a heartbeat that the worker sent to this controller.
+        """Apply a heartbeat that the worker sent to this controller.
 
-        `token` is the token under which this controller commands the machine. A response to a
-        direct command goes to `apply_status` instead: a worker whose heartbeats are lost still
-        answers commands while its lease runs out.
+        `token` is the token under which this controller commands the machine. Responses to direct
+        commands are passed to `apply_status` instead: a worker whose heartbeats are lost still
+        responds to commands until its lease expires.
         """
         number = (heartbeat.session, heartbeat.seq)
         if number <= self.last_heartbeat_number:
@@ -112,10 +115,10 @@
         return HeartbeatVerdict.SUPERSEDED
 
     def apply_status(self, heartbeat: WorkerHeartbeat, token: int, now: float) -> bool:
-        """Takes over a status if it is the newest and was made under `token`.
+        """Apply a status if it is the newest and reports `token`.
 
         Returns:
-            Whether the status was taken over.
+            Whether the status was applied.
         """
         if heartbeat.token != token:
             return False
@@ -151,11 +154,11 @@
 
     @property
     def lease_renewed_at(self) -> float:
-        """The latest time from which the worker's lease can count, as far as is known here."""
+        """The latest time at which the worker's lease can have been renewed or begun."""
         return max(self.answered_at, self.session_seen_at)
 
     def is_fresh(self, now: float, within_s: float) -> bool:
-        """Tells whether a heartbeat under this owner's token came in the last `within_s`."""
+        """Return whether a heartbeat with this owner's token arrived in the last `within_s`."""
         return (
             self.has_confirmed_token
             and self.last_heartbeat_at is not None
