--- a/crossmill/fleet/cloud.py
+++ b/crossmill/fleet/cloud.py
@@ -1,6 +1,6 @@
 """Client of the cloud's API. All requests are paced below the cloud's rate limit.
 
-`Cloud` owns the pacer and the names of rental requests. Only the fleet provisioner calls it.
+`Cloud` owns the token bucket and the names of rental requests. Only the fleet provisioner calls it.
 """
 
 from collections.abc import Callable
@@ -138,7 +138,7 @@
         body: bytes = b"",
         may_send: Callable[[], bool] = _always,
     ) -> _Response:
-        """Send a request as soon as the pacer allows it.
+        """Send a request as soon as the token bucket allows it.
 
         `may_send` is asked right before: the wait may have been long, and the process may have been
         suspended meanwhile.
--- a/crossmill/net/request_heads.py
+++ b/crossmill/net/request_heads.py
@@ -41,7 +41,7 @@
 
 
 def parsed_head(request: h11.Request) -> RequestHead | None:
-    """Return the head of a request, or None if it does not state the length of the body.
+    """Return the head of a request, or None if its headers don't determine the body length.
 
     Return None also for a request with an `Expect` header, whose sender waits for permission to
     send the body.
@@ -81,9 +81,8 @@
     def add(self, data: bytes, request: h11.Request) -> None:
         """Add the head of a request that h11 has parsed from exactly this data.
 
-        The connection must stay open after the request. Some heads are not added: those that are
-        too long, those that don't state the length of the body, and those of HEAD requests, whose
-        response has no body.
+        The connection must stay open after the request. A head is not added if it is too long, if
+        `parsed_head` returns None for it, or for HEAD requests, whose responses have no body.
         """
         end = data.find(END_OF_HEAD) + len(END_OF_HEAD)
         head = parsed_head(request)
--- a/crossmill/workers/attempt_outcomes.py
+++ b/crossmill/workers/attempt_outcomes.py
@@ -1,10 +1,10 @@
 """In-memory state of attempts: outcomes, stop requests and unacknowledged starts.
 
-Outcomes of ended attempts are kept until they are durably written. Writing an outcome lets the task
-be planned again, so each outcome holds the proof that the attempt has ended, the term of the shard
-owner that recorded it, and the key versions that the write is conditional on. An outcome is invalid
-once that term ends: a later owner may have started the same attempt that this owner found not to
-have started.
+Outcomes of ended attempts are kept until they are durably written. Writing an outcome removes the
+attempt from the plan, so each outcome names the proof that the attempt has ended, the term of the
+shard owner that recorded it, and the key versions that the write is conditional on. An outcome is
+invalid once that term ends: a later owner may have started the same attempt that this owner found
+not to have started.
 
 The reconciler owns the three collections. They are not stored: the next owner of the shard derives
 them again. The reconciler, the lease expiry check and the scheduling loop record outcomes, and the
@@ -44,7 +44,7 @@
     PEERS_LOST = "peers"
     # the worker has begun a new session, which ends all tasks of earlier sessions
     SESSION_ENDED = "session over"
-    # no controller can have answered the worker for the duration of its lease
+    # no controller can have responded to the worker for the duration of its lease
     LEASE_EXPIRED = "lease over"
     # a newer heartbeat does not list the attempt, and no start command for it can still arrive
     NOT_STARTED = "not started"
@@ -94,7 +94,7 @@
         self._trim_above = MIN_ENDED_BEFORE_TRIM
 
     def record(self, outcome: AttemptOutcome) -> None:
-        """Record an outcome, unless the task already has one of the same term."""
+        """Record the end of an attempt; an earlier outcome of the task in the same term is kept."""
         attempt = outcome.attempt
         key = (attempt.job, attempt.index)
         known = self.get(key)
@@ -110,13 +110,13 @@
 
     def end_term(self, shard: int) -> None:
         """Drop the shard's outcomes and ended attempts after its ownership has ended."""
-        for key in [key for key in self if self._may_belong_to(key[0], shard)]:
+        for key in [key for key in self if self._can_belong_to(key[0], shard)]:
             del self[key]
         self._ended = {
-            attempt for attempt in self._ended if not self._may_belong_to(attempt.job, shard)
+            attempt for attempt in self._ended if not self._can_belong_to(attempt.job, shard)
         }
 
-    def _may_belong_to(self, job_id: str, shard: int) -> bool:
+    def _can_belong_to(self, job_id: str, shard: int) -> bool:
         """Return whether the job may belong to the shard; true for a job without a known record."""
         job = self._cluster.jobs.get(job_id)
         return job is None or not job.has_record or job.shard == shard
--- a/crossmill/workers/reconciliation.py
+++ b/crossmill/workers/reconciliation.py
@@ -146,7 +146,7 @@
         if task.state is not _EXITED:
             return Command(CommandKind.STOP, name, task.attempt, 0.0)
         # a start that arrives after the worker has forgotten the attempt would run it a second time
-        if self._may_start_arrive(machine, AttemptId(task.job, task.index, task.attempt)):
+        if self._can_start_arrive(machine, AttemptId(task.job, task.index, task.attempt)):
             return None
         return Command(CommandKind.FORGET, name, task.attempt)
 
@@ -169,7 +169,7 @@
             return None
         if self.may_start(attempt, machine):
             return self.start_command(attempt)
-        if self._may_start_arrive(machine, attempt.id) or is_command_response:
+        if self._can_start_arrive(machine, attempt.id) or is_command_response:
             # the response to a direct command may have been sent while the response to the last
             # heartbeat, which may contain the start, was still in transit
             return None
@@ -177,7 +177,7 @@
         self.outcomes.record(AttemptOutcome(attempt, EndReason.NOT_STARTED, ownership.term))
         return None
 
-    def _may_start_arrive(self, machine: Machine, attempt: AttemptId) -> bool:
+    def _can_start_arrive(self, machine: Machine, attempt: AttemptId) -> bool:
         """Return whether a start of the attempt can still arrive; if so, request a higher token."""
         if not self.unacknowledged_starts.has_start(machine.id, attempt):
             return False
--- a/tests/test_attempt_end_proofs.py
+++ b/tests/test_attempt_end_proofs.py
@@ -1,4 +1,4 @@
-"""What proves that a worker's attempts have ended, and what does not."""
+"""Proofs that a worker's attempts have ended, and observations that prove nothing."""
 
 import orjson
 
@@ -14,7 +14,7 @@
 def test_a_heartbeat_from_before_a_failover_is_not_believed() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
-        # a new incarnation; a late copy of an old report lists nothing
+        # a new controller takes over; a late copy of an old heartbeat lists no task
         successor = SteppedController(state, clock, nodes)
         await successor.boot()
         assert successor.token() > node.token()
@@ -120,7 +120,7 @@
         node.command_sender._apply_response("n-0", 200, orjson.dumps(data))
         assert view.seq == 9
         assert view.answered_at == before
-        # the report that was under way meanwhile is older, but its answer does renew
+        # a heartbeat that was in transit has an older status, but its response renews the lease
         node.report("n-0", 1, 8, node.token(), reported_task("wk-000001", 0, 1, "running"))
         assert view.answered_at == clock.now()
 
@@ -128,11 +128,10 @@
 
 
 def test_a_session_known_from_command_responses_alone_has_its_own_lease() -> None:
-    """Attempts that still ran were taken for ended and started elsewhere.
+    """Attempts that still ran were considered ended and were started on other machines.
 
-    A worker whose heartbeats are lost begins a new session; the lease of what was placed there was
-    counted
-    from the last heartbeat that was answered, long before.
+    A worker whose heartbeats are lost begins a new session. The lease of the attempts placed in
+    that session was counted from the last heartbeat that had been answered, long before.
     """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
@@ -145,7 +144,7 @@
         view = node.heartbeats.find_view("n-0")
         assert view is not None
         assert view.session == 2
-        # nothing is placed where no report comes from
+        # no task is placed on a machine without heartbeats
         assert not view.is_fresh(clock.now(), node.settings.heartbeat_timeout_s)
         node.cluster.mirror.written(
             keys.plan("wk-000001", "0"),
--- a/tests/test_command_delivery.py
+++ b/tests/test_command_delivery.py
@@ -1,4 +1,4 @@
-"""Starts, stops and outcomes rest on durable plans and on proofs."""
+"""Starts, stops and outcomes require durable plans and proofs."""
 
 import curio
 import orjson
@@ -41,7 +41,7 @@
         await node.round()
         await curio.sleep(0.01)
         assert node.worker.sent[0]["orders"][0]["verb"] == "start"
-        # cancelled, and a newer heartbeat does not list it: the start may still arrive
+        # the job is cancelled and a newer heartbeat lacks the task, but its start may still arrive
         record = state.keys[keys.job(JOB)]
         state.put(keys.job(JOB), {**record[0], "end": "cancelled"})
         await node.sync()
@@ -87,7 +87,7 @@
     run_scenario(scenario)
 
 
-def test_tasks_of_a_cancelled_job_are_stopped_and_its_end_stays() -> None:
+def test_tasks_of_a_cancelled_job_are_stopped_and_its_recorded_end_is_kept() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
         answer = await node.ask("POST", f"/v1/jobs/{JOB}/withdraw")
@@ -103,7 +103,7 @@
 
 
 def test_a_command_response_without_the_task_does_not_prove_that_it_will_not_start() -> None:
-    """A task that was taken for not started began while it was placed elsewhere.
+    """A task that was considered not started was placed again, and then the first start arrived.
 
     The start may be in the response to the last heartbeat, which has not arrived yet.
     """
@@ -118,7 +118,7 @@
         node.heartbeats.stop_requests[AttemptId(JOB, 0, 1)] = StopReason.PREEMPTED
         node.command_sender._apply_response("n-0", 200, heartbeat_body("n-0", 1, 4, token))
         assert not node.heartbeats.outcomes
-        # a report is sent only when the answer to the one before has come or is given up
+        # a worker sends a heartbeat only after the previous one was answered or has timed out
         node.report("n-0", 1, 5, token)
         assert [outcome.reason for outcome in node.heartbeats.outcomes.values()] == ["not started"]
 
@@ -126,10 +126,11 @@
 
 
 def test_an_attempt_found_not_started_is_never_started() -> None:
-    """A task was started by command after its attempt had been found not started.
+    """A direct command started a task after its attempt had been found not started.
 
-    The watch showed the plan before its write was answered: a heartbeat without the task ended the
-    attempt on a machine to be released, and then the write's answer brought the command.
+    The watch delivered the plan before the response to its write arrived. A heartbeat without the
+    task then ended the attempt, which was on a machine to be released. The response to the write
+    arrived afterwards and triggered the start command.
     """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
@@ -145,14 +146,14 @@
         node.heartbeats.stop_requests[AttemptId(JOB, 0, 1)] = StopReason.PREEMPTED
         node.report("n-0", 1, 3, token)
         assert [outcome.reason for outcome in node.heartbeats.outcomes.values()] == ["not started"]
-        # its end is being written, and the reason for it has gone
+        # the end of the attempt is being written, and the stop request no longer exists
         node.heartbeats.outcomes.clear()
         node.heartbeats.stop_requests.clear()
         await node.command_sender.send([attempt], [])
         await curio.sleep(0.01)
         assert not node.worker.sent
         assert not node.report("n-0", 1, 4, token).commands
-        # should the write come to nothing, it is found once more
+        # in case the write fails, the next heartbeat yields the same outcome again
         assert [outcome.reason for outcome in node.heartbeats.outcomes.values()] == ["not started"]
 
     run_scenario(scenario)
--- a/tests/test_concurrent_cancellations.py
+++ b/tests/test_concurrent_cancellations.py
@@ -1,4 +1,4 @@
-"""Cancellations that meet faults in the simulated region."""
+"""Cancellations during faults in the simulated region."""
 
 import curio
 import pytest
@@ -12,22 +12,26 @@
 
 
 async def _cancel_in_outage_after_refusal(
-    region: Region, refused: str, refuses: object, alone_s: float
+    region: Region, refused: str, refuses: object, refusal_s: float
 ) -> None:
-    """Confirm a cancellation elsewhere while one controller is refused, then refuse all.
+    """Cancel at another controller while the state service refuses one, then stop the service.
 
-    The outage lasts longer than cancel_s, and the worker goes on reporting to the refused
-    controller.
+    The outage lasts longer than `cancel_s`, and the worker continues to send heartbeats to the
+    refused controller.
     """
     await region.wait_until(lambda: len(region.workers_running("wk-000001")) > 0)
-    before = region.clock.now()
+    refused_at = region.clock.now()
     if refuses == "flapping":
-        region.refused_requests[refused] = lambda m, p: (region.clock.now() - before) % 1.0 < 0.8
+        region.refused_requests[refused] = (
+            lambda m, p: (region.clock.now() - refused_at) % 1.0 < 0.8
+        )
     else:
         region.refused_requests[refused] = refuses  # type: ignore[assignment]
     await curio.sleep(0.3)
-    confirmed = await region.cancel_until_confirmed("node-1", "wk-000001", max(0.1, alone_s - 0.3))
-    await curio.sleep(max(0.0, before + alone_s - region.clock.now()))
+    confirmed = await region.cancel_until_confirmed(
+        "node-1", "wk-000001", max(0.1, refusal_s - 0.3)
+    )
+    await curio.sleep(max(0.0, refused_at + refusal_s - region.clock.now()))
     region.state.down = True
     await curio.sleep(4.0)
     region.refused_requests.clear()
@@ -39,34 +43,33 @@
 
 
 @pytest.mark.parametrize("refuses", [every_request, all_but_leases, "flapping"])
-@pytest.mark.parametrize("alone_s", [1.5, 8.0, 14.0, 36.0])
+@pytest.mark.parametrize("refusal_s", [1.5, 8.0, 14.0, 36.0])
 @pytest.mark.parametrize("peers", ["reachable", "unreachable"])
 def test_a_cancellation_in_an_outage_after_a_refusal_of_one_controller(
-    refuses: object, alone_s: float, peers: str
+    refuses: object, refusal_s: float, peers: str
 ) -> None:
-    """A controller that is refused alone still ends cancelled tasks in time.
+    """A controller that is the only one refused still ends cancelled tasks in time.
 
-    It knows of no cancellation that others confirm. On its lease alone it kept the tasks for ever
-    where
-    renewals succeeded and reads did not.
+    It does not learn of cancellations that other controllers confirm. While it relied on its lease
+    alone, it kept the tasks indefinitely if lease renewals succeeded and reads failed.
     """
 
     async def scenario(region: Region) -> None:
-        # as the zone's only controller it would have to be told, and the cancellation would wait
+        # the zone's only controller would have to be notified, which would delay the cancellation
         await region.begin(machines=2, zone="south" if peers == "unreachable" else "north")
         await region.submit("node-1", "wk-000001", sacks=2)
         await region.wait_until(lambda: len(region.workers_running("wk-000001")) > 0)
         if peers == "unreachable":
             region.cut_from_peers.add("node-0")
-        await _cancel_in_outage_after_refusal(region, "node-0", refuses, alone_s)
+        await _cancel_in_outage_after_refusal(region, "node-0", refuses, refusal_s)
 
     simulate(scenario)
 
 
 def test_an_isolated_controller_ends_the_job_whose_cancellation_it_requested() -> None:
-    """A zone's only controller requests a cancellation and never reads that it was made.
+    """A zone's only controller requests a cancellation and never reads that it was written.
 
-    Cut off with its zone it would have kept the job's tasks alive for three leases.
+    Isolated together with its zone, it would have kept the job's tasks alive for three leases.
     """
 
     async def scenario(region: Region) -> None:
@@ -114,9 +117,9 @@
 
 
 def test_a_team_at_its_limit_waits_for_proof_that_cancelled_tasks_ended() -> None:
-    """New tasks of a team at its limit wait until its cancelled tasks are proved ended.
+    """New tasks of a team at its limit wait until its cancelled tasks are proved to have ended.
 
-    Machines of the team are frozen or unreachable, its jobs are cancelled, and the owner ends.
+    Machines of the team are frozen or unreachable, its jobs are cancelled, and the owner is killed.
     """
 
     async def scenario(region: Region) -> None:
@@ -144,7 +147,7 @@
 
 
 def test_jobs_are_cancelled_during_failovers() -> None:
-    """A job is cancelled every quarter of a second while shards change owner."""
+    """One job is cancelled every quarter of a second while shards change owners."""
 
     async def scenario(region: Region) -> None:
         await region.begin(machines=4)
@@ -172,7 +175,7 @@
 
 
 def test_an_isolated_leader_answers_nothing_stale_while_others_cancel() -> None:
-    """Workers and users still reach the leader; it answers nothing stale and ends tasks in time."""
+    """The leader, which users and workers reach, sends nothing stale and ends tasks in time."""
 
     async def scenario(region: Region) -> None:
         await region.begin(machines=2)
@@ -193,7 +196,7 @@
 
 
 def test_cancellations_during_slow_responses_a_refusal_and_an_outage() -> None:
-    """Users cancel and read jobs while the state service is slow, refuses one, and is down."""
+    """Cancel and read jobs while the state service is slow, refuses a controller, and is down."""
 
     async def scenario(region: Region) -> None:
         await region.begin(machines=3)
--- a/tests/test_lowered_limits.py
+++ b/tests/test_lowered_limits.py
@@ -42,7 +42,7 @@
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = SteppedController(state, clock, nodes)
         await node.boot()
-        # the pacer's token bucket is full again
+        # the writer's token bucket is full again
         clock.time += 2
         state.limits = StateLimits(100, 40, 2048, 2)
         intents = [WriteIntent(Txn({}, [Put(f"cm/x/{n}", n)])) for n in range(5)]
--- a/tests/test_request_heads.py
+++ b/tests/test_request_heads.py
@@ -1,4 +1,4 @@
-"""Requests whose heads were parsed before are answered as h11 would answer them, without it."""
+"""Requests with cached heads bypass h11 and receive the same responses as through h11."""
 
 from collections import Counter
 from typing import Any
@@ -49,15 +49,15 @@
         b"GET /x HTTP/1.1\r\nhost: a\r\nlong: " + b"x" * 1024 + b"\r\n\r\n",
     ],
 )
-def test_heads_that_need_more_than_a_length_are_left_to_h11(data: bytes) -> None:
+def test_heads_without_a_plain_body_length_are_not_cached(data: bytes) -> None:
     heads = RequestHeadCache(max_heads=8)
     heads.add(data, _parsed(data))
     assert heads.find(data) is None
     assert len(heads) == 0
 
 
-def test_a_full_table_of_heads_drops_the_oldest() -> None:
-    # otherwise memory grows with every job that was ever asked for
+def test_a_full_cache_evicts_the_oldest_head() -> None:
+    # without a limit, memory grows with every job that is ever requested
     heads = RequestHeadCache(max_heads=3)
     requests = [b"GET /%d HTTP/1.1\r\nhost: a\r\n\r\n" % n for n in range(5)]
     for data in requests:
@@ -88,7 +88,7 @@
 
 
 def _count_calls(monkeypatch: pytest.MonkeyPatch, counts: Counter[str], name: str) -> None:
-    """Counts the calls of a method of h11's connections."""
+    """Count the calls of a method of h11 connections."""
     real = getattr(h11.Connection, name)
 
     def counted(*args: Any) -> Any:
@@ -98,10 +98,10 @@
     monkeypatch.setattr(h11.Connection, name, counted)
 
 
-def test_a_repeated_request_is_not_parsed_and_is_answered_alike(
+def test_a_repeated_request_is_not_parsed_and_receives_the_same_response(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # the parsing of heartbeats and polls took over a third of a controller's time
+    # parsing heartbeats and polls took more than a third of a controller's time
     counts: Counter[str] = Counter()
 
     async def handler(request: Request) -> Response:
@@ -122,11 +122,11 @@
                     answer += await sock.recv(4096)
                 answers.append(answer)
                 if len(answers) == 2:
-                    # h11 has now parsed the request's head and encoded the response's
+                    # h11 has now parsed the request head and encoded the response head
                     _count_calls(monkeypatch, counts, "next_event")
                 if len(answers) == 3:
                     assert not counts
-            # two requests at a time are left to h11
+            # two requests received together are passed to h11
             assert counts
             assert answers[3] == 2 * answers[2]
             assert answers[0] == answers[1] == answers[2]
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server against malformed, oversized and slow requests, over loopback sockets."""
+"""The HTTP server with malformed, oversized and slow requests over loopback sockets."""
 
 import curio
 import pytest
@@ -15,7 +15,7 @@
 
 
 async def _exchange(port: int, data: bytes, byte_interval_s: float) -> bytes:
-    """Sends the data, byte by byte if there is an interval; returns all that comes back."""
+    """Send the data, byte by byte if the interval is not zero; return all received data."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     async with sock:
         await sock.connect(("127.0.0.1", port))
@@ -46,7 +46,7 @@
 def test_a_bad_request_ends_its_connection_and_no_other(
     data: bytes, byte_interval_s: float, expected: bytes
 ) -> None:
-    # a client that sent a byte now and then kept its socket for ever
+    # a client that slowly sent single bytes kept its socket indefinitely
 
     async def scenario() -> None:
         async with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as free:
--- a/tests/test_silent_machines.py
+++ b/tests/test_silent_machines.py
@@ -1,4 +1,4 @@
-"""Silent machines are retired only when no partitioned controller can keep them alive."""
+"""Unreachable machines are retired only if no partitioned controller can keep them alive."""
 
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
@@ -7,7 +7,7 @@
 
 
 def test_machines_silent_since_a_takeover_are_not_retired_during_a_possible_partition() -> None:
-    """Half a fleet was released as never started, 16 s after a takeover during a partition."""
+    """Half a fleet was released as never started 16 s after a takeover during a partition."""
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=3)
@@ -31,10 +31,10 @@
 
 
 def test_no_machine_is_retired_while_a_zone_falls_silent_and_comes_back_one_by_one() -> None:
-    """A zone's machines that fall silent one by one are not retired.
+    """A zone's machines that become unreachable one after the other are not retired.
 
-    The first to fall silent were retired before the rest were silent, and the last to come back
-    as soon as most others had.
+    The first machines were retired before the others had become unreachable, and the last machines
+    as soon as most of the others were reachable again.
     """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
@@ -49,7 +49,7 @@
             clock.time += 0.5
             await node.controller_lease.step()
             for number, name in enumerate(names):
-                # silent for two leases, each a little later than the one before
+                # no heartbeats for two lease durations, starting slightly later for each machine
                 if not 0 < seq * 0.5 - 10 - 0.8 * number < 2 * worker_lease_s:
                     node.report(name, 1, seq, node.token())
             await node.round()
@@ -66,7 +66,7 @@
             partition.settings.partition_keepalive_s + partition.settings.worker_lease_s - 1
         )
         assert partition.planned_on_machine() == 1
-        # while the owner is stalled node-0 comes back, reads all that is durable, and ends again
+        # while the owner is stalled, node-0 restarts, reads the durable state, and ends again
         replacement = SteppedController(partition.state, partition.clock, partition.nodes, "node-0")
         await replacement.boot(waited=False)
         await replacement.partition_protocol.step()
--- a/tests/test_worker_faults.py
+++ b/tests/test_worker_faults.py
@@ -1,4 +1,4 @@
-"""Workers that hang, or whose messages are lost, delayed or repeated."""
+"""Workers that hang, and messages of workers that are lost, delayed or repeated."""
 
 import curio
 import pytest
@@ -12,7 +12,7 @@
 
 
 def test_repeated_old_heartbeats_during_a_failover_are_harmless() -> None:
-    """Copies of old heartbeats, from an earlier session too, arrive with the highest token seen."""
+    """Copies of heartbeats, some from an earlier session, arrive with the highest token seen."""
 
     async def scenario(region: Region) -> None:
         await region.begin(machines=2)
@@ -39,9 +39,9 @@
 
 @pytest.mark.parametrize("fault", ["inbound_lost", "heartbeats_lost", "is_frozen"])
 def test_jobs_move_away_from_a_worker_with_lost_messages(fault: str) -> None:
-    """Jobs that another machine could run do not wait for a faulty one.
+    """Jobs that another machine can run do not wait for a faulty machine.
 
-    What was cancelled on the faulty machine meanwhile ends in time.
+    Tasks on the faulty machine whose job is cancelled during the fault end in time.
     """
 
     async def scenario(region: Region) -> None:
@@ -68,9 +68,9 @@
 def test_a_delayed_start_command_is_harmless_after_the_machine_resumes(
     hang_s: float, cancelled: bool
 ) -> None:
-    """A frozen machine carries out a start command when it resumes.
+    """A frozen machine executes a start command when it resumes.
 
-    By then the job was cancelled, or its owner replaced, or the attempt ended.
+    By then, the job has been cancelled, its owner has been replaced, or the attempt has ended.
     """
 
     async def scenario(region: Region) -> None:
@@ -99,7 +99,7 @@
 
 @pytest.mark.parametrize("mode", ["cancel", "answer lost"])
 def test_a_zone_partition_that_outlasts_the_worker_lease(mode: str) -> None:
-    """Jobs bound to the zone lose machines at the same time."""
+    """The jobs bound to the partitioned zone also lose machines during the partition."""
 
     async def scenario(region: Region) -> None:
         await region.begin(machines=3)
