--- a/crossmill/jobs/machine_maintenance.py
+++ b/crossmill/jobs/machine_maintenance.py
@@ -101,7 +101,7 @@
 
     def _may_retire(self, machine: Machine, reason: RetireReason) -> bool:
         gate = self._heartbeats.gate
-        return gate is None or gate.may_give_up(machine, reason)
+        return gate is None or gate.may_retire(machine, reason)
 
     def _intent(
         self, shard: int, ownership: ShardOwnership, machine: Machine, value: dict[str, Any]
@@ -122,7 +122,7 @@
             # boot times are recorded only for machine types in the catalog
             boot_s = None
             if machine.type in self._cluster.catalog:
-                boot_s = round(self._clock.wall() - machine.rented, 1)
+                boot_s = round(self._clock.wall_time() - machine.rented, 1)
             log.info(
                 "machine up machine=%s type=%s spot=%s boot_s=%s",
                 machine.id,
@@ -207,7 +207,7 @@
             # booted
             return RetireReason.SILENT
         has_failed = self._forecast.capacity.has_boot_failed(
-            machine, machine_type, self._clock.wall()
+            machine, machine_type, self._clock.wall_time()
         )
         return RetireReason.NEVER_UP if has_failed else None
 
--- a/crossmill/jobs/machine_transfer.py
+++ b/crossmill/jobs/machine_transfer.py
@@ -99,7 +99,7 @@
         if now - self._checked_at.get(shard, 0.0) < self._settings.machine_transfer_interval_s:
             return
         self._checked_at[shard] = now
-        wall_time = self._clock.wall()
+        wall_time = self._clock.wall_time()
         for other in range(self._settings.shard_count):
             if other == shard or other not in self._cluster.shard_owners:
                 continue
--- a/crossmill/jobs/record_repair.py
+++ b/crossmill/jobs/record_repair.py
@@ -140,7 +140,7 @@
         """Return the job's record given the dependency's end, or None if that end is unknown."""
         if end == CANCELLED:
             max_bytes = self._cluster.limits.record_bytes
-            return encode_end(CANCELLED, spec, self._clock.wall(), max_bytes)
+            return encode_end(CANCELLED, spec, self._clock.wall_time(), max_bytes)
         if end == DONE:
             dependencies = tuple(name for name in job.dependencies if name != dependency)
             return encode_job(spec, job.submitted, dependencies)
--- a/crossmill/jobs/submission.py
+++ b/crossmill/jobs/submission.py
@@ -45,7 +45,7 @@
     Raises:
         MalformedMessageError: The body is too large or not a JSON object.
     """
-    if request.too_large:
+    if request.is_too_large:
         raise MalformedMessageError("body over 64 KiB")
     return load_object(request.body)
 
@@ -150,7 +150,7 @@
         None means that a precondition of the write has changed. By then the mirror includes the
         change, so the dependencies can be resolved again.
         """
-        now, wall_time = self._clock.now(), self._clock.wall()
+        now, wall_time = self._clock.now(), self._clock.wall_time()
         key = keys.job(spec.id)
         if dependencies.is_cancelled:
             record = encode_end(CANCELLED, spec, wall_time, self._cluster.limits.record_bytes)
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -41,7 +41,7 @@
         await node.round()
         clock.time += 5
         await node.renew_and_sync()
-        assert node.cluster.jobs[B].ready_at == pytest.approx(clock.wall() - 5)
+        assert node.cluster.jobs[B].ready_at == pytest.approx(clock.wall_time() - 5)
         assert tasks_started_by_heartbeat(node, 5) == []
         await node.round()
         assert tasks_started_by_heartbeat(node, 6) == [f"{B}/0"]
@@ -211,7 +211,7 @@
     # guards against a job that waits forever; if the archive has no entry, the job stays blocked
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_controller(state, clock, nodes)
-        record = encode_job(make_spec(nameId=B, sacks=1), clock.wall(), (A,))
+        record = encode_job(make_spec(nameId=B, sacks=1), clock.wall_time(), (A,))
         state.put(keys.job(B), load_object(orjson.dumps(record)))
         if end:
             state.put(keys.archived(A), {"end": end, "done": 1})
