--- a/tests/partition_scenario.py
+++ b/tests/partition_scenario.py
@@ -1,4 +1,4 @@
-"""A partitioned zone whose controller keeps the machine of another owner alive."""
+"""Scenario of a partitioned zone whose controller keeps another owner's machine alive."""
 
 from collections.abc import Awaitable, Callable
 
@@ -14,7 +14,7 @@
 
 
 class PartitionableLink:
-    """A link to the state service that can be cut."""
+    """A connection to the state service that can be interrupted."""
 
     def __init__(self, state: StateService) -> None:
         self._state = state
@@ -23,16 +23,17 @@
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
-        """Passes the request on; raises ConnectionFailedError while the link is cut."""
+        """Forward the request; raise ConnectionFailedError while the connection is interrupted."""
         if self.is_cut:
             raise ConnectionFailedError(path)
         return await self._state.request(method, path, body, timeout_s)
 
 
 class PartitionScenario:
-    """node-1 (south) owns machine n-0 (north), which runs a task; node-0 is in the north.
+    """Two controllers and one machine in two zones.
 
-    `owner` is node-1, `zone_controller` is node-0.
+    node-1 (south) owns machine n-0 (north), which runs a task; node-0 is in the north. `owner` is
+    node-1, and `zone_controller` is node-0.
     """
 
     def __init__(self, state: StateService, clock: FakeClock, nodes: Nodes) -> None:
@@ -41,7 +42,7 @@
         self.seq = 10
 
     async def begin(self) -> None:
-        """Starts both controllers, and has the owner start the task on the machine."""
+        """Start both controllers, and let the owner start the task on the machine."""
         seed(self.state, self.clock, machines=1)
         self.job = add_job(self.state, self.clock, sacks=1, cut="service", grindS=0.0, dueS=None)
         self.owner = SteppedController(self.state, self.clock, self.nodes, "node-1")
@@ -62,7 +63,7 @@
         self.settings = self.zone_controller.settings
 
     async def pass_time(self, seconds: float, to: SteppedController | None = None) -> None:
-        """Passes time: the machine sends heartbeats to one controller, the owner decides."""
+        """Advance the clock; the machine sends its heartbeats to `to`, and the owner schedules."""
         end = self.clock.time + seconds
         while self.clock.time < end:
             self.clock.time += 0.5
@@ -76,30 +77,30 @@
             await self.owner.round()
 
     def report_to_zone_controller(self, seq: int) -> HeartbeatResponse:
-        """Delivers the machine's heartbeat, in which its task runs, to node-0."""
+        """Deliver the machine's heartbeat, which reports its task as running, to node-0."""
         return self.zone_controller.report("n-0", 1, seq, self.token, RUNNING)
 
     async def settle(self) -> None:
-        """Passes enough time for node-0 to have the right to keep workers alive."""
+        """Advance the clock until node-0 is permitted to keep workers alive."""
         await self.pass_time(2, self.owner)
 
     def cut(self) -> None:
-        """Partitions the north: node-0 reaches neither the state service nor the south."""
+        """Partition the north: node-0 reaches neither the state service nor the south."""
         self.link.is_cut = True
         self.nodes["node-0"].is_unreachable = self.nodes["node-1"].is_unreachable = True
 
     def clear_faults(self) -> None:
-        """Ends the partition."""
+        """End the partition."""
         self.link.is_cut = False
         self.nodes["node-0"].is_unreachable = self.nodes["node-1"].is_unreachable = False
 
     def planned_attempts(self) -> int:
-        """How many attempts the owner has planned onto the machine."""
+        """Return the number of attempts that the owner has planned on the machine."""
         return len(self.owner.cluster.machines["n-0"].attempts)
 
 
 def run_settled(scenario: Callable[[PartitionScenario], Awaitable[None]]) -> None:
-    """Runs a scenario from where node-0 may keep workers alive once its zone is partitioned."""
+    """Run a scenario that begins when node-0 may keep workers alive in case of a partition."""
 
     async def begin(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         partition = PartitionScenario(state, clock, nodes)
--- a/tests/test_controller_failovers.py
+++ b/tests/test_controller_failovers.py
@@ -17,7 +17,7 @@
 
 
 def test_jobs_run_and_are_cancelled_without_faults() -> None:
-    """Jobs run and end without faults; this also shows that the checker sees tasks run."""
+    """Jobs run and end without faults; this also shows that the checker observes running tasks."""
 
     async def scenario(region: Region) -> None:
         await region.begin(machines=2)
@@ -72,7 +72,7 @@
 
 
 def test_no_task_runs_again_after_failovers_between_its_jobs_tasks() -> None:
-    """The tasks run one after the other on one machine, with a failover between each two."""
+    """The tasks run one after the other on one machine, with a failover after each task."""
 
     async def scenario(region: Region) -> None:
         await region.begin(machines=1)
@@ -82,13 +82,13 @@
             await region.show_everywhere("wk-000001")
             await region.restart(region.owners().get(0, "node-0"), 0.2 if done % 2 else 3.0)
         await wait_until_all_ended(region)
-        assert len(region.checker.starts) == 3, "what is done is not done again"
+        assert len(region.checker.starts) == 3, "a finished task was started again"
 
     simulate(scenario)
 
 
 def test_a_stream_of_single_task_jobs_leaves_nothing_behind() -> None:
-    """No state is left of them, and none is forgotten."""
+    """All jobs end, and no job state or plan remains in the state service or the mirrors."""
 
     async def scenario(region: Region) -> None:
         await region.begin(machines=8)
@@ -104,9 +104,10 @@
 
 
 def test_machines_that_come_up_before_their_records_are_written() -> None:
-    """Machines are rented and up within two seconds, before their records are written.
+    """Machines are rented and come up within two seconds, before their records are written.
 
-    Workers without a record report, records are written late, and the next leader rents again.
+    Workers send heartbeats before their machines have records, the records are written late, and
+    the next leader rents again.
     """
 
     async def scenario(region: Region) -> None:
--- a/tests/test_controller_outages.py
+++ b/tests/test_controller_outages.py
@@ -1,8 +1,7 @@
-"""Incidents that operators reported, replayed in a simulated region.
+"""Incidents that operators reported, reproduced in a simulated region.
 
-Controllers freeze and resume, all but one end for a minute, machines come up late or never, jobs
-fail
-on every machine, and many small jobs arrive at once.
+Controllers freeze and resume, all but one controller are down for a minute, machines come up late
+or never, jobs fail on every machine, and many small jobs arrive at the same time.
 """
 
 import random
@@ -52,7 +51,8 @@
         region.frozen_until["node-1"] = region.clock.now() + freeze_s
         for job in jobs[:5]:
             assert await region.cancel_until_confirmed("node-2", job, 20.0)
-        # a moment before it goes on: in its own eyes its rights are over, though nothing told it so
+        # just before it resumes, the frozen controller must consider its authority expired by its
+        # clock alone, because it has received no notification
         left_s = region.frozen_until["node-1"] - region.clock.now()
         await curio.sleep(max(0.0, left_s - 0.001))
         if region.is_frozen("node-1"):
@@ -75,7 +75,9 @@
     simulate(_freeze(freeze_s, delay_s))
 
 
-def test_a_lease_that_outlasts_a_freeze_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_freeze_scenario_detects_a_lease_that_never_expires(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(ControllerLease, "is_held", lambda self: self.lease_id is not None)
     with pytest.raises(AssertionError):
         simulate(_freeze(25.0, 0.0))
@@ -91,7 +93,7 @@
         for label in others:
             await region.power_off(label)
         await curio.sleep(15.0)
-        # it serves alone: jobs run, end and are cancelled
+        # the only controller runs, finishes and cancels jobs
         assert await region.submit(alone, "wk-000002", 10.0, crew="green", sacks=4) == 201
         assert await region.submit(alone, "wk-000003", None, crew="green", sacks=1) == 201
         await region.wait_until(lambda: region.has_finished("wk-000002", 4))
@@ -108,9 +110,10 @@
 
 
 def test_simultaneous_status_requests_share_reads() -> None:
-    """Status requests that come together share one read of the state service.
+    """Simultaneous status requests share one read of the state service.
 
-    Eight requests a second for each of fifty jobs; workers are answered and work begins meanwhile.
+    While each of fifty jobs receives eight status requests per second, the controller answers
+    workers and starts new tasks.
     """
 
     async def scenario(region: Region) -> None:
@@ -129,7 +132,7 @@
                 for job in jobs:
                     await group.spawn(region.show, "node-0", job)
             await curio.sleep(0.125)
-        # 4,000 questions; a read serves all that were asked before it
+        # 4,000 status requests; one read serves all requests that arrived before it
         assert len(region.state.calls) - reads < 1000
         assert await region.submit("node-0", "wk-000100", 5.0, sacks=2, **small) == 201
         await region.wait_until(lambda: region.has_finished("wk-000100", 2), 20.0)
@@ -180,7 +183,7 @@
         for job in sorted(broken):
             assert await region.cancel_until_confirmed("node-2", job, 20.0)
         await region.start("node-1")
-        # others' work is not held up
+        # other jobs are not delayed
         await region.wait_until(lambda: region.has_finished("wk-000100", 12), 90.0)
         await curio.sleep(region.cancellation_deadline_s)
         assert not any(job in broken for w in region.workers.values() for job, _ in w.tasks)
@@ -189,7 +192,7 @@
 
 
 def test_jobs_that_fail_on_three_machines_make_none_of_them_faulty() -> None:
-    """Until the jobs fail elsewhere too, the machine on which they began looks faulty."""
+    """Until the jobs also fail on other machines, the first machine counts as faulty."""
     settings, clock = make_settings(), FakeClock()
     failures = TaskFailures(settings, clock, ClusterState(Mirror(), settings))
     jobs = [Job(f"wk-{n:06d}", spec=make_spec(nameId=f"wk-{n:06d}")) for n in range(2)]
@@ -230,7 +233,7 @@
 @pytest.mark.parametrize("step", ["rent", "release"])
 @pytest.mark.parametrize("is_frozen", [False, True])
 def test_a_leader_neither_rents_nor_releases_after_a_freeze(step: str, is_frozen: bool) -> None:
-    """The leader freezes between its check of the leadership and the request to the cloud."""
+    """Guards against requests to the cloud by a leader that froze after checking its leadership."""
 
     async def scenario(
         state: StateService, clock: FakeClock, nodes: dict[str, SteppedController]
@@ -254,7 +257,7 @@
 
 
 def _has_correct_view(region: Region, worker: Worker) -> bool:
-    """Whether some controller acts for the worker and has a correct view of its tasks."""
+    """Return whether some controller acts for the worker and has a correct view of its tasks."""
     for node in region.nodes.values():
         machine = node.cluster.machines.get(worker.machine)
         if machine is None or node.membership.active_ownership(machine.shard) is None:
@@ -290,7 +293,8 @@
             assert await region.cancel_until_confirmed(rng.choice(others), services[freeze], 20.0)
             await curio.sleep(max(0.0, region.frozen_until[label] - region.clock.now()))
             await traffic.join()
-            # all shards go home within two leases; from then on nobody's view may be old
+            # all shards return to their preferred owners within two worker leases; afterwards no
+            # owner's view may be outdated
             await curio.sleep(2 * region.worker_lease_s)
             await region.wait_until(
                 lambda: all(
@@ -305,7 +309,7 @@
 
 
 async def _submit_arrays(region: Region, frozen: str, number: int) -> None:
-    """Short arrays through the controllers that go on, until well after the freeze has begun."""
+    """Submit short arrays through the running controllers until well after the freeze begins."""
     labels = [label for label in region.LABELS if label != frozen]
     for n in range(8):
         job = f"wk-{1000 * (number + 1) + n:06d}"
--- a/tests/test_lease_extensions.py
+++ b/tests/test_lease_extensions.py
@@ -1,4 +1,4 @@
-"""Lease extensions that peers grant while the state service is away."""
+"""Lease extensions that peers grant while the state service is unavailable."""
 
 from .builders import reported_task
 from .fake_clock import FakeClock
@@ -10,7 +10,7 @@
 async def _boot_peers(
     state: StateService, clock: FakeClock, nodes: Nodes
 ) -> list[SteppedController]:
-    """Starts the two peers of node-0, which can grant it lease extensions."""
+    """Start the two peers of node-0, which can grant it lease extensions."""
     peers = [SteppedController(state, clock, nodes, label) for label in ("node-1", "node-2")]
     for peer in peers:
         await peer.boot()
@@ -24,7 +24,7 @@
 async def _fail_to_renew(
     clock: FakeClock, node: SteppedController, peers: list[SteppedController]
 ) -> None:
-    """Has all controllers try to renew their leases, and node request extensions."""
+    """Let all controllers try to renew their leases, and `node` request extensions."""
     clock.time += node.settings.lease_renewal_interval_s
     for controller in (node, *peers):
         await controller.controller_lease.step()
@@ -47,7 +47,7 @@
             await _request_extensions(node)
             answer = node.report("n-0", 1, seq, node.token(), running)
             assert answer.status == 200
-        # peers that granted it don't acquire the shard, even when its owner's key has gone
+        # peers that granted extensions don't acquire the shard, even if its owner's key is deleted
         assert nodes["node-1"].lease_extensions.is_granted_to_peer(0)
         nodes["node-2"].is_unreachable = True
         clock.time += node.settings.lease_extension_grant_s
@@ -58,7 +58,10 @@
 
 
 def test_a_controller_that_is_refused_alone_lets_its_extensions_expire() -> None:
-    """It went on asking for extensions, so no peer took its shards and worker leases expired."""
+    """Guards against an isolated controller that continues to request extensions.
+
+    The extensions then prevent all peers from acquiring its shards, and worker leases expire.
+    """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
@@ -80,7 +83,7 @@
     run_scenario(scenario)
 
 
-def test_no_controller_takes_an_outage_for_all_as_a_refusal_of_itself_alone() -> None:
+def test_no_controller_mistakes_a_general_outage_for_its_own_isolation() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
         peers = await _boot_peers(state, clock, nodes)
@@ -95,14 +98,17 @@
             ):
                 break
         assert not node.lease_extensions.is_isolated
-        # and once the workers are no longer answered, nobody is kept from taking over
+        # once node no longer answers workers, its extensions don't prevent peers from taking over
         assert not peers[0].lease_extensions.is_granted_to_peer(0)
 
     run_scenario(scenario)
 
 
-def test_the_first_controller_served_after_an_outage_does_not_make_others_refused_alone() -> None:
-    """Two of three controllers took an outage's end for a refusal of their own."""
+def test_the_first_controller_served_after_an_outage_does_not_make_others_isolated() -> None:
+    """Guards against mistaking the end of an outage for isolation, as two of three controllers did.
+
+    A peer that is served first after an outage looks like a peer that was served all along.
+    """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
@@ -127,7 +133,7 @@
         lease = first.controller_lease.lease_id
         assert lease is not None
         state.end_lease(lease)
-        # node-0 acts on lease extensions while its key is gone; node-1 has just restarted
+        # node-0 relies on lease extensions while its key is deleted; node-1 has just restarted
         other = SteppedController(state, clock, nodes, "node-1")
         first.is_unreachable = True
         await other.boot(waited=False)
--- a/tests/test_owner_selection.py
+++ b/tests/test_owner_selection.py
@@ -1,4 +1,4 @@
-"""Which controller should own a shard, and where workers without an owner are redirected."""
+"""Selection of shard owners, and redirects of workers whose shard has no owner."""
 
 import curio
 import pytest
@@ -13,12 +13,12 @@
 from .simulated_region import Region, simulate
 
 LONGER_THAN_WORKER_LEASE_S = 11.0
-# by controller: the one that its workers try next
+# the controller that workers try next, by their current controller
 NEXT = {"node-0": "node-1", "node-1": "node-2", "node-2": "node-0"}
 
 
 class ObservedControllers:
-    """One controller's owner selection, as it observes the others present or absent."""
+    """One controller's owner selection, with simulated presence of the other controllers."""
 
     def __init__(self, label: str) -> None:
         self.clock, settings = FakeClock(), make_settings(label)
@@ -26,7 +26,7 @@
         self.owner_selection = OwnerSelection(settings, self.clock, self.cluster)
 
     def observe(self, *present: str, for_s: float = LONGER_THAN_WORKER_LEASE_S) -> OwnerSelection:
-        """Has exactly these controllers present for so long."""
+        """Simulate that exactly these controllers are present for `for_s` seconds."""
         self.cluster.controllers.clear()
         self.cluster.controllers.update({label: ControllerRecord(1) for label in present})
         self.owner_selection.observe()
@@ -35,7 +35,7 @@
         return self.owner_selection
 
 
-def test_the_next_controller_follows_in_the_numbers_order() -> None:
+def test_the_next_controller_follows_in_numerical_order() -> None:
     settings = make_settings()
     assert {label: settings.next_controller(label) for label in NEXT} == NEXT
 
@@ -62,7 +62,7 @@
     assert not selection.is_outranked("node-1")
 
 
-def test_the_only_controller_left_yields_to_nobody() -> None:
+def test_the_only_controller_left_keeps_all_shards() -> None:
     selection = ObservedControllers("node-1").observe("node-1")
     assert not any(selection.has_better_owner(shard) for shard in range(3))
 
@@ -73,7 +73,7 @@
 def test_no_worker_lease_expires_while_one_controller_is_down_and_another_stalls(
     down: str, frozen: str
 ) -> None:
-    """One controller is without power for 90 s, another stalls for 20 s meanwhile."""
+    """One controller is powered off for 90 s, and another stalls for 20 s during that time."""
 
     async def scenario(region: Region) -> None:
         await region.begin(machines=0)
@@ -116,11 +116,11 @@
 
 
 def test_workers_are_answered_soon_after_a_release_past_an_absent_controller() -> None:
-    """Workers wait for an answer no longer than three heartbeats while their shard changes owner.
+    """Workers are answered within three heartbeat intervals while their shard changes owner.
 
-    Between the release by the old owner and the acquisition by the new one, workers tried the next
-    controllers by themselves, of which one was down and one stalled; 39 tasks ended with their
-    workers' leases.
+    Guards against workers that have to find the new owner themselves. Between the release by the
+    old owner and the acquisition by the new one, they tried the next controllers in order, of
+    which one was down and one stalled. Their leases expired, which ended 39 tasks.
     """
 
     async def scenario(region: Region) -> None:
--- a/tests/test_partition_cancellations.py
+++ b/tests/test_partition_cancellations.py
@@ -1,4 +1,4 @@
-"""Cancellations are confirmed only when no partitioned controller can keep the tasks running.
+"""Cancellations are confirmed only once no partitioned controller can keep the tasks running.
 
 In most tests node-1 (south) owns a machine in the north, and node-0 is the controller of the north.
 """
@@ -23,7 +23,7 @@
         answer = await partition.owner.ask("POST", path + "/withdraw")
         assert (answer.status, answer.retry_after_s) == (503, 1)
         assert b"withdrawn" not in (await partition.owner.ask("GET", path)).body
-        # once node-0 must have stopped early enough, it need not be told
+        # once node-0 is certain to have stopped keepalives early enough, it need not be notified
         partition.state.end_lease(partition.zone_controller.controller_lease.lease_id or 0)
         await partition.pass_time(
             partition.settings.partition_keepalive_s
@@ -41,7 +41,7 @@
     async def scenario(partition: PartitionScenario) -> None:
         answer = await partition.owner.ask("POST", "/v1/jobs/wk-000001/withdraw")
         assert answer.status == 200
-        # the mirror of node-0 has not received it: only the announcement counts
+        # the mirror of node-0 does not hold the cancellation yet: node-0 relies on the announcement
         assert partition.zone_controller.cluster.jobs["wk-000001"].end == ""
         partition.cut()
         await partition.zone_controller.controller_lease.step()
@@ -51,7 +51,7 @@
     run_settled(scenario)
 
 
-def test_a_cancellation_is_conditional_on_the_processes_that_were_told() -> None:
+def test_a_cancellation_is_conditional_on_the_processes_that_were_notified() -> None:
     async def scenario(partition: PartitionScenario) -> None:
         job = partition.owner.cluster.jobs["wk-000001"]
         preconditions = await partition.owner.partition_protocol.cancellations.announce(
@@ -70,14 +70,14 @@
 
 
 def test_a_cancellation_is_announced_through_the_state_service_if_peers_are_unreachable() -> None:
-    """While a packet filter separated controllers, no such job could be cancelled."""
+    """Guards against jobs that can't be cancelled while a packet filter separates controllers."""
 
     async def scenario(partition: PartitionScenario) -> None:
         partition.nodes["node-0"].is_unreachable = partition.nodes["node-1"].is_unreachable = True
         path = "/v1/jobs/wk-000001/withdraw"
         assert (await partition.owner.ask("POST", path)).status == 503
         assert (await partition.owner.ask("POST", path)).status == 503
-        # node-0 reads the note and announces so; cut off after that, it stops the job's tasks
+        # node-0 reads the note and publishes that; partitioned afterwards, it stops the job's tasks
         await partition.zone_controller.sync()
         await partition.zone_controller.membership.step()
         await partition.zone_controller.partition_protocol.step()
@@ -94,11 +94,11 @@
     run_settled(scenario)
 
 
-def test_a_cancellation_accounts_for_a_task_that_moves_to_another_zone_meanwhile() -> None:
-    """A cancellation is refused, or announced to the zone that a task was moved to meanwhile.
+def test_a_cancellation_accounts_for_a_task_that_moves_to_another_zone() -> None:
+    """A cancellation is refused or announced to the zone to which a task was moved.
 
-    Only the controllers of zones with tasks of the job are told; before the write a task may be
-    moved to a zone whose controllers were not.
+    Only the controllers of zones with tasks of the job are notified. Before the cancellation is
+    written, a task may be moved to a zone whose controllers were not notified.
     """
 
     async def scenario(partition: PartitionScenario) -> None:
--- a/tests/test_partition_keepalive.py
+++ b/tests/test_partition_keepalive.py
@@ -1,4 +1,4 @@
-"""Keepalive in a partitioned zone, and the attestations that end it.
+"""Keepalive in a partitioned zone, and the attestations that prove its end.
 
 In most tests node-1 (south) owns a machine in the north, and node-0 is the controller of the north.
 """
@@ -27,7 +27,7 @@
         await partition.pass_time(2 * partition.settings.worker_lease_s, partition.zone_controller)
         assert partition.planned_attempts() == 1
         assert not partition.owner.cluster.machines["n-0"].retiring
-        # the partition ends: the attestation of node-0 says that it has answered just now
+        # the partition ends: node-0 attests that it answered the machine just now
         partition.clear_faults()
         await partition.pass_time(0.9 * partition.settings.worker_lease_s)
         assert partition.planned_attempts() == 1
@@ -56,7 +56,7 @@
 
 def test_a_controller_does_not_keep_a_machine_alive_after_attesting_its_silence() -> None:
     async def scenario(partition: PartitionScenario) -> None:
-        # silent to its owner, which requests attestations; then the zone is cut off
+        # the owner receives no heartbeats and requests attestations; then the zone is partitioned
         await partition.pass_time(partition.settings.heartbeat_timeout_s + 1.5)
         partition.cut()
         await partition.pass_time(2)
@@ -78,7 +78,7 @@
 def test_no_keepalive_before_the_controller_has_announced_itself() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         partition = await _begin_unsettled(state, clock, nodes)
-        # the process before this one may have attested that it leaves the machine alone
+        # the previous process may have attested that it does not keep the machine alive
         partition.zone_controller.cluster.controllers["node-0"] = ControllerRecord(-1)
         await partition.zone_controller.partition_protocol.state_sync.refresh()
         assert partition.zone_controller.partition_protocol.state_sync.sent_at is None
@@ -90,7 +90,7 @@
 
 
 async def _announce_and_settle(partition: PartitionScenario) -> None:
-    """Has node-0 announced only after a first partition, as a process that has just started."""
+    """Announce node-0 only after a first partition, as if its process had just started."""
     partition.zone_controller.cluster.controllers["node-0"] = ControllerRecord(-1)
     await partition.zone_controller.partition_protocol.state_sync.refresh()
     partition.cut()
@@ -104,7 +104,7 @@
 
 
 async def _cut_except_from_south(partition: PartitionScenario) -> None:
-    """Cuts node-0 off from the state service while node-1 answers its probes."""
+    """Separate node-0 from the state service while node-1 answers its probes."""
     partition.cut()
     partition.nodes["node-1"].is_unreachable = False
     await partition.zone_controller.controller_lease.step()
@@ -123,7 +123,7 @@
 
 
 def test_no_keepalive_under_a_token_that_is_not_known() -> None:
-    # with such a token another controller acts for the machine, and reaches it
+    # an unknown token shows that another controller acts for the machine and can reach it
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         partition = await _begin_unsettled(state, clock, nodes)
         await _announce_and_settle(partition)
@@ -153,13 +153,13 @@
 
 def test_an_attestation_is_void_once_its_process_has_been_replaced() -> None:
     async def scenario(partition: PartitionScenario) -> None:
-        # the machine falls silent; node-0 is asked, and attests that it has not answered it
+        # the machine stops sending heartbeats; node-0 attests that it has not answered the machine
         partition.clock.time += partition.settings.heartbeat_timeout_s + 0.5
         await partition.owner.controller_lease.step()
         await partition.owner.round()
         await partition.owner.partition_protocol.step()
         assert partition.owner.partition_protocol.expiry_proof._attestations
-        # node-0 ends; its new process does not know of the attestation, and keeps workers alive
+        # node-0 is replaced; its new process does not know the attestation and keeps workers alive
         partition.zone_controller = SteppedController(
             partition.link, partition.clock, partition.nodes, "node-0"
         )
@@ -168,7 +168,7 @@
         partition.cut()
         await partition.zone_controller.controller_lease.step()
         assert partition.report_to_zone_controller(900).status == 200
-        # the owner does not know: its write is conditional on the old version of the key of node-0
+        # the owner has not read the new key of node-0: its write is conditional on the old version
         partition.clock.time += (
             partition.settings.worker_lease_expiry_s - partition.settings.heartbeat_timeout_s
         )
@@ -183,7 +183,7 @@
         )
         await partition.owner.round()
         assert partition.planned_attempts() == 1
-        # and once it knows, it no longer presumes that the lease has expired
+        # once the owner has read the new key, it no longer assumes that the lease has expired
         await partition.owner.sync()
         assert (
             partition.owner.partition_protocol.expiry_proof.preconditions(machine, view.answered_at)
@@ -194,10 +194,11 @@
 
 
 def test_an_owner_counts_the_worker_lease_from_its_last_keepalive() -> None:
-    """A worker's lease counts from the last answer, also from one without authority as owner.
+    """A worker's lease counts from the last answer, including answers without owner authority.
 
-    The owner's authority had ended and its lease outlasted the outage: it then counted from its
-    last answer as owner, and the task was placed again while it ran (random faults from seed 2060).
+    Guards against a second placement of a running task: the owner's authority had ended but its
+    lease outlasted the outage, and it counted the worker's lease from its last answer as owner.
+    Found by random faults with seed 2060.
     """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
@@ -221,7 +222,7 @@
         assert owner.membership.heartbeat_authority(owner.cluster.machines["s-0"].shard) is None
         assert (
             owner.report("s-0", 1, 50, partition.token).status == 200
-        ), "kept alive without authority as owner"
+        ), "worker is not kept alive without owner authority"
         assert view.answered_at == clock.now()
 
     run_scenario(scenario)
