--- a/crossmill/cluster/cancellation_announcement.py
+++ b/crossmill/cluster/cancellation_announcement.py
@@ -51,7 +51,7 @@
             # if the zone is partitioned before the write is answered, this process has no other
             # way to learn of the cancellation
             self._pending.add(job_id)
-        labels = [label for zone in zones for label in self._peers.in_zone(zone)]
+        labels = [label for zone in zones for label in self._peers.labels_in_zone(zone)]
         preconditions: dict[str, int] = {}
         notified: set[str] = set()
         note = self._cluster.cancellation_notes.get(job_id)
--- a/crossmill/cluster/lease_expiry_proof.py
+++ b/crossmill/cluster/lease_expiry_proof.py
@@ -110,7 +110,7 @@
         called well before the worker's lease expires.
         """
         now = self._clock.now()
-        for label in self._peers.in_zone(machine.zone):
+        for label in self._peers.labels_in_zone(machine.zone):
             attestation = self._attestations.get((label, machine.id))
             key_version = self._key_version(label)
             if attestation is None or not _is_valid(attestation, now, key_version):
@@ -131,7 +131,7 @@
         """
         now = self._clock.now()
         preconditions: dict[str, int] = {}
-        for label in self._peers.in_zone(machine.zone):
+        for label in self._peers.labels_in_zone(machine.zone):
             key_version = self._key_version(label)
             kept_alive_until = self._latest_keepalive(label, machine, now, key_version)
             if kept_alive_until is None:
@@ -159,9 +159,9 @@
     def is_zone_unreachable(self, zone: str) -> bool:
         """Return whether the zone has other controllers but none responded for a worker's lease."""
         since = self._clock.now() - self._settings.worker_lease_s
-        labels = list(self._peers.in_zone(zone))
-        answers = self._peers.last_answer_at
-        return bool(labels) and all(answers.get(label, since) <= since for label in labels)
+        labels = list(self._peers.labels_in_zone(zone))
+        responses = self._peers.last_response_at
+        return bool(labels) and all(responses.get(label, since) <= since for label in labels)
 
     def observe_absences(self) -> None:
         """Record which controllers have no key; called at each step of `PartitionProtocol`."""
@@ -180,7 +180,7 @@
     async def query_zones(self, group: curio.TaskGroup) -> None:
         """Request the scheduled attestations from the zones' controllers, in tasks of the group."""
         requested, self._requested = self._requested, {}
-        for zone, labels in self._peers.zones:
+        for zone, labels in self._peers.labels_by_zone:
             machines = [machine for machine, at in requested.items() if at == zone]
             for label in labels if machines else ():
                 await group.spawn(self._query, label, machines)
--- a/crossmill/cluster/lease_extensions.py
+++ b/crossmill/cluster/lease_extensions.py
@@ -28,7 +28,7 @@
 log = logging.getLogger(__name__)
 
 
-class ServiceContact(Protocol):
+class ServiceStatus(Protocol):
     """The times of this controller's last successful and failed requests to the state service."""
 
     def served_ago_s(self) -> float | None:
@@ -46,7 +46,7 @@
         settings: Settings,
         clock: Clock,
         shards: OwnedShards,
-        service: ServiceContact,
+        service: ServiceStatus,
         connect: Callable[[Peer], Http] = lambda peer: Client(peer.endpoint, max_sockets=2),
     ) -> None:
         self._settings = settings
--- a/crossmill/cluster/owner_selection.py
+++ b/crossmill/cluster/owner_selection.py
@@ -67,9 +67,9 @@
         return self._has_outlasted_worker_lease(self._present_since.get(label))
 
     def is_exposed(self, label: str) -> bool:
-        """Return whether the next controller after this one, its workers' fallback, is absent.
+        """Return whether the controller after the given one, its workers' fallback, is absent.
 
-        A restart is too short to count as an absence.
+        An absence counts once it is longer than a worker's lease, so a mere restart does not count.
         """
         return self._has_outlasted_worker_lease(
             self._absent_since.get(self._settings.next_controller(label))
--- a/crossmill/cluster/partition_keepalive.py
+++ b/crossmill/cluster/partition_keepalive.py
@@ -70,8 +70,8 @@
             return False
         if self._lease_failing_since is None:
             self._lease_failing_since = self._clock.now()
-        others = self._peers.outside_zone
-        return bool(others) and self._peers.none_answered_since(others, self._lease_failing_since)
+        others = self._peers.labels_outside_zone
+        return bool(others) and self._peers.has_no_response_from(others, self._lease_failing_since)
 
 
 class StateSync:
--- a/crossmill/cluster/partition_protocol.py
+++ b/crossmill/cluster/partition_protocol.py
@@ -73,7 +73,7 @@
         async with curio.TaskGroup() as group:
             if self._controller_lease.is_failing:
                 self.partition_detector.record_renewal_failure()
-                for label in self.peers.outside_zone:
+                for label in self.peers.labels_outside_zone:
                     await group.spawn(self.peers.call, label, "GET", wire.OWNED_SHARDS_PATH)
             else:
                 self.partition_detector.record_renewal()
--- a/crossmill/cluster/peer_links.py
+++ b/crossmill/cluster/peer_links.py
@@ -31,9 +31,11 @@
         self._by_zone: dict[str, list[str]] = {}
         for peer in settings.peers:
             self._by_zone.setdefault(peer.zone, []).append(peer.label)
-        self.outside_zone = [peer.label for peer in settings.peers if peer.zone != settings.zone]
+        self.labels_outside_zone = [
+            peer.label for peer in settings.peers if peer.zone != settings.zone
+        ]
         # times of the controllers' last responses with any status, by label (monotonic clock)
-        self.last_answer_at: dict[str, float] = {}
+        self.last_response_at: dict[str, float] = {}
 
     @property
     def labels(self) -> Iterable[str]:
@@ -41,17 +43,17 @@
         return self._http
 
     @property
-    def zones(self) -> Iterable[tuple[str, list[str]]]:
+    def labels_by_zone(self) -> Iterable[tuple[str, list[str]]]:
         """Each zone with other controllers, and their labels."""
         return self._by_zone.items()
 
-    def in_zone(self, zone: str) -> Iterable[str]:
+    def labels_in_zone(self, zone: str) -> Iterable[str]:
         """Return the labels of the other controllers in the zone."""
         return self._by_zone.get(zone, ())
 
-    def none_answered_since(self, labels: Iterable[str], since: float) -> bool:
+    def has_no_response_from(self, labels: Iterable[str], since: float) -> bool:
         """Return whether none of these controllers has responded at or after this time."""
-        return all(self.last_answer_at.get(label, -1.0) < since for label in labels)
+        return all(self.last_response_at.get(label, -1.0) < since for label in labels)
 
     async def call(self, label: str, method: str, path: str, body: bytes = b"") -> bytes | None:
         """Send a request; return the body of a 200, or None for another status or no response."""
@@ -61,5 +63,5 @@
         except (ConnectionFailedError, NoResponseError) as exc:
             log.debug("peer not reached peer=%s error=%s", label, exc)
             return None
-        self.last_answer_at[label] = self._clock.now()
+        self.last_response_at[label] = self._clock.now()
         return data if status == STATUS_OK else None
--- a/tests/partition_scenario.py
+++ b/tests/partition_scenario.py
@@ -18,13 +18,13 @@
 
     def __init__(self, state: StateService) -> None:
         self._state = state
-        self.is_cut = False
+        self.is_interrupted = False
 
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
         """Forward the request; raise ConnectionFailedError while the connection is interrupted."""
-        if self.is_cut:
+        if self.is_interrupted:
             raise ConnectionFailedError(path)
         return await self._state.request(method, path, body, timeout_s)
 
@@ -84,14 +84,14 @@
         """Advance the clock until node-0 is permitted to keep workers alive."""
         await self.pass_time(2, self.owner)
 
-    def cut(self) -> None:
+    def isolate_zone(self) -> None:
         """Partition the north: node-0 reaches neither the state service nor the south."""
-        self.link.is_cut = True
+        self.link.is_interrupted = True
         self.nodes["node-0"].is_unreachable = self.nodes["node-1"].is_unreachable = True
 
-    def clear_faults(self) -> None:
+    def end_partition(self) -> None:
         """End the partition."""
-        self.link.is_cut = False
+        self.link.is_interrupted = False
         self.nodes["node-0"].is_unreachable = self.nodes["node-1"].is_unreachable = False
 
     def planned_attempts(self) -> int:
--- a/tests/test_controller_outages.py
+++ b/tests/test_controller_outages.py
@@ -27,18 +27,18 @@
 from .stepped_controller import SteppedController, add_machine, run_scenario, seed
 
 
-async def _begin(region: Region, machines: int = 9) -> None:
+async def _start_workers(region: Region, machines: int = 9) -> None:
     await region.begin(machines=0)
     for number in range(machines):
         await region.add_worker(f"n-{number}", ("north", "south")[number % 2], number % 3)
     await curio.sleep(12.0)
 
 
-def _freeze(freeze_s: float, delay_s: float) -> Callable[[Region], Awaitable[None]]:
+def _freeze_scenario(freeze_s: float, delay_s: float) -> Callable[[Region], Awaitable[None]]:
     """Return a scenario in which an owner freezes while its jobs are cancelled through another."""
 
     async def scenario(region: Region) -> None:
-        await _begin(region)
+        await _start_workers(region)
         jobs = [f"wk-{n:06d}" for n in range(9)]
         for n, job in enumerate(jobs):
             crew = ("red", "blue", "green")[n % 3]
@@ -47,7 +47,7 @@
         await region.wait_until(lambda: all(region.workers_running(job) for job in jobs))
         await curio.sleep(delay_s)
         frozen = region.nodes["node-1"]
-        held = set(frozen.membership.ownerships)
+        owned_shards = set(frozen.membership.ownerships)
         region.frozen_until["node-1"] = region.clock.now() + freeze_s
         for job in jobs[:5]:
             assert await region.cancel_until_confirmed("node-2", job, 20.0)
@@ -56,8 +56,10 @@
         left_s = region.frozen_until["node-1"] - region.clock.now()
         await curio.sleep(max(0.0, left_s - 0.001))
         if region.is_frozen("node-1"):
-            assert all(frozen.membership.active_ownership(shard) is None for shard in held)
-            assert all(frozen.membership.heartbeat_authority(shard) is None for shard in held)
+            assert all(frozen.membership.active_ownership(shard) is None for shard in owned_shards)
+            assert all(
+                frozen.membership.heartbeat_authority(shard) is None for shard in owned_shards
+            )
             assert frozen.membership.leadership_version() is None
         for n, job in enumerate(f"wk-{n:06d}" for n in range(20, 26)):
             crew = ("red", "blue", "green")[n % 3]
@@ -72,7 +74,7 @@
 @pytest.mark.parametrize("freeze_s", [5.0, 9.0, 25.0])
 @pytest.mark.parametrize("delay_s", [0.0, 0.37, 0.81])
 def test_a_controller_acts_on_nothing_stale_after_a_freeze(freeze_s: float, delay_s: float) -> None:
-    simulate(_freeze(freeze_s, delay_s))
+    simulate(_freeze_scenario(freeze_s, delay_s))
 
 
 def test_the_freeze_scenario_detects_a_lease_that_never_expires(
@@ -80,13 +82,13 @@
 ) -> None:
     monkeypatch.setattr(ControllerLease, "is_held", lambda self: self.lease_id is not None)
     with pytest.raises(AssertionError):
-        simulate(_freeze(25.0, 0.0))
+        simulate(_freeze_scenario(25.0, 0.0))
 
 
 @pytest.mark.parametrize("alone", ["node-0", "node-1", "node-2"])
 def test_one_controller_serves_alone_for_more_than_a_minute(alone: str) -> None:
     async def scenario(region: Region) -> None:
-        await _begin(region)
+        await _start_workers(region)
         others = [label for label in region.LABELS if label != alone]
         assert await region.submit(others[0], "wk-000001", None, crew="blue", sacks=3) == 201
         await region.wait_until(lambda: bool(region.workers_running("wk-000001")))
@@ -117,7 +119,7 @@
     """
 
     async def scenario(region: Region) -> None:
-        await _begin(region)
+        await _start_workers(region)
         jobs = [f"wk-{n:06d}" for n in range(50)]
         small = {"crew": "blue", "cards": 0.0, "cpus": 0.25, "ramGb": 0.5}
         for job in jobs:
@@ -163,7 +165,7 @@
 
 def test_failing_jobs_are_cancelled_while_they_are_retried() -> None:
     async def scenario(region: Region) -> None:
-        await _begin(region)
+        await _start_workers(region)
         broken = {f"wk-{n:06d}" for n in range(6)}
 
         async def fail() -> None:
@@ -212,7 +214,7 @@
 
 def test_idle_batch_work_finishes_during_failovers() -> None:
     async def scenario(region: Region) -> None:
-        await _begin(region)
+        await _start_workers(region)
         await region.run_provisioners()
         small = {"crew": "green", "precedence": "idle", "cards": 0.0, "cpus": 0.25, "ramGb": 0.5}
         assert await region.submit("node-0", "wk-100000", 3.0, sacks=600, **small) == 201
@@ -243,10 +245,10 @@
         node = SteppedController(state, clock, nodes)
         await node.boot()
         leader = node.provisioner
-        need = MachineRequest(node.forecast.capacity.sources()[0], 2)
+        machine_request = MachineRequest(node.forecast.capacity.sources()[0], 2)
         leader._cloud._pacer.drain()
-        begun = leader.rent(0, need) if step == "rent" else leader.scale_in()
-        task = await curio.spawn(begun, daemon=True)
+        operation = leader.rent(0, machine_request) if step == "rent" else leader.scale_in()
+        task = await curio.spawn(operation, daemon=True)
         await curio.sleep(0.05)
         clock.time += 25.0 if is_frozen else 0.5
         await curio.sleep(0.5)
@@ -277,7 +279,7 @@
     rng = random.Random(seed_number)
 
     async def scenario(region: Region) -> None:
-        await _begin(region, machines=12)
+        await _start_workers(region, machines=12)
         services = [f"wk-{n:06d}" for n in range(9)]
         for n, job in enumerate(services):
             crew = ("red", "blue", "green")[n % 3]
--- a/tests/test_partition_cancellations.py
+++ b/tests/test_partition_cancellations.py
@@ -17,7 +17,7 @@
 
 def test_a_cancellation_is_confirmed_only_when_no_keepalive_can_outlast_it() -> None:
     async def scenario(partition: PartitionScenario) -> None:
-        partition.cut()
+        partition.isolate_zone()
         await partition.pass_time(2, partition.zone_controller)
         path = "/v1/jobs/wk-000001"
         answer = await partition.owner.ask("POST", path + "/withdraw")
@@ -43,7 +43,7 @@
         assert answer.status == 200
         # the mirror of node-0 does not hold the cancellation yet: node-0 relies on the announcement
         assert partition.zone_controller.cluster.jobs["wk-000001"].end == ""
-        partition.cut()
+        partition.isolate_zone()
         await partition.zone_controller.controller_lease.step()
         commands = partition.report_to_zone_controller(900).commands
         assert commands == (Command(CommandKind.STOP, "wk-000001/0", 1, 0.0),)
@@ -82,7 +82,7 @@
         await partition.zone_controller.membership.step()
         await partition.zone_controller.partition_protocol.step()
         assert (await partition.owner.ask("POST", path)).status == 200
-        partition.cut()
+        partition.isolate_zone()
         await partition.zone_controller.controller_lease.step()
         commands = partition.report_to_zone_controller(900).commands
         assert [command.op for command in commands] == ["stop"]
--- a/tests/test_partition_keepalive.py
+++ b/tests/test_partition_keepalive.py
@@ -22,13 +22,13 @@
 
 def test_workers_of_a_partitioned_zone_are_kept_alive_and_not_presumed_lost() -> None:
     async def scenario(partition: PartitionScenario) -> None:
-        partition.cut()
+        partition.isolate_zone()
         await partition.pass_time(4)
         await partition.pass_time(2 * partition.settings.worker_lease_s, partition.zone_controller)
         assert partition.planned_attempts() == 1
         assert not partition.owner.cluster.machines["n-0"].retiring
         # the partition ends: node-0 attests that it answered the machine just now
-        partition.clear_faults()
+        partition.end_partition()
         await partition.pass_time(0.9 * partition.settings.worker_lease_s)
         assert partition.planned_attempts() == 1
         await partition.pass_time(0.3 * partition.settings.worker_lease_s)
@@ -39,7 +39,7 @@
 
 def test_keepalive_stops_before_the_absence_of_its_controller_proves_an_expired_lease() -> None:
     async def scenario(partition: PartitionScenario) -> None:
-        partition.cut()
+        partition.isolate_zone()
         partition.state.end_lease(partition.zone_controller.controller_lease.lease_id or 0)
         await partition.pass_time(
             partition.settings.partition_keepalive_s - 1, partition.zone_controller
@@ -58,7 +58,7 @@
     async def scenario(partition: PartitionScenario) -> None:
         # the owner receives no heartbeats and requests attestations; then the zone is partitioned
         await partition.pass_time(partition.settings.heartbeat_timeout_s + 1.5)
-        partition.cut()
+        partition.isolate_zone()
         await partition.pass_time(2)
         assert partition.report_to_zone_controller(900).status == 421
         await partition.pass_time(partition.settings.worker_lease_expiry_s)
@@ -82,7 +82,7 @@
         partition.zone_controller.cluster.controllers["node-0"] = ControllerRecord(-1)
         await partition.zone_controller.partition_protocol.state_sync.refresh()
         assert partition.zone_controller.partition_protocol.state_sync.sent_at is None
-        partition.cut()
+        partition.isolate_zone()
         await partition.zone_controller.controller_lease.step()
         assert partition.report_to_zone_controller(900).status == 421
 
@@ -93,19 +93,19 @@
     """Announce node-0 only after a first partition, as if its process had just started."""
     partition.zone_controller.cluster.controllers["node-0"] = ControllerRecord(-1)
     await partition.zone_controller.partition_protocol.state_sync.refresh()
-    partition.cut()
+    partition.isolate_zone()
     await partition.zone_controller.controller_lease.step()
     partition.report_to_zone_controller(900)
-    partition.clear_faults()
+    partition.end_partition()
     lease_id = partition.zone_controller.controller_lease.lease_id
     partition.zone_controller.cluster.controllers["node-0"] = ControllerRecord(lease_id)
     await partition.zone_controller.controller_lease.step()
     await partition.settle()
 
 
-async def _cut_except_from_south(partition: PartitionScenario) -> None:
+async def _isolate_except_from_south(partition: PartitionScenario) -> None:
     """Separate node-0 from the state service while node-1 answers its probes."""
-    partition.cut()
+    partition.isolate_zone()
     partition.nodes["node-1"].is_unreachable = False
     await partition.zone_controller.controller_lease.step()
     await partition.zone_controller.partition_protocol.step()
@@ -115,7 +115,7 @@
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         partition = await _begin_unsettled(state, clock, nodes)
         await _announce_and_settle(partition)
-        await _cut_except_from_south(partition)
+        await _isolate_except_from_south(partition)
         answer = partition.report_to_zone_controller(901)
         assert (answer.status, answer.redirect) == (421, "node-1")
 
@@ -127,9 +127,9 @@
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         partition = await _begin_unsettled(state, clock, nodes)
         await _announce_and_settle(partition)
-        await _cut_except_from_south(partition)
-        partition.cut()
-        partition.zone_controller.partition_protocol.peers.last_answer_at.clear()
+        await _isolate_except_from_south(partition)
+        partition.isolate_zone()
+        partition.zone_controller.partition_protocol.peers.last_response_at.clear()
         assert (
             partition.zone_controller.report("n-0", 1, 902, partition.token + 1, RUNNING).status
             == 421
@@ -165,7 +165,7 @@
         )
         await partition.zone_controller.boot(waited=False)
         await partition.zone_controller.partition_protocol.step()
-        partition.cut()
+        partition.isolate_zone()
         await partition.zone_controller.controller_lease.step()
         assert partition.report_to_zone_controller(900).status == 200
         # the owner has not read the new key of node-0: its write is conditional on the old version
@@ -212,7 +212,7 @@
         owner.report("s-0", 1, 2, partition.token)
         view = owner.heartbeats.find_view("s-0")
         assert view is not None
-        partition.cut()
+        partition.isolate_zone()
         state.down = True
         for seq in range(3, 50):
             clock.time += 0.5
--- a/tests/test_silent_machines.py
+++ b/tests/test_silent_machines.py
@@ -60,7 +60,7 @@
 
 def test_an_absence_counts_anew_when_the_controller_was_back_unnoticed() -> None:
     async def scenario(partition: PartitionScenario) -> None:
-        partition.cut()
+        partition.isolate_zone()
         partition.state.end_lease(partition.zone_controller.controller_lease.lease_id or 0)
         await partition.pass_time(
             partition.settings.partition_keepalive_s + partition.settings.worker_lease_s - 1
