--- a/tests/test_controller_outages.py
+++ b/tests/test_controller_outages.py
@@ -1,8 +1,7 @@
-"""Incidents that operators reported, replayed in a simulated region.
+"""Incidents that operators reported, reproduced in a simulated region.
 
-Controllers freeze and resume, all but one end for a minute, machines come up late or never, jobs
-fail
-on every machine, and many small jobs arrive at once.
+Controllers freeze and resume, all but one controller are down for a minute, machines come up late
+or never, jobs fail on every machine, and many small jobs arrive at the same time.
 """
 
 import random
@@ -28,36 +27,39 @@
 from .stepped_controller import SteppedController, add_machine, run_scenario, seed
 
 
-async def _begin(region: Region, machines: int = 9) -> None:
+async def _start_workers(region: Region, machines: int = 9) -> None:
     await region.begin(machines=0)
     for number in range(machines):
         await region.add_worker(f"n-{number}", ("north", "south")[number % 2], number % 3)
     await curio.sleep(12.0)
 
 
-def _freeze(freeze_s: float, seed_s: float) -> Callable[[Region], Awaitable[None]]:
+def _freeze_scenario(freeze_s: float, delay_s: float) -> Callable[[Region], Awaitable[None]]:
     """Return a scenario in which an owner freezes while its jobs are cancelled through another."""
 
     async def scenario(region: Region) -> None:
-        await _begin(region)
+        await _start_workers(region)
         jobs = [f"wk-{n:06d}" for n in range(9)]
         for n, job in enumerate(jobs):
             crew = ("red", "blue", "green")[n % 3]
             label = region.LABELS[n % 3]
             assert await region.submit(label, job, None, crew=crew, sacks=2) == 201
         await region.wait_until(lambda: all(region.workers_running(job) for job in jobs))
-        await curio.sleep(seed_s)
+        await curio.sleep(delay_s)
         frozen = region.nodes["node-1"]
-        held = set(frozen.membership.ownerships)
+        owned_shards = set(frozen.membership.ownerships)
         region.frozen_until["node-1"] = region.clock.now() + freeze_s
         for job in jobs[:5]:
             assert await region.cancel_until_confirmed("node-2", job, 20.0)
-        # a moment before it goes on: in its own eyes its rights are over, though nothing told it so
+        # just before it resumes, the frozen controller must consider its authority expired by its
+        # clock alone, because it has received no notification
         left_s = region.frozen_until["node-1"] - region.clock.now()
         await curio.sleep(max(0.0, left_s - 0.001))
         if region.is_frozen("node-1"):
-            assert all(frozen.membership.active_ownership(shard) is None for shard in held)
-            assert all(frozen.membership.heartbeat_authority(shard) is None for shard in held)
+            assert all(frozen.membership.active_ownership(shard) is None for shard in owned_shards)
+            assert all(
+                frozen.membership.heartbeat_authority(shard) is None for shard in owned_shards
+            )
             assert frozen.membership.leadership_version() is None
         for n, job in enumerate(f"wk-{n:06d}" for n in range(20, 26)):
             crew = ("red", "blue", "green")[n % 3]
@@ -70,28 +72,30 @@
 
 
 @pytest.mark.parametrize("freeze_s", [5.0, 9.0, 25.0])
-@pytest.mark.parametrize("seed_s", [0.0, 0.37, 0.81])
-def test_a_controller_acts_on_nothing_stale_after_a_freeze(freeze_s: float, seed_s: float) -> None:
-    simulate(_freeze(freeze_s, seed_s))
+@pytest.mark.parametrize("delay_s", [0.0, 0.37, 0.81])
+def test_a_controller_acts_on_nothing_stale_after_a_freeze(freeze_s: float, delay_s: float) -> None:
+    simulate(_freeze_scenario(freeze_s, delay_s))
 
 
-def test_a_lease_that_outlasts_a_freeze_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_freeze_scenario_detects_a_lease_that_never_expires(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(ControllerLease, "is_held", lambda self: self.lease_id is not None)
     with pytest.raises(AssertionError):
-        simulate(_freeze(25.0, 0.0))
+        simulate(_freeze_scenario(25.0, 0.0))
 
 
 @pytest.mark.parametrize("alone", ["node-0", "node-1", "node-2"])
 def test_one_controller_serves_alone_for_more_than_a_minute(alone: str) -> None:
     async def scenario(region: Region) -> None:
-        await _begin(region)
+        await _start_workers(region)
         others = [label for label in region.LABELS if label != alone]
         assert await region.submit(others[0], "wk-000001", None, crew="blue", sacks=3) == 201
         await region.wait_until(lambda: bool(region.workers_running("wk-000001")))
         for label in others:
             await region.power_off(label)
         await curio.sleep(15.0)
-        # it serves alone: jobs run, end and are cancelled
+        # the only controller runs, finishes and cancels jobs
         assert await region.submit(alone, "wk-000002", 10.0, crew="green", sacks=4) == 201
         assert await region.submit(alone, "wk-000003", None, crew="green", sacks=1) == 201
         await region.wait_until(lambda: region.has_finished("wk-000002", 4))
@@ -108,13 +112,14 @@
 
 
 def test_simultaneous_status_requests_share_reads() -> None:
-    """Status requests that come together share one read of the state service.
+    """Simultaneous status requests share one read of the state service.
 
-    Eight requests a second for each of fifty jobs; workers are answered and work begins meanwhile.
+    While each of fifty jobs receives eight status requests per second, the controller answers
+    workers and starts new tasks.
     """
 
     async def scenario(region: Region) -> None:
-        await _begin(region)
+        await _start_workers(region)
         jobs = [f"wk-{n:06d}" for n in range(50)]
         small = {"crew": "blue", "cards": 0.0, "cpus": 0.25, "ramGb": 0.5}
         for job in jobs:
@@ -129,7 +134,7 @@
                 for job in jobs:
                     await group.spawn(region.show, "node-0", job)
             await curio.sleep(0.125)
-        # 4,000 questions; a read serves all that were asked before it
+        # 4,000 status requests; one read serves all requests that arrived before it
         assert len(region.state.calls) - reads < 1000
         assert await region.submit("node-0", "wk-000100", 5.0, sacks=2, **small) == 201
         await region.wait_until(lambda: region.has_finished("wk-000100", 2), 20.0)
@@ -152,7 +157,7 @@
     simulate(scenario)
 
 
-def _all_fail(worker: Worker, jobs: set[str]) -> None:
+def _fail_running_tasks(worker: Worker, jobs: set[str]) -> None:
     for (job, _), task in worker.tasks.items():
         if job in jobs and task.state == "running":
             task.state, task.cause = "exited", "error"
@@ -160,13 +165,13 @@
 
 def test_failing_jobs_are_cancelled_while_they_are_retried() -> None:
     async def scenario(region: Region) -> None:
-        await _begin(region)
+        await _start_workers(region)
         broken = {f"wk-{n:06d}" for n in range(6)}
 
         async def fail() -> None:
             while True:
                 for worker in region.workers.values():
-                    _all_fail(worker, broken)
+                    _fail_running_tasks(worker, broken)
                 await curio.sleep(0.1)
 
         await curio.spawn(fail, daemon=True)
@@ -180,7 +185,7 @@
         for job in sorted(broken):
             assert await region.cancel_until_confirmed("node-2", job, 20.0)
         await region.start("node-1")
-        # others' work is not held up
+        # other jobs are not delayed
         await region.wait_until(lambda: region.has_finished("wk-000100", 12), 90.0)
         await curio.sleep(region.cancellation_deadline_s)
         assert not any(job in broken for w in region.workers.values() for job, _ in w.tasks)
@@ -189,7 +194,7 @@
 
 
 def test_jobs_that_fail_on_three_machines_make_none_of_them_faulty() -> None:
-    """Until the jobs fail elsewhere too, the machine on which they began looks faulty."""
+    """Until the jobs also fail on other machines, the first machine counts as faulty."""
     settings, clock = make_settings(), FakeClock()
     failures = TaskFailures(settings, clock, ClusterState(Mirror(), settings))
     jobs = [Job(f"wk-{n:06d}", spec=make_spec(nameId=f"wk-{n:06d}")) for n in range(2)]
@@ -209,7 +214,7 @@
 
 def test_idle_batch_work_finishes_during_failovers() -> None:
     async def scenario(region: Region) -> None:
-        await _begin(region)
+        await _start_workers(region)
         await region.run_provisioners()
         small = {"crew": "green", "precedence": "idle", "cards": 0.0, "cpus": 0.25, "ramGb": 0.5}
         assert await region.submit("node-0", "wk-100000", 3.0, sacks=600, **small) == 201
@@ -228,9 +233,9 @@
 
 
 @pytest.mark.parametrize("step", ["rent", "release"])
-@pytest.mark.parametrize("stands_still", [False, True])
-def test_a_leader_neither_rents_nor_releases_after_a_freeze(step: str, stands_still: bool) -> None:
-    """The leader freezes between its check of the leadership and the request to the cloud."""
+@pytest.mark.parametrize("is_frozen", [False, True])
+def test_a_leader_neither_rents_nor_releases_after_a_freeze(step: str, is_frozen: bool) -> None:
+    """Guards against requests to the cloud by a leader that froze after checking its leadership."""
 
     async def scenario(
         state: StateService, clock: FakeClock, nodes: dict[str, SteppedController]
@@ -240,21 +245,21 @@
         node = SteppedController(state, clock, nodes)
         await node.boot()
         leader = node.provisioner
-        need = MachineRequest(node.forecast.capacity.sources()[0], 2)
+        machine_request = MachineRequest(node.forecast.capacity.sources()[0], 2)
         leader._cloud._pacer.drain()
-        begun = leader.rent(0, need) if step == "rent" else leader.scale_in()
-        task = await curio.spawn(begun, daemon=True)
+        operation = leader.rent(0, machine_request) if step == "rent" else leader.scale_in()
+        task = await curio.spawn(operation, daemon=True)
         await curio.sleep(0.05)
-        clock.time += 25.0 if stands_still else 0.5
+        clock.time += 25.0 if is_frozen else 0.5
         await curio.sleep(0.5)
         await task.cancel()
-        assert bool(node.cloud.requests or node.cloud.released) is not stands_still
+        assert bool(node.cloud.requests or node.cloud.released) is not is_frozen
 
     run_scenario(scenario)
 
 
-def _agrees(region: Region, worker: Worker) -> bool:
-    """Whether some controller acts for the worker and has a correct view of its tasks."""
+def _has_correct_view(region: Region, worker: Worker) -> bool:
+    """Return whether some controller acts for the worker and has a correct view of its tasks."""
     for node in region.nodes.values():
         machine = node.cluster.machines.get(worker.machine)
         if machine is None or node.membership.active_ownership(machine.shard) is None:
@@ -274,7 +279,7 @@
     rng = random.Random(seed_number)
 
     async def scenario(region: Region) -> None:
-        await _begin(region, machines=12)
+        await _start_workers(region, machines=12)
         services = [f"wk-{n:06d}" for n in range(9)]
         for n, job in enumerate(services):
             crew = ("red", "blue", "green")[n % 3]
@@ -283,17 +288,20 @@
         for freeze in range(3):
             label = rng.choice(region.LABELS)
             freeze_s = rng.uniform(5.0, 25.0)
-            traffic = await curio.spawn(_traffic, region, label, freeze, daemon=True)
+            traffic = await curio.spawn(_submit_arrays, region, label, freeze, daemon=True)
             await curio.sleep(rng.uniform(0.0, 3.0))
             region.frozen_until[label] = region.clock.now() + freeze_s
             others = [other for other in region.LABELS if other != label]
             assert await region.cancel_until_confirmed(rng.choice(others), services[freeze], 20.0)
             await curio.sleep(max(0.0, region.frozen_until[label] - region.clock.now()))
             await traffic.join()
-            # all shards go home within two leases; from then on nobody's view may be old
+            # all shards return to their preferred owners within two worker leases; afterwards no
+            # owner's view may be outdated
             await curio.sleep(2 * region.worker_lease_s)
             await region.wait_until(
-                lambda: all(_agrees(region, worker) for worker in region.workers.values()),
+                lambda: all(
+                    _has_correct_view(region, worker) for worker in region.workers.values()
+                ),
                 2 * region.heartbeat_interval_s,
             )
         assert not any(region.workers_running(job) for job in services[:3])
@@ -302,8 +310,8 @@
     simulate(scenario)
 
 
-async def _traffic(region: Region, frozen: str, number: int) -> None:
-    """Short arrays through the controllers that go on, until well after the freeze has begun."""
+async def _submit_arrays(region: Region, frozen: str, number: int) -> None:
+    """Submit short arrays through the running controllers until well after the freeze begins."""
     labels = [label for label in region.LABELS if label != frozen]
     for n in range(8):
         job = f"wk-{1000 * (number + 1) + n:06d}"
