--- a/crossmill/cluster/cluster_state.py
+++ b/crossmill/cluster/cluster_state.py
@@ -32,13 +32,13 @@
         super().__init__()
         self.leader: str | None = None
         # how often each controller's key was written or deleted
-        self.key_changes: dict[str, int] = {}
+        self.key_change_counts: dict[str, int] = {}
         # the controllers that run a version of the next feature level, with their notes' versions
         self.at_next_level: dict[str, int] = {}
 
     def apply(self, label: str, value: Any) -> None:
         """Applies a change of a controller's record; a value of None means deleted or expired."""
-        self.key_changes[label] = self.key_changes.get(label, 0) + 1
+        self.key_change_counts[label] = self.key_change_counts.get(label, 0) + 1
         if value is None:
             self.pop(label, None)
         else:
@@ -87,7 +87,7 @@
             keys.LEADER: self._on_leader,
             keys.CATALOG: self._on_catalog,
         }
-        mirror.listen(self._on_key)
+        mirror.add_listener(self._on_key)
 
     @property
     def layout(self) -> PlanLayout:
--- a/crossmill/cluster/dependencies.py
+++ b/crossmill/cluster/dependencies.py
@@ -26,7 +26,7 @@
 
     def add(self, job: Job) -> list[Job]:
         """Adds an accepted job; returns the jobs that are cancelled by what is known, if any."""
-        job.ready_at = job.submitted
+        job.ready_at = job.submitted_at
         if not job.dependencies or job.end != ACTIVE:
             return []
         job.unmet_dependencies = set(job.dependencies)
@@ -47,7 +47,7 @@
         """Removes all dependencies but these: the job's record was rewritten with them."""
         for dependency in set(job.dependencies) - set(remaining):
             job.unmet_dependencies.discard(dependency)
-            self._drop_edge(dependency, job)
+            self._remove_edge(dependency, job)
         job.dependencies = remaining
         self._changed.add(job.id)
 
@@ -66,10 +66,10 @@
     def remove(self, job: Job) -> None:
         """Removes a job whose record was deleted because it was archived."""
         for dependency in job.dependencies:
-            self._drop_edge(dependency, job)
+            self._remove_edge(dependency, job)
         self._changed.discard(job.id)
 
-    def _drop_edge(self, dependency: str, job: Job) -> None:
+    def _remove_edge(self, dependency: str, job: Job) -> None:
         known = self._dependents.get(dependency)
         if known is not None:
             known.pop(job.id, None)
@@ -99,13 +99,13 @@
             if required is not None and required.spec is not None:
                 yield required
 
-    def is_single(self, job: Job) -> bool:
+    def is_standalone(self, job: Job) -> bool:
         """Whether the job is part of no pipeline: it waits for no job, and none depends on it."""
         return not job.unmet_dependencies and job.id not in self._dependents
 
     def is_depended_on(self, job_id: str) -> bool:
         """Whether a job that its record says is unfinished depends on this one."""
-        return any(job.recorded == ACTIVE for job in self.dependents(job_id))
+        return any(job.recorded_end == ACTIVE for job in self.dependents(job_id))
 
     def _mark_met(self, job: Job, required: Job) -> None:
         job.unmet_dependencies.discard(required.id)
--- a/crossmill/cluster/feature_level.py
+++ b/crossmill/cluster/feature_level.py
@@ -76,6 +76,6 @@
 
     async def _commit(self, txn: Txn) -> None:
         until = self._clock.now() + self._settings.controller_lease_ttl_s
-        intent = WriteIntent(txn, WriteRank.OWNERSHIP, until=until)
+        intent = WriteIntent(txn, WriteRank.OWNERSHIP, send_deadline=until)
         if await self._writer.commit(intent) != WriteResult.OK:
             await self._watcher.sync(self._settings.lease_renewal_interval_s)
--- a/crossmill/cluster/job_index.py
+++ b/crossmill/cluster/job_index.py
@@ -43,14 +43,14 @@
 
     def apply_record(self, job: Job, record: JobRecord, version: int) -> bool:
         """Applies the job's record; returns whether it is the first one known."""
-        job.version, job.recorded, job.ended_at = version, record.end, record.ended_at
+        job.version, job.recorded_end, job.ended_at = version, record.end, record.ended_at
         is_new = job.spec is None
         if is_new:
             self.without_record.pop(job.id, None)
             job.spec = record.spec
-            job.submitted = record.submitted
+            job.submitted_at = record.submitted_at
             job.dependencies = record.dependencies
-            job.order = version
+            job.acceptance_order = version
             job.shard = self._settings.shard_of_team(job.spec.team)
         return is_new
 
--- a/crossmill/cluster/layout.py
+++ b/crossmill/cluster/layout.py
@@ -38,13 +38,13 @@
         number = int(name)
         return ChunkRange(name, number * self.legacy_tasks, (number + 1) * self.legacy_tasks)
 
-    def legacy_of(self, index: int) -> ChunkRange:
+    def legacy_chunk_of(self, index: int) -> ChunkRange:
         """The legacy chunk whose range the task lies in, whether or not it exists."""
         return self.parse(str(index // self.legacy_tasks))
 
     def segment_of(self, index: int) -> ChunkRange:
         """The segment that the task lies in; its legacy chunk until the level is raised."""
-        legacy = self.legacy_of(index)
+        legacy = self.legacy_chunk_of(index)
         if self.segment_tasks is None:
             return legacy
         first = index - (index - legacy.first) % self.segment_tasks
@@ -53,7 +53,7 @@
 
     def chunk_of(self, index: int, existing: Container[str]) -> ChunkRange:
         """The chunk in force for the task, given the names of the job's chunks."""
-        legacy = self.legacy_of(index)
+        legacy = self.legacy_chunk_of(index)
         if self.segment_tasks is None or legacy.name in existing:
             return legacy
         return self.segment_of(index)
--- a/crossmill/cluster/lease_expiry_proof.py
+++ b/crossmill/cluster/lease_expiry_proof.py
@@ -80,7 +80,7 @@
         return since is not None and self._clock.now() > since + span_s
 
     def _history(self, label: str) -> _KeyHistory:
-        changes = self._cluster.controllers.key_changes.get(label, 0)
+        changes = self._cluster.controllers.key_change_counts.get(label, 0)
         return _KeyHistory(changes, self._cluster.mirror.full_read_count)
 
 
--- a/crossmill/cluster/lease_extensions.py
+++ b/crossmill/cluster/lease_extensions.py
@@ -31,10 +31,10 @@
 class ServiceContact(Protocol):
     """When the state service last served this controller, and when it did not."""
 
-    def served_ago_s(self) -> float | None:
+    def last_success_age_s(self) -> float | None:
         """How many seconds ago it last served a request; None if it never did."""
 
-    def refused_at(self) -> float:
+    def last_failure_at(self) -> float:
         """When it last refused a request or did not answer (steady clock)."""
 
 
@@ -85,7 +85,7 @@
         if not own_shards.isdisjoint(extension_request.shards):
             return Response(409)
         self._grant(extension_request.shards)
-        return Response(200, wire.extension_grant_body(self._service.served_ago_s()))
+        return Response(200, wire.extension_grant_body(self._service.last_success_age_s()))
 
     def _grant(self, shards: tuple[int, ...]) -> None:
         grant_s = self._settings.lease_extension_grant_s * (1 + self._settings.clock_drift)
@@ -194,6 +194,6 @@
             return
         if self._peer_served_at is None:
             self._peer_served_at = self._clock.now()
-        elif self._service.refused_at() > self._peer_served_at:
+        elif self._service.last_failure_at() > self._peer_served_at:
             log.info("state service refuses only this controller peer=%s", label)
             self.is_only_one_refused = True
--- a/crossmill/cluster/machine_index.py
+++ b/crossmill/cluster/machine_index.py
@@ -86,7 +86,7 @@
         machine = self.get(attempt.machine)
         if machine is None or job.spec is None:
             return
-        machine.changes += 1
+        machine.change_count += 1
         machine.used_cpus += sign * job.spec.cpus
         machine.used_gpus += sign * job.spec.gpus
         machine.used_memory_gb += sign * job.spec.memory_gb
--- a/crossmill/cluster/membership.py
+++ b/crossmill/cluster/membership.py
@@ -194,7 +194,7 @@
             await self._release_all()
         await self.announcement.publish()
         self.owner_selection.observe()
-        self._writer.allot(write_share(self._settings, self._cluster))
+        self._writer.set_rate(write_share(self._settings, self._cluster))
         await self._query_peers()
         await self._acquire_unowned()
         await self._leadership.step()
--- a/crossmill/cluster/model.py
+++ b/crossmill/cluster/model.py
@@ -64,11 +64,11 @@
     are the planned ones by task index.
     """
 
-    next: int = 1
-    done: int = 0
+    next_attempt_number: int = 1
+    done_bitmap: int = 0
     attempts: dict[int, PlannedAttempt] = field(default_factory=dict)
     version: int = 0
-    first: int = 0
+    first_task: int = 0
 
 
 @dataclass(slots=True, eq=False)
@@ -82,11 +82,11 @@
     id: str
     version: int = 0
     end: JobEnd = ACTIVE
-    recorded: JobEnd = ACTIVE
+    recorded_end: JobEnd = ACTIVE
     spec: JobSpec | None = None
-    submitted: float = 0.0
+    submitted_at: float = 0.0
     ended_at: float = 0.0
-    order: int = 0
+    acceptance_order: int = 0
     shard: int = -1
     # the jobs that were not done when this one was accepted, and those that are not done yet
     dependencies: tuple[str, ...] = ()
@@ -159,9 +159,9 @@
     zone: str
     spot: bool
     shard: int
-    rented: float
-    retiring: str
-    up: bool
+    rented_at: float
+    retirement_reason: str
+    is_up: bool
     # a machine that came from another shard has a token of its own, which is higher than any that
     # its worker can have seen and than that of any command still on its way
     token: int = 0
@@ -175,7 +175,7 @@
     # images expected in its cache with their sizes in GB, the most recently used last
     images: dict[str, float] = field(default_factory=dict)
     # counts changes of its usage and its images, so that others can cache what they derive
-    changes: int = 0
+    change_count: int = 0
 
 
 class ShardAssignment(NamedTuple):
--- a/crossmill/cluster/plan_index.py
+++ b/crossmill/cluster/plan_index.py
@@ -33,7 +33,7 @@
         chunk_range = self.layout.parse(name)
         first = chunk_range.first
         chunk = None if value is None else decode_chunk(job_id, value, version, first)
-        if chunk_range.is_segment and self.layout.legacy_of(first).name in job.chunks:
+        if chunk_range.is_segment and self.layout.legacy_chunk_of(first).name in job.chunks:
             self._stage(job, name, chunk)
         else:
             self._replace_chunk(job, name, chunk)
@@ -90,12 +90,12 @@
 
 
 def _done_count(chunk: PlanChunk | None) -> int:
-    return chunk.done.bit_count() if chunk else 0
+    return chunk.done_bitmap.bit_count() if chunk else 0
 
 
 def _segments_of(chunks: dict[str, PlanChunk], legacy: ChunkRange) -> list[tuple[str, PlanChunk]]:
     return [
         (name, chunk)
         for name, chunk in chunks.items()
-        if name != legacy.name and legacy.first <= chunk.first < legacy.end
+        if name != legacy.name and legacy.first <= chunk.first_task < legacy.end
     ]
--- a/crossmill/cluster/reachability.py
+++ b/crossmill/cluster/reachability.py
@@ -77,7 +77,7 @@
     def _overdue_machines(self, acquired_at: dict[int, float], now: float) -> int:
         """How many machines must have sent a heartbeat to this controller by now."""
         return sum(
-            machine.up and not machine.retiring
+            machine.is_up and not machine.retirement_reason
             for shard, since in acquired_at.items()
             if now - since > self._settings.next_heartbeat_within_s
             for machine in self._cluster.machines.by_shard[shard].values()
--- a/crossmill/cluster/records.py
+++ b/crossmill/cluster/records.py
@@ -30,7 +30,7 @@
 
     end: JobEnd
     spec: JobSpec
-    submitted: float
+    submitted_at: float
     ended_at: float
     dependencies: tuple[str, ...]
 
@@ -87,24 +87,24 @@
 
 
 def encode_job(
-    spec: JobSpec, submitted: float, dependencies: tuple[str, ...] = ()
+    spec: JobSpec, submitted_at: float, dependencies: tuple[str, ...] = ()
 ) -> dict[str, Any]:
     """Encodes a job just accepted; `dependencies` are the jobs that it waits for."""
-    value: dict[str, Any] = {"end": ACTIVE, "at": submitted, "spec": _encode_spec(spec)}
+    value: dict[str, Any] = {"end": ACTIVE, "at": submitted_at, "spec": _encode_spec(spec)}
     if dependencies:
         value["needs"] = list(dependencies)
     return value
 
 
-def encode_end(end: JobEnd, spec: JobSpec, ended_at: float, most_bytes: int) -> dict[str, Any]:
+def encode_end(end: JobEnd, spec: JobSpec, ended_at: float, max_bytes: int) -> dict[str, Any]:
     """Encodes an ended job.
 
     The spec is kept, since a cancelled job's tasks use capacity until they are proved to have
-    ended. A record larger than `most_bytes`, which was accepted under larger limits, is reduced to
+    ended. A record larger than `max_bytes`, which was accepted under larger limits, is reduced to
     what that takes.
     """
     value = {"end": end, "spec": _encode_spec(spec), "ended": ended_at}
-    if len(orjson.dumps(value)) > most_bytes:
+    if len(orjson.dumps(value)) > max_bytes:
         value["spec"] = _encode_spec(replace(spec, job_class="", image="", types=None, zone=None))
     return value
 
@@ -131,7 +131,7 @@
         [attempt.index, attempt.number, attempt.machine, attempt.session]
         for attempt in chunk.attempts.values()
     ]
-    return {"next": chunk.next, "done": f"{chunk.done:x}", "rows": rows}
+    return {"next": chunk.next_attempt_number, "done": f"{chunk.done_bitmap:x}", "rows": rows}
 
 
 def decode_chunk(job_id: str, value: dict[str, Any], version: int, first: int) -> PlanChunk:
@@ -142,8 +142,8 @@
 
 def encode_machine(
     machine: Machine,
-    retiring: str | None = None,
-    up: bool | None = None,
+    retirement_reason: str | None = None,
+    is_up: bool | None = None,
     assignment: ShardAssignment | None = None,
     boot_s: float | None = None,
 ) -> dict[str, Any]:
@@ -155,9 +155,9 @@
         "spot": machine.spot,
         "shard": shard,
         "token": token,
-        "at": machine.rented,
-        "retiring": machine.retiring if retiring is None else retiring,
-        "up": machine.up if up is None else up,
+        "at": machine.rented_at,
+        "retiring": machine.retirement_reason if retirement_reason is None else retirement_reason,
+        "up": machine.is_up if is_up is None else is_up,
     }
     if boot_s is not None or machine.boot_s is not None:
         record["boot_s"] = machine.boot_s if boot_s is None else boot_s
--- a/crossmill/fleet/arrivals.py
+++ b/crossmill/fleet/arrivals.py
@@ -64,14 +64,14 @@
         for shard, jobs in self._cluster.jobs.active.items():
             for job in jobs.values():
                 spec = job.spec
-                if job.order <= self._newest_order or spec is None:
+                if job.acceptance_order <= self._newest_order or spec is None:
                     continue
-                newest = max(newest, job.order)
+                newest = max(newest, job.acceptance_order)
                 entry = self._classes.setdefault(
                     (shard, spec.job_class), _ClassArrivals(shard, spec)
                 )
                 work_s = spec.tasks * spec.estimate_s
-                entry.arrivals.append(_Arrival(job.submitted, spec.tasks, work_s))
+                entry.arrivals.append(_Arrival(job.submitted_at, spec.tasks, work_s))
                 entry.spec = spec
         self._newest_order = newest
         horizon = wall - self._settings.arrival_window_s
--- a/crossmill/fleet/boot_times.py
+++ b/crossmill/fleet/boot_times.py
@@ -47,7 +47,7 @@
         self._type_of: dict[str, str] = {}
         # machines whose boot is known: their records are written again when they move or retire
         self._recorded: set[str] = set()
-        mirror.listen(self._on_key)
+        mirror.add_listener(self._on_key)
 
     def _on_key(self, key: str, value: Any, _version: int) -> None:
         if not key.startswith(keys.MACHINE):
@@ -93,7 +93,7 @@
 
     @staticmethod
     def _age(machine: Machine, machine_type: MachineType, wall: float) -> float:
-        return (wall - machine.rented) / machine_type.boot_s
+        return (wall - machine.rented_at) / machine_type.boot_s
 
     def _slowest(self, machine_type: MachineType) -> float:
         """Return the longest remembered boot, in units of the type's boot time."""
@@ -104,7 +104,7 @@
         """Return the late machines of the type that were not overtaken, if this is one of them."""
         boots = self._boots.get(machine_type.name, ())
         newest = max((boot.rented for boot in boots), default=-inf)
-        if machine.rented <= newest:
+        if machine.rented_at <= newest:
             return []
         latest = wall - self._settings.boot_late_factor * machine_type.boot_s
         booting = self._booting.get(machine_type.name, {})
--- a/crossmill/fleet/capacity.py
+++ b/crossmill/fleet/capacity.py
@@ -30,7 +30,7 @@
 
     def __init__(self, machine: Machine, machine_type: MachineType, capacity: FreeCapacity) -> None:
         self.machine = machine
-        self.changes = machine.changes
+        self.changes = machine.change_count
         self.machine_type = machine_type
         self.capacity = capacity
 
@@ -38,7 +38,7 @@
         """Return whether the machine is as it was, and no task was assigned to the capacity."""
         return (
             self.machine is machine
-            and self.changes == machine.changes
+            and self.changes == machine.change_count
             and self.machine_type is machine_type
             and not self.capacity.has_new_tasks
         )
@@ -220,9 +220,9 @@
     def _expected_type(self, machine: Machine, wall: float) -> MachineType | None:
         """Return the machine's type if the machine is up or is expected to come up."""
         machine_type = self._cluster.catalog.get(machine.type)
-        if machine_type is None or machine.retiring:
+        if machine_type is None or machine.retirement_reason:
             return None
-        if not machine.up and not self._boot_times.is_expected(machine, machine_type, wall):
+        if not machine.is_up and not self._boot_times.is_expected(machine, machine_type, wall):
             return None
         return machine_type
 
--- a/crossmill/fleet/forecast.py
+++ b/crossmill/fleet/forecast.py
@@ -47,7 +47,7 @@
         It is a plain tuple, since those of a subclass sort more slowly.
         """
         place = self._pipelines.place(job)
-        return place.priority, place.budget_end, job.order
+        return place.priority, place.budget_end, job.acceptance_order
 
     def priority(self, job: Job) -> int:
         """Return the highest priority of the job and those that depend on it; 0 is the highest."""
--- a/crossmill/fleet/machine_records.py
+++ b/crossmill/fleet/machine_records.py
@@ -70,7 +70,7 @@
             return
         key = keys.machine(machine.id)
         conditions = {keys.LEADER: version, key: machine.version}
-        txn = Txn(conditions, [Put(key, encode_machine(machine, retiring=reason))])
+        txn = Txn(conditions, [Put(key, encode_machine(machine, retirement_reason=reason))])
         await self._commit([self._intent(txn, WriteRank.BACKGROUND)])
 
     async def remove(self, machines: list[Machine]) -> None:
--- a/crossmill/fleet/pipelines.py
+++ b/crossmill/fleet/pipelines.py
@@ -64,7 +64,7 @@
 
     def place(self, job: Job) -> QueuePlace:
         """Return where the job stands in the queue now."""
-        if self._cluster.jobs.graph.is_single(job):
+        if self._cluster.jobs.graph.is_standalone(job):
             return self._single(job)
         self._drop_changed()
         plan = self._plans.get(job.id)
@@ -82,7 +82,7 @@
 
     def priority(self, job: Job) -> int:
         """Return the highest priority of the job and the unfinished jobs that depend on it."""
-        if job.spec is not None and self._cluster.jobs.graph.is_single(job):
+        if job.spec is not None and self._cluster.jobs.graph.is_standalone(job):
             return PRIORITY[job.spec.priority]
         return self.place(job).priority
 
@@ -109,7 +109,7 @@
         spec = _spec(job)
         margin_s = self._estimates.margin_s(spec.job_class, spec.estimate_s)
         end = budget_end(
-            spec, job.submitted, job.ready_at, margin_s, self._settings.default_queue_wait_s
+            spec, job.submitted_at, job.ready_at, margin_s, self._settings.default_queue_wait_s
         )
         return place_in_queue(spec, end)
 
@@ -147,7 +147,7 @@
 
     def _stage(self, job: Job) -> PipelineStage:
         spec = _spec(job)
-        deadline = None if spec.deadline_s is None else job.submitted + spec.deadline_s
+        deadline = None if spec.deadline_s is None else job.submitted_at + spec.deadline_s
         return PipelineStage(
             job.id,
             PRIORITY[spec.priority],
--- a/crossmill/fleet/provisioner.py
+++ b/crossmill/fleet/provisioner.py
@@ -162,7 +162,7 @@
             machine = self._cluster.machines.get(listed.id)
             if machine is not None:
                 self._sightings.pop(listed.id, None)
-                if listed.state == FAILED and not machine.retiring:
+                if listed.state == FAILED and not machine.retirement_reason:
                     await self._retire(listed.id, FAILED)
             elif self._is_to_be_adopted(listed):
                 unknown.append(listed)
@@ -212,7 +212,9 @@
         Raises:
             CloudError: The request failed.
         """
-        retiring = [machine for machine in self._cluster.machines.values() if machine.retiring]
+        retiring = [
+            machine for machine in self._cluster.machines.values() if machine.retirement_reason
+        ]
         machines = retiring[:MAX_RELEASE]
         if not machines:
             return
@@ -281,7 +283,7 @@
         group = _FleetGroup(machine.shard, machine.type, machine.spot)
         usage = usages.setdefault(group, _FleetGroupUsage())
         usage.machines += 1
-        usage.booting += not machine.up
+        usage.booting += not machine.is_up
         usage.empty += not machine.attempts
         usage.cpu_load += machine.used_cpus / machine_type.cpus
         usage.gpus_used += machine.used_gpus
--- a/crossmill/jobs/cancellation.py
+++ b/crossmill/jobs/cancellation.py
@@ -113,13 +113,15 @@
         note = keys.cancellation_note(job_id)
         put = Put(note, {"at": self._clock.wall()})
         txn = Txn({keys.job(job_id): version, note: 0}, [put])
-        await self._writer.submit(WriteIntent(txn, WriteRank.URGENT, until=self._deadline()))
+        await self._writer.submit(
+            WriteIntent(txn, WriteRank.URGENT, send_deadline=self._deadline())
+        )
 
     async def _commit(self, job_id: str, spec: JobSpec, conditions: dict[str, int]) -> bool:
         max_bytes = self._cluster.limits.record_bytes
         record = encode_end(CANCELLED, spec, self._clock.wall(), max_bytes)
         txn = Txn(conditions, [Put(keys.job(job_id), record)])
-        intent = WriteIntent(txn, WriteRank.URGENT, until=self._deadline())
+        intent = WriteIntent(txn, WriteRank.URGENT, send_deadline=self._deadline())
         await self._writer.submit(intent)
         result = await intent.future.wait(self._settings.submission_timeout_s)
         return bool(result == WriteResult.OK)
--- a/crossmill/jobs/cleanup.py
+++ b/crossmill/jobs/cleanup.py
@@ -74,7 +74,7 @@
         layout = self._cluster.layout
         copied: set[str] = set()
         for name, copy in job.staged.items():
-            legacy = layout.legacy_of(copy.first).name
+            legacy = layout.legacy_chunk_of(copy.first_task).name
             copied.add(legacy)
             if not job.chunks[legacy].attempts:
                 yield name, copy.version
@@ -134,7 +134,7 @@
             job.spec is not None
             and not job.chunks
             and not job.staged
-            and job.recorded == job.end
+            and job.recorded_end == job.end
             and job.version <= self._cluster.mirror.revision
             and not self._cluster.jobs.graph.is_depended_on(job.id)
         )
--- a/crossmill/jobs/lookup.py
+++ b/crossmill/jobs/lookup.py
@@ -41,7 +41,7 @@
 
         During an outage users are refused at once, since no response could be shown to be current.
         """
-        is_down = self._client.down_for_s() > self._settings.lease_renewal_interval_s / 2
+        is_down = self._client.outage_duration_s() > self._settings.lease_renewal_interval_s / 2
         return self._watcher.ready.is_set() and not is_down
 
     async def is_current(self) -> bool:
--- a/crossmill/jobs/machine_drain.py
+++ b/crossmill/jobs/machine_drain.py
@@ -73,7 +73,11 @@
     def _drop_finished(self, now: float) -> None:
         for machine_id in list(self._draining_until):
             machine = self._cluster.machines.get(machine_id)
-            if machine is None or machine.retiring or now > self._draining_until[machine_id]:
+            if (
+                machine is None
+                or machine.retirement_reason
+                or now > self._draining_until[machine_id]
+            ):
                 del self._draining_until[machine_id]
 
     def _best_candidate(self, shard: int, capacities: list[FreeCapacity]) -> Machine | None:
--- a/crossmill/jobs/machine_maintenance.py
+++ b/crossmill/jobs/machine_maintenance.py
@@ -89,7 +89,7 @@
                 # many silent machines are a partition or a fault of this controller, not of the
                 # machines: in a partitioned zone a peer may keep the workers alive
                 timeout_s += self._settings.partition_keepalive_s
-            if machine.retiring or now - ownership.acquired_at < timeout_s:
+            if machine.retirement_reason or now - ownership.acquired_at < timeout_s:
                 continue
             reason = self._retire_reason(machine, now, timeout_s, spare)
             if reason is not None and self._may_retire(machine, reason):
@@ -116,12 +116,12 @@
         intents: list[WriteIntent] = []
         for machine in machines:
             view = self._heartbeats.find_view(machine.id)
-            if machine.up or view is None or not view.has_confirmed_token:
+            if machine.is_up or view is None or not view.has_confirmed_token:
                 continue
             # boot times are learned only for types that the catalog has
             boot_s = None
             if machine.type in self._cluster.catalog:
-                boot_s = round(self._clock.wall() - machine.rented, 1)
+                boot_s = round(self._clock.wall() - machine.rented_at, 1)
             log.info(
                 "machine up machine=%s type=%s spot=%s boot_s=%s",
                 machine.id,
@@ -129,7 +129,7 @@
                 machine.spot,
                 boot_s,
             )
-            value = encode_machine(machine, up=True, boot_s=boot_s)
+            value = encode_machine(machine, is_up=True, boot_s=boot_s)
             intents.append(self._intent(shard, ownership, machine, value))
         return intents
 
@@ -142,7 +142,7 @@
         up: Counter[str] = Counter()
         silent: Counter[str] = Counter()
         for machine in machines:
-            if machine.up:
+            if machine.is_up:
                 view = self._heartbeats.find_view(machine.id)
                 up[machine.zone] += 1
                 if view is None or not view.is_fresh(now, self._settings.heartbeat_timeout_s):
@@ -167,7 +167,7 @@
         checked_at = self._spare_checked_at.get(shard, 0.0)
         if now - checked_at < self._settings.heartbeat_interval_s:
             return set()
-        if not any(not m.retiring and self._is_idle(m, now) for m in machines):
+        if not any(not m.retirement_reason and self._is_idle(m, now) for m in machines):
             return set()
         self._spare_checked_at[shard] = now
         return self._forecast.plan(shard).spare_machines
@@ -200,7 +200,7 @@
         self, machine: Machine, view: WorkerView, kind: MachineType
     ) -> RetireReason | None:
         """Returns the reason for a machine that this owner has no trusted heartbeat of."""
-        if machine.up or view.has_been_answered:
+        if machine.is_up or view.has_been_answered:
             # an earlier owner has heard it. Without this check, a controller that took a shard
             # over while its zone was partitioned took half a fleet for never come up
             return RetireReason.SILENT
--- a/crossmill/jobs/machine_transfer.py
+++ b/crossmill/jobs/machine_transfer.py
@@ -61,7 +61,13 @@
         """
         planned = self._leaving.get(machine.id)
         view = self._heartbeats.find_view(machine.id)
-        if planned is None or view is None or machine.attempts or view.tasks or machine.retiring:
+        if (
+            planned is None
+            or view is None
+            or machine.attempts
+            or view.tasks
+            or machine.retirement_reason
+        ):
             return None
         return None if self._heartbeats.has_unacknowledged_starts(machine.id) else planned.shard
 
@@ -111,7 +117,7 @@
             if (
                 machine is None
                 or machine.shard == planned.shard
-                or machine.retiring
+                or machine.retirement_reason
                 or now > planned.until
             ):
                 del self._leaving[machine_id]
@@ -211,7 +217,7 @@
     def _is_candidate(self, machine: Machine, demand: TaskDemand, is_busy: bool) -> bool:
         spec = demand.spec
         kind = self._cluster.catalog.get(machine.type)
-        if kind is None or machine.retiring or not machine.up:
+        if kind is None or machine.retirement_reason or not machine.is_up:
             return False
         if bool(machine.attempts) is not is_busy or demand.zones.remaining(machine.zone) <= 0:
             return False
--- a/crossmill/jobs/placement.py
+++ b/crossmill/jobs/placement.py
@@ -108,7 +108,7 @@
         view = self._heartbeats.find_view(machine.id)
         return (
             view is not None
-            and not machine.retiring
+            and not machine.retirement_reason
             and view.is_fresh(now, self._settings.heartbeat_timeout_s)
             and view.termination_at is None
             and not self._failures.is_faulty(machine.id)
@@ -184,7 +184,7 @@
                 index
                 for index in range(first, chunk_range.end)
                 if chunk is None
-                or (index not in chunk.attempts and not chunk.done >> (index - first) & 1)
+                or (index not in chunk.attempts and not chunk.done_bitmap >> (index - first) & 1)
             )
             if len(indexes) >= layout.legacy_tasks:
                 break
@@ -206,7 +206,7 @@
         max_machines = self._cluster.limits.machines_per_txn
         if view is None or len({start.machine for start in edit.starts}) >= max_machines:
             return
-        number = edit.base.next if edit.base else 1
+        number = edit.base.next_attempt_number if edit.base else 1
         if job.spec is not None and not job.spec.is_gang:
             # a gang's tasks find one another by a common attempt number
             number += len(edit.starts)
--- a/crossmill/jobs/plan_migration.py
+++ b/crossmill/jobs/plan_migration.py
@@ -95,7 +95,7 @@
         changes.extend(
             _CopyChange(name, None, staged.version)
             for name, staged in job.staged.items()
-            if legacy_range.first <= staged.first < legacy_range.end and name not in copies
+            if legacy_range.first <= staged.first_task < legacy_range.end and name not in copies
         )
         return changes
 
@@ -113,12 +113,14 @@
         while index < min(legacy_range.end, tasks):
             segment = layout.segment_of(index)
             mask = (1 << (segment.end - segment.first)) - 1
-            done = legacy.done >> (segment.first - legacy_range.first) & mask
+            done = legacy.done_bitmap >> (segment.first - legacy_range.first) & mask
             attempts = {
                 task_index: attempt
                 for task_index, attempt in legacy.attempts.items()
                 if segment.first <= task_index < segment.end
             }
-            copies[segment.name] = PlanChunk(legacy.next, done, attempts, 0, segment.first)
+            copies[segment.name] = PlanChunk(
+                legacy.next_attempt_number, done, attempts, 0, segment.first
+            )
             index = segment.end
         return copies
--- a/crossmill/jobs/plan_writer.py
+++ b/crossmill/jobs/plan_writer.py
@@ -81,7 +81,11 @@
             return None
         old = edit.base
         chunk_range = self._cluster.layout.parse(edit.chunk)
-        new = PlanChunk(old.next, old.done, dict(old.attempts)) if old else PlanChunk()
+        new = (
+            PlanChunk(old.next_attempt_number, old.done_bitmap, dict(old.attempts))
+            if old
+            else PlanChunk()
+        )
         key = keys.plan(job.id, edit.chunk)
         txn = Txn({key: old.version if old else 0})
         if old is None:
@@ -91,7 +95,7 @@
         self._apply_outcomes(edit, chunk_range, ownership, new, txn)
         for attempt in edit.starts:
             new.attempts[attempt.index] = attempt
-            new.next = attempt.number + 1
+            new.next_attempt_number = attempt.number + 1
         txn.puts.append(Put(key, encode_chunk(new)))
         is_finished = spec is not None and self._is_finished(edit, spec, new)
         if spec is not None and is_finished:
@@ -131,7 +135,7 @@
         transaction is carried out.
         """
         if chunk_range.is_segment:
-            legacy = self._cluster.layout.legacy_of(chunk_range.first)
+            legacy = self._cluster.layout.legacy_chunk_of(chunk_range.first)
             return {keys.plan(job.id, legacy.name): 0}
         return {keys.LEVEL: 0}
 
@@ -158,7 +162,7 @@
             txn.conditions = conditions
             del new.attempts[index]
             if outcome.reason == EndReason.DONE:
-                new.done |= 1 << (index - chunk_range.first)
+                new.done_bitmap |= 1 << (index - chunk_range.first)
 
     def _is_finished(self, edit: PlanEdit, spec: JobSpec, new: PlanChunk) -> bool:
         """Whether all tasks of the job are done with the new chunk; a service never is."""
@@ -166,9 +170,11 @@
         if not job.is_active or spec.is_service:
             return False
         done_elsewhere = sum(
-            chunk.done.bit_count() for name, chunk in job.chunks.items() if name != edit.chunk
+            chunk.done_bitmap.bit_count()
+            for name, chunk in job.chunks.items()
+            if name != edit.chunk
         )
-        return new.done.bit_count() + done_elsewhere == spec.tasks
+        return new.done_bitmap.bit_count() + done_elsewhere == spec.tasks
 
     def _encode_done(self, spec: JobSpec) -> dict[str, Any]:
         max_bytes = self._cluster.limits.record_bytes
--- a/crossmill/jobs/record_repair.py
+++ b/crossmill/jobs/record_repair.py
@@ -142,5 +142,5 @@
             return encode_end(CANCELLED, spec, self._clock.wall(), max_bytes)
         if end == DONE:
             dependencies = tuple(name for name in job.dependencies if name != dependency)
-            return encode_job(spec, job.submitted, dependencies)
+            return encode_job(spec, job.submitted_at, dependencies)
         return None
--- a/crossmill/jobs/submission.py
+++ b/crossmill/jobs/submission.py
@@ -157,7 +157,9 @@
             return await self._refuse(spec.id, UNPROCESSABLE, "too long to be stored")
         txn = Txn({key: 0, keys.archived(spec.id): 0}, [Put(key, orjson.loads(encoded))])
         self._add_preconditions(dependencies, archivings_version, txn)
-        intent = WriteIntent(txn, WriteRank.URGENT, until=now + self._settings.submission_timeout_s)
+        intent = WriteIntent(
+            txn, WriteRank.URGENT, send_deadline=now + self._settings.submission_timeout_s
+        )
         await self._writer.submit(intent)
         result = await intent.future.wait(self._settings.submission_timeout_s)
         if result == WriteResult.OK:
--- a/crossmill/jobs/team_quotas.py
+++ b/crossmill/jobs/team_quotas.py
@@ -96,7 +96,7 @@
             # a job that waits for its dependencies takes no part of a quota
             if job.spec is not None and not job.is_blocked:
                 gpus = job.spec.gpus * (job.spec.tasks - job.done_task_count())
-                claim = _QuotaClaim(job.order, gpus, job.id)
+                claim = _QuotaClaim(job.acceptance_order, gpus, job.id)
                 claims_by_team.setdefault(job.spec.team, []).append(claim)
         within_quota: set[str] = set()
         for team_name, claims in claims_by_team.items():
--- a/crossmill/multihost/api.py
+++ b/crossmill/multihost/api.py
@@ -219,7 +219,7 @@
     async def _write(self, txn: Txn) -> bool:
         """Write a transaction within the time of a submission; return whether it was committed."""
         until = self._clock.now() + self._settings.submission_timeout_s
-        intent = WriteIntent(txn, WriteRank.URGENT, until=until)
+        intent = WriteIntent(txn, WriteRank.URGENT, send_deadline=until)
         return await self._state_writer.commit(intent) == WriteResult.OK
 
     # -- operations ------------------------------------------------------------------
--- a/crossmill/multihost/pool.py
+++ b/crossmill/multihost/pool.py
@@ -55,7 +55,7 @@
         # members planned on machines whose records are deleted or haven't been read, by machine
         self._members_without_machine: dict[str, dict[ReplicaId, Member]] = {}
         self._changes = PoolChanges()
-        mirror.listen(self._on_key)
+        mirror.add_listener(self._on_key)
 
     # -- reading ---------------------------------------------------------------------
 
--- a/crossmill/multihost/registration.py
+++ b/crossmill/multihost/registration.py
@@ -76,7 +76,7 @@
         txn.puts.append(Put(pooled, encode_machine(machine)))
         known = self._cluster.machines.get(machine_id)
         if known is None or not is_reserved_type(known.type):
-            rented = self._clock.wall() if known is None else known.rented
+            rented = self._clock.wall() if known is None else known.rented_at
             record = reservation_record(
                 offer.type, offer.zone, offer.spot, self._ownership.shard, rented
             )
@@ -88,7 +88,7 @@
         known = self._cluster.machines.get(machine_id)
         if known is None:
             return True
-        if known.retiring or known.attempts or known.shard != self._ownership.shard:
+        if known.retirement_reason or known.attempts or known.shard != self._ownership.shard:
             log.debug("machine may not join yet machine=%s", machine_id)
             return False
         return True
--- a/crossmill/recovery/api.py
+++ b/crossmill/recovery/api.py
@@ -93,7 +93,9 @@
         conditions = {breaker_key: version(breaker_key), shard_key: version(shard_key)}
         txn = Txn(conditions, [Put(keys.approval(approval.shard), encode_approval(stored))])
         deadline = self._clock.now() + self._settings.submission_timeout_s
-        result = await self._writer.commit(WriteIntent(txn, WriteRank.URGENT, until=deadline))
+        result = await self._writer.commit(
+            WriteIntent(txn, WriteRank.URGENT, send_deadline=deadline)
+        )
         if result == WriteResult.EXPIRED:
             return UNAVAILABLE
         return Response(200) if result == WriteResult.OK else NOT_APPROVABLE
--- a/crossmill/recovery/records.py
+++ b/crossmill/recovery/records.py
@@ -133,7 +133,7 @@
     def __init__(self, mirror: Mirror) -> None:
         self._mirror = mirror
         self._tokens: dict[int, set[int]] = {}
-        mirror.listen(self._on_key)
+        mirror.add_listener(self._on_key)
 
     def _on_key(self, key: str, value: Any, version: int) -> None:  # noqa: ARG002 (listener)
         if not key.startswith(keys.RECORD):
--- a/crossmill/recovery/shard_recovery.py
+++ b/crossmill/recovery/shard_recovery.py
@@ -146,7 +146,7 @@
 
     def _start_observing(self) -> None:
         machines = self._cluster.machines.by_shard[self.shard].values()
-        expected = {m.id for m in machines if (m.up or m.attempts) and not m.retiring}
+        expected = {m.id for m in machines if (m.is_up or m.attempts) and not m.retirement_reason}
         self._not_reported = expected - self._reported
         self.statistics.machines_known = len(machines)
         self._enter(RecoveryPhase.OBSERVING)
@@ -163,7 +163,7 @@
     def _class_of(self, machine: Machine) -> MachineClass:
         has_reported = machine.id in self._reported
         contact = WorkerContact.REPORTING if has_reported else WorkerContact.UNRESPONSIVE
-        return classify_machine(True, None, bool(machine.retiring), contact)
+        return classify_machine(True, None, bool(machine.retirement_reason), contact)
 
     def _advance_resolving(self) -> None:
         if self.breaker.is_open:
@@ -194,7 +194,7 @@
 
     def _has_departed(self, machine_id: str) -> bool:
         machine = self._cluster.machines.get(machine_id)
-        return machine is None or machine.shard != self.shard or bool(machine.retiring)
+        return machine is None or machine.shard != self.shard or bool(machine.retirement_reason)
 
     # -- heartbeats and orders -------------------------------------------------------
 
--- a/crossmill/state/client.py
+++ b/crossmill/state/client.py
@@ -20,7 +20,7 @@
 # so many calls can time out one after the other within a controller lease
 CALL_TIMEOUTS_PER_LEASE = 3
 # a single failed call is not yet an outage
-MIN_FAILURES_OF_OUTAGE = 2
+MIN_OUTAGE_FAILURES = 2
 MAX_LOGGED_BYTES = 200
 
 
@@ -66,11 +66,11 @@
 
     Attributes:
         revision: The revision at which it was executed or refused.
-        failed: The keys whose conditions failed; empty if it was executed.
+        failed_keys: The keys whose conditions failed; empty if it was executed.
     """
 
     revision: int
-    failed: list[str]
+    failed_keys: list[str]
 
 
 class FullRead(NamedTuple):
@@ -101,35 +101,35 @@
         self._timeout_s = settings.controller_lease_ttl_s / CALL_TIMEOUTS_PER_LEASE
         self._failure_count = 0
         self._failing_since = 0.0
-        self._served_at: float | None = None
-        self._refused_at = clock.now()
+        self._last_success_at: float | None = None
+        self._last_failure_at = clock.now()
 
-    def served_ago_s(self) -> float | None:
+    def last_success_age_s(self) -> float | None:
         """Returns how many seconds ago the service last served this controller, if ever."""
-        return None if self._served_at is None else self._clock.now() - self._served_at
+        return None if self._last_success_at is None else self._clock.now() - self._last_success_at
 
-    def refused_at(self) -> float:
+    def last_failure_at(self) -> float:
         """Returns when the service last refused this controller or gave no answer.
 
         Before the first failure it is when this client was made (steady time in seconds).
         """
-        return self._refused_at
+        return self._last_failure_at
 
-    def down_for_s(self) -> float:
+    def outage_duration_s(self) -> float:
         """Returns for how many seconds the service has been failing; 0 while it serves."""
-        if self._failure_count < MIN_FAILURES_OF_OUTAGE:
+        if self._failure_count < MIN_OUTAGE_FAILURES:
             return 0.0
         return self._clock.now() - self._failing_since
 
-    def _note_served(self) -> None:
+    def _record_success(self) -> None:
         self._failure_count = 0
-        self._served_at = self._clock.now()
+        self._last_success_at = self._clock.now()
 
-    def _note_failure(self) -> None:
+    def _record_failure(self) -> None:
         if self._failure_count == 0:
             self._failing_since = self._clock.now()
         self._failure_count += 1
-        self._refused_at = self._clock.now()
+        self._last_failure_at = self._clock.now()
 
     async def _call(
         self, method: str, path: str, body: bytes = b"", watch_timeout_s: float | None = None
@@ -140,16 +140,16 @@
         try:
             status, data = await http.request(method, path, body, timeout_s)
         except ConnectionFailedError as exc:
-            self._note_failure()
+            self._record_failure()
             raise RequestRefusedError(str(exc)) from exc
         except NoResponseError as exc:
-            self._note_failure()
+            self._record_failure()
             raise OutcomeUnknownError(str(exc)) from exc
         if status == HttpStatus.SERVICE_UNAVAILABLE:
-            self._note_failure()
+            self._record_failure()
             raise RequestRefusedError(f"{method} {path}: {status}", status)
         # a service that limits the rate is up
-        self._note_served()
+        self._record_success()
         if status == HttpStatus.TOO_MANY_REQUESTS:
             raise RequestRefusedError(f"{method} {path}: {status}", status)
         return status, data
@@ -185,12 +185,12 @@
         status, data = await self._call("POST", wire.TXN_PATH, wire.txn_body(txn))
         if status in (HttpStatus.OK, HttpStatus.CONFLICT):
             return TransactionResult(*wire.parse_txn(status, orjson.loads(data)))
-        shown = data[:MAX_LOGGED_BYTES]
+        excerpt = data[:MAX_LOGGED_BYTES]
         if status != HttpStatus.BAD_REQUEST:
-            raise RequestRefusedError(f"txn: {status} {shown!r}", status)
+            raise RequestRefusedError(f"txn: {status} {excerpt!r}", status)
         if b"lease" in data:
             raise LeaseExpiredError
-        raise TransactionTooLargeError(f"txn: {shown!r}")
+        raise TransactionTooLargeError(f"txn: {excerpt!r}")
 
     async def changes(self, prefix: str, after: int, wait_s: float) -> Changes:
         """Returns the changes after a revision; waits up to `wait_s` seconds for the first.
--- a/crossmill/state/mirror.py
+++ b/crossmill/state/mirror.py
@@ -46,7 +46,7 @@
         self._deleted_at: dict[str, int] = {}
         self._listeners: list[Listener] = []
 
-    def listen(self, listener: Listener) -> None:
+    def add_listener(self, listener: Listener) -> None:
         """Calls the listener for every key known now, and then for every change."""
         for key, entry in self._entries.items():
             listener(key, entry.value, entry.version)
@@ -66,7 +66,7 @@
         for listener in self._listeners:
             listener(key, value, version)
 
-    def written(self, key: str, value: Any, version: int) -> None:
+    def apply_write(self, key: str, value: Any, version: int) -> None:
         """Takes in a write of a key, unless a newer change of it is known."""
         if version <= self.version(key) or version <= self._deleted_at.get(key, 0):
             return
@@ -74,7 +74,7 @@
         self._entries[key] = Entry(value, version)
         self._notify(key, value, version)
 
-    def deleted(self, key: str, version: int) -> None:
+    def apply_deletion(self, key: str, version: int) -> None:
         """Takes in the deletion of a key at a revision, unless a newer write of it is known."""
         if version > self.revision:
             self._deleted_at[key] = max(version, self._deleted_at.get(key, 0))
@@ -89,17 +89,17 @@
         that the mirror lacks was deleted since, and is not restored.
         """
         if read.version > self.revision:
-            self.written(read.key, read.value, read.version)
+            self.apply_write(read.key, read.value, read.version)
 
-    def apply(self, revision: int, events: list[Event]) -> None:
+    def apply_changes(self, revision: int, events: list[Event]) -> None:
         """Takes in all changes between the mirror's revision, or an earlier one, and this one."""
         for event in events:
             if event.version <= self.revision:
                 continue
             if event.deleted:
-                self.deleted(event.key, event.version)
+                self.apply_deletion(event.key, event.version)
             else:
-                self.written(event.key, event.value, event.version)
+                self.apply_write(event.key, event.value, event.version)
         if revision > self.revision:
             self.revision = revision
             self._deleted_at = {
@@ -108,13 +108,13 @@
                 if deleted_at > revision
             }
 
-    def replace(self, revision: int, rows: list[KeyValue]) -> None:
+    def apply_full_read(self, revision: int, rows: list[KeyValue]) -> None:
         """Takes in a full read as of a revision; some of its keys may be newer."""
         self.full_read_count += 1
         present = {row.key for row in rows}
         for key in [key for key in self._entries if key not in present]:
             if self._entries[key].version <= revision:
-                self.deleted(key, revision)
+                self.apply_deletion(key, revision)
         for row in rows:
-            self.written(row.key, row.value, row.version)
+            self.apply_write(row.key, row.value, row.version)
         self.revision = max(self.revision, revision)
--- a/crossmill/state/watcher.py
+++ b/crossmill/state/watcher.py
@@ -19,12 +19,12 @@
 log = logging.getLogger(__name__)
 
 MAX_WATCH_S = 60.0
-WATCH_WORKER_LEASES = 4
+WATCH_TIMEOUT_WORKER_LEASES = 4
 # each of the two loops takes at most one in so many of this controller's share of requests
 LOOP_REQUEST_DIVISOR = 4
 
 
-def brought_up_to_date(rows: list[KeyValue], events: list[Event]) -> list[KeyValue]:
+def apply_changes_to_rows(rows: list[KeyValue], events: list[Event]) -> list[KeyValue]:
     """Returns a full read's keys with the changes since its first page.
 
     Later pages contain some of these changes already.
@@ -66,7 +66,7 @@
         self._clock = clock
         self._mirror = mirror
         self._prefix = prefix
-        self._watch_s = min(MAX_WATCH_S, WATCH_WORKER_LEASES * settings.worker_lease_s)
+        self._watch_s = min(MAX_WATCH_S, WATCH_TIMEOUT_WORKER_LEASES * settings.worker_lease_s)
         self._pause_s = LOOP_REQUEST_DIVISOR / settings.state_request_rate
         self._clock_drift = settings.clock_drift
         self._reload_lock = curio.Lock()
@@ -102,10 +102,10 @@
                 break
             except ChangesCompactedError:
                 log.info("full read took too long, restarted keys=%d revision=%d", len(rows), first)
-        rows = brought_up_to_date(rows, events)
-        self._mirror.replace(revision, rows)
+        rows = apply_changes_to_rows(rows, events)
+        self._mirror.apply_full_read(revision, rows)
         log.info("state loaded keys=%d revision=%d", len(rows), revision)
-        self._note_current(sent_at)
+        self._record_current_at(sent_at)
         await self.ready.set()
 
     async def _reload(self, compacted_revision: int) -> None:
@@ -118,7 +118,7 @@
                 log.info("watch compacted, reading all keys revision=%d", compacted_revision)
                 await self.load()
 
-    def _note_current(self, sent_at: float) -> None:
+    def _record_current_at(self, sent_at: float) -> None:
         self.current_at = max(sent_at, self.current_at or sent_at)
 
     def is_current_within(self, span_s: float) -> bool:
@@ -149,8 +149,8 @@
                 # that are asked for after it show all that was durable then
                 await self._reload(after)
                 wait_s = 0.0
-        self._mirror.apply(revision, events)
-        self._note_current(sent_at)
+        self._mirror.apply_changes(revision, events)
+        self._record_current_at(sent_at)
         has_reloaded = self._mirror.full_read_count != self._announced_full_reads
         if (events or has_reloaded) and self._on_change is not None:
             self._announced_full_reads = self._mirror.full_read_count
--- a/crossmill/state/write_intent.py
+++ b/crossmill/state/write_intent.py
@@ -62,21 +62,21 @@
     Attributes:
         txn: The changes and their conditions.
         rank: The order in which it is sent.
-        until: When it must have been sent, in steady time; None if there is no such time.
+        send_deadline: When it must have been sent, in steady time; None if there is no such time.
         authority: Asked right before each sending; without it the intent may always be sent.
         outcome_unknown: Whether a request with it was not answered, so that it may be executed.
         is_sent_alone: Whether it was part of a batch that was too large.
-        failed: The keys whose conditions failed in the last request.
+        failed_keys: The keys whose conditions failed in the last request.
         future: Settled with the `WriteResult`.
     """
 
     txn: Txn
     rank: WriteRank = WriteRank.BACKGROUND
-    until: float | None = None
+    send_deadline: float | None = None
     authority: Callable[[], Authority] | None = None
     outcome_unknown: bool = False
     is_sent_alone: bool = False
-    failed: list[str] = field(default_factory=list)
+    failed_keys: list[str] = field(default_factory=list)
     future: Future = field(default_factory=Future)
 
     @property
@@ -105,7 +105,7 @@
 
     def is_expired(self, now: float) -> bool:
         """Tells whether the time until which it may be sent is over."""
-        return self.until is not None and now > self.until
+        return self.send_deadline is not None and now > self.send_deadline
 
 
 class WriteBatch:
@@ -126,13 +126,13 @@
         self.intents: list[WriteIntent] = []
         self.operation_count = 0
 
-    def may_take(self, intent: WriteIntent) -> bool:
+    def can_add(self, intent: WriteIntent) -> bool:
         """Tells whether the intent may be added; an empty batch takes any intent."""
         if not self.intents:
             return True
         return not (
             self._exceeds_limits(intent)
-            or self._contradicts(intent)
+            or self._has_conflicting_conditions(intent)
             or self._shares_keys(intent)
             or intent.is_sent_alone
             or self.intents[0].is_sent_alone
@@ -147,7 +147,7 @@
             or self._bytes + intent.estimated_bytes() > MAX_TXN_BYTES
         )
 
-    def _contradicts(self, intent: WriteIntent) -> bool:
+    def _has_conflicting_conditions(self, intent: WriteIntent) -> bool:
         """Tells whether the intent and the batch need different versions of a key."""
         return any(
             self._conditions.get(key, version) != version
@@ -172,7 +172,7 @@
         self._bytes += intent.estimated_bytes()
 
 
-def merged_transaction(intents: list[WriteIntent]) -> Txn:
+def merge_transactions(intents: list[WriteIntent]) -> Txn:
     """Returns the transaction that makes the changes of all the intents."""
     txn = Txn()
     for intent in intents:
--- a/crossmill/state/writer.py
+++ b/crossmill/state/writer.py
@@ -31,7 +31,7 @@
     WriteIntent,
     WriteRank,
     WriteResult,
-    merged_transaction,
+    merge_transactions,
 )
 
 __all__ = ["Authority", "WriteIntent", "WriteRank", "WriteResult", "Writer"]
@@ -84,7 +84,7 @@
         self._batches_in_flight = 0
         self._wake = curio.Event()
 
-    def allot(self, share: float) -> None:
+    def set_rate(self, share: float) -> None:
         """Sets this controller's share of the write rate, in changes a second."""
         self._pacer.reset(share, max(share, 1.0))
 
@@ -151,7 +151,7 @@
             if authority is Authority.SUSPENDED or self._is_in_flight(intent):
                 wait_s = self._retry_s
                 continue
-            if not batch.may_take(intent):
+            if not batch.can_add(intent):
                 continue
             rate_wait_s = self._rate_wait_s(batch, intent)
             if rate_wait_s > 0:
@@ -159,7 +159,7 @@
                 break
             batch.add(intent)
         if batch.intents:
-            self._take_out(batch)
+            self._dequeue(batch)
         return _NextBatch(batch.intents, wait_s)
 
     def _is_in_flight(self, intent: WriteIntent) -> bool:
@@ -171,7 +171,7 @@
         overdraft = self._urgent_overdraft if intent.rank <= WriteRank.URGENT else 0.0
         return self._pacer.wait_s(batch.operation_count + intent.operation_count, overdraft)
 
-    def _take_out(self, batch: WriteBatch) -> None:
+    def _dequeue(self, batch: WriteBatch) -> None:
         self._pacer.spend(batch.operation_count)
         for intent in batch.intents:
             self._queue.remove(intent)
@@ -190,7 +190,7 @@
     async def _execute(self, intents: list[WriteIntent]) -> None:
         """Sends the intents as one transaction; settles them or puts them back into the queue."""
         try:
-            result = await self._client.txn(merged_transaction(intents))
+            result = await self._client.txn(merge_transactions(intents))
         except RequestRefusedError as exc:
             log.debug("write refused error=%s", exc)
             if exc.is_rate_limited:
@@ -212,9 +212,9 @@
 
     async def _retry_later(self, intents: list[WriteIntent]) -> None:
         await curio.sleep(self._retry_s)
-        self._put_back(intents)
+        self._requeue(intents)
 
-    def _put_back(self, intents: list[WriteIntent]) -> None:
+    def _requeue(self, intents: list[WriteIntent]) -> None:
         """Puts intents at the head of the queue, in their order."""
         self._queue[:0] = intents
 
@@ -229,7 +229,7 @@
             log.info("write too large, split intents=%d error=%s", len(intents), exc)
             for intent in intents:
                 intent.is_sent_alone = True
-            self._put_back(intents)
+            self._requeue(intents)
             return
         log.error("write too large keys=%s error=%s", _logged_keys(intents[0]), exc)
         await intents[0].future.settle(WriteResult.CONFLICT)
@@ -238,28 +238,28 @@
 
     async def _settle(self, intents: list[WriteIntent], result: TransactionResult) -> None:
         """Settles the intents of a transaction that was executed, or refused for conditions."""
-        if not result.failed:
+        if not result.failed_keys:
             for intent in intents:
-                await self._note_applied(intent, result.revision)
+                await self._settle_applied(intent, result.revision)
             return
-        failed = set(result.failed)
-        to_repeat: list[WriteIntent] = []
+        failed = set(result.failed_keys)
+        to_retry: list[WriteIntent] = []
         for intent in intents:
-            intent.failed = [key for key in intent.txn.conditions if key in failed]
-            if not intent.failed:
-                to_repeat.append(intent)
+            intent.failed_keys = [key for key in intent.txn.conditions if key in failed]
+            if not intent.failed_keys:
+                to_retry.append(intent)
             elif intent.outcome_unknown and await self._was_applied(intent):
                 log.info("unanswered write confirmed keys=%s", _logged_keys(intent))
                 await intent.future.settle(WriteResult.OK)
             else:
                 await intent.future.settle(WriteResult.CONFLICT)
-        self._put_back(to_repeat)
+        self._requeue(to_retry)
 
-    async def _note_applied(self, intent: WriteIntent, revision: int) -> None:
+    async def _settle_applied(self, intent: WriteIntent, revision: int) -> None:
         for put in intent.txn.puts:
-            self._mirror.written(put.key, put.value, revision)
+            self._mirror.apply_write(put.key, put.value, revision)
         for key in intent.txn.deletes:
-            self._mirror.deleted(key, revision)
+            self._mirror.apply_deletion(key, revision)
         await intent.future.settle(WriteResult.OK)
 
     async def _was_applied(self, intent: WriteIntent) -> bool:
--- a/crossmill/workers/reconciliation.py
+++ b/crossmill/workers/reconciliation.py
@@ -67,7 +67,7 @@
 
     def _should_run(self, attempt: PlannedAttempt, machine: Machine) -> bool:
         job = self._cluster.jobs.get(attempt.job)
-        if job is None or not job.is_active or machine.retiring:
+        if job is None or not job.is_active or machine.retirement_reason:
             return False
         return not self.stop_requests.has(attempt)
 
--- a/tests/test_attempt_end_proofs.py
+++ b/tests/test_attempt_end_proofs.py
@@ -97,7 +97,7 @@
         assert node.membership.leadership_version() is not None
         await node.provisioner.reconcile_with_list()
         await node.round()
-        assert node.cluster.machines["n-0"].retiring == "failed"
+        assert node.cluster.machines["n-0"].retirement_reason == "failed"
         assert node.cluster.jobs["wk-000001"].planned_task_count() == 1
         await node.provisioner.scale_in()
         assert node.cloud.released == ["n-0"]
@@ -147,7 +147,7 @@
         assert view.session == 2
         # nothing is placed where no report comes from
         assert not view.is_fresh(clock.now(), node.settings.heartbeat_timeout_s)
-        node.cluster.mirror.written(
+        node.cluster.mirror.apply_write(
             keys.plan("wk-000001", "0"),
             {"next": 3, "done": "0", "rows": [[0, 2, "n-0", 2]]},
             state.revision + 1,
--- a/tests/test_boot_times.py
+++ b/tests/test_boot_times.py
@@ -25,7 +25,7 @@
         self.mirror = Mirror()
         self.cluster = ClusterState(self.mirror, make_settings())
         self.times = BootTimes(make_settings(), self.mirror)
-        self.mirror.written(keys.CATALOG, stored_catalog(parse_catalog(CATALOG)), 1)
+        self.mirror.apply_write(keys.CATALOG, stored_catalog(parse_catalog(CATALOG)), 1)
         self._revision = 1
 
     def write(self, machine: str, rented: float = 0.0, boot_s: float | None = None) -> None:
@@ -33,7 +33,7 @@
         self._revision += 1
         value = {"type": "g4", "zone": "north", "spot": False, "shard": 0, "at": rented}
         value |= {"retiring": "", "up": boot_s is not None, "boot_s": boot_s}
-        self.mirror.written(keys.machine(machine), value, self._revision)
+        self.mirror.apply_write(keys.machine(machine), value, self._revision)
 
     def is_expected(self, machine: str, age: float) -> bool:
         """Whether the machine, rented so many boot times ago, is counted on."""
@@ -98,7 +98,7 @@
 def test_records_of_earlier_versions_count_as_no_boot() -> None:
     fleet = BootingFleet()
     value = {"type": "g4", "zone": "north", "spot": False, "shard": 0, "at": 0.0}
-    fleet.mirror.written(keys.machine("n-0"), value | {"retiring": "", "up": True}, 2)
+    fleet.mirror.apply_write(keys.machine("n-0"), value | {"retiring": "", "up": True}, 2)
     fleet.write("n-1")
     assert fleet.cluster.machines["n-0"].boot_s is None
     assert fleet.has_failed("n-1", 4.0)
@@ -124,7 +124,7 @@
         # every controller knows how long they booted
         await curio.sleep(5.0)
         for node in region.nodes.values():
-            took = [m.boot_s for m in node.cluster.machines.values() if m.up]
+            took = [m.boot_s for m in node.cluster.machines.values() if m.is_up]
             assert took
             assert all(s is not None and s > slow * BOOT_S for s in took)
 
--- a/tests/test_capacity_cache.py
+++ b/tests/test_capacity_cache.py
@@ -44,7 +44,7 @@
 
     def put(self, key: str, value: Any) -> None:
         version = self.mirror.revision + 1
-        self.mirror.apply(version, [Event(key, value, version, value is None)])
+        self.mirror.apply_changes(version, [Event(key, value, version, value is None)])
 
     def _change_machine(self) -> None:
         name = f"n-{self.rng.randrange(MACHINES)}"
--- a/tests/test_derivation.py
+++ b/tests/test_derivation.py
@@ -162,7 +162,7 @@
     jobs = {
         job.id: (
             job.end,
-            job.recorded,
+            job.recorded_end,
             sorted(job.unmet_dependencies) if job.end == ACTIVE else [],
             job.done_tasks,
             job.planned_tasks,
@@ -233,6 +233,6 @@
     for name, (value, version, _) in list(state.keys.items()):
         if version > after and name.startswith(keys.ROOT) and rng.random() < 0.5:
             if rng.random() < 0.5:
-                mirror.written(name, value, version)
+                mirror.apply_write(name, value, version)
             else:
                 mirror.merge_read(KeyValue(name, value, version))
--- a/tests/test_machine_maintenance.py
+++ b/tests/test_machine_maintenance.py
@@ -31,7 +31,7 @@
                 node.report(machine, 1, seq, node.token(), *failed)
             await node.round()
         assert 4 <= starts <= 14
-        assert not any(m.retiring == "faulty" for m in node.cluster.machines.values())
+        assert not any(m.retirement_reason == "faulty" for m in node.cluster.machines.values())
 
     run_scenario(scenario)
 
@@ -53,7 +53,7 @@
         # its attempts have left the plan by now; the next maintenance check retires it
         clock.time += node.settings.maintenance_interval_s
         await node.round()
-        assert node.cluster.machines["n-0"].retiring == "faulty"
+        assert node.cluster.machines["n-0"].retirement_reason == "faulty"
 
     run_scenario(scenario)
 
@@ -68,7 +68,7 @@
             await node.renew_and_sync()
             node.report("n-0", 1, seq, node.token())
             await node.round()
-        assert node.cluster.machines["n-0"].retiring == "idle"
+        assert node.cluster.machines["n-0"].retirement_reason == "idle"
         add_job(state, clock, sacks=1)
         await node.sync()
         node.report("n-0", 1, 99, node.token())
--- a/tests/test_missed_watch_events.py
+++ b/tests/test_missed_watch_events.py
@@ -276,7 +276,7 @@
     # orphaned: an absence that proves something must be a condition of the write
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _controller_with_planned_tasks(state, clock, nodes)
-        node.mirror.deleted(keys.machine("n-0"), state.revision)
+        node.mirror.apply_deletion(keys.machine("n-0"), state.revision)
         assert [attempt.machine for attempt in node.cluster.machines.orphaned_attempts()] == ["n-0"]
         await node.round()
         assert state.keys[keys.plan(JOB, "0")][0]["rows"]
--- a/tests/test_partition_keepalive.py
+++ b/tests/test_partition_keepalive.py
@@ -26,7 +26,7 @@
         await partition.pass_time(4)
         await partition.pass_time(2 * partition.settings.worker_lease_s, partition.zone_controller)
         assert partition.planned_on_machine() == 1
-        assert not partition.owner.cluster.machines["n-0"].retiring
+        assert not partition.owner.cluster.machines["n-0"].retirement_reason
         # the partition ends: the attestation of node-0 says that it has answered just now
         partition.clear_faults()
         await partition.pass_time(0.9 * partition.settings.worker_lease_s)
--- a/tests/test_recovery_dry_run.py
+++ b/tests/test_recovery_dry_run.py
@@ -154,7 +154,7 @@
 )
 def test_an_approval_is_read_only_in_the_form_of_this_version(value: object, is_read: bool) -> None:
     mirror = Mirror()
-    mirror.written(keys.approval(0), value, 1)
+    mirror.apply_write(keys.approval(0), value, 1)
     notes = StoredNotes(mirror)
     assert (notes.approval(0) is not None) is is_read
     assert notes.is_unreadable(keys.approval(0)) is not is_read
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -169,7 +169,7 @@
         node = SteppedController(state, clock, nodes)
         await node.boot()
         clock.time += 2
-        node.writer.allot(1.0)
+        node.writer.set_rate(1.0)
         intents = [WriteIntent(Txn({}, [Put(f"cm/x/{n}", n)]), WriteRank.URGENT) for n in range(5)]
         for intent in intents:
             await node.writer.submit(intent)
@@ -206,7 +206,7 @@
     ) -> None:
         node = SteppedController(state, clock, nodes)
         await node.boot()
-        node.writer.allot(1.0)
+        node.writer.set_rate(1.0)
         node.writer._pacer.spend(100.0)
         for number in range(3):
             await node.writer.submit(
--- a/tests/test_silent_machines.py
+++ b/tests/test_silent_machines.py
@@ -22,7 +22,9 @@
             for machine in reporting:
                 node.report(machine, 1, seq, node.token())
             await node.round()
-            retiring = {m.id for m in node.cluster.machines.values() if m.retiring == "silent"}
+            retiring = {
+                m.id for m in node.cluster.machines.values() if m.retirement_reason == "silent"
+            }
             if seq * 0.5 < node.settings.partition_keepalive_s + node.settings.worker_lease_s:
                 assert not retiring, seq
         assert retiring == {"s-0", "s-1", "s-2"}
@@ -53,7 +55,7 @@
                 if not 0 < seq * 0.5 - 10 - 0.8 * number < 2 * worker_lease_s:
                     node.report(name, 1, seq, node.token())
             await node.round()
-        assert not any(m.retiring == "silent" for m in node.cluster.machines.values())
+        assert not any(m.retirement_reason == "silent" for m in node.cluster.machines.values())
 
     run_scenario(scenario)
 
--- a/tests/test_state_client.py
+++ b/tests/test_state_client.py
@@ -59,4 +59,4 @@
     for _ in range(2):
         with pytest.raises(RequestRefusedError):
             curio.run(client.get, "a")
-    assert (client.served_ago_s() is not None) is is_served
+    assert (client.last_success_age_s() is not None) is is_served
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -72,7 +72,7 @@
         await node.sync()
         job = node.cluster.jobs["wk-000002"]
         assert not job.is_blocked
-        assert job.ready_at == job.submitted
+        assert job.ready_at == job.submitted_at
 
     run_scenario(scenario)
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -38,7 +38,7 @@
         node = SteppedController(state, clock, nodes)
         await node.boot()
         job = node.cluster.jobs[JOB]
-        assert job.chunks["1"].first == 1024
+        assert job.chunks["1"].first_task == 1024
         assert node.cluster.layout.chunk_of(1030, job.chunks).name == "1"
         assert job.spec is not None
         waiting = node.scheduling_loop._placement._waiting_tasks(job, job.spec)
@@ -124,7 +124,7 @@
         limit = 2048
         assert all(len(orjson.dumps(encode_chunk(c))) < limit for c in job.chunks.values())
         # attempt numbers continue after those of the legacy chunk
-        assert all(c.next == tasks + 1 for c in job.chunks.values())
+        assert all(c.next_attempt_number == tasks + 1 for c in job.chunks.values())
 
     run_scenario(scenario)
 
