--- a/crossmill/cluster/cluster_state.py
+++ b/crossmill/cluster/cluster_state.py
@@ -1,7 +1,7 @@
-"""What is stored in the state service, as jobs, plans, machines and controllers.
+"""The contents of the state service as jobs, plans, machines and controllers.
 
-The mirror tells `ClusterState` of each change of a key; everyone else only reads it. It contains
-stored state only: what this controller concludes or intends is kept by those who act on it.
+The mirror notifies `ClusterState` of each change of a key; all other components only read it. It
+holds stored state only: components keep their own conclusions and intentions.
 """
 
 from collections.abc import Callable
@@ -25,19 +25,19 @@
 class ControllerIndex(dict[str, ControllerRecord]):
     """The record of every controller whose lease has not expired, by label.
 
-    Only `ClusterState` changes it, as keys of the state service change.
+    Only `ClusterState` modifies it, when keys of the state service change.
     """
 
     def __init__(self) -> None:
         super().__init__()
         self.leader: str | None = None
-        # how often each controller's key was written or deleted
+        # the number of writes and deletions of each controller's key
         self.key_change_counts: dict[str, int] = {}
-        # the controllers that run a version of the next feature level, with their notes' versions
+        # feature note versions by label of the controllers that support the next feature level
         self.at_next_level: dict[str, int] = {}
 
     def apply(self, label: str, value: Any) -> None:
-        """Applies a change of a controller's record; a value of None means deleted or expired."""
+        """Apply a change of a controller's record; a value of None means deleted or expired."""
         self.key_change_counts[label] = self.key_change_counts.get(label, 0) + 1
         if value is None:
             self.pop(label, None)
@@ -45,7 +45,7 @@
             self[label] = decode_controller(value)
 
     def apply_level_note(self, label: str, value: Any, version: int) -> None:
-        """Applies a change of the note that a controller runs a version of the next level."""
+        """Apply a change of the note that a controller supports the next feature level."""
         if value is None:
             self.at_next_level.pop(label, None)
         else:
@@ -55,7 +55,7 @@
 class ClusterState:
     """The stored state of the fleet, kept up to date by the mirror.
 
-    Everyone may read its indexes; only changes of keys change them.
+    Any component may read its indexes; only changes of keys modify them.
     """
 
     def __init__(self, mirror: Mirror, settings: Settings) -> None:
@@ -67,9 +67,10 @@
             PlanLayout(settings.state_limits.chunk_tasks), self.jobs, self.machines
         )
         self.controllers = ControllerIndex()
-        # the owner of each shard that has one
+        # ownership records by shard; a shard without an owner has no entry
         self.shard_owners: dict[int, OwnershipRecord] = {}
-        # jobs to be cancelled as soon as all controllers that must know of it do
+        # notes by job ID; each job is to be cancelled once every controller that must know of the
+        # cancellation has read the note
         self.cancellation_notes: dict[str, CancellationNote] = {}
         self.level: Level | None = None
         self.catalog: dict[str, MachineType] = {}
@@ -91,17 +92,17 @@
 
     @property
     def layout(self) -> PlanLayout:
-        """How plans are cut into chunks at the present feature level."""
+        """The division of plans into chunks at the current feature level."""
         return self.plans.layout
 
     @property
     def limits(self) -> StateLimits:
-        """The state service's limits that apply to writes now."""
+        """The limits of the state service that currently apply to writes."""
         settings = self._settings
         return settings.state_limits if self.level is None else settings.lowest_state_limits
 
     def write_load(self, shard: int) -> int:
-        """How many records of running job arrays the shard's owner keeps up to date."""
+        """Return the number of records of running job arrays that the shard's owner updates."""
         return sum(
             max(1, len(job.chunks))
             for job in self.jobs.active[shard].values()
@@ -109,13 +110,13 @@
         )
 
     def use_catalog(self, catalog: dict[str, MachineType]) -> None:
-        """Uses the cloud's catalog, by type name, until one is read from the state service."""
+        """Use the cloud's catalog, by type name, until the stored catalog is read."""
         self.catalog = catalog
 
     def apply_archived_end(self, job: Job, end: str, shard: int) -> None:
-        """Applies how an archived job ended, of which only a plan is known.
+        """Apply the end of an archived job of which only a plan is known.
 
-        From then on the shard's owner stops its tasks and deletes the plan.
+        The shard's owner then stops the job's tasks and deletes the plan.
         """
         job.end, job.shard = JobEnd(end), shard
         self.jobs.update_sets(job)
@@ -144,11 +145,11 @@
         self.jobs.apply_end(job, record, is_new)
 
     def _on_job_deleted(self, job_id: str) -> None:
-        """Removes the record of a job that was archived; its plan is deleted with it.
+        """Remove the record of an archived job, whose plan is deleted too.
 
-        When all keys are read again the two deletions may arrive in any order, and the plan's
-        attempts stay indexed by machine until their own deletion arrives; until then the job is
-        one without a record.
+        When all keys are read again, the two deletions may arrive in either order. The plan's
+        attempts stay indexed by machine until the plan's deletion arrives; until then the job is
+        kept without a record.
         """
         job = self.jobs.pop(job_id, None)
         if job is None or job.spec is None:
--- a/crossmill/cluster/dependencies.py
+++ b/crossmill/cluster/dependencies.py
@@ -1,9 +1,8 @@
-"""Dependencies between jobs, and what a job's end means for the jobs that depend on it.
+"""Dependencies between jobs, and the effect of a job's end on its dependents.
 
 A job starts only when all its dependencies are durably done, so a job with an unfinished dependency
-has never started: as soon as a cancellation is durable, every controller derives from the same
-records that all jobs that depend on it, directly or not, are cancelled too. Nothing has to be
-written for that.
+has never started. As soon as a cancellation is durable, every controller derives from the same
+records that all direct and indirect dependents are cancelled too, without any further write.
 """
 
 from collections.abc import Iterator, Mapping
@@ -14,18 +13,19 @@
 class DependencyGraph:
     """The dependencies between known jobs.
 
-    It alone sets what a job derives from its dependencies: `unmet_dependencies`, `ready_at` and an
-    `end` that is not in the job's own record. `JobIndex` tells it of each change of a record.
+    Only this class sets the fields of a job that are derived from its dependencies:
+    `unmet_dependencies`, `ready_at` and an `end` that is not in the job's own record. `JobIndex`
+    notifies it of each change of a record.
     """
 
     def __init__(self, jobs: Mapping[str, Job]) -> None:
         self._jobs = jobs
         self._dependents: dict[str, dict[str, None]] = {}
-        # jobs whose position in their pipeline may have changed since they were last taken
+        # IDs of jobs whose pipeline position may have changed since the last call of take_changed
         self._changed: set[str] = set()
 
     def add(self, job: Job) -> list[Job]:
-        """Adds an accepted job; returns the jobs that are cancelled by what is known, if any."""
+        """Add an accepted job; return the job and its dependents if a dependency is cancelled."""
         job.ready_at = job.submitted_at
         if not job.dependencies or job.end != ACTIVE:
             return []
@@ -44,7 +44,7 @@
         return self._cancel(job) if is_cancelled else []
 
     def remove_dependencies(self, job: Job, remaining: tuple[str, ...]) -> None:
-        """Removes all dependencies but these: the job's record was rewritten with them."""
+        """Remove all dependencies except `remaining`, as the job's rewritten record lists them."""
         for dependency in set(job.dependencies) - set(remaining):
             job.unmet_dependencies.discard(dependency)
             self._remove_edge(dependency, job)
@@ -52,7 +52,7 @@
         self._changed.add(job.id)
 
     def apply_end(self, job: Job) -> list[Job]:
-        """Applies a job's durable end; returns the jobs that are cancelled by it."""
+        """Apply a job's durable end; return the jobs that are cancelled by it."""
         cancelled: list[Job] = []
         for dependent in self.dependents(job.id):
             self._changed.add(dependent.id)
@@ -64,7 +64,7 @@
         return cancelled
 
     def remove(self, job: Job) -> None:
-        """Removes a job whose record was deleted because it was archived."""
+        """Remove an archived job, whose record was deleted."""
         for dependency in job.dependencies:
             self._remove_edge(dependency, job)
         self._changed.discard(job.id)
@@ -77,34 +77,34 @@
                 del self._dependents[dependency]
 
     def take_changed(self) -> set[str]:
-        """Returns the jobs whose pipeline may have changed since the last call."""
+        """Return and clear the IDs of jobs whose pipeline position may have changed."""
         changed, self._changed = self._changed, set()
         return changed
 
     def dependents(self, job_id: str) -> Iterator[Job]:
-        """The known jobs that depend directly on this one."""
+        """Yield the known direct dependents of a job."""
         for name in self._dependents.get(job_id, ()):
             job = self._jobs.get(name)
             if job is not None:
                 yield job
 
     def unfinished_dependents(self, job_id: str) -> Iterator[Job]:
-        """The direct dependents that are neither done nor cancelled."""
+        """Return an iterator over the direct dependents that are neither done nor cancelled."""
         return (job for job in self.dependents(job_id) if job.end == ACTIVE)
 
     def unfinished_dependencies(self, job: Job) -> Iterator[Job]:
-        """The known jobs that this one still waits for."""
+        """Yield the known jobs that a job still waits for."""
         for name in job.unmet_dependencies:
             required = self._jobs.get(name)
             if required is not None and required.spec is not None:
                 yield required
 
     def is_standalone(self, job: Job) -> bool:
-        """Whether the job is part of no pipeline: it waits for no job, and none depends on it."""
+        """Return whether the job is in no pipeline: it waits for no job and has no dependents."""
         return not job.unmet_dependencies and job.id not in self._dependents
 
     def is_depended_on(self, job_id: str) -> bool:
-        """Whether a job that its record says is unfinished depends on this one."""
+        """Return whether a job that is unfinished by its own record depends on this one."""
         return any(job.recorded_end == ACTIVE for job in self.dependents(job_id))
 
     def _mark_met(self, job: Job, required: Job) -> None:
@@ -112,9 +112,9 @@
         job.ready_at = max(job.ready_at, required.ended_at)
 
     def _cancel(self, job: Job) -> list[Job]:
-        """Cancels the job and all that depend on it, directly or not; returns them.
+        """Cancel the job and all its direct and indirect dependents; return the cancelled jobs.
 
-        Not recursive, since chains may be longer than the recursion limit.
+        The traversal is iterative, because chains may exceed the recursion limit.
         """
         cancelled: list[Job] = []
         pending = [job]
--- a/crossmill/cluster/feature_level.py
+++ b/crossmill/cluster/feature_level.py
@@ -1,9 +1,9 @@
-"""Raises the cluster's feature level once all controllers run a version that can read it.
+"""Raises the cluster's feature level once all controllers run a version that supports it.
 
-Each controller of this version notes so under a key of its own, which no lease removes and which
-the version before ignores. Once every configured controller has, the leader raises the level, in a
-transaction that is conditional on all those notes. Until then nothing is written that the version
-before could not read; the level is never lowered.
+Each controller of this version writes a note under a separate key, which is attached to no lease
+and which the previous version ignores. Once every configured controller has written its note, the
+leader raises the level in a transaction that is conditional on all notes. Until then, no record is
+written that the previous version could not read. The level is never lowered.
 """
 
 import logging
@@ -22,12 +22,12 @@
 
 log = logging.getLogger(__name__)
 
-# the level with job dependencies, plans in segments and the state service's lowest limits
+# the level that adds job dependencies, plans in segments and the lowest state service limits
 DEPENDENCY_LEVEL = 1
 
 
 class FeatureLevel:
-    """Notes this controller's version and, while it is the leader, raises the level."""
+    """Writes this controller's note and, while it is the leader, raises the level."""
 
     def __init__(
         self, settings: Settings, clock: Clock, state: StateAccess, membership: Membership
@@ -40,7 +40,7 @@
         self._membership = membership
 
     async def run(self) -> None:
-        """Steps until the level is raised, then waits until the controller ends."""
+        """Run steps until the level is raised, then wait until the controller stops."""
         await self._watcher.ready.wait()
         while self._cluster.level is None:
             await self.step()
@@ -49,7 +49,7 @@
         await curio.Event().wait()
 
     async def step(self) -> None:
-        """Writes the note or the level if it is due; what fails is retried at the next step."""
+        """Write the note or the level if it is due; the next step retries a failed write."""
         if self._cluster.level is not None:
             return
         at_next_level = self._cluster.controllers.at_next_level
--- a/crossmill/cluster/job_index.py
+++ b/crossmill/cluster/job_index.py
@@ -1,4 +1,4 @@
-"""All jobs with a stored record or plan, and sets of them by state for those who scan jobs."""
+"""All jobs with a stored record or plan, also grouped by state for components that scan jobs."""
 
 from collections.abc import Iterable
 
@@ -7,29 +7,29 @@
 from .model import ACTIVE, Job
 from .records import JobRecord
 
-# jobs by id, in the order in which they were added
+# jobs by ID, in insertion order
 Jobs = dict[str, Job]
 
 
 class JobIndex(dict[str, Job]):
-    """Every job of which a record or a plan is known, by id; sets of them by shard.
+    """Every job with a known record or plan, by ID, and sets of these jobs by shard.
 
-    Only `ClusterState` changes it, as keys of the state service change.
+    Only `ClusterState` modifies it, when keys of the state service change.
     """
 
     def __init__(self, settings: Settings) -> None:
         super().__init__()
         self._settings = settings
         self.graph = DependencyGraph(self)
-        # neither done nor cancelled
+        # jobs that are neither done nor cancelled
         self.active = self._by_shard()
         # unfinished jobs all of whose tasks are durably done
         self.all_tasks_done = self._by_shard()
-        # jobs cancelled because one that they depend on was, whose records do not say so yet
+        # jobs cancelled because of a dependency, whose own records do not show it yet
         self.unrecorded_cancellations = self._by_shard()
-        # ended jobs whose plans are not yet deleted
+        # ended jobs whose plans have not been deleted yet
         self.ended = self._by_shard()
-        # ended jobs with no plan left, oldest first
+        # ended jobs whose plans have been deleted, oldest first
         self.archivable = self._by_shard()
         # jobs of which only a plan is known
         self.without_record: Jobs = {}
@@ -38,11 +38,11 @@
         return {shard: {} for shard in range(self._settings.shard_count)}
 
     def get_or_add(self, job_id: str) -> Job:
-        """The job; added without a record if nothing is known of it."""
+        """Return the job; add it without a record if it is unknown."""
         return self.setdefault(job_id, Job(job_id))
 
     def apply_record(self, job: Job, record: JobRecord, version: int) -> bool:
-        """Applies the job's record; returns whether it is the first one known."""
+        """Apply the job's record; return whether it is the first known record of the job."""
         job.version, job.recorded_end, job.ended_at = version, record.end, record.ended_at
         is_new = job.spec is None
         if is_new:
@@ -55,7 +55,7 @@
         return is_new
 
     def apply_end(self, job: Job, record: JobRecord, is_new: bool) -> None:
-        """Derives what the record means for the job and for those that depend on it."""
+        """Apply the end in the record to the job and to its dependents."""
         if record.end != ACTIVE:
             job.end = record.end
             self.unrecorded_cancellations[job.shard].pop(job.id, None)
@@ -73,7 +73,7 @@
             self.update_sets(job)
 
     def remove_record(self, job: Job) -> None:
-        """Removes the job's record from all sets; a plan that is left stays under its id."""
+        """Remove the job from all sets by state; a remaining plan stays under the job's ID."""
         self.graph.remove(job)
         for jobs in (
             self.active,
@@ -85,7 +85,7 @@
             jobs[job.shard].pop(job.id, None)
 
     def keep_plan_only(self, job: Job) -> Job:
-        """Replaces a job whose record was deleted by one that has only its plan; returns that."""
+        """Replace a job whose record was deleted by one with only its plan; return the new job."""
         plan_only = Job(
             job.id,
             chunks=job.chunks,
@@ -98,7 +98,7 @@
         return plan_only
 
     def drop_if_empty(self, job: Job) -> None:
-        """Removes a job without a record once no plan of it is known."""
+        """Remove a job that has neither a record nor a plan."""
         if job.has_record or job.chunks or job.staged:
             return
         self.pop(job.id, None)
@@ -108,7 +108,7 @@
             self.archivable[job.shard].pop(job.id, None)
 
     def update_sets(self, job: Job) -> None:
-        """Moves the job into the sets that match its state."""
+        """Move the job into the sets that match its state."""
         if not job.has_record and not job.has_ended:
             return
         self.all_tasks_done[job.shard].pop(job.id, None)
@@ -120,7 +120,7 @@
         self.active[job.shard].pop(job.id, None)
         if job.chunks or job.staged:
             self.ended[job.shard][job.id] = job
-            # when all keys are read again, a record comes before its plan
+            # a full read delivers a record before its plan, so the job may already be archivable
             self.archivable[job.shard].pop(job.id, None)
         else:
             self.ended[job.shard].pop(job.id, None)
--- a/crossmill/cluster/keys.py
+++ b/crossmill/cluster/keys.py
@@ -1,67 +1,67 @@
 """Names of keys in the state service.
 
-Their spelling is stored and read by other versions of the program, so it never changes.
+Other versions of the program read and write these keys, so their spelling never changes.
 """
 
-# the prefix of all keys that are watched and read at the start
+# the prefix of all keys that are watched and are read at startup
 ROOT = "cm/"
 JOB = ROOT + "j/"
 PLAN = ROOT + "p/"
 MACHINE = ROOT + "m/"
 SHARD = ROOT + "s/"
 CONTROLLER = ROOT + "n/"
-# jobs to be cancelled as soon as all controllers that must know of it do
+# jobs to be cancelled once every controller that must know of it has read the note
 CANCELLATION_NOTE = ROOT + "w/"
-# the controllers that run a version of the next feature level; no lease removes them
+# controllers that support the next feature level; these keys are attached to no lease
 FEATURE = ROOT + "f/"
 # the prefixes above are ROOT, a letter and a slash
 PREFIX_LENGTH = len(JOB)
 LEADER = ROOT + "leader"
-# the counter that fencing tokens are drawn from
+# the counter from which fencing tokens are allocated
 TOKEN = ROOT + "token"
 CATALOG = ROOT + "catalog"
 LEVEL = ROOT + "level"
-# counts archivings, so that accepting a job can be conditional on none having happened
+# a counter of archivings, so that accepting a job can be conditional on none having occurred
 ARCHIVINGS = ROOT + "archivings"
-# outside ROOT, so that neither the watch nor a start reads jobs that ended long ago
+# outside ROOT, so that neither the watch nor a startup reads archived jobs
 ARCHIVE = "ca/"
 
 
 def job(job_id: str) -> str:
-    """The key of a job's record."""
+    """Return the key of a job's record."""
     return JOB + job_id
 
 
 def cancellation_note(job_id: str) -> str:
-    """The key of the note that a job is to be cancelled."""
+    """Return the key of the note that a job is to be cancelled."""
     return CANCELLATION_NOTE + job_id
 
 
 def archived(job_id: str) -> str:
-    """The key of what is kept of a job that ended long ago."""
+    """Return the key of a job's archived record."""
     return ARCHIVE + job_id
 
 
 def plan(job_id: str, chunk: str) -> str:
-    """The key of a chunk of a job's plan."""
+    """Return the key of a chunk of a job's plan."""
     return f"{PLAN}{job_id}/{chunk}"
 
 
 def machine(machine_id: str) -> str:
-    """The key of a machine's record."""
+    """Return the key of a machine's record."""
     return MACHINE + machine_id
 
 
 def shard(index: int) -> str:
-    """The key of a shard's owner."""
+    """Return the key of a shard's owner."""
     return f"{SHARD}{index}"
 
 
 def controller(label: str) -> str:
-    """The key of a controller's record, which stands under the controller's lease."""
+    """Return the key of a controller's record, which is attached to the controller's lease."""
     return CONTROLLER + label
 
 
 def feature(label: str) -> str:
-    """The key of the note that a controller runs a version of the next feature level."""
+    """Return the key of the note that a controller supports the next feature level."""
     return FEATURE + label
--- a/crossmill/cluster/layout.py
+++ b/crossmill/cluster/layout.py
@@ -1,10 +1,10 @@
-"""How a job's plan is divided into chunks, each stored under a key of its own.
+"""The division of a job's plan into chunks, each stored under a separate key.
 
-The *legacy* layout numbers the chunks: chunk `n` contains the tasks from `n * legacy_tasks` on.
-Once the feature level is raised, plans are written in *segments*, whose names `FIRST-TASKS` say
-what they contain. A segment never crosses the border between two legacy chunks. Both sizes are
-durable in the level's record, so that no later change of settings can shift what a stored chunk
-means.
+The *legacy* layout numbers the chunks: chunk `n` contains `legacy_tasks` tasks, starting at task
+`n * legacy_tasks`. Once the feature level is raised, plans are written in *segments*, whose names
+`FIRST-TASKS` give their range of tasks. A segment never crosses the boundary between two legacy
+chunks. Both sizes are stored in the level's record, so that no later change of settings can change
+the range of a stored chunk.
 """
 
 from collections.abc import Container, Iterator
@@ -12,7 +12,7 @@
 
 
 class ChunkRange(NamedTuple):
-    """The tasks that a chunk contains: from `first` up to, not including, `end`."""
+    """The range of tasks that a chunk contains: from `first` up to, but excluding, `end`."""
 
     name: str
     first: int
@@ -20,7 +20,7 @@
 
     @property
     def is_segment(self) -> bool:
-        """Whether the name is that of a segment."""
+        """Whether the chunk is a segment."""
         return "-" in self.name
 
 
@@ -31,7 +31,7 @@
     segment_tasks: int | None = None
 
     def parse(self, name: str) -> ChunkRange:
-        """The range of the chunk of this name."""
+        """Return the range of the chunk with this name."""
         first, dash, tasks = name.partition("-")
         if dash:
             return ChunkRange(name, int(first), int(first) + int(tasks))
@@ -39,11 +39,11 @@
         return ChunkRange(name, number * self.legacy_tasks, (number + 1) * self.legacy_tasks)
 
     def legacy_chunk_of(self, index: int) -> ChunkRange:
-        """The legacy chunk whose range the task lies in, whether or not it exists."""
+        """Return the legacy chunk whose range contains the task, whether or not it exists."""
         return self.parse(str(index // self.legacy_tasks))
 
     def segment_of(self, index: int) -> ChunkRange:
-        """The segment that the task lies in; its legacy chunk until the level is raised."""
+        """Return the segment that contains the task; its legacy chunk until the level is raised."""
         legacy = self.legacy_chunk_of(index)
         if self.segment_tasks is None:
             return legacy
@@ -52,14 +52,14 @@
         return ChunkRange(f"{first}-{end - first}", first, end)
 
     def chunk_of(self, index: int, existing: Container[str]) -> ChunkRange:
-        """The chunk in force for the task, given the names of the job's chunks."""
+        """Return the chunk in effect for the task, given the names of the job's existing chunks."""
         legacy = self.legacy_chunk_of(index)
         if self.segment_tasks is None or legacy.name in existing:
             return legacy
         return self.segment_of(index)
 
     def chunks(self, tasks: int, existing: Container[str]) -> Iterator[ChunkRange]:
-        """All chunks in force of a job with so many tasks; the last ends with them."""
+        """Yield all chunks in effect of a job with `tasks` tasks, the last one cut off there."""
         index = 0
         while index < tasks:
             chunk = self.chunk_of(index, existing)
--- a/crossmill/cluster/machine_index.py
+++ b/crossmill/cluster/machine_index.py
@@ -1,4 +1,4 @@
-"""All machines with a record, the attempts planned onto them, and what these use."""
+"""All machines with a record, the attempts planned onto them, and the capacity in use."""
 
 from collections.abc import Callable, Iterator
 from typing import Any
@@ -9,15 +9,15 @@
 from .model import Job, Machine, PlannedAttempt
 from .records import decode_machine
 
-# attempts of a machine, by job and task
+# attempts on a machine, by job ID and task index
 Attempts = dict[tuple[str, int], PlannedAttempt]
 
 
 class MachineIndex(dict[str, Machine]):
-    """Every machine with a record, by id and by shard.
+    """Every machine with a record, by ID and by shard.
 
-    Only `ClusterState` changes it, as keys of the state service change. A machine's usage always
-    equals the sum of the attempts planned onto it.
+    Only `ClusterState` modifies it, when keys of the state service change. A machine's usage is
+    always the sum over the attempts planned onto it.
     """
 
     def __init__(
@@ -32,11 +32,11 @@
         self.by_shard: dict[int, dict[str, Machine]] = {
             shard: {} for shard in range(settings.shard_count)
         }
-        # attempts on machines that have no record, by machine
+        # attempts on machines without a record, by machine ID
         self._orphaned: dict[str, Attempts] = {}
 
     def apply(self, machine_id: str, value: Any, version: int) -> None:
-        """Applies a change of a machine's record; a value of None means deleted."""
+        """Apply a change of a machine's record; a value of None means deleted."""
         old = self.pop(machine_id, None)
         if old is not None:
             self.by_shard[old.shard].pop(machine_id, None)
@@ -54,11 +54,11 @@
             self.add_usage(self._jobs.get_or_add(attempt.job), attempt, 1)
 
     def add_attempt(self, attempt: PlannedAttempt) -> None:
-        """Adds a planned attempt to its machine, which may have no record."""
+        """Add a planned attempt to its machine, which may have no record."""
         self._attempts_on(attempt.machine)[attempt.job, attempt.index] = attempt
 
     def remove_attempt(self, attempt: PlannedAttempt) -> None:
-        """Removes an attempt that no plan contains any more."""
+        """Remove an attempt that no plan contains any longer."""
         attempts = self._attempts_on(attempt.machine)
         attempts.pop((attempt.job, attempt.index), None)
         if attempt.machine not in self and not attempts:
@@ -69,19 +69,19 @@
         return machine.attempts if machine else self._orphaned.setdefault(machine_id, {})
 
     def orphaned_attempts(self) -> Iterator[PlannedAttempt]:
-        """Attempts on machines without a record: these were released, with all that ran on them."""
+        """Yield the attempts on machines that have no record because they were released."""
         for attempts in self._orphaned.values():
             yield from attempts.values()
 
     def add_job_usage(self, job: Job, sign: int) -> None:
-        """Adds (sign 1) or subtracts (sign -1) what all of the job's attempts use."""
+        """Add (sign 1) or subtract (sign -1) the usage of all of the job's attempts."""
         for attempt in job.attempts():
             self.add_usage(job, attempt, sign)
 
     def add_usage(self, job: Job, attempt: PlannedAttempt, sign: int) -> None:
-        """Adds (sign 1) or subtracts (sign -1) what the attempt uses of its machine.
+        """Add (sign 1) or subtract (sign -1) the attempt's usage on its machine.
 
-        Does nothing while the record of the machine or the job is not known.
+        Do nothing while the record of the machine or of the job is unknown.
         """
         machine = self.get(attempt.machine)
         if machine is None or job.spec is None:
@@ -95,10 +95,10 @@
         self._evict_images(machine)
 
     def _evict_images(self, machine: Machine) -> None:
-        """Removes the least recently used images beyond the size of the machine's cache.
+        """Remove the least recently used images that exceed the machine's cache size.
 
-        To expect an image that the machine has evicted would cost its download when a replica is
-        moved there.
+        If an evicted image were still expected here, moving a replica to this machine would incur
+        an unexpected download.
         """
         machine_type = self._machine_type(machine.type)
         if machine_type is None:
@@ -122,7 +122,7 @@
         }
 
     def task_counts_by_zone(self, job: Job) -> dict[str, int]:
-        """How many attempts of the job are planned in each zone, ended ones included."""
+        """Return the number of planned attempts of the job by zone, including ended ones."""
         counts: dict[str, int] = {}
         for attempt in job.attempts():
             machine = self.get(attempt.machine)
--- a/crossmill/cluster/model.py
+++ b/crossmill/cluster/model.py
@@ -9,7 +9,7 @@
 
 
 class JobEnd(StrEnum):
-    """Whether and how a job has ended, as it is spelled in stored records."""
+    """Whether and how a job has ended, spelled as in stored records."""
 
     ACTIVE = ""
     DONE = "done"
@@ -17,14 +17,14 @@
 
     @classmethod
     def _missing_(cls, value: object) -> "JobEnd":
-        """Reads an end that a later version may have written: the job has ended, somehow."""
+        """Read an end that only a later version knows: the job has ended, in an unknown way."""
         end = str.__new__(cls, value)
         end._name_ = "OTHER"
         end._value_ = str(value)
         return end
 
 
-# short names of the ends, which are compared in many places
+# aliases, because the ends are compared in many places
 ACTIVE, DONE, CANCELLED = JobEnd.ACTIVE, JobEnd.DONE, JobEnd.CANCELLED
 
 
@@ -38,10 +38,10 @@
 
 @dataclass(slots=True)
 class PlannedAttempt:
-    """An attempt of a task that a durable plan puts on a machine.
+    """An attempt of a task that a durable plan assigns to a machine.
 
-    It may or may not run there: it uses the machine's capacity until it is proved to have ended.
-    `session` is the worker's session that it was planned for.
+    The attempt may or may not be running there: it uses the machine's capacity until it is proved
+    to have ended. `session` is the worker session that the attempt was planned for.
     """
 
     job: str
@@ -58,10 +58,10 @@
 
 @dataclass(slots=True)
 class PlanChunk:
-    """The plan of consecutive tasks of a job, from the index `first` on.
+    """The plan of consecutive tasks of a job, starting at the index `first_task`.
 
-    `done` is a bitmap of the tasks that are done, `next` is the next attempt number, and `attempts`
-    are the planned ones by task index.
+    `done_bitmap` has a bit for each task that is done, and `attempts` holds the planned attempts
+    by task index.
     """
 
     next_attempt_number: int = 1
@@ -75,8 +75,8 @@
 class Job:
     """An accepted job.
 
-    `end` is what every controller derives from all stored records; `recorded` is what the job's own
-    record says, which follows later if the end was derived from another job's.
+    `end` is the end that every controller derives from all stored records. `recorded_end` is the
+    end in the job's own record, which is written later if `end` was derived from another job's.
     """
 
     id: str
@@ -88,15 +88,15 @@
     ended_at: float = 0.0
     acceptance_order: int = 0
     shard: int = -1
-    # the jobs that were not done when this one was accepted, and those that are not done yet
+    # IDs of the dependencies that were not done at acceptance, and of those that are still not done
     dependencies: tuple[str, ...] = ()
     unmet_dependencies: set[str] = field(default_factory=set)
-    # when the last job that it depends on was done, or when it was submitted (wall clock)
+    # wall time at which the last dependency was done, or at which the job was submitted
     ready_at: float = 0.0
     chunks: dict[str, PlanChunk] = field(default_factory=dict)
-    # segments copied from a legacy chunk, in force once that chunk is deleted
+    # segments copied from a legacy chunk, by name; they take effect when that chunk is deleted
     staged: dict[str, PlanChunk] = field(default_factory=dict)
-    # sums over all chunks, kept up to date because each scheduling round reads them for all jobs
+    # totals over all chunks, kept up to date because each scheduling round reads them for all jobs
     done_tasks: int = 0
     planned_tasks: int = 0
 
@@ -104,14 +104,13 @@
     def has_record(self) -> bool:
         """Whether the job's record is known.
 
-        Nothing can be concluded about a job without one: neither that it is to run nor that it has
-        ended.
+        Without a record, it is unknown whether the job is to run and whether it has ended.
         """
         return self.spec is not None
 
     @property
     def is_active(self) -> bool:
-        """Whether the job is known, and neither done nor cancelled."""
+        """Whether the job has a record and is neither done nor cancelled."""
         return self.has_record and self.end == ACTIVE
 
     @property
@@ -121,26 +120,26 @@
 
     @property
     def is_blocked(self) -> bool:
-        """Whether a job that this one depends on is not done."""
+        """Whether any dependency of the job is not done."""
         return bool(self.unmet_dependencies)
 
     def done_task_count(self) -> int:
-        """How many tasks are done."""
+        """Return the number of tasks that are done."""
         if self.end == DONE:
             return self.spec.tasks if self.spec else 0
         return self.done_tasks
 
     def planned_task_count(self) -> int:
-        """How many tasks are planned onto machines."""
+        """Return the number of tasks that are planned onto machines."""
         return self.planned_tasks
 
     def attempts(self) -> Iterator[PlannedAttempt]:
-        """All planned attempts."""
+        """Yield all planned attempts."""
         for chunk in self.chunks.values():
             yield from chunk.attempts.values()
 
     def waiting_task_count(self) -> int:
-        """How many tasks wait for capacity; none while the job is blocked by its dependencies."""
+        """Return the number of tasks that wait for capacity; 0 while dependencies block the job."""
         if self.spec is None or self.end != ACTIVE or self.unmet_dependencies:
             return 0
         return self.spec.tasks - self.done_task_count() - self.planned_task_count()
@@ -148,10 +147,10 @@
 
 @dataclass(slots=True, eq=False)
 class Machine:
-    """A rented machine, its stored record, and the attempts planned onto it with their usage.
+    """A rented machine: its stored record, the attempts planned onto it and their usage.
 
-    `rented` is on the wall clock; `retiring` is the reason why the machine is to be released, or
-    empty; `up` is set once it has sent a heartbeat.
+    `rented_at` is in wall time. `retirement_reason` is the reason why the machine is to be
+    released, or empty. `is_up` is set once the machine has sent a heartbeat.
     """
 
     id: str
@@ -162,19 +161,19 @@
     rented_at: float
     retirement_reason: str
     is_up: bool
-    # a machine that came from another shard has a token of its own, which is higher than any that
-    # its worker can have seen and than that of any command still on its way
+    # a machine transferred from another shard gets a token higher than any that its worker can have
+    # seen, and than the token of any command still in flight
     token: int = 0
     version: int = 0
-    # seconds from the rental to the first heartbeat that the shard's owner saw; None: not known
+    # seconds from the rental to the first heartbeat that the shard's owner received, if known
     boot_s: float | None = None
     used_cpus: float = 0.0
     used_gpus: float = 0.0
     used_memory_gb: float = 0.0
     attempts: dict[tuple[str, int], PlannedAttempt] = field(default_factory=dict)
-    # images expected in its cache with their sizes in GB, the most recently used last
+    # sizes in GB of the images expected in the machine's cache, by image; most recently used last
     images: dict[str, float] = field(default_factory=dict)
-    # counts changes of its usage and its images, so that others can cache what they derive
+    # the number of changes of usage and images, used to invalidate values cached elsewhere
     change_count: int = 0
 
 
@@ -186,7 +185,7 @@
 
 
 class OwnershipRecord(NamedTuple):
-    """Which controller owns a shard, and under which fencing token."""
+    """The owner of a shard and its fencing token."""
 
     owner: str
     token: int
@@ -194,9 +193,9 @@
 
 
 class ControllerRecord(NamedTuple):
-    """What a controller announces about itself under its lease.
+    """The status that a controller publishes under its lease.
 
-    `seen_note` is the version of the newest cancellation note that it has read.
+    `seen_note` is the version of the newest cancellation note that the controller has read.
     """
 
     lease_id: int | None
@@ -205,7 +204,7 @@
 
 
 class Level(NamedTuple):
-    """The raised feature level, with the sizes of chunks that stored plans have from then on."""
+    """The raised feature level, with the sizes in tasks of stored plan chunks from then on."""
 
     number: int
     legacy_tasks: int
@@ -213,7 +212,7 @@
 
 
 class CancellationNote(NamedTuple):
-    """The note that a job is to be cancelled: its key's version and its time (wall clock)."""
+    """The note that a job is to be cancelled: the version of its key and its wall time."""
 
     version: int
     written_at: float
--- a/crossmill/cluster/plan_index.py
+++ b/crossmill/cluster/plan_index.py
@@ -1,4 +1,4 @@
-"""The stored plans: chunks in force, staged copies of legacy chunks, and the layout."""
+"""The stored plans: chunks in effect, staged copies of legacy chunks, and the layout."""
 
 from typing import Any
 
@@ -10,23 +10,23 @@
 
 
 class PlanIndex:
-    """Which chunks of each job's plan are in force.
+    """Maintains the chunks in effect of each job's plan.
 
-    Tasks are planned either in a legacy chunk or in segments: while the legacy chunk exists,
-    segments of its tasks are staged copies of it (cluster/layout.py). Chunks are kept in their
-    `Job`; the attempts of those in force are also in `MachineIndex`. Only `ClusterState` changes
-    plans, as keys of the state service change.
+    A task is planned either in a legacy chunk or in a segment: while the legacy chunk exists,
+    segments of its tasks are only staged copies (cluster/layout.py). Chunks are stored in their
+    `Job`; the attempts of chunks in effect are also in `MachineIndex`. Only `ClusterState` modifies
+    plans, when keys of the state service change.
     """
 
     def __init__(self, layout: PlanLayout, jobs: JobIndex, machines: MachineIndex) -> None:
         self.layout = layout
         self._jobs = jobs
         self._machines = machines
-        # the legacy chunks that exist, by job and name
+        # the jobs of existing legacy chunks, by job ID and chunk name
         self.legacy_chunks: dict[tuple[str, str], Job] = {}
 
     def apply(self, job_id: str, name: str, value: Any, version: int) -> None:
-        """Applies a change of a chunk; a value of None means deleted."""
+        """Apply a change of a chunk; a value of None means deleted."""
         if value is None and job_id not in self._jobs:
             return
         job = self._jobs.get_or_add(job_id)
@@ -45,19 +45,19 @@
         self._jobs.drop_if_empty(job)
 
     def move_plan(self, old: Job, new: Job) -> None:
-        """Assigns the plan of one job object to the one that replaces it."""
+        """Point the legacy chunks of a replaced job object to its replacement."""
         for name in old.chunks:
             if (old.id, name) in self.legacy_chunks:
                 self.legacy_chunks[old.id, name] = new
 
     def _stage(self, job: Job, name: str, chunk: PlanChunk | None) -> None:
-        """Keeps a copy until the legacy chunk that it was made from is deleted."""
+        """Keep a segment as a staged copy until its legacy chunk is deleted."""
         job.staged.pop(name, None)
         if chunk is not None:
             job.staged[name] = chunk
 
     def _switch_layout(self, job: Job, legacy: ChunkRange, is_present: bool) -> None:
-        """Puts segments in force while no legacy chunk contains their tasks."""
+        """Stage or unstage the segments of a legacy chunk that was written or deleted."""
         if is_present:
             self.legacy_chunks[job.id, legacy.name] = job
             for name, chunk in _segments_of(job.chunks, legacy):
--- a/crossmill/cluster/records.py
+++ b/crossmill/cluster/records.py
@@ -1,8 +1,8 @@
 """Encodes and decodes the stored records of jobs, plans, machines and controllers.
 
-Records are read by other versions of the program, so each field is spelled out here, and renaming
-a field of a class never changes a format. Unknown fields are ignored. `production` in
-deploy/service.toml reads everything written here as long as the feature level is not raised.
+Other versions of the program read these records, so each field is spelled out here, and renaming a
+field of a class never changes a format. Unknown fields are ignored. Until the feature level is
+raised, the version named `production` in deploy/service.toml can read everything written here.
 """
 
 from dataclasses import replace
@@ -89,7 +89,7 @@
 def encode_job(
     spec: JobSpec, submitted_at: float, dependencies: tuple[str, ...] = ()
 ) -> dict[str, Any]:
-    """Encodes a job just accepted; `dependencies` are the jobs that it waits for."""
+    """Encode a newly accepted job; `dependencies` are the IDs of the jobs that it waits for."""
     value: dict[str, Any] = {"end": ACTIVE, "at": submitted_at, "spec": _encode_spec(spec)}
     if dependencies:
         value["needs"] = list(dependencies)
@@ -97,11 +97,11 @@
 
 
 def encode_end(end: JobEnd, spec: JobSpec, ended_at: float, max_bytes: int) -> dict[str, Any]:
-    """Encodes an ended job.
+    """Encode an ended job.
 
-    The spec is kept, since a cancelled job's tasks use capacity until they are proved to have
-    ended. A record larger than `max_bytes`, which was accepted under larger limits, is reduced to
-    what that takes.
+    The spec is kept, because a cancelled job's tasks use capacity until they are proved to have
+    ended. If the record is larger than `max_bytes`, because the job was accepted under larger
+    limits, the spec is reduced to the fields that are needed for that.
     """
     value = {"end": end, "spec": _encode_spec(spec), "ended": ended_at}
     if len(orjson.dumps(value)) > max_bytes:
@@ -110,7 +110,7 @@
 
 
 def decode_job(value: dict[str, Any]) -> JobRecord:
-    """Decodes a job's record in any version's format."""
+    """Decode a job's record in any version's format."""
     return JobRecord(
         JobEnd(value["end"]),
         _decode_spec(value["spec"]),
@@ -121,12 +121,12 @@
 
 
 def encode_archived(job: Job) -> dict[str, Any]:
-    """Encodes what is kept of a job that ended long ago."""
+    """Encode the archived record of an ended job."""
     return {"end": job.end, "done": job.done_task_count()}
 
 
 def encode_chunk(chunk: PlanChunk) -> dict[str, Any]:
-    """Encodes a chunk of a job's plan."""
+    """Encode a chunk of a job's plan."""
     rows = [
         [attempt.index, attempt.number, attempt.machine, attempt.session]
         for attempt in chunk.attempts.values()
@@ -135,7 +135,7 @@
 
 
 def decode_chunk(job_id: str, value: dict[str, Any], version: int, first: int) -> PlanChunk:
-    """Decodes a chunk of a job's plan whose lowest task is `first`."""
+    """Decode a chunk of a job's plan whose first task index is `first`."""
     attempts = {row[0]: PlannedAttempt(job_id, *row) for row in value["rows"]}
     return PlanChunk(value["next"], int(value["done"], 16), attempts, version, first)
 
@@ -147,7 +147,7 @@
     assignment: ShardAssignment | None = None,
     boot_s: float | None = None,
 ) -> dict[str, Any]:
-    """Encodes a machine's record, with the given changes; None leaves a field as it is."""
+    """Encode a machine's record with the given changes; None keeps a field unchanged."""
     shard, token = assignment or (machine.shard, machine.token)
     record = {
         "type": machine.type,
@@ -165,7 +165,7 @@
 
 
 def decode_machine(machine_id: str, value: dict[str, Any], version: int) -> Machine:
-    """Decodes a machine's record in any version's format."""
+    """Decode a machine's record in any version's format."""
     return Machine(
         machine_id,
         value["type"],
@@ -182,7 +182,7 @@
 
 
 def encode_controller(record: ControllerRecord) -> dict[str, Any]:
-    """Encodes what a controller announces about itself."""
+    """Encode a controller's record."""
     return {
         "lease": record.lease_id,
         "deaf": record.is_unreachable_by_workers,
@@ -191,18 +191,18 @@
 
 
 def decode_controller(value: dict[str, Any]) -> ControllerRecord:
-    """Decodes a controller's record in any version's format."""
+    """Decode a controller's record in any version's format."""
     return ControllerRecord(value["lease"], bool(value.get("deaf")), value.get("seen", 0))
 
 
 def decode_catalog(value: list[dict[str, Any]]) -> dict[str, MachineType]:
-    """Decodes the stored catalog; returns the machine types by name."""
+    """Decode the stored catalog into machine types by name."""
     types = (MachineType(**{**entry, "zones": tuple(entry["zones"])}) for entry in value)
     return {machine_type.name: machine_type for machine_type in types}
 
 
 def encode_level(level: Level) -> dict[str, Any]:
-    """Encodes the raised feature level."""
+    """Encode the raised feature level."""
     return {
         "level": level.number,
         "legacy_tasks": level.legacy_tasks,
@@ -211,5 +211,5 @@
 
 
 def decode_level(value: dict[str, Any]) -> Level:
-    """Decodes the raised feature level."""
+    """Decode the raised feature level."""
     return Level(value["level"], value["legacy_tasks"], value["segment_tasks"])
--- a/crossmill/state/__init__.py
+++ b/crossmill/state/__init__.py
@@ -1,1 +1,1 @@
-"""The state service: the client, the mirror of its keys, the watcher and the writer."""
+"""Access to the state service: a client, an in-memory mirror of its keys, a watcher, a writer."""
--- a/crossmill/state/client.py
+++ b/crossmill/state/client.py
@@ -1,7 +1,8 @@
 """Typed calls to the state service, the key-value store that holds all durable state.
 
-The watcher, the writer and the controller's lease call it; jobs read single keys through it. It
-keeps the connections to the service, and when the service last answered or refused.
+The watcher, the writer and the controller lease use the client; the job API reads single keys
+through it. The client owns the connections to the service and records the times of the last
+successful call and of the last failure.
 """
 
 from typing import NamedTuple
@@ -15,11 +16,11 @@
 from ..wire import state as wire
 
 CALL_SOCKETS = 12
-# watches stay open, so they have sockets of their own
+# watches block until a change arrives, so they use separate sockets
 WATCH_SOCKETS = 2
-# so many calls can time out one after the other within a controller lease
+# the number of consecutive calls that can time out within one controller lease
 CALL_TIMEOUTS_PER_LEASE = 3
-# a single failed call is not yet an outage
+# a single failed call does not count as an outage
 MIN_OUTAGE_FAILURES = 2
 MAX_LOGGED_BYTES = 200
 
@@ -46,27 +47,27 @@
 
 
 class OutcomeUnknownError(StateServiceError):
-    """No answer came: the request may have been executed, or may still be."""
+    """No response arrived: the request may have been executed, or may still be executed."""
 
 
 class ChangesCompactedError(StateServiceError):
-    """The service no longer keeps the changes asked for; all keys must be read again."""
+    """The requested changes have been compacted; all keys must be read again."""
 
 
 class TransactionTooLargeError(StateServiceError):
-    """The transaction exceeds the service's limits: it was not executed and never will be."""
+    """The transaction exceeds the service's size limits and can never be executed."""
 
 
 class LeaseExpiredError(StateServiceError):
-    """The lease that was named has expired."""
+    """The lease named in the request has expired."""
 
 
 class TransactionResult(NamedTuple):
     """The result of a transaction.
 
     Attributes:
-        revision: The revision at which it was executed or refused.
-        failed_keys: The keys whose conditions failed; empty if it was executed.
+        revision: The revision at which the transaction was executed or rejected.
+        failed_keys: The keys whose conditions failed; empty if the transaction was executed.
     """
 
     revision: int
@@ -74,24 +75,24 @@
 
 
 class FullRead(NamedTuple):
-    """All keys under a prefix, and the revision at which reading them began."""
+    """All keys under a prefix, and the revision of the first page."""
 
     rows: list[wire.KeyValue]
     revision: int
 
 
 class Changes(NamedTuple):
-    """Changes in order, and the revision up to which they are complete."""
+    """Changes in order of revision, and the revision up to which they are complete."""
 
     revision: int
     events: list[wire.Event]
 
 
 class StateClient:
-    """Calls the state service.
+    """A client of the state service.
 
-    Every call raises RequestRefusedError if it was certainly not executed, and
-    OutcomeUnknownError if it may have been.
+    Every call raises RequestRefusedError if it was definitely not executed, and
+    OutcomeUnknownError if it may have been executed.
     """
 
     def __init__(self, settings: Settings, clock: Clock, http: Http | None = None) -> None:
@@ -105,18 +106,19 @@
         self._last_failure_at = clock.now()
 
     def last_success_age_s(self) -> float | None:
-        """Returns how many seconds ago the service last served this controller, if ever."""
+        """Return the seconds since the last successful call; None if no call has succeeded."""
         return None if self._last_success_at is None else self._clock.now() - self._last_success_at
 
     def last_failure_at(self) -> float:
-        """Returns when the service last refused this controller or gave no answer.
+        """Return when a call last failed, in seconds of steady time.
 
-        Before the first failure it is when this client was made (steady time in seconds).
+        A call fails if the service is unavailable or does not respond. Before the first failure,
+        this is the time at which the client was created.
         """
         return self._last_failure_at
 
     def outage_duration_s(self) -> float:
-        """Returns for how many seconds the service has been failing; 0 while it serves."""
+        """Return the duration of the current outage in seconds; 0 if there is none."""
         if self._failure_count < MIN_OUTAGE_FAILURES:
             return 0.0
         return self._clock.now() - self._failing_since
@@ -134,7 +136,7 @@
     async def _call(
         self, method: str, path: str, body: bytes = b"", watch_timeout_s: float | None = None
     ) -> tuple[int, bytes]:
-        """Returns the status and the body of an answer that is neither an outage nor a limit."""
+        """Send a request; raise if the service is down or rate-limits, else return the response."""
         http = self._http if watch_timeout_s is None else self._watch_http
         timeout_s = watch_timeout_s or self._timeout_s
         try:
@@ -147,23 +149,23 @@
             raise OutcomeUnknownError(str(exc)) from exc
         if status == HttpStatus.SERVICE_UNAVAILABLE:
             self._record_failure()
-            raise RequestRefusedError(f"{method} {path}: {status}", status)
-        # a service that limits the rate is up
+            raise RequestRefusedError(f"{method} {path}: status {status}", status)
+        # a service that limits the request rate is available
         self._record_success()
         if status == HttpStatus.TOO_MANY_REQUESTS:
-            raise RequestRefusedError(f"{method} {path}: {status}", status)
+            raise RequestRefusedError(f"{method} {path}: status {status}", status)
         return status, data
 
     async def get(self, key: str) -> wire.KeyValue | None:
-        """Returns a key with its value and version; None if it does not exist."""
+        """Return a key with its value and version; None if the key does not exist."""
         status, data = await self._call("GET", wire.key_path(key))
         return wire.parse_key_value(orjson.loads(data)) if status == HttpStatus.OK else None
 
     async def read_all(self, prefix: str) -> FullRead:
-        """Reads every key under the prefix, page by page.
+        """Read every key under the prefix, page by page.
 
-        The revision is the first page's: later pages may have newer values, and the changes
-        after that revision bring the other keys up to date.
+        The returned revision is that of the first page. Later pages may hold newer values;
+        applying the changes after that revision brings all keys up to date.
         """
         rows: list[wire.KeyValue] = []
         first_revision: int | None = None
@@ -171,7 +173,7 @@
         while True:
             status, data = await self._call("GET", wire.list_path(prefix, after))
             if status != HttpStatus.OK:
-                raise RequestRefusedError(f"list: {status}", status)
+                raise RequestRefusedError(f"list request failed: status {status}", status)
             page, has_more, revision = wire.parse_list(orjson.loads(data))
             rows.extend(page)
             if first_revision is None:
@@ -181,21 +183,21 @@
             after = page[-1].key
 
     async def txn(self, txn: wire.Txn) -> TransactionResult:
-        """Executes a transaction; raises LeaseExpiredError or TransactionTooLargeError as well."""
+        """Execute a transaction; may also raise LeaseExpiredError or TransactionTooLargeError."""
         status, data = await self._call("POST", wire.TXN_PATH, wire.txn_body(txn))
         if status in (HttpStatus.OK, HttpStatus.CONFLICT):
             return TransactionResult(*wire.parse_txn(status, orjson.loads(data)))
         excerpt = data[:MAX_LOGGED_BYTES]
         if status != HttpStatus.BAD_REQUEST:
-            raise RequestRefusedError(f"txn: {status} {excerpt!r}", status)
+            raise RequestRefusedError(f"transaction failed: status {status} {excerpt!r}", status)
         if b"lease" in data:
             raise LeaseExpiredError
-        raise TransactionTooLargeError(f"txn: {excerpt!r}")
+        raise TransactionTooLargeError(f"transaction exceeds the size limits: {excerpt!r}")
 
     async def changes(self, prefix: str, after: int, wait_s: float) -> Changes:
-        """Returns the changes after a revision; waits up to `wait_s` seconds for the first.
+        """Return the changes after a revision, waiting up to `wait_s` seconds for the first.
 
-        Raises ChangesCompactedError if the service no longer keeps them all.
+        Raises ChangesCompactedError if some of these changes have been compacted.
         """
         path = wire.changes_path(prefix, after, int(wait_s * 1000))
         watch_timeout_s = wait_s + self._timeout_s if wait_s else None
@@ -203,20 +205,20 @@
         if status == HttpStatus.GONE:
             raise ChangesCompactedError
         if status != HttpStatus.OK:
-            raise RequestRefusedError(f"changes: {status}", status)
+            raise RequestRefusedError(f"changes request failed: status {status}", status)
         return Changes(*wire.parse_changes(orjson.loads(data)))
 
     async def acquire_lease(self, ttl_s: float) -> int:
-        """Acquires a lease that lasts `ttl_s` seconds unless renewed; returns its id."""
+        """Acquire a lease that expires after `ttl_s` seconds unless renewed; return its ID."""
         status, data = await self._call("POST", wire.LEASES_PATH, wire.acquire_lease_body(ttl_s))
         if status != HttpStatus.OK:
-            raise RequestRefusedError(f"lease: {status}", status)
+            raise RequestRefusedError(f"lease acquisition failed: status {status}", status)
         return wire.parse_acquired_lease(orjson.loads(data))
 
     async def renew_lease(self, lease: int) -> None:
-        """Renews a lease; raises LeaseExpiredError if it has expired."""
+        """Renew a lease; raise LeaseExpiredError if it has expired."""
         status, _ = await self._call("POST", wire.renew_lease_path(lease))
         if status == HttpStatus.NOT_FOUND:
             raise LeaseExpiredError
         if status != HttpStatus.OK:
-            raise RequestRefusedError(f"renew: {status}", status)
+            raise RequestRefusedError(f"lease renewal failed: status {status}", status)
--- a/crossmill/state/watcher.py
+++ b/crossmill/state/watcher.py
@@ -1,7 +1,7 @@
-"""Keeps the mirror up to date with the state service, and shows how current it is.
+"""Keeps the mirror up to date with the state service and tracks how current it is.
 
-Two loops run in each controller: a long watch that brings changes soon, and one that serves
-`sync`, for whoever needs to know all that was durable at a moment. The application starts both.
+Each controller runs two loops, which the application starts: a long-polling watch, and a loop that
+serves `sync` for callers that need everything that was durable at the time of the call.
 """
 
 import logging
@@ -20,14 +20,14 @@
 
 MAX_WATCH_S = 60.0
 WATCH_TIMEOUT_WORKER_LEASES = 4
-# each of the two loops takes at most one in so many of this controller's share of requests
+# each of the two loops uses at most 1/LOOP_REQUEST_DIVISOR of this controller's request rate
 LOOP_REQUEST_DIVISOR = 4
 
 
 def apply_changes_to_rows(rows: list[KeyValue], events: list[Event]) -> list[KeyValue]:
-    """Returns a full read's keys with the changes since its first page.
+    """Return the keys of a full read, updated with the changes since its first page.
 
-    Later pages contain some of these changes already.
+    Later pages may already contain some of these changes.
     """
     by_key = {row.key: row for row in rows}
     for event in events:
@@ -42,15 +42,16 @@
 
 
 class StateWatcher:
-    """Feeds the mirror by watches and syncs.
+    """Updates the mirror through watches and syncs.
 
-    A sync is a watch that does not wait. What it returns was current after it was sent, so it
-    serves all callers that asked before that.
+    A sync is a watch that does not wait. Its response covers everything that was durable when the
+    request was sent, so it serves all callers that called `sync` before that.
 
     Attributes:
         ready: Set once the mirror holds a full read.
-        current_at: When the newest read was sent that showed all that was durable then.
-        on_change: Called after each step that changed the mirror, if it is set.
+        current_at: The send time of the newest successful read or watch, in steady time: the
+            mirror holds everything that was durable then. None before the first one.
+        on_change: Callback invoked after each step that changed the mirror, if set.
     """
 
     def __init__(
@@ -78,10 +79,10 @@
         self._on_change = on_change
 
     async def sync(self, timeout_s: float) -> bool:
-        """Waits until the mirror holds all that was durable when this was called.
+        """Wait until the mirror holds everything that was durable at the time of the call.
 
         Returns:
-            Whether it does; False if that could not be shown in time.
+            Whether it does; False if this could not be established within `timeout_s`.
         """
         future = Future()
         self._sync_waiters.append(future)
@@ -89,10 +90,10 @@
         return bool(await future.wait(timeout_s))
 
     async def load(self) -> None:
-        """Reads every key and publishes a state that existed at one revision.
+        """Read every key and replace the mirror's contents with the state at one revision.
 
-        The pages of a full read are of different moments; the changes since the first page bring
-        all of them to the last revision.
+        The pages of a full read are read at different times; the changes since the first page
+        bring all of them to the last revision.
         """
         while True:
             rows, first = await self._client.read_all(self._prefix)
@@ -109,9 +110,9 @@
         await self.ready.set()
 
     async def _reload(self, compacted_revision: int) -> None:
-        """Reads all keys anew after a watch from a revision that is no longer kept.
+        """Read all keys again after the changes since a revision were compacted.
 
-        Both loops meet that at the same time: one reads for both.
+        Both loops detect the compaction at the same time; one of them reads for both.
         """
         async with self._reload_lock:
             if self._mirror.revision == compacted_revision:
@@ -122,18 +123,19 @@
         self.current_at = max(sent_at, self.current_at or sent_at)
 
     def is_current_within(self, span_s: float) -> bool:
-        """Tells whether all that was durable `span_s` seconds ago is known, clock drift included.
+        """Return whether everything durable `span_s` seconds ago is known.
 
-        A renewed lease does not show that: renewals may succeed where no read does.
+        The check allows for clock drift. A renewed lease is no proof, because renewals may succeed
+        while reads fail.
         """
         if self.current_at is None:
             return False
         return self._clock.now() - self.current_at <= span_s * (1 - self._clock_drift)
 
     async def step(self, wait_s: float) -> None:
-        """Takes in the changes since the mirror's revision; waits up to `wait_s` for the first.
+        """Apply the changes since the mirror's revision, waiting up to `wait_s` for the first.
 
-        The first step reads all keys, and so does one whose changes are no longer kept.
+        The first step reads all keys, and so does a step whose changes have been compacted.
         """
         if not self.ready.is_set():
             await self.load()
@@ -145,8 +147,8 @@
                 revision, events = await self._client.changes(self._prefix, after, wait_s)
                 break
             except ChangesCompactedError:
-                # a caller of sync may have asked after the full read was begun: only changes
-                # that are asked for after it show all that was durable then
+                # sync may have been called after the full read began: only changes requested
+                # after the full read include everything that was durable at that call
                 await self._reload(after)
                 wait_s = 0.0
         self._mirror.apply_changes(revision, events)
@@ -157,7 +159,7 @@
             await self._on_change()
 
     async def run(self) -> None:
-        """Watches for changes until the controller ends."""
+        """Watch for changes until the controller stops."""
         while True:
             try:
                 await self.step(self._watch_s)
@@ -167,7 +169,7 @@
                 await curio.sleep(2 * self._pause_s)
 
     async def run_syncs(self) -> None:
-        """Serves the callers of `sync` until the controller ends."""
+        """Serve the callers of `sync` until the controller stops."""
         await self.ready.wait()
         while True:
             await self._sync_requested.wait()
--- a/crossmill/state/write_intent.py
+++ b/crossmill/state/write_intent.py
@@ -1,9 +1,9 @@
-"""Write intents: changes to the state service that are made together or not at all; their batches.
+"""Write intents, which are atomic changes to the state service, and batches of them.
 
-Whoever decides on a change makes an intent and submits it to the writer, which settles the
-intent's future with a `WriteResult`. The writer sends several intents as one batch; a batch only
-takes intents that do not influence one another, so that each one's result is the same as if it
-were sent by itself.
+A component that decides on a change creates an intent and submits it to the writer, which settles
+the intent's future with a `WriteResult`. The writer sends several intents as one batch. A batch
+holds only intents that are independent of one another, so that each has the same result as if it
+were sent separately.
 """
 
 from collections.abc import Callable
@@ -17,35 +17,35 @@
 from ..wire.state import Txn
 
 MAX_TXN_BYTES = 56 * 1024
-# about how many bytes a put, and a key by itself, take in a request besides their own
+# the approximate overhead in a request, in bytes, of a put and of a key without a value
 PUT_OVERHEAD_BYTES = 60
 KEY_OVERHEAD_BYTES = 40
 
 
 class Authority(Enum):
-    """Whether this controller may send a write that was decided earlier."""
+    """Whether this controller may still send a write that it decided on earlier."""
 
     HELD = "held"
-    # not now, but perhaps again: the lease that it was decided under is in doubt
+    # not at present, but possibly later: the lease may have expired
     SUSPENDED = "suspended"
-    # never again
+    # permanently
     LOST = "lost"
 
 
 class WriteResult(Enum):
-    """What became of an intent."""
+    """The result of an intent."""
 
     OK = "ok"
-    # a condition failed, or the intent may never be sent any more
+    # a condition failed, the transaction is too large, or the authority or a lease is lost
     CONFLICT = "conflict"
-    # it could not be sent in time
+    # the intent could not be sent before its deadline
     EXPIRED = "expired"
 
 
 class WriteRank(IntEnum):
     """The order in which intents are sent: lower ranks first.
 
-    Ownership of shards comes before everything else, as all other writes depend on it.
+    Shard ownership comes first, because all other writes depend on it.
     """
 
     OWNERSHIP = -1
@@ -57,15 +57,18 @@
 
 @dataclass(slots=True, eq=False)
 class WriteIntent:
-    """Changes that are made together or not at all.
+    """Changes that are applied atomically.
 
     Attributes:
         txn: The changes and their conditions.
-        rank: The order in which it is sent.
-        send_deadline: When it must have been sent, in steady time; None if there is no such time.
-        authority: Asked right before each sending; without it the intent may always be sent.
-        outcome_unknown: Whether a request with it was not answered, so that it may be executed.
-        is_sent_alone: Whether it was part of a batch that was too large.
+        rank: The rank that determines the order in which intents are sent.
+        send_deadline: The latest time to send the intent, in steady time; None if unlimited.
+        authority: Callback that is checked before each send; None if the intent may always be
+            sent.
+        outcome_unknown: Whether a request with the intent got no response, so that the changes
+            may have been applied.
+        is_sent_alone: Whether the intent is sent without others, because it was part of a batch
+            that was too large.
         failed_keys: The keys whose conditions failed in the last request.
         future: Settled with the `WriteResult`.
     """
@@ -81,15 +84,15 @@
 
     @property
     def operation_count(self) -> int:
-        """How many puts and deletes it has."""
+        """The number of puts and deletes."""
         return len(self.txn.puts) + len(self.txn.deletes)
 
     def keys(self) -> set[str]:
-        """Returns the keys that it changes."""
+        """Return the keys that the intent changes."""
         return {*(put.key for put in self.txn.puts), *self.txn.deletes}
 
     def estimated_bytes(self) -> int:
-        """Returns about how many bytes it takes in a request."""
+        """Return the approximate size of the intent in a request, in bytes."""
         puts = sum(
             len(orjson.dumps(put.value)) + len(put.key) + PUT_OVERHEAD_BYTES
             for put in self.txn.puts
@@ -100,11 +103,11 @@
         return puts + keys
 
     def current_authority(self) -> Authority:
-        """Returns whether it may be sent now, as far as its authority goes."""
+        """Return the current authority to send the intent; HELD if it needs none."""
         return Authority.HELD if self.authority is None else self.authority()
 
     def is_expired(self, now: float) -> bool:
-        """Tells whether the time until which it may be sent is over."""
+        """Return whether the deadline for sending the intent has passed."""
         return self.send_deadline is not None and now > self.send_deadline
 
 
@@ -113,7 +116,7 @@
 
     Attributes:
         intents: The intents, in the order in which they were added.
-        operation_count: How many puts and deletes they have together.
+        operation_count: The total number of their puts and deletes.
     """
 
     __slots__ = ("_bytes", "_conditions", "_keys", "_limits", "intents", "operation_count")
@@ -127,7 +130,7 @@
         self.operation_count = 0
 
     def can_add(self, intent: WriteIntent) -> bool:
-        """Tells whether the intent may be added; an empty batch takes any intent."""
+        """Return whether the intent can be added; an empty batch accepts any intent."""
         if not self.intents:
             return True
         return not (
@@ -148,14 +151,14 @@
         )
 
     def _has_conflicting_conditions(self, intent: WriteIntent) -> bool:
-        """Tells whether the intent and the batch need different versions of a key."""
+        """Return whether the intent and the batch require different versions of a key."""
         return any(
             self._conditions.get(key, version) != version
             for key, version in intent.txn.conditions.items()
         )
 
     def _shares_keys(self, intent: WriteIntent) -> bool:
-        """Tells whether one changes a key that the other changes or has a condition on."""
+        """Return whether one side changes a key that the other changes or has a condition on."""
         changed = intent.keys()
         return not (
             changed.isdisjoint(self._keys)
@@ -164,7 +167,7 @@
         )
 
     def add(self, intent: WriteIntent) -> None:
-        """Adds an intent that the batch may take."""
+        """Add an intent for which `can_add` holds."""
         self.intents.append(intent)
         self._keys |= intent.keys()
         self._conditions.update(intent.txn.conditions)
@@ -173,7 +176,7 @@
 
 
 def merge_transactions(intents: list[WriteIntent]) -> Txn:
-    """Returns the transaction that makes the changes of all the intents."""
+    """Return one transaction with the conditions and changes of all the intents."""
     txn = Txn()
     for intent in intents:
         txn.conditions.update(intent.txn.conditions)
--- a/crossmill/state/writer.py
+++ b/crossmill/state/writer.py
@@ -1,8 +1,8 @@
 """Sends write intents in batches, within this controller's share of the state service's rate.
 
-The writer owns the queue of intents and the keys that are being written. The application runs it;
-whoever decides on a change submits an intent and waits for its result. What was written goes to
-the mirror at once.
+The writer owns the queue of intents and the set of keys in flight. The application runs it; a
+component that decides on a change submits an intent and waits for its result. Successful writes
+are applied to the mirror immediately.
 """
 
 import logging
@@ -39,17 +39,17 @@
 log = logging.getLogger(__name__)
 
 MAX_BATCHES_IN_FLIGHT = 3
-# a write is repeated so many times within the interval at which leases are renewed
+# the number of times that a write can be retried within one lease renewal interval
 RETRIES_PER_RENEWAL = 4
 MAX_LOGGED_KEYS = 3
 
 
 class _NextBatch(NamedTuple):
-    """What to do next.
+    """The next batch to send, or the delay before the next attempt.
 
     Attributes:
         intents: The intents to send; empty if there is nothing to send now.
-        wait_s: How long to wait otherwise; None until something changes.
+        wait_s: The delay in seconds if there are no intents; None to wait for a wake-up.
     """
 
     intents: list[WriteIntent]
@@ -71,12 +71,13 @@
         self._mirror = mirror
         self._clock = clock
         self._limits = limits
-        # set by the first refusal for size; it then replaces whatever limits are announced
+        # set when a transaction is first refused for its size; overrides the announced limits
         self._reduced_limits: StateLimits | None = None
         self._lowest_limits = settings.lowest_state_limits
         share = settings.state_write_rate
         self._pacer = Pacer(clock, share, max(share, 1.0))
-        # users' requests and leases need not wait for a share of the rate that others don't use
+        # the number of writes by which user requests and leases may exceed this controller's share,
+        # using rate that other controllers leave unused
         self._urgent_overdraft = settings.urgent_write_burst
         self._retry_s = settings.lease_renewal_interval_s / RETRIES_PER_RENEWAL
         self._queue: list[WriteIntent] = []
@@ -85,38 +86,38 @@
         self._wake = curio.Event()
 
     def set_rate(self, share: float) -> None:
-        """Sets this controller's share of the write rate, in changes a second."""
+        """Set this controller's share of the write rate, in changes per second."""
         self._pacer.reset(share, max(share, 1.0))
 
     @property
     def limits(self) -> StateLimits:
-        """The state service's limits as far as they are known."""
+        """The limits of the state service that are currently known."""
         return self._reduced_limits or self._limits()
 
     def writes_within(self, span_s: float) -> int:
-        """Returns how many changes this controller may make in a time span, at least one."""
+        """Return the number of changes that this controller may make in a time span, at least 1."""
         return max(1, int(self._pacer.rate * span_s))
 
     @property
     def backlog(self) -> int:
-        """How many intents wait to be sent."""
+        """The number of queued intents."""
         return len(self._queue)
 
     async def submit(self, intent: WriteIntent) -> None:
-        """Queues the intent; its future is settled with the result."""
+        """Queue the intent; its future is settled with the result."""
         self._queue.append(intent)
         self._queue.sort(key=lambda queued: queued.rank)
         await self._wake.set()
 
     async def commit(self, intent: WriteIntent) -> WriteResult:
-        """Submits the intent and waits for its result."""
+        """Submit the intent and wait for its result."""
         await self.submit(intent)
         return WriteResult(await intent.future.wait())
 
-    # -- choosing what to send -------------------------------------------------------
+    # -- batching --------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Sends batches as the rate allows until the controller ends."""
+        """Send batches as the rate allows until the controller stops."""
         while True:
             intents, wait_s = await self._next_batch()
             if intents:
@@ -131,9 +132,9 @@
             self._wake.clear()
 
     async def _next_batch(self) -> _NextBatch:
-        """Takes the next batch out of the queue, or tells how long to wait for one.
+        """Remove the next batch from the queue, or return the delay before the next attempt.
 
-        Intents that may never be sent any more are settled on the way.
+        Intents that have expired or lost their authority are settled here.
         """
         if not self._queue or self._batches_in_flight >= MAX_BATCHES_IN_FLIGHT:
             return _NextBatch([], None)
@@ -163,11 +164,11 @@
         return _NextBatch(batch.intents, wait_s)
 
     def _is_in_flight(self, intent: WriteIntent) -> bool:
-        """Tells whether a batch under way changes a key of the intent."""
+        """Return whether a batch in flight changes a key of the intent."""
         return not self._keys_in_flight.isdisjoint(intent.keys())
 
     def _rate_wait_s(self, batch: WriteBatch, intent: WriteIntent) -> float:
-        """Returns how long the rate delays the batch if the intent is added to it."""
+        """Return the delay in seconds that the rate imposes on the batch with the intent added."""
         overdraft = self._urgent_overdraft if intent.rank <= WriteRank.URGENT else 0.0
         return self._pacer.wait_s(batch.operation_count + intent.operation_count, overdraft)
 
@@ -188,7 +189,7 @@
             await self._wake.set()
 
     async def _execute(self, intents: list[WriteIntent]) -> None:
-        """Sends the intents as one transaction; settles them or puts them back into the queue."""
+        """Send the intents as one transaction, then settle or requeue them."""
         try:
             result = await self._client.txn(merge_transactions(intents))
         except RequestRefusedError as exc:
@@ -197,7 +198,7 @@
                 self._pacer.drain()
             await self._retry_later(intents)
         except OutcomeUnknownError as exc:
-            # the same conditions make a repeat harmless: one of the two requests has no effect
+            # a retry is safe: with the same conditions, only one of the two requests takes effect
             log.info("write outcome unknown error=%s", exc)
             for intent in intents:
                 intent.outcome_unknown = True
@@ -215,14 +216,14 @@
         self._requeue(intents)
 
     def _requeue(self, intents: list[WriteIntent]) -> None:
-        """Puts intents at the head of the queue, in their order."""
+        """Put intents back at the head of the queue, in their order."""
         self._queue[:0] = intents
 
     async def _split(self, intents: list[WriteIntent], exc: TransactionTooLargeError) -> None:
-        """Handles a batch that the service refused for its size: the limits were lowered.
+        """Handle a batch that the service refused for its size, because its limits were lowered.
 
-        Several intents are sent one by one. A single one is settled as a conflict, so that it is
-        planned anew, and never repeated as it is.
+        Several intents are sent one by one. A single intent is settled as a conflict, so that its
+        change is planned again and the same transaction is never retried.
         """
         self._reduced_limits = self._lowest_limits
         if len(intents) > 1:
@@ -237,7 +238,7 @@
     # -- results ---------------------------------------------------------------------
 
     async def _settle(self, intents: list[WriteIntent], result: TransactionResult) -> None:
-        """Settles the intents of a transaction that was executed, or refused for conditions."""
+        """Settle the intents of a transaction that was executed or whose conditions failed."""
         if not result.failed_keys:
             for intent in intents:
                 await self._settle_applied(intent, result.revision)
@@ -263,9 +264,9 @@
         await intent.future.settle(WriteResult.OK)
 
     async def _was_applied(self, intent: WriteIntent) -> bool:
-        """Tells by reading whether an earlier, unanswered request made the intent's changes.
+        """Read the keys and return whether an earlier request without a response was applied.
 
-        If it did, the conditions of the repeated request fail.
+        In that case the conditions of the retried request fail.
         """
         while True:
             try:
@@ -275,16 +276,16 @@
             except (RequestRefusedError, OutcomeUnknownError):
                 await curio.sleep(self._retry_s)
         for entry in written:
-            # others may have written since; what is read here is newer than what was known
+            # other controllers may have written since: the values may be newer than the mirror's
             if entry is not None:
                 self._mirror.merge_read(entry)
         return not any(undeleted) and _has_values(intent, written)
 
 
 def _has_values(intent: WriteIntent, entries: list[KeyValue | None]) -> bool:
-    """Tells whether the entries, in the order of the intent's puts, have the values put.
+    """Return whether the entries, in the order of the intent's puts, hold the values put.
 
-    Values are compared rather than bytes, as the service may write numbers its own way.
+    Values are compared rather than bytes, because the service may format numbers differently.
     """
     return all(
         entry is not None and entry.value == orjson.loads(orjson.dumps(put.value))
--- a/tests/production_records.py
+++ b/tests/production_records.py
@@ -40,7 +40,7 @@
 
 
 def read_as_production(state: StateService) -> None:
-    """Parses every key as the production version does, which crashes on what it can't read."""
+    """Parse every key as the production version does, which crashes on what it can't read."""
     for key, (value, _, _) in state.keys.items():
         if key.startswith(keys.PLAN):
             int(key.rpartition("/")[2])
--- a/tests/test_derivation.py
+++ b/tests/test_derivation.py
@@ -59,13 +59,13 @@
         ]
 
     def step(self) -> None:
-        """Makes one write drawn at random, if it is possible now."""
+        """Make one write drawn at random, if it is possible now."""
         self.rng.choice(
             [self.accept, self.plan, self.plan, self.end, self.clear, self.archive, self.machine]
         )()
 
     def accept(self) -> None:
-        """Accepts a job with up to two dependencies."""
+        """Accept a job with up to two dependencies."""
         job, unfinished = f"wk-{next(self.numbers):06d}", self._unfinished()
         dependencies = self.rng.sample(
             unfinished, min(len(unfinished), self.rng.choice([0, 0, 1, 2]))
@@ -97,7 +97,7 @@
         self.state.put(name, {"next": old["next"] + SEGMENT, "done": f"{done:x}", "rows": rows})
 
     def end(self) -> None:
-        """Ends a ready job, done or cancelled."""
+        """End a ready job, done or cancelled."""
         ready = [job for job in self._unfinished() if self._is_ready(job)]
         if not ready:
             return
@@ -124,14 +124,14 @@
         return [job for job, record in self._records().items() if record["end"]]
 
     def clear(self) -> None:
-        """Deletes some plans of ended jobs."""
+        """Delete some plans of ended jobs."""
         for job in self._ended():
             for name in self._plans(job):
                 if self.rng.random() < 0.5:
                     self.state.delete(name)
 
     def archive(self) -> None:
-        """Archives some ended jobs that have no plan and no unfinished dependents."""
+        """Archive some ended jobs that have no plan and no unfinished dependents."""
         for job in self._ended():
             is_depended_on = any(job in self.dependencies[other] for other in self._unfinished())
             if not self._plans(job) and not is_depended_on and self.rng.random() < 0.5:
@@ -139,7 +139,7 @@
                 self.state.delete(keys.job(job))
 
     def machine(self) -> None:
-        """Deletes an idle machine, or adds or changes one."""
+        """Delete an idle machine, or adds or changes one."""
         machines = self._machines()
         used = {
             row[2]
@@ -229,7 +229,7 @@
 
 
 def _apply_some_ahead(state: StateService, mirror: Mirror, rng: random.Random, after: int) -> None:
-    """Applies some changes before the watch does, as own writes or as single reads."""
+    """Apply some changes before the watch does, as own writes or as single reads."""
     for name, (value, version, _) in list(state.keys.items()):
         if version > after and name.startswith(keys.ROOT) and rng.random() < 0.5:
             if rng.random() < 0.5:
--- a/tests/test_job_records.py
+++ b/tests/test_job_records.py
@@ -76,7 +76,7 @@
 async def _boot_with_archive(
     state: StateService, clock: FakeClock, nodes: Nodes
 ) -> SteppedController:
-    """A controller with two more ended jobs than are kept: the two oldest are archived."""
+    """Return a controller with two more ended jobs than are kept: the two oldest are archived."""
     seed(state, clock, machines=0)
     node = SteppedController(state, clock, nodes)
     await node.boot()
--- a/tests/test_missed_watch_events.py
+++ b/tests/test_missed_watch_events.py
@@ -25,7 +25,7 @@
 async def _controller_with_planned_tasks(
     state: StateService, clock: FakeClock, nodes: Nodes, tasks: int = 1
 ) -> SteppedController:
-    """Returns a controller whose only job is planned on its only machine, and not started yet."""
+    """Return a controller whose only job is planned on its only machine, and not started yet."""
     seed(state, clock, machines=1)
     node = SteppedController(state, clock, nodes)
     await node.boot()
@@ -65,7 +65,7 @@
 
 
 def _end_job_by_other_owner(state: StateService, clock: FakeClock) -> None:
-    """Writes what another owner does when the job ends: plan deleted, record archived."""
+    """Write what another owner does when the job ends: plan deleted, record archived."""
     record = encode_end(CANCELLED, make_spec(nameId=JOB), clock.wall(), RECORD_BYTES)
     state.put(keys.job(JOB), record)
     state.delete(keys.plan(JOB, "0"))
@@ -74,7 +74,7 @@
 
 
 async def _end_job(state: StateService, clock: FakeClock, node: SteppedController) -> None:
-    """Writes the regular end of the job, and lets the controller read it."""
+    """Write the regular end of the job, and lets the controller read it."""
     record = encode_end(DONE, make_spec(nameId=JOB), clock.wall(), RECORD_BYTES)
     state.put(keys.job(JOB), record)
     await node.sync()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -70,7 +70,7 @@
 async def _boot_and_begin_migration(
     state: StateService, clock: FakeClock, nodes: Nodes
 ) -> SteppedController:
-    """Returns a controller after the round that copied the first of 400 tasks into segments."""
+    """Return a controller after the round that copied the first of 400 tasks into segments."""
     node = await _boot_with_legacy_plan(state, clock, nodes, 400)
     raise_feature_level(state)
     await node.sync()
