--- a/crossmill/cluster/cancellation_announcement.py
+++ b/crossmill/cluster/cancellation_announcement.py
@@ -97,4 +97,4 @@
 
     def _has_read(self, label: str, note: CancellationNote) -> bool:
         record = self._cluster.controllers.get(label)
-        return record is not None and record.seen_note >= note.version
+        return record is not None and record.newest_read_note >= note.version
--- a/crossmill/cluster/cluster_state.py
+++ b/crossmill/cluster/cluster_state.py
@@ -34,7 +34,7 @@
         # the number of writes and deletions of each controller's key
         self.key_change_counts: dict[str, int] = {}
         # feature note versions by label of the controllers that support the next feature level
-        self.at_next_level: dict[str, int] = {}
+        self.feature_note_versions: dict[str, int] = {}
 
     def apply(self, label: str, value: Any) -> None:
         """Apply a change of a controller's record; a value of None means deleted or expired."""
@@ -47,9 +47,9 @@
     def apply_level_note(self, label: str, value: Any, version: int) -> None:
         """Apply a change of the note that a controller supports the next feature level."""
         if value is None:
-            self.at_next_level.pop(label, None)
+            self.feature_note_versions.pop(label, None)
         else:
-            self.at_next_level[label] = version
+            self.feature_note_versions[label] = version
 
 
 class ClusterState:
@@ -81,7 +81,7 @@
             keys.SHARD: self._on_shard,
             keys.CONTROLLER: self._on_controller,
             keys.CANCELLATION_NOTE: self._on_cancellation_note,
-            keys.FEATURE: self.controllers.apply_level_note,
+            keys.FEATURE_NOTE: self.controllers.apply_level_note,
         }
         self._key_handlers: dict[str, KeyHandler] = {
             keys.LEVEL: self._on_level,
--- a/crossmill/cluster/feature_level.py
+++ b/crossmill/cluster/feature_level.py
@@ -52,15 +52,15 @@
         """Write the note or the level if it is due; the next step retries a failed write."""
         if self._cluster.level is not None:
             return
-        at_next_level = self._cluster.controllers.at_next_level
-        if self._settings.label not in at_next_level:
+        feature_note_versions = self._cluster.controllers.feature_note_versions
+        if self._settings.label not in feature_note_versions:
             await self._write_note()
-        is_complete = all(label in at_next_level for label in self._settings.labels)
+        is_complete = all(label in feature_note_versions for label in self._settings.labels)
         if is_complete and self._membership.leadership_version() is not None:
             await self._raise_level()
 
     async def _write_note(self) -> None:
-        key = keys.feature(self._settings.label)
+        key = keys.feature_note(self._settings.label)
         await self._commit(Txn({key: 0}, [Put(key, {"level": DEPENDENCY_LEVEL})]))
 
     async def _raise_level(self) -> None:
@@ -69,13 +69,16 @@
             self._settings.state_limits.chunk_tasks,
             self._settings.lowest_state_limits.segment_tasks,
         )
-        at_next_level = self._cluster.controllers.at_next_level
-        conditions = {keys.feature(label): at_next_level[label] for label in self._settings.labels}
+        feature_note_versions = self._cluster.controllers.feature_note_versions
+        conditions = {
+            keys.feature_note(label): feature_note_versions[label]
+            for label in self._settings.labels
+        }
         conditions[keys.LEVEL] = 0
         await self._commit(Txn(conditions, [Put(keys.LEVEL, encode_level(level))]))
 
     async def _commit(self, txn: Txn) -> None:
-        until = self._clock.now() + self._settings.controller_lease_ttl_s
-        intent = WriteIntent(txn, WriteRank.OWNERSHIP, send_deadline=until)
+        deadline = self._clock.now() + self._settings.controller_lease_ttl_s
+        intent = WriteIntent(txn, WriteRank.OWNERSHIP, send_deadline=deadline)
         if await self._writer.commit(intent) != WriteResult.OK:
             await self._watcher.sync(self._settings.lease_renewal_interval_s)
--- a/crossmill/cluster/keys.py
+++ b/crossmill/cluster/keys.py
@@ -13,7 +13,7 @@
 # jobs to be cancelled once every controller that must know of it has read the note
 CANCELLATION_NOTE = ROOT + "w/"
 # controllers that support the next feature level; these keys are attached to no lease
-FEATURE = ROOT + "f/"
+FEATURE_NOTE = ROOT + "f/"
 # the prefixes above are ROOT, a letter and a slash
 PREFIX_LENGTH = len(JOB)
 LEADER = ROOT + "leader"
@@ -62,6 +62,6 @@
     return CONTROLLER + label
 
 
-def feature(label: str) -> str:
+def feature_note(label: str) -> str:
     """Return the key of the note that a controller supports the next feature level."""
-    return FEATURE + label
+    return FEATURE_NOTE + label
--- a/crossmill/cluster/model.py
+++ b/crossmill/cluster/model.py
@@ -200,7 +200,7 @@
 
     lease_id: int | None
     is_unreachable_by_workers: bool = False
-    seen_note: int = 0
+    newest_read_note: int = 0
 
 
 class Level(NamedTuple):
--- a/crossmill/cluster/records.py
+++ b/crossmill/cluster/records.py
@@ -186,7 +186,7 @@
     return {
         "lease": record.lease_id,
         "deaf": record.is_unreachable_by_workers,
-        "seen": record.seen_note,
+        "seen": record.newest_read_note,
     }
 
 
--- a/crossmill/state/watcher.py
+++ b/crossmill/state/watcher.py
@@ -71,7 +71,7 @@
         self._pause_s = LOOP_REQUEST_DIVISOR / settings.state_request_rate
         self._clock_drift = settings.clock_drift
         self._reload_lock = curio.Lock()
-        self._announced_full_reads = 0
+        self._notified_full_read_count = 0
         self._sync_waiters: list[Future] = []
         self._sync_requested = curio.Event()
         self.ready = curio.Event()
@@ -153,9 +153,9 @@
                 wait_s = 0.0
         self._mirror.apply_changes(revision, events)
         self._record_current_at(sent_at)
-        has_reloaded = self._mirror.full_read_count != self._announced_full_reads
+        has_reloaded = self._mirror.full_read_count != self._notified_full_read_count
         if (events or has_reloaded) and self._on_change is not None:
-            self._announced_full_reads = self._mirror.full_read_count
+            self._notified_full_read_count = self._mirror.full_read_count
             await self._on_change()
 
     async def run(self) -> None:
--- a/tests/production_records.py
+++ b/tests/production_records.py
@@ -1,11 +1,11 @@
-"""Records as the version in production writes them, and how it reads what is stored."""
+"""Job records in the format of the version in production, and a reader for that format."""
 
 from crossmill.cluster import keys
 
 from .fake_state_service import StateService
 
 JOB = "wk-000001"
-# what the version in production writes, and all that it reads
+# every field that the version in production writes and reads
 PRODUCTION_SPEC = {
     "id": JOB,
     "job_class": "chat",
@@ -40,17 +40,17 @@
 
 
 def read_as_production(state: StateService) -> None:
-    """Parse every key as the production version does, which crashes on what it can't read."""
+    """Parse every key as the production version does, which crashes on unknown formats."""
     for key, (value, _, _) in state.keys.items():
         if key.startswith(keys.PLAN):
             int(key.rpartition("/")[2])
             assert set(value) == {"next", "done", "rows"}
         elif key.startswith(keys.JOB):
-            # it builds the job from every field of the spec, and knows no others
+            # the production version constructs the spec from all stored fields, and fails on others
             assert set(value["spec"]) == set(PRODUCTION_SPEC)
             assert "needs" not in value
         elif key.startswith(keys.SHARD):
             int(key[len(keys.SHARD) :])
         else:
-            known = (*PRODUCTION_PREFIXES, keys.FEATURE, keys.ARCHIVE)
+            known = (*PRODUCTION_PREFIXES, keys.FEATURE_NOTE, keys.ARCHIVE)
             assert key.startswith(known) or key in (keys.LEADER, keys.TOKEN, keys.CATALOG)
--- a/tests/stored_records.py
+++ b/tests/stored_records.py
@@ -1,4 +1,4 @@
-"""Records that tests put into the state service as other controllers would have written them."""
+"""Records that tests write to the state service as other controllers would."""
 
 from crossmill.cluster import keys
 from crossmill.cluster.model import DONE, Level
@@ -15,17 +15,17 @@
 
 
 def raise_feature_level(state: StateService) -> None:
-    """Raise the feature level, from which on all controllers use this version's formats."""
+    """Raise the feature level, so that all controllers use this version's formats."""
     state.put(keys.LEVEL, encode_level(Level(1, LEGACY_CHUNK_TASKS, SEGMENT_TASKS)))
 
 
 def store_finished_job(state: StateService, clock: FakeClock, job_id: str) -> None:
-    """Store the record of a job that has just finished, in place of any earlier one."""
+    """Store the record of a job that has just finished, replacing any earlier record."""
     record = encode_end(DONE, make_spec(nameId=job_id), clock.wall(), RECORD_BYTES)
     state.put(keys.job(job_id), record)
 
 
 def store_finished_jobs_beyond(state: StateService, clock: FakeClock, kept: int) -> None:
-    """Store a few more finished jobs than the `kept` ones that need not be archived."""
+    """Store five more finished jobs than the `kept` ones that are exempt from archiving."""
     for number in range(kept + 5):
         store_finished_job(state, clock, f"wk-{1000 + number:06d}")
--- a/tests/test_contradictory_records.py
+++ b/tests/test_contradictory_records.py
@@ -1,7 +1,7 @@
-"""Records of jobs and plans that do not match, as a controller reads them at its start.
+"""Contradictory records of jobs and plans that a controller reads at startup.
 
-Each test is a regression test for a broken invariant at production size (docs/safety.md); the
-comments name the invariant of tests/invariant_checker.py.
+Each test is a regression test for an invariant violation at production size (docs/safety.md); the
+comments name the invariant in tests/invariant_checker.py.
 """
 
 import pytest
@@ -20,8 +20,8 @@
 
 
 def test_an_ended_job_with_tasks_on_machines_is_not_archived_after_a_restart() -> None:
-    # ran_cancelled, orphaned: in a full read the record came before the plan, and the job counted
-    # as cleaned up; once it was archived, nobody ended its tasks any more
+    # ran_cancelled, orphaned: a full read delivered the record before the plan, so the job counted
+    # as cleaned up; once it was archived, no controller stopped its tasks
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
         record = encode_end(CANCELLED, make_spec(nameId=JOB, sacks=1), clock.wall(), RECORD_BYTES)
@@ -45,8 +45,8 @@
 
 @pytest.mark.parametrize("is_archived", [True, False])
 def test_a_plan_without_a_job_is_removed_only_if_the_job_was_archived(is_archived: bool) -> None:
-    # orphaned: an earlier version could leave such a plan; without the archived record nothing of
-    # it may be started, ended or freed
+    # orphaned: an earlier version could leave such a plan; without the archived record, none of its
+    # tasks may be started, stopped or removed from the plan
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
         plan = keys.plan(JOB, "0")
--- a/tests/test_derivation.py
+++ b/tests/test_derivation.py
@@ -1,8 +1,8 @@
 """Incremental updates of `ClusterState` agree with a state read from scratch.
 
-Usage per machine, counts of tasks, indexes of jobs and dependencies are compared after random
-writes, which arrive in random ways: by the watch, ahead of it as own writes or as single reads, or
-all at once after the watch was compacted.
+Usage per machine, task counts, job indexes and dependencies are compared after random writes. Each
+write reaches the mirror in a random way: through the watch, before the watch as an own write or a
+single read, or through a full read after a compaction.
 """
 
 import random
@@ -32,7 +32,7 @@
 
 
 class RandomWriter:
-    """Writes what controllers write, as far as their transactions' conditions allow it."""
+    """Makes random writes that the transaction conditions of real controllers allow."""
 
     def __init__(self, state: StateService, rng: random.Random) -> None:
         self.state = state
@@ -59,9 +59,17 @@
         ]
 
     def step(self) -> None:
-        """Make one write drawn at random, if it is possible now."""
+        """Make one randomly chosen write, if it is currently possible."""
         self.rng.choice(
-            [self.accept, self.plan, self.plan, self.end, self.clear, self.archive, self.machine]
+            [
+                self.accept,
+                self.plan,
+                self.plan,
+                self.end,
+                self.delete_plans,
+                self.archive,
+                self.machine,
+            ]
         )()
 
     def accept(self) -> None:
@@ -97,7 +105,7 @@
         self.state.put(name, {"next": old["next"] + SEGMENT, "done": f"{done:x}", "rows": rows})
 
     def end(self) -> None:
-        """End a ready job, done or cancelled."""
+        """End a ready job as done or cancelled."""
         ready = [job for job in self._unfinished() if self._is_ready(job)]
         if not ready:
             return
@@ -123,7 +131,7 @@
     def _ended(self) -> list[str]:
         return [job for job, record in self._records().items() if record["end"]]
 
-    def clear(self) -> None:
+    def delete_plans(self) -> None:
         """Delete some plans of ended jobs."""
         for job in self._ended():
             for name in self._plans(job):
@@ -133,13 +141,13 @@
     def archive(self) -> None:
         """Archive some ended jobs that have no plan and no unfinished dependents."""
         for job in self._ended():
-            is_depended_on = any(job in self.dependencies[other] for other in self._unfinished())
-            if not self._plans(job) and not is_depended_on and self.rng.random() < 0.5:
+            has_dependents = any(job in self.dependencies[other] for other in self._unfinished())
+            if not self._plans(job) and not has_dependents and self.rng.random() < 0.5:
                 self.state.put(keys.archived(job), encode_archived(Job(job, end=DONE)))
                 self.state.delete(keys.job(job))
 
     def machine(self) -> None:
-        """Delete an idle machine, or adds or changes one."""
+        """Delete an idle machine, or add or change a machine."""
         machines = self._machines()
         used = {
             row[2]
@@ -158,7 +166,7 @@
 
 
 def _derived(cluster: ClusterState) -> dict[str, Any]:
-    """All derived state, in a form that can be compared."""
+    """Return all derived state in a comparable form."""
     jobs = {
         job.id: (
             job.end,
@@ -202,33 +210,35 @@
         state.put(keys.LEVEL, encode_level(Level(1, 512, SEGMENT)))
         client = StateClient(settings, clock, state)
 
-        async def fresh() -> tuple[Mirror, ClusterState, StateWatcher]:
+        async def load_mirror() -> tuple[Mirror, ClusterState, StateWatcher]:
             mirror = Mirror()
             cluster = ClusterState(mirror, settings)
             watcher = StateWatcher(client, mirror, clock, keys.ROOT, settings)
             await watcher.load()
             return mirror, cluster, watcher
 
-        mirror, cluster, watcher = await fresh()
+        mirror, cluster, watcher = await load_mirror()
         writer = RandomWriter(state, rng)
         for _ in range(STEPS):
             before = state.revision
             writer.step()
             kind = rng.random()
             if kind < 0.3:
-                _apply_some_ahead(state, mirror, rng, before)
+                _apply_some_changes_early(state, mirror, rng, before)
             elif kind < 0.34:
                 state.compact()
             if kind < 0.6:
                 continue
             await watcher.step(0.0)
-            _, scratch, _ = await fresh()
-            assert _derived(cluster) == _derived(scratch)
+            _, reloaded, _ = await load_mirror()
+            assert _derived(cluster) == _derived(reloaded)
 
     curio.run(scenario)
 
 
-def _apply_some_ahead(state: StateService, mirror: Mirror, rng: random.Random, after: int) -> None:
+def _apply_some_changes_early(
+    state: StateService, mirror: Mirror, rng: random.Random, after: int
+) -> None:
     """Apply some changes before the watch does, as own writes or as single reads."""
     for name, (value, version, _) in list(state.keys.items()):
         if version > after and name.startswith(keys.ROOT) and rng.random() < 0.5:
--- a/tests/test_feature_level.py
+++ b/tests/test_feature_level.py
@@ -1,4 +1,4 @@
-"""The feature level is raised once all controllers support it."""
+"""Raising of the feature level once all controllers support it."""
 
 import curio
 import orjson
@@ -21,11 +21,11 @@
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock)
         for label in upgraded:
-            state.put(keys.feature(label), {"level": 1})
+            state.put(keys.feature_note(label), {"level": 1})
         node = SteppedController(state, clock, nodes)
         await node.boot()
         await node.feature_level.step()
-        assert keys.feature("node-0") in state.keys
+        assert keys.feature_note("node-0") in state.keys
         for _ in range(4):
             clock.time += node.settings.controller_lease_ttl_s / 3
             await node.renew_and_sync()
@@ -33,7 +33,7 @@
         assert node.membership.leadership_version() is not None
         await node.feature_level.step()
         assert (keys.LEVEL in state.keys) is (len(upgraded) == 2)
-        # a job with dependencies is only accepted after that
+        # a job with dependencies is accepted only after the raise
         add_job(state, clock, nameId="wk-000009", sacks=1)
         await node.sync()
         body = orjson.dumps(submission(nameId="wk-000010", awaits=["wk-000009"]))
@@ -49,7 +49,7 @@
         lost: list[str] = []
 
         def transaction_fault(label: str, method: str, path: str) -> TransactionFault | None:
-            # every controller's first transactions are carried out without a response
+            # every controller's first transactions are executed but get no response
             if path == "/txn" and lost.count(label) < 6:
                 lost.append(label)
                 return TransactionFault(0.0, executes_at_once=True)
--- a/tests/test_job_records.py
+++ b/tests/test_job_records.py
@@ -1,4 +1,4 @@
-"""Records and plans of jobs: limits of values, ends, the archive, and shares of the write rate."""
+"""Job records and plans: value size limits, ends, the archive and shares of the write rate."""
 
 import orjson
 import pytest
@@ -13,13 +13,13 @@
 
 Nodes = dict[str, SteppedController]
 
-# what the settings of the tests allow for a value in the state service
+# the maximum size of a value in the state service in the test settings
 VALUE_BYTES = 32 * 1024
 
 
-def test_large_jobs_plans_fit_the_value_limit() -> None:
+def test_plans_of_large_jobs_fit_the_value_limit() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
-        # the team of this job has no limit and belongs to another shard
+        # the job's team has no limit and belongs to another shard
         node = SteppedController(state, clock, nodes)
         await node.boot()
         shard = node.settings.shard_of_team("blue")
@@ -50,7 +50,7 @@
 
 
 def test_a_job_ends_when_its_last_chunks_finish_in_one_round() -> None:
-    # guards against a job that is never done: the write of each chunk saw the other unfinished
+    # guards against a job that never ends: the write of each chunk read the other as unfinished
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
         size = make_settings().state_limits.chunk_tasks
@@ -70,13 +70,13 @@
     run_scenario(scenario)
 
 
-# -- the archive ---------------------------------------------------------------------
+# -- archive -------------------------------------------------------------------------
 
 
 async def _boot_with_archive(
     state: StateService, clock: FakeClock, nodes: Nodes
 ) -> SteppedController:
-    """Return a controller with two more ended jobs than are kept: the two oldest are archived."""
+    """Return a controller that has archived the two ended jobs in excess of the limit."""
     seed(state, clock, machines=0)
     node = SteppedController(state, clock, nodes)
     await node.boot()
@@ -102,9 +102,7 @@
     ("method", "path"),
     [("GET", "/v1/jobs/wk-000000"), ("POST", "/v1/jobs/wk-000001/withdraw")],
 )
-def test_polls_and_cancellations_of_archived_jobs_are_answered_with_their_end(
-    method: str, path: str
-) -> None:
+def test_polls_and_cancellations_of_archived_jobs_return_their_end(method: str, path: str) -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _boot_with_archive(state, clock, nodes)
         response = await node.ask(method, path)
@@ -114,7 +112,7 @@
 
 
 @pytest.mark.parametrize("change", [{}, {"cpus": -1}])
-def test_a_repeated_submission_of_an_archived_job_is_answered_with_its_end(
+def test_a_repeated_submission_of_an_archived_job_returns_its_end(
     change: dict[str, int],
 ) -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
@@ -134,14 +132,14 @@
     run_scenario(scenario)
 
 
-# -- the write rate ------------------------------------------------------------------
+# -- write rate ----------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(("team", "is_raised"), [("red", True), ("blue", False)])
-def test_the_write_rate_goes_to_the_shard_with_the_running_arrays(
+def test_the_owner_of_a_shard_with_running_arrays_gets_a_larger_share_of_the_write_rate(
     team: str, is_raised: bool
 ) -> None:
-    # guards against outcomes of one team's many arrays that wait while others' shares are unused
+    # guards against delayed outcomes of one team's many arrays while other shares are unused
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock)
         for shard, label in ((1, "node-1"), (2, "node-2")):
@@ -151,16 +149,16 @@
         await node.boot()
         await node.membership.step()
         assert set(node.membership.ownerships) == {node.settings.shard_of_team("red")}
-        even = node.writer._pacer.rate
+        even_rate = node.writer._pacer.rate
         add_job(state, clock, nameId="wk-000001", crew=team)
-        # neither replicas nor jobs that wait for others have outcomes to write
+        # neither replicas nor jobs with unfinished dependencies have outcomes to write
         add_job(state, clock, nameId="wk-000002", crew="green", cut="service")
         spec = make_spec(nameId="wk-000003", crew="green")
         state.put(keys.job(spec.id), encode_job(spec, clock.wall(), ("wk-000001",)))
         await node.sync()
         await node.membership.step()
-        assert (node.writer._pacer.rate > even) is is_raised
-        assert node.writer._pacer.rate != even
+        assert (node.writer._pacer.rate > even_rate) is is_raised
+        assert node.writer._pacer.rate != even_rate
 
     run_scenario(scenario)
 
--- a/tests/test_lowered_limits.py
+++ b/tests/test_lowered_limits.py
@@ -1,4 +1,4 @@
-"""Lower limits of the state service, announced in the settings and then in effect."""
+"""Lower limits of the state service, first announced in the settings and then in effect."""
 
 from typing import Any
 
@@ -19,7 +19,7 @@
 from .stored_records import raise_feature_level
 
 
-def test_of_the_next_limits_only_the_lower_ones_count() -> None:
+def test_only_next_limits_below_the_current_ones_apply() -> None:
     table = settings_table()
     del table["settings"]["state"]["next"]
     assert parse(table).lowest_state_limits == parse(table).state_limits
@@ -28,17 +28,17 @@
     assert (lowest.value_bytes, lowest.txn_ops, lowest.write_rps) == (32 * 1024, 6, 60.0)
 
 
-@pytest.mark.parametrize("bad", [{"value_kb": 0}, {"txn_ops": -1}, {"write_rps": "fast"}, 7])
-def test_malformed_next_limits_are_refused(bad: object) -> None:
+@pytest.mark.parametrize("malformed", [{"value_kb": 0}, {"txn_ops": -1}, {"write_rps": "fast"}, 7])
+def test_malformed_next_limits_are_rejected(malformed: object) -> None:
     table = settings_table()
-    table["settings"]["state"]["next"] = bad
+    table["settings"]["state"]["next"] = malformed
     with pytest.raises(SettingsError, match=r"settings\.state\.next"):
         parse(table)
 
 
 def test_a_batch_that_became_too_large_is_split_and_a_single_write_is_refused() -> None:
-    # guards against endless retries of what the state service refuses for its size, and against
-    # treating that as a lost lease
+    # guards against endless retries of a transaction that the state service refuses for its size,
+    # and against treating the refusal as a lost lease
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = SteppedController(state, clock, nodes)
         await node.boot()
@@ -84,7 +84,7 @@
 
 
 def test_the_machines_of_one_plan_write_fit_into_its_conditions() -> None:
-    # a job of many tasks, one to a machine, under six changes and twenty-four conditions
+    # a job with many tasks, one per machine, under limits of 6 changes and 24 conditions
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=0)
         for number in range(40):
--- a/tests/test_missed_watch_events.py
+++ b/tests/test_missed_watch_events.py
@@ -1,8 +1,8 @@
-"""How a controller handles changes of the state that it did not see one by one.
+"""Changes of the state that a controller did not receive one by one.
 
-It was partitioned or paused while other controllers acted, and reads the state anew. Each test is a
-regression test for a broken invariant at production size (docs/safety.md); the comments name the
-invariant of tests/invariant_checker.py.
+The controller was partitioned or paused while other controllers acted, and reads the state again.
+Each test is a regression test for an invariant violation at production size (docs/safety.md); the
+comments name the invariant in tests/invariant_checker.py.
 """
 
 import curio
@@ -25,7 +25,7 @@
 async def _controller_with_planned_tasks(
     state: StateService, clock: FakeClock, nodes: Nodes, tasks: int = 1
 ) -> SteppedController:
-    """Return a controller whose only job is planned on its only machine, and not started yet."""
+    """Return a controller whose only job is planned on its only machine but not started yet."""
     seed(state, clock, machines=1)
     node = SteppedController(state, clock, nodes)
     await node.boot()
@@ -39,7 +39,7 @@
 
 
 async def _transfer_shard_away(state: StateService) -> None:
-    """Lets another controller acquire shard 0 under a higher token."""
+    """Let another controller acquire shard 0 under a higher token."""
     token = state.keys[keys.TOKEN][0]["n"] + 1
     state.put(keys.TOKEN, {"n": token})
     state.put(keys.shard(0), {"owner": "node-1", "token": token}, 1)
@@ -48,7 +48,7 @@
 async def _acquire_shard_again(
     state: StateService, clock: FakeClock, node: SteppedController
 ) -> None:
-    """Lets the other controller release shard 0, and this one acquire it again."""
+    """Let the other controller release shard 0 and this one acquire it again."""
     state.delete(keys.shard(0))
     for _ in range(12):
         clock.time += node.settings.lease_renewal_interval_s / 2
@@ -65,7 +65,7 @@
 
 
 def _end_job_by_other_owner(state: StateService, clock: FakeClock) -> None:
-    """Write what another owner does when the job ends: plan deleted, record archived."""
+    """Apply another owner's writes at the job's end: delete the plan, archive the record."""
     record = encode_end(CANCELLED, make_spec(nameId=JOB), clock.wall(), RECORD_BYTES)
     state.put(keys.job(JOB), record)
     state.delete(keys.plan(JOB, "0"))
@@ -74,7 +74,7 @@
 
 
 async def _end_job(state: StateService, clock: FakeClock, node: SteppedController) -> None:
-    """Write the regular end of the job, and lets the controller read it."""
+    """Write the regular end of the job and let the controller read it."""
     record = encode_end(DONE, make_spec(nameId=JOB), clock.wall(), RECORD_BYTES)
     state.put(keys.job(JOB), record)
     await node.sync()
@@ -82,8 +82,8 @@
 
 @pytest.mark.parametrize("is_compacted", [False, True])
 def test_a_job_archived_by_another_owner_is_not_started_again(is_compacted: bool) -> None:
-    # ran_cancelled, orphaned: after a full read the planned attempts stayed on their machines
-    # without the job, and were started under the shard's next token
+    # ran_cancelled, orphaned: after a full read, the planned attempts stayed on their machines
+    # without the job and were started under the shard's next token
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _controller_with_planned_tasks(state, clock, nodes)
         await _transfer_shard_away(state)
@@ -106,15 +106,15 @@
 
 
 def test_an_outcome_is_void_once_its_ownership_ends() -> None:
-    # orphaned, ran_twice: a `not started` outcome waited to be written while the next owner
-    # started the task; with the shard back, it removed the running task from the plan
+    # orphaned, ran_twice: a `not started` outcome was pending while the next owner started the
+    # task; when the controller owned the shard again, it removed the running task from the plan
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _controller_with_planned_tasks(state, clock, nodes)
         attempt = node.cluster.machines["n-0"].attempts[JOB, 0]
         node.heartbeats.request_stop(attempt, StopReason.DRAINED)
         node.report("n-0", 1, 3, node.token())
         assert [outcome.reason for outcome in node.heartbeats.outcomes.values()] == ["not started"]
-        # before it can be written, the shard changes hands and the next owner starts the task
+        # before the outcome is written, another controller acquires the shard and starts the task
         await _transfer_shard_away(state)
         await node.sync()
         await node.membership.step()
@@ -131,8 +131,8 @@
 
 
 def test_no_start_is_sent_once_the_mirror_is_too_old() -> None:
-    # ran_cancelled: the lease was renewed while no read succeeded, and a start was sent long
-    # after another controller had confirmed the cancellation
+    # ran_cancelled: lease renewals succeeded while reads failed, and a start was sent long after
+    # another controller had confirmed the cancellation
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _controller_with_planned_tasks(state, clock, nodes)
         attempt = node.cluster.machines["n-0"].attempts[JOB, 0]
@@ -153,8 +153,8 @@
 
 
 def test_a_plan_is_written_conditionally_on_the_versions_it_was_decided_on() -> None:
-    # a decision on one state was written under the conditions of another: sending stops in the
-    # middle of a round lets the watch apply changes
+    # guards against a decision on one state that is written under the conditions of another: while
+    # a round sends stops, the watch may apply changes
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
         node = SteppedController(state, clock, nodes)
@@ -184,7 +184,7 @@
 
 
 def test_a_cancellation_does_not_undo_an_end_written_during_its_announcement() -> None:
-    # went_back: the write was conditional on the version that the job's end had made
+    # went_back: the write was conditional on the version created by the job's end
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _controller_with_planned_tasks(state, clock, nodes)
 
@@ -202,7 +202,8 @@
 
 
 def test_a_job_of_many_chunks_in_one_zone_can_be_cancelled() -> None:
-    # the cancellation had more conditions than a transaction may have, and was never confirmed
+    # guards against a cancellation that has more conditions than a transaction may have, and is
+    # therefore never confirmed
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
         state.put(keys.LEVEL, encode_level(Level(1, 512, 16)))
@@ -224,8 +225,8 @@
 
 
 def test_a_controller_announces_only_the_cancellation_notes_it_has_read() -> None:
-    # ran_cancelled: its own newer note, known before the watch brought it, was announced as if
-    # all older ones had been read, and a cancellation was confirmed on that
+    # ran_cancelled: the controller knew its own newer note before the watch delivered older ones,
+    # and announced it as if it had read them all; a cancellation was confirmed on that basis
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
         node = SteppedController(state, clock, nodes)
@@ -248,8 +249,8 @@
 
 
 def test_keepalive_needs_a_sync_that_began_after_the_announcement() -> None:
-    # ran_cancelled: a cancellation that was announced to the previous process, and was durable
-    # between the sending of a read and the announcement, was taken for known
+    # ran_cancelled: a cancellation was announced to the previous process and became durable after
+    # this process sent a read but before it published its announcement; it was assumed to be known
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
         node = SteppedController(state, clock, nodes)
@@ -273,7 +274,7 @@
 
 
 def test_a_release_is_written_only_where_the_machine_has_no_record() -> None:
-    # orphaned: an absence that proves something must be a condition of the write
+    # orphaned: if the absence of a record is a proof, it must be a condition of the write
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _controller_with_planned_tasks(state, clock, nodes)
         node.mirror.apply_deletion(keys.machine("n-0"), state.revision)
--- a/tests/test_state_client.py
+++ b/tests/test_state_client.py
@@ -1,4 +1,4 @@
-"""How the state client classifies calls that were not executed."""
+"""Errors and availability that the state client reports for calls that failed."""
 
 import curio
 import pytest
@@ -10,8 +10,8 @@
 from .fake_clock import FakeClock
 
 
-class _FailingLink:
-    """A link to the state service on which every request gives one status or error."""
+class _FailingHttp:
+    """An HTTP connection on which every request results in the same status or error."""
 
     def __init__(self, outcome: int | Exception) -> None:
         self._outcome = outcome
@@ -25,7 +25,7 @@
 
 
 def _client(outcome: int | Exception) -> StateClient:
-    return StateClient(make_settings(), FakeClock(), _FailingLink(outcome))
+    return StateClient(make_settings(), FakeClock(), _FailingHttp(outcome))
 
 
 @pytest.mark.parametrize(
@@ -33,11 +33,11 @@
     [
         (429, 429, True),
         (503, 503, False),
-        # the port of an address says nothing about the rate
+        # a port that contains 429 is not a rate limit
         (ConnectionFailedError("127.0.0.1:4290 GET /keys/a: refused"), None, False),
     ],
 )
-def test_a_refusal_tells_its_status(
+def test_a_refused_request_reports_its_status(
     outcome: int | Exception, status: int | None, is_rate_limited: bool
 ) -> None:
     with pytest.raises(RequestRefusedError) as raised:
@@ -46,13 +46,13 @@
     assert raised.value.is_rate_limited is is_rate_limited
 
 
-def test_a_call_without_an_answer_has_an_unknown_outcome() -> None:
+def test_a_call_without_a_response_has_an_unknown_outcome() -> None:
     with pytest.raises(OutcomeUnknownError):
         curio.run(_client(NoResponseError("timed out")).get, "a")
 
 
 @pytest.mark.parametrize(("status", "is_served"), [(429, True), (503, False)])
-def test_only_a_rate_limited_refusal_shows_a_service_that_is_up(
+def test_a_rate_limited_request_counts_as_success_and_an_unavailable_service_does_not(
     status: int, is_served: bool
 ) -> None:
     client = _client(status)
--- a/tests/test_state_watcher.py
+++ b/tests/test_state_watcher.py
@@ -1,4 +1,4 @@
-"""Full reads and syncs of the state watcher, while the state changes."""
+"""Full reads and syncs of the state watcher while the state changes."""
 
 from collections.abc import Callable
 
@@ -18,8 +18,8 @@
 Nodes = dict[str, SteppedController]
 
 
-class _PagedStateLink:
-    """A link to the state service with a delay, which calls a function after each page read."""
+class _PagedStateHttp:
+    """A delayed connection to the state service that calls a function after each page read."""
 
     def __init__(
         self, state: StateService, after_page: Callable[[int], None] = lambda pages_read: None
@@ -42,8 +42,8 @@
 
 @pytest.mark.parametrize("is_first", [True, False])
 def test_a_full_read_is_a_state_that_existed_at_one_revision(is_first: bool) -> None:
-    # pages of different moments, published as one state, show a plan without its machine, and a
-    # job without what was written with it
+    # guards against publishing pages read at different times as one state: it can show a plan
+    # without its machine, or a job without the records written in the same transaction
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         state.page_items = 2
         for name in ("b", "c", "d", "e"):
@@ -51,13 +51,13 @@
 
         def change_keys(pages_read: int) -> None:
             if pages_read == 1:
-                # a key of the page already read, and two of pages still to come
+                # a key on the page already read, and two keys on later pages
                 state.put(keys.ROOT + "a", 1)
                 state.put(keys.ROOT + "e", 1)
                 state.delete(keys.ROOT + "d")
 
         settings = make_settings()
-        client = StateClient(settings, clock, _PagedStateLink(state, change_keys))
+        client = StateClient(settings, clock, _PagedStateHttp(state, change_keys))
         mirror = Mirror()
         watcher = StateWatcher(client, mirror, clock, keys.ROOT, settings)
         if not is_first:
@@ -72,11 +72,11 @@
     run_scenario(scenario)
 
 
-def test_two_loops_that_meet_a_compaction_make_one_full_read() -> None:
-    # the watch and a sync each read all keys, and the load delayed everything else
+def test_two_loops_that_detect_a_compaction_make_one_full_read() -> None:
+    # guards against the watch and a sync each reading all keys: the load delays all other requests
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
-        node = SteppedController(_PagedStateLink(state), clock, nodes)
+        node = SteppedController(_PagedStateHttp(state), clock, nodes)
         await node.boot()
         state.put(keys.ROOT + "x", 1)
         state.put(keys.ROOT + "y", 1)
@@ -91,11 +91,11 @@
     run_scenario(scenario)
 
 
-def test_a_sync_shows_more_than_a_full_read_begun_before_it() -> None:
-    # went_back: the full read shows less than was durable when the sync was asked for
+def test_a_sync_includes_changes_made_after_a_concurrent_full_read_began() -> None:
+    # went_back: a full read begun earlier misses changes that were durable when sync was called
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
-        node = SteppedController(_PagedStateLink(state), clock, nodes)
+        node = SteppedController(_PagedStateHttp(state), clock, nodes)
         await node.boot()
         state.put(keys.ROOT + "x", 1)
         state.compact()
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -1,4 +1,4 @@
-"""Job records are written and read in the format of the version in production."""
+"""The format of stored job records, which the version in production reads and writes."""
 
 import orjson
 
@@ -57,8 +57,8 @@
     run_scenario(scenario)
 
 
-def test_jobs_that_wait_accept_an_end_that_production_writes_after_the_raise() -> None:
-    # that end has no time, so the times of the jobs that wait count from their submission
+def test_dependents_accept_an_end_that_production_writes_after_the_raise() -> None:
+    # that end has no time, so the dependents' waiting times count from their submission
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock)
         raise_feature_level(state)
@@ -77,7 +77,7 @@
     run_scenario(scenario)
 
 
-def test_an_end_that_this_version_does_not_know_is_read_as_an_end() -> None:
+def test_an_end_unknown_to_this_version_is_read_as_an_end() -> None:
     record = decode_job({**PRODUCTION_JOB, "end": "expired"})
     assert record.end == "expired"
     assert record.end not in (ACTIVE, DONE, CANCELLED)
--- a/tests/test_unanswered_requests.py
+++ b/tests/test_unanswered_requests.py
@@ -1,4 +1,4 @@
-"""Requests to the state service and the cloud whose answer was lost."""
+"""Requests to the state service and the cloud whose response was lost."""
 
 import curio
 
@@ -33,9 +33,10 @@
 
 
 def test_later_writes_of_others_are_known_once_an_unanswered_write_is_resolved() -> None:
-    """The former owner of a transferred machine answered its worker for a while.
+    """Guard against an outdated owner after a machine transfer.
 
-    The new owner's record was read while the transfer's write was unresolved, and was not kept.
+    The new owner's record was read while the outcome of the transfer's write was unknown, and was
+    then discarded, so that the former owner continued to answer the machine's worker.
     """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -29,7 +29,7 @@
 
 
 def test_chunk_sizes_come_from_the_level_and_not_from_the_settings() -> None:
-    # guards against misreading stored plans once the settings name the lower limit
+    # guards against misreading stored plans once the settings contain the lower limit
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock)
         state.put(keys.LEVEL, encode_level(Level(1, 1024, 64)))
@@ -86,7 +86,7 @@
 
 
 def _planned_tasks(state: StateService) -> list[int]:
-    """Task indexes in the chunks that are in effect, as stored in the state service."""
+    """Return the planned task indexes in the stored chunks that are in effect."""
     prefix = keys.PLAN + JOB + "/"
     chunks = {k[len(prefix) :]: v[0] for k, v in state.keys.items() if k.startswith(prefix)}
     names = ["0"] if "0" in chunks else list(chunks)
@@ -98,7 +98,7 @@
 def test_a_large_plan_is_migrated_into_segments_and_no_task_seems_free(
     tasks: int, is_lowered: bool
 ) -> None:
-    # also when the limit is lowered before the migration: 400 tasks need several transactions
+    # the limit may also be lowered before the migration: 400 tasks need several transactions
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _boot_with_legacy_plan(state, clock, nodes, tasks)
         planned = [i for i in range(tasks) if i not in (0, 2)]
@@ -108,7 +108,7 @@
         await node.sync()
         assert node.writer.limits.txn_ops == 6
         for turn in range(8):
-            # a restart of the owner in between must change nothing
+            # a restart of the owner during the migration must have no effect
             if turn == 1:
                 node = SteppedController(state, clock, nodes)
                 await node.boot()
@@ -133,7 +133,7 @@
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _boot_and_begin_migration(state, clock, nodes)
         assert node.cluster.jobs[JOB].staged
-        # as by a transaction that was still in flight: task 7 is done
+        # an earlier transaction, still in flight when the copy was made, marks task 7 as done
         old = state.keys[keys.plan(JOB, "0")][0]
         rows = [r for r in old["rows"] if r[0] != 7]
         state.put(keys.plan(JOB, "0"), {**old, "done": f"{0b10000101:x}", "rows": rows})
@@ -154,7 +154,7 @@
         state.put(keys.job(JOB), {"end": "cancelled", "spec": state.keys[keys.job(JOB)][0]["spec"]})
         state.put(keys.plan(JOB, "0"), {"next": 401, "done": "5", "rows": []})
         await node.sync()
-        # the chunk that they were copied from goes last: its deletion would make them effective
+        # the chunk that they were copied from is deleted last: the copies take effect without it
         deletable = [
             name
             for name, _ in node.scheduling_loop._cleanup._deletable_chunks(node.cluster.jobs[JOB])
@@ -170,14 +170,14 @@
 
 
 def test_no_legacy_chunk_is_created_after_the_level_was_raised() -> None:
-    # the layout is among the conditions of whatever creates a chunk
+    # every write that creates a chunk must be conditional on the layout
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
         add_job(state, clock, nameId=JOB, sacks=1)
         node = SteppedController(state, clock, nodes)
         await node.boot()
         node.report("n-0", 1, 1, node.token())
-        # raised, but not seen here yet
+        # raised, but the controller has not read it yet
         raise_feature_level(state)
         await node.round()
         assert not [k for k in state.keys if k.startswith(keys.PLAN)]
