--- a/crossmill/cluster/plan_index.py
+++ b/crossmill/cluster/plan_index.py
@@ -51,7 +51,7 @@
                 self.legacy_chunks[old.id, name] = new
 
     def _stage(self, job: Job, name: str, chunk: PlanChunk | None) -> None:
-        """Keep a segment as a staged copy until its legacy chunk is deleted."""
+        """Set or remove a staged segment, which takes effect when its legacy chunk is deleted."""
         job.staged.pop(name, None)
         if chunk is not None:
             job.staged[name] = chunk
--- a/crossmill/state/watcher.py
+++ b/crossmill/state/watcher.py
@@ -48,7 +48,7 @@
     request was sent, so it serves all callers that called `sync` before that.
 
     Attributes:
-        ready: Set once the mirror holds a full read.
+        ready: Event that is set once the mirror holds a full read.
         current_at: The send time of the newest successful read or watch, in steady time: the
             mirror holds everything that was durable then. None before the first one.
         on_change: Callback invoked after each step that changed the mirror, if set.
--- a/crossmill/state/writer.py
+++ b/crossmill/state/writer.py
@@ -57,7 +57,7 @@
 
 
 class Writer:
-    """Queues intents by rank and sends them in batches, within the limits in force."""
+    """Queues intents by rank and sends them in batches, within the current limits."""
 
     def __init__(
         self,
