--- a/crossmill/jobs/lookup.py
+++ b/crossmill/jobs/lookup.py
@@ -42,7 +42,7 @@
         During an outage requests are refused immediately, since no response could be verified to
         be current.
         """
-        is_down = self._client.down_for_s() > self._settings.lease_renewal_interval_s / 2
+        is_down = self._client.outage_duration_s() > self._settings.lease_renewal_interval_s / 2
         return self._watcher.ready.is_set() and not is_down
 
     async def wait_until_current(self) -> bool:
--- a/crossmill/jobs/machine_maintenance.py
+++ b/crossmill/jobs/machine_maintenance.py
@@ -90,7 +90,7 @@
                 # of this controller, not of the machines. In a partitioned zone, a peer may keep
                 # the workers alive
                 timeout_s += self._settings.partition_keepalive_s
-            if machine.retiring or now - ownership.acquired_at < timeout_s:
+            if machine.retirement_reason or now - ownership.acquired_at < timeout_s:
                 continue
             reason = self._retire_reason(machine, now, timeout_s, spare)
             if reason is not None and self._may_retire(machine, reason):
@@ -117,12 +117,12 @@
         intents: list[WriteIntent] = []
         for machine in machines:
             view = self._heartbeats.find_view(machine.id)
-            if machine.up or view is None or not view.has_confirmed_token:
+            if machine.is_up or view is None or not view.has_confirmed_token:
                 continue
             # boot times are recorded only for machine types in the catalog
             boot_s = None
             if machine.type in self._cluster.catalog:
-                boot_s = round(self._clock.wall_time() - machine.rented, 1)
+                boot_s = round(self._clock.wall_time() - machine.rented_at, 1)
             log.info(
                 "machine up machine=%s type=%s spot=%s boot_s=%s",
                 machine.id,
@@ -130,7 +130,7 @@
                 machine.spot,
                 boot_s,
             )
-            value = encode_machine(machine, up=True, boot_s=boot_s)
+            value = encode_machine(machine, is_up=True, boot_s=boot_s)
             intents.append(self._intent(shard, ownership, machine, value))
         return intents
 
@@ -143,7 +143,7 @@
         up: Counter[str] = Counter()
         unreachable: Counter[str] = Counter()
         for machine in machines:
-            if machine.up:
+            if machine.is_up:
                 view = self._heartbeats.find_view(machine.id)
                 up[machine.zone] += 1
                 if view is None or not view.is_fresh(now, self._settings.heartbeat_timeout_s):
@@ -168,7 +168,9 @@
         checked_at = self._spare_checked_at.get(shard, 0.0)
         if now - checked_at < self._settings.heartbeat_interval_s:
             return set()
-        if not any(not m.retiring and self._has_exceeded_idle_timeout(m, now) for m in machines):
+        if not any(
+            not m.retirement_reason and self._has_exceeded_idle_timeout(m, now) for m in machines
+        ):
             return set()
         self._spare_checked_at[shard] = now
         return self._forecast.plan(shard).spare_machines
@@ -201,7 +203,7 @@
         self, machine: Machine, view: WorkerView, machine_type: MachineType
     ) -> RetireReason | None:
         """Return the reason to retire a machine that sent this owner no trusted heartbeat."""
-        if machine.up or view.has_been_answered:
+        if machine.is_up or view.has_been_answered:
             # an earlier owner has received its heartbeats. Without this check, a controller that
             # took over a shard while its zone was partitioned classified half of the fleet as never
             # booted
