--- a/crossmill/fleet/arrivals.py
+++ b/crossmill/fleet/arrivals.py
@@ -15,7 +15,7 @@
 from .capacity import FleetCapacity
 
 # expected replicas are rounded up, so that at least one is expected of each class that arrived
-ROUND_UP = 0.5
+ROUND_UP_OFFSET = 0.5
 
 
 class _Arrival:
@@ -58,7 +58,7 @@
         # the order of acceptance of the newest job that was recorded
         self._newest_order = 0
 
-    def record(self, wall: float) -> None:
+    def record(self, wall_time: float) -> None:
         """Record the jobs that arrived since the last call, and drop the old ones."""
         newest = self._newest_order
         for shard, jobs in self._cluster.jobs.active.items():
@@ -74,11 +74,11 @@
                 entry.arrivals.append(_Arrival(job.submitted, spec.tasks, work_s))
                 entry.spec = spec
         self._newest_order = newest
-        horizon = wall - self._settings.arrival_window_s
+        window_start = wall_time - self._settings.arrival_window_s
         for entry in self._classes.values():
-            entry.arrivals = [a for a in entry.arrivals if a.submitted >= horizon]
+            entry.arrivals = [a for a in entry.arrivals if a.submitted >= window_start]
 
-    def expected_replicas(self, shard: int) -> list[TaskDemand]:
+    def expected_replica_demands(self, shard: int) -> list[TaskDemand]:
         """Return the replicas likely to arrive while a machine boots; capacity is kept for them."""
         demands: list[TaskDemand] = []
         for entry in self._classes.values():
@@ -91,12 +91,12 @@
             boot_s = min(machine_type.boot_s for machine_type in machine_types)
             tasks = sum(arrival.tasks for arrival in entry.arrivals)
             arrivals_per_s = tasks / self._settings.arrival_window_s
-            number = round(arrivals_per_s * boot_s * self._settings.headroom + ROUND_UP)
+            number = round(arrivals_per_s * boot_s * self._settings.headroom + ROUND_UP_OFFSET)
             if number > 0:
                 demands.append(TaskDemand(spec, number, ZoneAllowance(spec, {})))
         return demands
 
-    def baseline_arrays(self, shard: int) -> list[TaskDemand]:
+    def spot_baseline_demands(self, shard: int) -> list[TaskDemand]:
         """Return the arrays' tasks that run at a time on average, as demand for spot machines.
 
         Arrays that find no capacity can't wait until a spot machine has booted, so a baseline of
--- a/crossmill/fleet/boot_times.py
+++ b/crossmill/fleet/boot_times.py
@@ -33,7 +33,7 @@
     """The boot of a machine that came up: when it was rented (wall time), and how long it took."""
 
     rented: float
-    took_s: float
+    duration_s: float
 
 
 class BootTimes:
@@ -44,7 +44,7 @@
         self._boots: dict[str, deque[_Boot]] = {}
         # when each machine that still boots was rented, by type
         self._booting: dict[str, dict[str, float]] = {}
-        self._type_of: dict[str, str] = {}
+        self._type_by_machine: dict[str, str] = {}
         # machines whose boot is known: their records are written again when they move or retire
         self._recorded: set[str] = set()
         mirror.listen(self._on_key)
@@ -56,7 +56,7 @@
         if value is None or value["up"] or value["retiring"]:
             self._remove_booting(machine)
         else:
-            self._type_of[machine] = value["type"]
+            self._type_by_machine[machine] = value["type"]
             self._booting.setdefault(value["type"], {})[machine] = value["at"]
         if value is None:
             self._recorded.discard(machine)
@@ -66,47 +66,54 @@
             boots.append(_Boot(value["at"], value["boot_s"]))
 
     def _remove_booting(self, machine: str) -> None:
-        type_name = self._type_of.pop(machine, None)
+        type_name = self._type_by_machine.pop(machine, None)
         if type_name is not None:
             self._booting[type_name].pop(machine, None)
 
-    def is_expected(self, machine: Machine, machine_type: MachineType, wall: float) -> bool:
-        """Return whether a machine that is not up yet counts as capacity, as of `wall`.
+    def is_expected(self, machine: Machine, machine_type: MachineType, wall_time: float) -> bool:
+        """Return whether a machine that is not up yet counts as capacity, as of `wall_time`.
 
         Of machines that are late together every other one counts, so that half of them is replaced.
         """
-        age = self._age(machine, machine_type, wall)
-        if age <= max(self._settings.boot_late_factor, LATE_MARGIN * self._slowest(machine_type)):
+        relative_age = self._relative_age(machine, machine_type, wall_time)
+        if relative_age <= max(
+            self._settings.boot_late_factor, LATE_MARGIN * self._longest_relative_boot(machine_type)
+        ):
             return True
-        late = self._late_together(machine, machine_type, wall)
+        late = self._late_together(machine, machine_type, wall_time)
         return len(late) >= MIN_LATE_TOGETHER and late.index(machine.id) % 2 == 0
 
-    def has_failed(self, machine: Machine, machine_type: MachineType, wall: float) -> bool:
+    def has_failed(self, machine: Machine, machine_type: MachineType, wall_time: float) -> bool:
         """Return whether the machine is unlikely to come up and is to be returned."""
-        age = self._age(machine, machine_type, wall)
-        if age <= max(
-            self._settings.boot_failure_factor, FAILED_MARGIN * self._slowest(machine_type)
+        relative_age = self._relative_age(machine, machine_type, wall_time)
+        if relative_age <= max(
+            self._settings.boot_failure_factor,
+            FAILED_MARGIN * self._longest_relative_boot(machine_type),
         ):
             return False
-        is_cloud_slow = len(self._late_together(machine, machine_type, wall)) >= MIN_LATE_TOGETHER
-        return not is_cloud_slow or age > self._settings.slow_boot_failure_factor
+        is_cloud_slow = (
+            len(self._late_together(machine, machine_type, wall_time)) >= MIN_LATE_TOGETHER
+        )
+        return not is_cloud_slow or relative_age > self._settings.slow_boot_failure_factor
 
     @staticmethod
-    def _age(machine: Machine, machine_type: MachineType, wall: float) -> float:
-        return (wall - machine.rented) / machine_type.boot_s
+    def _relative_age(machine: Machine, machine_type: MachineType, wall_time: float) -> float:
+        return (wall_time - machine.rented) / machine_type.boot_s
 
-    def _slowest(self, machine_type: MachineType) -> float:
+    def _longest_relative_boot(self, machine_type: MachineType) -> float:
         """Return the longest remembered boot, in units of the type's boot time."""
         boots = self._boots.get(machine_type.name, ())
-        return max((boot.took_s for boot in boots), default=0.0) / machine_type.boot_s
+        return max((boot.duration_s for boot in boots), default=0.0) / machine_type.boot_s
 
-    def _late_together(self, machine: Machine, machine_type: MachineType, wall: float) -> list[str]:
+    def _late_together(
+        self, machine: Machine, machine_type: MachineType, wall_time: float
+    ) -> list[str]:
         """Return the late machines of the type that were not overtaken, if this is one of them."""
         boots = self._boots.get(machine_type.name, ())
         newest = max((boot.rented for boot in boots), default=-inf)
         if machine.rented <= newest:
             return []
-        latest = wall - self._settings.boot_late_factor * machine_type.boot_s
+        latest = wall_time - self._settings.boot_late_factor * machine_type.boot_s
         booting = self._booting.get(machine_type.name, {})
         late = sorted(name for name, rented in booting.items() if newest < rented < latest)
         return late if machine.id in late else []
--- a/crossmill/fleet/capacity.py
+++ b/crossmill/fleet/capacity.py
@@ -11,7 +11,7 @@
 from ..cluster.cluster_state import ClusterState
 from ..cluster.model import Machine
 from ..net.clock import Clock
-from ..planning.demand import MachineSource, MachineSourceKey, empty_capacity, slots_on
+from ..planning.demand import MachineSource, MachineSourceKey, empty_capacity, slots_per_machine
 from ..planning.free_capacity import FreeCapacity, is_allowed
 from ..planning.gpu_footprints import GpuFootprints, gpu_footprints
 from ..settings import Settings
@@ -96,7 +96,7 @@
         # until when sources are not asked again, in monotonic time
         self._no_capacity_until: dict[MachineSourceKey, float] = {}
         self._footprints = GpuFootprints(None, {})
-        self._footprints_at = -inf
+        self._footprints_computed_at = -inf
         self._cache = self.new_cache()
 
     # -- sources ---------------------------------------------------------------------
@@ -111,7 +111,7 @@
         blocked_until = self._no_capacity_until.get(source.key, 0.0)
         return 0 if blocked_until > self._clock.now() else MAX_RENT
 
-    def note_no_capacity(self, source: MachineSourceKey) -> None:
+    def record_no_capacity(self, source: MachineSourceKey) -> None:
         """Request no machine of the source for a while: the cloud had too few."""
         self._no_capacity_until[source] = self._clock.now() + self._settings.no_capacity_backoff_s
 
@@ -121,7 +121,7 @@
             self.limit(source) > 0
             for source in self.sources()
             if is_allowed(spec, source.type.name, source.zone, source.spot)
-            and slots_on(spec, source.type) > 0
+            and slots_per_machine(spec, source.type) > 0
         )
 
     def has_few_types(self, zone: str) -> bool:
@@ -166,9 +166,11 @@
 
     # -- machines --------------------------------------------------------------------
 
-    def has_boot_failed(self, machine: Machine, machine_type: MachineType, wall: float) -> bool:
+    def has_boot_failed(
+        self, machine: Machine, machine_type: MachineType, wall_time: float
+    ) -> bool:
         """Return whether a machine that still boots is unlikely to come up any more."""
-        return self._boot_times.has_failed(machine, machine_type, wall)
+        return self._boot_times.has_failed(machine, machine_type, wall_time)
 
     def new_cache(self) -> CapacityCache:
         """Return a cache for a caller that reads the machines' free capacity repeatedly."""
@@ -183,7 +185,7 @@
         capacities = [cache.capacity(machine, machine_type) for machine, machine_type in machines]
         for capacity in capacities:
             capacity.typical_gpu_task = footprints.typical
-            capacity.exclusive_gpu_task = footprints.exclusive_to(capacity)
+            capacity.exclusive_gpu_task = footprints.exclusive_footprint(capacity)
         return capacities
 
     def free_capacity(self, machine: Machine, machine_type: MachineType) -> FreeCapacity:
@@ -197,40 +199,41 @@
         capacity.in_limited_zone = self.has_few_types(machine.zone)
         footprints = self._gpu_footprints()
         capacity.typical_gpu_task = footprints.typical
-        capacity.exclusive_gpu_task = footprints.exclusive_to(capacity)
+        capacity.exclusive_gpu_task = footprints.exclusive_footprint(capacity)
         return capacity
 
-    def shard_capacities(self, shard: int, wall: float) -> list[FreeCapacity]:
+    def shard_capacities(self, shard: int, wall_time: float) -> list[FreeCapacity]:
         """Return what is free on the shard's machines, those expected to come up included."""
         machines = [
             (machine, machine_type)
             for machine in self._cluster.machines.by_shard[shard].values()
-            if (machine_type := self._expected_type(machine, wall)) is not None
+            if (machine_type := self._expected_type(machine, wall_time)) is not None
         ]
         return self.cached_capacities(self._cache, machines)
 
-    def empty_spot_capacities(self, shard: int, wall: float) -> list[FreeCapacity]:
+    def empty_spot_capacities(self, shard: int, wall_time: float) -> list[FreeCapacity]:
         """Return the capacity that the shard's spot machines would have if they were empty."""
         return [
             empty_capacity(machine.id, machine_type, machine.zone, True)
             for machine in self._cluster.machines.by_shard[shard].values()
-            if machine.spot and (machine_type := self._expected_type(machine, wall)) is not None
+            if machine.spot
+            and (machine_type := self._expected_type(machine, wall_time)) is not None
         ]
 
-    def _expected_type(self, machine: Machine, wall: float) -> MachineType | None:
+    def _expected_type(self, machine: Machine, wall_time: float) -> MachineType | None:
         """Return the machine's type if the machine is up or is expected to come up."""
         machine_type = self._cluster.catalog.get(machine.type)
         if machine_type is None or machine.retiring:
             return None
-        if not machine.up and not self._boot_times.is_expected(machine, machine_type, wall):
+        if not machine.up and not self._boot_times.is_expected(machine, machine_type, wall_time):
             return None
         return machine_type
 
     def _gpu_footprints(self) -> GpuFootprints:
         """Return the footprints of GPU tasks, computed anew once in a worker lease."""
         now = self._clock.now()
-        if now - self._footprints_at > self._settings.worker_lease_s:
-            self._footprints_at = now
+        if now - self._footprints_computed_at > self._settings.worker_lease_s:
+            self._footprints_computed_at = now
             active = (job for jobs in self._cluster.jobs.active.values() for job in jobs.values())
             specs = [job.spec for job in active if job.spec is not None and job.spec.gpus > 0]
             if specs:
--- a/crossmill/fleet/cloud.py
+++ b/crossmill/fleet/cloud.py
@@ -72,13 +72,13 @@
         self,
         settings: Settings,
         clock: Clock,
-        unique: Callable[[], str],
+        unique_id: Callable[[], str],
         http: Http | None = None,
     ) -> None:
         self._http = http or Client(settings.cloud, max_sockets=MAX_SOCKETS)
         self._pacer = Pacer(clock, settings.cloud_request_rate, settings.cloud_request_rate)
         self._timeout_s = max(MIN_TIMEOUT_S, TIMEOUT_REQUESTS / settings.cloud_rps)
-        self._request_names = (f"{settings.label}-{unique()}-{n}" for n in count(1))
+        self._request_names = (f"{settings.label}-{unique_id()}-{n}" for n in count(1))
 
     def new_request_name(self) -> str:
         """Return a name for a rental that no other process or incarnation ever uses.
--- a/crossmill/fleet/forecast.py
+++ b/crossmill/fleet/forecast.py
@@ -46,8 +46,8 @@
 
         It is a plain tuple, since those of a subclass sort more slowly.
         """
-        place = self._pipelines.place(job)
-        return place.priority, place.budget_end, job.order
+        position = self._pipelines.position(job)
+        return position.priority, position.budget_end, job.order
 
     def priority(self, job: Job) -> int:
         """Return the highest priority of the job and those that depend on it; 0 is the highest."""
@@ -72,26 +72,28 @@
 
     def plan(self, shard: int) -> CapacityPlan:
         """Plan which machines a shard needs, and which of its machines it can spare."""
-        wall = self._clock.wall()
-        self._arrivals.record(wall)
-        demands = self._waiting_demands(shard, wall) + self._arrivals.expected_replicas(shard)
+        wall_time = self._clock.wall()
+        self._arrivals.record(wall_time)
+        demands = self._waiting_demands(shard, wall_time) + self._arrivals.expected_replica_demands(
+            shard
+        )
         capacity_plan = plan_capacity(
             demands,
-            self.capacity.shard_capacities(shard, wall),
+            self.capacity.shard_capacities(shard, wall_time),
             self.capacity.sources(),
             self.capacity.limit,
         )
-        self._add_spot_baseline(shard, wall, capacity_plan)
+        self._add_spot_baseline(shard, wall_time, capacity_plan)
         return capacity_plan
 
-    def _add_spot_baseline(self, shard: int, wall: float, capacity_plan: CapacityPlan) -> None:
+    def _add_spot_baseline(self, shard: int, wall_time: float, capacity_plan: CapacityPlan) -> None:
         """Add the baseline of spot machines, each existing one counted as if it were empty."""
-        demands = self._arrivals.baseline_arrays(shard)
+        demands = self._arrivals.spot_baseline_demands(shard)
         if not demands:
             return
         baseline = plan_capacity(
             demands,
-            self.capacity.empty_spot_capacities(shard, wall),
+            self.capacity.empty_spot_capacities(shard, wall_time),
             self.capacity.sources(),
             self.capacity.limit,
         )
@@ -102,12 +104,12 @@
             request = capacity_plan.machine_requests.setdefault(key, needed)
             request.number = max(request.number, needed.number)
 
-    def _waiting_demands(self, shard: int, wall: float) -> list[TaskDemand]:
+    def _waiting_demands(self, shard: int, wall_time: float) -> list[TaskDemand]:
         """Return the demand of the waiting jobs, in queue order."""
         demands: list[TaskDemand] = []
         running, reserved = self._running_array_tasks(shard), 0
         for job in self.waiting_jobs(shard):
-            demand = self._waiting_demand(job, wall)
+            demand = self._waiting_demand(job, wall_time)
             if demand is None:
                 continue
             if demand.spec.kind == "array" and demand.task_s > 0:
@@ -117,15 +119,15 @@
             demands.append(demand)
         return demands
 
-    def _waiting_demand(self, job: Job, wall: float) -> TaskDemand | None:
+    def _waiting_demand(self, job: Job, wall_time: float) -> TaskDemand | None:
         spec = job.spec
         if spec is None:
             return None
-        place = self._pipelines.place(job)
+        position = self._pipelines.position(job)
         zones = ZoneAllowance(spec, self._cluster.machines.task_counts_by_zone(job))
         task_s = self.estimates.task_s(spec.job_class, spec.estimate_s)
         # without a deadline the budget end is a place in the queue, and no option is too slow
-        budget_s = place.budget_end - wall if place.has_deadline else inf
+        budget_s = position.budget_end - wall_time if position.has_deadline else inf
         return TaskDemand(spec, job.waiting_task_count(), zones, budget_s, task_s)
 
     def _slots_freed_in_time(self, demand: TaskDemand, running: int) -> int:
@@ -157,18 +159,18 @@
         """Return whether the cloud has no machine at present that the job may use."""
         return self.capacity.is_exhausted_for(spec)
 
-    def unplaced_demands(self, shard: int, wall: float) -> list[TaskDemand]:
+    def unplaced_demands(self, shard: int, wall_time: float) -> list[TaskDemand]:
         """Return the demand that has waited a while and finds no capacity in the shard.
 
         Machines that still boot and slots that running tasks will free count as capacity.
         """
-        ready_before = wall - self._settings.machine_transfer_interval_s
+        ready_before = wall_time - self._settings.machine_transfer_interval_s
         active = self._cluster.jobs.active[shard].values()
         if not any(job.ready_at < ready_before and job.waiting_task_count() > 0 for job in active):
             return []
-        capacities = self.capacity.shard_capacities(shard, wall)
+        capacities = self.capacity.shard_capacities(shard, wall_time)
         unplaced: list[TaskDemand] = []
-        for demand in self._waiting_demands(shard, wall):
+        for demand in self._waiting_demands(shard, wall_time):
             assignments = assign_tasks(demand.spec, demand.tasks, capacities, demand.zones)
             placed = sum(assignment.tasks for assignment in assignments)
             remaining = demand.tasks - placed - demand.covered_by_running
@@ -196,7 +198,7 @@
         ]
         if not self._can_move_tasks(machine, others):
             return False
-        expected = self._arrivals.expected_replicas(shard)
+        expected = self._arrivals.expected_replica_demands(shard)
         return plan_capacity(expected, others, [], self.capacity.limit).unplaced_tasks == 0
 
     def _can_move_tasks(self, machine: Machine, capacities: list[FreeCapacity]) -> bool:
--- a/crossmill/fleet/pipelines.py
+++ b/crossmill/fleet/pipelines.py
@@ -11,16 +11,16 @@
 from ..cluster.cluster_state import ClusterState
 from ..cluster.model import ACTIVE, Job
 from ..net.clock import Clock
-from ..planning.demand import slots_on
+from ..planning.demand import slots_per_machine
 from ..planning.estimates import Estimates
 from ..planning.pipelines import (
     PRIORITY,
     PipelineStage,
-    QueuePlace,
+    QueuePosition,
     StagePlan,
     budget_end,
-    place_in_queue,
     plan_pipeline,
+    queue_position,
 )
 from ..planning.split import MachineOption
 from ..settings import Settings
@@ -62,29 +62,29 @@
         self._estimates = estimates
         self._plans: dict[str, _PipelinePlan] = {}
 
-    def place(self, job: Job) -> QueuePlace:
+    def position(self, job: Job) -> QueuePosition:
         """Return where the job stands in the queue now."""
         if self._cluster.jobs.graph.is_single(job):
-            return self._single(job)
+            return self._single_job_position(job)
         self._drop_changed()
         plan = self._plans.get(job.id)
         if plan is None or self._is_late(job, plan):
             members = self._members(job)
             if len(members) == 1:
-                return self._single(job)
+                return self._single_job_position(job)
             plan = self._plan(members)
         stage = plan.stages[job.id]
         if stage.budget_end is None:
-            return QueuePlace(
+            return QueuePosition(
                 stage.priority, job.ready_at + self._settings.default_queue_wait_s, False
             )
-        return QueuePlace(stage.priority, stage.budget_end, True)
+        return QueuePosition(stage.priority, stage.budget_end, True)
 
     def priority(self, job: Job) -> int:
         """Return the highest priority of the job and the unfinished jobs that depend on it."""
         if job.spec is not None and self._cluster.jobs.graph.is_single(job):
             return PRIORITY[job.spec.priority]
-        return self.place(job).priority
+        return self.position(job).priority
 
     def _drop_changed(self) -> None:
         changed = self._cluster.jobs.graph.take_changed()
@@ -104,14 +104,14 @@
             and now - plan.planned_at > self._settings.replan_interval_s
         )
 
-    def _single(self, job: Job) -> QueuePlace:
+    def _single_job_position(self, job: Job) -> QueuePosition:
         """Return the place of a job that is a pipeline by itself."""
         spec = _spec(job)
         margin_s = self._estimates.margin_s(spec.job_class, spec.estimate_s)
         end = budget_end(
             spec, job.submitted, job.ready_at, margin_s, self._settings.default_queue_wait_s
         )
-        return place_in_queue(spec, end)
+        return queue_position(spec, end)
 
     def _members(self, job: Job) -> dict[str, Job]:
         """Return the unfinished jobs of this one's pipeline, by id."""
@@ -133,14 +133,14 @@
         If a stage is late, the plan is made as of the current replanning interval's begin.
         """
         ready_at = max(job.ready_at for job in members.values())
-        wall = self._clock.wall()
-        interval_start = wall - wall % self._settings.replan_interval_s
+        wall_time = self._clock.wall()
+        interval_start = wall_time - wall_time % self._settings.replan_interval_s
         stages = {name: self._stage(job) for name, job in members.items()}
         planned = plan_pipeline(stages, ready_at)
         ends = [stage.budget_end for stage in planned.values() if stage.budget_end is not None]
-        if any(wall > end for end in ends):
+        if any(wall_time > end for end in ends):
             planned = plan_pipeline(stages, max(ready_at, interval_start))
-        result = _PipelinePlan(planned, wall)
+        result = _PipelinePlan(planned, wall_time)
         for name in members:
             self._plans[name] = result
         return result
@@ -164,7 +164,7 @@
         task_s = max(self._estimates.task_s(spec.job_class, estimate_s), MIN_TASK_S)
         options: list[MachineOption] = []
         for machine_type in self._cluster.catalog.values():
-            slots = slots_on(spec, machine_type)
+            slots = slots_per_machine(spec, machine_type)
             if slots and (spec.types is None or machine_type.name in spec.types):
                 finish_s = spec.image_gb / machine_type.fetch_gb_per_s + task_s
                 options.append(
--- a/crossmill/fleet/provisioner.py
+++ b/crossmill/fleet/provisioner.py
@@ -29,7 +29,7 @@
 # how long a released machine is remembered, in worker leases: the list shows it for a while
 RELEASED_MEMORY_LEASES = 60
 # a machine is adopted when it was listed without a record this many times
-ADOPTION_SIGHTINGS = 2
+ADOPTION_LISTINGS = 2
 # and is older than this many times the list's lag, beside a worker lease
 ADOPTION_LIST_LAGS = 3
 
@@ -52,10 +52,10 @@
         self._forecast = forecast
         self._cloud = cloud
         self._records = records
-        self._catalog_at: float | None = None
-        self._list_at: float | None = None
+        self._catalog_fetched_at: float | None = None
+        self._last_list_at: float | None = None
         # how often a machine without a record was listed
-        self._sightings: dict[str, int] = {}
+        self._times_listed: dict[str, int] = {}
         # when machines were released
         self._released_at: dict[str, float] = {}
 
@@ -84,20 +84,23 @@
             return
         await self.scale_in()
         await self.scale_out()
-        if self._list_at is None or now - self._list_at >= self._settings.cloud_list_interval_s:
-            self._list_at = now
+        if (
+            self._last_list_at is None
+            or now - self._last_list_at >= self._settings.cloud_list_interval_s
+        ):
+            self._last_list_at = now
             await self.reconcile_with_list()
 
     # -- catalog ---------------------------------------------------------------------
 
     def _is_catalog_old(self, now: float) -> bool:
         max_age_s = MAX_CATALOG_AGE_HEARTBEATS * self._settings.heartbeat_interval_s
-        return self._catalog_at is None or now - self._catalog_at > max_age_s
+        return self._catalog_fetched_at is None or now - self._catalog_fetched_at > max_age_s
 
     async def _refresh_catalog(self) -> None:
         _log_fleet(self._cluster)
         catalog = await self._cloud.catalog()
-        self._catalog_at = self._clock.now()
+        self._catalog_fetched_at = self._clock.now()
         if not self._cluster.catalog:
             self._cluster.use_catalog(catalog)
         await self._records.store_catalog(catalog)
@@ -119,11 +122,11 @@
             CloudError: The request failed twice.
         """
         source = request.source.key
-        asked_at = self._clock.wall()
+        requested_at = self._clock.wall()
         try:
             rented = await self._rent_with_retry(source, request.number)
         except NoCapacityError:
-            self._forecast.capacity.note_no_capacity(source)
+            self._forecast.capacity.record_no_capacity(source)
             log.info("cloud capacity unavailable type=%s zone=%s spot=%s", *source)
             return
         log.info(
@@ -135,8 +138,8 @@
             rented[0] if rented else "",
         )
         if len(rented) < request.number:
-            self._forecast.capacity.note_no_capacity(source)
-        await self._records.add(rented, source, shard, asked_at)
+            self._forecast.capacity.record_no_capacity(source)
+        await self._records.add(rented, source, shard, requested_at)
 
     async def _rent_with_retry(self, source: MachineSourceKey, number: int) -> list[str]:
         """Rent machines; a request that fails is sent once more.
@@ -157,29 +160,29 @@
 
     async def reconcile_with_list(self) -> None:
         """Retire machines that the cloud lists as failed, and adopt those without a record."""
-        unknown: list[Listed] = []
-        for listed in await self._cloud.list_machines():
-            machine = self._cluster.machines.get(listed.id)
+        unknown_machines: list[Listed] = []
+        for listed_machine in await self._cloud.list_machines():
+            machine = self._cluster.machines.get(listed_machine.id)
             if machine is not None:
-                self._sightings.pop(listed.id, None)
-                if listed.state == FAILED and not machine.retiring:
-                    await self._retire(listed.id, FAILED)
-            elif self._is_to_be_adopted(listed):
-                unknown.append(listed)
-        if unknown:
-            await self._adopt(unknown)
-
-    def _is_to_be_adopted(self, listed: Listed) -> bool:
+                self._times_listed.pop(listed_machine.id, None)
+                if listed_machine.state == FAILED and not machine.retiring:
+                    await self._retire(listed_machine.id, FAILED)
+            elif self._is_to_be_adopted(listed_machine):
+                unknown_machines.append(listed_machine)
+        if unknown_machines:
+            await self._adopt(unknown_machines)
+
+    def _is_to_be_adopted(self, listed_machine: Listed) -> bool:
         """Count the sighting of a machine without a record; return whether to adopt it.
 
         The list lags and may go back in time. A machine is adopted only if it has been unknown for
         longer than a rental's response and the write of its record take.
         """
         min_age_s = ADOPTION_LIST_LAGS * self._settings.list_lag_s + self._settings.worker_lease_s
-        if listed.age_s <= min_age_s or listed.id in self._released_at:
+        if listed_machine.age_s <= min_age_s or listed_machine.id in self._released_at:
             return False
-        self._sightings[listed.id] = self._sightings.get(listed.id, 0) + 1
-        return self._sightings[listed.id] >= ADOPTION_SIGHTINGS
+        self._times_listed[listed_machine.id] = self._times_listed.get(listed_machine.id, 0) + 1
+        return self._times_listed[listed_machine.id] >= ADOPTION_LISTINGS
 
     async def _adopt(self, machines: list[Listed]) -> None:
         """Write records for unknown machines; those not needed are returned as idle ones are."""
@@ -187,12 +190,14 @@
             range(self._settings.shard_count),
             key=lambda shard: self._forecast.plan(shard).unplaced_tasks,
         )
-        for listed in machines:
-            log.info("machine adopted machine=%s shard=%d", listed.id, shard)
-            source = MachineSourceKey(listed.type, listed.zone, listed.spot)
-            await self._records.add([listed.id], source, shard, self._clock.wall() - listed.age_s)
-            if listed.state == FAILED:
-                await self._retire(listed.id, FAILED)
+        for listed_machine in machines:
+            log.info("machine adopted machine=%s shard=%d", listed_machine.id, shard)
+            source = MachineSourceKey(listed_machine.type, listed_machine.zone, listed_machine.spot)
+            await self._records.add(
+                [listed_machine.id], source, shard, self._clock.wall() - listed_machine.age_s
+            )
+            if listed_machine.state == FAILED:
+                await self._retire(listed_machine.id, FAILED)
 
     async def _retire(self, machine_id: str, reason: str) -> None:
         machine = self._cluster.machines.get(machine_id)
--- a/crossmill/jobs/capacity_selection.py
+++ b/crossmill/jobs/capacity_selection.py
@@ -105,7 +105,8 @@
         fitting = [
             capacity
             for capacity in capacities
-            if capacity.fits(spec) and is_allowed(spec, capacity.type, capacity.zone, capacity.spot)
+            if capacity.count_fitting(spec)
+            and is_allowed(spec, capacity.type, capacity.zone, capacity.spot)
         ]
         if not fitting:
             self._shapes_without_capacity.add(shape)
--- a/crossmill/jobs/machine_transfer.py
+++ b/crossmill/jobs/machine_transfer.py
@@ -13,7 +13,7 @@
 from ..cluster.model import Job, Machine, PlannedAttempt, ShardAssignment
 from ..cluster.ownership import ShardOwnership
 from ..cluster.records import encode_machine
-from ..planning.demand import TaskDemand, slots_on
+from ..planning.demand import TaskDemand, slots_per_machine
 from ..planning.free_capacity import is_allowed
 from ..state.writer import WriteIntent, WriteRank
 from ..wire.state import Put, Txn
@@ -160,7 +160,7 @@
             if tasks_left <= 0:
                 break
             if machine.id not in self._leaving and self._is_ready(machine, is_busy):
-                tasks_left -= slots_on(demand.spec, self._cluster.catalog[machine.type])
+                tasks_left -= slots_per_machine(demand.spec, self._cluster.catalog[machine.type])
                 selected.append(machine)
         return selected
 
@@ -217,7 +217,7 @@
             return False
         if not is_allowed(spec, machine.type, machine.zone, machine.spot):
             return False
-        return slots_on(spec, kind) > 0 and all(
+        return slots_per_machine(spec, kind) > 0 and all(
             self._is_preemptible_by(demand, attempt) for attempt in machine.attempts.values()
         )
 
--- a/crossmill/jobs/submission.py
+++ b/crossmill/jobs/submission.py
@@ -13,7 +13,7 @@
 from ..cluster.model import CANCELLED
 from ..cluster.records import encode_end, encode_job
 from ..net.server import Request, Response
-from ..planning.demand import slots_on
+from ..planning.demand import slots_per_machine
 from ..state.writer import WriteIntent, WriteRank, WriteResult
 from ..wire import users as wire
 from ..wire.checks import MalformedMessageError, load_object
@@ -129,7 +129,7 @@
             if (spec.types is None or name in spec.types)
             and (spec.zone is None or spec.zone in kind.zones)
         ]
-        if not any(slots_on(spec, kind) for kind in kinds):
+        if not any(slots_per_machine(spec, kind) for kind in kinds):
             return "a task fits no allowed machine type"
         # the tasks of an array may run one after the other, all others run at the same time
         tasks = 1 if spec.is_array else spec.tasks
--- a/crossmill/planning/demand.py
+++ b/crossmill/planning/demand.py
@@ -16,9 +16,9 @@
     FreeCapacity,
     ZoneAllowance,
     assign_tasks,
-    assign_tasks_beside_gpu_tasks,
+    assign_tasks_alongside_gpu_tasks,
+    count_fitting_tasks,
     is_allowed,
-    tasks_fitting,
 )
 from .split import MachineOption, Stage, split
 
@@ -145,13 +145,13 @@
         max(machine_type.gpus, machine_type.cpus / CPUS_PER_SIZE_UNIT),
         machine_type.gpus > 0,
         machine_type.fetch_gb_per_s,
-        slots_when_empty=partial(slots_on, machine_type=machine_type),
+        slots_when_empty=partial(slots_per_machine, machine_type=machine_type),
     )
 
 
-def slots_on(spec: JobSpec, machine_type: MachineType) -> int:
+def slots_per_machine(spec: JobSpec, machine_type: MachineType) -> int:
     """Count how many tasks like this fit on an empty machine of the type."""
-    return tasks_fitting(spec, machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
+    return count_fitting_tasks(spec, machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
 
 
 def plan_capacity(
@@ -208,7 +208,7 @@
             # such tasks start on any machine they fit on. A machine without GPUs has to be
             # requested
             # as soon as they would take GPU tasks' places, or it would never be
-            remaining -= self._assign_beside_gpu_tasks(demand, remaining)
+            remaining -= self._assign_alongside_gpu_tasks(demand, remaining)
             remaining = self._request(demand, remaining, self._sources_without_gpus)
         remaining -= _assign(demand, remaining, self._capacities)
         remaining = self._request(demand, remaining, self._sources)
@@ -223,10 +223,10 @@
         }
         return self._plan
 
-    def _assign_beside_gpu_tasks(self, demand: TaskDemand, tasks: int) -> int:
+    def _assign_alongside_gpu_tasks(self, demand: TaskDemand, tasks: int) -> int:
         if tasks <= 0:
             return 0
-        assignments = assign_tasks_beside_gpu_tasks(
+        assignments = assign_tasks_alongside_gpu_tasks(
             demand.spec, tasks, self._capacities, demand.zones
         )
         return sum(assignment.tasks for assignment in assignments)
@@ -293,7 +293,7 @@
             return None
         request = self._plan.machine_requests.get(source.key)
         available = self._limit(source) - (request.number if request is not None else 0)
-        slots = slots_on(spec, source.type)
+        slots = slots_per_machine(spec, source.type)
         if available <= 0 or slots <= 0:
             return None
         is_array = spec.kind == "array"
--- a/crossmill/planning/fill.py
+++ b/crossmill/planning/fill.py
@@ -30,13 +30,13 @@
     task_s: float
     limit: int
 
-    def rounds(self, budget_s: float) -> int:
+    def tasks_per_slot(self, budget_s: float) -> int:
         """Return how many tasks one slot runs in sequence within the budget."""
         if self.task_s <= 0 or math.isinf(budget_s):
             return 1
         return int((budget_s - self.setup_s) / self.task_s)
 
-    def value(self) -> float:
+    def throughput_per_price(self) -> float:
         """Return the throughput per price."""
         return self.slots / (self.price * max(self.task_s, MIN_TASK_S))
 
@@ -89,18 +89,21 @@
 
 def _usable_offers(offers: Sequence[MachineOffer], budget_s: float) -> list[_UsableOffer]:
     """Return the offers that meet the budget by value, or all by finish time if none does."""
-    by_value = sorted(
+    by_throughput_per_price = sorted(
         (offer for offer in offers if offer.slots > 0 and offer.limit > 0),
-        key=lambda offer: -offer.value(),
+        key=lambda offer: -offer.throughput_per_price(),
     )
     usable = [
-        _UsableOffer(offer, offer.slots * rounds)
-        for offer in by_value
-        if (rounds := offer.rounds(budget_s)) >= 1
+        _UsableOffer(offer, offer.slots * tasks_per_slot)
+        for offer in by_throughput_per_price
+        if (tasks_per_slot := offer.tasks_per_slot(budget_s)) >= 1
     ]
     if usable:
         return usable
-    by_finish = sorted(by_value, key=lambda offer: (offer.setup_s + offer.task_s, -offer.value()))
+    by_finish = sorted(
+        by_throughput_per_price,
+        key=lambda offer: (offer.setup_s + offer.task_s, -offer.throughput_per_price()),
+    )
     return [_UsableOffer(offer, offer.slots) for offer in by_finish]
 
 
--- a/crossmill/planning/free_capacity.py
+++ b/crossmill/planning/free_capacity.py
@@ -12,18 +12,22 @@
 from ..wire.users import MAX_TASKS, JobSpec
 
 # tolerance for sums of fractional resources
-EPS = 1e-6
+RESOURCE_TOLERANCE = 1e-6
 # rounds a share of a job's tasks up to whole tasks
-ROUND_UP = 0.999
+ROUND_UP_OFFSET = 0.999
 
 
-def tasks_fitting(spec: JobSpec, cpus: float, gpus: float, memory_gb: float) -> int:
+def count_fitting_tasks(spec: JobSpec, cpus: float, gpus: float, memory_gb: float) -> int:
     """Count how many tasks like this fit into the given resources.
 
     The count is not bounded by the number of tasks of the job: a machine that one job fills in
     part is shared with others, and each pays for its share.
     """
-    cpus, gpus, memory_gb = cpus + EPS, gpus + EPS, memory_gb + EPS
+    cpus, gpus, memory_gb = (
+        cpus + RESOURCE_TOLERANCE,
+        gpus + RESOURCE_TOLERANCE,
+        memory_gb + RESOURCE_TOLERANCE,
+    )
     # this is asked for every machine and waiting job, and most machines are full
     if gpus < spec.gpus or cpus < spec.cpus or memory_gb < spec.memory_gb:
         return 0
@@ -44,12 +48,12 @@
     gpus: float
     memory_gb: float
 
-    def fits(self, cpus: float, gpus: float, memory_gb: float) -> int:
+    def count_fitting(self, cpus: float, gpus: float, memory_gb: float) -> int:
         """Count how many such tasks fit into the given resources."""
         count = MAX_TASKS
         for free, each in ((gpus, self.gpus), (cpus, self.cpus), (memory_gb, self.memory_gb)):
             if each > 0:
-                count = min(count, int((free + EPS) / each))
+                count = min(count, int((free + RESOURCE_TOLERANCE) / each))
         return max(0, count)
 
 
@@ -106,7 +110,7 @@
         """Return a copy whose resources and images can be changed independently."""
         return replace(self, images=dict(self.images))
 
-    def fits_beside_gpu_tasks(self, spec: JobSpec) -> int:
+    def count_fitting_alongside_gpu_tasks(self, spec: JobSpec) -> int:
         """Count how many tasks fit without taking the place of a GPU task.
 
         Tasks without GPUs could fill a GPU machine up, and its GPUs would be paid for but unused.
@@ -116,18 +120,18 @@
         footprints = (self.typical_gpu_task, self.exclusive_gpu_task)
         return min(
             (
-                self._fits_beside(footprint, spec)
+                self._count_fitting_alongside(footprint, spec)
                 for footprint in footprints
                 if footprint is not None
             ),
             default=MAX_TASKS,
         )
 
-    def _fits_beside(self, footprint: TaskFootprint, spec: JobSpec) -> int:
-        slots = footprint.fits(self.cpus, self.gpus, self.memory_gb)
+    def _count_fitting_alongside(self, footprint: TaskFootprint, spec: JobSpec) -> int:
+        slots = footprint.count_fitting(self.cpus, self.gpus, self.memory_gb)
         cpus = self.cpus - slots * footprint.cpus
         memory_gb = self.memory_gb - slots * footprint.memory_gb
-        return tasks_fitting(spec, cpus, 0.0, memory_gb)
+        return count_fitting_tasks(spec, cpus, 0.0, memory_gb)
 
     def contention_cost(self, spec: JobSpec) -> int:
         """Rate from 0 to 2 how far a task would occupy resources that other jobs need.
@@ -137,9 +141,9 @@
         """
         return 0 if spec.gpus > 0 else self.has_gpus + (self.exclusive_gpu_task is not None)
 
-    def fits(self, spec: JobSpec) -> int:
+    def count_fitting(self, spec: JobSpec) -> int:
         """Count how many tasks like this fit into what is free."""
-        return tasks_fitting(spec, self.cpus, self.gpus, self.memory_gb)
+        return count_fitting_tasks(spec, self.cpus, self.gpus, self.memory_gb)
 
     def image_delay_s(self, spec: JobSpec) -> float:
         """Estimate how many seconds a task waits here for its image."""
@@ -177,14 +181,14 @@
         self._spec = spec
         self._placed = dict(placed)
         # a spread job puts at most half of its tasks into one zone
-        self._max_spread = (spec.tasks + 1) // 2
+        self._max_tasks_per_zone = (spec.tasks + 1) // 2
 
     def remaining(self, zone: str) -> int:
         """Return how many more tasks may go to the zone; zero or less means none."""
         if self._spec.one_zone and any(n for z, n in self._placed.items() if z != zone):
             return 0
         if self._spec.spread:
-            return self._max_spread - self._placed.get(zone, 0)
+            return self._max_tasks_per_zone - self._placed.get(zone, 0)
         return self._spec.tasks
 
     def reserve(self, zone: str, tasks: int) -> None:
@@ -208,14 +212,14 @@
         self.unassigned = tasks
         self.assignments: list[TaskAssignment] = []
 
-    def assign(self, ranked: list[FreeCapacity], limit: int, beside_gpu_tasks: bool) -> bool:
+    def assign(self, ranked: list[FreeCapacity], limit: int, alongside_gpu_tasks: bool) -> bool:
         """Make one pass with at most `limit` tasks a machine; return whether none is left."""
         spec, zones = self._spec, self._zones
         for capacity in ranked:
             zone_limit = max(0, zones.remaining(capacity.zone))
-            number = min(capacity.fits(spec), self.unassigned, limit, zone_limit)
-            if beside_gpu_tasks and number > 0:
-                number = min(number, capacity.fits_beside_gpu_tasks(spec))
+            number = min(capacity.count_fitting(spec), self.unassigned, limit, zone_limit)
+            if alongside_gpu_tasks and number > 0:
+                number = min(number, capacity.count_fitting_alongside_gpu_tasks(spec))
             if number > 0:
                 capacity.reserve(spec, number)
                 zones.reserve(capacity.zone, number)
@@ -243,21 +247,21 @@
     assigner = _TaskAssigner(spec, tasks, zones)
     limits = _limits_per_machine(spec, tasks, max_share_per_machine)
     passes = (True, False) if spec.gpus == 0 else (False,)
-    for beside_gpu_tasks in passes:
+    for alongside_gpu_tasks in passes:
         for limit in limits:
-            if assigner.assign(ranked, limit, beside_gpu_tasks):
+            if assigner.assign(ranked, limit, alongside_gpu_tasks):
                 return assigner.assignments
     return assigner.assignments
 
 
-def assign_tasks_beside_gpu_tasks(
+def assign_tasks_alongside_gpu_tasks(
     spec: JobSpec, tasks: int, capacities: Sequence[FreeCapacity], zones: ZoneAllowance
 ) -> list[TaskAssignment]:
     """Assign up to this many tasks, none of which takes the place of a GPU task."""
     ranked = _ranked_capacities(spec, capacities, zones)
     assigner = _TaskAssigner(spec, tasks, zones)
     for limit in _limits_per_machine(spec, tasks, 1.0):
-        if assigner.assign(ranked, limit, beside_gpu_tasks=True):
+        if assigner.assign(ranked, limit, alongside_gpu_tasks=True):
             break
     return assigner.assignments
 
@@ -266,7 +270,7 @@
     """Return the most tasks that a machine may get in each pass."""
     if spec.kind != "service":
         return (tasks,)
-    limit = max(1, int(spec.tasks * max_share_per_machine + ROUND_UP))
+    limit = max(1, int(spec.tasks * max_share_per_machine + ROUND_UP_OFFSET))
     return (limit, tasks) if limit < tasks else (tasks,)
 
 
@@ -277,14 +281,15 @@
     fitting = [
         capacity
         for capacity in capacities
-        if capacity.fits(spec) > 0 and is_allowed(spec, capacity.type, capacity.zone, capacity.spot)
+        if capacity.count_fitting(spec) > 0
+        and is_allowed(spec, capacity.type, capacity.zone, capacity.spot)
     ]
     if spec.one_zone and not any(zones.remaining(c.zone) == 0 for c in fitting):
         # no task of the job runs yet: take the zone that has room for most of them
         zone = max(
             {capacity.zone for capacity in fitting},
             default="",
-            key=lambda zone: sum(c.fits(spec) for c in fitting if c.zone == zone),
+            key=lambda zone: sum(c.count_fitting(spec) for c in fitting if c.zone == zone),
         )
         fitting = [capacity for capacity in fitting if capacity.zone == zone]
     fitting.sort(key=_sort_key(spec))
--- a/crossmill/planning/gpu_footprints.py
+++ b/crossmill/planning/gpu_footprints.py
@@ -8,7 +8,7 @@
 
 from ..wire.cloud import MachineType
 from ..wire.users import JobSpec
-from .demand import slots_on
+from .demand import slots_per_machine
 from .free_capacity import FreeCapacity, TaskFootprint
 
 
@@ -31,7 +31,7 @@
     typical: TaskFootprint | None
     exclusive: dict[str, ExclusiveFootprint]
 
-    def exclusive_to(self, capacity: FreeCapacity) -> TaskFootprint | None:
+    def exclusive_footprint(self, capacity: FreeCapacity) -> TaskFootprint | None:
         """Return the footprint of the class that can only use machines like this one."""
         found = self.exclusive.get(capacity.type)
         if found is None or (capacity.spot and not found.spot):
@@ -46,29 +46,29 @@
     for spec in specs:
         tasks[spec.job_class] = tasks.get(spec.job_class, 0) + spec.tasks
         newest[spec.job_class] = spec
-    order = sorted(tasks, key=lambda name: (-tasks[name], name))
-    most = max(tasks, key=lambda name: (tasks[name], name))
+    classes = sorted(tasks, key=lambda name: (-tasks[name], name))
+    largest = max(tasks, key=lambda name: (tasks[name], name))
     exclusive: dict[str, ExclusiveFootprint] = {}
-    types = {name: _types_of(newest[name], catalog) for name in order}
-    if len(types[most]) > 1:
-        for name in order:
+    types = {name: _fitting_types(newest[name], catalog) for name in classes}
+    if len(types[largest]) > 1:
+        for name in classes:
             if len(types[name]) == 1:
                 spec = newest[name]
                 exclusive.setdefault(
                     types[name][0], ExclusiveFootprint(_footprint(spec), spec.spot)
                 )
-    return GpuFootprints(_footprint(newest[most]), exclusive)
+    return GpuFootprints(_footprint(newest[largest]), exclusive)
 
 
 def _footprint(spec: JobSpec) -> TaskFootprint:
     return TaskFootprint(spec.cpus, spec.gpus, spec.memory_gb)
 
 
-def _types_of(spec: JobSpec, catalog: Collection[MachineType]) -> list[str]:
+def _fitting_types(spec: JobSpec, catalog: Collection[MachineType]) -> list[str]:
     """Return the names of the types that a task of the job fits on."""
     return [
         machine_type.name
         for machine_type in catalog
         if (spec.types is None or machine_type.name in spec.types)
-        and slots_on(spec, machine_type) > 0
+        and slots_per_machine(spec, machine_type) > 0
     ]
--- a/crossmill/planning/pipelines.py
+++ b/crossmill/planning/pipelines.py
@@ -16,7 +16,7 @@
 PRIORITY = {"production": 0, "high": 1, "normal": 2, "low": 3}
 
 
-class QueuePlace(NamedTuple):
+class QueuePosition(NamedTuple):
     """Where a job stands in the queue: by priority (0 is the highest), then by budget end.
 
     `budget_end` is in seconds of wall time. Without a deadline it is a place in the queue only.
@@ -27,9 +27,9 @@
     has_deadline: bool
 
 
-def place_in_queue(spec: JobSpec, end: float) -> QueuePlace:
+def queue_position(spec: JobSpec, end: float) -> QueuePosition:
     """Return the place of a job that is a pipeline by itself and whose budget ends then."""
-    return QueuePlace(PRIORITY[spec.priority], end, spec.deadline_s is not None)
+    return QueuePosition(PRIORITY[spec.priority], end, spec.deadline_s is not None)
 
 
 def budget_end(
--- a/tests/test_boot_times.py
+++ b/tests/test_boot_times.py
@@ -112,8 +112,8 @@
         rented_at: dict[str, float] = {}
 
         def boots(machine: str) -> bool:
-            first_asked_at = rented_at.setdefault(machine, region.clock.now())
-            return region.clock.now() - first_asked_at > slow * BOOT_S
+            first_queried_at = rented_at.setdefault(machine, region.clock.now())
+            return region.clock.now() - first_queried_at > slow * BOOT_S
 
         region.comes_up = boots
         assert await region.submit("node-0", "wk-000001", 10.0, crew="blue", sacks=16) == 201
@@ -124,8 +124,8 @@
         # every controller knows how long they booted
         await curio.sleep(5.0)
         for node in region.nodes.values():
-            took = [m.boot_s for m in node.cluster.machines.values() if m.up]
-            assert took
-            assert all(s is not None and s > slow * BOOT_S for s in took)
+            boot_durations = [m.boot_s for m in node.cluster.machines.values() if m.up]
+            assert boot_durations
+            assert all(s is not None and s > slow * BOOT_S for s in boot_durations)
 
     simulate(scenario)
--- a/tests/test_capacity_cache.py
+++ b/tests/test_capacity_cache.py
@@ -24,7 +24,7 @@
 MACHINES, JOBS = 6, 5
 
 
-def _facts(capacity: FreeCapacity) -> dict[str, Any]:
+def _comparable_fields(capacity: FreeCapacity) -> dict[str, Any]:
     skipped = {"slots_when_empty", "has_new_tasks"}
     return {f.name: getattr(capacity, f.name) for f in fields(capacity) if f.name not in skipped}
 
@@ -94,7 +94,9 @@
             self.forecast.capacity.free_capacity(machine, kind)
             for machine, kind in self._machines()
         ]
-        assert [_facts(capacity) for capacity in self.capacities()] == [_facts(c) for c in fresh]
+        assert [_comparable_fields(capacity) for capacity in self.capacities()] == [
+            _comparable_fields(c) for c in fresh
+        ]
 
 
 @pytest.mark.parametrize("seed", range(8))
--- a/tests/test_gpu_footprints.py
+++ b/tests/test_gpu_footprints.py
@@ -29,7 +29,7 @@
     footprints = gpu_footprints(
         [MANY_SMALL_TASKS, FEW_LARGE_TASKS, FEW_LARGE_TASKS], [TYPES["g4"], SMALL_TYPE]
     )
-    assert footprints.exclusive_to(empty_machine("a", spot=spot)) == expected
+    assert footprints.exclusive_footprint(empty_machine("a", spot=spot)) == expected
 
 
 def test_no_type_is_exclusive_if_all_classes_fit_on_one_type_only() -> None:
--- a/tests/test_job_queue.py
+++ b/tests/test_job_queue.py
@@ -5,7 +5,7 @@
 import pytest
 
 from crossmill.planning.estimates import Estimates
-from crossmill.planning.pipelines import QueuePlace, budget_end, place_in_queue
+from crossmill.planning.pipelines import QueuePosition, budget_end, queue_position
 
 from .builders import make_spec
 
@@ -30,14 +30,14 @@
 
 
 def test_queue_goes_by_priority_before_budget_end() -> None:
-    first = place_in_queue(make_spec(precedence="production"), 999.0)
-    assert first < place_in_queue(make_spec(dueS=50.0), 0.0)
+    first = queue_position(make_spec(precedence="production"), 999.0)
+    assert first < queue_position(make_spec(dueS=50.0), 0.0)
 
 
 class _QueuedTasks(NamedTuple):
     """Tasks of a job in the simulated queue."""
 
-    place: QueuePlace
+    position: QueuePosition
     name: str
     tasks: int
 
@@ -58,7 +58,7 @@
             arrivals.append(("large", make_spec(**large), large_tasks))
         for name, spec, tasks in arrivals:
             end = budget_end(spec, float(second), float(second), 0.0, default_queue_wait_s)
-            waiting.append(_QueuedTasks(place_in_queue(spec, end), name, tasks))
+            waiting.append(_QueuedTasks(queue_position(spec, end), name, tasks))
         waiting.sort()
         free = slots
         while free and waiting:
--- a/tests/test_pipelines_under_faults.py
+++ b/tests/test_pipelines_under_faults.py
@@ -12,12 +12,14 @@
 MAX_TRIES = 60
 
 
-async def _ask_until_answered(region: Region, job: str, dependencies: JobIds, cancel: bool) -> None:
+async def _request_until_accepted(
+    region: Region, job: str, dependencies: JobIds, cancel: bool
+) -> None:
     """Submits or cancels a job, at one controller after another until one answers."""
-    for turn in range(MAX_TRIES):
+    for attempt in range(MAX_TRIES):
         labels = list(region.nodes)
         if labels:
-            label = labels[turn % len(labels)]
+            label = labels[attempt % len(labels)]
             if cancel:
                 status = await region.cancel(label, job)
             else:
@@ -34,10 +36,10 @@
     for dependency in dependencies:
         # a user names only jobs that were accepted
         await region.wait_until(lambda job=dependency: region.is_accepted(job), 200.0)  # type: ignore[misc]
-    await _ask_until_answered(region, job, dependencies, False)
+    await _request_until_accepted(region, job, dependencies, False)
     if is_cancelled and region.is_accepted(job):
         await curio.sleep(1.0)
-        await _ask_until_answered(region, job, dependencies, True)
+        await _request_until_accepted(region, job, dependencies, True)
 
 
 async def _users(region: Region, rng: random.Random, jobs: int) -> None:
