--- a/crossmill/fleet/__init__.py
+++ b/crossmill/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""The fleet of rented machines: what is needed of it, and the leader's requests to the cloud."""
+"""The fleet of rented machines: its capacity, the demand forecast and requests to the cloud."""
 
 
 class FleetError(Exception):
--- a/crossmill/fleet/arrivals.py
+++ b/crossmill/fleet/arrivals.py
@@ -1,7 +1,8 @@
-"""Expects demand from the jobs that arrived recently.
+"""Predicts demand from recent job submissions.
 
-`Arrivals` owns, in memory, the submissions of the last `arrival_window_s` seconds by shard and job
-class. The demand forecast records them and adds the expected demand to its capacity plans.
+`Arrivals` keeps in memory the submissions of the last `arrival_window_s` seconds by shard and job
+class. The demand forecast calls it to record them and adds the expected demand to its capacity
+plans.
 """
 
 from dataclasses import replace
@@ -14,12 +15,12 @@
 from ..wire.users import JobSpec
 from .capacity import FleetCapacity
 
-# expected replicas are rounded up, so that at least one is expected of each class that arrived
+# added before rounding, so that at least one replica is expected of each class that arrived
 ROUND_UP_OFFSET = 0.5
 
 
 class _Arrival:
-    """A submission: when, how many tasks, and their estimated run time in all."""
+    """A submission: its wall time, number of tasks and their total estimated run time."""
 
     __slots__ = ("submitted", "tasks", "work_s")
 
@@ -30,7 +31,7 @@
 
 
 class _ClassArrivals:
-    """Recent submissions of a job class to a shard, and the newest one's spec."""
+    """Recent submissions of a job class to a shard, and the spec of the newest one."""
 
     __slots__ = ("arrivals", "shard", "spec")
 
@@ -41,7 +42,7 @@
 
 
 class Arrivals:
-    """Recent submissions, and the demand that is expected from them."""
+    """Recent submissions and the demand expected from them."""
 
     def __init__(
         self,
@@ -55,11 +56,11 @@
         self._capacity = capacity
         self._estimates = estimates
         self._classes: dict[tuple[int, str], _ClassArrivals] = {}
-        # the order of acceptance of the newest job that was recorded
+        # the acceptance order number of the newest recorded job
         self._newest_order = 0
 
     def record(self, wall_time: float) -> None:
-        """Record the jobs that arrived since the last call, and drop the old ones."""
+        """Record the jobs that arrived since the last call, and drop those before the window."""
         newest = self._newest_order
         for shard, jobs in self._cluster.jobs.active.items():
             for job in jobs.values():
@@ -79,7 +80,7 @@
             entry.arrivals = [a for a in entry.arrivals if a.submitted >= window_start]
 
     def expected_replica_demands(self, shard: int) -> list[TaskDemand]:
-        """Return the replicas likely to arrive while a machine boots; capacity is kept for them."""
+        """Return the demand of replicas that are likely to arrive while a machine boots."""
         demands: list[TaskDemand] = []
         for entry in self._classes.values():
             spec = entry.spec
@@ -97,10 +98,10 @@
         return demands
 
     def spot_baseline_demands(self, shard: int) -> list[TaskDemand]:
-        """Return the arrays' tasks that run at a time on average, as demand for spot machines.
+        """Return the average number of running array tasks, as demand for spot machines.
 
-        Arrays that find no capacity can't wait until a spot machine has booted, so a baseline of
-        spot machines is rented ahead and kept.
+        Arrays without capacity cannot wait until a spot machine has booted, so a baseline of spot
+        machines is rented in advance and kept.
         """
         demands: list[TaskDemand] = []
         for entry in self._classes.values():
@@ -112,7 +113,7 @@
             running = work_s / self._settings.arrival_window_s
             number = round(running * self._settings.spot_baseline_ratio)
             if number > 0:
-                # any image may be needed, and the cheapest machines are kept
+                # not tied to an image or zone, so that the cheapest machines are kept
                 generic = replace(spec, image="", image_gb=0.0, one_zone=False, tasks=number)
                 demand = TaskDemand(generic, number, ZoneAllowance(generic, {}))
                 demand.spot_only = True
--- a/crossmill/fleet/boot_times.py
+++ b/crossmill/fleet/boot_times.py
@@ -1,13 +1,13 @@
-"""How long machines take to boot, learned from those that did.
+"""Boot timeouts that adapt to the boot times of recently booted machines.
 
 The catalog states a usual boot time. At times machines take several times as long, and a few never
-come up. A timeout of a fixed number of boot times returned whole batches that were only late,
-rented new ones and returned those as well, so that no machine joined while the cloud was slow.
-Whether one machine or all are late shows in the machines of the type that were rented with it or
-later: if one of them is up, the machine was overtaken.
+come up. With a timeout of a fixed number of boot times, whole batches that were only late were
+returned, and so were their replacements, so that no machine joined while the cloud was slow.
+Whether a single machine or all machines are late is determined by the machines of the same type
+that were rented with it or later: if one of them is up, the machine was overtaken.
 
-`BootTimes` owns the boots it has seen, in memory. They are derived from the machines' records, so
-that every controller comes to the same result. All ages are in units of the type's boot time.
+`BootTimes` keeps recent boots in memory. They are derived from the machine records, so that every
+controller obtains the same result. Relative ages are in units of the type's boot time.
 """
 
 from collections import deque
@@ -20,32 +20,32 @@
 from ..state.mirror import Mirror
 from ..wire.cloud import MachineType
 
-# how many boots of a type are remembered
+# the number of recent boots that are kept of a type
 KEPT_BOOTS = 8
-# the cloud is taken to be slow if this many machines of a type are late and none was overtaken
+# the cloud is considered slow if this many machines of a type are late and not overtaken
 MIN_LATE_TOGETHER = 2
-# a machine that takes longer than the slowest remembered boot by this factor is late, or has failed
+# a machine is late, or has failed, if it takes longer than the slowest recent boot by this factor
 LATE_MARGIN = 1.25
 FAILED_MARGIN = 2.0
 
 
 class _Boot(NamedTuple):
-    """The boot of a machine that came up: when it was rented (wall time), and how long it took."""
+    """A completed boot: the wall time of the rental and the duration of the boot."""
 
     rented: float
     duration_s: float
 
 
 class BootTimes:
-    """The boots seen of each type, and the machines that still boot."""
+    """The recent boots of each machine type, and the machines that are booting."""
 
     def __init__(self, settings: Settings, mirror: Mirror) -> None:
         self._settings = settings
         self._boots: dict[str, deque[_Boot]] = {}
-        # when each machine that still boots was rented, by type
+        # rental wall times of the booting machines, by type and machine ID
         self._booting: dict[str, dict[str, float]] = {}
         self._type_by_machine: dict[str, str] = {}
-        # machines whose boot is known: their records are written again when they move or retire
+        # machines whose boot is recorded: their records are rewritten when they move or retire
         self._recorded: set[str] = set()
         mirror.listen(self._on_key)
 
@@ -71,9 +71,10 @@
             self._booting[type_name].pop(machine, None)
 
     def is_expected(self, machine: Machine, machine_type: MachineType, wall_time: float) -> bool:
-        """Return whether a machine that is not up yet counts as capacity, as of `wall_time`.
+        """Return whether a booting machine counts as capacity at the given wall time.
 
-        Of machines that are late together every other one counts, so that half of them is replaced.
+        If several machines are late together, every other one counts, so that half of them are
+        replaced.
         """
         relative_age = self._relative_age(machine, machine_type, wall_time)
         if relative_age <= max(
@@ -84,7 +85,7 @@
         return len(late) >= MIN_LATE_TOGETHER and late.index(machine.id) % 2 == 0
 
     def has_failed(self, machine: Machine, machine_type: MachineType, wall_time: float) -> bool:
-        """Return whether the machine is unlikely to come up and is to be returned."""
+        """Return whether the machine is unlikely to come up and has to be returned."""
         relative_age = self._relative_age(machine, machine_type, wall_time)
         if relative_age <= max(
             self._settings.boot_failure_factor,
@@ -101,14 +102,14 @@
         return (wall_time - machine.rented) / machine_type.boot_s
 
     def _longest_relative_boot(self, machine_type: MachineType) -> float:
-        """Return the longest remembered boot, in units of the type's boot time."""
+        """Return the longest recent boot, in units of the type's boot time."""
         boots = self._boots.get(machine_type.name, ())
         return max((boot.duration_s for boot in boots), default=0.0) / machine_type.boot_s
 
     def _late_together(
         self, machine: Machine, machine_type: MachineType, wall_time: float
     ) -> list[str]:
-        """Return the late machines of the type that were not overtaken, if this is one of them."""
+        """Return the late, not overtaken machines of the type if this machine is one of them."""
         boots = self._boots.get(machine_type.name, ())
         newest = max((boot.rented for boot in boots), default=-inf)
         if machine.rented <= newest:
--- a/crossmill/fleet/capacity.py
+++ b/crossmill/fleet/capacity.py
@@ -1,6 +1,6 @@
 """The capacity of the fleet: what is free on its machines, and what the cloud can still provide.
 
-`FleetCapacity` owns, in memory, what follows from the catalog, the sources without capacity, the
+`FleetCapacity` keeps in memory the data derived from the catalog, the sources without capacity, the
 footprints of GPU tasks and the boot times. The demand forecast plans with it, placement reads the
 free capacity of machines, and the fleet provisioner reports sources without capacity.
 """
@@ -11,7 +11,7 @@
 from ..cluster.cluster_state import ClusterState
 from ..cluster.model import Machine
 from ..net.clock import Clock
-from ..planning.demand import MachineSource, MachineSourceKey, empty_capacity, slots_per_machine
+from ..planning.demand import MachineSource, MachineSourceKey, idle_capacity, slots_per_machine
 from ..planning.free_capacity import FreeCapacity, is_allowed
 from ..planning.gpu_footprints import GpuFootprints, gpu_footprints
 from ..settings import Settings
@@ -19,7 +19,7 @@
 from ..wire.users import JobSpec
 from .boot_times import BootTimes
 
-# how many more entries than machines there may be before those of deleted machines are dropped
+# entries of deleted machines are dropped once there are this many more entries than machines
 SPARE_ENTRIES = 64
 
 
@@ -35,7 +35,7 @@
         self.capacity = capacity
 
     def is_valid(self, machine: Machine, machine_type: MachineType) -> bool:
-        """Return whether the machine is as it was, and no task was assigned to the capacity."""
+        """Return whether the machine is unchanged and no task was assigned to the capacity."""
         return (
             self.machine is machine
             and self.changes == machine.changes
@@ -45,11 +45,11 @@
 
 
 class CapacityCache:
-    """Keeps the free capacity of machines, by id, from one scheduling round to the next.
+    """Caches the free capacity of machines, by ID, between scheduling rounds.
 
-    Most machines are unchanged since the last round. An entry is used again only while its machine
-    is unchanged and no task was assigned to it. Whoever gets a `FreeCapacity` may change it until
-    the cache is asked again. `build` computes the free capacity of one machine.
+    Most machines are unchanged since the last round. An entry is reused only while its machine is
+    unchanged and no task was assigned to it. A caller may modify the `FreeCapacity` that it gets
+    until the next access to the cache. `build` computes the free capacity of one machine.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         return len(self._entries)
 
     def capacity(self, machine: Machine, machine_type: MachineType) -> FreeCapacity:
-        """Return what is free on the machine now."""
+        """Return the current free capacity of the machine."""
         entry = self._entries.get(machine.id)
         if entry is None or not entry.is_valid(machine, machine_type):
             capacity = self._build(machine, machine_type)
@@ -82,18 +82,18 @@
 
 
 class FleetCapacity:
-    """Free capacity of machines, and the sources that machines can be rented from."""
+    """Free capacity of machines, and the sources from which machines can be rented."""
 
     def __init__(self, settings: Settings, clock: Clock, cluster: ClusterState) -> None:
         self._settings = settings
         self._clock = clock
         self._cluster = cluster
         self._boot_times = BootTimes(settings, cluster.mirror)
-        # the catalog that the next two were derived from
+        # the catalog from which the next two fields were derived
         self._catalog: dict[str, MachineType] | None = None
         self._limited_zones: set[str] = set()
         self._sources: list[MachineSource] = []
-        # until when sources are not asked again, in monotonic time
+        # backoff ends of sources without capacity, in monotonic seconds
         self._no_capacity_until: dict[MachineSourceKey, float] = {}
         self._footprints = GpuFootprints(None, {})
         self._footprints_computed_at = -inf
@@ -102,7 +102,7 @@
     # -- sources ---------------------------------------------------------------------
 
     def sources(self) -> list[MachineSource]:
-        """Return all types, zones and kinds (on demand, spot) of machines of the catalog."""
+        """Return all sources of the catalog: its types by zone, on demand and spot."""
         self._apply_catalog()
         return self._sources
 
@@ -112,11 +112,11 @@
         return 0 if blocked_until > self._clock.now() else MAX_RENT
 
     def record_no_capacity(self, source: MachineSourceKey) -> None:
-        """Request no machine of the source for a while: the cloud had too few."""
+        """Stop requests to the source for the backoff time: the cloud had too few machines."""
         self._no_capacity_until[source] = self._clock.now() + self._settings.no_capacity_backoff_s
 
     def is_exhausted_for(self, spec: JobSpec) -> bool:
-        """Return whether the cloud has no machine at present that the job may use."""
+        """Return whether the cloud currently has no machine that the job may use."""
         return not any(
             self.limit(source) > 0
             for source in self.sources()
@@ -127,7 +127,7 @@
     def has_few_types(self, zone: str) -> bool:
         """Return whether the zone offers fewer machine types than another one.
 
-        Replicas that are spread over the zones find least capacity there.
+        Replicas that are spread over the zones find the least capacity there.
         """
         self._apply_catalog()
         return zone in self._limited_zones
@@ -141,10 +141,10 @@
         ]
 
     def _apply_catalog(self) -> None:
-        """Derive what depends on the catalog alone, once for each catalog.
+        """Update the data derived from the catalog, once for each catalog.
 
-        It is asked for every machine and task, and took most of a controller's time on a large
-        fleet.
+        The data is read for every machine and task; deriving it each time took most of a
+        controller's time on a large fleet.
         """
         catalog = self._cluster.catalog
         if catalog is self._catalog:
@@ -156,7 +156,7 @@
                 type_counts[zone] = type_counts.get(zone, 0) + 1
         most = max(type_counts.values(), default=0)
         self._limited_zones = {zone for zone, number in type_counts.items() if number < most}
-        # among equal sources the first is taken: zones that offer all types come first
+        # the first of several equal sources is chosen: put zones that offer all types first
         self._sources = [
             MachineSource(machine_type, zone, spot)
             for machine_type in catalog.values()
@@ -169,7 +169,7 @@
     def has_boot_failed(
         self, machine: Machine, machine_type: MachineType, wall_time: float
     ) -> bool:
-        """Return whether a machine that still boots is unlikely to come up any more."""
+        """Return whether a booting machine is unlikely to come up."""
         return self._boot_times.has_failed(machine, machine_type, wall_time)
 
     def new_cache(self) -> CapacityCache:
@@ -179,7 +179,7 @@
     def cached_capacities(
         self, cache: CapacityCache, machines: Iterable[tuple[Machine, MachineType]]
     ) -> list[FreeCapacity]:
-        """Return what is free on the machines, valid until the cache is asked again."""
+        """Return the free capacity of the machines, valid until the next access to the cache."""
         self._apply_catalog()
         footprints = self._gpu_footprints()
         capacities = [cache.capacity(machine, machine_type) for machine, machine_type in machines]
@@ -189,8 +189,8 @@
         return capacities
 
     def free_capacity(self, machine: Machine, machine_type: MachineType) -> FreeCapacity:
-        """Return what the planned tasks leave free on a machine."""
-        capacity = empty_capacity(machine.id, machine_type, machine.zone, machine.spot)
+        """Return the capacity that the planned tasks leave free on a machine."""
+        capacity = idle_capacity(machine.id, machine_type, machine.zone, machine.spot)
         capacity.cpus -= machine.used_cpus
         capacity.gpus -= machine.used_gpus
         capacity.memory_gb -= machine.used_memory_gb
@@ -203,7 +203,7 @@
         return capacity
 
     def shard_capacities(self, shard: int, wall_time: float) -> list[FreeCapacity]:
-        """Return what is free on the shard's machines, those expected to come up included."""
+        """Return the free capacity of the shard's machines that are up or expected to come up."""
         machines = [
             (machine, machine_type)
             for machine in self._cluster.machines.by_shard[shard].values()
@@ -211,10 +211,10 @@
         ]
         return self.cached_capacities(self._cache, machines)
 
-    def empty_spot_capacities(self, shard: int, wall_time: float) -> list[FreeCapacity]:
-        """Return the capacity that the shard's spot machines would have if they were empty."""
+    def idle_spot_capacities(self, shard: int, wall_time: float) -> list[FreeCapacity]:
+        """Return the capacity that the shard's spot machines would have if they were idle."""
         return [
-            empty_capacity(machine.id, machine_type, machine.zone, True)
+            idle_capacity(machine.id, machine_type, machine.zone, True)
             for machine in self._cluster.machines.by_shard[shard].values()
             if machine.spot
             and (machine_type := self._expected_type(machine, wall_time)) is not None
@@ -230,7 +230,7 @@
         return machine_type
 
     def _gpu_footprints(self) -> GpuFootprints:
-        """Return the footprints of GPU tasks, computed anew once in a worker lease."""
+        """Return the footprints of GPU tasks, recomputed once per worker lease time."""
         now = self._clock.now()
         if now - self._footprints_computed_at > self._settings.worker_lease_s:
             self._footprints_computed_at = now
--- a/crossmill/fleet/cloud.py
+++ b/crossmill/fleet/cloud.py
@@ -1,6 +1,7 @@
 """Client of the cloud's API. All requests are paced below the cloud's rate limit.
 
-`Cloud` owns the pacer and the names of rental requests. Only the fleet provisioner calls it.
+`Cloud` owns the pacer and generates the names of rental requests. Only the fleet provisioner calls
+it.
 """
 
 from collections.abc import Callable
@@ -19,17 +20,17 @@
 from . import FleetError
 
 MAX_SOCKETS = 4
-# a response is awaited for the time of this many requests at the rate limit, and for at least
+# the timeout is the time that this many requests take at the rate limit, but at least
 # MIN_TIMEOUT_S
 TIMEOUT_REQUESTS, MIN_TIMEOUT_S = 8, 4.0
 
 STATUS_OK, STATUS_TOO_MANY_REQUESTS, STATUS_UNAVAILABLE = 200, 429, 503
-# the body of a 503 that says that no machine of the source is available
+# the body of a 503 response if no machine of the source is available
 NO_CAPACITY_BODY = b"no capacity"
 
 
 class CloudError(FleetError):
-    """A request was refused, was not sent, or got no response. It may still be carried out.
+    """A request was refused, was not sent, or got no response; the cloud may still execute it.
 
     `status` is the HTTP status of the refusal; None without a response.
     """
@@ -40,11 +41,11 @@
 
 
 class NotLeaderError(CloudError):
-    """The controller stopped leading before the request could be sent."""
+    """The controller lost leadership before the request could be sent."""
 
 
 class NoCapacityError(FleetError):
-    """The cloud has no machine of the source at present."""
+    """The cloud currently has no machine of the source."""
 
     def __init__(self, source: MachineSourceKey) -> None:
         super().__init__(f"no capacity for {source.type_name} in {source.zone}")
@@ -81,9 +82,9 @@
         self._request_names = (f"{settings.label}-{unique_id()}-{n}" for n in count(1))
 
     def new_request_name(self) -> str:
-        """Return a name for a rental that no other process or incarnation ever uses.
+        """Return a name for a rental that no other process or restart ever uses.
 
-        A rental that is repeated under its name rents nothing twice.
+        The name makes the rental idempotent: repeating it rents no further machines.
         """
         return next(self._request_names)
 
@@ -99,11 +100,11 @@
         number: int,
         may_send: Callable[[], bool],
     ) -> list[str]:
-        """Rent up to so many machines and return their ids.
+        """Rent up to the given number of machines and return their IDs.
 
         Raises:
-            NoCapacityError: The cloud has none of the source.
-            CloudError: The request failed, or `may_send` was false when it was due.
+            NoCapacityError: The cloud has no machine of the source.
+            CloudError: The request failed, or `may_send` returned False right before it was sent.
         """
         body = wire.rent_body(request_name, *source, min(number, wire.MAX_RENT))
         response = await self._request("POST", wire.MACHINES_PATH, body, may_send)
@@ -115,12 +116,12 @@
         """Return machines to the cloud; they have ended when this returns.
 
         Raises:
-            CloudError: The request failed, or `may_send` was false when it was due.
+            CloudError: The request failed, or `may_send` returned False right before it was sent.
         """
         await self._request("POST", wire.RELEASE_PATH, wire.release_body(machines), may_send)
 
     async def list_machines(self) -> list[wire.Listed]:
-        """Fetch the cloud's list of machines, page by page. The list may lag."""
+        """Fetch the cloud's list of machines, page by page; the list may be out of date."""
         machines: list[wire.Listed] = []
         after = ""
         while True:
@@ -140,13 +141,13 @@
     ) -> _Response:
         """Send a request as soon as the pacer allows it.
 
-        `may_send` is asked right before: the wait may have been long, and the process may have been
-        suspended meanwhile.
+        `may_send` is called right before sending: the delay may have been long, and the process
+        may have been suspended during it.
         """
         while not self._pacer.take():
             await curio.sleep(self._pacer.wait_s())
         if not may_send():
-            raise NotLeaderError(f"{method} {path}: not sent")
+            raise NotLeaderError(f"{method} {path}: not sent, this controller is not the leader")
         try:
             status, data = await self._http.request(method, path, body, self._timeout_s)
         except (ConnectionFailedError, NoResponseError) as exc:
@@ -155,10 +156,10 @@
             self._pacer.drain()
         has_no_capacity = status == STATUS_UNAVAILABLE and NO_CAPACITY_BODY in data
         if status != STATUS_OK and not has_no_capacity:
-            raise CloudError(f"{method} {path}: {status}", status)
+            raise CloudError(f"{method} {path}: HTTP status {status}", status)
         return _Response(status, data)
 
 
 def stored_catalog(catalog: dict[str, wire.MachineType]) -> list[dict[str, object]]:
-    """Return the catalog in the form in which it is stored."""
+    """Return the catalog in its stored form."""
     return [orjson.loads(orjson.dumps(entry._asdict())) for entry in catalog.values()]
--- a/crossmill/fleet/forecast.py
+++ b/crossmill/fleet/forecast.py
@@ -1,8 +1,9 @@
-"""The demand forecast: the order of waiting jobs, and what each shard needs of the fleet.
+"""The demand forecast: the order of waiting jobs, and the machines that each shard needs.
 
-It is derived from the durable records, so that every controller comes to nearly the same result.
-The leader's fleet provisioner rents by it, a shard's owner returns machines by it, and placement,
-preemption and machine transfer ask it for the queue and for demand that finds no capacity.
+The forecast is derived from durable records, so that every controller obtains nearly the same
+result. The leader's fleet provisioner rents the machines that it plans, and a shard's owner returns
+the spare ones. Placement, preemption and machine transfer read the queue and the demand without
+capacity from it.
 """
 
 from collections import Counter
@@ -11,7 +12,7 @@
 from ..cluster.cluster_state import ClusterState
 from ..cluster.model import Job, Machine
 from ..net.clock import Clock
-from ..planning.demand import CapacityPlan, TaskDemand, empty_capacity, plan_capacity
+from ..planning.demand import CapacityPlan, TaskDemand, idle_capacity, plan_capacity
 from ..planning.estimates import Estimates
 from ..planning.free_capacity import FreeCapacity, ZoneAllowance, assign_tasks
 from ..planning.pipelines import PRIORITY
@@ -23,7 +24,7 @@
 
 
 class DemandForecast:
-    """What the shards need of the fleet now and soon.
+    """The current and expected demand of the shards for machines.
 
     Attributes:
         estimates: Observed run times by job class; the scheduling loop records runs there.
@@ -44,22 +45,22 @@
     def queue_rank(self, job: Job) -> tuple[int, float, int]:
         """Return the sort key of the queue: priority, budget end, order of acceptance.
 
-        It is a plain tuple, since those of a subclass sort more slowly.
+        The key is a plain tuple, since tuples of a subclass sort more slowly.
         """
         position = self._pipelines.position(job)
         return position.priority, position.budget_end, job.order
 
     def priority(self, job: Job) -> int:
-        """Return the highest priority of the job and those that depend on it; 0 is the highest."""
+        """Return the highest priority of the job and its dependents; 0 is the highest."""
         return self._pipelines.priority(job)
 
     def priority_of(self, job_id: str) -> int:
-        """Return the priority of a job by its id; an unknown one comes after all others."""
+        """Return the priority of a job by its ID; an unknown job gets the lowest rank."""
         job = self._cluster.jobs.get(job_id)
         return len(PRIORITY) if job is None or not job.has_record else self.priority(job)
 
     def waiting_jobs(self, shard: int) -> list[Job]:
-        """Return the shard's jobs with tasks to be placed, in queue order."""
+        """Return the shard's jobs with tasks to place, in queue order."""
         jobs = [
             job
             for job in self._cluster.jobs.active[shard].values()
@@ -71,7 +72,7 @@
     # -- capacity plans --------------------------------------------------------------
 
     def plan(self, shard: int) -> CapacityPlan:
-        """Plan which machines a shard needs, and which of its machines it can spare."""
+        """Plan which machines a shard needs and which of its machines are spare."""
         wall_time = self._clock.wall()
         self._arrivals.record(wall_time)
         demands = self._waiting_demands(shard, wall_time) + self._arrivals.expected_replica_demands(
@@ -87,13 +88,13 @@
         return capacity_plan
 
     def _add_spot_baseline(self, shard: int, wall_time: float, capacity_plan: CapacityPlan) -> None:
-        """Add the baseline of spot machines, each existing one counted as if it were empty."""
+        """Add the baseline of spot machines, with each existing one counted as idle."""
         demands = self._arrivals.spot_baseline_demands(shard)
         if not demands:
             return
         baseline = plan_capacity(
             demands,
-            self.capacity.empty_spot_capacities(shard, wall_time),
+            self.capacity.idle_spot_capacities(shard, wall_time),
             self.capacity.sources(),
             self.capacity.limit,
         )
@@ -126,15 +127,15 @@
         position = self._pipelines.position(job)
         zones = ZoneAllowance(spec, self._cluster.machines.task_counts_by_zone(job))
         task_s = self.estimates.task_s(spec.job_class, spec.estimate_s)
-        # without a deadline the budget end is a place in the queue, and no option is too slow
+        # without a deadline the budget end only orders the queue, and no option is too slow
         budget_s = position.budget_end - wall_time if position.has_deadline else inf
         return TaskDemand(spec, job.waiting_task_count(), zones, budget_s, task_s)
 
     def _slots_freed_in_time(self, demand: TaskDemand, running: int) -> int:
         """Estimate how many slots running arrays free until the demand's last task must start.
 
-        The slots become free one after the other and repeatedly, and go to the waiting jobs in
-        queue order. A task occupies its slot while its image is fetched as well.
+        The slots become free repeatedly, one after the other, and go to the waiting jobs in queue
+        order. A task occupies its slot also while its image is fetched.
         """
         occupied_s = demand.task_s + self._fetch_s(demand.spec)
         available_s = max(0.0, demand.budget_s - occupied_s)
@@ -142,7 +143,7 @@
         return int(running * span_s / occupied_s)
 
     def _fetch_s(self, spec: JobSpec) -> float:
-        """Return how many seconds the image takes on the type that fetches it fastest."""
+        """Return the seconds that the image takes on the machine type with the fastest fetch."""
         rates = [machine_type.fetch_gb_per_s for machine_type in self.capacity.allowed_types(spec)]
         return spec.image_gb / max(rates) if rates else 0.0
 
@@ -153,16 +154,16 @@
             if job.spec is not None and job.spec.kind == "array"
         )
 
-    # -- demand without capacity, machines without use -------------------------------
+    # -- unplaced demand and redundant machines --------------------------------------
 
     def is_out_of_capacity(self, spec: JobSpec) -> bool:
-        """Return whether the cloud has no machine at present that the job may use."""
+        """Return whether the cloud currently has no machine that the job may use."""
         return self.capacity.is_exhausted_for(spec)
 
     def unplaced_demands(self, shard: int, wall_time: float) -> list[TaskDemand]:
-        """Return the demand that has waited a while and finds no capacity in the shard.
+        """Return the demand that has waited for a while and has no capacity in the shard.
 
-        Machines that still boot and slots that running tasks will free count as capacity.
+        Booting machines and slots that running tasks will free in time count as capacity.
         """
         ready_before = wall_time - self._settings.machine_transfer_interval_s
         active = self._cluster.jobs.active[shard].values()
@@ -182,13 +183,13 @@
     def is_redundant(self, shard: int, machine: Machine, capacities: list[FreeCapacity]) -> bool:
         """Return whether all tasks of the machine would fit on other machines of the shard.
 
-        Those are machines in use or cheaper ones where the tasks' images are or are fetched
-        quickly, with capacity left for the expected replicas.
+        The other machines must be in use or cheaper, must have the tasks' images or fetch them
+        quickly, and must keep capacity for the expected replicas.
         """
         machine_type = self._cluster.catalog.get(machine.type)
         if machine_type is None:
             return False
-        own = empty_capacity(machine.id, machine_type, machine.zone, machine.spot)
+        own = idle_capacity(machine.id, machine_type, machine.zone, machine.spot)
         own_price = own.price / own.size
         others = [
             capacity.copy()
@@ -202,10 +203,10 @@
         return plan_capacity(expected, others, [], self.capacity.limit).unplaced_tasks == 0
 
     def _can_move_tasks(self, machine: Machine, capacities: list[FreeCapacity]) -> bool:
-        """Assign the machine's tasks to the others; return whether all of them fit."""
+        """Assign the machine's tasks to the given capacities; return whether all of them fit."""
         moving = Counter(attempt.job for attempt in machine.attempts.values())
         jobs = [self._cluster.jobs[job_id] for job_id in moving]
-        # in the order in which the scheduling round after the stops will place them
+        # in the order in which the next scheduling round places them after they are stopped
         for job in sorted(jobs, key=self.queue_rank):
             spec, tasks = job.spec, moving[job.id]
             if spec is None or spec.kind != "service":
@@ -224,6 +225,6 @@
         return True
 
     def _is_fetch_quick(self, spec: JobSpec, capacity: FreeCapacity) -> bool:
-        """Return whether the image arrives before the machine's next heartbeat."""
+        """Return whether the image is fetched within a heartbeat interval."""
         machine_type = self._cluster.catalog[capacity.type]
         return spec.image_gb < machine_type.fetch_gb_per_s * self._settings.heartbeat_interval_s
--- a/crossmill/fleet/machine_records.py
+++ b/crossmill/fleet/machine_records.py
@@ -1,8 +1,8 @@
-"""Writes the records of machines, and of the catalog, under the leader's fencing token.
+"""Writes the records of machines and of the catalog, fenced by the leader key.
 
-Every write is conditional on the version of the leader's key, so that a controller that no longer
-leads changes nothing. The fleet provisioner calls these methods; nothing is written while another
-controller leads.
+Every write is conditional on the version of the leader key, so that a controller that is no longer
+the leader changes nothing. The fleet provisioner calls these methods; they write nothing while
+another controller leads.
 """
 
 from ..cluster import keys
@@ -26,7 +26,7 @@
         self._writer = writer
 
     def is_leader(self) -> bool:
-        """Return whether this controller leads now."""
+        """Return whether this controller is the leader now."""
         return self._membership.leadership_version() is not None
 
     async def store_catalog(self, catalog: dict[str, MachineType]) -> None:
@@ -43,7 +43,7 @@
     async def add(
         self, machine_ids: list[str], source: MachineSourceKey, shard: int, rented_at: float
     ) -> None:
-        """Create the records of rented machines; `rented_at` is in wall time."""
+        """Create the records of rented machines; `rented_at` is a wall time in seconds."""
         version = self._membership.leadership_version()
         if version is None:
             return
@@ -64,7 +64,7 @@
         await self._commit(intents)
 
     async def retire(self, machine: Machine, reason: str) -> None:
-        """Mark a machine to be returned to the cloud."""
+        """Mark a machine as retiring, so that it is returned to the cloud."""
         version = self._membership.leadership_version()
         if version is None:
             return
--- a/crossmill/fleet/pipelines.py
+++ b/crossmill/fleet/pipelines.py
@@ -1,9 +1,9 @@
-"""Each job's place in the queue, as a stage of its pipeline.
+"""Each job's position in the queue, as a stage of its pipeline.
 
-`PipelineBudgets` owns the pipelines' plans in memory. A plan is kept until the pipeline changes: a
-stage is added, done, cancelled or late. Budgets count from the durable time of the last change, so
-that every controller that owns a stage of the pipeline computes the same. The demand forecast asks
-it for the order of the queue.
+`PipelineBudgets` keeps the plans of pipelines in memory. A plan is valid until the pipeline
+changes: a stage is added, done, cancelled or late. Budgets count from the durable time of the last
+change, so that every controller that owns a stage of the pipeline computes the same plan. The
+demand forecast derives the order of the queue from it.
 """
 
 from typing import NamedTuple
@@ -31,27 +31,27 @@
 REPLICA_S = 1.0
 # keeps throughputs finite for tasks that are expected to take no time
 MIN_TASK_S = 1e-3
-# the option of a stage whose allowed types are not in the catalog now
+# the option of a stage when none of its allowed types is in the catalog
 UNKNOWN_TYPE = "unknown"
 
 
 class MissingSpecError(FleetError):
-    """A job whose record is not known has no place in the queue."""
+    """A job without a known record has no position in the queue."""
 
     def __init__(self, job_id: str) -> None:
-        super().__init__(f"{job_id}: the record is not known")
+        super().__init__(f"{job_id}: the record of the job is not known")
         self.job_id = job_id
 
 
 class _PipelinePlan(NamedTuple):
-    """The plans of a pipeline's stages by job id, and when they were made, in wall time."""
+    """The plans of a pipeline's stages by job ID, and the wall time at which they were made."""
 
     stages: dict[str, StagePlan]
     planned_at: float
 
 
 class PipelineBudgets:
-    """Places of jobs in the queue; pipelines are planned when they change."""
+    """Positions of jobs in the queue; a pipeline is planned again when it changes."""
 
     def __init__(
         self, settings: Settings, clock: Clock, cluster: ClusterState, estimates: Estimates
@@ -63,7 +63,7 @@
         self._plans: dict[str, _PipelinePlan] = {}
 
     def position(self, job: Job) -> QueuePosition:
-        """Return where the job stands in the queue now."""
+        """Return the job's current position in the queue."""
         if self._cluster.jobs.graph.is_single(job):
             return self._single_job_position(job)
         self._drop_changed()
@@ -105,7 +105,7 @@
         )
 
     def _single_job_position(self, job: Job) -> QueuePosition:
-        """Return the place of a job that is a pipeline by itself."""
+        """Return the position of a job outside any pipeline."""
         spec = _spec(job)
         margin_s = self._estimates.margin_s(spec.job_class, spec.estimate_s)
         end = budget_end(
@@ -114,7 +114,7 @@
         return queue_position(spec, end)
 
     def _members(self, job: Job) -> dict[str, Job]:
-        """Return the unfinished jobs of this one's pipeline, by id."""
+        """Return the unfinished jobs of the job's pipeline, by ID."""
         graph = self._cluster.jobs.graph
         members = {job.id: job}
         pending = [job]
@@ -130,7 +130,7 @@
     def _plan(self, members: dict[str, Job]) -> _PipelinePlan:
         """Plan a pipeline, as of the last durable time at which one of its stages became ready.
 
-        If a stage is late, the plan is made as of the current replanning interval's begin.
+        If a stage is late, the plan is made as of the start of the current replanning interval.
         """
         ready_at = max(job.ready_at for job in members.values())
         wall_time = self._clock.wall()
@@ -159,7 +159,7 @@
         )
 
     def _options(self, spec: JobSpec) -> tuple[MachineOption, ...]:
-        """Return the machine types that the stage may use; a finish is image fetch and one task."""
+        """Return the stage's machine types; the finish time covers image fetch and one task."""
         estimate_s = spec.estimate_s if spec.kind == "array" else REPLICA_S
         task_s = max(self._estimates.task_s(spec.job_class, estimate_s), MIN_TASK_S)
         options: list[MachineOption] = []
--- a/crossmill/fleet/provisioner.py
+++ b/crossmill/fleet/provisioner.py
@@ -1,9 +1,9 @@
 """Scales the fleet out and in while this controller leads, and refreshes the catalog.
 
-`FleetProvisioner.run` is one of the controller's tasks. It rents what the demand forecast requests,
-returns the machines that are marked as retiring, and reconciles the machine records with the
-cloud's list. It owns only what it remembers of the list; durable state is written by
-`MachineRecords`.
+`FleetProvisioner.run` is one of the controller's tasks. It rents the machines that the demand
+forecast requests, returns the machines that are marked as retiring, and reconciles the machine
+records with the cloud's list. It keeps in memory which machines it has recently seen in the list or
+released; `MachineRecords` writes the durable state.
 """
 
 import logging
@@ -24,13 +24,13 @@
 
 # the state of a listed machine, and the reason for its return
 FAILED = "failed"
-# how old the catalog may become, in heartbeat intervals
+# the maximum age of the catalog in heartbeat intervals
 MAX_CATALOG_AGE_HEARTBEATS = 30
-# how long a released machine is remembered, in worker leases: the list shows it for a while
+# released machines, which the list shows for a while, are remembered for this many worker leases
 RELEASED_MEMORY_LEASES = 60
-# a machine is adopted when it was listed without a record this many times
+# a machine without a record is adopted after it was listed this many times
 ADOPTION_LISTINGS = 2
-# and is older than this many times the list's lag, beside a worker lease
+# and once its age exceeds a worker lease plus this many times the list's lag
 ADOPTION_LIST_LAGS = 3
 
 
@@ -54,19 +54,19 @@
         self._records = records
         self._catalog_fetched_at: float | None = None
         self._last_list_at: float | None = None
-        # how often a machine without a record was listed
+        # the number of times that each machine without a record was listed, by machine ID
         self._times_listed: dict[str, int] = {}
-        # when machines were released
+        # release times of recently released machines by ID, in monotonic seconds
         self._released_at: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Provision until the controller ends; a failed request to the cloud only delays it."""
+        """Provision until the controller ends; a failed cloud request only delays provisioning."""
         while True:
             if self._records.is_leader() or not self._cluster.catalog:
                 try:
                     await self.run_once()
                 except CloudError as exc:
-                    # nothing is rented or returned meanwhile; running work is not affected
+                    # nothing is rented or returned until the retry; running work is not affected
                     log.info("cloud request failed error=%s", exc)
                     await curio.sleep(self._settings.heartbeat_interval_s)
             await curio.sleep(self._settings.heartbeat_interval_s / 2)
@@ -108,7 +108,7 @@
     # -- scale-out -------------------------------------------------------------------
 
     async def scale_out(self) -> None:
-        """Rent the machines that the shards' capacity plans request."""
+        """Rent the machines requested by the shards' capacity plans."""
         for shard in range(self._settings.shard_count):
             for request in list(self._forecast.plan(shard).machine_requests.values()):
                 if not self._records.is_leader():
@@ -119,7 +119,7 @@
         """Rent machines for a shard and write their records.
 
         Raises:
-            CloudError: The request failed twice.
+            CloudError: The request failed twice, or this controller is no longer the leader.
         """
         source = request.source.key
         requested_at = self._clock.wall()
@@ -142,10 +142,10 @@
         await self._records.add(rented, source, shard, requested_at)
 
     async def _rent_with_retry(self, source: MachineSourceKey, number: int) -> list[str]:
-        """Rent machines; a request that fails is sent once more.
+        """Rent machines, retrying a failed request once.
 
-        The retry has the same name and so rents nothing twice. Machines of a request whose response
-        is lost are adopted from the list.
+        The retry has the same name and so rents nothing twice. If the responses are lost, the
+        rented machines are adopted from the list.
         """
         name = self._cloud.new_request_name()
         try:
@@ -173,10 +173,10 @@
             await self._adopt(unknown_machines)
 
     def _is_to_be_adopted(self, listed_machine: Listed) -> bool:
-        """Count the sighting of a machine without a record; return whether to adopt it.
+        """Count that a machine without a record was listed; return whether to adopt it.
 
-        The list lags and may go back in time. A machine is adopted only if it has been unknown for
-        longer than a rental's response and the write of its record take.
+        The list is delayed and may return to an older state. A machine is adopted only if it has
+        been unknown for longer than the response to a rental and the write of its record take.
         """
         min_age_s = ADOPTION_LIST_LAGS * self._settings.list_lag_s + self._settings.worker_lease_s
         if listed_machine.age_s <= min_age_s or listed_machine.id in self._released_at:
@@ -185,7 +185,7 @@
         return self._times_listed[listed_machine.id] >= ADOPTION_LISTINGS
 
     async def _adopt(self, machines: list[Listed]) -> None:
-        """Write records for unknown machines; those not needed are returned as idle ones are."""
+        """Write records for unknown machines; unneeded ones are returned like idle machines."""
         shard = max(
             range(self._settings.shard_count),
             key=lambda shard: self._forecast.plan(shard).unplaced_tasks,
@@ -209,7 +209,7 @@
     # -- scale-in --------------------------------------------------------------------
 
     async def scale_in(self) -> None:
-        """Return the machines that are durably marked as retiring.
+        """Return the machines that are durably marked as retiring to the cloud.
 
         A record is deleted after the cloud's response, when the machine and all tasks on it have
         ended.
@@ -240,7 +240,7 @@
 
 
 class _FleetGroup(NamedTuple):
-    """Machines that the fleet's log lines summarize together."""
+    """The key by which the fleet's log lines group machines."""
 
     shard: int
     type_name: str
@@ -248,29 +248,29 @@
 
 
 class _FleetGroupUsage:
-    """How many machines a group has, and how much of them is in use."""
+    """The number of machines of a group and their resources in use."""
 
-    __slots__ = ("booting", "cpu_load", "empty", "gpus_total", "gpus_used", "machines")
+    __slots__ = ("booting", "cpu_load", "gpus_total", "gpus_used", "idle", "machines")
 
     def __init__(self) -> None:
         self.machines = 0
         self.booting = 0
-        self.empty = 0
-        # the sum of the machines' shares of CPUs in use
+        self.idle = 0
+        # the sum over the machines of the share of CPUs in use
         self.cpu_load = 0.0
         self.gpus_used = 0.0
         self.gpus_total = 0.0
 
 
 def _log_fleet(cluster: ClusterState) -> None:
-    """Log what the fleet consists of, so that operators see what is paid for."""
+    """Log the fleet's machines by group, so that operators see which machines are paid for."""
     for group, usage in _fleet_usage(cluster).items():
         log.info(
             "fleet shard=%d type=%s spot=%s machines=%d booting=%d empty=%d cpus=%.0f%% gpus=%d/%d",
             *group,
             usage.machines,
             usage.booting,
-            usage.empty,
+            usage.idle,
             100 * usage.cpu_load / usage.machines,
             usage.gpus_used,
             usage.gpus_total,
@@ -287,7 +287,7 @@
         usage = usages.setdefault(group, _FleetGroupUsage())
         usage.machines += 1
         usage.booting += not machine.up
-        usage.empty += not machine.attempts
+        usage.idle += not machine.attempts
         usage.cpu_load += machine.used_cpus / machine_type.cpus
         usage.gpus_used += machine.used_gpus
         usage.gpus_total += machine_type.gpus
--- a/crossmill/planning/__init__.py
+++ b/crossmill/planning/__init__.py
@@ -1,1 +1,1 @@
-"""Planning decisions as pure functions: no input or output, no clock."""
+"""Planning of queue order, placement and capacity: pure functions without I/O or a clock."""
--- a/crossmill/planning/demand.py
+++ b/crossmill/planning/demand.py
@@ -1,7 +1,7 @@
-"""Works out which machines waiting and expected tasks need beyond those there are.
+"""Computes which machines to rent for waiting and expected tasks.
 
 The functions are pure and own no state. The demand forecast calls `plan_capacity` for each shard;
-the fleet provisioner rents what the resulting plan requests.
+the fleet provisioner rents the machines that the plan requests.
 """
 
 from collections.abc import Callable, Sequence
@@ -22,13 +22,13 @@
 )
 from .split import MachineOption, Stage, split
 
-# how often machines of another source are tried for the tasks of one demand
+# the most times that a source is chosen for the tasks of one demand
 MAX_SOURCE_CHOICES = 64
-# a machine's size is its number of GPUs, or its CPUs in units of this many if that is more
+# a machine's size is the larger of its number of GPUs and its number of CPUs divided by this
 CPUS_PER_SIZE_UNIT = 8
 # keeps throughputs finite for tasks that are expected to take no time
 MIN_TASK_S = 1e-3
-# how far a budget is raised above the finish time of the chosen option, against rounding
+# added to the chosen option's finish time, so that rounding does not exclude that option
 BUDGET_TOLERANCE_S = 1e-6
 
 
@@ -37,11 +37,11 @@
 
     Attributes:
         spec: The job.
-        tasks: How many of its tasks need capacity.
-        zones: How many of them each zone may get.
+        tasks: Number of its tasks that need capacity.
+        zones: Number of these tasks that each zone may get.
         budget_s: Seconds until the job's budget ends; infinite without a deadline.
-        task_s: Seconds that a task is expected to run; 0 if that is of no matter.
-        covered_by_running: How many of the tasks can use slots that running tasks free in time.
+        task_s: Expected run time of a task in seconds; 0 if it does not affect the plan.
+        covered_by_running: Number of the tasks that can use slots that running tasks free in time.
         spot_only: Whether only spot machines are requested for the tasks.
     """
 
@@ -73,7 +73,7 @@
 
 
 class MachineSourceKey(NamedTuple):
-    """Identifies a kind of machine that the cloud rents out."""
+    """The identity of a machine source."""
 
     type_name: str
     zone: str
@@ -83,7 +83,7 @@
 class MachineSource:
     """A kind of machine that can be rented: its type, its zone and whether it is a spot machine.
 
-    `key` and `name` identify it; they are made once, since every demand compares all sources.
+    `key` and `name` identify it. They are built once, since every demand compares all sources.
     """
 
     __slots__ = ("key", "name", "spot", "type", "zone")
@@ -96,16 +96,16 @@
         self.name = f"{machine_type.name}/{zone}/{spot}"
 
     def price(self) -> float:
-        """Return what a machine costs.
+        """Return the price of one machine of the source.
 
-        The latency split uses the on-demand price for spot machines as well; this is the price
-        that decides among the sources that meet the budget.
+        The latency split uses the on-demand price for spot machines as well. This price decides
+        among the sources that meet the budget.
         """
         return self.type.spot_price if self.spot else self.type.price
 
 
 class MachineRequest:
-    """How many machines of a source are requested."""
+    """A request for a number of machines of one source."""
 
     __slots__ = ("number", "source")
 
@@ -115,12 +115,12 @@
 
 
 class CapacityPlan:
-    """What the tasks need beyond the machines there are, and what they leave unused.
+    """The machines that the tasks need in addition to the existing ones, and the unused machines.
 
     Attributes:
-        machine_requests: The machines to be rented, by source.
-        spare_machines: Ids of the machines that no task uses.
-        unplaced_tasks: How many tasks find neither a machine nor a source.
+        machine_requests: The machines to rent, by source.
+        spare_machines: IDs of the existing machines that no task uses.
+        unplaced_tasks: Number of tasks for which there is neither a machine nor a source.
     """
 
     __slots__ = ("machine_requests", "spare_machines", "unplaced_tasks")
@@ -131,8 +131,8 @@
         self.unplaced_tasks = 0
 
 
-def empty_capacity(machine: str, machine_type: MachineType, zone: str, spot: bool) -> FreeCapacity:
-    """Return the free capacity of an empty machine."""
+def idle_capacity(machine: str, machine_type: MachineType, zone: str, spot: bool) -> FreeCapacity:
+    """Return the free capacity of an idle machine."""
     return FreeCapacity(
         machine,
         machine_type.name,
@@ -145,12 +145,12 @@
         max(machine_type.gpus, machine_type.cpus / CPUS_PER_SIZE_UNIT),
         machine_type.gpus > 0,
         machine_type.fetch_gb_per_s,
-        slots_when_empty=partial(slots_per_machine, machine_type=machine_type),
+        slots_when_idle=partial(slots_per_machine, machine_type=machine_type),
     )
 
 
 def slots_per_machine(spec: JobSpec, machine_type: MachineType) -> int:
-    """Count how many tasks like this fit on an empty machine of the type."""
+    """Return how many tasks of the job fit on an idle machine of the type."""
     return count_fitting_tasks(spec, machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
 
 
@@ -160,11 +160,11 @@
     sources: Sequence[MachineSource],
     limit: Callable[[MachineSource], int],
 ) -> CapacityPlan:
-    """Fit demands, given in queue order, into the machines and request what is missing.
+    """Assign demands, given in queue order, to machines and request the missing machines.
 
-    `capacities` include machines that still boot; they are changed, and requested machines are
-    appended. `limit` gives the most machines that may be requested of a source. Whole machines
-    are requested in DESIGN's fill order.
+    `capacities` includes booting machines. It is modified: tasks reserve resources, and requested
+    machines are appended. `limit` returns the most machines that may be requested of a source.
+    `fill` defines the order in which whole machines are requested.
     """
     planner = _CapacityPlanner(capacities, sources, limit)
     for demand in demands:
@@ -173,7 +173,7 @@
 
 
 class _SourceCandidate:
-    """A source that could serve a demand, as the latency split and as the fill order see it."""
+    """A source that could serve a demand, described for the latency split and for `fill`."""
 
     __slots__ = ("offer", "option", "source")
 
@@ -184,7 +184,7 @@
 
 
 class _CapacityPlanner:
-    """Adds one demand after the other to a capacity plan."""
+    """Builds a capacity plan from demands that are added one after the other."""
 
     def __init__(
         self,
@@ -202,12 +202,11 @@
             capacity.is_used = False
 
     def add(self, demand: TaskDemand) -> None:
-        """Assign the demand's tasks to machines, and request machines for the others."""
+        """Assign the demand's tasks to machines, and request machines for the remaining tasks."""
         remaining = demand.tasks - demand.covered_by_running
         if demand.spec.gpus == 0 and self._sources_without_gpus:
-            # such tasks start on any machine they fit on. A machine without GPUs has to be
-            # requested
-            # as soon as they would take GPU tasks' places, or it would never be
+            # these tasks start on any machine that they fit on. Unless a machine without GPUs is
+            # requested as soon as they would displace GPU tasks, none is ever requested
             remaining -= self._assign_alongside_gpu_tasks(demand, remaining)
             remaining = self._request(demand, remaining, self._sources_without_gpus)
         remaining -= _assign(demand, remaining, self._capacities)
@@ -215,7 +214,7 @@
         self._plan.unplaced_tasks += max(0, remaining)
 
     def finish(self) -> CapacityPlan:
-        """Return the plan, with the machines that no demand uses."""
+        """Return the plan, including the machines that no demand uses."""
         self._plan.spare_machines = {
             capacity.machine
             for capacity in self._capacities
@@ -232,7 +231,7 @@
         return sum(assignment.tasks for assignment in assignments)
 
     def _request(self, demand: TaskDemand, remaining: int, sources: Sequence[MachineSource]) -> int:
-        """Request machines for the tasks; return how many of them find no source."""
+        """Request machines for the tasks; return the number of tasks without a source."""
         for _ in range(MAX_SOURCE_CHOICES):
             if remaining <= 0:
                 break
@@ -246,13 +245,13 @@
         return remaining
 
     def _add_machines(self, demand: TaskDemand, remaining: int, choice: MachineRequest) -> int:
-        """Request machines one by one until the tasks fit; return how many do not."""
+        """Request machines one by one until the tasks fit; return the number that do not fit."""
         source = choice.source
         request = self._plan.machine_requests.setdefault(source.key, MachineRequest(source))
         for _ in range(choice.number):
             request.number += 1
             machine = f"new/{len(self._capacities)}"
-            capacity = empty_capacity(machine, source.type, source.zone, source.spot)
+            capacity = idle_capacity(machine, source.type, source.zone, source.spot)
             self._capacities.append(capacity)
             placed = _assign(demand, remaining, [capacity])
             remaining -= placed * _tasks_per_slot(demand, source)
@@ -265,8 +264,8 @@
     ) -> MachineRequest | None:
         """Choose the source to request next and the most machines to request of it.
 
-        The latency split names the option that the stage aims at; the fill order chooses among
-        the sources that are as fast or within the stage's budget.
+        The latency split chooses the stage's option and budget. `fill` then chooses among the
+        sources that are as fast as that option or finish within the budget.
         """
         candidates = {
             source.name: c for source in sources if (c := self._candidate(demand, source))
@@ -284,7 +283,7 @@
         return MachineRequest(candidates[filled[0].offer.name].source, filled[0].number)
 
     def _candidate(self, demand: TaskDemand, source: MachineSource) -> _SourceCandidate | None:
-        """Describe what the source can do for the demand; None if the demand may not use it."""
+        """Return the source as a candidate for the demand; None if it is not usable."""
         spec = demand.spec
         zone_limit = demand.zones.remaining(source.zone)
         if demand.spot_only and not source.spot:
@@ -299,7 +298,7 @@
         is_array = spec.kind == "array"
         task_s = demand.task_s if is_array else 1.0
         setup_s = _setup_s(demand, source)
-        # one whole machine's worth of tasks at a time is the shortest fill
+        # the shortest possible run: every slot of a machine runs one task
         finish_s = setup_s + (demand.task_s if is_array else 0.0)
         throughput = slots / max(task_s, MIN_TASK_S)
         return _SourceCandidate(
@@ -312,7 +311,7 @@
 
 
 def _assign(demand: TaskDemand, tasks: int, capacities: list[FreeCapacity]) -> int:
-    """Assign up to so many tasks to the machines; return how many fit."""
+    """Assign up to the given number of tasks to the machines; return how many fit."""
     if tasks <= 0:
         return 0
     assignments = assign_tasks(demand.spec, tasks, capacities, demand.zones)
@@ -320,7 +319,7 @@
 
 
 def _setup_s(demand: TaskDemand, source: MachineSource) -> float:
-    """Return the seconds from a rental until a task can run: boot and image fetch."""
+    """Return the seconds from rental until a task can run: boot and image fetch."""
     return source.type.boot_s + demand.spec.image_gb / source.type.fetch_gb_per_s
 
 
--- a/crossmill/planning/estimates.py
+++ b/crossmill/planning/estimates.py
@@ -1,21 +1,21 @@
-"""Corrects the run times that users estimate by those observed for the job class.
+"""Corrects users' run time estimates with the run times observed for the job class.
 
-`Estimates` owns the recent ratios of observed to estimated run times in memory. The scheduling loop
-records runs, the demand forecast and the pipeline budgets read from it.
+`Estimates` keeps the recent ratios of observed to estimated run times in memory. The scheduling
+loop records runs; the demand forecast and the pipeline budgets read the corrected estimates.
 """
 
 from collections import deque
 
-# how many recent runs of a class are remembered
+# the number of recent runs that are kept of a class
 RECENT_RUNS = 64
-# a class with fewer runs than this is estimated by the defaults
+# a class with fewer runs than this uses the default quantiles
 MIN_RUNS = 8
 MEDIAN, DEFAULT_MEDIAN = 0.5, 1.0
 HIGH_QUANTILE, DEFAULT_HIGH_QUANTILE = 0.8, 1.3
 
 
 class _RunHistory:
-    """The ratios of observed to estimated run times of a job class."""
+    """The recent ratios of observed to estimated run time of a job class."""
 
     __slots__ = ("_ratios", "_sorted")
 
@@ -24,7 +24,7 @@
         self._sorted: list[float] | None = None
 
     def add(self, ratio: float) -> None:
-        """Remember the ratio of a run."""
+        """Add the ratio of a run."""
         self._ratios.append(ratio)
         self._sorted = None
 
@@ -44,19 +44,19 @@
         self._histories: dict[str, _RunHistory] = {}
 
     def record_run(self, job_class: str, estimate_s: float, run_s: float) -> None:
-        """Record how long a task of the class ran, and how long its user had estimated."""
+        """Record the observed and the estimated run time of a task of the class."""
         if estimate_s <= 0 or run_s <= 0:
             return
         self._histories.setdefault(job_class, _RunHistory()).add(run_s / estimate_s)
 
     def task_s(self, job_class: str, estimate_s: float) -> float:
-        """Return how many seconds a task with this estimate is expected to run."""
+        """Return the expected run time in seconds of a task with this estimate."""
         return estimate_s * self._quantile(job_class, MEDIAN, DEFAULT_MEDIAN)
 
     def margin_s(self, job_class: str, estimate_s: float) -> float:
         """Return the safety margin in seconds that plans subtract from a deadline.
 
-        Four in five recent tasks of the class took at most this much longer than the median.
+        Four out of five recent tasks of the class exceeded the median by at most this margin.
         """
         high = self._quantile(job_class, HIGH_QUANTILE, DEFAULT_HIGH_QUANTILE)
         return estimate_s * max(0.0, high - self._quantile(job_class, MEDIAN, DEFAULT_MEDIAN))
--- a/crossmill/planning/fill.py
+++ b/crossmill/planning/fill.py
@@ -1,4 +1,4 @@
-"""Fills a stage's tasks into whole machines: algorithm 1 of the paper, DESIGN's fill order.
+"""The fill order: chooses whole machines for a stage's tasks (algorithm 1 of the Piccolo paper).
 
 The functions are pure. Capacity planning calls `fill` to choose which machines to rent next.
 """
@@ -12,14 +12,14 @@
 
 
 class MachineOffer(NamedTuple):
-    """A machine type as a stage sees it.
+    """A kind of machine that can be rented for a stage.
 
     Attributes:
-        name: Identifies the offer.
+        name: Name that identifies the offer.
         price: Price of one machine.
-        slots: How many tasks run side by side on one machine.
+        slots: Number of tasks that run concurrently on one machine.
         setup_s: Seconds until the first task can run.
-        task_s: Seconds that one task runs.
+        task_s: Run time of one task in seconds.
         limit: The most machines that may be rented.
     """
 
@@ -42,14 +42,14 @@
 
 
 class MachineCount(NamedTuple):
-    """How many machines of an offer are taken."""
+    """A number of machines chosen from an offer."""
 
     offer: MachineOffer
     number: int
 
 
 class _UsableOffer:
-    """An offer and how many tasks one machine of it does."""
+    """An offer, and the number of tasks that one of its machines runs within the budget."""
 
     __slots__ = ("offer", "tasks_per_machine")
 
@@ -58,15 +58,16 @@
         self.tasks_per_machine = tasks_per_machine
 
     def cost(self, tasks: int) -> float:
-        """Return the price of the whole machines that the tasks need."""
+        """Return the price of the whole machines needed for the tasks."""
         return self.offer.price * math.ceil(tasks / self.tasks_per_machine)
 
 
 def fill(tasks: int, offers: Sequence[MachineOffer], budget_s: float) -> list[MachineCount]:
-    """Choose whole machines for the tasks, those with the best throughput per price first.
+    """Choose whole machines for the tasks, best throughput per price first.
 
-    The next offers that still meet the budget take what is left. If no offer meets the budget,
-    the one that finishes soonest takes all tasks.
+    Tasks that do not fill a whole machine go to later offers that meet the budget, unless machines
+    of the current offer cost no more for them. If no offer meets the budget, offers are used in
+    order of finish time.
     """
     plan: list[MachineCount] = []
     usable = _usable_offers(offers, budget_s)
@@ -88,7 +89,10 @@
 
 
 def _usable_offers(offers: Sequence[MachineOffer], budget_s: float) -> list[_UsableOffer]:
-    """Return the offers that meet the budget by value, or all by finish time if none does."""
+    """Return the offers that meet the budget, best throughput per price first.
+
+    If no offer meets the budget, return all offers in order of finish time.
+    """
     by_throughput_per_price = sorted(
         (offer for offer in offers if offer.slots > 0 and offer.limit > 0),
         key=lambda offer: -offer.throughput_per_price(),
--- a/crossmill/planning/free_capacity.py
+++ b/crossmill/planning/free_capacity.py
@@ -1,8 +1,8 @@
 """Assigns tasks to machines: free capacity, allowed types and zones, spread, cached images.
 
-The functions are pure: they change only the `FreeCapacity` and `ZoneAllowance` objects that the
-caller passes in. Placement calls them to plan attempts, the demand forecast to find out how many
-machines are missing, and preemption to find out what it would free.
+The functions are pure except that they modify the `FreeCapacity` and `ZoneAllowance` objects that
+the caller passes in. Placement calls them to plan attempts, the demand forecast to determine how
+many machines are missing, and preemption to determine how much capacity it would free.
 """
 
 from collections.abc import Callable, Sequence
@@ -13,22 +13,22 @@
 
 # tolerance for sums of fractional resources
 RESOURCE_TOLERANCE = 1e-6
-# rounds a share of a job's tasks up to whole tasks
+# added before truncation, to round a share of a job's tasks up to whole tasks
 ROUND_UP_OFFSET = 0.999
 
 
 def count_fitting_tasks(spec: JobSpec, cpus: float, gpus: float, memory_gb: float) -> int:
-    """Count how many tasks like this fit into the given resources.
+    """Return how many tasks of the job fit into the given resources.
 
-    The count is not bounded by the number of tasks of the job: a machine that one job fills in
-    part is shared with others, and each pays for its share.
+    The count is not bounded by the job's number of tasks: a machine that the job fills only in part
+    is shared with other jobs, and each job pays for its share.
     """
     cpus, gpus, memory_gb = (
         cpus + RESOURCE_TOLERANCE,
         gpus + RESOURCE_TOLERANCE,
         memory_gb + RESOURCE_TOLERANCE,
     )
-    # this is asked for every machine and waiting job, and most machines are full
+    # return early: this runs for every machine and waiting job, and most machines are full
     if gpus < spec.gpus or cpus < spec.cpus or memory_gb < spec.memory_gb:
         return 0
     count = MAX_TASKS
@@ -42,14 +42,14 @@
 
 
 class TaskFootprint(NamedTuple):
-    """The resources that a typical GPU task takes of its machine."""
+    """The resources that a GPU task occupies on its machine."""
 
     cpus: float
     gpus: float
     memory_gb: float
 
     def count_fitting(self, cpus: float, gpus: float, memory_gb: float) -> int:
-        """Count how many such tasks fit into the given resources."""
+        """Return how many such tasks fit into the given resources."""
         count = MAX_TASKS
         for free, each in ((gpus, self.gpus), (cpus, self.cpus), (memory_gb, self.memory_gb)):
             if each > 0:
@@ -63,28 +63,28 @@
 
 @dataclass(slots=True, eq=False)
 class FreeCapacity:
-    """The resources that are free on one machine, and what ranks it among others.
+    """The free resources of one machine, and the properties by which machines are ranked.
 
     Attributes:
-        machine: Id of the machine.
+        machine: ID of the machine.
         type: Name of its machine type.
         zone: Its zone.
         spot: Whether it is a spot machine.
         cpus: Free CPUs.
         gpus: Free GPUs.
-        memory_gb: Free memory.
+        memory_gb: Free memory in GB.
         price: Price of a whole machine of the type.
-        size: Size of an empty machine in GPUs, or in units of 8 CPUs if that is more.
-        has_gpus: Whether an empty machine of the type has GPUs.
+        size: Number of GPUs of the machine, or its CPUs divided by 8 if that is larger.
+        has_gpus: Whether the machine type has GPUs.
         fetch_gb_per_s: Rate at which the machine fetches images.
         in_limited_zone: Whether the zone offers fewer machine types than another one.
-        slots_when_empty: How many tasks like the one given fit on an empty machine.
-        images: Size in GB of each image that the machine has or fetches.
+        slots_when_idle: Function that returns how many tasks of a job fit on the idle machine.
+        images: Size in GB of each image that the machine has cached or is fetching, by name.
         is_used: Whether any task is planned on the machine.
         typical_gpu_task: Footprint of a typical GPU task of the shard, if there is any.
-        exclusive_gpu_task: Footprint of a job class that fits on this machine type only; None if
+        exclusive_gpu_task: Footprint of a job class that fits on only this machine type; None if
             there is no such class.
-        has_new_tasks: Whether tasks were assigned since the object was made.
+        has_new_tasks: Whether tasks were assigned since the object was created.
     """
 
     machine: str
@@ -99,7 +99,7 @@
     has_gpus: bool = False
     fetch_gb_per_s: float = 1.0
     in_limited_zone: bool = False
-    slots_when_empty: Callable[[JobSpec], int] = _one_slot
+    slots_when_idle: Callable[[JobSpec], int] = _one_slot
     images: dict[str, float] = field(default_factory=dict)
     is_used: bool = False
     typical_gpu_task: TaskFootprint | None = None
@@ -107,13 +107,14 @@
     has_new_tasks: bool = False
 
     def copy(self) -> "FreeCapacity":
-        """Return a copy whose resources and images can be changed independently."""
+        """Return a copy whose resources and images can be modified independently."""
         return replace(self, images=dict(self.images))
 
     def count_fitting_alongside_gpu_tasks(self, spec: JobSpec) -> int:
-        """Count how many tasks fit without taking the place of a GPU task.
+        """Return how many tasks fit without displacing a GPU task.
 
-        Tasks without GPUs could fill a GPU machine up, and its GPUs would be paid for but unused.
+        Otherwise tasks without GPUs could fill a GPU machine, whose GPUs would be paid for but
+        unused.
         """
         if not self.has_gpus or spec.gpus > 0:
             return MAX_TASKS
@@ -134,30 +135,30 @@
         return count_fitting_tasks(spec, cpus, 0.0, memory_gb)
 
     def contention_cost(self, spec: JobSpec) -> int:
-        """Rate from 0 to 2 how far a task would occupy resources that other jobs need.
+        """Rate from 0 to 2 how much a task would occupy resources that other jobs need.
 
-        A task without GPUs keeps a GPU machine rented when all else on it has ended. If some job
-        class fits on this machine type only, the task takes that class's place as well.
+        A task without GPUs keeps a GPU machine rented after all GPU tasks on it have ended. If some
+        job class fits on only this machine type, the task displaces that class as well.
         """
         return 0 if spec.gpus > 0 else self.has_gpus + (self.exclusive_gpu_task is not None)
 
     def count_fitting(self, spec: JobSpec) -> int:
-        """Count how many tasks like this fit into what is free."""
+        """Return how many tasks of the job fit into the free resources."""
         return count_fitting_tasks(spec, self.cpus, self.gpus, self.memory_gb)
 
     def image_delay_s(self, spec: JobSpec) -> float:
-        """Estimate how many seconds a task waits here for its image."""
+        """Return the estimated seconds that a task waits for its image on this machine."""
         return 0.0 if spec.image in self.images else spec.image_gb / self.fetch_gb_per_s
 
     def price_per_task(self, spec: JobSpec) -> float:
-        """Return one task's part of the machine's price.
+        """Return one task's share of the machine's price.
 
-        A machine type that is short of memory for the task has few slots, hence a high price.
+        A machine type with little memory for the task has few slots, hence a high price per task.
         """
-        return self.price / max(1, self.slots_when_empty(spec))
+        return self.price / max(1, self.slots_when_idle(spec))
 
     def reserve(self, spec: JobSpec, tasks: int = 1) -> None:
-        """Reserve the resources of so many tasks."""
+        """Reserve the resources of the given number of tasks."""
         self.cpus -= tasks * spec.cpus
         self.gpus -= tasks * spec.gpus
         self.memory_gb -= tasks * spec.memory_gb
@@ -166,7 +167,7 @@
 
 
 def is_allowed(spec: JobSpec, type_name: str, zone: str, spot: bool) -> bool:
-    """Return whether the job may run on this type, in this zone, on spot or not."""
+    """Return whether the job may run on this machine type, in this zone, on spot or not."""
     if spot and not spec.spot:
         return False
     if spec.types is not None and type_name not in spec.types:
@@ -175,16 +176,16 @@
 
 
 class ZoneAllowance:
-    """How many more tasks of a job each zone may get, given where its other tasks are."""
+    """The number of tasks of a job that each zone may still get, given its placed tasks."""
 
     def __init__(self, spec: JobSpec, placed: dict[str, int]) -> None:
         self._spec = spec
         self._placed = dict(placed)
-        # a spread job puts at most half of its tasks into one zone
+        # at most half of the tasks of a spread job go to one zone
         self._max_tasks_per_zone = (spec.tasks + 1) // 2
 
     def remaining(self, zone: str) -> int:
-        """Return how many more tasks may go to the zone; zero or less means none."""
+        """Return how many more tasks the zone may get; zero or less means none."""
         if self._spec.one_zone and any(n for z, n in self._placed.items() if z != zone):
             return 0
         if self._spec.spread:
@@ -192,12 +193,12 @@
         return self._spec.tasks
 
     def reserve(self, zone: str, tasks: int) -> None:
-        """Count so many more tasks in the zone."""
+        """Count the given number of tasks as placed in the zone."""
         self._placed[zone] = self._placed.get(zone, 0) + tasks
 
 
 class TaskAssignment(NamedTuple):
-    """How many tasks a machine gets."""
+    """A number of tasks assigned to a machine."""
 
     capacity: FreeCapacity
     tasks: int
@@ -213,7 +214,7 @@
         self.assignments: list[TaskAssignment] = []
 
     def assign(self, ranked: list[FreeCapacity], limit: int, alongside_gpu_tasks: bool) -> bool:
-        """Make one pass with at most `limit` tasks a machine; return whether none is left."""
+        """Make one pass with at most `limit` tasks per machine; return whether all are assigned."""
         spec, zones = self._spec, self._zones
         for capacity in ranked:
             zone_limit = max(0, zones.remaining(capacity.zone))
@@ -237,11 +238,11 @@
     zones: ZoneAllowance,
     max_share_per_machine: float = 1.0,
 ) -> list[TaskAssignment]:
-    """Assign up to this many tasks to machines and reserve their resources.
+    """Assign up to the given number of tasks to machines and reserve their resources.
 
-    The machines are taken in the order of `_sort_key`. At most `max_share_per_machine` of a
-    service's tasks go to one machine as long as others have room, so that the loss of a machine
-    hurts little. Tasks without GPUs first go where they take no GPU task's place.
+    Machines are used in the order of `_sort_key`. At most `max_share_per_machine` of a service's
+    tasks go to one machine as long as others have free capacity, which limits the effect of losing
+    a machine. Tasks without GPUs go first to capacity where they displace no GPU task.
     """
     ranked = _ranked_capacities(spec, capacities, zones)
     assigner = _TaskAssigner(spec, tasks, zones)
@@ -257,7 +258,7 @@
 def assign_tasks_alongside_gpu_tasks(
     spec: JobSpec, tasks: int, capacities: Sequence[FreeCapacity], zones: ZoneAllowance
 ) -> list[TaskAssignment]:
-    """Assign up to this many tasks, none of which takes the place of a GPU task."""
+    """Assign up to the given number of tasks, none of which displaces a GPU task."""
     ranked = _ranked_capacities(spec, capacities, zones)
     assigner = _TaskAssigner(spec, tasks, zones)
     for limit in _limits_per_machine(spec, tasks, 1.0):
@@ -267,7 +268,7 @@
 
 
 def _limits_per_machine(spec: JobSpec, tasks: int, max_share_per_machine: float) -> tuple[int, ...]:
-    """Return the most tasks that a machine may get in each pass."""
+    """Return for each pass the most tasks that one machine may get."""
     if spec.kind != "service":
         return (tasks,)
     limit = max(1, int(spec.tasks * max_share_per_machine + ROUND_UP_OFFSET))
@@ -285,7 +286,7 @@
         and is_allowed(spec, capacity.type, capacity.zone, capacity.spot)
     ]
     if spec.one_zone and not any(zones.remaining(c.zone) == 0 for c in fitting):
-        # no task of the job runs yet: take the zone that has room for most of them
+        # no task of the job is placed yet: choose the zone where most of its tasks fit
         zone = max(
             {capacity.zone for capacity in fitting},
             default="",
@@ -299,14 +300,18 @@
 def _sort_key(
     spec: JobSpec,
 ) -> Callable[[FreeCapacity], tuple[int, bool, int, bool, float, float]]:
-    """Return the sort key of machines for tasks of the job, lowest first.
+    """Return the sort key that ranks machines for tasks of the job; the lowest ranks first.
 
     The key is a plain tuple, since tuples of a subclass sort more slowly and this runs for every
-    fitting machine of every waiting job. Its elements are: contention cost; whether the zone
-    offers few machine types, since it is kept for the replicas that must go there; the wait for
-    the image in whole seconds; for a service whether the machine is empty, for an array whether
-    it is not a spot machine (spot machines can't serve jobs that may not use them); the price per
-    task; and the free share of the machine.
+    fitting machine of every waiting job. Its elements are, in this order:
+
+    - the contention cost;
+    - whether the zone offers few machine types: such a zone is kept for replicas that need it;
+    - the delay for the image in whole seconds;
+    - for a service whether the machine is idle, for an array whether it is an on-demand machine,
+      since jobs that may not use spot machines need these;
+    - the price per task;
+    - the free share of the machine.
     """
     prices: dict[str, float] = {}
     is_service = spec.kind == "service"
--- a/crossmill/planning/gpu_footprints.py
+++ b/crossmill/planning/gpu_footprints.py
@@ -1,6 +1,6 @@
-"""Resources that GPU tasks take of a machine, so that tasks without GPUs leave room for them.
+"""Resources that GPU tasks need on a machine, so that other tasks leave capacity for them.
 
-The functions are pure. The demand forecast calls `gpu_footprints` for the active jobs of a shard.
+The functions are pure. `fleet.capacity` calls `gpu_footprints` for the active jobs of all shards.
 """
 
 from collections.abc import Collection, Iterable
@@ -13,7 +13,7 @@
 
 
 class ExclusiveFootprint(NamedTuple):
-    """The footprint of a class that fits on one type only, and whether it may use spot machines."""
+    """The footprint of a class that fits on only one type, and whether it may use spot machines."""
 
     footprint: TaskFootprint
     spot: bool
@@ -24,15 +24,16 @@
 
     Attributes:
         typical: The footprint of the class with the most tasks; None if there is no class.
-        exclusive: By machine type, the footprint of the class with the most tasks among those that
-            fit on this type only. Empty if the class with the most tasks fits on one type only.
+        exclusive: By machine type, the footprint of the class with the most tasks among the classes
+            that fit on this type only. Empty if the class with the most tasks of all fits on only
+            one type.
     """
 
     typical: TaskFootprint | None
     exclusive: dict[str, ExclusiveFootprint]
 
     def exclusive_footprint(self, capacity: FreeCapacity) -> TaskFootprint | None:
-        """Return the footprint of the class that can only use machines like this one."""
+        """Return the footprint of the class that can use only machines of this type, if any."""
         found = self.exclusive.get(capacity.type)
         if found is None or (capacity.spot and not found.spot):
             return None
@@ -40,7 +41,7 @@
 
 
 def gpu_footprints(specs: Iterable[JobSpec], catalog: Collection[MachineType]) -> GpuFootprints:
-    """Return the footprints of the classes of these jobs, all of which use GPUs."""
+    """Return the footprints of the classes of the given jobs, all of which use GPUs."""
     tasks: dict[str, int] = {}
     newest: dict[str, JobSpec] = {}
     for spec in specs:
@@ -65,7 +66,7 @@
 
 
 def _fitting_types(spec: JobSpec, catalog: Collection[MachineType]) -> list[str]:
-    """Return the names of the types that a task of the job fits on."""
+    """Return the names of the machine types that a task of the job fits on."""
     return [
         machine_type.name
         for machine_type in catalog
--- a/crossmill/planning/pipelines.py
+++ b/crossmill/planning/pipelines.py
@@ -1,9 +1,8 @@
 """The queue's order: priorities and budgets of single jobs and of the stages of pipelines.
 
-Jobs that are joined by dependencies are the stages of a pipeline. The paper's latency split
-(section III-C) is made over its unfinished part, with the time left to its deadline. The functions
-are pure: the same records give the same budgets on every controller. `fleet.pipelines` calls them
-when a pipeline changes.
+Jobs that are connected by dependencies are the stages of a pipeline. `split` divides the time left
+to the deadline among its unfinished stages. The functions are pure: the same records yield the same
+budgets on every controller. `fleet.pipelines` calls them when a pipeline changes.
 """
 
 from collections.abc import Mapping, Sequence
@@ -17,9 +16,9 @@
 
 
 class QueuePosition(NamedTuple):
-    """Where a job stands in the queue: by priority (0 is the highest), then by budget end.
+    """A job's position in the queue, ordered by priority (0 is the highest), then by budget end.
 
-    `budget_end` is in seconds of wall time. Without a deadline it is a place in the queue only.
+    `budget_end` is a wall time in seconds. Without a deadline it only determines the queue order.
     """
 
     priority: int
@@ -28,17 +27,17 @@
 
 
 def queue_position(spec: JobSpec, end: float) -> QueuePosition:
-    """Return the place of a job that is a pipeline by itself and whose budget ends then."""
+    """Return the position of a job outside any pipeline; `end` is when its budget ends."""
     return QueuePosition(PRIORITY[spec.priority], end, spec.deadline_s is not None)
 
 
 def budget_end(
     spec: JobSpec, submitted: float, ready_at: float, margin_s: float, default_queue_wait_s: float
 ) -> float:
-    """Return when the budget ends of a job that is a pipeline by itself, in wall time.
+    """Return the wall time at which the budget of a job outside any pipeline ends.
 
-    The only stage gets all the time to the deadline, which counts from the submission, less the
-    margin. Without a deadline the budget is a fixed wait from when the job could begin.
+    The job gets all the time until its deadline, which counts from submission, minus the margin.
+    Without a deadline the budget is a fixed waiting time from when the job became ready.
     """
     if spec.deadline_s is None:
         return ready_at + default_queue_wait_s
@@ -49,13 +48,13 @@
     """An unfinished job of a pipeline.
 
     Attributes:
-        id: Id of the job.
+        id: ID of the job.
         priority: Its own priority; 0 is the highest.
-        tasks: How many tasks it has.
+        tasks: Number of its tasks.
         options: The machine types that it may use.
-        margin_s: Safety margin for the error of its estimate.
-        dependencies: Ids of the unfinished jobs that it depends on.
-        deadline: When it has to be done, in wall time; None if its user gave no deadline.
+        margin_s: Safety margin in seconds for the error of its run time estimate.
+        dependencies: IDs of the unfinished jobs that it depends on.
+        deadline: Wall time by which it has to be done; None if its user gave no deadline.
     """
 
     id: str
@@ -68,11 +67,12 @@
 
 
 class StagePlan(NamedTuple):
-    """Where a stage stands in the queue.
+    """A stage's priority and budget in the queue.
 
     Attributes:
-        priority: The highest priority among the stage and all that depend on it.
-        budget_end: When its budget ends, in wall time; None without any deadline.
+        priority: The highest priority among the stage and all stages that depend on it.
+        budget_end: Wall time at which its budget ends; None if neither it nor a stage that depends
+            on it has a deadline.
     """
 
     priority: int
@@ -80,7 +80,7 @@
 
 
 def topological_order(stages: Mapping[str, PipelineStage]) -> list[str]:
-    """Order the stages so that each comes after those it depends on."""
+    """Return the stage IDs ordered so that each stage follows the stages it depends on."""
     missing = {
         name: sum(dependency in stages for dependency in stage.dependencies)
         for name, stage in stages.items()
@@ -100,7 +100,7 @@
 
 
 def plan_pipeline(stages: Mapping[str, PipelineStage], now: float) -> dict[str, StagePlan]:
-    """Plan every stage, with the latency split made as of `now` in wall time."""
+    """Return the plan of every stage, with the latency split as of `now` in wall time."""
     order = topological_order(stages)
     priorities = _inherited_priorities(stages, order)
     ends: dict[str, float] = {}
@@ -115,7 +115,7 @@
 def _inherited_priorities(
     stages: Mapping[str, PipelineStage], order: Sequence[str]
 ) -> dict[str, int]:
-    """Return the highest priority among each stage and those that depend on it."""
+    """Return for each stage the highest priority among it and the stages that depend on it."""
     priorities = {name: stages[name].priority for name in order}
     for name in reversed(order):
         for dependency in stages[name].dependencies:
@@ -125,7 +125,7 @@
 
 
 def _with_dependencies(stages: Mapping[str, PipelineStage], last: str) -> set[str]:
-    """Return the stage and all that it depends on, directly or through others."""
+    """Return the stage and all stages that it depends on, directly or indirectly."""
     found = {last}
     pending = [last]
     while pending:
@@ -143,7 +143,7 @@
     deadline: float,
     now: float,
 ) -> dict[str, float]:
-    """Return when the budgets end of all stages that `last` needs to meet the deadline."""
+    """Return when the budgets of `last` and of its dependencies end, in wall time."""
     members = _with_dependencies(stages, last)
     names = [name for name in order if name in members]
     positions = {name: position for position, name in enumerate(names)}
@@ -156,7 +156,7 @@
         )
         split_stages.append(Stage(stage.tasks, stage.options, after))
         margins.append(stage.margin_s + max((margins[position] for position in after), default=0.0))
-    # a deadline that has passed leaves a negative time, which keeps the order among late stages
+    # after the deadline the remaining time is negative, which preserves the order of late stages
     budgets = split(split_stages, deadline - margins[-1] - now)
     ends: list[float] = []
     for split_stage, budget in zip(split_stages, budgets, strict=True):
--- a/crossmill/planning/split.py
+++ b/crossmill/planning/split.py
@@ -1,9 +1,9 @@
-"""The paper's latency split (its section III-C): divides a deadline among a pipeline's stages.
+"""The latency split of the Piccolo paper (section III-C): divides a pipeline's deadline by stage.
 
-A stage is a job; an option is a machine type. Every stage starts on its fastest, costliest option.
-Then, as long as the pipeline keeps its deadline, the switch to another option that saves most cost
-per added second of finish time is made. The functions are pure; pipeline planning and capacity
-planning call `split`.
+A stage is a job; an option is a machine type. Every stage starts with its fastest and most
+expensive option. As long as the pipeline still meets its deadline, `split` then repeatedly makes
+the switch to another option that saves the most cost per added second of finish time. The functions
+are pure. Pipeline planning and capacity planning call `split`.
 """
 
 from collections.abc import Iterator, Sequence
@@ -15,8 +15,8 @@
     """A machine type that a stage may use.
 
     Attributes:
-        name: Identifies the option.
-        price: Price of one machine; for a spot machine that of its on-demand type.
+        name: Name that identifies the option.
+        price: Price of one machine; for a spot machine the on-demand price of its type.
         throughput: Tasks per second of one whole machine.
         finish_s: Seconds until the stage is estimated to finish on this option.
     """
@@ -27,7 +27,7 @@
     finish_s: float
 
     def cost(self, tasks: float) -> float:
-        """Return what so many tasks cost on this option."""
+        """Return the cost of the given number of tasks with this option."""
         return self.price * tasks / self.throughput
 
 
@@ -40,14 +40,14 @@
 
 
 class StageBudget(NamedTuple):
-    """The option chosen for a stage, and its part of the deadline in seconds."""
+    """The option chosen for a stage, and the stage's share of the deadline in seconds."""
 
     option: MachineOption
     budget_s: float
 
 
 class _Switch(NamedTuple):
-    """Another option for a stage, and what it saves per second of finish time added."""
+    """Another option for a stage, and its cost saving per added second of finish time."""
 
     gain: float
     stage: int
@@ -65,7 +65,7 @@
 def _path_through(stages: Sequence[Stage], chosen: Sequence[MachineOption]) -> list[float]:
     """Return the length of the longest path through each stage, in seconds."""
     ends = _path_ends(stages, chosen)
-    # the longest path that begins after each stage
+    # the length of the longest path that begins after each stage
     tails = [0.0] * len(stages)
     for index in range(len(stages) - 1, -1, -1):
         length = tails[index] + chosen[index].finish_s
@@ -75,29 +75,29 @@
 
 
 def _switches(stage: Stage, index: int, old: MachineOption, slack_s: float) -> Iterator[_Switch]:
-    """Yield the cheaper options that add no more than the slack of the paths through the stage."""
+    """Yield switches to cheaper options whose added time fits the slack of the stage's paths."""
     cost = old.cost(stage.tasks)
     for new in stage.options:
         saved = cost - new.cost(stage.tasks)
         added = new.finish_s - old.finish_s
         if new is old or saved <= 0 or added > slack_s:
             continue
-        # a switch that is cheaper and not slower beats every trade
+        # a cheaper option that is not slower is better than any that adds time
         yield _Switch(saved / added if added > 0 else inf, index, new)
 
 
 def _choose(stages: Sequence[Stage], deadline_s: float) -> list[MachineOption]:
     """Choose every stage's option.
 
-    A switch lengthens only the paths through its stage, so that one pass over the edges serves all
-    candidates of a step.
+    A switch lengthens only the paths through its stage, so one pass over the edges per step is
+    enough to check all candidate switches.
     """
     chosen = [
         min(stage.options, key=lambda option: (option.finish_s, -option.price)) for stage in stages
     ]
     while True:
         paths = _path_through(stages, chosen)
-        # from the fastest options on, a pipeline that is too long can't be made shorter
+        # too long even with the fastest options: no switch shortens the pipeline
         if max(paths, default=0.0) > deadline_s:
             return chosen
         candidates = (
@@ -114,8 +114,8 @@
 def split(stages: Sequence[Stage], deadline_s: float) -> list[StageBudget]:
     """Return each stage's option and budget.
 
-    Stages are given in topological order. The deadline is divided in proportion to the finish
-    times along the longest path through each stage.
+    Stages are given in topological order. A stage's budget is the deadline times the stage's share
+    of the longest path through it.
     """
     chosen = _choose(stages, deadline_s)
     paths = _path_through(stages, chosen)
--- a/tests/planning_builders.py
+++ b/tests/planning_builders.py
@@ -1,6 +1,6 @@
 """Machine types and free machines for the tests of planning."""
 
-from crossmill.planning.demand import empty_capacity
+from crossmill.planning.demand import idle_capacity
 from crossmill.planning.free_capacity import FreeCapacity, TaskFootprint
 from crossmill.wire.cloud import parse_catalog
 
@@ -10,8 +10,8 @@
 TYPICAL_GPU_TASK = TaskFootprint(5.0, 1.0, 35.0)
 
 
-def empty_machine(
+def idle_machine(
     machine: str, zone: str = "north", type_name: str = "g4", spot: bool = False
 ) -> FreeCapacity:
     """Returns the capacity of a machine without tasks."""
-    return empty_capacity(machine, TYPES[type_name], zone, spot)
+    return idle_capacity(machine, TYPES[type_name], zone, spot)
--- a/tests/test_capacity_cache.py
+++ b/tests/test_capacity_cache.py
@@ -25,7 +25,7 @@
 
 
 def _comparable_fields(capacity: FreeCapacity) -> dict[str, Any]:
-    skipped = {"slots_when_empty", "has_new_tasks"}
+    skipped = {"slots_when_idle", "has_new_tasks"}
     return {f.name: getattr(capacity, f.name) for f in fields(capacity) if f.name not in skipped}
 
 
--- a/tests/test_gpu_footprints.py
+++ b/tests/test_gpu_footprints.py
@@ -6,7 +6,7 @@
 from crossmill.planning.gpu_footprints import gpu_footprints
 
 from .builders import make_spec
-from .planning_builders import TYPES, empty_machine
+from .planning_builders import TYPES, idle_machine
 
 MANY_SMALL_TASKS = make_spec(grist="train", sacks=50, cpus=4.0, cards=1.0, ramGb=16.0)
 FEW_LARGE_TASKS = make_spec(grist="chat", sacks=2, cpus=8.0, cards=4.0, ramGb=200.0)
@@ -29,7 +29,7 @@
     footprints = gpu_footprints(
         [MANY_SMALL_TASKS, FEW_LARGE_TASKS, FEW_LARGE_TASKS], [TYPES["g4"], SMALL_TYPE]
     )
-    assert footprints.exclusive_footprint(empty_machine("a", spot=spot)) == expected
+    assert footprints.exclusive_footprint(idle_machine("a", spot=spot)) == expected
 
 
 def test_no_type_is_exclusive_if_all_classes_fit_on_one_type_only() -> None:
@@ -49,6 +49,6 @@
 def test_a_task_without_gpus_costs_more_on_a_gpu_machine_and_most_on_an_exclusive_type(
     gpus: float, type_name: str, exclusive: TaskFootprint | None, cost: int
 ) -> None:
-    capacity = empty_machine("n", type_name=type_name)
+    capacity = idle_machine("n", type_name=type_name)
     capacity.exclusive_gpu_task = exclusive
     assert capacity.contention_cost(make_spec(cards=gpus)) == cost
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -13,7 +13,7 @@
 from crossmill.wire.users import JobSpec
 
 from .builders import make_settings, make_spec
-from .planning_builders import TYPES, TYPICAL_GPU_TASK, empty_machine
+from .planning_builders import TYPES, TYPICAL_GPU_TASK, idle_machine
 
 
 def _assigned(
@@ -26,7 +26,7 @@
 
 def test_replicas_are_spread_over_the_zones() -> None:
     spec = make_spec(cut="service", sacks=5, spread=True, cards=1.0)
-    capacities = [empty_machine("a", "north"), empty_machine("b", "south")]
+    capacities = [idle_machine("a", "north"), idle_machine("b", "south")]
     tasks = dict.fromkeys("ab", 0)
     for machine, number in _assigned(spec, 5, capacities):
         tasks[machine] += number
@@ -34,17 +34,17 @@
 
 
 def test_a_machine_that_has_the_image_is_preferred() -> None:
-    capacities = [empty_machine("a"), empty_machine("b")]
+    capacities = [idle_machine("a"), idle_machine("b")]
     capacities[1].images["img-1"] = 10.0
     assert [machine for machine, _ in _assigned(make_spec(sacks=1), 1, capacities)] == ["b"]
 
 
 def test_spot_machines_get_no_task_of_a_job_that_may_not_use_them() -> None:
-    assert _assigned(make_spec(sacks=1), 1, [empty_machine("s", spot=True)]) == []
+    assert _assigned(make_spec(sacks=1), 1, [idle_machine("s", spot=True)]) == []
 
 
 def test_machines_of_another_zone_get_no_task_of_a_job_that_names_its_zone() -> None:
-    assert _assigned(make_spec(yard="south"), 1, [empty_machine("a"), empty_machine("b")]) == []
+    assert _assigned(make_spec(yard="south"), 1, [idle_machine("a"), idle_machine("b")]) == []
 
 
 @pytest.fixture
@@ -55,7 +55,7 @@
 @pytest.fixture
 def two_zones() -> dict[str, FreeCapacity]:
     zones = enumerate(["north", "south"] * 2)
-    return {f"m{i}": empty_machine(f"m{i}", zone) for i, zone in zones}
+    return {f"m{i}": idle_machine(f"m{i}", zone) for i, zone in zones}
 
 
 def test_a_job_for_one_zone_stays_in_one(
@@ -146,7 +146,7 @@
 
 
 def test_no_machine_is_requested_if_the_tasks_fit_and_the_unused_one_is_spare() -> None:
-    plan = _plan_six_tasks([empty_machine("a"), empty_machine("b"), empty_machine("c")], limit=50)
+    plan = _plan_six_tasks([idle_machine("a"), idle_machine("b"), idle_machine("c")], limit=50)
     assert plan.machine_requests == {}
     assert len(plan.spare_machines) == 1
 
