--- a/tests/test_boot_times.py
+++ b/tests/test_boot_times.py
@@ -1,4 +1,4 @@
-"""Machines that come up late or never: which count as capacity, and which have failed."""
+"""Tests of machines that boot late or never: which count as capacity and which have failed."""
 
 import curio
 import pytest
@@ -29,19 +29,19 @@
         self._revision = 1
 
     def write(self, machine: str, rented: float = 0.0, boot_s: float | None = None) -> None:
-        """Writes the machine's record."""
+        """Write the machine's record."""
         self._revision += 1
         value = {"type": "g4", "zone": "north", "spot": False, "shard": 0, "at": rented}
         value |= {"retiring": "", "up": boot_s is not None, "boot_s": boot_s}
         self.mirror.written(keys.machine(machine), value, self._revision)
 
     def is_expected(self, machine: str, age: float) -> bool:
-        """Whether the machine, rented so many boot times ago, is counted on."""
+        """Return whether the machine counts as capacity `age` boot times after second 0."""
         machine_type = self.cluster.catalog["g4"]
         return self.times.is_expected(self.cluster.machines[machine], machine_type, age * BOOT_S)
 
     def has_failed(self, machine: str, age: float) -> bool:
-        """Whether the machine, rented so many boot times ago, counts as never coming up."""
+        """Return whether the machine counts as failed `age` boot times after second 0."""
         machine_type = self.cluster.catalog["g4"]
         return self.times.has_failed(self.cluster.machines[machine], machine_type, age * BOOT_S)
 
@@ -61,7 +61,7 @@
         fleet.write(f"n-{number}")
     assert [fleet.is_expected(f"n-{number}", 3.0) for number in range(4)] == [True, False] * 2
     assert not any(fleet.has_failed(f"n-{number}", 6.0) for number in range(4))
-    # they are not paid for indefinitely
+    # after the longest timeout they fail, so that they are not paid for indefinitely
     assert all(fleet.has_failed(f"n-{number}", 9.0) for number in range(4))
 
 
@@ -71,7 +71,7 @@
     assert [fleet.has_failed("n-0", age) for age in (3.0, 4.0)] == [False, True]
 
 
-def test_slow_boots_lengthen_the_timeouts_and_quick_ones_shorten_them() -> None:
+def test_slow_boots_lengthen_the_timeouts_and_fast_boots_shorten_them() -> None:
     fleet = BootingFleet()
     fleet.write("n-0", boot_s=4 * BOOT_S)
     fleet.write("n-1", rented=-10.0)
@@ -88,7 +88,7 @@
     fleet.write("n-0", boot_s=4 * BOOT_S)
     for number in range(2, 10):
         fleet.write(f"n-{number}", rented=5.0, boot_s=BOOT_S)
-    # the slow one moves to another shard, or is retired, long after
+    # the record of the slow machine is written again later, as when it moves or is retired
     fleet.write("n-0", boot_s=4 * BOOT_S)
     fleet.write("n-1")
     assert not fleet.is_expected("n-1", 3.0)
@@ -118,10 +118,10 @@
         region.comes_up = boots
         assert await region.submit("node-0", "wk-000001", 10.0, crew="blue", sacks=16) == 201
         await region.wait_until(lambda: region.has_finished("wk-000001", 16), 600.0)
-        # the machines that were rented first did the work
+        # the machines that were rented first are not released
         assert not {"n-000000", "n-000001"} & set(region.cloud.released)
         assert len(region.cloud.machines) <= 12
-        # every controller knows how long they booted
+        # every controller has the boot times of the machines
         await curio.sleep(5.0)
         for node in region.nodes.values():
             boot_durations = [m.boot_s for m in node.cluster.machines.values() if m.up]
--- a/tests/test_capacity_cache.py
+++ b/tests/test_capacity_cache.py
@@ -1,4 +1,4 @@
-"""Cached free capacity equals what would be computed anew, after every event."""
+"""Tests that cached free capacity equals newly computed free capacity after every event."""
 
 import random
 from dataclasses import fields
@@ -30,7 +30,7 @@
 
 
 class _RandomCluster:
-    """A cluster that changes at random, by watch events."""
+    """A cluster that is changed at random by watch events."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -100,14 +100,14 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_cached_capacity_is_as_if_computed_anew_after_every_event(seed: int) -> None:
-    # stale entries would place tasks by what was free before an attempt or machine changed
+def test_cached_capacity_equals_newly_computed_capacity_after_every_event(seed: int) -> None:
+    # stale entries would place tasks on capacity that an attempt or a machine change has used up
     changing = _RandomCluster(seed)
     for _ in range(300):
         changing.step()
 
 
-def test_an_unchanged_machine_keeps_its_entry_and_those_of_deleted_ones_are_dropped() -> None:
+def test_an_unchanged_machine_keeps_its_entry_and_entries_of_deleted_machines_are_dropped() -> None:
     changing = _RandomCluster(0)
     value = {"type": "g4", "zone": "north", "spot": False, "shard": 0, "at": 0.0}
     value.update(retiring="", up=True)
--- a/tests/test_job_queue.py
+++ b/tests/test_job_queue.py
@@ -1,4 +1,4 @@
-"""Estimates of run times, and the order of the job queue."""
+"""Tests of run time estimates and of the order of the job queue."""
 
 from typing import NamedTuple
 
@@ -23,13 +23,13 @@
 
 
 @pytest.mark.parametrize(("due_s", "end"), [(50.0, 140.0), (500.0, 590.0), (None, 133.0)])
-def test_budget_ends_a_margin_before_the_deadline_or_after_a_fixed_wait(
+def test_budget_ends_a_margin_before_the_deadline_or_after_a_fixed_waiting_time(
     due_s: float | None, end: float
 ) -> None:
     assert budget_end(make_spec(dueS=due_s), 100.0, 100.0, 10.0, 33.0) == end
 
 
-def test_queue_goes_by_priority_before_budget_end() -> None:
+def test_queue_is_ordered_by_priority_before_budget_end() -> None:
     first = queue_position(make_spec(precedence="production"), 999.0)
     assert first < queue_position(make_spec(dueS=50.0), 0.0)
 
@@ -44,10 +44,10 @@
 
 @pytest.mark.parametrize("large", [{"dueS": 60.0}, {"dueS": None}])
 def test_no_job_is_passed_over_indefinitely_by_newer_ones(large: dict[str, float | None]) -> None:
-    """More work arrives than can be done, for minutes.
+    """For minutes, more work arrives than can be done.
 
-    The largest array, and the job without a deadline, still start once their budgets end, since
-    later jobs have later ends.
+    The large job, with or without a deadline, still starts about when its budget ends, since the
+    budgets of later jobs end later.
     """
     slots, default_queue_wait_s, large_tasks = 8, 45.0, 90
     waiting: list[_QueuedTasks] = []
@@ -70,6 +70,6 @@
             if first.tasks > done:
                 waiting.insert(0, first._replace(tasks=first.tasks - done))
     assert len(large_done_at) == large_tasks
-    # not before its turn, and soon after its budget's end
+    # the large job starts close to the end of its budget
     end = 10 + (large["dueS"] or default_queue_wait_s)
     assert end - 30 < large_done_at[0] <= end + 30
--- a/tests/test_latency_split.py
+++ b/tests/test_latency_split.py
@@ -1,4 +1,4 @@
-"""Splits of a pipeline's latency budget, on the paper's worked examples."""
+"""Tests of the latency split, with the worked examples of the Piccolo paper."""
 
 import pytest
 
@@ -34,12 +34,12 @@
 
 @pytest.mark.parametrize(("deadline_s", "chosen"), [(1.0, 1), (2.0, 2), (0.1, 0)])
 def test_split_prefers_efficiency_over_throughput(deadline_s: float, chosen: int) -> None:
-    # with time for one switch the one with the higher gain per second is made
+    # if there is time for only one switch, it is the one with the higher gain per second
     assert split([Stage(100, M1_OPTIONS)], deadline_s)[0].option is M1_OPTIONS[chosen]
 
 
-def test_split_of_two_modules_in_sequence_takes_the_cheapest_strategy() -> None:
-    # Table II: of the three strategies for 0.9 s the second costs least, 4.00 machines
+def test_split_of_two_modules_in_sequence_chooses_the_cheapest_strategy() -> None:
+    # Table II: the second of the three strategies for 0.9 s costs the least, 4.00 machines
     budgets = split(TABLE_2_STAGES, 0.9)
     assert [budget.option.name for budget in budgets] == ["m2/1", "m3/1"]
     cost = sum(b.option.cost(s.tasks) for b, s in zip(budgets, TABLE_2_STAGES, strict=True))
@@ -47,5 +47,5 @@
     assert [budget.budget_s for budget in budgets] == pytest.approx([0.4, 0.5])
 
 
-def test_split_budgets_grow_in_proportion_to_the_time_there_is() -> None:
+def test_split_budgets_grow_in_proportion_to_the_available_time() -> None:
     assert sum(b.budget_s for b in split(TABLE_2_STAGES, 3.0)) == pytest.approx(3.0)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -1,4 +1,4 @@
-"""Budgets and priorities of pipelines."""
+"""Tests of the budgets and priorities of pipelines."""
 
 import pytest
 
@@ -37,24 +37,24 @@
     return {stage.id: stage for stage in stages}
 
 
-def test_order_puts_each_stage_after_those_it_depends_on() -> None:
+def test_topological_order_puts_each_stage_after_its_dependencies() -> None:
     order = topological_order(_diamond())
     assert order[0] == "first"
     assert order[-1] == "last"
 
 
-def test_stages_inherit_the_highest_priority_of_those_that_depend_on_them() -> None:
+def test_stages_inherit_the_highest_priority_of_their_dependents() -> None:
     plans = plan_pipeline(_diamond(), 10.0)
     assert {plan.priority for plan in plans.values()} == {1}
 
 
 def test_the_time_to_the_deadline_is_divided_among_the_stages() -> None:
-    # ninety seconds over three stages in sequence, all on the slow option in the end
+    # ninety seconds for three stages in sequence, all of which switch to the slow option
     ends = {name: plan.budget_end for name, plan in plan_pipeline(_diamond(), 10.0).items()}
     assert ends == pytest.approx({"first": 40.0, "left": 70.0, "right": 70.0, "last": 100.0})
 
 
-def test_the_margin_of_the_longest_path_is_kept() -> None:
+def test_the_margin_of_the_longest_path_is_subtracted() -> None:
     late = {**_diamond(), "left": _stage("left", "first", margin_s=30.0)}
     assert plan_pipeline(late, 10.0)["last"].budget_end == pytest.approx(70.0)
 
@@ -76,7 +76,7 @@
 
 
 def _split_by_trying_all_paths(stages: list[Stage], deadline_s: float) -> list[MachineOption]:
-    """Split in the plain way: each switch is tried on all paths before one is made."""
+    """Split by brute force: check each candidate switch against all paths."""
     chosen = [min(s.options, key=lambda o: (o.finish_s, -o.price)) for s in stages]
     while True:
         best: tuple[float, int, MachineOption] | None = None
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize("deadline_s", range(10, 90, 3))
-def test_split_takes_the_same_switches_as_trying_each_on_all_paths(deadline_s: int) -> None:
+def test_split_makes_the_same_switches_as_the_brute_force_split(deadline_s: int) -> None:
     options = (
         MachineOption("a", 4.0, 1.0, 5.0),
         MachineOption("b", 2.0, 1.0, 9.0),
@@ -117,7 +117,7 @@
 def test_a_wide_pipeline_is_split_in_passes_over_its_edges(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # tried on all paths for each candidate, two hundred stages took 40,000 passes
+    # checking each candidate switch against all paths took 40,000 passes for two hundred stages
     passes = 0
     original = _path_ends
 
@@ -133,8 +133,8 @@
     assert passes <= 205
 
 
-def test_a_pipelines_place_follows_the_durable_records() -> None:
-    # priority is inherited from when the last stage is submitted until it is cancelled
+def test_a_pipelines_queue_position_follows_the_durable_records() -> None:
+    # the priority of the last stage is inherited from its submission until its cancellation
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock)
         first, middle, last = (f"wk-00000{n}" for n in (1, 2, 3))
@@ -155,11 +155,11 @@
         priority, end, _ = forecast.queue_rank(jobs[first])
         assert priority == 1
         assert at < end < at + 300.0
-        # another controller computes the same
+        # another controller computes the same budget end
         other = SteppedController(state, clock, nodes, "node-1")
         await other.boot()
         assert other.forecast.queue_rank(jobs[first])[1] == pytest.approx(end)
-        # the stage that priority was inherited from is cancelled
+        # cancel the stage from which the priority was inherited
         state.put(keys.job(last), encode_end(CANCELLED, final, clock.wall(), RECORD_BYTES))
         await node.sync()
         assert forecast.queue_rank(jobs[first])[0] == 3
@@ -167,7 +167,9 @@
     run_scenario(scenario)
 
 
-def test_times_count_from_the_last_dependencys_end_but_the_deadline_from_the_submission() -> None:
+def test_waiting_time_counts_from_the_last_dependencys_end_but_the_deadline_from_submission() -> (
+    None
+):
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock)
         at = clock.wall()
--- a/tests/test_pipelines_under_faults.py
+++ b/tests/test_pipelines_under_faults.py
@@ -1,4 +1,4 @@
-"""Pipelines under random faults from fixed seeds, while the feature level is raised."""
+"""Tests of pipelines under random faults with fixed seeds, while the feature level is raised."""
 
 import random
 
@@ -15,7 +15,7 @@
 async def _request_until_accepted(
     region: Region, job: str, dependencies: JobIds, cancel: bool
 ) -> None:
-    """Submits or cancels a job, at one controller after another until one answers."""
+    """Submit or cancel a job, trying one controller after another until one accepts it."""
     for attempt in range(MAX_TRIES):
         labels = list(region.nodes)
         if labels:
@@ -67,10 +67,10 @@
 
 @pytest.mark.parametrize("seed_number", [0, 1, 2, 3])
 def test_pipelines_are_consistent_under_random_faults(seed_number: int) -> None:
-    """No task starts before its dependencies are done, and no job is left unfinished.
+    """No task starts before its dependencies are done, and every job finishes.
 
-    Stages of three teams, some cancelled midway, while controllers end, the state service is down
-    and responses are lost.
+    Three teams submit stages and cancel some of them, while controllers end, the state service is
+    unavailable and responses are lost.
     """
 
     async def scenario(region: Region) -> None:
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -1,4 +1,4 @@
-"""Assignment of tasks to free capacity, capacity plans, teams' shards and the catalog."""
+"""Tests of task assignment, capacity plans, the shards of teams and the stored catalog."""
 
 import pytest
 
@@ -19,7 +19,7 @@
 def _assigned(
     spec: JobSpec, tasks: int, capacities: list[FreeCapacity], placed: dict[str, int] | None = None
 ) -> list[tuple[str, int]]:
-    """The machines that get tasks, with their numbers."""
+    """Return the machines that get tasks, each with its number of tasks."""
     assignments = assign_tasks(spec, tasks, capacities, ZoneAllowance(spec, placed or {}))
     return [(assignment.capacity.machine, assignment.tasks) for assignment in assignments]
 
@@ -43,7 +43,7 @@
     assert _assigned(make_spec(sacks=1), 1, [idle_machine("s", spot=True)]) == []
 
 
-def test_machines_of_another_zone_get_no_task_of_a_job_that_names_its_zone() -> None:
+def test_machines_of_another_zone_get_no_task_of_a_job_that_requires_its_zone() -> None:
     assert _assigned(make_spec(yard="south"), 1, [idle_machine("a"), idle_machine("b")]) == []
 
 
@@ -58,22 +58,22 @@
     return {f"m{i}": idle_machine(f"m{i}", zone) for i, zone in zones}
 
 
-def test_a_job_for_one_zone_stays_in_one(
+def test_all_tasks_of_a_one_zone_job_go_to_one_zone(
     one_zone_spec: JobSpec, two_zones: dict[str, FreeCapacity]
 ) -> None:
     assigned = _assigned(one_zone_spec, 6, list(two_zones.values()))
     assert len({two_zones[machine].zone for machine, _ in assigned}) == 1
 
 
-def test_a_job_for_one_zone_goes_where_its_other_tasks_are(
+def test_further_tasks_of_a_one_zone_job_go_to_the_zone_of_its_other_tasks(
     one_zone_spec: JobSpec, two_zones: dict[str, FreeCapacity]
 ) -> None:
     assigned = _assigned(one_zone_spec, 1, list(two_zones.values()), {"south": 1})
     assert two_zones[assigned[0][0]].zone == "south"
 
 
-def test_tasks_without_gpus_first_leave_room_for_gpu_tasks_and_then_use_it() -> None:
-    """They filled GPU machines up, whose GPUs were idle while more were rented."""
+def test_tasks_without_gpus_first_leave_capacity_for_gpu_tasks_and_then_use_it() -> None:
+    """Otherwise such tasks fill GPU machines, whose GPUs are idle while more are rented."""
     small = make_spec(cut="service", sacks=12, cards=0.0, cpus=4.0, ramGb=2.0)
     capacities = [
         FreeCapacity(
@@ -91,7 +91,7 @@
         )
         for name in ("a", "b")
     ]
-    # 32 CPUs less 20 of 4 GPU tasks leave room for three on each
+    # 32 CPUs minus the 20 of 4 GPU tasks leave capacity for three tasks on each machine
     assert _assigned(small, 6, capacities) == [("a", 3), ("b", 3)]
     assert sum(number for _, number in _assigned(small, 6, capacities)) == 6
 
@@ -115,10 +115,10 @@
     )
 
 
-def test_the_only_type_that_a_class_fits_on_is_filled_up_last_by_tasks_without_gpus() -> None:
-    """Production replicas waited for capacity that equal ones without GPUs had taken.
+def test_tasks_without_gpus_fill_the_only_type_that_a_gpu_class_fits_on_last() -> None:
+    """Otherwise GPU replicas wait for capacity that replicas without GPUs of equal priority use.
 
-    A type that these could have used as well had free capacity meanwhile.
+    The latter could also use another machine type, which has free capacity.
     """
     small = make_spec(cut="service", sacks=40, cards=0.0, cpus=4.0, ramGb=2.0)
     capacities = [
@@ -128,24 +128,24 @@
     taken: dict[str, int] = {}
     for machine, number in _assigned(small, 20, capacities):
         taken[machine] = taken.get(machine, 0) + number
-    # beside two tasks of the class on the one, and up to its capacity on the other
+    # "large" keeps capacity for two tasks of the class; the remaining tasks go to "other"
     assert taken == {"large": 5, "other": 15}
 
 
 def _plan_six_tasks(capacities: list[FreeCapacity], limit: int) -> CapacityPlan:
-    """Plan six tasks of one GPU; four of them fit on a machine."""
+    """Plan six tasks with one GPU each; four of them fit on a machine."""
     spec = make_spec(sacks=6, dueS=None)
     demand = TaskDemand(spec, 6, ZoneAllowance(spec, {}), float("inf"), 40.0)
     sources = [MachineSource(TYPES["g4"], "north", False)]
     return plan_capacity([demand], capacities, sources, lambda _: limit)
 
 
-def test_machines_are_requested_for_tasks_that_find_no_capacity() -> None:
+def test_machines_are_requested_for_tasks_without_capacity() -> None:
     plan = _plan_six_tasks([], limit=50)
     assert [request.number for request in plan.machine_requests.values()] == [2]
 
 
-def test_no_machine_is_requested_if_the_tasks_fit_and_the_unused_one_is_spare() -> None:
+def test_no_machine_is_requested_if_the_tasks_fit_and_the_unused_machine_is_spare() -> None:
     plan = _plan_six_tasks([idle_machine("a"), idle_machine("b"), idle_machine("c")], limit=50)
     assert plan.machine_requests == {}
     assert len(plan.spare_machines) == 1
