--- a/crossmill/fleet/arrivals.py
+++ b/crossmill/fleet/arrivals.py
@@ -79,8 +79,11 @@
         for entry in self._classes.values():
             entry.arrivals = [a for a in entry.arrivals if a.submitted >= window_start]
 
-    def expected_replica_demands(self, shard: int) -> list[TaskDemand]:
-        """Return the demand of replicas that are likely to arrive while a machine boots."""
+    def replica_demands(self, shard: int) -> list[TaskDemand]:
+        """Return the demand of replicas that are likely to arrive while a machine boots.
+
+        Capacity plans keep free capacity for them.
+        """
         demands: list[TaskDemand] = []
         for entry in self._classes.values():
             spec = entry.spec
@@ -113,7 +116,8 @@
             running = work_s / self._settings.arrival_window_s
             number = round(running * self._settings.spot_baseline_ratio)
             if number > 0:
-                # not tied to an image or zone, so that the cheapest machines are kept
+                # without an image, since any may be needed, and without the one-zone constraint, so
+                # that the cheapest machines are kept
                 generic = replace(spec, image="", image_gb=0.0, one_zone=False, tasks=number)
                 demand = TaskDemand(generic, number, ZoneAllowance(generic, {}))
                 demand.spot_only = True
--- a/crossmill/fleet/boot_times.py
+++ b/crossmill/fleet/boot_times.py
@@ -24,7 +24,7 @@
 KEPT_BOOTS = 8
 # the cloud is considered slow if this many machines of a type are late and not overtaken
 MIN_LATE_TOGETHER = 2
-# a machine is late, or has failed, if it takes longer than the slowest recent boot by this factor
+# a machine is late, or has failed, after this many times the slowest recent boot
 LATE_MARGIN = 1.25
 FAILED_MARGIN = 2.0
 
@@ -45,7 +45,8 @@
         # rental wall times of the booting machines, by type and machine ID
         self._booting: dict[str, dict[str, float]] = {}
         self._type_by_machine: dict[str, str] = {}
-        # machines whose boot is recorded: their records are rewritten when they move or retire
+        # machines whose boot is recorded; it must count once, although the machine record is
+        # written again when the machine moves to another shard or retires
         self._recorded: set[str] = set()
         mirror.listen(self._on_key)
 
--- a/crossmill/fleet/cloud.py
+++ b/crossmill/fleet/cloud.py
@@ -1,7 +1,6 @@
 """Client of the cloud's API. All requests are paced below the cloud's rate limit.
 
-`Cloud` owns the pacer and generates the names of rental requests. Only the fleet provisioner calls
-it.
+`Cloud` owns the pacer and names the rental requests. Only the fleet provisioner calls it.
 """
 
 from collections.abc import Callable
@@ -62,7 +61,7 @@
         self.body = body
 
 
-def _always() -> bool:
+def _always_allowed() -> bool:
     return True
 
 
@@ -137,7 +136,7 @@
         method: str,
         path: str,
         body: bytes = b"",
-        may_send: Callable[[], bool] = _always,
+        may_send: Callable[[], bool] = _always_allowed,
     ) -> _Response:
         """Send a request as soon as the pacer allows it.
 
--- a/crossmill/fleet/forecast.py
+++ b/crossmill/fleet/forecast.py
@@ -75,9 +75,7 @@
         """Plan which machines a shard needs and which of its machines are spare."""
         wall_time = self._clock.wall()
         self._arrivals.record(wall_time)
-        demands = self._waiting_demands(shard, wall_time) + self._arrivals.expected_replica_demands(
-            shard
-        )
+        demands = self._waiting_demands(shard, wall_time) + self._arrivals.replica_demands(shard)
         capacity_plan = plan_capacity(
             demands,
             self.capacity.shard_capacities(shard, wall_time),
@@ -189,17 +187,17 @@
         machine_type = self._cluster.catalog.get(machine.type)
         if machine_type is None:
             return False
-        own = idle_capacity(machine.id, machine_type, machine.zone, machine.spot)
-        own_price = own.price / own.size
+        machine_capacity = idle_capacity(machine.id, machine_type, machine.zone, machine.spot)
+        price_per_size = machine_capacity.price / machine_capacity.size
         others = [
             capacity.copy()
             for capacity in capacities
             if capacity.machine != machine.id
-            and (capacity.is_used or capacity.price / capacity.size < own_price)
+            and (capacity.is_used or capacity.price / capacity.size < price_per_size)
         ]
         if not self._can_move_tasks(machine, others):
             return False
-        expected = self._arrivals.expected_replica_demands(shard)
+        expected = self._arrivals.replica_demands(shard)
         return plan_capacity(expected, others, [], self.capacity.limit).unplaced_tasks == 0
 
     def _can_move_tasks(self, machine: Machine, capacities: list[FreeCapacity]) -> bool:
--- a/crossmill/fleet/machine_records.py
+++ b/crossmill/fleet/machine_records.py
@@ -18,7 +18,7 @@
 
 
 class MachineRecords:
-    """The leader's writes of machine records."""
+    """Conditional writes of machine records and of the catalog by the leader."""
 
     def __init__(self, cluster: ClusterState, membership: Membership, writer: Writer) -> None:
         self._cluster = cluster
--- a/crossmill/fleet/provisioner.py
+++ b/crossmill/fleet/provisioner.py
@@ -30,7 +30,7 @@
 RELEASED_MEMORY_LEASES = 60
 # a machine without a record is adopted after it was listed this many times
 ADOPTION_LISTINGS = 2
-# and once its age exceeds a worker lease plus this many times the list's lag
+# and its age must exceed a worker lease plus this many times the list's lag
 ADOPTION_LIST_LAGS = 3
 
 
--- a/crossmill/planning/fill.py
+++ b/crossmill/planning/fill.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-# keeps values finite for tasks that are expected to take no time
+# keeps throughputs finite for tasks that are expected to take no time
 MIN_TASK_S = 1e-9
 
 
--- a/crossmill/planning/free_capacity.py
+++ b/crossmill/planning/free_capacity.py
@@ -11,8 +11,8 @@
 
 from ..wire.users import MAX_TASKS, JobSpec
 
-# tolerance for sums of fractional resources
-RESOURCE_TOLERANCE = 1e-6
+# tolerance for rounding errors in sums of fractional resources
+TOLERANCE = 1e-6
 # added before truncation, to round a share of a job's tasks up to whole tasks
 ROUND_UP_OFFSET = 0.999
 
@@ -23,11 +23,7 @@
     The count is not bounded by the job's number of tasks: a machine that the job fills only in part
     is shared with other jobs, and each job pays for its share.
     """
-    cpus, gpus, memory_gb = (
-        cpus + RESOURCE_TOLERANCE,
-        gpus + RESOURCE_TOLERANCE,
-        memory_gb + RESOURCE_TOLERANCE,
-    )
+    cpus, gpus, memory_gb = cpus + TOLERANCE, gpus + TOLERANCE, memory_gb + TOLERANCE
     # return early: this runs for every machine and waiting job, and most machines are full
     if gpus < spec.gpus or cpus < spec.cpus or memory_gb < spec.memory_gb:
         return 0
@@ -53,7 +49,7 @@
         count = MAX_TASKS
         for free, each in ((gpus, self.gpus), (cpus, self.cpus), (memory_gb, self.memory_gb)):
             if each > 0:
-                count = min(count, int((free + RESOURCE_TOLERANCE) / each))
+                count = min(count, int((free + TOLERANCE) / each))
         return max(0, count)
 
 
@@ -81,7 +77,7 @@
         slots_when_idle: Function that returns how many tasks of a job fit on the idle machine.
         images: Size in GB of each image that the machine has cached or is fetching, by name.
         is_used: Whether any task is planned on the machine.
-        typical_gpu_task: Footprint of a typical GPU task of the shard, if there is any.
+        typical_gpu_task: Footprint of a typical GPU task; None if there are no GPU tasks.
         exclusive_gpu_task: Footprint of a job class that fits on only this machine type; None if
             there is no such class.
         has_new_tasks: Whether tasks were assigned since the object was created.
@@ -135,7 +131,7 @@
         return count_fitting_tasks(spec, cpus, 0.0, memory_gb)
 
     def contention_cost(self, spec: JobSpec) -> int:
-        """Rate from 0 to 2 how much a task would occupy resources that other jobs need.
+        """Return a rating from 0 to 2 of how much a task occupies resources that other jobs need.
 
         A task without GPUs keeps a GPU machine rented after all GPU tasks on it have ended. If some
         job class fits on only this machine type, the task displaces that class as well.
--- a/crossmill/planning/pipelines.py
+++ b/crossmill/planning/pipelines.py
@@ -125,7 +125,7 @@
 
 
 def _with_dependencies(stages: Mapping[str, PipelineStage], last: str) -> set[str]:
-    """Return the stage and all stages that it depends on, directly or indirectly."""
+    """Return `last` and all stages that it depends on, directly or indirectly."""
     found = {last}
     pending = [last]
     while pending:
@@ -151,15 +151,17 @@
     split_stages: list[Stage] = []
     for name in names:
         stage = stages[name]
-        after = tuple(
+        dependencies = tuple(
             positions[dependency] for dependency in stage.dependencies if dependency in positions
         )
-        split_stages.append(Stage(stage.tasks, stage.options, after))
-        margins.append(stage.margin_s + max((margins[position] for position in after), default=0.0))
+        split_stages.append(Stage(stage.tasks, stage.options, dependencies))
+        margins.append(
+            stage.margin_s + max((margins[position] for position in dependencies), default=0.0)
+        )
     # after the deadline the remaining time is negative, which preserves the order of late stages
     budgets = split(split_stages, deadline - margins[-1] - now)
     ends: list[float] = []
     for split_stage, budget in zip(split_stages, budgets, strict=True):
-        begin = max((ends[position] for position in split_stage.after), default=now)
+        begin = max((ends[position] for position in split_stage.dependencies), default=now)
         ends.append(begin + budget.budget_s)
     return dict(zip(names, ends, strict=True))
--- a/crossmill/planning/split.py
+++ b/crossmill/planning/split.py
@@ -1,9 +1,9 @@
 """The latency split of the Piccolo paper (section III-C): divides a pipeline's deadline by stage.
 
 A stage is a job; an option is a machine type. Every stage starts with its fastest and most
-expensive option. As long as the pipeline still meets its deadline, `split` then repeatedly makes
-the switch to another option that saves the most cost per added second of finish time. The functions
-are pure. Pipeline planning and capacity planning call `split`.
+expensive option. As long as the pipeline still meets its deadline, one stage at a time is switched
+to another option, and the switch that saves the most cost per added second of finish time comes
+first. The functions are pure. Pipeline planning and capacity planning call `split`.
 """
 
 from collections.abc import Iterator, Sequence
@@ -36,7 +36,7 @@
 
     tasks: float
     options: tuple[MachineOption, ...]
-    after: tuple[int, ...] = ()
+    dependencies: tuple[int, ...] = ()
 
 
 class StageBudget(NamedTuple):
@@ -58,7 +58,7 @@
     """Return the length of the longest path that ends with each stage, in seconds."""
     ends: list[float] = []
     for stage, option in zip(stages, chosen, strict=True):
-        ends.append(option.finish_s + max((ends[i] for i in stage.after), default=0.0))
+        ends.append(option.finish_s + max((ends[i] for i in stage.dependencies), default=0.0))
     return ends
 
 
@@ -69,7 +69,7 @@
     tails = [0.0] * len(stages)
     for index in range(len(stages) - 1, -1, -1):
         length = tails[index] + chosen[index].finish_s
-        for dependency in stages[index].after:
+        for dependency in stages[index].dependencies:
             tails[dependency] = max(tails[dependency], length)
     return [end + tail for end, tail in zip(ends, tails, strict=True)]
 
--- a/tests/test_capacity_cache.py
+++ b/tests/test_capacity_cache.py
@@ -101,7 +101,7 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_cached_capacity_equals_newly_computed_capacity_after_every_event(seed: int) -> None:
-    # stale entries would place tasks on capacity that an attempt or a machine change has used up
+    # stale entries would place tasks by the capacity from before an attempt or machine changed
     changing = _RandomCluster(seed)
     for _ in range(300):
         changing.step()
--- a/tests/test_gpu_footprints.py
+++ b/tests/test_gpu_footprints.py
@@ -23,7 +23,7 @@
 @pytest.mark.parametrize(
     ("spot", "expected"), [(False, TaskFootprint(8.0, 4.0, 200.0)), (True, None)]
 )
-def test_a_type_is_exclusive_to_the_class_that_fits_on_no_other_type_except_spot_machines(
+def test_a_type_except_its_spot_machines_is_exclusive_to_the_class_that_fits_on_no_other(
     spot: bool, expected: TaskFootprint | None
 ) -> None:
     footprints = gpu_footprints(
--- a/tests/test_latency_split.py
+++ b/tests/test_latency_split.py
@@ -18,7 +18,7 @@
 # modules M_2 and M_3 of its Table II, in sequence
 TABLE_2_STAGES = [
     Stage(50, _options("m2", [0.25, 0.40, 0.55], [16, 25, 30])),
-    Stage(40, _options("m3", [0.35, 0.50, 0.65], [12, 20, 25]), after=(0,)),
+    Stage(40, _options("m3", [0.35, 0.50, 0.65], [12, 20, 25]), dependencies=(0,)),
 ]
 
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -167,16 +167,14 @@
     run_scenario(scenario)
 
 
-def test_waiting_time_counts_from_the_last_dependencys_end_but_the_deadline_from_submission() -> (
-    None
-):
+def test_waiting_counts_from_the_last_dependencys_end_and_deadlines_from_submission() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock)
         at = clock.wall()
-        waits = {"a": 0.0, "b": 300.0}
+        deadlines = {"a": 0.0, "b": 300.0}
         spec = make_spec(nameId="wk-000001", dueS=None)
         state.put(keys.job("wk-000001"), encode_job(spec, at))
-        for number, due in enumerate(waits.values(), 2):
+        for number, due in enumerate(deadlines.values(), 2):
             name = f"wk-00000{number}"
             after = make_spec(nameId=name, dueS=due or None, grindS=0.0)
             state.put(keys.job(name), encode_job(after, at, ("wk-000001",)))
