--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -78,11 +78,11 @@
         await node.boot()
         report_all(node, MACHINES)
         counts: Counter[str] = Counter()
-        _count(monkeypatch, counts, FreeCapacity, "fits")
+        _count(monkeypatch, counts, FreeCapacity, "count_fitting")
         _count(monkeypatch, counts, Job, "done_task_count")
         await node.round()
         jobs = MACHINES * GPUS_PER_MACHINE // 16 + 300
-        assert MACHINES <= counts["fits"] <= 2 * MACHINES
+        assert MACHINES <= counts["count_fitting"] <= 2 * MACHINES
         assert counts["done_task_count"] <= 20 * jobs
 
     run_scenario(scenario)
