--- a/crossmill/jobs/submission.py
+++ b/crossmill/jobs/submission.py
@@ -13,7 +13,7 @@
 from ..cluster.model import CANCELLED
 from ..cluster.records import encode_end, encode_job
 from ..net.server import Request, Response
-from ..planning.demand import slots_on
+from ..planning.demand import slots_per_machine
 from ..state.writer import WriteIntent, WriteRank, WriteResult
 from ..wire import users as wire
 from ..wire.checks import MalformedMessageError, load_object
@@ -133,7 +133,7 @@
             if (spec.types is None or name in spec.types)
             and (spec.zone is None or spec.zone in machine_type.zones)
         ]
-        if not any(slots_on(spec, machine_type) for machine_type in machine_types):
+        if not any(slots_per_machine(spec, machine_type) for machine_type in machine_types):
             return "a task fits no allowed machine type"
         # tasks of an array job may run one after the other; those of other jobs run in parallel
         tasks = 1 if spec.is_array else spec.tasks
--- a/tests/test_capacity_cache.py
+++ b/tests/test_capacity_cache.py
@@ -1,4 +1,4 @@
-"""Cached free capacity equals what would be computed anew, after every event."""
+"""Tests that cached free capacity equals newly computed free capacity after every event."""
 
 import random
 from dataclasses import fields
@@ -24,13 +24,13 @@
 MACHINES, JOBS = 6, 5
 
 
-def _facts(capacity: FreeCapacity) -> dict[str, Any]:
-    skipped = {"slots_when_empty", "has_new_tasks"}
+def _comparable_fields(capacity: FreeCapacity) -> dict[str, Any]:
+    skipped = {"slots_when_idle", "has_new_tasks"}
     return {f.name: getattr(capacity, f.name) for f in fields(capacity) if f.name not in skipped}
 
 
 class _RandomCluster:
-    """A cluster that changes at random, by watch events."""
+    """A cluster that is changed at random by watch events."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -94,18 +94,20 @@
             self.forecast.capacity.free_capacity(machine, kind)
             for machine, kind in self._machines()
         ]
-        assert [_facts(capacity) for capacity in self.capacities()] == [_facts(c) for c in fresh]
+        assert [_comparable_fields(capacity) for capacity in self.capacities()] == [
+            _comparable_fields(c) for c in fresh
+        ]
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_cached_capacity_is_as_if_computed_anew_after_every_event(seed: int) -> None:
-    # stale entries would place tasks by what was free before an attempt or machine changed
+def test_cached_capacity_equals_newly_computed_capacity_after_every_event(seed: int) -> None:
+    # stale entries would place tasks by the capacity from before an attempt or machine changed
     changing = _RandomCluster(seed)
     for _ in range(300):
         changing.step()
 
 
-def test_an_unchanged_machine_keeps_its_entry_and_those_of_deleted_ones_are_dropped() -> None:
+def test_an_unchanged_machine_keeps_its_entry_and_entries_of_deleted_machines_are_dropped() -> None:
     changing = _RandomCluster(0)
     value = {"type": "g4", "zone": "north", "spot": False, "shard": 0, "at": 0.0}
     value.update(retiring="", up=True)
--- a/tests/test_pipelines_under_faults.py
+++ b/tests/test_pipelines_under_faults.py
@@ -1,4 +1,4 @@
-"""Pipelines under random faults from fixed seeds, while the feature level is raised."""
+"""Tests of pipelines under random faults with fixed seeds, while the feature level is raised."""
 
 import random
 
@@ -12,12 +12,14 @@
 MAX_TRIES = 60
 
 
-async def _ask_until_answered(region: Region, job: str, dependencies: JobIds, cancel: bool) -> None:
-    """Submits or cancels a job, at one controller after another until one answers."""
-    for turn in range(MAX_TRIES):
+async def _request_until_accepted(
+    region: Region, job: str, dependencies: JobIds, cancel: bool
+) -> None:
+    """Submit or cancel a job, trying one controller after another until one accepts it."""
+    for attempt in range(MAX_TRIES):
         labels = list(region.nodes)
         if labels:
-            label = labels[turn % len(labels)]
+            label = labels[attempt % len(labels)]
             if cancel:
                 status = await region.cancel(label, job)
             else:
@@ -34,10 +36,10 @@
     for dependency in dependencies:
         # a user names only jobs that were accepted
         await region.wait_until(lambda job=dependency: region.is_accepted(job), 200.0)  # type: ignore[misc]
-    await _ask_until_answered(region, job, dependencies, False)
+    await _request_until_accepted(region, job, dependencies, False)
     if is_cancelled and region.is_accepted(job):
         await curio.sleep(1.0)
-        await _ask_until_answered(region, job, dependencies, True)
+        await _request_until_accepted(region, job, dependencies, True)
 
 
 async def _users(region: Region, rng: random.Random, jobs: int) -> None:
@@ -65,10 +67,10 @@
 
 @pytest.mark.parametrize("seed_number", [0, 1, 2, 3])
 def test_pipelines_are_consistent_under_random_faults(seed_number: int) -> None:
-    """No task starts before its dependencies are done, and no job is left unfinished.
+    """No task starts before its dependencies are done, and every job finishes.
 
-    Stages of three teams, some cancelled midway, while controllers end, the state service is down
-    and responses are lost.
+    Three teams submit stages and cancel some of them, while controllers end, the state service is
+    unavailable and responses are lost.
     """
 
     async def scenario(region: Region) -> None:
