--- a/crossmill/app.py
+++ b/crossmill/app.py
@@ -44,7 +44,7 @@
 log = logging.getLogger(__name__)
 
 # how long a component that failed pauses before it is started again, in seconds
-RESTART_PAUSE_S = 1.0
+RESTART_DELAY_S = 1.0
 
 # one component's loop; it runs until the controller ends
 Loop = Callable[[], Awaitable[None]]
@@ -75,7 +75,7 @@
         self._build_workers(work_available)
         self._build_jobs(work_available)
         self._build_servers(work_available)
-        self._loops = self._ordinary_loops()
+        self._loops = self._core_loops()
         if multihost is not None:
             self._loops.append(partial(self._run_multihost, multihost))
         if self.recovery is not None:
@@ -189,7 +189,7 @@
             settings.max_cached_request_heads,
         )
 
-    def _ordinary_loops(self) -> list[Loop]:
+    def _core_loops(self) -> list[Loop]:
         return [
             self.server.run,
             self.peer_server.run,
@@ -266,7 +266,7 @@
             raise
         except Exception:
             log.exception("component failed component=%s", getattr(loop, "__qualname__", loop))
-            await curio.sleep(RESTART_PAUSE_S)
+            await curio.sleep(RESTART_DELAY_S)
 
 
 def serve(
--- a/crossmill/arguments.py
+++ b/crossmill/arguments.py
@@ -22,20 +22,20 @@
         epilog="LOG_LEVEL (error, info, debug) sets how much is logged to standard error.",
     )
     parser.add_argument("--version", action="version", version=f"crossmill {__version__}")
-    verbs = parser.add_subparsers(dest="verb", required=True, metavar="VERB")
+    subcommands = parser.add_subparsers(dest="subcommand", required=True, metavar="VERB")
     for name, text in (
         ("serve", "run a controller until it is killed"),
         ("check", "check a settings file and say what follows from it"),
     ):
-        verb = verbs.add_parser(name, help=text, description=text)
-        verb.add_argument("--config", required=True, metavar="FILE", help="settings (TOML)")
-        verb.add_argument(
+        subcommand = subcommands.add_parser(name, help=text, description=text)
+        subcommand.add_argument("--config", required=True, metavar="FILE", help="settings (TOML)")
+        subcommand.add_argument(
             "--multihost", metavar="FILE", help="also schedule multi-machine replicas (TOML)"
         )
-        verb.add_argument(
+        subcommand.add_argument(
             "--recovery", metavar="FILE", help="settle calmly what differs after a takeover (TOML)"
         )
-    submit = verbs.add_parser("submit", help="submit a job read as JSON")
+    submit = subcommands.add_parser("submit", help="submit a job read as JSON")
     submit.add_argument("file", help="the job's JSON, or - for standard input")
     submit.add_argument(
         "--after",
@@ -44,36 +44,42 @@
         metavar="JOB",
         help="a job that has to be done before this one starts; may be given more than once",
     )
-    show = verbs.add_parser("show", help="show a job's state")
-    cancel = verbs.add_parser("cancel", aliases=["withdraw"], help="cancel a job")
-    for verb in (show, cancel):
-        verb.add_argument("job", help="the job's id")
-    for verb in (submit, show, cancel):
+    show = subcommands.add_parser("show", help="show a job's state")
+    cancel = subcommands.add_parser("cancel", aliases=["withdraw"], help="cancel a job")
+    for subcommand in (show, cancel):
+        subcommand.add_argument("job", help="the job's id")
+    for subcommand in (submit, show, cancel):
         _add_client_options(
-            verb, "CROSSMILL_SERVER", "127.0.0.1:8080", "a controller or the load balancer"
+            subcommand, "CROSSMILL_SERVER", "127.0.0.1:8080", "a controller or the load balancer"
         )
-    verbs.add_parser("compile", help="write the bytecode that a start loads (a step of the build)")
-    replicas = verbs.add_parser("replicas", help="multi-machine replicas: list, declare, drain")
+    subcommands.add_parser(
+        "compile", help="write the bytecode that a start loads (a step of the build)"
+    )
+    replicas = subcommands.add_parser(
+        "replicas", help="multi-machine replicas: list, declare, drain"
+    )
     if argv[:1] == ["replicas"]:
         # a start of a controller does not pay for verbs that it has no use for
-        from .multihost.verbs import add_replica_verbs
+        from .multihost.subcommands import add_replica_subcommands
 
-        add_replica_verbs(replicas, _add_client_options)
-    recovery = verbs.add_parser("recovery", help="recoveries after takeovers: show, approve")
+        add_replica_subcommands(replicas, _add_client_options)
+    recovery = subcommands.add_parser("recovery", help="recoveries after takeovers: show, approve")
     if argv[:1] == ["recovery"]:
-        from .recovery.verbs import add_recovery_verbs
+        from .recovery.subcommands import add_recovery_subcommands
 
-        add_recovery_verbs(recovery, _add_client_options)
+        add_recovery_subcommands(recovery, _add_client_options)
     return parser
 
 
 def _add_client_options(
-    verb: argparse.ArgumentParser, variable: str, default: str, what: str
+    subcommand: argparse.ArgumentParser, variable: str, default: str, what: str
 ) -> None:
-    verb.add_argument(
+    subcommand.add_argument(
         "--server",
         metavar="HOST:PORT",
         default=os.environ.get(variable, default),
         help=f"{what} ({variable}; default %(default)s)",
     )
-    verb.add_argument("--timeout", type=float, default=5.0, metavar="S", help="default %(default)s")
+    subcommand.add_argument(
+        "--timeout", type=float, default=5.0, metavar="S", help="default %(default)s"
+    )
--- a/crossmill/bytecode.py
+++ b/crossmill/bytecode.py
@@ -12,20 +12,20 @@
 from importlib import import_module
 from pathlib import Path
 
-from .lazy_imports import defer_unused
+from .lazy_imports import defer_unused_imports
 
 log = logging.getLogger(__name__)
 
 PACKAGE = Path(__file__).resolve().parent
 # imported by the standard library or the libraries only once they have a use for it
-IMPORTED_LATE: tuple[str, ...] = ()
+LAZILY_IMPORTED: tuple[str, ...] = ()
 
 
 class CacheNotWrittenError(Exception):
     """A module that was loaded has no bytecode in the cache afterwards."""
 
 
-def fill() -> int:
+def write_bytecode() -> int:
     """Writes the bytecode of all that a controller or a client verb can load.
 
     Returns:
@@ -35,8 +35,8 @@
         CacheNotWrittenError: a module that was loaded has no bytecode afterwards.
     """
     sys.dont_write_bytecode = False
-    defer_unused()
-    for name in (*_own_modules(), *IMPORTED_LATE):
+    defer_unused_imports()
+    for name in (*_own_modules(), *LAZILY_IMPORTED):
         import_module(name)
     cached = _cache_files()
     missing = [file for file in cached if not os.path.exists(file)]
--- a/crossmill/cli.py
+++ b/crossmill/cli.py
@@ -5,7 +5,7 @@
 import sys
 from typing import TYPE_CHECKING, NamedTuple
 
-from .lazy_imports import defer_unused
+from .lazy_imports import defer_unused_imports
 from .settings import Settings, SettingsError, load
 
 if TYPE_CHECKING:
@@ -14,22 +14,22 @@
     from .multihost.settings import MultihostSettings
     from .recovery.settings import RecoverySettings
 
-FAILED = 1
-BAD_USAGE = 2
+EXIT_FAILURE = 1
+EXIT_USAGE_ERROR = 2
 SERVE_OPTIONS = frozenset({"--config", "--multihost", "--recovery"})
-LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
+LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
 def _configure_logging() -> str | None:
     """Sets logging up as LOG_LEVEL says; returns its value if it names no level."""
     name = os.environ.get("LOG_LEVEL", "info").lower()
     logging.basicConfig(
-        level=LEVELS.get(name, logging.INFO),
+        level=LOG_LEVELS.get(name, logging.INFO),
         format="%(asctime)s %(levelname)s %(name)s %(message)s",
         stream=sys.stderr,
     )
     logging.getLogger("curio").setLevel(logging.ERROR)
-    return None if name in LEVELS else name
+    return None if name in LOG_LEVELS else name
 
 
 def _add_label_to_log_lines(label: str) -> None:
@@ -42,7 +42,7 @@
 class ServiceArguments(NamedTuple):
     """The arguments of `serve` and `check`: the verb, and paths of settings files."""
 
-    verb: str
+    subcommand: str
     config: str
     multihost: str | None = None
     recovery: str | None = None
@@ -125,7 +125,7 @@
 
 def _serve(loaded: _LoadedSettings) -> None:
     _add_label_to_log_lines(loaded.settings.label)
-    defer_unused()
+    defer_unused_imports()
     from .app import serve
 
     serve(*loaded)
@@ -137,8 +137,8 @@
         loaded = _load(args)
     except SettingsError as exc:
         print(f"crossmill: {exc}", file=sys.stderr)
-        return BAD_USAGE
-    if args.verb == "serve":
+        return EXIT_USAGE_ERROR
+    if args.subcommand == "serve":
         _serve(loaded)
     else:
         _check(loaded)
@@ -147,13 +147,15 @@
 
 def _compile() -> int:
     """Writes the bytecode cache; returns the exit code."""
-    from .bytecode import CacheNotWrittenError, fill
+    from .bytecode import CacheNotWrittenError, write_bytecode
 
     try:
-        print(f"bytecode of {fill()} modules in {sys.pycache_prefix or 'their own folders'}")
+        print(
+            f"bytecode of {write_bytecode()} modules in {sys.pycache_prefix or 'their own folders'}"
+        )
     except CacheNotWrittenError as exc:
         print(f"crossmill: bytecode was not written: {exc}", file=sys.stderr)
-        return FAILED
+        return EXIT_FAILURE
     return 0
 
 
@@ -162,37 +164,37 @@
     argv = sys.argv[1:] if argv is None else argv
     serve_arguments = _plain_serve_arguments(argv)
     if serve_arguments is not None:
-        return _report_bad_level() or _run_with_settings(serve_arguments)
+        return _initialize_logging() or _run_with_settings(serve_arguments)
     from .arguments import parse
 
     args = parse(argv)
-    return _report_bad_level() or _run(args)
+    return _initialize_logging() or _run(args)
 
 
 def _run(args: "Namespace") -> int:
     """Runs any verb from the parser's result; a verb's modules are loaded only for it."""
-    if args.verb in ("serve", "check"):
-        paths = ServiceArguments(args.verb, args.config, args.multihost, args.recovery)
+    if args.subcommand in ("serve", "check"):
+        paths = ServiceArguments(args.subcommand, args.config, args.multihost, args.recovery)
         return _run_with_settings(paths)
-    if args.verb == "compile":
+    if args.subcommand == "compile":
         return _compile()
-    if args.verb == "replicas":
-        from .multihost.verbs import run as run_replicas
+    if args.subcommand == "replicas":
+        from .multihost.subcommands import run as run_replicas
 
         return run_replicas(args)
-    if args.verb == "recovery":
-        from .recovery.verbs import run as run_recovery
+    if args.subcommand == "recovery":
+        from .recovery.subcommands import run as run_recovery
 
         return run_recovery(args)
-    from .verbs import run
+    from .client_subcommands import run
 
     return run(args)
 
 
-def _report_bad_level() -> int:
-    """Sets logging up; prints a line and returns `BAD_USAGE` if LOG_LEVEL names no level."""
-    bad_level = _configure_logging()
-    if bad_level is None:
+def _initialize_logging() -> int:
+    """Sets logging up; prints a line and returns EXIT_USAGE_ERROR if LOG_LEVEL names no level."""
+    invalid_level = _configure_logging()
+    if invalid_level is None:
         return 0
-    print(f"LOG_LEVEL: {bad_level!r} is none of {', '.join(LEVELS)}", file=sys.stderr)
-    return BAD_USAGE
+    print(f"LOG_LEVEL: {invalid_level!r} is not one of {', '.join(LOG_LEVELS)}", file=sys.stderr)
+    return EXIT_USAGE_ERROR
--- a/crossmill/client_command.py
+++ b/crossmill/client_command.py
@@ -10,9 +10,9 @@
 from .net.client import Client, ConnectionFailedError, NoResponseError
 from .settings import Endpoint
 
-BAD_USAGE = 2
-FAILED = 1
-SUCCESSES = (200, 201)
+EXIT_USAGE_ERROR = 2
+EXIT_FAILURE = 1
+SUCCESS_STATUSES = (200, 201)
 
 
 class UsageError(ValueError):
@@ -46,7 +46,7 @@
     return Endpoint(host, int(port))
 
 
-def run_verb(
+def run_subcommand(
     args: argparse.Namespace, request_of: Callable[[argparse.Namespace], ClientRequest]
 ) -> int:
     """Builds the request of a verb and sends it; returns the exit code."""
@@ -55,7 +55,7 @@
         request = request_of(args)
     except UsageError as exc:
         print(exc, file=sys.stderr)
-        return BAD_USAGE
+        return EXIT_USAGE_ERROR
     return send(server, args.timeout, request)
 
 
@@ -68,9 +68,9 @@
         )
     except (ConnectionFailedError, NoResponseError) as exc:
         print(f"crossmill: {exc}", file=sys.stderr)
-        return FAILED
+        return EXIT_FAILURE
     print(data.decode("utf-8", "replace"))
-    if status not in SUCCESSES:
+    if status not in SUCCESS_STATUSES:
         print(f"crossmill: status {status}", file=sys.stderr)
-        return FAILED
+        return EXIT_FAILURE
     return 0
--- a/crossmill/cluster/lease_expiry_proof.py
+++ b/crossmill/cluster/lease_expiry_proof.py
@@ -179,7 +179,7 @@
     async def _ask(self, label: str, machines: list[str]) -> None:
         sent = self._clock.now()
         key_version = self._key_version(label)
-        body = wire.machines_body(machines)
+        body = wire.attestation_request_body(machines)
         data = await self._peers.call(label, "POST", wire.ATTESTATION_PATH, body)
         if data is None:
             return
--- a/crossmill/cluster/partition_protocol.py
+++ b/crossmill/cluster/partition_protocol.py
@@ -53,7 +53,7 @@
         """Answers a peer's request for attestations, or its announcement of cancellations."""
         try:
             if request.path == wire.ATTESTATION_PATH:
-                spans_s = self.keepalive.withhold(wire.parse_machines(request.body))
+                spans_s = self.keepalive.withhold(wire.parse_attestation_request(request.body))
                 return Response(200, wire.attestations_body(spans_s))
             for job_id in wire.parse_cancellations(request.body):
                 self.keepalive.pending_cancellations.add(job_id)
--- a/crossmill/fleet/arrivals.py
+++ b/crossmill/fleet/arrivals.py
@@ -91,7 +91,9 @@
             boot_s = min(machine_type.boot_s for machine_type in machine_types)
             tasks = sum(arrival.tasks for arrival in entry.arrivals)
             arrivals_per_s = tasks / self._settings.arrival_window_s
-            number = round(arrivals_per_s * boot_s * self._settings.headroom + ROUND_UP)
+            number = round(
+                arrivals_per_s * boot_s * self._settings.replica_headroom_ratio + ROUND_UP
+            )
             if number > 0:
                 demands.append(TaskDemand(spec, number, ZoneAllowance(spec, {})))
         return demands
--- a/crossmill/fleet/cloud.py
+++ b/crossmill/fleet/cloud.py
@@ -119,9 +119,9 @@
         """
         await self._request("POST", wire.RELEASE_PATH, wire.release_body(machines), may_send)
 
-    async def list_machines(self) -> list[wire.Listed]:
+    async def list_machines(self) -> list[wire.ListedMachine]:
         """Fetch the cloud's list of machines, page by page. The list may lag."""
-        machines: list[wire.Listed] = []
+        machines: list[wire.ListedMachine] = []
         after = ""
         while True:
             response = await self._request("GET", wire.list_path(after))
--- a/crossmill/fleet/pipelines.py
+++ b/crossmill/fleet/pipelines.py
@@ -76,7 +76,7 @@
         stage = plan.stages[job.id]
         if stage.budget_end is None:
             return QueuePlace(
-                stage.priority, job.ready_at + self._settings.default_queue_wait_s, False
+                stage.priority, job.ready_at + self._settings.default_queue_time_s, False
             )
         return QueuePlace(stage.priority, stage.budget_end, True)
 
@@ -109,7 +109,7 @@
         spec = _spec(job)
         margin_s = self._estimates.margin_s(spec.job_class, spec.estimate_s)
         end = budget_end(
-            spec, job.submitted, job.ready_at, margin_s, self._settings.default_queue_wait_s
+            spec, job.submitted, job.ready_at, margin_s, self._settings.default_queue_time_s
         )
         return place_in_queue(spec, end)
 
--- a/crossmill/fleet/provisioner.py
+++ b/crossmill/fleet/provisioner.py
@@ -15,7 +15,7 @@
 from ..net.clock import Clock
 from ..planning.demand import MachineRequest, MachineSourceKey
 from ..settings import Settings
-from ..wire.cloud import MAX_RELEASE, Listed
+from ..wire.cloud import MAX_RELEASE, ListedMachine
 from .cloud import Cloud, CloudError, NoCapacityError, NotLeaderError
 from .forecast import DemandForecast
 from .machine_records import MachineRecords
@@ -157,7 +157,7 @@
 
     async def reconcile_with_list(self) -> None:
         """Retire machines that the cloud lists as failed, and adopt those without a record."""
-        unknown: list[Listed] = []
+        unknown: list[ListedMachine] = []
         for listed in await self._cloud.list_machines():
             machine = self._cluster.machines.get(listed.id)
             if machine is not None:
@@ -169,7 +169,7 @@
         if unknown:
             await self._adopt(unknown)
 
-    def _is_to_be_adopted(self, listed: Listed) -> bool:
+    def _is_to_be_adopted(self, listed: ListedMachine) -> bool:
         """Count the sighting of a machine without a record; return whether to adopt it.
 
         The list lags and may go back in time. A machine is adopted only if it has been unknown for
@@ -181,7 +181,7 @@
         self._sightings[listed.id] = self._sightings.get(listed.id, 0) + 1
         return self._sightings[listed.id] >= ADOPTION_SIGHTINGS
 
-    async def _adopt(self, machines: list[Listed]) -> None:
+    async def _adopt(self, machines: list[ListedMachine]) -> None:
         """Write records for unknown machines; those not needed are returned as idle ones are."""
         shard = max(
             range(self._settings.shard_count),
--- a/crossmill/jobs/api.py
+++ b/crossmill/jobs/api.py
@@ -49,8 +49,8 @@
                 return await self._submission.handle(request)
             case [[job_id], "GET"]:
                 return await self._lookup.show(job_id)
-            case [[job_id, wire.WITHDRAW], "POST"]:
+            case [[job_id, wire.CANCEL_ACTION], "POST"]:
                 return await self._cancellation.handle(job_id)
-            case (([] | [_] | [_, wire.WITHDRAW]), _):
+            case (([] | [_] | [_, wire.CANCEL_ACTION]), _):
                 return WRONG_METHOD
         return NO_SUCH_PATH
--- a/crossmill/jobs/cancellation.py
+++ b/crossmill/jobs/cancellation.py
@@ -79,7 +79,7 @@
             return {keys.job(dependency.id): dependency.version}
         # taken before the announcement: the plan must not change while it is made
         zones, plan_versions = self._zones(job), self._versions_of_planned_chunks(job)
-        if len(plan_versions) > self._cluster.limits.machines_per_txn:
+        if len(plan_versions) > self._cluster.limits.max_machines_per_txn:
             zones.update(self._settings.zones)
         version = job.version
         preconditions = await self._announcement.announce(job.id, zones)
@@ -116,7 +116,7 @@
         await self._writer.submit(WriteIntent(txn, WriteRank.URGENT, until=self._deadline()))
 
     async def _commit(self, job_id: str, spec: JobSpec, conditions: dict[str, int]) -> bool:
-        max_bytes = self._cluster.limits.record_bytes
+        max_bytes = self._cluster.limits.max_record_bytes
         record = encode_end(CANCELLED, spec, self._clock.wall(), max_bytes)
         txn = Txn(conditions, [Put(keys.job(job_id), record)])
         intent = WriteIntent(txn, WriteRank.URGENT, until=self._deadline())
--- a/crossmill/jobs/cleanup.py
+++ b/crossmill/jobs/cleanup.py
@@ -49,7 +49,7 @@
         for job in list(self._cluster.jobs.unrecorded_cancellations[shard].values()):
             if job.spec is not None:
                 key = keys.job(job.id)
-                max_bytes = self._cluster.limits.record_bytes
+                max_bytes = self._cluster.limits.max_record_bytes
                 value = encode_end(CANCELLED, job.spec, self._clock.wall(), max_bytes)
                 txns.append(Txn({key: job.version}, [Put(key, value)]))
         return txns
--- a/crossmill/jobs/placement.py
+++ b/crossmill/jobs/placement.py
@@ -203,7 +203,7 @@
         view = self._heartbeats.find_view(machine_id)
         name = self._cluster.layout.chunk_of(index, job.chunks).name
         edit = edit_of(edits, job, name)
-        max_machines = self._cluster.limits.machines_per_txn
+        max_machines = self._cluster.limits.max_machines_per_txn
         if view is None or len({start.machine for start in edit.starts}) >= max_machines:
             return
         number = edit.base.next if edit.base else 1
--- a/crossmill/jobs/plan_writer.py
+++ b/crossmill/jobs/plan_writer.py
@@ -13,7 +13,7 @@
 from ..cluster.ownership import ShardOwnership
 from ..cluster.records import encode_chunk, encode_end
 from ..net.clock import Clock
-from ..settings.deployment import OTHER_CONDITIONS
+from ..settings.deployment import RESERVED_CONDITIONS
 from ..state.writer import WriteIntent, WriteRank
 from ..wire.state import Put, Txn
 from ..wire.users import JobSpec
@@ -148,7 +148,7 @@
         An outcome of another term or of another attempt is ignored, and so is one whose
         preconditions don't fit into the transaction: it is proved again later.
         """
-        max_conditions = self._cluster.limits.conditions - OTHER_CONDITIONS
+        max_conditions = self._cluster.limits.max_conditions - RESERVED_CONDITIONS
         for outcome in edit.outcomes:
             conditions = {**txn.conditions, **outcome.preconditions}
             index = outcome.attempt.index
@@ -171,5 +171,5 @@
         return new.done.bit_count() + done_elsewhere == spec.tasks
 
     def _encode_done(self, spec: JobSpec) -> dict[str, Any]:
-        max_bytes = self._cluster.limits.record_bytes
+        max_bytes = self._cluster.limits.max_record_bytes
         return encode_end(DONE, spec, self._clock.wall(), max_bytes)
--- a/crossmill/jobs/preemption.py
+++ b/crossmill/jobs/preemption.py
@@ -111,7 +111,7 @@
     def has_failed_claim(self, job: Job) -> bool:
         """Whether tasks were recently stopped for the job and it still waits."""
         since = self._clock.now() - self._claims.get(job.id, -inf)
-        return 0 <= since < self._settings.default_queue_wait_s
+        return 0 <= since < self._settings.default_queue_time_s
 
     def drop_expired_claims(self) -> None:
         """Starts a round: drops claims of jobs that no longer wait, and expired reservations."""
--- a/crossmill/jobs/record_repair.py
+++ b/crossmill/jobs/record_repair.py
@@ -138,7 +138,7 @@
     ) -> dict[str, object] | None:
         """Returns the job's record that follows from the dependency's end; None if unknown."""
         if end == CANCELLED:
-            max_bytes = self._cluster.limits.record_bytes
+            max_bytes = self._cluster.limits.max_record_bytes
             return encode_end(CANCELLED, spec, self._clock.wall(), max_bytes)
         if end == DONE:
             dependencies = tuple(name for name in job.dependencies if name != dependency)
--- a/crossmill/jobs/submission.py
+++ b/crossmill/jobs/submission.py
@@ -149,11 +149,11 @@
         now, wall = self._clock.now(), self._clock.wall()
         key = keys.job(spec.id)
         if dependencies.is_cancelled:
-            record = encode_end(CANCELLED, spec, wall, self._cluster.limits.record_bytes)
+            record = encode_end(CANCELLED, spec, wall, self._cluster.limits.max_record_bytes)
         else:
             record = encode_job(spec, wall, tuple(dependencies.unfinished))
         encoded = orjson.dumps(record)
-        if len(encoded) > self._cluster.limits.record_bytes:
+        if len(encoded) > self._cluster.limits.max_record_bytes:
             return await self._refuse(spec.id, UNPROCESSABLE, "too long to be stored")
         txn = Txn({key: 0, keys.archived(spec.id): 0}, [Put(key, orjson.loads(encoded))])
         self._add_preconditions(dependencies, archivings_version, txn)
@@ -197,7 +197,7 @@
             keys.job(dependency_id): version
             for dependency_id, version in dependencies.unfinished.items()
         }
-        if len(txn.conditions) + len(records) <= self._cluster.limits.conditions:
+        if len(txn.conditions) + len(records) <= self._cluster.limits.max_conditions:
             txn.conditions.update(records)
             return
         counter = self._cluster.mirror.value(keys.ARCHIVINGS) or {"n": 0}
--- a/crossmill/lazy_imports.py
+++ b/crossmill/lazy_imports.py
@@ -14,11 +14,11 @@
 
 # what curio needs for other event loops, worker processes and their authentication, and what
 # `zoneinfo`, which orjson loads, needs to find its time zones
-UNUSED = ("asyncio", "hmac", "sysconfig", "tempfile")
+DEFERRED_MODULES = ("asyncio", "hmac", "sysconfig", "tempfile")
 # where `zoneinfo` looks for time zones: nowhere, so that it does not ask `sysconfig`
-TIME_ZONE_PATHS = ("PYTHONTZPATH", "")
+EMPTY_TIME_ZONE_PATH = ("PYTHONTZPATH", "")
 # controllers speak plain TCP; curio does without ssl where Python has none
-ABSENT = ("ssl",)
+BLOCKED_MODULES = ("ssl",)
 
 
 class LazyModule(ModuleType):
@@ -35,10 +35,10 @@
         return getattr(import_module(name), attribute)
 
 
-def defer_unused() -> None:
+def defer_unused_imports() -> None:
     """Registers the unused modules as lazy ones. Has to be called before curio is imported."""
-    for name in ABSENT:
+    for name in BLOCKED_MODULES:
         sys.modules.setdefault(name, None)  # type: ignore[arg-type]
-    for name in UNUSED:
+    for name in DEFERRED_MODULES:
         sys.modules.setdefault(name, LazyModule(name))
-    os.environ.setdefault(*TIME_ZONE_PATHS)
+    os.environ.setdefault(*EMPTY_TIME_ZONE_PATH)
--- a/crossmill/multihost/verbs.py
+++ b/crossmill/multihost/subcommands.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from ..client_command import ClientRequest, UsageError, read_input, run_verb
+from ..client_command import ClientRequest, UsageError, read_input, run_subcommand
 from ..wire.multihost import MACHINES_PATH, REPLICAS_PATH, SETS_PATH
 from .model import ReplicaId
 
@@ -18,7 +18,7 @@
     help: str
 
 
-class _Verb(NamedTuple):
+class _Subcommand(NamedTuple):
     name: str
     help: str
     arguments: tuple[_Argument, ...] = ()
@@ -28,21 +28,21 @@
 _SET = _Argument("set", "its name")
 _MACHINE = _Argument("machine", "the machine's id")
 _FILE = _Argument("file", "the declaration's JSON, or - for standard input")
-_VERBS = (
-    _Verb("list", "all replicas"),
-    _Verb("sets", "all replica sets"),
-    _Verb("machines", "the machines of the pool"),
-    _Verb("show", "one replica", (_REPLICA,)),
-    _Verb("restart", "restart a replica as one, also one that failed", (_REPLICA,)),
-    _Verb("declare", "declare a replica set", (_SET, _FILE)),
-    _Verb("remove", "stop all replicas of a set", (_SET,)),
-    _Verb("drain", "empty a machine, replica by replica", (_MACHINE,)),
-    _Verb("release", "empty a machine and take it out of the pool", (_MACHINE,)),
-    _Verb("undrain", "let replicas stand on a machine again", (_MACHINE,)),
+_SUBCOMMANDS = (
+    _Subcommand("list", "all replicas"),
+    _Subcommand("sets", "all replica sets"),
+    _Subcommand("machines", "the machines of the pool"),
+    _Subcommand("show", "one replica", (_REPLICA,)),
+    _Subcommand("restart", "restart a replica as one, also one that failed", (_REPLICA,)),
+    _Subcommand("declare", "declare a replica set", (_SET, _FILE)),
+    _Subcommand("remove", "stop all replicas of a set", (_SET,)),
+    _Subcommand("drain", "empty a machine, replica by replica", (_MACHINE,)),
+    _Subcommand("release", "empty a machine and take it out of the pool", (_MACHINE,)),
+    _Subcommand("undrain", "let replicas stand on a machine again", (_MACHINE,)),
 )
 
 
-def add_replica_verbs(
+def add_replica_subcommands(
     parser: argparse.ArgumentParser,
     add_client_options: Callable[[argparse.ArgumentParser, str, str, str], None],
 ) -> None:
@@ -53,13 +53,13 @@
         add_client_options: Adds the options of all client verbs to a verb's parser: with the
             variable that names the server, its default, and its meaning.
     """
-    verbs = parser.add_subparsers(dest="replica_verb", required=True, metavar="VERB")
-    for spec in _VERBS:
-        verb = verbs.add_parser(spec.name, help=spec.help, description=spec.help)
+    subcommands = parser.add_subparsers(dest="replica_subcommand", required=True, metavar="VERB")
+    for spec in _SUBCOMMANDS:
+        subcommand = subcommands.add_parser(spec.name, help=spec.help, description=spec.help)
         for argument in spec.arguments:
-            verb.add_argument(argument.name, help=argument.help)
+            subcommand.add_argument(argument.name, help=argument.help)
         add_client_options(
-            verb, "CROSSMILL_MULTIHOST", "127.0.0.1:8091", "a controller's multihost address"
+            subcommand, "CROSSMILL_MULTIHOST", "127.0.0.1:8091", "a controller's multihost address"
         )
 
 
@@ -78,12 +78,12 @@
     Raises:
         UsageError: An argument is wrong.
     """
-    verb: str = args.replica_verb
-    if verb in _LIST_PATHS:
-        return ClientRequest("GET", _LIST_PATHS[verb])
-    if verb in ("drain", "undrain", "release"):
-        return ClientRequest("POST", f"{MACHINES_PATH}/{args.machine}/{verb}")
-    match verb:
+    subcommand: str = args.replica_subcommand
+    if subcommand in _LIST_PATHS:
+        return ClientRequest("GET", _LIST_PATHS[subcommand])
+    if subcommand in ("drain", "undrain", "release"):
+        return ClientRequest("POST", f"{MACHINES_PATH}/{args.machine}/{subcommand}")
+    match subcommand:
         case "show":
             return ClientRequest("GET", _replica_path(args.replica))
         case "restart":
@@ -92,9 +92,9 @@
             return ClientRequest("PUT", f"{SETS_PATH}/{args.set}", read_input(args.file))
         case "remove":
             return ClientRequest("DELETE", f"{SETS_PATH}/{args.set}")
-    raise UsageError(f"{verb!r} is no verb")
+    raise UsageError(f"{subcommand!r} is not a subcommand")
 
 
 def run(args: argparse.Namespace) -> int:
     """Send the request of a verb, print the answer and return the exit code."""
-    return run_verb(args, request_of)
+    return run_subcommand(args, request_of)
--- a/crossmill/multihost/writes.py
+++ b/crossmill/multihost/writes.py
@@ -65,12 +65,12 @@
     @property
     def max_record_bytes(self) -> int:
         """The longest record that the state service takes."""
-        return self._writer.limits.record_bytes
+        return self._writer.limits.max_record_bytes
 
     @property
     def max_machines(self) -> int:
         """How many machines one transaction may have among its conditions."""
-        return self._writer.limits.machines_per_txn
+        return self._writer.limits.max_machines_per_txn
 
     async def commit(self, ownership: ShardOwnership, rank: WriteRank, txn: Txn) -> bool:
         """Write a transaction and return whether it was committed."""
--- a/crossmill/planning/pipelines.py
+++ b/crossmill/planning/pipelines.py
@@ -33,7 +33,7 @@
 
 
 def budget_end(
-    spec: JobSpec, submitted: float, ready_at: float, margin_s: float, default_queue_wait_s: float
+    spec: JobSpec, submitted: float, ready_at: float, margin_s: float, default_queue_time_s: float
 ) -> float:
     """Return when the budget ends of a job that is a pipeline by itself, in wall time.
 
@@ -41,7 +41,7 @@
     margin. Without a deadline the budget is a fixed wait from when the job could begin.
     """
     if spec.deadline_s is None:
-        return ready_at + default_queue_wait_s
+        return ready_at + default_queue_time_s
     return submitted + max(0.0, spec.deadline_s - margin_s)
 
 
--- a/crossmill/settings/deployment.py
+++ b/crossmill/settings/deployment.py
@@ -8,18 +8,18 @@
 from typing import NamedTuple
 
 # the kind of an objective on how soon tasks must start
-WAIT_OBJECTIVE = "wait"
+START_DELAY_OBJECTIVE = "wait"
 
 # the longest encoding of one planned task in a legacy chunk and in a segment, and the share of a
 # value that a plan may fill
 PLAN_ROW_BYTES = 48
 SEGMENT_ROW_BYTES = 32
 PLAN_VALUE_SHARE = 0.75
-LEAST_CHUNK_TASKS = 16
+MIN_CHUNK_TASKS = 16
 # PROTOCOL: a transaction takes this many conditions for each of its changes
 CONDITIONS_PER_CHANGE = 4
 # conditions of a plan's write beside its machines: shard, plan, job, feature level, peers' keys
-OTHER_CONDITIONS = 8
+RESERVED_CONDITIONS = 8
 
 
 class StateLimits(NamedTuple):
@@ -37,7 +37,7 @@
     value_bytes: int
     txn_ops: int
 
-    def least(self, other: "StateLimits") -> "StateLimits":
+    def elementwise_min(self, other: "StateLimits") -> "StateLimits":
         """Return the lower of each limit, so that both sets hold."""
         return StateLimits(
             min(self.rps, other.rps),
@@ -47,28 +47,28 @@
         )
 
     @property
-    def conditions(self) -> int:
+    def max_conditions(self) -> int:
         """How many conditions a transaction may have."""
         return CONDITIONS_PER_CHANGE * self.txn_ops
 
     @property
-    def machines_per_txn(self) -> int:
+    def max_machines_per_txn(self) -> int:
         """How many machines' records the write of a plan may have as conditions."""
-        return max(1, self.conditions - OTHER_CONDITIONS)
+        return max(1, self.max_conditions - RESERVED_CONDITIONS)
 
     @property
     def chunk_tasks(self) -> int:
         """How many tasks of a job's plan fit into one legacy chunk."""
-        return max(LEAST_CHUNK_TASKS, int(self.value_bytes * PLAN_VALUE_SHARE / PLAN_ROW_BYTES))
+        return max(MIN_CHUNK_TASKS, int(self.value_bytes * PLAN_VALUE_SHARE / PLAN_ROW_BYTES))
 
     @property
     def segment_tasks(self) -> int:
         """How many tasks fit into a segment, which plans use from a raised feature level on."""
         tasks = int(self.value_bytes * PLAN_VALUE_SHARE / SEGMENT_ROW_BYTES)
-        return max(LEAST_CHUNK_TASKS, tasks)
+        return max(MIN_CHUNK_TASKS, tasks)
 
     @property
-    def record_bytes(self) -> int:
+    def max_record_bytes(self) -> int:
         """The largest job record in bytes; the state service may encode JSON with more bytes."""
         return int(self.value_bytes * PLAN_VALUE_SHARE)
 
@@ -127,7 +127,7 @@
         self.cpus = 0.0
         self.teams = 0
 
-    def rank(self) -> tuple[float, float, int, int]:
+    def sort_key(self) -> tuple[float, float, int, int]:
         """Return the sort key; the least loaded shard comes first."""
         return self.gpus, self.cpus, self.teams, self.shard
 
@@ -148,7 +148,7 @@
     loads = [_ShardLoad(shard) for shard in range(shards)]
     result: dict[str, int] = {}
     for _, team in order:
-        load = min(loads, key=_ShardLoad.rank)
+        load = min(loads, key=_ShardLoad.sort_key)
         result.setdefault(team.name, load.shard)
         load.add(team)
     return result
@@ -246,6 +246,6 @@
         waits = [
             objective.within_s
             for objective in self.objectives
-            if objective.kind == WAIT_OBJECTIVE and objective.job_class == job_class
+            if objective.kind == START_DELAY_OBJECTIVE and objective.job_class == job_class
         ]
         return min(waits, default=None)
--- a/crossmill/settings/model.py
+++ b/crossmill/settings/model.py
@@ -26,7 +26,7 @@
         """The state service's limits that hold both now and after the announced change."""
         if self.next_state_limits is None:
             return self.state_limits
-        return self.state_limits.least(self.next_state_limits)
+        return self.state_limits.elementwise_min(self.next_state_limits)
 
     @property
     def state_request_rate(self) -> float:
--- a/crossmill/settings/timing.py
+++ b/crossmill/settings/timing.py
@@ -132,7 +132,7 @@
         return self.heartbeat_interval_s / 2
 
     @property
-    def default_queue_wait_s(self) -> float:
+    def default_queue_time_s(self) -> float:
         """How long after its arrival the budget of a job without a deadline ends."""
         return 3 * self.worker_lease_s
 
@@ -198,7 +198,7 @@
         return 10 * self.worker_lease_s
 
     @property
-    def headroom(self) -> float:
+    def replica_headroom_ratio(self) -> float:
         """Capacity kept for expected replicas, relative to those that arrive during a boot."""
         return 1.0
 
--- a/crossmill/state/write_intent.py
+++ b/crossmill/state/write_intent.py
@@ -143,7 +143,7 @@
         conditions = self._conditions.keys() | intent.txn.conditions.keys()
         return (
             self.operation_count + intent.operation_count > self._limits.txn_ops
-            or len(conditions) > self._limits.conditions
+            or len(conditions) > self._limits.max_conditions
             or self._bytes + intent.estimated_bytes() > MAX_TXN_BYTES
         )
 
--- a/crossmill/wire/checks.py
+++ b/crossmill/wire/checks.py
@@ -9,7 +9,7 @@
 import orjson
 
 # one more than the largest unsigned integer of 64 bits
-U64 = 1 << 64
+UINT64_LIMIT = 1 << 64
 
 _Value = TypeVar("_Value")
 
@@ -64,7 +64,7 @@
     return None if data.get(name) is None else amount(data, name)
 
 
-def count(data: dict[str, Any], name: str, low: int = 0, high: int = U64 - 1) -> int:
+def count(data: dict[str, Any], name: str, low: int = 0, high: int = UINT64_LIMIT - 1) -> int:
     """Returns a field with an integer from `low` to `high`."""
     value = data.get(name)
     if type(value) is not int or not low <= value <= high:
--- a/crossmill/wire/cloud.py
+++ b/crossmill/wire/cloud.py
@@ -35,7 +35,7 @@
     zones: tuple[str, ...]
 
 
-class Listed(NamedTuple):
+class ListedMachine(NamedTuple):
     """A machine in the cloud's list (GET /hosts); `age_s` counts from the rental request."""
 
     id: str
@@ -50,7 +50,7 @@
 class MachinePage(NamedTuple):
     """A page of the machine list (GET /hosts)."""
 
-    machines: list[Listed]
+    machines: list[ListedMachine]
     has_next: bool
 
 
@@ -117,7 +117,7 @@
 def parse_list(data: dict[str, Any]) -> MachinePage:
     """Parses a page of the machine list (GET /hosts); raises MalformedMessageError."""
     machines = [
-        Listed(
+        ListedMachine(
             id=checks.text(m, "nameId"),
             address=checks.optional_text(m, "address") or "",
             type=checks.text(m, "frame"),
--- a/crossmill/wire/multihost.py
+++ b/crossmill/wire/multihost.py
@@ -278,7 +278,7 @@
         raise checks.MalformedMessageError("resources: three amounts are needed")
     peers = tuple(
         PeerAddress(checks.count(p, "rank"), checks.text(p, "address"))
-        for p in _objects(data, "peers", checks.U64)
+        for p in _objects(data, "peers", checks.UINT64_LIMIT)
     )
     return Order(
         op=OrderKind(checks.one_of(data, "op", ops)),
@@ -304,7 +304,7 @@
     proof = _parse_proof(data)
     if proof is None:
         raise checks.MalformedMessageError("proof: an object is needed")
-    orders = tuple(_parse_order(o) for o in _objects(data, "orders", checks.U64))
+    orders = tuple(_parse_order(o) for o in _objects(data, "orders", checks.UINT64_LIMIT))
     return AgentHeartbeatResponse(checks.count(data, "token"), proof, orders)
 
 
--- a/crossmill/wire/peers.py
+++ b/crossmill/wire/peers.py
@@ -68,12 +68,12 @@
     return _parse_shards(checks.load_object(body))
 
 
-def machines_body(machines: list[str]) -> bytes:
+def attestation_request_body(machines: list[str]) -> bytes:
     """Encodes a request for attestations: since when has nobody answered these machines?"""
     return orjson.dumps({"machines": machines})
 
 
-def parse_machines(body: bytes) -> tuple[str, ...]:
+def parse_attestation_request(body: bytes) -> tuple[str, ...]:
     """Returns the machines that a request for attestations names; raises MalformedMessageError."""
     return tuple(checks.list_of(checks.load_object(body), "machines", str, "names"))
 
@@ -90,12 +90,12 @@
         MalformedMessageError: if the body contains no list of spans.
     """
     spans_s = checks.load_object(body).get("quietS")
-    if type(spans_s) is not list or not all(_is_span(span_s) for span_s in spans_s):
+    if type(spans_s) is not list or not all(_is_time_span(span_s) for span_s in spans_s):
         raise checks.MalformedMessageError("a list of times is needed", "quietS")
     return [float(span_s) for span_s in spans_s]
 
 
-def _is_span(value: object) -> bool:
+def _is_time_span(value: object) -> bool:
     return type(value) in (int, float) and value >= 0  # type: ignore[operator]
 
 
--- a/crossmill/wire/users.py
+++ b/crossmill/wire/users.py
@@ -14,8 +14,8 @@
 JOB_ID = re.compile(r"wk-[0-9]{6,18}\Z")
 PRIORITIES = {"production": "production", "high": "high", "standard": "normal", "idle": "low"}
 JOBS_PATH = "/v1/jobs"
-WITHDRAW = "withdraw"
-DEPENDENCIES = "awaits"
+CANCEL_ACTION = "withdraw"
+DEPENDENCIES_FIELD = "awaits"
 
 
 class JobKind(StrEnum):
@@ -93,13 +93,13 @@
 
 
 def _parse_dependencies(data: dict[str, Any]) -> tuple[str, ...]:
-    dependencies = data.get(DEPENDENCIES)
+    dependencies = data.get(DEPENDENCIES_FIELD)
     if dependencies is None:
         return ()
     if type(dependencies) is not list or not all(
         type(n) is str and is_job_id(n) for n in dependencies
     ):
-        raise MalformedMessageError(f"{DEPENDENCIES}: a list of job ids or null is needed")
+        raise MalformedMessageError(f"{DEPENDENCIES_FIELD}: a list of job ids or null is needed")
     return tuple(dict.fromkeys(dependencies))
 
 
--- a/crossmill/wire/workers.py
+++ b/crossmill/wire/workers.py
@@ -63,7 +63,11 @@
     "peers": "peers",
     "incomplete": "peers",
 }
-_VERBS = {CommandKind.START: "start", CommandKind.STOP: "kill", CommandKind.FORGET: "reap"}
+_COMMAND_WIRE_NAMES = {
+    CommandKind.START: "start",
+    CommandKind.STOP: "kill",
+    CommandKind.FORGET: "reap",
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -157,7 +161,7 @@
     return lru_cache(maxsize=max_entries, typed=True)(read_task_status)
 
 
-def _tasks(tasks: list[dict[str, Any]], read: TaskStatusReader) -> list[TaskStatus]:
+def _read_tasks(tasks: list[dict[str, Any]], read: TaskStatusReader) -> list[TaskStatus]:
     try:
         return [
             read(
@@ -191,13 +195,13 @@
         seq=checks.count(data, "tally"),
         token=checks.count(data, "warrant"),
         notice_s=checks.optional_amount(data, "recallS"),
-        tasks=_tasks(tasks, read),
+        tasks=_read_tasks(tasks, read),
     )
 
 
 def _encode_command(command: Command) -> dict[str, Any]:
     encoded: dict[str, Any] = {
-        "verb": _VERBS[command.op],
+        "verb": _COMMAND_WIRE_NAMES[command.op],
         "sack": command.task,
         "turn": command.attempt,
     }
--- a/tests/fake_state_service.py
+++ b/tests/fake_state_service.py
@@ -146,7 +146,7 @@
         values = [orjson.dumps(c["data"]) for c in data["apply"] if "write" in c]
         return (
             len(data["apply"]) > self.limits.txn_ops
-            or len(data["when"]) > self.limits.conditions
+            or len(data["when"]) > self.limits.max_conditions
             or any(len(value) > self.limits.value_bytes for value in values)
         )
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 # a state service's watch is answered so much later: the fake service itself never waits
-WATCH_S = 0.1
+WATCH_DELAY_S = 0.1
 
 
 class FakeService(Protocol):
@@ -21,16 +21,18 @@
 
 def free_ports(number: int) -> list[int]:
     """Return so many ports that are not in use."""
-    held = [socket.socket() for _ in range(number)]
-    for sock in held:
+    sockets = [socket.socket() for _ in range(number)]
+    for sock in sockets:
         sock.bind(("127.0.0.1", 0))
-    ports = [sock.getsockname()[1] for sock in held]
-    for sock in held:
+    ports = [sock.getsockname()[1] for sock in sockets]
+    for sock in sockets:
         sock.close()
     return ports
 
 
-def _answer_now(service: FakeService, method: str, path: str, body: bytes) -> tuple[int, bytes]:
+def _answer_without_waiting(
+    service: FakeService, method: str, path: str, body: bytes
+) -> tuple[int, bytes]:
     """Return the result of a coroutine that ends without waiting."""
     try:
         service.request(method, path, body).send(None)
@@ -49,9 +51,9 @@
         def _answer(self) -> None:
             body = self.rfile.read(int(self.headers.get("content-length", 0)))
             if self.path.startswith("/changes"):
-                time.sleep(WATCH_S)
+                time.sleep(WATCH_DELAY_S)
             with lock:
-                status, data = _answer_now(service, self.command, self.path, body)
+                status, data = _answer_without_waiting(service, self.command, self.path, body)
             self.send_response(status)
             self.send_header("content-length", str(len(data)))
             self.end_headers()
--- a/tests/stepped_controller.py
+++ b/tests/stepped_controller.py
@@ -47,7 +47,7 @@
 from .fake_state_service import StateService
 
 # what a job record may take under the settings' limits of today
-RECORD_BYTES = make_settings().state_limits.record_bytes
+RECORD_BYTES = make_settings().state_limits.max_record_bytes
 
 
 class InMemoryPeerLink:
--- a/tests/test_dependency_submission.py
+++ b/tests/test_dependency_submission.py
@@ -3,8 +3,8 @@
 import orjson
 import pytest
 
+from crossmill.client_subcommands import with_dependencies
 from crossmill.cluster import keys
-from crossmill.verbs import with_dependencies
 from crossmill.wire.checks import MalformedMessageError, load_object
 from crossmill.wire.users import parse_submission
 
--- a/tests/test_job_queue.py
+++ b/tests/test_job_queue.py
@@ -49,7 +49,7 @@
     The largest array, and the job without a deadline, still start once their budgets end, since
     later jobs have later ends.
     """
-    slots, default_queue_wait_s, large_tasks = 8, 45.0, 90
+    slots, default_queue_time_s, large_tasks = 8, 45.0, 90
     waiting: list[_QueuedTasks] = []
     large_done_at: list[int] = []
     for second in range(250):
@@ -57,7 +57,7 @@
         if second == 10:
             arrivals.append(("large", make_spec(**large), large_tasks))
         for name, spec, tasks in arrivals:
-            end = budget_end(spec, float(second), float(second), 0.0, default_queue_wait_s)
+            end = budget_end(spec, float(second), float(second), 0.0, default_queue_time_s)
             waiting.append(_QueuedTasks(place_in_queue(spec, end), name, tasks))
         waiting.sort()
         free = slots
@@ -71,5 +71,5 @@
                 waiting.insert(0, first._replace(tasks=first.tasks - done))
     assert len(large_done_at) == large_tasks
     # not before its turn, and soon after its budget's end
-    end = 10 + (large["dueS"] or default_queue_wait_s)
+    end = 10 + (large["dueS"] or default_queue_time_s)
     assert end - 30 < large_done_at[0] <= end + 30
--- a/tests/test_lowered_limits.py
+++ b/tests/test_lowered_limits.py
@@ -102,7 +102,7 @@
             await node.round()
         assert node.cluster.jobs[JOB].planned_task_count() == 40
         assert state.too_large == 0
-        assert make_settings().lowest_state_limits.conditions == 24
+        assert make_settings().lowest_state_limits.max_conditions == 24
 
     run_scenario(scenario)
 
--- a/tests/test_multihost_operator_api.py
+++ b/tests/test_multihost_operator_api.py
@@ -174,7 +174,7 @@
         await curio.spawn(server.run, daemon=True)
         await curio.sleep(0.05)
 
-        async def verb(*args: str) -> subprocess.CompletedProcess[str]:
+        async def subcommand(*args: str) -> subprocess.CompletedProcess[str]:
             command = [sys.executable, "run.py", "replicas", *args]
             command += ["--server", f"127.0.0.1:{port}"]
             result: subprocess.CompletedProcess[str] = await curio.run_in_thread(
@@ -189,13 +189,13 @@
             )
             return result
 
-        declared = await verb("declare", "chat", "-")
+        declared = await subcommand("declare", "chat", "-")
         assert declared.returncode == 0, declared.stderr
         await node.sync()
-        shown = await verb("sets")
+        shown = await subcommand("sets")
         assert orjson.loads(shown.stdout)["replica_sets"][0]["name"] == "chat"
-        assert (await verb("drain", "m-1")).returncode == 0
-        assert (await verb("show", "chat/7")).returncode == 1
-        assert (await verb("show", "chat")).returncode == 2
+        assert (await subcommand("drain", "m-1")).returncode == 0
+        assert (await subcommand("show", "chat/7")).returncode == 1
+        assert (await subcommand("show", "chat")).returncode == 2
 
     run_scenario(scenario)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -148,7 +148,7 @@
         forecast, jobs = node.forecast, node.cluster.jobs
         priority, end, _ = forecast.queue_rank(jobs[first])
         assert priority == 3
-        assert end == pytest.approx(at + node.settings.default_queue_wait_s)
+        assert end == pytest.approx(at + node.settings.default_queue_time_s)
         final = make_spec(nameId=last, precedence="high", dueS=300.0, grindS=10.0)
         state.put(keys.job(last), encode_job(final, clock.wall(), (middle,)))
         await node.sync()
@@ -182,6 +182,6 @@
         node = SteppedController(state, clock, nodes)
         await node.boot()
         ends = [node.forecast.queue_rank(node.cluster.jobs[f"wk-00000{n}"])[1] for n in (2, 3)]
-        assert ends == pytest.approx([at + 50.0 + node.settings.default_queue_wait_s, at + 300.0])
+        assert ends == pytest.approx([at + 50.0 + node.settings.default_queue_time_s, at + 300.0])
 
     run_scenario(scenario)
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -25,7 +25,7 @@
 SETTINGS_FILE = "my-settings.toml"
 # what requirements.txt installs, and how long a command may take beside other load
 LIBRARIES = ("curio", "h11", "orjson")
-PATIENCE_S = 60.0
+TIMEOUT_S = 60.0
 LINK = re.compile(r"\]\(([^)#:]+)\)")
 COMMAND = re.compile(r"^ {4}(python3 .*?)(?: {2,}#.*)?$", re.MULTILINE)
 
@@ -78,13 +78,13 @@
     return root
 
 
-def _starts(checkout: Path, command: list[str]) -> bool:
+def _starts_controller(checkout: Path, command: list[str]) -> bool:
     """Whether the controller says that it starts; it runs until it is killed."""
     process = subprocess.Popen(
         command, cwd=checkout, env=_environment(), stderr=subprocess.PIPE, text=True
     )
     assert process.stderr is not None
-    timeout = threading.Timer(PATIENCE_S, process.kill)
+    timeout = threading.Timer(TIMEOUT_S, process.kill)
     timeout.start()
     try:
         return any("starting controller=" in line for line in process.stderr)
@@ -115,10 +115,10 @@
             capture_output=True,
             text=True,
             check=False,
-            timeout=PATIENCE_S,
+            timeout=TIMEOUT_S,
         )
         assert result.returncode == 0, f"{shlex.join(step)}: {result.stderr}"
-    assert _starts(checkout, serve)
+    assert _starts_controller(checkout, serve)
 
 
 def test_the_quick_start_builds_as_the_deploy_file_does() -> None:
--- a/tests/test_recovery_dry_run.py
+++ b/tests/test_recovery_dry_run.py
@@ -9,7 +9,7 @@
 import pytest
 import tomli_w
 
-from crossmill.cli import BAD_USAGE, main
+from crossmill.cli import EXIT_USAGE_ERROR, main
 from crossmill.recovery import keys
 from crossmill.recovery.records import StoredNotes
 from crossmill.recovery.settings import RecoverySettings
@@ -95,7 +95,7 @@
     config, bad = tmp_path / "settings.toml", tmp_path / "recovery.toml"
     config.write_text(tomli_w.dumps(settings_table()))
     bad.write_text(text)
-    assert main(["check", "--config", str(config), "--recovery", str(bad)]) == BAD_USAGE
+    assert main(["check", "--config", str(config), "--recovery", str(bad)]) == EXIT_USAGE_ERROR
     error = capsys.readouterr().err.strip()
     assert named in error
     assert "\n" not in error
--- a/tests/test_recovery_service.py
+++ b/tests/test_recovery_service.py
@@ -10,7 +10,7 @@
 import tomli_w
 
 from crossmill.app import App
-from crossmill.cli import BAD_USAGE, main
+from crossmill.cli import EXIT_USAGE_ERROR, main
 from crossmill.net.server import Request
 from crossmill.recovery.api import RecoveryApi
 from crossmill.recovery.service import RecoveryService
@@ -42,13 +42,13 @@
     assert "observe_s = 2.000" in printed
 
 
-@pytest.mark.parametrize("verb", ["check", "serve"])
+@pytest.mark.parametrize("subcommand", ["check", "serve"])
 def test_an_invalid_field_is_named_and_ends_the_command(
-    verb: str, config: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+    subcommand: str, config: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     bad = tmp_path / "recovery.toml"
     bad.write_text("[recovery]\nbrake_share = 2\n")
-    assert main([verb, "--config", config, "--recovery", str(bad)]) == BAD_USAGE
+    assert main([subcommand, "--config", config, "--recovery", str(bad)]) == EXIT_USAGE_ERROR
     assert "recovery.brake_share" in capsys.readouterr().err
 
 
@@ -76,8 +76,8 @@
 def test_a_start_with_the_file_does_not_load_hashlib() -> None:
     script = """
 import sys
-from crossmill.lazy_imports import defer_unused
-defer_unused()
+from crossmill.lazy_imports import defer_unused_imports
+defer_unused_imports()
 import crossmill.app, crossmill.recovery.api, crossmill.recovery.settings
 print("hashlib" in sys.modules)
 """
@@ -95,7 +95,7 @@
     except SystemExit as exc:
         # the parser itself exits where an argument is missing or has the wrong type
         code = exc.code
-    assert code == BAD_USAGE
+    assert code == EXIT_USAGE_ERROR
 
 
 async def _api(
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -62,9 +62,11 @@
     assert "settings" in error
 
 
-@pytest.mark.parametrize("verb", ["cancel", "withdraw"])
-def test_cancel_and_its_alias_take_a_job(verb: str, capsys: pytest.CaptureFixture[str]) -> None:
-    assert main([verb, "wk-000001", "--server", "nowhere"]) == 2
+@pytest.mark.parametrize("subcommand", ["cancel", "withdraw"])
+def test_cancel_and_its_alias_take_a_job(
+    subcommand: str, capsys: pytest.CaptureFixture[str]
+) -> None:
+    assert main([subcommand, "wk-000001", "--server", "nowhere"]) == 2
     assert "HOST:PORT" in capsys.readouterr().err
 
 
@@ -92,7 +94,7 @@
 )
 def test_the_plain_form_of_serve_is_read_as_the_parser_reads_it(argv: list[str]) -> None:
     parsed = parse_arguments(argv)
-    expected = ServiceArguments(parsed.verb, parsed.config, parsed.multihost, parsed.recovery)
+    expected = ServiceArguments(parsed.subcommand, parsed.config, parsed.multihost, parsed.recovery)
     assert _plain_serve_arguments(argv) == expected
 
 
--- a/tests/test_start_compiles_nothing.py
+++ b/tests/test_start_compiles_nothing.py
@@ -34,12 +34,12 @@
 ROOT = Path(__file__).resolve().parent.parent
 LIBRARIES = ("curio", "h11", "orjson")
 # how long a start and its first answers may take beside other load
-PATIENCE_S = 60.0
+TIMEOUT_S = 60.0
 RETRY_S = 0.1
 
 # runs the program with all that is compiled from a file written down, in a cache that is not
 # written to; the program itself is a script, which Python always compiles
-RECORDER = """
+COMPILE_RECORDER = """
 import sys
 sys.dont_write_bytecode = True
 record = open({record!r}, "a", buffering=1)
@@ -93,12 +93,12 @@
     """Starts the program by the deploy file's command, with what it compiles recorded."""
     command = shlex.split(_deploy(root)["run"])
     program = command.index("run.py")
-    script = RECORDER.format(record=str(record), program=str(root / "run.py"))
+    script = COMPILE_RECORDER.format(record=str(record), program=str(root / "run.py"))
     command[program : program + 1] = ["-c", script]
     return subprocess.Popen([*command, *arguments], cwd=root, env=_environment())
 
 
-class Neighbours:
+class ControllerEnvironment:
     """What one real controller on loopback needs around it."""
 
     def __init__(self) -> None:
@@ -119,19 +119,21 @@
         """A worker and a user are answered by the controller."""
         client = Client(Endpoint("127.0.0.1", self.user_port), max_sockets=4)
         job = submission()
-        for method, path, body, wanted in (
+        for method, path, body, expected_status in (
             ("GET", "/healthz", b"", 200),
             ("POST", HEARTBEAT_PATH, heartbeat_body("n-0", 1, 1, 0), 200),
             ("POST", JOBS_PATH, orjson.dumps(job), 201),
             ("GET", f"{JOBS_PATH}/{job['nameId']}", b"", 200),
         ):
-            await _until_answered(client, method, path, body, wanted)
+            await _until_answered(client, method, path, body, expected_status)
 
 
-async def _until_answered(client: Client, method: str, path: str, body: bytes, wanted: int) -> None:
-    deadline = time.monotonic() + PATIENCE_S
+async def _until_answered(
+    client: Client, method: str, path: str, body: bytes, expected_status: int
+) -> None:
+    deadline = time.monotonic() + TIMEOUT_S
     status: int | str = ""
-    while status != wanted:
+    while status != expected_status:
         assert time.monotonic() < deadline, f"{path}: {status}"
         try:
             status, _ = await client.request(method, path, body, 2.0)
@@ -144,30 +146,34 @@
     """The files that a controller compiled until its first answers, and a client verb's output."""
 
     compiled: list[str]
-    shown: str
+    output: str
 
 
-def _serve_once(root: Path, folder: Path, *arguments: str, verb: tuple[str, ...] = ()) -> Served:
-    neighbours = Neighbours()
+def _serve_once(
+    root: Path, folder: Path, *arguments: str, subcommand: tuple[str, ...] = ()
+) -> Served:
+    environment = ControllerEnvironment()
     config, record = folder / "settings.toml", folder / "compiled"
-    config.write_text(tomli_w.dumps(neighbours.settings))
+    config.write_text(tomli_w.dumps(environment.settings))
     with (
-        serving(neighbours.state, neighbours.state_port),
-        serving(neighbours.cloud, neighbours.cloud_port),
+        serving(environment.state, environment.state_port),
+        serving(environment.cloud, environment.cloud_port),
     ):
         process = _start_recorded(root, record, str(config), *arguments)
         try:
-            curio.run(neighbours.use_controller)
-            shown = _shown(root, verb, neighbours.peer_port) if verb else ""
+            curio.run(environment.use_controller)
+            output = (
+                _output_with_shard(root, subcommand, environment.peer_port) if subcommand else ""
+            )
         finally:
             process.kill()
             process.wait()
-    return Served(record.read_text().split(), shown)
+    return Served(record.read_text().split(), output)
 
 
-def _shown(root: Path, verb: tuple[str, ...], port: int) -> str:
-    command = [sys.executable, "-S", "-E", "run.py", *verb, "--server", f"127.0.0.1:{port}"]
-    deadline = time.monotonic() + PATIENCE_S
+def _output_with_shard(root: Path, subcommand: tuple[str, ...], port: int) -> str:
+    command = [sys.executable, "-S", "-E", "run.py", *subcommand, "--server", f"127.0.0.1:{port}"]
+    deadline = time.monotonic() + TIMEOUT_S
     while True:
         result = subprocess.run(command, cwd=root, capture_output=True, text=True, timeout=60)
         assert result.returncode == 0, result.stderr
@@ -187,9 +193,9 @@
 ) -> None:
     recovery = str(checkout / "deploy" / "recovery.toml")
     arguments = ("--recovery", recovery)
-    served = _serve_once(checkout, tmp_path, *arguments, verb=("recovery", "show"))
+    served = _serve_once(checkout, tmp_path, *arguments, subcommand=("recovery", "show"))
     assert served.compiled == []
-    overview = orjson.loads(served.shown)
+    overview = orjson.loads(served.output)
     assert overview["controller"] == "node-0"
     assert overview["braked"] == []
     shards = [report["shard"] for report in overview["recovering"] + overview["records"]]
@@ -198,9 +204,9 @@
 
 def _run_recorded(root: Path, record: Path, before: str, *arguments: str) -> str:
     """What the program prints that is run with the recorder, and `before` that."""
-    script = before + RECORDER.format(record=str(record), program=str(root / "run.py"))
+    script = before + COMPILE_RECORDER.format(record=str(record), program=str(root / "run.py"))
     command = [sys.executable, "-S", "-E", "-c", script, *arguments]
-    result = subprocess.run(command, cwd=root, capture_output=True, text=True, timeout=PATIENCE_S)
+    result = subprocess.run(command, cwd=root, capture_output=True, text=True, timeout=TIMEOUT_S)
     assert result.returncode == 0, result.stderr
     return result.stdout
 
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -6,16 +6,22 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 # parts of curio's, and of the standard library, that no controller uses; and client verbs
-UNWANTED = {"asyncio.base_events", "crossmill.verbs", "hashlib", "multiprocessing.pool", "ssl"}
-UNWANTED |= {"argparse", "random", "secrets", "_ssl"}
+UNUSED_MODULES = {
+    "asyncio.base_events",
+    "crossmill.client_subcommands",
+    "hashlib",
+    "multiprocessing.pool",
+    "ssl",
+}
+UNUSED_MODULES |= {"argparse", "random", "secrets", "_ssl"}
 # what is loaded in all: a new dependency shows here
-MOST_MODULES = 270
+MAX_MODULES = 270
 
 SCRIPT = """
 import sys
-from crossmill.lazy_imports import defer_unused
+from crossmill.lazy_imports import defer_unused_imports
 import crossmill.cli
-defer_unused()
+defer_unused_imports()
 import crossmill.app
 print(*sorted(name for name, module in sys.modules.items() if module is not None))
 """
@@ -26,14 +32,14 @@
     result = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60)
     loaded = set(result.stdout.split())
     assert "crossmill.app" in loaded, result.stderr
-    assert not loaded & UNWANTED
-    assert len(loaded) <= MOST_MODULES
+    assert not loaded & UNUSED_MODULES
+    assert len(loaded) <= MAX_MODULES
 
 
 def test_a_deferred_module_is_there_when_it_is_used() -> None:
     script = """
-from crossmill.lazy_imports import defer_unused
-defer_unused()
+from crossmill.lazy_imports import defer_unused_imports
+defer_unused_imports()
 import asyncio, hmac, curio
 assert hmac.new(b"k", b"m", "sha256").hexdigest()
 assert asyncio.get_event_loop_policy() is not None
