--- a/crossmill/__main__.py
+++ b/crossmill/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line: `python3 -m crossmill`."""
+"""Entry point of `python3 -m crossmill`."""
 
 import sys
 
--- a/crossmill/app.py
+++ b/crossmill/app.py
@@ -1,4 +1,4 @@
-"""Wires the parts of a controller together."""
+"""Creates the components of a controller and runs their loops."""
 
 import gc
 import logging
@@ -43,18 +43,18 @@
 
 log = logging.getLogger(__name__)
 
-# how long a component that failed pauses before it is started again, in seconds
+# seconds before a failed component is restarted
 RESTART_DELAY_S = 1.0
 
-# one component's loop; it runs until the controller ends
+# the main coroutine of a component; it runs until the controller stops
 Loop = Callable[[], Awaitable[None]]
 
 
 class App:
-    """All components of one controller, and the loops that they run.
+    """All components of one controller and their loops.
 
-    Multi-machine replicas and recovery are there only with their own settings; without them
-    nothing of `multihost` or `recovery` is loaded.
+    Multi-machine replicas and recovery are optional: without their settings, nothing from the
+    packages `multihost` and `recovery` is imported.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
     ) -> None:
         self.settings = settings
         self._clock = clock
-        # set whenever there may be something to schedule
+        # set when there may be tasks to schedule
         work_available = curio.Event()
         self._build_state(work_available)
         self._build_cluster()
@@ -82,7 +82,7 @@
             self._loops.append(self.recovery.service.run)
 
     def _build_state(self, work_available: curio.Event) -> None:
-        """The state service's client, and what is known and written of the stored state."""
+        """Create the state service's client, and the reader and writer of the stored state."""
         settings, clock = self.settings, self._clock
         self.client = StateClient(settings, clock)
         self.mirror = Mirror()
@@ -93,7 +93,7 @@
         self.writer = Writer(self.client, self.mirror, clock, settings, lambda: self.cluster.limits)
 
     def _build_cluster(self) -> None:
-        """What this controller may act for, and what it agrees on with the others."""
+        """Create the components for leases, shard ownership and coordination with peers."""
         settings, clock = self.settings, self._clock
         self.controller_lease = ControllerLease(self.client, clock, settings)
         shards = OwnedShards()
@@ -104,7 +104,11 @@
         self.partition_protocol = PartitionProtocol(settings, clock, state)
 
     def _build_recovery(self, recovery: "RecoverySettings") -> "RecoveryApi":
-        """Holds back what differs when a shard is acquired, before the first heartbeat comes."""
+        """Create the recovery subsystem.
+
+        After a shard is acquired, it holds back actions on tasks and machines whose stored state
+        and heartbeats differ, so it must exist before the first heartbeat is handled.
+        """
         from .recovery.api import RecoveryApi
         from .recovery.context import RecoveryContext
         from .recovery.service import RecoveryService
@@ -116,7 +120,7 @@
         return RecoveryApi(context, service)
 
     def _build_workers(self, work_available: curio.Event) -> None:
-        """What answers workers' heartbeats and sends them commands."""
+        """Create the components that respond to workers' heartbeats and send them commands."""
         self.heartbeats = HeartbeatHandler(
             self.settings,
             self._clock,
@@ -134,7 +138,7 @@
         )
 
     def _build_jobs(self, work_available: curio.Event) -> None:
-        """What schedules tasks, provisions machines and answers users."""
+        """Create the components that schedule tasks, provision machines and serve users."""
         settings, clock = self.settings, self._clock
         self.scheduling_loop = SchedulingLoop(
             settings,
@@ -206,15 +210,20 @@
         ]
 
     def is_ready(self) -> bool:
-        """Whether users may be sent here: not while this controller alone can't decide anything."""
+        """Return whether a load balancer may send users to this controller.
+
+        It may not while the state service refuses only this controller, which then can't accept
+        or change jobs.
+        """
         is_loaded = self.watcher.ready.is_set() and bool(self.cluster.catalog)
         return is_loaded and not self.lease_extensions.is_only_one_refused
 
     async def _run_multihost(self, multihost: "MultihostSettings") -> None:
-        """Runs multi-machine replicas.
+        """Run the scheduling of multi-machine replicas.
 
-        Loaded only once the controller has had time to acquire its shards: when all controllers
-        ended, the workers' leases depend on how soon it serves.
+        The package is imported only after the controller has had time to acquire its shards. When
+        all controllers restart, the import would otherwise delay the responses to heartbeats, and
+        workers' leases could expire.
         """
         await self.watcher.ready.wait()
         await curio.sleep(self.settings.controller_lease_ttl_s)
@@ -235,7 +244,7 @@
         await curio.Event().wait()
 
     async def run(self) -> None:
-        """Runs all loops of the controller until it is killed."""
+        """Run all loops of the controller until it is killed."""
         settings = self.settings
         log.info(
             "starting controller=%s zone=%s bind=%s:%d",
@@ -250,14 +259,14 @@
 
 
 def _unique_name() -> str:
-    """A name that no other process has ever had."""
+    """Return a random name that no other process has used."""
     return os.urandom(8).hex()
 
 
 async def _restart_on_failure(loop: Loop) -> None:
-    """Runs a component's loop; one that fails is logged and started again.
+    """Run a component's loop; if it fails, log the error and restart it.
 
-    No controller may go on with one of its components missing.
+    A controller must not continue to run without one of its components.
     """
     while True:
         try:
@@ -274,8 +283,8 @@
     multihost: "MultihostSettings | None" = None,
     recovery: "RecoverySettings | None" = None,
 ) -> None:
-    """Runs a controller until it is killed."""
+    """Run a controller until it is killed."""
     app = App(settings, Clock(), multihost, recovery)
-    # what was loaded lives as long as the process: the collector need not go over it again
+    # exempts the objects created so far from garbage collection; they exist until the process ends
     gc.freeze()
     curio.run(app.run)
--- a/crossmill/arguments.py
+++ b/crossmill/arguments.py
@@ -1,7 +1,7 @@
-"""The parser of the command line's arguments.
+"""The argument parser of the command line.
 
-A controller that is started as the deploy file says does not load this module: `cli` reads the
-arguments of that one form itself.
+A controller that is started by the command of the deploy file does not load this module: `cli`
+parses the arguments of that form itself.
 """
 
 import argparse
@@ -11,7 +11,10 @@
 
 
 def parse(argv: list[str]) -> argparse.Namespace:
-    """Parses the arguments of any verb; prints the usage and exits with 2 if they are wrong."""
+    """Parse the arguments of any subcommand.
+
+    Invalid arguments print the usage and exit with code 2.
+    """
     return _parser(argv).parse_args(argv)
 
 
@@ -19,13 +22,13 @@
     parser = argparse.ArgumentParser(
         prog="crossmill",
         description="A scheduler for fleets that serve language models.",
-        epilog="LOG_LEVEL (error, info, debug) sets how much is logged to standard error.",
+        epilog="LOG_LEVEL (error, info, debug) sets the level of the log on standard error.",
     )
     parser.add_argument("--version", action="version", version=f"crossmill {__version__}")
     subcommands = parser.add_subparsers(dest="subcommand", required=True, metavar="VERB")
     for name, text in (
         ("serve", "run a controller until it is killed"),
-        ("check", "check a settings file and say what follows from it"),
+        ("check", "check a settings file and print the values derived from it"),
     ):
         subcommand = subcommands.add_parser(name, help=text, description=text)
         subcommand.add_argument("--config", required=True, metavar="FILE", help="settings (TOML)")
@@ -33,7 +36,7 @@
             "--multihost", metavar="FILE", help="also schedule multi-machine replicas (TOML)"
         )
         subcommand.add_argument(
-            "--recovery", metavar="FILE", help="settle calmly what differs after a takeover (TOML)"
+            "--recovery", metavar="FILE", help="also limit actions after shard takeovers (TOML)"
         )
     submit = subcommands.add_parser("submit", help="submit a job read as JSON")
     submit.add_argument("file", help="the job's JSON, or - for standard input")
@@ -42,24 +45,22 @@
         action="append",
         default=[],
         metavar="JOB",
-        help="a job that has to be done before this one starts; may be given more than once",
+        help="a job that must be done before this one starts; may be given more than once",
     )
     show = subcommands.add_parser("show", help="show a job's state")
     cancel = subcommands.add_parser("cancel", aliases=["withdraw"], help="cancel a job")
     for subcommand in (show, cancel):
-        subcommand.add_argument("job", help="the job's id")
+        subcommand.add_argument("job", help="the job's ID")
     for subcommand in (submit, show, cancel):
         _add_client_options(
             subcommand, "CROSSMILL_SERVER", "127.0.0.1:8080", "a controller or the load balancer"
         )
-    subcommands.add_parser(
-        "compile", help="write the bytecode that a start loads (a step of the build)"
-    )
+    subcommands.add_parser("compile", help="write the bytecode cache (a build step)")
     replicas = subcommands.add_parser(
         "replicas", help="multi-machine replicas: list, declare, drain"
     )
     if argv[:1] == ["replicas"]:
-        # a start of a controller does not pay for verbs that it has no use for
+        # imported only on demand, so that the other subcommands start faster
         from .multihost.subcommands import add_replica_subcommands
 
         add_replica_subcommands(replicas, _add_client_options)
--- a/crossmill/bytecode.py
+++ b/crossmill/bytecode.py
@@ -1,9 +1,10 @@
-"""Fills the bytecode cache with all that a controller loads: a step of the build.
+"""Writes the bytecode cache of all modules that a controller loads, as a build step.
 
-The cache lies where `sys.pycache_prefix` says (`run.py`). Under a prefix Python looks nowhere else,
-so the modules of the standard library have to be in it as well: a controller, which can't write
-there, would compile each of them from source at every start. Whatever is imported here is written
-by Python itself, which compares it with its source whenever it is loaded.
+The cache is in the folder `sys.pycache_prefix`, which `run.py` sets. With a prefix, Python looks
+for bytecode nowhere else, so the cache must also contain the modules of the standard library:
+otherwise a controller, which can't write to that folder, compiles each of them from source
+whenever it starts. Importing a module here makes Python write its bytecode; when Python loads the
+bytecode, it checks it against the source.
 """
 
 import logging
@@ -17,22 +18,22 @@
 log = logging.getLogger(__name__)
 
 PACKAGE = Path(__file__).resolve().parent
-# imported by the standard library or the libraries only once they have a use for it
+# modules that the standard library or the installed libraries import only when they use them
 LAZILY_IMPORTED: tuple[str, ...] = ()
 
 
 class CacheNotWrittenError(Exception):
-    """A module that was loaded has no bytecode in the cache afterwards."""
+    """An imported module has no bytecode in the cache."""
 
 
 def write_bytecode() -> int:
-    """Writes the bytecode of all that a controller or a client verb can load.
+    """Write the bytecode of all modules that a controller or a client subcommand can load.
 
     Returns:
-        Of how many modules.
+        The number of modules in the cache.
 
     Raises:
-        CacheNotWrittenError: a module that was loaded has no bytecode afterwards.
+        CacheNotWrittenError: An imported module has no bytecode in the cache.
     """
     sys.dont_write_bytecode = False
     defer_unused_imports()
@@ -42,13 +43,13 @@
     missing = [file for file in cached if not os.path.exists(file)]
     if missing:
         raise CacheNotWrittenError(
-            f"{len(missing)} of {len(cached)} files, the first: {missing[0]}"
+            f"{len(missing)} of {len(cached)} files are missing, the first is {missing[0]}"
         )
     return len(cached)
 
 
 def _own_modules() -> list[str]:
-    """The names of the program's modules but its entry, which runs it when imported."""
+    """Return the names of the package's modules except `__main__`, which runs the program."""
     names = []
     for file in sorted(PACKAGE.rglob("*.py")):
         parts = (PACKAGE.name, *file.relative_to(PACKAGE).with_suffix("").parts)
@@ -58,7 +59,7 @@
 
 
 def _cache_files() -> list[str]:
-    """Where the bytecode of the modules lies that were loaded since the prefix was set."""
+    """Return the bytecode files of the modules that were loaded since the prefix was set."""
     prefix = sys.pycache_prefix or ""
     files = (getattr(module, "__cached__", None) for module in list(sys.modules.values()))
     return sorted({file for file in files if file and file.startswith(prefix)})
--- a/crossmill/cli.py
+++ b/crossmill/cli.py
@@ -1,4 +1,4 @@
-"""The command line: parses the arguments and runs the verb that they name."""
+"""The command line: parses the arguments and runs the subcommand."""
 
 import logging
 import os
@@ -21,7 +21,7 @@
 
 
 def _configure_logging() -> str | None:
-    """Sets logging up as LOG_LEVEL says; returns its value if it names no level."""
+    """Configure logging from LOG_LEVEL; return the variable's value if it is invalid, else None."""
     name = os.environ.get("LOG_LEVEL", "info").lower()
     logging.basicConfig(
         level=LOG_LEVELS.get(name, logging.INFO),
@@ -33,14 +33,14 @@
 
 
 def _add_label_to_log_lines(label: str) -> None:
-    """Puts the controller's label into every line, so that several logs can be read together."""
+    """Add the controller's label to every log line, so that logs can be merged."""
     for handler in logging.getLogger().handlers:
         line = f"%(asctime)s {label.replace('%', '%%')} %(levelname)s %(name)s %(message)s"
         handler.setFormatter(logging.Formatter(line))
 
 
 class ServiceArguments(NamedTuple):
-    """The arguments of `serve` and `check`: the verb, and paths of settings files."""
+    """The arguments of `serve` and `check`: the subcommand and the paths of the settings files."""
 
     subcommand: str
     config: str
@@ -49,10 +49,10 @@
 
 
 def _plain_serve_arguments(argv: list[str]) -> ServiceArguments | None:
-    """The arguments of `serve` as options with a value each; None for any other form.
+    """Parse `serve` followed by pairs of option and value; return None for any other form.
 
-    The parser of the standard library takes longer to load and to build than all settings take
-    to be read, and on a small share of a processor that delays every restart.
+    Importing argparse and building its parser takes longer than reading all settings, which delays
+    every restart of a controller that has only a small share of a processor.
     """
     if argv[:1] != ["serve"]:
         return None
@@ -72,7 +72,7 @@
 
 
 class _LoadedSettings(NamedTuple):
-    """The settings of a controller and of the subsystems that are on."""
+    """The settings of a controller and of its enabled subsystems."""
 
     settings: Settings
     multihost: "MultihostSettings | None"
@@ -80,9 +80,12 @@
 
 
 def _load(args: ServiceArguments) -> _LoadedSettings:
-    """Reads all settings files that the arguments name; raises SettingsError.
+    """Read the settings files given in the arguments.
 
-    A subsystem's modules are loaded only if its file is named.
+    A subsystem's modules are imported only if its file is given.
+
+    Raises:
+        SettingsError: A file can't be read, or a field is invalid.
     """
     settings = load(args.config)
     multihost, recovery = None, None
@@ -98,7 +101,7 @@
 
 
 def _check(loaded: _LoadedSettings) -> None:
-    """Prints what follows from the settings."""
+    """Print the values derived from the settings."""
     settings, multihost, recovery = loaded
     print(f"{settings.label}: {settings.controller_count} controllers, {len(settings.teams)} teams")
     _print_derived(
@@ -132,7 +135,7 @@
 
 
 def _run_with_settings(args: ServiceArguments) -> int:
-    """Runs `serve` or `check`; with bad settings one line says why."""
+    """Run `serve` or `check`; if the settings are invalid, print one line with the reason."""
     try:
         loaded = _load(args)
     except SettingsError as exc:
@@ -146,21 +149,21 @@
 
 
 def _compile() -> int:
-    """Writes the bytecode cache; returns the exit code."""
+    """Write the bytecode cache and return the exit code."""
     from .bytecode import CacheNotWrittenError, write_bytecode
 
     try:
         print(
-            f"bytecode of {write_bytecode()} modules in {sys.pycache_prefix or 'their own folders'}"
+            f"bytecode of {write_bytecode()} modules is in {sys.pycache_prefix or 'their folders'}"
         )
     except CacheNotWrittenError as exc:
-        print(f"crossmill: bytecode was not written: {exc}", file=sys.stderr)
+        print(f"crossmill: bytecode cache not written: {exc}", file=sys.stderr)
         return EXIT_FAILURE
     return 0
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Runs the command that the arguments name; returns its exit code."""
+    """Run the subcommand given in the arguments and return its exit code."""
     argv = sys.argv[1:] if argv is None else argv
     serve_arguments = _plain_serve_arguments(argv)
     if serve_arguments is not None:
@@ -172,7 +175,7 @@
 
 
 def _run(args: "Namespace") -> int:
-    """Runs any verb from the parser's result; a verb's modules are loaded only for it."""
+    """Run a subcommand, importing only the modules that it needs, and return its exit code."""
     if args.subcommand in ("serve", "check"):
         paths = ServiceArguments(args.subcommand, args.config, args.multihost, args.recovery)
         return _run_with_settings(paths)
@@ -192,7 +195,7 @@
 
 
 def _initialize_logging() -> int:
-    """Sets logging up; prints a line and returns EXIT_USAGE_ERROR if LOG_LEVEL names no level."""
+    """Configure logging; if LOG_LEVEL is invalid, print an error and return EXIT_USAGE_ERROR."""
     invalid_level = _configure_logging()
     if invalid_level is None:
         return 0
--- a/crossmill/client_command.py
+++ b/crossmill/client_command.py
@@ -1,4 +1,4 @@
-"""What the client verbs of the command line share: input, request, response."""
+"""Input, request and response of client subcommands, which send one request to a controller."""
 
 import argparse
 import sys
@@ -16,11 +16,11 @@
 
 
 class UsageError(ValueError):
-    """The arguments of a client verb can't be used; the text says why."""
+    """The arguments of a client subcommand are invalid; the message gives the reason."""
 
 
 class ClientRequest(NamedTuple):
-    """A request of a client verb."""
+    """The HTTP request of a client subcommand."""
 
     method: str
     path: str
@@ -28,7 +28,7 @@
 
 
 def read_input(file_name: str) -> bytes:
-    """The content of a file, or of standard input for `-`; raises UsageError."""
+    """Return the content of a file, or of standard input for `-`; raise UsageError on failure."""
     if file_name == "-":
         return sys.stdin.buffer.read()
     try:
@@ -39,7 +39,7 @@
 
 
 def parse_server(server: str) -> Endpoint:
-    """The address given with --server, as HOST:PORT; raises UsageError."""
+    """Parse the value of --server; raise UsageError if it is not HOST:PORT."""
     host, _, port = server.rpartition(":")
     if not host or not port.isdigit():
         raise UsageError(f"--server: {server!r} is not HOST:PORT")
@@ -49,7 +49,7 @@
 def run_subcommand(
     args: argparse.Namespace, request_of: Callable[[argparse.Namespace], ClientRequest]
 ) -> int:
-    """Builds the request of a verb and sends it; returns the exit code."""
+    """Build and send the request of a client subcommand and return the exit code."""
     try:
         server = parse_server(args.server)
         request = request_of(args)
@@ -60,7 +60,7 @@
 
 
 def send(server: Endpoint, timeout_s: float, request: ClientRequest) -> int:
-    """Sends the request and prints the response; returns the exit code."""
+    """Send the request, print the response and return the exit code."""
     client = Client(server)
     try:
         status, data = curio.run(
@@ -71,6 +71,6 @@
         return EXIT_FAILURE
     print(data.decode("utf-8", "replace"))
     if status not in SUCCESS_STATUSES:
-        print(f"crossmill: status {status}", file=sys.stderr)
+        print(f"crossmill: HTTP status {status}", file=sys.stderr)
         return EXIT_FAILURE
     return 0
--- a/crossmill/client_subcommands.py
+++ b/crossmill/client_subcommands.py
@@ -1,4 +1,4 @@
-"""The client verbs about jobs."""
+"""The client subcommands for jobs: submit, show, cancel."""
 
 import argparse
 from collections.abc import Sequence
@@ -11,9 +11,10 @@
 
 
 def with_dependencies(body: bytes, dependencies: Sequence[str]) -> bytes:
-    """The submission with these jobs added to its dependencies.
+    """Return the submission with these jobs added to its dependencies.
 
-    Raises MalformedMessageError if the body is not a JSON object.
+    Raises:
+        MalformedMessageError: The body is not a JSON object.
     """
     if not dependencies:
         return body
@@ -23,7 +24,7 @@
 
 
 def _request(args: argparse.Namespace) -> ClientRequest:
-    """The request that a verb stands for; raises UsageError."""
+    """Return the request of a subcommand; raise UsageError if its input is invalid."""
     if args.subcommand == "submit":
         try:
             body = with_dependencies(read_input(args.file), args.after)
@@ -36,5 +37,5 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Sends the request of a client verb and prints the response; returns the exit code."""
+    """Send the request of a client subcommand, print the response and return the exit code."""
     return run_subcommand(args, _request)
--- a/crossmill/lazy_imports.py
+++ b/crossmill/lazy_imports.py
@@ -1,9 +1,9 @@
-"""Defers imports of modules that curio loads and no controller uses.
+"""Defers the import of modules that curio imports but a controller does not use.
 
-They are loaded only when something of them is asked for.
+A deferred module is loaded when one of its attributes is accessed.
 
-A restarted controller serves nobody until its imports are done, and on a small share of a
-processor each of them delays that by a multiple of its own time.
+A restarted controller can't respond to requests until its imports are done. With a small share of
+a processor, each import delays the start by a multiple of its processor time.
 """
 
 import os
@@ -12,20 +12,21 @@
 from types import ModuleType
 from typing import Any
 
-# what curio needs for other event loops, worker processes and their authentication, and what
-# `zoneinfo`, which orjson loads, needs to find its time zones
+# Curio uses these for other event loops, for worker processes and for their authentication.
+# `zoneinfo`, which orjson imports, uses `sysconfig` to find time zone files.
 DEFERRED_MODULES = ("asyncio", "hmac", "sysconfig", "tempfile")
-# where `zoneinfo` looks for time zones: nowhere, so that it does not ask `sysconfig`
+# environment variable with the search path of `zoneinfo`: if it is set, also to an empty path,
+# `zoneinfo` does not use `sysconfig`
 EMPTY_TIME_ZONE_PATH = ("PYTHONTZPATH", "")
-# controllers speak plain TCP; curio does without ssl where Python has none
+# controllers use plain TCP, and curio works without `ssl` if the import fails
 BLOCKED_MODULES = ("ssl",)
 
 
 class LazyModule(ModuleType):
-    """Stands in for a module until an attribute of it is asked for.
+    """A placeholder that imports the module of its name when an attribute is accessed.
 
-    `importlib.util.LazyLoader` is of no use here: up to Python 3.11 a second import statement
-    already makes it load the module.
+    `importlib.util.LazyLoader` is not suitable: up to Python 3.11 it loads the module at the second
+    import statement.
     """
 
     def __getattr__(self, attribute: str) -> Any:
@@ -36,7 +37,7 @@
 
 
 def defer_unused_imports() -> None:
-    """Registers the unused modules as lazy ones. Has to be called before curio is imported."""
+    """Register placeholders for the unused modules; must be called before curio is imported."""
     for name in BLOCKED_MODULES:
         sys.modules.setdefault(name, None)  # type: ignore[arg-type]
     for name in DEFERRED_MODULES:
--- a/crossmill/multihost/subcommands.py
+++ b/crossmill/multihost/subcommands.py
@@ -1,7 +1,6 @@
-"""The client verbs about multi-machine replicas.
+"""The subcommands of `replicas`, for multi-machine replicas.
 
-The command line adds the verbs to its parser and runs the one that was given. A verb sends one
-request to a controller and prints the answer.
+Each subcommand sends one request to a controller and prints the response.
 """
 
 import argparse
@@ -25,20 +24,20 @@
 
 
 _REPLICA = _Argument("replica", "SET/NUMBER")
-_SET = _Argument("set", "its name")
-_MACHINE = _Argument("machine", "the machine's id")
-_FILE = _Argument("file", "the declaration's JSON, or - for standard input")
+_SET = _Argument("set", "the set's name")
+_MACHINE = _Argument("machine", "the machine's ID")
+_FILE = _Argument("file", "a file with the declaration as JSON, or - for standard input")
 _SUBCOMMANDS = (
-    _Subcommand("list", "all replicas"),
-    _Subcommand("sets", "all replica sets"),
-    _Subcommand("machines", "the machines of the pool"),
-    _Subcommand("show", "one replica", (_REPLICA,)),
-    _Subcommand("restart", "restart a replica as one, also one that failed", (_REPLICA,)),
+    _Subcommand("list", "list all replicas"),
+    _Subcommand("sets", "list all replica sets"),
+    _Subcommand("machines", "list the machines of the pool"),
+    _Subcommand("show", "show a replica", (_REPLICA,)),
+    _Subcommand("restart", "restart all members of a replica, also of a failed one", (_REPLICA,)),
     _Subcommand("declare", "declare a replica set", (_SET, _FILE)),
-    _Subcommand("remove", "stop all replicas of a set", (_SET,)),
-    _Subcommand("drain", "empty a machine, replica by replica", (_MACHINE,)),
-    _Subcommand("release", "empty a machine and take it out of the pool", (_MACHINE,)),
-    _Subcommand("undrain", "let replicas stand on a machine again", (_MACHINE,)),
+    _Subcommand("remove", "remove a replica set and stop its replicas", (_SET,)),
+    _Subcommand("drain", "move all replicas off a machine, one after the other", (_MACHINE,)),
+    _Subcommand("release", "drain a machine and remove it from the pool", (_MACHINE,)),
+    _Subcommand("undrain", "allow replicas on a drained machine again", (_MACHINE,)),
 )
 
 
@@ -46,12 +45,13 @@
     parser: argparse.ArgumentParser,
     add_client_options: Callable[[argparse.ArgumentParser, str, str, str], None],
 ) -> None:
-    """Add the verbs under `replicas` to the command line's parser.
+    """Add the subcommands of `replicas` to the command line's parser.
 
     Args:
         parser: The parser of `replicas`.
-        add_client_options: Adds the options of all client verbs to a verb's parser: with the
-            variable that names the server, its default, and its meaning.
+        add_client_options: Adds the options of client subcommands to a parser. It takes the parser,
+            the environment variable with the server's address, the default address, and a
+            description of the server.
     """
     subcommands = parser.add_subparsers(dest="replica_subcommand", required=True, metavar="VERB")
     for spec in _SUBCOMMANDS:
@@ -73,10 +73,10 @@
 
 
 def request_of(args: argparse.Namespace) -> ClientRequest:
-    """Return the request of a verb.
+    """Return the request of a subcommand.
 
     Raises:
-        UsageError: An argument is wrong.
+        UsageError: An argument is invalid.
     """
     subcommand: str = args.replica_subcommand
     if subcommand in _LIST_PATHS:
@@ -96,5 +96,5 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Send the request of a verb, print the answer and return the exit code."""
+    """Send the request of a subcommand, print the response and return the exit code."""
     return run_subcommand(args, request_of)
--- a/crossmill/recovery/subcommands.py
+++ b/crossmill/recovery/subcommands.py
@@ -1,4 +1,4 @@
-"""The command line's verbs for recoveries: `recovery show` and `recovery approve`."""
+"""The subcommands of `recovery`: `recovery show` and `recovery approve`."""
 
 import argparse
 from collections.abc import Callable
@@ -11,12 +11,16 @@
     parser: argparse.ArgumentParser,
     add_client_options: Callable[[argparse.ArgumentParser, str, str, str], None],
 ) -> None:
-    """Adds the verbs of `recovery` to the command line's parser."""
+    """Add the subcommands of `recovery` to the command line's parser."""
     subcommands = parser.add_subparsers(dest="recovery_subcommand", required=True, metavar="VERB")
-    show = subcommands.add_parser("show", help="shards that recover, brakes, and past recoveries")
-    approve = subcommands.add_parser("approve", help="let a braked shard go on with what was shown")
+    show = subcommands.add_parser(
+        "show", help="show recovering shards, open circuit breakers and past recoveries"
+    )
+    approve = subcommands.add_parser(
+        "approve", help="approve the actions that an open circuit breaker holds back"
+    )
     approve.add_argument("shard", type=int, help="the shard's number")
-    approve.add_argument("digest", help="as `show` gives it: it names what is approved")
+    approve.add_argument("digest", help="the digest of these actions, as printed by `show`")
     for subcommand in (show, approve):
         add_client_options(
             subcommand, "CROSSMILL_RECOVERY", "127.0.0.1:8081", "a controller's peer_listen address"
@@ -24,7 +28,7 @@
 
 
 def request_of(args: argparse.Namespace) -> ClientRequest:
-    """Returns the request for a verb; raises UsageError for an invalid shard."""
+    """Return the request of a subcommand; raise UsageError if the shard is invalid."""
     if args.recovery_subcommand == "show":
         return ClientRequest("GET", RECOVERY_PATH)
     if args.shard < 0:
@@ -33,5 +37,5 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Sends the verb's request, prints the answer and returns the exit code."""
+    """Send the request of a subcommand, print the response and return the exit code."""
     return run_subcommand(args, request_of)
--- a/crossmill/routes.py
+++ b/crossmill/routes.py
@@ -1,7 +1,7 @@
-"""Which part of a controller answers which request.
+"""Routes HTTP requests to the components of a controller.
 
-Two addresses are served: one for workers and users, one for the other controllers and, where
-recovery is on, for operators' requests about it.
+A controller listens on two addresses: one for workers and users, one for the other controllers and,
+if recovery is enabled, for operators' requests about it.
 """
 
 from collections.abc import Awaitable, Callable
@@ -16,12 +16,13 @@
 
 OK = 200
 HEALTH_PATH = "/healthz"
-# operators' requests about recoveries; their wire module is loaded only with the subsystem
+# prefix of operators' requests about recoveries; their wire module is imported only if recovery is
+# enabled
 RECOVERY_PATH = "/recovery"
 
 
 class PublicRoutes:
-    """Routes requests of workers and users."""
+    """Routes requests from workers and users."""
 
     def __init__(
         self,
@@ -33,11 +34,11 @@
         self._heartbeats = heartbeats
         self._jobs = jobs
         self._is_ready = is_ready
-        # called when a heartbeat shows that an attempt has ended
+        # called when a heartbeat reports that an attempt has ended
         self._on_outcome = on_outcome
 
     async def handle(self, request: Request) -> Response:
-        """The response to a request on the public address."""
+        """Return the response to a request on the public address."""
         if request.path == workers.HEARTBEAT_PATH:
             if request.method != "POST":
                 return Response(405)
@@ -64,7 +65,7 @@
 
 
 class PeerRoutes:
-    """Routes requests of other controllers, and of operators about recoveries."""
+    """Routes requests from other controllers, and from operators about recoveries."""
 
     def __init__(
         self,
@@ -77,7 +78,7 @@
         self._recovery_handler = recovery_handler
 
     async def handle(self, request: Request) -> Response:
-        """The response to a request on the peers' address."""
+        """Return the response to a request on the address for peers."""
         if request.path in (peers.ATTESTATION_PATH, peers.CANCELLATION_PATH):
             return self._partition_protocol.handle(request)
         if self._recovery_handler is not None and request.path.startswith(RECOVERY_PATH):
--- a/run.py
+++ b/run.py
@@ -1,13 +1,14 @@
-"""Entry of the deployed program: `python3 run.py --config FILE` serves."""
+"""Entry point of a deployment: `python3 run.py --config FILE` runs a controller."""
 
 import os
 import sys
 
 ROOT = os.path.dirname(os.path.abspath(__file__))
-# behind the standard library, of which most modules are loaded
+# appended, so that imports from the standard library, the most frequent ones, are found first
 sys.path += [ROOT, os.path.join(ROOT, "target", "deps")]
-# what `crossmill compile` wrote at build time: a controller's start must not pay for compiling.
-# Python itself compares each file with its source; another release of Python has a cache of its own
+# The bytecode cache that `crossmill compile` writes at build time, so that a controller compiles
+# nothing when it starts. Python checks each cached file against its source. Each Python release has
+# its own cache.
 sys.pycache_prefix = os.path.join(ROOT, "target", "pyc", f"{sys.hexversion:x}")
 
 from crossmill.cli import main  # noqa: E402
