--- a/crossmill/arguments.py
+++ b/crossmill/arguments.py
@@ -82,5 +82,5 @@
         help=f"{what} ({variable}; default %(default)s)",
     )
     subcommand.add_argument(
-        "--timeout", type=float, default=5.0, metavar="S", help="default %(default)s"
+        "--timeout", type=float, default=5.0, metavar="S", help="seconds, default %(default)s"
     )
--- a/crossmill/cli.py
+++ b/crossmill/cli.py
@@ -154,7 +154,7 @@
 
     try:
         print(
-            f"bytecode of {write_bytecode()} modules is in {sys.pycache_prefix or 'their folders'}"
+            f"bytecode of {write_bytecode()} modules in {sys.pycache_prefix or 'their own folders'}"
         )
     except CacheNotWrittenError as exc:
         print(f"crossmill: bytecode cache not written: {exc}", file=sys.stderr)
--- a/crossmill/settings/__init__.py
+++ b/crossmill/settings/__init__.py
@@ -1,4 +1,4 @@
-"""The settings file: reading and checking it, and the values derived from it."""
+"""The settings of a controller: the parsed and checked settings file, and derived values."""
 
 from .deployment import Endpoint, Objective, Peer, StateLimits, Team
 from .loader import load, parse
--- a/crossmill/settings/deployment.py
+++ b/crossmill/settings/deployment.py
@@ -1,35 +1,35 @@
-"""What the settings file says about a deployment: its controllers, teams and limits.
+"""The contents of the settings file: the deployment's controllers, teams and limits.
 
-The loader makes these objects. They are frozen; the rest of the program reads them as part of
-`Settings`.
+The loader creates these immutable objects. Other packages read them as part of `Settings`.
 """
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-# the kind of an objective on how soon tasks must start
+# the kind of an objective that limits the time from a task's arrival to its start
 START_DELAY_OBJECTIVE = "wait"
 
-# the longest encoding of one planned task in a legacy chunk and in a segment, and the share of a
-# value that a plan may fill
+# the maximum encoded size of one planned task in a legacy chunk and in a segment, and the share of
+# the value size limit that a plan may use
 PLAN_ROW_BYTES = 48
 SEGMENT_ROW_BYTES = 32
 PLAN_VALUE_SHARE = 0.75
 MIN_CHUNK_TASKS = 16
-# PROTOCOL: a transaction takes this many conditions for each of its changes
+# PROTOCOL: a transaction may have this many conditions per allowed change
 CONDITIONS_PER_CHANGE = 4
-# conditions of a plan's write beside its machines: shard, plan, job, feature level, peers' keys
+# conditions of a plan's write other than machine records: shard, plan, job, feature level, and the
+# keys of peers
 RESERVED_CONDITIONS = 8
 
 
 class StateLimits(NamedTuple):
-    """The state service's limits at one time.
+    """The state service's limits.
 
     Attributes:
-        rps: Requests per second of all controllers together.
-        write_rps: Changes per second of all controllers together.
-        value_bytes: The size of a value.
-        txn_ops: The puts and deletes of a transaction.
+        rps: Maximum requests per second, summed over all controllers.
+        write_rps: Maximum changes per second, summed over all controllers.
+        value_bytes: Maximum size of a value in bytes.
+        txn_ops: Maximum number of puts and deletes in a transaction.
     """
 
     rps: float
@@ -38,7 +38,7 @@
     txn_ops: int
 
     def elementwise_min(self, other: "StateLimits") -> "StateLimits":
-        """Return the lower of each limit, so that both sets hold."""
+        """Return the lower value of each limit, which satisfies both sets of limits."""
         return StateLimits(
             min(self.rps, other.rps),
             min(self.write_rps, other.write_rps),
@@ -48,28 +48,31 @@
 
     @property
     def max_conditions(self) -> int:
-        """How many conditions a transaction may have."""
+        """The maximum number of conditions in a transaction."""
         return CONDITIONS_PER_CHANGE * self.txn_ops
 
     @property
     def max_machines_per_txn(self) -> int:
-        """How many machines' records the write of a plan may have as conditions."""
+        """The maximum number of machine records that are conditions of a plan's write."""
         return max(1, self.max_conditions - RESERVED_CONDITIONS)
 
     @property
     def chunk_tasks(self) -> int:
-        """How many tasks of a job's plan fit into one legacy chunk."""
+        """The number of tasks of a job's plan that fit into one legacy chunk."""
         return max(MIN_CHUNK_TASKS, int(self.value_bytes * PLAN_VALUE_SHARE / PLAN_ROW_BYTES))
 
     @property
     def segment_tasks(self) -> int:
-        """How many tasks fit into a segment, which plans use from a raised feature level on."""
+        """The number of tasks that fit into a segment, the plan format of raised feature levels."""
         tasks = int(self.value_bytes * PLAN_VALUE_SHARE / SEGMENT_ROW_BYTES)
         return max(MIN_CHUNK_TASKS, tasks)
 
     @property
     def max_record_bytes(self) -> int:
-        """The largest job record in bytes; the state service may encode JSON with more bytes."""
+        """The maximum size of a job record in bytes.
+
+        It is below the limit of a value, as the state service may encode the JSON with more bytes.
+        """
         return int(self.value_bytes * PLAN_VALUE_SHARE)
 
 
@@ -81,7 +84,7 @@
 
 
 class Peer(NamedTuple):
-    """Another controller."""
+    """Another controller of the deployment."""
 
     label: str
     zone: str
@@ -89,7 +92,7 @@
 
 
 class Team(NamedTuple):
-    """A team with its guaranteed and maximum resources; 0 means none."""
+    """A team with its guaranteed and maximum resources; 0 means no guarantee or no maximum."""
 
     name: str
     cpus: float
@@ -102,11 +105,11 @@
     """A service-level objective of a job class.
 
     Attributes:
-        kind: What it limits; see PROTOCOL.
-        job_class: The job class it holds for.
-        within_s: The time within which it must be met, in seconds.
-        share: The share of cases in which it must be met.
-        times: A multiple of the estimate, for the kinds that use one.
+        kind: The measured quantity; PROTOCOL defines the kinds.
+        job_class: The job class that the objective applies to.
+        within_s: The time limit in seconds.
+        share: The share of cases that must meet the objective.
+        times: The limit as a multiple of the estimated run time, for the kinds that use one.
     """
 
     kind: str
@@ -117,7 +120,7 @@
 
 
 class _ShardLoad:
-    """The guarantees of the teams that a shard has so far."""
+    """A shard and the sum of the guarantees of the teams assigned to it so far."""
 
     __slots__ = ("cpus", "gpus", "shard", "teams")
 
@@ -132,7 +135,7 @@
         return self.gpus, self.cpus, self.teams, self.shard
 
     def add(self, team: Team) -> None:
-        """Add a team's guarantees."""
+        """Add the guarantees of a team."""
         self.gpus += team.gpus
         self.cpus += team.cpus
         self.teams += 1
@@ -141,8 +144,8 @@
 def assign_teams_to_shards(teams: tuple[Team, ...], shards: int) -> dict[str, int]:
     """Assign each team to the shard whose owner places its jobs.
 
-    Teams with large guarantees are assigned first, each to the shard with the least guarantees so
-    far. With fewer teams than shards some shards get none.
+    Teams with large guarantees are assigned first, each to the shard with the lowest sum of
+    guarantees so far. If there are fewer teams than shards, some shards have no team.
     """
     order = sorted(enumerate(teams), key=lambda entry: (-entry[1].gpus, -entry[1].cpus, entry[0]))
     loads = [_ShardLoad(shard) for shard in range(shards)]
@@ -156,30 +159,33 @@
 
 @dataclass(frozen=True, slots=True)
 class DeploymentSettings:
-    """The checked contents of the settings file of one controller.
+    """The validated contents of one controller's settings file.
 
     Attributes:
         label: This controller's label.
-        zone: Its zone.
-        bind: Where it listens for workers and users.
-        peer_listen: Where it listens for other controllers.
+        zone: This controller's zone.
+        bind: The address that workers and users connect to.
+        peer_listen: The address that other controllers connect to.
         peers: The other controllers.
-        cloud: The cloud's API.
-        state: The state service.
+        cloud: The address of the cloud's API.
+        state: The address of the state service.
         zones: All zones.
         teams: All teams.
         objectives: The service-level objectives.
-        heartbeat_interval_s: Seconds between a worker's heartbeats.
-        worker_lease_s: Seconds after which a worker without a response ends its tasks.
-        cancellation_deadline_s: Seconds within which the tasks of a cancelled job must have ended.
-        state_limits: The state service's limits now.
-        next_state_limits: Its limits from some time after an upgrade on; None if they stay.
+        heartbeat_interval_s: The time between two heartbeats of a worker, in seconds.
+        worker_lease_s: The time after which a worker without a response stops its tasks, in
+            seconds.
+        cancellation_deadline_s: The time within which the tasks of a cancelled job must have ended,
+            in seconds.
+        state_limits: The current limits of the state service.
+        next_state_limits: The limits of the state service that take effect at some time after an
+            upgrade; None if they do not change.
         cloud_rps: The cloud's limit of requests per second.
-        list_lag_s: How many seconds the cloud's list of machines may lag.
-        fd_limit: How many file descriptors the process may open.
-        ram_mb: How much memory the process may use, in MB.
-        team_shards: The shard of each team.
-        shards_with_teams: The shards that have a team.
+        list_lag_s: The maximum lag of the cloud's list of machines, in seconds.
+        fd_limit: The maximum number of file descriptors of the process.
+        ram_mb: The maximum memory of the process, in MB.
+        team_shards: Shard numbers by team name.
+        shards_with_teams: The numbers of the shards with at least one team.
     """
 
     label: str
@@ -201,7 +207,7 @@
     list_lag_s: float
     fd_limit: int
     ram_mb: float
-    # derived once: read for each job's record and each time that the write rate is set
+    # computed once, since they are read for each job record and at each update of the write rate
     team_shards: dict[str, int] = field(init=False, repr=False, compare=False)
     shards_with_teams: frozenset[int] = field(init=False, repr=False, compare=False)
 
@@ -212,12 +218,12 @@
 
     @property
     def controller_count(self) -> int:
-        """How many controllers the deployment has."""
+        """The number of controllers in the deployment."""
         return 1 + len(self.peers)
 
     @property
     def shard_count(self) -> int:
-        """How many shards there are: one for each controller."""
+        """The number of shards: one per controller."""
         return self.controller_count
 
     @property
@@ -226,23 +232,26 @@
         return tuple(sorted([self.label, *(peer.label for peer in self.peers)]))
 
     def next_controller(self, label: str) -> str:
-        """Return the controller that a worker tries when this one does not answer.
+        """Return the label of the controller that a worker tries if this one does not respond.
 
-        PROTOCOL: "tries the next node", which is the next label in numeric order.
+        PROTOCOL calls it "the next node": the one with the next label in numeric order.
         """
         order = sorted(self.labels, key=lambda other: (len(other), other))
         return order[(order.index(label) + 1) % len(order)]
 
     def team(self, name: str) -> Team | None:
-        """Return the team of this name, or None."""
+        """Return the team with this name, or None."""
         return next((team for team in self.teams if team.name == name), None)
 
     def shard_of_team(self, name: str) -> int:
-        """Return the shard whose owner places the team's jobs; 0 for an unknown team."""
+        """Return the number of the shard that has the team; 0 for an unknown team."""
         return self.team_shards.get(name, 0)
 
     def start_objective_s(self, job_class: str) -> float | None:
-        """Return how many seconds after its arrival a task of the class must start, or None."""
+        """Return the time within which tasks of the class must start after arrival, in seconds.
+
+        None if the class has no such objective.
+        """
         waits = [
             objective.within_s
             for objective in self.objectives
--- a/crossmill/settings/loader.py
+++ b/crossmill/settings/loader.py
@@ -1,7 +1,7 @@
-"""Reads the settings file: TOML into checked settings.
+"""Reads the TOML settings file and validates it.
 
-The field names of the file are those of the operators' pages; they are mapped to the terms of the
-code here. The command line calls `load`.
+The file uses the field names of the operators' documentation; this module maps them to the names
+used in the code.
 """
 
 import tomllib
@@ -15,10 +15,10 @@
 
 
 def parse(data: dict[str, Any]) -> Settings:
-    """Return the settings that the file's table describes.
+    """Return the settings in the top-level table of the file.
 
     Raises:
-        SettingsError: A field is missing or wrong; the message names it.
+        SettingsError: A field is missing or invalid; the message names the field.
     """
     top = Table(data, "")
     general = top.table("settings")
@@ -58,7 +58,7 @@
 
 
 def _limits(table: Table, default: StateLimits | None = None) -> StateLimits:
-    """Return the limits of the state service; a missing field has the value of `default`."""
+    """Return the limits of the state service; a missing field takes its value from `default`."""
     rps = write_rps = value_kb = txn_ops = None
     if default is not None:
         rps, write_rps, txn_ops = default.rps, default.write_rps, default.txn_ops
@@ -92,19 +92,19 @@
 
 
 def load(path: str) -> Settings:
-    """Read and check the settings file.
+    """Read and validate the settings file.
 
     Raises:
-        SettingsError: The file can't be read, or a field is wrong.
+        SettingsError: The file can't be read, or a field is missing or invalid.
     """
     return parse(read_toml(path))
 
 
 def read_toml(path: str) -> dict[str, Any]:
-    """Return the table of a TOML file.
+    """Return the top-level table of a TOML file.
 
     Raises:
-        SettingsError: The file can't be read or is not TOML; the message says why.
+        SettingsError: The file can't be read or is not valid TOML; the message gives the reason.
     """
     try:
         with open(path, "rb") as file:
@@ -112,4 +112,4 @@
     except OSError as exc:
         raise SettingsError(f"{path}: {exc.strerror}") from exc
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as exc:
-        raise SettingsError(f"{path}: not TOML: {exc}") from exc
+        raise SettingsError(f"{path}: invalid TOML: {exc}") from exc
--- a/crossmill/settings/table.py
+++ b/crossmill/settings/table.py
@@ -1,6 +1,6 @@
-"""Checked access to the fields of a TOML table.
+"""Validated access to the fields of a TOML table.
 
-The loaders of the settings files read through `Table`, so that every error names its field.
+The loaders of all settings files use `Table`, so that every error names the field.
 """
 
 import math
@@ -12,16 +12,17 @@
 
 
 class SettingsError(ValueError):
-    """The settings can't be used. The message names the field or the file.
+    """A settings file is invalid or can't be read; the message names the field or the file.
 
-    It is the base of all errors of this package and of the subsystems' settings.
+    All errors of this package and of the subsystems' settings are of this class.
     """
 
 
 class Table:
-    """A TOML table; `path` names it in errors and is empty for the whole file.
+    """A TOML table.
 
-    Every method that reads a field raises SettingsError if the field has the wrong form.
+    `path` is the table's name in errors; it is empty for the top-level table. Every method that
+    reads a field raises SettingsError if the field's value is invalid.
     """
 
     def __init__(self, data: Any, path: str) -> None:
@@ -38,29 +39,29 @@
         return field in self._data
 
     def table(self, field: str) -> "Table":
-        """Return the table in a field."""
+        """Return the field's value, a table."""
         return Table(self._data.get(field), self._name(field))
 
     def tables(self, field: str) -> list["Table"]:
-        """Return the list of tables in a field; an empty one if the field is absent."""
+        """Return the field's value, a list of tables; an empty list if the field is absent."""
         tables = self._data.get(field, [])
         if not isinstance(tables, list):
             raise SettingsError(f"{self._name(field)}: a list of tables is needed")
         return [Table(table, f"{self._name(field)}[{i}]") for i, table in enumerate(tables)]
 
     def text(self, field: str) -> str:
-        """Return a non-empty string."""
+        """Return the field's value, a non-empty string."""
         value = self._data.get(field)
         if not isinstance(value, str) or not value:
             raise SettingsError(f"{self._name(field)}: a non-empty string is needed")
         return value
 
     def optional_text(self, field: str) -> str:
-        """Return the field as a string, whatever its form; an empty one if it is absent."""
+        """Return the field's value converted to a string; an empty string if it is absent."""
         return str(self._data.get(field, ""))
 
     def number(self, field: str, low: float, default: float | None = None) -> float:
-        """Return a finite number of at least `low`."""
+        """Return the field's value, a finite number of at least `low`."""
         value = self._data.get(field, default)
         is_number = isinstance(value, int | float) and not isinstance(value, bool)
         if not is_number or not math.isfinite(value) or value < low:
@@ -68,20 +69,20 @@
         return float(value)
 
     def flag(self, field: str, default: bool) -> bool:
-        """Return true or false."""
+        """Return the field's value, true or false."""
         value = self._data.get(field, default)
         if not isinstance(value, bool):
             raise SettingsError(f"{self._name(field)}: true or false is needed")
         return value
 
     def expect_only(self, *fields: str) -> None:
-        """Check that the table has no field beside these.
+        """Check that the table has no other fields than these.
 
-        In a file that an operator writes, an unknown name is a mistake: the value that it was to
-        set would keep its default.
+        An unknown field in a file that an operator writes is probably misspelled, and the intended
+        field would silently keep its default.
 
         Raises:
-            SettingsError: There is another field.
+            SettingsError: The table has another field.
         """
         for field in self._data:
             if field not in fields:
@@ -90,14 +91,14 @@
                 )
 
     def endpoint(self, field: str) -> Endpoint:
-        """Return an address given as HOST:PORT."""
+        """Return the field's value, an address of the form HOST:PORT."""
         host, _, port = self.text(field).rpartition(":")
         if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
             raise SettingsError(f"{self._name(field)}: HOST:PORT is needed")
         return Endpoint(host, int(port))
 
     def texts(self, field: str) -> tuple[str, ...]:
-        """Return a list of non-empty strings."""
+        """Return the field's value, a list of non-empty strings."""
         value = self._data.get(field)
         if not isinstance(value, list) or not all(isinstance(text, str) and text for text in value):
             raise SettingsError(f"{self._name(field)}: a list of strings is needed")
--- a/crossmill/settings/timing.py
+++ b/crossmill/settings/timing.py
@@ -1,13 +1,13 @@
-"""Time spans and planning parameters that are derived from the heartbeat interval and the leases.
+"""Time spans and planning parameters derived from the heartbeat interval and the leases.
 
-Each ratio is defined here only. All spans are in seconds. The properties are read by all packages.
+Every ratio is defined in this module. All time spans are in seconds.
 """
 
 from .deployment import DeploymentSettings
 
 
 class TimingSettings(DeploymentSettings):
-    """The settings of a deployment, with the time spans derived from them."""
+    """The settings of a deployment, with derived time spans and planning parameters."""
 
     __slots__ = ()
 
@@ -15,29 +15,29 @@
 
     @property
     def controller_lease_ttl_s(self) -> float:
-        """How long a controller's lease lasts without renewal.
+        """The time after which a controller's lease expires without renewal.
 
-        The lease's expiry, the takeover by another controller and the workers' move to it must fit
-        into one worker lease.
+        One worker lease must be long enough for the expiry of a controller lease, the takeover of
+        the shards by another controller, and the workers' switch to that controller.
         """
         return self.worker_lease_s * 0.32
 
     @property
     def lease_renewal_interval_s(self) -> float:
-        """How often a controller renews its lease: four times in its duration."""
+        """The interval between renewals of a controller's lease, a quarter of its duration."""
         return self.controller_lease_ttl_s / 4
 
     @property
     def lease_extension_grant_s(self) -> float:
-        """How long a peer that grants a lease extension does not acquire the shard."""
+        """The time for which a peer that granted a lease extension does not acquire the shard."""
         return self.controller_lease_ttl_s
 
     @property
     def max_lease_extension_s(self) -> float:
-        """How long workers are answered under lease extensions alone.
+        """The maximum time a controller responds to workers under lease extensions alone.
 
-        A cancellation that the controller can't learn of must still end its tasks in time, at the
-        latest by the expiry of the workers' leases. A tenth of the deadline is kept as reserve.
+        A cancellation that the controller can't read must still stop the job's tasks in time, at
+        the latest when the workers' leases expire. 10% of the deadline is a reserve.
         """
         return max(
             0.0,
@@ -48,39 +48,39 @@
 
     @property
     def partition_keepalive_s(self) -> float:
-        """How long a controller in a partitioned zone keeps the zone's workers alive.
+        """The time for which a controller in a partitioned zone keeps the zone's workers alive.
 
-        It counts from when the controller last knew the durable state.
+        It starts when the controller sent the last read that returned the complete durable state.
         """
         return 3 * self.worker_lease_s
 
     @property
     def cancellation_note_ttl_s(self) -> float:
-        """How long a peer's note of a job's cancellation is valid without being repeated."""
+        """The time for which a peer's note of a job's cancellation is valid without repetition."""
         return 4 * self.worker_lease_s
 
     @property
     def attestation_ttl_s(self) -> float:
-        """How long a controller that attested a machine's silence does not answer the machine.
+        """The time for which a controller does not respond to a machine after an attestation.
 
-        By then the machine's lease must have expired and the asking controller has had time to
-        act on it.
+        The attestation states how long the controller has not responded to the machine. Within this
+        time the machine's lease must expire and the requesting controller must act on the expiry.
         """
         return 1.5 * self.worker_lease_expiry_s
 
     @property
     def clock_drift(self) -> float:
-        """The largest relative drift between two monotonic clocks.
+        """The maximum relative drift between two monotonic clocks.
 
-        Each clock may be off by 0.05%, which is doubled for safety.
+        Each clock may drift by 0.05%, so two clocks by 0.1%, which is doubled as a safety margin.
         """
         return 0.002
 
     @property
     def worker_lease_expiry_s(self) -> float:
-        """How long after the last response a worker has certainly ended its session.
+        """The time from the last response until a worker has certainly ended its session.
 
-        That is the lease, lengthened by the clock drift and by 2% for the delay of the response.
+        It is the worker lease plus the clock drift, plus 2% for the delay of the response.
         """
         return self.worker_lease_s * (1 + self.clock_drift) + 0.02 * self.worker_lease_s
 
@@ -88,155 +88,161 @@
 
     @property
     def heartbeat_timeout_s(self) -> float:
-        """How long after its last heartbeat a machine gets no new task."""
+        """The time since its last heartbeat after which a machine gets no new tasks."""
         return 2.5 * self.heartbeat_interval_s
 
     @property
     def next_heartbeat_within_s(self) -> float:
-        """By when each worker has sent its next heartbeat.
+        """The time within which every worker's next heartbeat arrives.
 
-        PROTOCOL allows an interval and a quarter; the rest is for the network.
+        PROTOCOL allows 1.25 intervals; the rest is for network delay.
         """
         return 1.5 * self.heartbeat_interval_s
 
     @property
     def unreachable_backoff_s(self) -> float:
-        """How long a controller that receives no heartbeat leaves the shards to others."""
+        """The initial time for which a controller without heartbeats acquires no shards."""
         return 2 * self.worker_lease_s
 
     @property
     def idle_connection_timeout_s(self) -> float:
-        """How long a connection stays open on which no request is completed."""
+        """The time after which a connection without a completed request is closed."""
         return 6 * self.worker_lease_s
 
     @property
     def submission_timeout_s(self) -> float:
-        """After which time a submission that is not durable is answered with 503."""
+        """The time after which a submission that is not yet durable is answered with status 503."""
         return self.controller_lease_ttl_s / 3
 
     # -- scheduling ------------------------------------------------------------------
 
     @property
     def scheduling_interval_s(self) -> float:
-        """The shortest time between the starts of two scheduling rounds."""
+        """The minimum time between the starts of two scheduling rounds."""
         return self.heartbeat_interval_s / 12
 
     @property
     def scheduling_time_budget_s(self) -> float:
-        """How long a scheduling round takes decisions; the next one goes on from there."""
+        """The maximum time for decisions in a scheduling round.
+
+        The next round continues where this one stopped.
+        """
         return self.heartbeat_interval_s / 15
 
     @property
     def maintenance_interval_s(self) -> float:
-        """How often a shard's machines are checked for those that are lost."""
+        """The interval between checks of a shard's machines for lost ones."""
         return self.heartbeat_interval_s / 2
 
     @property
     def default_queue_time_s(self) -> float:
-        """How long after its arrival the budget of a job without a deadline ends."""
+        """The time budget of a job without a deadline, from its arrival."""
         return 3 * self.worker_lease_s
 
     @property
     def replan_interval_s(self) -> float:
-        """The shortest time between two latency splits of a pipeline with a late stage.
+        """The minimum time between two latency splits of a pipeline with a late stage.
 
-        With the worker lease that DESIGN refers to it is DESIGN's ten seconds.
+        It equals the ten seconds in DESIGN if the worker lease is ten seconds, as DESIGN assumes.
         """
         return self.worker_lease_s
 
     @property
     def max_retry_backoff_s(self) -> float:
-        """The longest wait before a job that fails on every machine is tried again."""
+        """The maximum delay before a job that fails on every machine is retried."""
         return 3 * self.worker_lease_s
 
     @property
     def max_replica_share_per_machine(self) -> float:
-        """The largest share of a service's replicas on one machine while others have room."""
+        """The maximum share of a service's replicas on one machine while others have capacity."""
         return 0.5
 
     @property
     def min_useful_runtime_s(self) -> float:
-        """How long a task must run to be of use when it is stopped."""
+        """The run time before which stopping a task wastes its start and image fetch."""
         return 3 * self.worker_lease_s
 
     @property
     def replica_settle_time_s(self) -> float:
-        """How long after its start a replica is not moved."""
+        """The time after its start during which a replica is not moved."""
         return 4 * self.worker_lease_s
 
     # -- fleet -----------------------------------------------------------------------
 
     @property
     def boot_late_factor(self) -> float:
-        """After how many boot times a machine that is not up no longer counts as capacity.
+        """The multiple of the boot time after which a machine not up is not counted as capacity.
 
-        It is later if the machines before it took longer as well.
+        The time is longer if the previous machines also took longer to boot.
         """
         return 1.8
 
     @property
     def boot_failure_factor(self) -> float:
-        """After how many boot times a machine that is not up has failed.
+        """The multiple of the boot time after which a machine that is not up has failed.
 
-        It is later if the machines before it took longer as well.
+        The time is longer if the previous machines also took longer to boot.
         """
         return 3.5
 
     @property
     def slow_boot_failure_factor(self) -> float:
-        """After how many boot times a machine has failed while all of its type are late."""
+        """The value of `boot_failure_factor` while several machines of the type boot late."""
         return 2.5 * self.boot_failure_factor
 
     @property
     def idle_machine_timeout_s(self) -> float:
-        """How long an empty machine is kept that no demand is expected for."""
+        """The time for which an idle machine is kept if no demand for it is expected."""
         return 2 * self.worker_lease_s
 
     @property
     def arrival_window_s(self) -> float:
-        """How far back arrivals are counted to estimate the next ones."""
+        """The period whose arrivals are counted to estimate future arrivals."""
         return 10 * self.worker_lease_s
 
     @property
     def replica_headroom_ratio(self) -> float:
-        """Capacity kept for expected replicas, relative to those that arrive during a boot."""
+        """Capacity kept free for replicas, relative to those expected to arrive during a boot."""
         return 1.0
 
     @property
     def spot_baseline_ratio(self) -> float:
-        """Spot capacity kept for arrays, relative to what runs of them on average."""
+        """Spot capacity kept for job arrays, relative to the average capacity they use."""
         return 1.25
 
     @property
     def no_capacity_backoff_s(self) -> float:
-        """How long no machine is requested of a type and zone that had no capacity."""
+        """The time for which no machine of a type is requested in a zone that had no capacity."""
         return self.worker_lease_s
 
     @property
     def cloud_list_interval_s(self) -> float:
-        """How often the leader reads the cloud's list.
+        """The interval between the leader's reads of the cloud's list of machines.
 
-        A list that lags is not worth reading often, and the list takes at most a quarter of the
-        cloud's request rate.
+        Reading more often than half the list's lag gains little. The reads use at most a quarter of
+        the cloud's request rate.
         """
         return max(self.list_lag_s / 2, 4 / self.cloud_rps)
 
     @property
     def drain_interval_s(self) -> float:
-        """In which time a shard drains at most one machine."""
+        """The minimum time between two drains of machines by a shard."""
         return self.worker_lease_s / 2
 
     @property
     def max_tasks_to_drain(self) -> int:
-        """The most tasks of a machine that is drained, since each move is a short outage."""
+        """The maximum number of tasks on a machine that is drained.
+
+        Each move of a task is a short outage.
+        """
         return 16
 
     @property
     def machine_transfer_interval_s(self) -> float:
-        """How often a shard's owner checks whether other shards need its machines."""
+        """The interval of checks by a shard's owner whether other shards need its machines."""
         return self.worker_lease_s / 4
 
     @property
     def max_machines_per_transfer(self) -> int:
-        """The most machines that are transferred for one job at a time."""
+        """The maximum number of machines that are transferred for one job at a time."""
         return 3
