--- a/crossmill/routes.py
+++ b/crossmill/routes.py
@@ -60,7 +60,9 @@
         if len(self._heartbeats.outcomes) > outcomes_before:
             await self._on_outcome()
         if response.status == OK:
-            return Response(200, workers.answer_body(response.token, list(response.commands)))
+            return Response(
+                200, workers.heartbeat_response_body(response.token, list(response.commands))
+            )
         return Response(response.status, workers.redirect_body(response.redirect))
 
 
--- a/crossmill/settings/timing.py
+++ b/crossmill/settings/timing.py
@@ -136,7 +136,7 @@
 
     @property
     def default_queue_time_s(self) -> float:
-        """The time budget of a job without a deadline, from its arrival."""
+        """The time budget of a job without a deadline, from when the job can start."""
         return 3 * self.worker_lease_s
 
     @property
--- a/crossmill/wire/__init__.py
+++ b/crossmill/wire/__init__.py
@@ -1,6 +1,7 @@
-"""The messages of PROTOCOL and their encodings; no other package knows the names of their fields.
+"""The messages of PROTOCOL and their encodings.
 
-Each module covers one peer: users, workers, the state service, the cloud, other controllers, and
-operators. The functions are pure: `parse_...` checks a received message and returns a typed one,
-`..._body` and `..._path` encode what is sent.
+Only this package uses the field names of the wire format. Each module covers one communication
+partner: users, workers, the state service, the cloud, other controllers, or operators. All
+functions are pure: `parse_...` validates a received message and returns a typed one, `..._body` and
+`..._path` encode the body and the path of a request or response.
 """
--- a/crossmill/wire/checks.py
+++ b/crossmill/wire/checks.py
@@ -1,6 +1,6 @@
-"""Checks of the fields of untrusted JSON objects, shared by all messages.
+"""Validation of fields of untrusted JSON objects, shared by all messages.
 
-Each check returns the field's value with its proper type, or raises MalformedMessageError.
+Each function returns the field's value with its type, or raises MalformedMessageError.
 """
 
 import math
@@ -8,17 +8,17 @@
 
 import orjson
 
-# one more than the largest unsigned integer of 64 bits
+# one more than the largest unsigned 64-bit integer
 UINT64_LIMIT = 1 << 64
 
 _Value = TypeVar("_Value")
 
 
 class MalformedMessageError(ValueError):
-    """A received message does not have the form that the protocol gives it.
+    """A received message does not have the form that the protocol defines.
 
-    The sender is told the text. `field` is the name of the invalid field on the wire; None if the
-    message as a whole is malformed.
+    The message of the error is sent to the sender. `field` is the wire name of the invalid field,
+    or None if the message as a whole is malformed.
     """
 
     def __init__(self, problem: str, field: str | None = None) -> None:
@@ -27,7 +27,7 @@
 
 
 def load_object(body: bytes) -> dict[str, Any]:
-    """Returns the JSON object in a body; raises MalformedMessageError."""
+    """Return the JSON object in a body; raise MalformedMessageError if it is not one."""
     try:
         value = orjson.loads(body)
     except orjson.JSONDecodeError as exc:
@@ -38,7 +38,7 @@
 
 
 def text(data: dict[str, Any], name: str) -> str:
-    """Returns a field with a non-empty string."""
+    """Return the value of a field, a non-empty string."""
     value = data.get(name)
     if type(value) is not str or not value:
         raise MalformedMessageError("a non-empty string is needed", name)
@@ -46,12 +46,12 @@
 
 
 def optional_text(data: dict[str, Any], name: str) -> str | None:
-    """Returns a field with a non-empty string; None if it is null or missing."""
+    """Return the value of a field, a non-empty string; None if it is null or missing."""
     return None if data.get(name) is None else text(data, name)
 
 
 def amount(data: dict[str, Any], name: str) -> float:
-    """Returns a field with a finite number of at least 0."""
+    """Return the value of a field, a finite number of at least 0."""
     value: Any = data.get(name)
     # bool is a subclass of int, so isinstance would accept true as 1
     if type(value) not in (int, float) or not math.isfinite(value) or value < 0:
@@ -60,12 +60,12 @@
 
 
 def optional_amount(data: dict[str, Any], name: str) -> float | None:
-    """Returns a field with a finite number of at least 0; None if it is null or missing."""
+    """Return the value of a field, a finite number of at least 0; None if it is null or missing."""
     return None if data.get(name) is None else amount(data, name)
 
 
 def count(data: dict[str, Any], name: str, low: int = 0, high: int = UINT64_LIMIT - 1) -> int:
-    """Returns a field with an integer from `low` to `high`."""
+    """Return the value of a field, an integer from `low` to `high`."""
     value = data.get(name)
     if type(value) is not int or not low <= value <= high:
         raise MalformedMessageError(f"a whole number from {low} to {high} is needed", name)
@@ -73,7 +73,7 @@
 
 
 def flag(data: dict[str, Any], name: str) -> bool:
-    """Returns a field with true or false."""
+    """Return the value of a field, true or false."""
     value = data.get(name)
     if type(value) is not bool:
         raise MalformedMessageError("true or false is needed", name)
@@ -81,7 +81,7 @@
 
 
 def one_of(data: dict[str, Any], name: str, known: dict[str, str]) -> str:
-    """Returns the internal name of a field's value; `known` maps the wire names to it."""
+    """Return the internal name of a field's value; `known` maps wire names to internal names."""
     value = data.get(name)
     if type(value) is not str or value not in known:
         raise MalformedMessageError(f"one of {', '.join(known)} is needed", name)
@@ -89,16 +89,16 @@
 
 
 def list_of(data: dict[str, Any], name: str, kind: type[_Value], description: str) -> list[_Value]:
-    """Returns a field with a list whose elements are of one JSON type.
+    """Return the value of a field, a list whose elements are of one JSON type.
 
     Args:
-        data: the message
-        name: the field's name
-        kind: the elements' exact type
-        description: the elements in the plural, for the error's text
+        data: The message.
+        name: The field's name.
+        kind: The exact type of the elements.
+        description: A plural noun for the elements, used in the error message.
     """
     values: Any = data.get(name)
-    # the exact type, since bool is a subclass of int
+    # compares the exact type, since bool is a subclass of int
     if type(values) is not list or not all(type(value) is kind for value in values):
         raise MalformedMessageError(f"a list of {description} is needed", name)
     return list(values)
--- a/crossmill/wire/cloud.py
+++ b/crossmill/wire/cloud.py
@@ -9,18 +9,19 @@
 CATALOG_PATH = "/catalog"
 MACHINES_PATH = "/hosts"
 RELEASE_PATH = "/hosts/release"
-# the most machines in one rental request, in one release, and in one page of the list
+# the maximum number of machines in a rental request, in a release, and in a page of the list
 MAX_RENT = 50
 MAX_RELEASE = 100
 MAX_LIST = 500
-# a machine's state by its spelling on the wire
+# internal names of machine states by their wire names
 _STATES = {"starting": "booting", "running": "running", "failed": "failed"}
 
 
 class MachineType(NamedTuple):
     """A machine type of the cloud's catalog (GET /catalog).
 
-    The catalog is stored with these field names. Prices are per hour; `boot_s` is nominal.
+    The catalog is stored with these field names. Prices are per hour; `boot_s` is the nominal boot
+    time.
     """
 
     name: str
@@ -36,7 +37,7 @@
 
 
 class ListedMachine(NamedTuple):
-    """A machine in the cloud's list (GET /hosts); `age_s` counts from the rental request."""
+    """A machine in the cloud's list (GET /hosts); `age_s` is the time since the rental request."""
 
     id: str
     address: str
@@ -55,11 +56,11 @@
 
 
 def parse_catalog(data: dict[str, Any]) -> dict[str, MachineType]:
-    """Returns the machine types by name (GET /catalog).
+    """Return the machine types by name (GET /catalog).
 
     Raises:
-        MalformedMessageError: if a field does not have the form that the protocol gives it.
-        KeyError: if a machine type has no name.
+        MalformedMessageError: A field does not have the form that the protocol defines.
+        KeyError: A machine type has no name.
     """
     types = data.get("frames")
     if type(types) is not list:
@@ -83,15 +84,15 @@
 
 
 def rent_body(request: str, type_name: str, zone: str, spot: bool, number: int) -> bytes:
-    """Encodes a rental request (POST /hosts).
+    """Encode a rental request (POST /hosts).
 
     Args:
-        request: a name that was never used before; the cloud answers a repeated one the same way
-            and rents nothing
-        type_name: the machine type
-        zone: the zone
-        spot: whether spot machines are rented
-        number: how many machines, up to MAX_RENT
+        request: A name that was never used before. If a name is repeated, the cloud repeats its
+            response and rents no machines.
+        type_name: The machine type.
+        zone: The zone.
+        spot: Whether to rent spot machines.
+        number: The number of machines, up to MAX_RENT.
     """
     return orjson.dumps(
         {"hireSlip": request, "frame": type_name, "yard": zone, "loaners": spot, "number": number}
@@ -99,23 +100,30 @@
 
 
 def parse_rented(data: dict[str, Any]) -> list[str]:
-    """Returns the machines that were rented, which may be fewer than requested (POST /hosts)."""
+    """Return the rented machines, which may be fewer than requested (POST /hosts)."""
     return [m for m in data.get("stones") or () if type(m) is str]
 
 
 def release_body(machines: list[str]) -> bytes:
-    """Encodes a request to return up to MAX_RELEASE machines (POST /hosts/release)."""
+    """Encode a request to release up to MAX_RELEASE machines (POST /hosts/release)."""
     return orjson.dumps({"stones": machines})
 
 
 def list_path(after: str) -> str:
-    """Returns the path of the page that follows the machine `after`; empty for the first."""
+    """Return the path of the page that follows the machine `after`.
+
+    `after` is empty for the first page.
+    """
     cursor = f"after={after}&" if after else ""
     return f"{MACHINES_PATH}?{cursor}limit={MAX_LIST}"
 
 
 def parse_list(data: dict[str, Any]) -> MachinePage:
-    """Parses a page of the machine list (GET /hosts); raises MalformedMessageError."""
+    """Parse a page of the machine list (GET /hosts).
+
+    Raises:
+        MalformedMessageError: A field does not have the form that the protocol defines.
+    """
     machines = [
         ListedMachine(
             id=checks.text(m, "nameId"),
--- a/crossmill/wire/peers.py
+++ b/crossmill/wire/peers.py
@@ -1,8 +1,8 @@
 """Messages between controllers.
 
-PROTOCOL leaves them to the service (section "Controller nodes <-> controller nodes");
-docs/safety.md
-says what they are for. The paths and field names are part of the interface between versions.
+PROTOCOL does not define them (section "Controller nodes <-> controller nodes"); docs/safety.md
+explains their purpose. Controllers of different versions exchange them, so the paths and field
+names must stay compatible.
 """
 
 from typing import NamedTuple
@@ -18,7 +18,7 @@
 
 
 class ExtensionRequest(NamedTuple):
-    """A request of a controller that can't renew its lease: peers should not acquire its shards."""
+    """A request to peers not to acquire the shards of a controller that can't renew its lease."""
 
     label: str
     shards: tuple[int, ...]
@@ -29,65 +29,80 @@
 
 
 def extension_request_body(request: ExtensionRequest) -> bytes:
-    """Encodes a request for a lease extension."""
+    """Encode a request for a lease extension."""
     return orjson.dumps(request._asdict())
 
 
 def parse_extension_request(body: bytes) -> ExtensionRequest:
-    """Parses a request for a lease extension; raises MalformedMessageError."""
+    """Parse a request for a lease extension; raise MalformedMessageError if it is invalid."""
     data = checks.load_object(body)
     return ExtensionRequest(checks.text(data, "label"), _parse_shards(data))
 
 
 def extension_grant_body(served_ago_s: float | None) -> bytes:
-    """Encodes the grant of a lease extension.
+    """Encode the grant of a lease extension.
 
     Args:
-        served_ago_s: seconds since the state service last served the granting controller; None if
-            it never did
+        served_ago_s: Seconds since the state service last served the granting controller; None if
+            it never did.
     """
     return orjson.dumps({"servedAgoS": served_ago_s})
 
 
 def parse_extension_grant(body: bytes) -> float | None:
-    """Returns how long ago the state service last served the granting controller, in seconds.
+    """Return the seconds since the state service last served the granting controller.
+
+    None if it never did.
 
     Raises:
-        MalformedMessageError: if the body is no grant.
+        MalformedMessageError: The body is not a grant.
     """
     return checks.optional_amount(checks.load_object(body), "servedAgoS")
 
 
 def owned_shards_body(shards: list[int]) -> bytes:
-    """Encodes the shards that a controller owns or is acquiring."""
+    """Encode the shards that a controller owns or is acquiring."""
     return orjson.dumps({"shards": shards})
 
 
 def parse_owned_shards(body: bytes) -> tuple[int, ...]:
-    """Returns the shards that a controller owns or is acquiring; raises MalformedMessageError."""
+    """Return the shards that a controller owns or is acquiring.
+
+    Raises:
+        MalformedMessageError: The body has no list of shards.
+    """
     return _parse_shards(checks.load_object(body))
 
 
 def attestation_request_body(machines: list[str]) -> bytes:
-    """Encodes a request for attestations: since when has nobody answered these machines?"""
+    """Encode a request to attest how long a controller has not responded to these machines."""
     return orjson.dumps({"machines": machines})
 
 
 def parse_attestation_request(body: bytes) -> tuple[str, ...]:
-    """Returns the machines that a request for attestations names; raises MalformedMessageError."""
+    """Return the machines in a request for attestations.
+
+    Raises:
+        MalformedMessageError: The body has no list of machines.
+    """
     return tuple(checks.list_of(checks.load_object(body), "machines", str, "names"))
 
 
 def attestations_body(unanswered_s: list[float]) -> bytes:
-    """Encodes, for each machine asked about, for how many seconds it was certainly not answered."""
+    """Encode the attestations.
+
+    Args:
+        unanswered_s: For each requested machine, the seconds for which the controller has certainly
+            not responded to it.
+    """
     return orjson.dumps({"quietS": unanswered_s})
 
 
 def parse_attestations(body: bytes) -> list[float]:
-    """Returns, for each machine, for how many seconds it was certainly not answered.
+    """Return, for each requested machine, the seconds for which it got certainly no response.
 
     Raises:
-        MalformedMessageError: if the body contains no list of spans.
+        MalformedMessageError: The body has no list of time spans.
     """
     spans_s = checks.load_object(body).get("quietS")
     if type(spans_s) is not list or not all(_is_time_span(span_s) for span_s in spans_s):
@@ -100,10 +115,14 @@
 
 
 def cancellation_body(job: str) -> bytes:
-    """Encodes the announcement that a job is about to be cancelled."""
+    """Encode the announcement that a job is about to be cancelled."""
     return orjson.dumps({"jobs": [job]})
 
 
 def parse_cancellations(body: bytes) -> tuple[str, ...]:
-    """Returns the jobs that are about to be cancelled; raises MalformedMessageError."""
+    """Return the jobs that are about to be cancelled.
+
+    Raises:
+        MalformedMessageError: The body has no list of jobs.
+    """
     return tuple(checks.list_of(checks.load_object(body), "jobs", str, "names"))
--- a/crossmill/wire/state.py
+++ b/crossmill/wire/state.py
@@ -1,6 +1,6 @@
 """Messages to and from the state service (PROTOCOL, "Controller nodes -> state service").
 
-The state service is trusted: its answers are decoded without checks. An answer that lacks a field
+The state service is trusted, so its responses are decoded without validation. A missing field
 raises KeyError.
 """
 
@@ -11,9 +11,9 @@
 
 LEASES_PATH = "/holds"
 TXN_PATH = "/txn"
-# the most keys in one page of a list
+# the maximum number of keys in one page of a list
 MAX_KEYS = 1000
-# the status of a transaction of which a condition has failed
+# the HTTP status if a condition of a transaction fails
 CONFLICT = 409
 
 
@@ -49,8 +49,8 @@
     events: list[Event]
 
 
-class TransactionAnswer(NamedTuple):
-    """The revision of a transaction, and the keys whose conditions failed (POST /txn)."""
+class TransactionResult(NamedTuple):
+    """The result of a transaction: its revision and the keys of failed conditions (POST /txn)."""
 
     revision: int
     failed_keys: list[str]
@@ -69,8 +69,8 @@
 class Txn:
     """A compare-and-swap transaction (POST /txn).
 
-    All changes are made together if each key in `conditions` has the given version; version 0
-    stands for a key that does not exist.
+    All changes are applied atomically if each key in `conditions` has the given version. Version 0
+    means that the key does not exist.
     """
 
     conditions: dict[str, int] = field(default_factory=dict)
@@ -79,7 +79,7 @@
 
 
 def txn_body(txn: Txn) -> bytes:
-    """Encodes a transaction (POST /txn)."""
+    """Encode a transaction (POST /txn)."""
     changes = [_put_entry(put) for put in txn.puts]
     changes.extend({"delete": key} for key in txn.deletes)
     conditions = [{"k": key, "stamp": version} for key, version in txn.conditions.items()]
@@ -93,41 +93,47 @@
     return entry
 
 
-def parse_txn(status: int, data: dict[str, Any]) -> TransactionAnswer:
-    """Parses the answer to a transaction, which has the status 200 or CONFLICT (POST /txn)."""
+def parse_txn(status: int, data: dict[str, Any]) -> TransactionResult:
+    """Parse the response to a transaction, of status 200 or CONFLICT (POST /txn)."""
     failed_keys = list(data["failed"]) if status == CONFLICT else []
-    return TransactionAnswer(int(data["ledgerRev"]), failed_keys)
+    return TransactionResult(int(data["ledgerRev"]), failed_keys)
 
 
 def list_path(prefix: str, after: str) -> str:
-    """Returns the path of the page of keys that follows the key `after`; empty for the first."""
+    """Return the path of the page of keys that follows the key `after`.
+
+    `after` is empty for the first page.
+    """
     cursor = f"&after={after}" if after else ""
     return f"/keys?prefix={prefix}{cursor}&limit={MAX_KEYS}"
 
 
 def parse_list(data: dict[str, Any]) -> KeyPage:
-    """Parses a page of keys (GET /keys?prefix=)."""
+    """Parse a page of keys (GET /keys?prefix=)."""
     keys = [KeyValue(row["k"], row["data"], row["stamp"]) for row in data["rows"]]
     return KeyPage(keys, data["hasNext"] is True, int(data["ledgerRev"]))
 
 
 def key_path(key: str) -> str:
-    """Returns the path of one key."""
+    """Return the path of a key."""
     return f"/keys/{key}"
 
 
 def parse_key_value(data: dict[str, Any]) -> KeyValue:
-    """Parses one key with its value and version (GET /keys/{key})."""
+    """Parse a key with its value and version (GET /keys/{key})."""
     return KeyValue(data["k"], data["data"], data["stamp"])
 
 
 def changes_path(prefix: str, after: int, wait_ms: int) -> str:
-    """Returns the path of the changes after a revision, waited for up to `wait_ms`."""
+    """Return the path of the changes after a revision.
+
+    The state service waits up to `wait_ms` for the first change.
+    """
     return f"/changes?prefix={prefix}&after={after}&holdMs={wait_ms}"
 
 
 def parse_changes(data: dict[str, Any]) -> ChangeBatch:
-    """Parses the changes up to a revision (GET /changes)."""
+    """Parse the changes up to a revision (GET /changes)."""
     events = [
         Event(e["delete"], None, e["stamp"], True)
         if "delete" in e
@@ -138,15 +144,15 @@
 
 
 def acquire_lease_body(ttl_s: float) -> bytes:
-    """Encodes a request for a lease with the given time to live (POST /holds)."""
+    """Encode a request for a lease with the given time to live (POST /holds)."""
     return orjson.dumps({"ttlMs": int(ttl_s * 1000)})
 
 
 def parse_acquired_lease(data: dict[str, Any]) -> int:
-    """Returns the id of the new lease (POST /holds)."""
+    """Return the ID of the new lease (POST /holds)."""
     return int(data["tenure"])
 
 
 def renew_lease_path(lease: int) -> str:
-    """Returns the path that renews a lease (POST /holds/{id}/renew)."""
+    """Return the path that renews a lease (POST /holds/{id}/renew)."""
     return f"{LEASES_PATH}/{lease}/renew"
--- a/crossmill/wire/users.py
+++ b/crossmill/wire/users.py
@@ -19,14 +19,14 @@
 
 
 class JobKind(StrEnum):
-    """The kinds of jobs; the values are spelled as on the wire and in stored records."""
+    """The kinds of jobs; the values are the names on the wire and in stored records."""
 
-    # a job array: independent tasks, each run to its end once
+    # a job array: independent tasks, each of which runs to completion once
     ARRAY = "array"
-    # replicas that serve until the job is cancelled
+    # a service: replicas that run until the job is cancelled
     SERVICE = "service"
-    # gang-scheduled tasks, which start together or not at all; the sites' wire tables have them,
-    # though not the protocol's text: see questions.md
+    # gang-scheduled tasks, which start together or not at all; they are in the sites' wire tables,
+    # but not in the text of the protocol: see questions.md
     GANG = "gang"
 
 
@@ -35,12 +35,12 @@
 
 @dataclass(frozen=True, slots=True)
 class JobSpec:
-    """A job as its user submitted it (POST /v1/jobs); resources are per task, spans in seconds."""
+    """A job as submitted (POST /v1/jobs); resources are per task, time spans in seconds."""
 
     id: str
     job_class: str
     team: str
-    # the value of a `JobKind`; the properties below tell which
+    # the value of a `JobKind`; the properties `is_...` below test it
     kind: str
     priority: str
     tasks: int
@@ -66,7 +66,7 @@
 
     @property
     def is_service(self) -> bool:
-        """Whether the job's tasks are replicas of a service, which are never done."""
+        """Whether the job is a service, whose tasks are replicas that never complete."""
         return self.kind == JobKind.SERVICE
 
     @property
@@ -76,19 +76,19 @@
 
 
 class Submission(NamedTuple):
-    """A submitted job, with the jobs that have to be done before it starts (POST /v1/jobs)."""
+    """A submitted job, with the jobs that must be done before it starts (POST /v1/jobs)."""
 
     spec: JobSpec
     dependencies: tuple[str, ...] = ()
 
 
 def is_job_id(value: str) -> bool:
-    """Whether the value has the form of a job's id."""
+    """Return whether the value has the form of a job ID."""
     return JOB_ID.match(value) is not None
 
 
 def parse_submission(data: dict[str, Any]) -> Submission:
-    """Parses a submission (POST /v1/jobs); raises MalformedMessageError."""
+    """Parse a submission (POST /v1/jobs); raise MalformedMessageError if it is invalid."""
     return Submission(parse_spec(data), _parse_dependencies(data))
 
 
@@ -104,7 +104,7 @@
 
 
 def parse_spec(data: dict[str, Any]) -> JobSpec:
-    """Parses the fields of a submitted job; raises MalformedMessageError."""
+    """Parse the fields of a submitted job; raise MalformedMessageError if one is invalid."""
     job_id = parse_id(data)
     types = data.get("frames")
     if types is not None and (
@@ -136,7 +136,7 @@
 
 
 def parse_id(data: dict[str, Any]) -> str:
-    """Returns the id of a submitted job; raises MalformedMessageError."""
+    """Return the ID of a submitted job; raise MalformedMessageError if it is invalid."""
     job_id = checks.text(data, "nameId")
     if not is_job_id(job_id):
         raise MalformedMessageError("nameId: not in the form of a job id")
@@ -144,7 +144,7 @@
 
 
 def status_body(job_id: str, state: str, done: int | None = None, running: int = 0) -> bytes:
-    """Encodes a job's state, with its task counts if they are given (GET /v1/jobs/{id})."""
+    """Encode a job's state, and its task counts if `done` is given (GET /v1/jobs/{id})."""
     body: dict[str, Any] = {
         "nameId": job_id,
         "stage": "withdrawn" if state == "cancelled" else state,
@@ -156,5 +156,5 @@
 
 
 def error_body(why: str) -> bytes:
-    """Encodes the reason why a request was refused."""
+    """Encode the reason for which a request was refused."""
     return orjson.dumps({"error": why})
--- a/crossmill/wire/workers.py
+++ b/crossmill/wire/workers.py
@@ -1,8 +1,7 @@
-"""Messages to and from workers: heartbeats, and the commands that answer them.
+"""Messages to and from workers: heartbeats, and commands as their responses or sent on their own.
 
-This module maps the wire's names of fields and values to the code's; PROTOCOL has the spelling. It
-keeps no state. The heartbeat handler, the command sender and the cluster's partition keepalive
-use it.
+This module maps the names of fields and values on the wire, which PROTOCOL defines, to those used
+in the code. It is stateless.
 """
 
 from collections.abc import Callable
@@ -20,11 +19,11 @@
 
 MAX_MESSAGE_BYTES = 64 * 1024
 MAX_COMMAND_BYTES = 128
-# the space of so many commands is left to the other fields of a message
+# space for the other fields of a message, as a number of commands of maximum size
 RESERVED_COMMANDS = 8
 MAX_COMMANDS = MAX_MESSAGE_BYTES // MAX_COMMAND_BYTES - RESERVED_COMMANDS
 
-# a job's id and the index of one of its tasks
+# a job's ID and the index of one of its tasks
 TaskKey = tuple[str, int]
 
 
@@ -38,14 +37,15 @@
 
 
 class CommandKind(StrEnum):
-    """What a worker is told to do with an attempt of a task."""
+    """The actions that a worker is commanded to take on an attempt of a task."""
 
     START = "start"
     STOP = "stop"
     FORGET = "forget"
 
 
-# by the wire's spelling; a gang's task that has its image and waits for its peers has not started
+# task states by wire name; a task of a gang that has its image and waits for the other tasks of the
+# gang ("gathering") has not started
 _TASK_STATES: dict[str, str] = {
     "fetching": TaskState.FETCHING,
     "gathering": TaskState.FETCHING,
@@ -75,11 +75,12 @@
     """One task in a worker's heartbeat.
 
     Attributes:
-        job: The job's id.
+        job: The job's ID.
         index: The task's index within the job.
         attempt: The number of the attempt.
         state: The attempt's state.
-        exit_reason: Why an exited attempt has ended (a value of `workers.EndReason`), else "".
+        exit_reason: The reason why an exited attempt has ended (a value of `workers.EndReason`);
+            empty if it has not exited.
         saved: Whether the attempt has saved a checkpoint.
     """
 
@@ -95,16 +96,17 @@
     """A worker's heartbeat: its machine, its session and all its tasks.
 
     Attributes:
-        machine: The machine's id.
-        address: The worker's own address, `host:port`, for direct commands.
+        machine: The machine's ID.
+        address: The worker's own address, `host:port`, to which commands are sent directly.
         type: The machine's type in the catalog.
         zone: The machine's zone.
         spot: Whether the cloud may terminate the machine at short notice.
-        session: The worker's incarnation; a higher one has lost all tasks of those before.
-        seq: The number of the heartbeat within the session.
+        session: The number of the worker's session; a new session has a higher number and none of
+            the tasks of earlier sessions.
+        seq: The sequence number of the heartbeat within the session.
         token: The highest fencing token that the worker has seen.
-        notice_s: In how many seconds the cloud terminates the machine, if it said so.
-        tasks: All tasks that the worker has.
+        notice_s: The seconds until the cloud terminates the machine; None without such a notice.
+        tasks: All tasks on the worker.
     """
 
     machine: str
@@ -120,13 +122,13 @@
 
 
 class Command(NamedTuple):
-    """What a worker is told to do with one attempt of a task.
+    """A command to a worker about one attempt of a task.
 
     Attributes:
-        op: What to do.
-        task: The job's id and the task's index, separated by a slash.
+        op: The action to take.
+        task: The job's ID and the task's index, separated by a slash.
         attempt: The number of the attempt.
-        grace_s: How long a stopped task may take to save, in seconds.
+        grace_s: The time that a stopped task has to save a checkpoint, in seconds.
     """
 
     op: CommandKind
@@ -135,12 +137,16 @@
     grace_s: float = 0.0
 
 
-# reads one task of a heartbeat from its fields on the wire
+# parses one task of a heartbeat from the values of its wire fields
 TaskStatusReader = Callable[[Any, Any, Any, Any, Any], TaskStatus]
 
 
 def read_task_status(sack: Any, turn: Any, stage: Any, cause: Any, kept: Any) -> TaskStatus:
-    """Returns a task of a heartbeat; raises MalformedMessageError."""
+    """Parse a task of a heartbeat from the values of the wire fields of the same names.
+
+    Raises:
+        MalformedMessageError: A value is invalid.
+    """
     data = {"sack": sack, "turn": turn, "stage": stage}
     job, _, index = checks.text(data, "sack").rpartition("/")
     if not job or not index.isdigit():
@@ -157,7 +163,7 @@
 
 
 def cached_task_status_reader(max_entries: int) -> TaskStatusReader:
-    """Returns a reader with a cache, as most tasks are the same in heartbeat after heartbeat."""
+    """Return a parser with a cache, since most tasks do not change between heartbeats."""
     return lru_cache(maxsize=max_entries, typed=True)(read_task_status)
 
 
@@ -174,14 +180,14 @@
             for task in tasks
         ]
     except TypeError as exc:
-        # a list or an object where a plain value belongs
+        # the cache can't hash a list or an object, which is not valid for any of the fields
         raise checks.MalformedMessageError("sacks: a task's fields are plain values") from exc
 
 
 def parse_heartbeat(
     data: dict[str, Any], read: TaskStatusReader = read_task_status
 ) -> WorkerHeartbeat:
-    """Returns a worker's heartbeat; raises MalformedMessageError."""
+    """Parse a worker's heartbeat; raise MalformedMessageError if it is invalid."""
     tasks = data.get("sacks")
     if type(tasks) is not list or not all(type(task) is dict for task in tasks):
         raise checks.MalformedMessageError("sacks: a list is needed")
@@ -210,18 +216,18 @@
     return encoded
 
 
-def answer_body(token: int, commands: list[Command]) -> bytes:
-    """Returns the answer to a heartbeat."""
+def heartbeat_response_body(token: int, commands: list[Command]) -> bytes:
+    """Encode the response to a heartbeat."""
     orders = [_encode_command(command) for command in commands]
     return orjson.dumps({"warrant": token, "orders": orders})
 
 
 def commands_body(token: int, session: int, commands: list[Command]) -> bytes:
-    """Returns the request that sends commands straight to a worker."""
+    """Encode a request that sends commands directly to a worker."""
     orders = [_encode_command(command) for command in commands]
     return orjson.dumps({"warrant": token, "shift": session, "orders": orders})
 
 
 def redirect_body(label: str | None) -> bytes:
-    """Returns the answer that names the controller to which a worker should turn, if known."""
+    """Encode the response that refers a worker to another controller, if its label is known."""
     return orjson.dumps({} if label is None else {"foreman": label})
--- a/tests/simulated_region.py
+++ b/tests/simulated_region.py
@@ -13,7 +13,7 @@
 from crossmill.cluster import keys
 from crossmill.settings import Peer
 from crossmill.wire.checks import load_object
-from crossmill.wire.workers import answer_body, parse_heartbeat
+from crossmill.wire.workers import heartbeat_response_body, parse_heartbeat
 
 from .fake_clock import FakeClock
 from .fake_cloud import CloudService
@@ -228,7 +228,7 @@
         """Deliver a heartbeat to a controller and return the response's status and body."""
         answer = self.nodes[label].heartbeats.handle(parse_heartbeat(load_object(body)))
         if answer.status == 200:
-            return 200, answer_body(answer.token, list(answer.commands))
+            return 200, heartbeat_response_body(answer.token, list(answer.commands))
         return answer.status, orjson.dumps({"foreman": answer.redirect} if answer.redirect else {})
 
     async def wait_until(self, condition: Callable[[], bool], within_s: float = 60.0) -> None:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -10,9 +10,9 @@
     MAX_COMMANDS,
     Command,
     CommandKind,
-    answer_body,
     cached_task_status_reader,
     commands_body,
+    heartbeat_response_body,
     parse_heartbeat,
 )
 
@@ -76,7 +76,7 @@
     )
     task = heartbeat.tasks[0]
     assert (task.job, task.index, task.attempt, task.exit_reason) == ("wk-1", 3, 2, "stopped")
-    assert load_object(answer_body(41, [Command(CommandKind.FORGET, "wk-1/3", 2)])) == {
+    assert load_object(heartbeat_response_body(41, [Command(CommandKind.FORGET, "wk-1/3", 2)])) == {
         "warrant": 41,
         "orders": [{"verb": "reap", "sack": "wk-1/3", "turn": 2}],
     }
@@ -85,7 +85,7 @@
 def test_the_longest_answer_fits_the_line_limit() -> None:
     """PROTOCOL limits a line of an answer to a worker to 64 KiB."""
     longest = Command(CommandKind.STOP, "wk-" + "9" * 18 + "/99999", 2**64 - 1, 123456.789)
-    assert len(answer_body(2**64 - 1, [longest] * MAX_COMMANDS)) < 64 * 1024
+    assert len(heartbeat_response_body(2**64 - 1, [longest] * MAX_COMMANDS)) < 64 * 1024
     assert len(commands_body(2**64 - 1, 2**64 - 1, [longest] * MAX_COMMANDS)) < 64 * 1024
 
 
