--- a/crossmill/multihost/subcommands.py
+++ b/crossmill/multihost/subcommands.py
@@ -68,7 +68,7 @@
 
 def _replica_path(name: str) -> str:
     if ReplicaId.parse(name) is None:
-        raise UsageError(f"{name!r} is not SET/NUMBER")
+        raise UsageError(f"replica: must be SET/NUMBER, got {name!r}")
     return f"{REPLICAS_PATH}/{name}"
 
 
--- a/crossmill/recovery/subcommands.py
+++ b/crossmill/recovery/subcommands.py
@@ -32,7 +32,7 @@
     if args.recovery_subcommand == "show":
         return ClientRequest("GET", RECOVERY_PATH)
     if args.shard < 0:
-        raise UsageError("the shard's number is at least 0")
+        raise UsageError(f"shard: must be a number >= 0, got {args.shard}")
     return ClientRequest("POST", APPROVE_PATH, approval_body(Approval(args.shard, args.digest)))
 
 
--- a/crossmill/settings/loader.py
+++ b/crossmill/settings/loader.py
@@ -53,7 +53,9 @@
         ram_mb=limits.number("ram_mb", 1),
     )
     if len(set(settings.labels)) != settings.controller_count:
-        raise SettingsError("members: labels must differ from one another and from label")
+        raise SettingsError(
+            f"members: labels must be unique and differ from label, got {settings.labels}"
+        )
     return settings
 
 
--- a/crossmill/settings/table.py
+++ b/crossmill/settings/table.py
@@ -27,7 +27,7 @@
 
     def __init__(self, data: Any, path: str) -> None:
         if not isinstance(data, dict):
-            raise SettingsError(f"{path or 'file'}: a table is needed")
+            raise SettingsError(f"{path or 'file'}: must be a table, got {data!r}")
         self._data = data
         self._path = path
 
@@ -46,14 +46,14 @@
         """Return the field's value, a list of tables; an empty list if the field is absent."""
         tables = self._data.get(field, [])
         if not isinstance(tables, list):
-            raise SettingsError(f"{self._name(field)}: a list of tables is needed")
+            raise SettingsError(f"{self._name(field)}: must be a list of tables, got {tables!r}")
         return [Table(table, f"{self._name(field)}[{i}]") for i, table in enumerate(tables)]
 
     def text(self, field: str) -> str:
         """Return the field's value, a non-empty string."""
         value = self._data.get(field)
         if not isinstance(value, str) or not value:
-            raise SettingsError(f"{self._name(field)}: a non-empty string is needed")
+            raise SettingsError(f"{self._name(field)}: must be a non-empty string, got {value!r}")
         return value
 
     def optional_text(self, field: str) -> str:
@@ -65,14 +65,14 @@
         value = self._data.get(field, default)
         is_number = isinstance(value, int | float) and not isinstance(value, bool)
         if not is_number or not math.isfinite(value) or value < low:
-            raise SettingsError(f"{self._name(field)}: a number of at least {low:g} is needed")
+            raise SettingsError(f"{self._name(field)}: must be a number >= {low:g}, got {value!r}")
         return float(value)
 
     def flag(self, field: str, default: bool) -> bool:
         """Return the field's value, true or false."""
         value = self._data.get(field, default)
         if not isinstance(value, bool):
-            raise SettingsError(f"{self._name(field)}: true or false is needed")
+            raise SettingsError(f"{self._name(field)}: must be true or false, got {value!r}")
         return value
 
     def expect_only(self, *fields: str) -> None:
@@ -87,19 +87,23 @@
         for field in self._data:
             if field not in fields:
                 raise SettingsError(
-                    f"{self._name(field)}: not a field, those are {', '.join(fields)}"
+                    f"{self._name(field)}: unknown field, allowed are {', '.join(fields)}"
                 )
 
     def endpoint(self, field: str) -> Endpoint:
         """Return the field's value, an address of the form HOST:PORT."""
         host, _, port = self.text(field).rpartition(":")
         if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
-            raise SettingsError(f"{self._name(field)}: HOST:PORT is needed")
+            raise SettingsError(
+                f"{self._name(field)}: must be HOST:PORT, got {self._data[field]!r}"
+            )
         return Endpoint(host, int(port))
 
     def texts(self, field: str) -> tuple[str, ...]:
         """Return the field's value, a list of non-empty strings."""
         value = self._data.get(field)
         if not isinstance(value, list) or not all(isinstance(text, str) and text for text in value):
-            raise SettingsError(f"{self._name(field)}: a list of strings is needed")
+            raise SettingsError(
+                f"{self._name(field)}: must be a list of non-empty strings, got {value!r}"
+            )
         return tuple(value)
