--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,4 @@
-"""Settings, jobs and heartbeat bodies for tests, each with defaults that a test may change."""
+"""Settings, jobs and heartbeat bodies for tests, with defaults that a test can override."""
 
 from typing import Any
 
@@ -7,12 +7,13 @@
 from crossmill.settings import Settings, parse
 from crossmill.wire.users import JobSpec, parse_spec
 
-# the machines of most scenarios stand in node-0's zone, where it is the only controller
+# zones by controller label; in most scenarios all machines are in the zone of node-0, which has no
+# other controller
 ZONES = {"node-0": "north", "node-1": "south", "node-2": "south"}
 
 
 def settings_table(label: str = "node-0", **changes: Any) -> dict[str, Any]:
-    """Return the settings file's content for one of three controllers."""
+    """Return the content of the settings file for one of three controllers."""
     labels = [f"node-{i}" for i in range(3)]
     table: dict[str, Any] = {
         "label": label,
@@ -58,7 +59,7 @@
 
 
 def submission(**changes: Any) -> dict[str, Any]:
-    """Return a job's submission as a user sends it; the changes are fields of the wire."""
+    """Return a submission as a user sends it; the changes have wire names."""
     data: dict[str, Any] = {
         "nameId": "wk-000001",
         "grist": "chat",
@@ -86,14 +87,14 @@
 
 
 def make_spec(**changes: Any) -> JobSpec:
-    """Return the parsed submission."""
+    """Return a parsed submission; the changes have wire names."""
     return parse_spec(submission(**changes))
 
 
 def heartbeat_body(
     machine: str, session: int, seq: int, token: int, *tasks: dict[str, Any]
 ) -> bytes:
-    """Return a worker's heartbeat with status as it is sent."""
+    """Return the body of a worker's heartbeat."""
     return orjson.dumps(
         {
             "stone": machine,
@@ -113,7 +114,7 @@
 def reported_task(
     job: str, index: int, attempt: int, state: str, cause: str = ""
 ) -> dict[str, Any]:
-    """Return a task's entry in a heartbeat."""
+    """Return the entry of a task in a heartbeat."""
     task: dict[str, Any] = {"sack": f"{job}/{index}", "turn": attempt, "stage": state}
     if cause:
         task["cause"] = cause
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""Serves the fake services on loopback, for tests over real sockets."""
+"""Serves fake services on loopback, for tests over real sockets."""
 
 import socket
 import threading
@@ -8,19 +8,19 @@
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 from typing import Protocol
 
-# a state service's watch is answered so much later: the fake service itself never waits
+# delay of the response to a watch of the state service, since the fake service never waits
 WATCH_DELAY_S = 0.1
 
 
 class FakeService(Protocol):
-    """A fake service, which answers without ever waiting."""
+    """A fake service whose coroutines respond without waiting."""
 
     async def request(self, method: str, path: str, body: bytes = b"") -> tuple[int, bytes]:
-        """Answer a request at once."""
+        """Return the status and body of the response."""
 
 
 def free_ports(number: int) -> list[int]:
-    """Return so many ports that are not in use."""
+    """Return this number of unused ports."""
     sockets = [socket.socket() for _ in range(number)]
     for sock in sockets:
         sock.bind(("127.0.0.1", 0))
@@ -33,13 +33,13 @@
 def _answer_without_waiting(
     service: FakeService, method: str, path: str, body: bytes
 ) -> tuple[int, bytes]:
-    """Return the result of a coroutine that ends without waiting."""
+    """Run the service's coroutine, which must not wait, and return its result."""
     try:
         service.request(method, path, body).send(None)
     except StopIteration as ended:
         status, data = ended.value
         return status, data
-    raise AssertionError(f"the fake service waits: {method} {path}")
+    raise AssertionError(f"the fake service waited: {method} {path}")
 
 
 def _handler(service: FakeService) -> type[BaseHTTPRequestHandler]:
@@ -59,18 +59,18 @@
             self.end_headers()
             self.wfile.write(data)
 
-        # the names that http.server looks for
+        # http.server calls the method of this name for each HTTP method
         do_GET = do_POST = do_DELETE = _answer  # noqa: N815 - named by http.server
 
         def log_message(self, format: str, *args: object) -> None:
-            """Nothing is logged."""
+            """Log nothing."""
 
     return Handler
 
 
 @contextmanager
 def serving(service: FakeService, port: int) -> Iterator[None]:
-    """Serve the fake service on a port of loopback for the duration of the context."""
+    """Serve the fake service on a loopback port within the context."""
     server = ThreadingHTTPServer(("127.0.0.1", port), _handler(service))
     server.daemon_threads = True
     thread = threading.Thread(target=server.serve_forever, daemon=True)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -105,7 +105,7 @@
 
 @pytest.fixture
 def project(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
-    """A folder with one failing and two passing tests, where pytest finds the plugin."""
+    """Return a folder with one failing and two passing tests, where pytest finds the plugin."""
     monkeypatch.setenv("PYTHONPATH", str(ROOT))
     (tmp_path / "pytest.ini").write_text("[pytest]\n")
     (tmp_path / "test_x.py").write_text(FAILING + PASSING + UNRELATED)
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,7 +1,6 @@
-"""README's quick start works on a fresh clone, and links between the pages lead to files.
+"""README's quick start works on a fresh clone, and links between pages point to existing files.
 
-The commands run where the environment forbids Python to write bytecode, as many container images
-do.
+The commands run with PYTHONDONTWRITEBYTECODE set, as in many container images.
 """
 
 import os
@@ -23,7 +22,8 @@
 ROOT = Path(__file__).resolve().parent.parent
 INSTALL = "pip install"
 SETTINGS_FILE = "my-settings.toml"
-# what requirements.txt installs, and how long a command may take beside other load
+# packages that requirements.txt installs, and the timeout of a command in seconds, also on a loaded
+# machine
 LIBRARIES = ("curio", "h11", "orjson")
 TIMEOUT_S = 60.0
 LINK = re.compile(r"\]\(([^)#:]+)\)")
@@ -31,21 +31,21 @@
 
 
 def _quick_start() -> list[str]:
-    """The commands of the section "Quick start", in order, without their comments."""
+    """Return the commands of the section "Quick start" in order, without comments."""
     section = (ROOT / "README.md").read_text().split("## Quick start\n")[1].split("\n## ")[0]
     return COMMAND.findall(section)
 
 
 def _environment() -> dict[str, str]:
-    """Forbids to write bytecode; `python3` is the interpreter that runs the tests."""
+    """Return an environment without bytecode writing, where `python3` is the tests' interpreter."""
     path = f"{Path(sys.executable).parent}:{os.environ['PATH']}"
     return {**os.environ, "PATH": path, "PYTHONDONTWRITEBYTECODE": "1"}
 
 
 def _link_libraries(checkout: Path) -> None:
-    """Links the packages of the present environment to where the install command would put them.
+    """Link the packages of the tests' environment into the folder of the install command.
 
-    It stands in for that command, since a test does not use the network.
+    Replaces that command, since tests do not use the network.
     """
     target = checkout / "target" / "deps"
     target.mkdir(parents=True)
@@ -58,7 +58,7 @@
 
 @pytest.fixture(scope="module")
 def checkout(tmp_path_factory: pytest.TempPathFactory) -> Path:
-    """The tracked files as they are in the working tree, and a settings file."""
+    """Copy the tracked files of the working tree and add a settings file; return the folder."""
     root = tmp_path_factory.mktemp("clone")
     listed = subprocess.run(
         ["git", "ls-files", "-z"], cwd=ROOT, check=True, capture_output=True, text=True
@@ -79,7 +79,7 @@
 
 
 def _starts_controller(checkout: Path, command: list[str]) -> bool:
-    """Whether the controller says that it starts; it runs until it is killed."""
+    """Run the command until it logs the start of a controller; return whether it did."""
     process = subprocess.Popen(
         command, cwd=checkout, env=_environment(), stderr=subprocess.PIPE, text=True
     )
@@ -121,7 +121,7 @@
     assert _starts_controller(checkout, serve)
 
 
-def test_the_quick_start_builds_as_the_deploy_file_does() -> None:
+def test_the_quick_start_has_the_build_command_of_the_deploy_file() -> None:
     build = (ROOT / "deploy" / "service.toml").read_text()
     compiling = [command for command in _quick_start() if "compile" in command]
     assert len(compiling) == 1
@@ -129,7 +129,7 @@
 
 
 @pytest.mark.parametrize("page", ["README.md", "CONTRIBUTING.md", "docs/*.md"])
-def test_links_between_the_pages_lead_to_files(page: str) -> None:
+def test_links_between_pages_point_to_existing_files(page: str) -> None:
     missing = [
         f"{path.relative_to(ROOT)}: {link}"
         for path in ROOT.glob(page)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Reading the settings file, its errors, and the ratios derived from it."""
+"""Parsing of the settings file and the command line, their errors, and derived time spans."""
 
 from pathlib import Path
 from typing import Any
@@ -32,15 +32,15 @@
         ({"label": True}, "label"),
     ],
 )
-def test_bad_settings_name_the_field(change: dict[str, Any], field: str) -> None:
+def test_the_error_for_an_invalid_field_names_it(change: dict[str, Any], field: str) -> None:
     with pytest.raises(SettingsError, match=field.replace("[", r"\[")):
         parse(settings_table(**change))
 
 
-def test_crash_and_takeover_fit_into_the_workers_lease() -> None:
+def test_a_crash_and_its_takeover_fit_into_a_worker_lease() -> None:
     settings = make_settings()
     state_service_s, worker_move_s = 0.1, 2.0
-    # expiry is noticed within one renewal interval, and the takeover takes another
+    # the expiry is detected within one renewal interval, and the takeover takes another one
     takeover_s = 2 * settings.lease_renewal_interval_s
     assert (
         settings.controller_lease_ttl_s + state_service_s + takeover_s + worker_move_s
@@ -48,12 +48,14 @@
     )
 
 
-def test_a_worker_lease_has_expired_only_after_the_drift_of_two_clocks() -> None:
+def test_worker_lease_expiry_allows_for_the_drift_of_two_clocks() -> None:
     settings = make_settings()
     assert settings.worker_lease_expiry_s > settings.worker_lease_s * 1.0005
 
 
-def test_bad_file_ends_with_one_line(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_an_invalid_file_prints_one_line_and_fails(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     path = tmp_path / "x.toml"
     path.write_text('label = "a"\n')
     assert main(["check", "--config", str(path)]) == 2
@@ -71,7 +73,7 @@
 
 
 def test_lease_extensions_are_useful_if_cancel_s_is_little_more_than_two_worker_leases() -> None:
-    """Reads come at each lease renewal; an extension shorter than a controller lease is no use."""
+    """State is read at each lease renewal; an extension below a controller lease is useless."""
     table = settings_table()
     workers = table["settings"]["workers"]
     workers["cancel_s"] = 2.1 * workers["lease_s"]
@@ -92,7 +94,7 @@
         ["serve", "--recovery", "r.toml", "--config", "a.toml", "--multihost", "m.toml"],
     ],
 )
-def test_the_plain_form_of_serve_is_read_as_the_parser_reads_it(argv: list[str]) -> None:
+def test_the_plain_form_of_serve_is_parsed_as_by_argparse(argv: list[str]) -> None:
     parsed = parse_arguments(argv)
     expected = ServiceArguments(parsed.subcommand, parsed.config, parsed.multihost, parsed.recovery)
     assert _plain_serve_arguments(argv) == expected
@@ -113,5 +115,5 @@
         ["check", "--config", "a.toml"],
     ],
 )
-def test_any_other_form_is_left_to_the_parser(argv: list[str]) -> None:
+def test_any_other_form_is_left_to_argparse(argv: list[str]) -> None:
     assert _plain_serve_arguments(argv) is None
--- a/tests/test_start_compiles_nothing.py
+++ b/tests/test_start_compiles_nothing.py
@@ -1,6 +1,6 @@
-"""A controller that is started as deploy/service.toml says compiles nothing from source.
+"""A controller that is started by the command in deploy/service.toml compiles no source files.
 
-On a small share of a processor, compiling takes longer than all else of a start.
+With a small share of a processor, compiling takes longer than the rest of the start.
 """
 
 import os
@@ -33,12 +33,12 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 LIBRARIES = ("curio", "h11", "orjson")
-# how long a start and its first answers may take beside other load
+# timeout in seconds for a start and its first responses, also on a loaded machine
 TIMEOUT_S = 60.0
 RETRY_S = 0.1
 
-# runs the program with all that is compiled from a file written down, in a cache that is not
-# written to; the program itself is a script, which Python always compiles
+# Runs the program and records the source files that it compiles, without writing to the bytecode
+# cache. run.py is not recorded, since Python always compiles a script.
 COMPILE_RECORDER = """
 import sys
 sys.dont_write_bytecode = True
@@ -55,7 +55,7 @@
 
 @pytest.fixture(scope="module")
 def checkout(tmp_path_factory: pytest.TempPathFactory) -> Path:
-    """A clean checkout with its libraries, built as the deploy file says."""
+    """Return a clean checkout with its libraries, built by the command of the deploy file."""
     root = tmp_path_factory.mktemp("checkout")
     for folder in ("crossmill", "deploy"):
         shutil.copytree(ROOT / folder, root / folder, ignore=shutil.ignore_patterns("__pycache__"))
@@ -70,14 +70,14 @@
             root / "target" / "deps" / name,
             ignore=shutil.ignore_patterns("__pycache__"),
         )
-    # newer than the requirements: there is nothing to install
+    # newer than requirements.txt, so that the build installs nothing
     os.utime(root / "target" / "deps")
     _build(root)
     return root
 
 
 def _environment() -> dict[str, str]:
-    """The interpreter of the tests is the one that the deploy file's commands find."""
+    """Return an environment where the deploy file's commands use the interpreter of the tests."""
     return {**os.environ, "PATH": f"{Path(sys.executable).parent}:{os.environ['PATH']}"}
 
 
@@ -90,7 +90,7 @@
 
 
 def _start_recorded(root: Path, record: Path, *arguments: str) -> subprocess.Popen[bytes]:
-    """Starts the program by the deploy file's command, with what it compiles recorded."""
+    """Start the program by the deploy file's command and record the files that it compiles."""
     command = shlex.split(_deploy(root)["run"])
     program = command.index("run.py")
     script = COMPILE_RECORDER.format(record=str(record), program=str(root / "run.py"))
@@ -99,7 +99,7 @@
 
 
 class ControllerEnvironment:
-    """What one real controller on loopback needs around it."""
+    """The settings and fake services of a real controller on loopback."""
 
     def __init__(self) -> None:
         self.state, self.cloud = StateService(), CloudService()
@@ -116,7 +116,7 @@
         )
 
     async def use_controller(self) -> None:
-        """A worker and a user are answered by the controller."""
+        """Send requests as a worker and as a user until the controller responds to each."""
         client = Client(Endpoint("127.0.0.1", self.user_port), max_sockets=4)
         job = submission()
         for method, path, body, expected_status in (
@@ -143,7 +143,7 @@
 
 
 class Served(NamedTuple):
-    """The files that a controller compiled until its first answers, and a client verb's output."""
+    """The files that a controller compiled until its first responses, and a command's output."""
 
     compiled: list[str]
     output: str
@@ -179,7 +179,7 @@
         assert result.returncode == 0, result.stderr
         if '"shard"' in result.stdout:
             return result.stdout
-        # the shard was taken a moment ago
+        # the shard was acquired only just before and is not in the output yet
         assert time.monotonic() < deadline, result.stdout
         time.sleep(RETRY_S)
 
@@ -188,7 +188,7 @@
     assert _serve_once(checkout, tmp_path).compiled == []
 
 
-def test_with_recovery_it_compiles_nothing_either_and_shows_what_it_recovered(
+def test_with_recovery_a_built_controller_compiles_nothing_and_shows_the_recovery(
     checkout: Path, tmp_path: Path
 ) -> None:
     recovery = str(checkout / "deploy" / "recovery.toml")
@@ -203,7 +203,7 @@
 
 
 def _run_recorded(root: Path, record: Path, before: str, *arguments: str) -> str:
-    """What the program prints that is run with the recorder, and `before` that."""
+    """Run `before` and the program with the recorder; return the program's output."""
     script = before + COMPILE_RECORDER.format(record=str(record), program=str(root / "run.py"))
     command = [sys.executable, "-S", "-E", "-c", script, *arguments]
     result = subprocess.run(command, cwd=root, capture_output=True, text=True, timeout=TIMEOUT_S)
@@ -225,9 +225,7 @@
     assert (tmp_path / "changed").read_text().split() == [str(changed)]
 
 
-def test_another_release_of_python_is_served_nothing_of_the_cache(
-    checkout: Path, tmp_path: Path
-) -> None:
+def test_another_release_of_python_does_not_use_the_cache(checkout: Path, tmp_path: Path) -> None:
     _run_recorded(checkout, tmp_path / "same", "", "--version")
     assert (tmp_path / "same").read_text() == ""
     upgraded = "import sys; sys.hexversion += 1 << 16\n"
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -1,11 +1,15 @@
-"""What a controller loads before it serves: on a small share each import delays a restart."""
+"""The modules that a controller imports before it serves requests.
+
+With a small share of a processor, each import noticeably delays a restart.
+"""
 
 import subprocess
 import sys
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-# parts of curio's, and of the standard library, that no controller uses; and client verbs
+# modules that a controller does not use: imported by curio or by other modules of the standard
+# library, or needed only by client subcommands
 UNUSED_MODULES = {
     "asyncio.base_events",
     "crossmill.client_subcommands",
@@ -14,7 +18,7 @@
     "ssl",
 }
 UNUSED_MODULES |= {"argparse", "random", "secrets", "_ssl"}
-# what is loaded in all: a new dependency shows here
+# maximum number of loaded modules, which a new dependency would exceed
 MAX_MODULES = 270
 
 SCRIPT = """
@@ -27,7 +31,7 @@
 """
 
 
-def test_serving_loads_nothing_that_only_others_need() -> None:
+def test_a_controller_does_not_import_unused_modules() -> None:
     command = [sys.executable, "-E", "-c", SCRIPT]
     result = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60)
     loaded = set(result.stdout.split())
@@ -36,7 +40,7 @@
     assert len(loaded) <= MAX_MODULES
 
 
-def test_a_deferred_module_is_there_when_it_is_used() -> None:
+def test_a_deferred_module_is_imported_when_it_is_used() -> None:
     script = """
 from crossmill.lazy_imports import defer_unused_imports
 defer_unused_imports()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Parsing of submissions and heartbeats, and the encoding of answers to workers."""
+"""Parsing of submissions and heartbeats, and encoding of responses and commands to workers."""
 
 from typing import Any
 
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"[]", b'"x"', b'{"cpus": NaN}', b"\xff{}"])
-def test_a_body_that_is_no_object_is_malformed(body: bytes) -> None:
+def test_a_body_that_is_not_an_object_is_malformed(body: bytes) -> None:
     with pytest.raises(MalformedMessageError):
         load_object(body)
 
@@ -82,8 +82,8 @@
     }
 
 
-def test_the_longest_answer_fits_the_line_limit() -> None:
-    """PROTOCOL limits a line of an answer to a worker to 64 KiB."""
+def test_the_longest_response_fits_the_line_limit() -> None:
+    """PROTOCOL limits a line of a response to a worker to 64 KiB."""
     longest = Command(CommandKind.STOP, "wk-" + "9" * 18 + "/99999", 2**64 - 1, 123456.789)
     assert len(heartbeat_response_body(2**64 - 1, [longest] * MAX_COMMANDS)) < 64 * 1024
     assert len(commands_body(2**64 - 1, 2**64 - 1, [longest] * MAX_COMMANDS)) < 64 * 1024
@@ -93,7 +93,7 @@
     "change", [{"turn": True}, {"turn": 1.0}, {"turn": [1]}, {"stage": {}}, {"cause": []}]
 )
 def test_a_cached_task_status_is_not_used_for_another_task(change: dict[str, Any]) -> None:
-    # true and 1.0 equal the cached 1, but are malformed
+    # true and 1.0 are equal to the cached 1 in Python, but malformed
     task = reported_task("wk-000001", 0, 1, "running")
     read = cached_task_status_reader(8)
     cached = parse_heartbeat(load_object(heartbeat_body("n-0", 1, 1, 1, task)), read)
