--- a/crossmill/arguments.py
+++ b/crossmill/arguments.py
@@ -73,13 +73,13 @@
 
 
 def _add_client_options(
-    subcommand: argparse.ArgumentParser, variable: str, default: str, what: str
+    subcommand: argparse.ArgumentParser, variable: str, default: str, server_description: str
 ) -> None:
     subcommand.add_argument(
         "--server",
         metavar="HOST:PORT",
         default=os.environ.get(variable, default),
-        help=f"{what} ({variable}; default %(default)s)",
+        help=f"{server_description} ({variable}; default %(default)s)",
     )
     subcommand.add_argument(
         "--timeout", type=float, default=5.0, metavar="S", help="seconds, default %(default)s"
