--- a/crossmill/settings/deployment.py
+++ b/crossmill/settings/deployment.py
@@ -244,7 +244,7 @@
         return next((team for team in self.teams if team.name == name), None)
 
     def shard_of_team(self, name: str) -> int:
-        """Return the number of the shard that has the team; 0 for an unknown team."""
+        """Return the shard that the team is assigned to; 0 for an unknown team."""
         return self.team_shards.get(name, 0)
 
     def start_objective_s(self, job_class: str) -> float | None:
--- a/crossmill/settings/model.py
+++ b/crossmill/settings/model.py
@@ -9,7 +9,7 @@
 from .timing import TimingSettings
 
 BYTES_PER_MB = 1e6
-# approximate memory of an ended job, of a cached request head and of a cached task status
+# memory per ended job, per cached request head and per cached task status
 ENDED_JOB_BYTES, REQUEST_HEAD_BYTES, TASK_STATUS_BYTES = 4096, 400, 300
 MIN_ENDED_JOBS = 100
 MIN_PEER_SOCKETS = 8
