--- a/crossmill/fleet/arrivals.py
+++ b/crossmill/fleet/arrivals.py
@@ -95,7 +95,9 @@
             boot_s = min(machine_type.boot_s for machine_type in machine_types)
             tasks = sum(arrival.tasks for arrival in entry.arrivals)
             arrivals_per_s = tasks / self._settings.arrival_window_s
-            number = round(arrivals_per_s * boot_s * self._settings.headroom + ROUND_UP_OFFSET)
+            number = round(
+                arrivals_per_s * boot_s * self._settings.replica_headroom_ratio + ROUND_UP_OFFSET
+            )
             if number > 0:
                 demands.append(TaskDemand(spec, number, ZoneAllowance(spec, {})))
         return demands
--- a/crossmill/planning/pipelines.py
+++ b/crossmill/planning/pipelines.py
@@ -32,7 +32,7 @@
 
 
 def budget_end(
-    spec: JobSpec, submitted: float, ready_at: float, margin_s: float, default_queue_wait_s: float
+    spec: JobSpec, submitted: float, ready_at: float, margin_s: float, default_queue_time_s: float
 ) -> float:
     """Return the wall time at which the budget of a job outside any pipeline ends.
 
@@ -40,7 +40,7 @@
     Without a deadline the budget is a fixed waiting time from when the job became ready.
     """
     if spec.deadline_s is None:
-        return ready_at + default_queue_wait_s
+        return ready_at + default_queue_time_s
     return submitted + max(0.0, spec.deadline_s - margin_s)
 
 
