--- a/tests/behavior_trace.py
+++ b/tests/behavior_trace.py
@@ -25,21 +25,21 @@
 from .trace_adapter import (
     CONTROLLERS,
 )
-from .trace_comparison import compare, first_difference
+from .trace_comparison import digest_differences, first_difference
 from .trace_recorder import Entry, TraceKey, TraceRecorder, digest
 from .trace_scenarios import SCENARIOS
 
 HASH_SEED = "0"
 
 
-def take(scenario: str, seed: int, counts: Counter[str]) -> dict[TraceKey, list[str]]:
+def record_traces(scenario: str, seed: int, counts: Counter[str]) -> dict[TraceKey, list[str]]:
     """The lines of every controller's trace."""
     recorder = TraceRecorder()
     SCENARIOS[scenario].play(recorder, counts, seed)
     return {TraceKey(scenario, seed, label): recorder.lines(label) for label in CONTROLLERS}
 
 
-def _arguments() -> argparse.ArgumentParser:
+def _argument_parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(prog="python -m tests.behavior_trace", description=__doc__)
     parser.formatter_class = argparse.RawDescriptionHelpFormatter
     parser.add_argument("--seeds", type=int, nargs="+", help="in place of each scenario's own")
@@ -65,47 +65,51 @@
     return 1
 
 
-def _read(path: Path) -> dict[str, Entry]:
+def _read_digests(path: Path) -> dict[str, Entry]:
     rows = orjson.loads(path.read_bytes())
     return {key: Entry(row["digest"], row["messages"]) for key, row in rows.items()}
 
 
-def _write(path: Path, taken: dict[str, Entry]) -> None:
-    rows = {key: entry._asdict() for key, entry in taken.items()}
+def _write_digests(path: Path, recorded: dict[str, Entry]) -> None:
+    rows = {key: entry._asdict() for key, entry in recorded.items()}
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_bytes(orjson.dumps(rows, option=orjson.OPT_INDENT_2 | orjson.OPT_APPEND_NEWLINE))
 
 
-def _write_text(top: Path, key: TraceKey, lines: Sequence[str]) -> None:
-    top.mkdir(parents=True, exist_ok=True)
-    (top / f"{key}.txt").write_text("\n".join(lines) + "\n")
+def _write_trace(folder: Path, key: TraceKey, lines: Sequence[str]) -> None:
+    folder.mkdir(parents=True, exist_ok=True)
+    (folder / f"{key}.txt").write_text("\n".join(lines) + "\n")
 
 
-def _take_all(args: argparse.Namespace, counts: Counter[str]) -> dict[str, Entry]:
-    taken: dict[str, Entry] = {}
+def _record_all(args: argparse.Namespace, counts: Counter[str]) -> dict[str, Entry]:
+    recorded: dict[str, Entry] = {}
     for scenario in args.scenario:
         for seed in args.seeds or SCENARIOS[scenario].seeds:
-            for key, lines in take(scenario, seed, counts).items():
-                entry = taken[str(key)] = Entry(digest(lines), len(lines))
+            for key, lines in record_traces(scenario, seed, counts).items():
+                entry = recorded[str(key)] = Entry(digest(lines), len(lines))
                 print(f"{key} {entry.digest} {entry.messages}", flush=True)
                 if args.text is not None:
-                    _write_text(args.text, key, lines)
-    return taken
+                    _write_trace(args.text, key, lines)
+    return recorded
 
 
 def main(argv: Sequence[str] | None = None) -> int:
     """Run the command; the exit code."""
-    args = _arguments().parse_args(argv)
+    args = _argument_parser().parse_args(argv)
     if args.difference is not None:
         return _print_difference(*args.difference)
     counts: Counter[str] = Counter()
-    taken = _take_all(args, counts)
+    recorded = _record_all(args, counts)
     if args.counts:
         for name, number in sorted(counts.items()):
             print(f"{number:8d} {name}")
     if args.write is not None:
-        _write(args.write, taken)
-    differences = list(compare(_read(args.check), taken)) if args.check is not None else []
+        _write_digests(args.write, recorded)
+    differences = (
+        list(digest_differences(_read_digests(args.check), recorded))
+        if args.check is not None
+        else []
+    )
     for difference in differences:
         print(f"DIFFERS {difference}")
     return 1 if differences else 0
--- a/tests/measure_multihost.py
+++ b/tests/measure_multihost.py
@@ -31,11 +31,11 @@
 from .simulated_region import Region, simulate
 from .stepped_controller import SteppedController, run_scenario
 
-LOAD_S = 5.0
-WRITE_S = 0.5
+IMAGE_LOAD_S = 5.0
+STATE_WRITE_S = 0.5
 GANG_SIZES = (2, 4, 8)
 POOL_SIZES = (100, 1000, 4000)
-LONGEST_S = 120.0
+MAX_RECOVERY_S = 120.0
 # a large replica waits in a pool of so many machines, among so many small sets
 WAITING_POOL_SIZE = 16
 SMALL_SETS = 8
@@ -60,72 +60,82 @@
 Failure = Callable[[MultihostRegion, Random], Awaitable[None]]
 
 
-async def _member(region: MultihostRegion, draw: Random) -> None:
-    draw.choice(region.agents_of("chat/0")[1:]).dead = True
+async def _kill_member(region: MultihostRegion, rng: Random) -> None:
+    rng.choice(region.agents_of("chat/0")[1:]).dead = True
 
 
-async def _front(region: MultihostRegion, _draw: Random) -> None:
+async def _kill_front_member(region: MultihostRegion, _rng: Random) -> None:
     region.agents_of("chat/0")[0].dead = True
 
 
-async def _two(region: MultihostRegion, draw: Random) -> None:
+async def _kill_two_members(region: MultihostRegion, rng: Random) -> None:
     members = region.agents_of("chat/0")
     members[-1].dead = True
-    await curio.sleep(draw.uniform(0.1, 1.0))
+    await curio.sleep(rng.uniform(0.1, 1.0))
     members[0].dead = True
 
 
-async def _all(region: MultihostRegion, _draw: Random) -> None:
+async def _kill_all_members(region: MultihostRegion, _rng: Random) -> None:
     for agent in region.agents_of("chat/0"):
         agent.dead = True
 
 
-async def _restart(region: MultihostRegion, draw: Random) -> None:
-    draw.choice(region.agents_of("chat/0")).restart()
+async def _restart_agent(region: MultihostRegion, rng: Random) -> None:
+    rng.choice(region.agents_of("chat/0")).restart()
 
 
-async def _cut(region: MultihostRegion, _draw: Random) -> None:
+async def _cut_off_members(region: MultihostRegion, _rng: Random) -> None:
     for agent in region.agents_of("chat/0"):
         agent.drops_heartbeats = True
 
 
 FAILURES: dict[str, Failure] = {
-    "one member": _member,
-    "front member": _front,
-    "two in a second": _two,
-    "all members": _all,
-    "agent restarts": _restart,
-    "all cut off": _cut,
+    "one member": _kill_member,
+    "front member": _kill_front_member,
+    "two in a second": _kill_two_members,
+    "all members": _kill_all_members,
+    "agent restarts": _restart_agent,
+    "all cut off": _cut_off_members,
 }
 
 
 def measure_failure(job: tuple[str, int, int, float]) -> Sample:
     """Measure one failure of a replica that serves."""
     failure, members, seed, load_s = job
-    seen: dict[str, float | None] = dict.fromkeys(("noticed", "placed", "ready", "serving"))
+    reached_at: dict[str, float | None] = dict.fromkeys(("noticed", "placed", "ready", "serving"))
     last_answer: list[float] = []
     wrong = [0.0]
 
     async def scenario(region: MultihostRegion) -> None:
-        draw = Random(seed)
+        rng = Random(seed)
         await region.begin_pool(2 * members + 4)
         await region.declare("chat", members=members, image_gb=load_s, restart_budget=1000)
         await region.until_serving("chat/0")
-        await curio.sleep(draw.uniform(20.0, 23.0))
-        begun, before = region.clock.now(), region.generation("chat/0")
-        await FAILURES[failure](region, draw)
-        while region.clock.now() - begun < LONGEST_S and seen["serving"] is None:
-            at, phase = region.clock.now() - begun, region.phase("chat/0")
+        await curio.sleep(rng.uniform(20.0, 23.0))
+        started_at, before = region.clock.now(), region.generation("chat/0")
+        await FAILURES[failure](region, rng)
+        while region.clock.now() - started_at < MAX_RECOVERY_S and reached_at["serving"] is None:
+            elapsed_s, phase = region.clock.now() - started_at, region.phase("chat/0")
             fronts = region.serving("chat/0")
             new = [a for a in fronts if a.members["chat/0"].generation > before]
             old = len(fronts) - len(new)
             if old:
-                last_answer[:] = [at]
+                last_answer[:] = [elapsed_s]
                 wrong[0] += CHECK_INTERVAL_S * (not region.checker.is_complete("chat/0", before))
-            _note(seen, "noticed", at, region.generation("chat/0") > before)
-            _note(seen, "placed", at, seen["noticed"] is not None and phase == "starting")
-            _note(seen, "ready", at, seen["placed"] is not None and phase == "ready")
-            _note(seen, "serving", at, bool(new))
+            _record_step(reached_at, "noticed", elapsed_s, region.generation("chat/0") > before)
+            _record_step(
+                reached_at,
+                "placed",
+                elapsed_s,
+                reached_at["noticed"] is not None and phase == "starting",
+            )
+            _record_step(
+                reached_at,
+                "ready",
+                elapsed_s,
+                reached_at["placed"] is not None and phase == "ready",
+            )
+            _record_step(reached_at, "serving", elapsed_s, bool(new))
             await curio.sleep(CHECK_INTERVAL_S)
 
     simulate_multihost(scenario)
@@ -134,17 +144,19 @@
         members,
         seed,
         last_answer[0] if last_answer else 0.0,
-        seen["noticed"],
-        seen["placed"],
-        seen["ready"],
-        seen["serving"],
+        reached_at["noticed"],
+        reached_at["placed"],
+        reached_at["ready"],
+        reached_at["serving"],
         round(wrong[0], 3),
     )
 
 
-def _note(seen: dict[str, float | None], step: str, at: float, has_come: bool) -> None:
-    if has_come and seen[step] is None:
-        seen[step] = at
+def _record_step(
+    reached_at: dict[str, float | None], step: str, elapsed_s: float, is_reached: bool
+) -> None:
+    if is_reached and reached_at[step] is None:
+        reached_at[step] = elapsed_s
 
 
 def measure_baseline(job: tuple[str, int, int]) -> Sample:
@@ -157,44 +169,44 @@
     result: list[Sample] = []
 
     async def scenario(region: Region) -> None:
-        draw = Random(seed)
+        rng = Random(seed)
         await region.begin(machines=2 * members + 4)
         # one task a machine
         await region.submit("node-0", "wk-000001", sacks=members, cpus=20.0, cards=0.0)
-        await region.wait_until(lambda: _running(region) == set(range(members)))
-        await curio.sleep(draw.uniform(20.0, 23.0))
+        await region.wait_until(lambda: _running_tasks(region) == set(range(members)))
+        await curio.sleep(rng.uniform(20.0, 23.0))
         holders = {
             index: worker for worker in region.workers.values() for (_, index) in worker.tasks
         }
         dying = {
-            "one member": [draw.randint(1, members - 1)],
+            "one member": [rng.randint(1, members - 1)],
             "front member": [0],
             "two in a second": [0, members - 1],
             "all members": list(range(members)),
         }[failure]
-        begun = region.clock.now()
+        started_at = region.clock.now()
         for index in dying:
             holders[index].is_terminated = holders[index].is_frozen = True
         wrong, last, serving = 0.0, 0.0, None
-        while region.clock.now() - begun < LONGEST_S:
-            at, running = region.clock.now() - begun, _running(region)
+        while region.clock.now() - started_at < MAX_RECOVERY_S:
+            elapsed_s, running = region.clock.now() - started_at, _running_tasks(region)
             if running == set(range(members)):
-                serving = at
+                serving = elapsed_s
                 break
             if 0 in running:
-                wrong, last = wrong + CHECK_INTERVAL_S, at
+                wrong, last = wrong + CHECK_INTERVAL_S, elapsed_s
             await curio.sleep(CHECK_INTERVAL_S)
         result.append(
             Sample(failure, members, seed, last, None, None, None, serving, round(wrong, 3))
         )
 
-    kept = property(lambda _: 10 * LONGEST_S)
-    with mock.patch.object(Settings, "idle_machine_timeout_s", kept):
+    long_timeout = property(lambda _: 10 * MAX_RECOVERY_S)
+    with mock.patch.object(Settings, "idle_machine_timeout_s", long_timeout):
         simulate(scenario)
     return result[0]
 
 
-def _running(region: Region) -> set[int]:
+def _running_tasks(region: Region) -> set[int]:
     return {
         index
         for worker in region.workers.values()
@@ -209,7 +221,7 @@
 
     async def scenario(region: MultihostRegion) -> None:
         region.multihost = replace(SETTINGS, idle_ratio=idle_ratio)
-        draw = Random(7)
+        rng = Random(7)
         await region.begin_pool(WAITING_POOL_SIZE)
         for number in range(SMALL_SETS):
             await region.declare(f"small-{number}", members=2, image_gb=0.0)
@@ -217,12 +229,12 @@
             lambda: sum(_has_served(region, n) for n in range(SMALL_SETS)) == SMALL_SETS
         )
         await region.declare("large", members=6, image_gb=0.0)
-        begun, idle, sample_count, number = region.clock.now(), 0.0, 0, SMALL_SETS
-        while region.clock.now() - begun < MAX_WAITING_S and not region.serving("large/0"):
+        started_at, idle, sample_count, number = region.clock.now(), 0.0, 0, SMALL_SETS
+        while region.clock.now() - started_at < MAX_WAITING_S and not region.serving("large/0"):
             # a small set ends and another one comes, so that two machines at a time become free
             names = sorted(k[len(keys.SET) :] for k in region.state.keys if keys.SET in k)
             small = [n for n in names if n.startswith("small")]
-            await region.operate("DELETE", f"replica-sets/{draw.choice(small)}")
+            await region.operate("DELETE", f"replica-sets/{rng.choice(small)}")
             await region.declare(f"small-{number}", members=2, image_gb=0.0)
             number += 1
             for _ in range(10):
@@ -230,7 +242,7 @@
                 idle += 1 - len(used) / WAITING_POOL_SIZE
                 sample_count += 1
                 await curio.sleep(0.5)
-        result["waited_s"] = round(region.clock.now() - begun, 1)
+        result["waited_s"] = round(region.clock.now() - started_at, 1)
         result["placed"] = float(bool(region.serving("large/0")))
         result["idle"] = round(idle / max(1, sample_count), 3)
 
@@ -250,27 +262,27 @@
         state: StateService, clock: FakeClock, nodes: dict[str, SteppedController]
     ) -> None:
         counts: Counter[str] = Counter()
-        real = candidates.CandidateFinder.candidate
+        original = candidates.CandidateFinder.candidate
 
         def counted(*args: Any) -> Any:
             counts["candidates"] += 1
-            return real(*args)
+            return original(*args)
 
         add_ready_pairs(state, clock, machines // 2)
         node, service = await booted_pool(state, clock, nodes, machines)
-        own = node.membership.command_ownership(SETTINGS.pool_shard)
-        assert own is not None
+        ownership = node.membership.command_ownership(SETTINGS.pool_shard)
+        assert ownership is not None
         send_all_heartbeats(node, service, machines, 1)
-        await service.coordinator.reconcile(own)
-        begun = time.process_time()
+        await service.coordinator.reconcile(ownership)
+        started_at = time.process_time()
         send_all_heartbeats(node, service, machines, 2)
-        result["heartbeat_us"] = (time.process_time() - begun) / machines * 1e6
+        result["heartbeat_us"] = (time.process_time() - started_at) / machines * 1e6
         replicas_examined = service.coordinator.replicas_examined
         with mock.patch.object(candidates.CandidateFinder, "candidate", counted):
-            begun = time.process_time()
+            started_at = time.process_time()
             for _ in range(20):
-                await service.coordinator.reconcile(own)
-            result["idle_round_us"] = (time.process_time() - begun) / 20 * 1e6
+                await service.coordinator.reconcile(ownership)
+            result["idle_round_us"] = (time.process_time() - started_at) / 20 * 1e6
         result["looks_idle_round"] = service.coordinator.replicas_examined - replicas_examined
         result["candidates_idle_round"] = counts["candidates"]
 
@@ -312,16 +324,16 @@
     jobs = [(f, n, s) for f in FAILURES for n in GANG_SIZES for s in range(args.seeds)]
     baseline_jobs = [j for j in jobs if j[0] not in ("agent restarts", "all cut off")]
     with ProcessPoolExecutor(args.workers) as pool:
-        loaded = list(pool.map(measure_failure, [(*j, LOAD_S) for j in jobs], chunksize=4))
+        loaded = list(pool.map(measure_failure, [(*j, IMAGE_LOAD_S) for j in jobs], chunksize=4))
         warm = list(pool.map(measure_failure, [(*j, 0.0) for j in baseline_jobs], chunksize=4))
         baseline = list(pool.map(measure_baseline, baseline_jobs, chunksize=4))
         waiting = list(pool.map(measure_waiting, (0.0, 0.125, 0.25, 0.5)))
         transactions = list(pool.map(measure_transactions, (2, 4, 8, 40)))
     figures = {
         "seeds": args.seeds,
-        "load_s": LOAD_S,
-        "bound_s": round(SETTINGS.repair_bound_s(LOAD_S, WRITE_S), 2),
-        "warm_bound_s": round(SETTINGS.repair_bound_s(0.0, WRITE_S), 2),
+        "load_s": IMAGE_LOAD_S,
+        "bound_s": round(SETTINGS.repair_bound_s(IMAGE_LOAD_S, STATE_WRITE_S), 2),
+        "warm_bound_s": round(SETTINGS.repair_bound_s(0.0, STATE_WRITE_S), 2),
         "serving_lease_s": SETTINGS.serving_lease_s,
         "loaded": [s._asdict() for s in loaded],
         "warm": [s._asdict() for s in warm],
--- a/tests/measure_recovery.py
+++ b/tests/measure_recovery.py
@@ -30,7 +30,7 @@
     recovery_settings,
     simulate_recovery,
 )
-from .report_page import Table, plot, spread, write_page
+from .report_page import Table, plot, summary_cell, write_page
 from .simulated_worker import Worker
 
 TASKS_PER_JOB = 8
@@ -220,7 +220,7 @@
         for sample in group:
             verbs.update(sample["orders"])
         mean = ", ".join(f"{verb} {number / len(group):.1f}" for verb, number in verbs.items())
-        cells = [spread(group, field) for field in (*TIMES, *COUNTS)]
+        cells = [summary_cell(group, field) for field in (*TIMES, *COUNTS)]
         rows.append([workers, "yes" if with_recovery else "no", len(group), mean or "0", *cells])
     heads = ["workers", "recovery", "seeds", "orders (mean)", *TIMES, *COUNTS]
     return Table(scenario, "Median / 95th percentile / largest.", heads, rows, f"{scenario}.svg")
--- a/tests/profile_controller.py
+++ b/tests/profile_controller.py
@@ -3,7 +3,7 @@
 One whole controller over the fake services, at the size given, by phases: the start's reading,
 reports,
 rounds without news, a burst of jobs, and HTTP over loopback. Prints the processor time of each
-phase by part of the program, its dearest functions, and the memory held after the start by file.
+phase by part of the program, its costliest functions, and the memory held after the start by file.
 Not a part of the test command's verdict: times differ from machine to machine.
 """
 
@@ -29,13 +29,13 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 REPEATS = 20
-SHOWN = 12
+MAX_ROWS = 12
 HTTP_REQUESTS = 2000
 BODY = b'{"stone":"n-000231","sacks":[' + b" " * 400 + b"]}"
 REQUEST = b"POST /agent/beat HTTP/1.1\r\nhost: a\r\ncontent-length: %d\r\n\r\n" % len(BODY) + BODY
 
 
-def _part(filename: str) -> str:
+def _component(filename: str) -> str:
     """The package or module that a profiled function's time is counted for."""
     path = Path(filename)
     if path.is_relative_to(ROOT / "crossmill") or path.is_relative_to(ROOT / "tests"):
@@ -43,46 +43,46 @@
     return next((name for name in ("h11", "curio") if name in path.parts), "python")
 
 
-def _print_profile(phase: str, profile: cProfile.Profile, spent_s: float, number: int) -> None:
+def _print_profile(phase: str, profile: cProfile.Profile, elapsed_s: float, number: int) -> None:
     stats = pstats.Stats(profile).stats  # type: ignore[attr-defined]
-    by_part: Counter[str] = Counter()
+    by_component: Counter[str] = Counter()
     for (filename, _, _), (_, _, own_s, _, _) in stats.items():
-        by_part[_part(filename)] += own_s
-    print(f"\n{phase}: {1000 * spent_s / number:.3f} ms each of {number}")
-    for part, own_s in by_part.most_common(SHOWN):
-        print(f"  {1000 * own_s / number:9.3f} ms  {part}")
-    dearest = sorted(stats.items(), key=lambda entry: -entry[1][3])
-    for (filename, line, name), (_, calls, _, total_s, _) in dearest[: 2 * SHOWN]:
-        if _part(filename).startswith("crossmill"):
-            where = f"{_part(filename)}:{line}:{name}"
+        by_component[_component(filename)] += own_s
+    print(f"\n{phase}: {1000 * elapsed_s / number:.3f} ms each of {number}")
+    for component, own_s in by_component.most_common(MAX_ROWS):
+        print(f"  {1000 * own_s / number:9.3f} ms  {component}")
+    costliest = sorted(stats.items(), key=lambda entry: -entry[1][3])
+    for (filename, line, name), (_, calls, _, total_s, _) in costliest[: 2 * MAX_ROWS]:
+        if _component(filename).startswith("crossmill"):
+            where = f"{_component(filename)}:{line}:{name}"
             print(f"    {1000 * total_s / number:9.3f} ms with callees, {calls:7d} calls  {where}")
 
 
-async def _profiled(phase: str, run: Callable[[], Awaitable[object]], number: int = 1) -> None:
+async def _profile_phase(phase: str, run: Callable[[], Awaitable[object]], number: int = 1) -> None:
     profile = cProfile.Profile(time.process_time)
-    begun = time.process_time()
+    started_at = time.process_time()
     profile.enable()
     for _ in range(number):
         await run()
     profile.disable()
-    _print_profile(phase, profile, time.process_time() - begun, number)
+    _print_profile(phase, profile, time.process_time() - started_at, number)
 
 
 def _print_memory() -> None:
-    shown = tracemalloc.take_snapshot().statistics("filename")
-    print(f"\nmemory held: {sum(entry.size for entry in shown) / 1e6:.1f} MB")
-    for entry in shown[:SHOWN]:
-        part = _part(entry.traceback[0].filename)
-        print(f"  {entry.size / 1e6:9.2f} MB in {entry.count:8d} objects  {part}")
+    statistics = tracemalloc.take_snapshot().statistics("filename")
+    print(f"\nmemory held: {sum(entry.size for entry in statistics) / 1e6:.1f} MB")
+    for entry in statistics[:MAX_ROWS]:
+        component = _component(entry.traceback[0].filename)
+        print(f"  {entry.size / 1e6:9.2f} MB in {entry.count:8d} objects  {component}")
 
 
 async def _profile_http() -> None:
     async def handler(request: Request) -> Response:
         return Response(200)
 
-    async with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as free:
-        free.bind(("127.0.0.1", 0))
-        port = int(free.getsockname()[1])
+    async with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as probe:
+        probe.bind(("127.0.0.1", 0))
+        port = int(probe.getsockname()[1])
     server = Server(Endpoint("127.0.0.1", port), handler, 8, 60.0, max_cached_heads=8)
     await curio.spawn(server.run, daemon=True)
     await curio.sleep(0.05)
@@ -93,7 +93,7 @@
             await sock.sendall(REQUEST)
             await sock.recv(4096)
 
-        await _profiled("http exchange, both ends", exchange, HTTP_REQUESTS)
+        await _profile_phase("http exchange, both ends", exchange, HTTP_REQUESTS)
 
 
 async def _profile_controller(
@@ -105,7 +105,7 @@
 ) -> None:
     full_fleet(state, clock, machines)
     node = SteppedController(state, clock, nodes)
-    await _profiled("start: reading and taking shards", node.boot)
+    await _profile_phase("start: reading and taking shards", node.boot)
     seq = 0
 
     async def reports() -> None:
@@ -113,17 +113,17 @@
         seq += 1
         report_all(node, machines, seq)
 
-    await _profiled("reports of all machines", reports, REPEATS)
-    await _profiled("round without news", node.round, REPEATS)
+    await _profile_phase("reports of all machines", reports, REPEATS)
+    await _profile_phase("round without news", node.round, REPEATS)
     for job in range(jobs):
         add_job(state, clock, nameId=f"wk-{job + 100000:06d}", grist="batch")
-    await _profiled("watch: jobs of a burst", node.sync)
-    await _profiled("round with a burst waiting", node.round, REPEATS)
+    await _profile_phase("watch: jobs of a burst", node.sync)
+    await _profile_phase("round with a burst waiting", node.round, REPEATS)
 
-    async def look() -> None:
+    async def plan_forecast() -> None:
         node.forecast.plan(0)
 
-    await _profiled("forecast of a shard", look, REPEATS)
+    await _profile_phase("forecast of a shard", plan_forecast, REPEATS)
 
 
 def main() -> None:
--- a/tests/report_multihost.py
+++ b/tests/report_multihost.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 from typing import Any
 
-from .report_page import Table, plain_table, plot, spread, write_page
+from .report_page import Table, plain_table, plot, summary_cell, write_page
 
 STEPS = ("noticed_s", "placed_s", "ready_s", "serving_s")
 
@@ -17,7 +17,8 @@
 
 def _recovery_table(figures: dict[str, Any]) -> Table:
     rows = [
-        [failure, members, spread(group, "last_answer_s")] + [spread(group, step) for step in STEPS]
+        [failure, members, summary_cell(group, "last_answer_s")]
+        + [summary_cell(group, step) for step in STEPS]
         for (failure, members), group in _groups(figures["loaded"]).items()
     ]
     return Table(
@@ -38,10 +39,10 @@
         [
             failure,
             members,
-            spread(warm[failure, members], "serving_s"),
-            spread(group, "serving_s"),
-            spread(warm[failure, members], "wrong_s"),
-            spread(group, "wrong_s"),
+            summary_cell(warm[failure, members], "serving_s"),
+            summary_cell(group, "serving_s"),
+            summary_cell(warm[failure, members], "wrong_s"),
+            summary_cell(group, "wrong_s"),
         ]
         for (failure, members), group in baseline.items()
     ]
--- a/tests/report_page.py
+++ b/tests/report_page.py
@@ -58,7 +58,7 @@
     }
 
 
-def spread(samples: Sequence[Mapping[str, Any]], field: str) -> str:
+def summary_cell(samples: Sequence[Mapping[str, Any]], field: str) -> str:
     """Returns a table's cell with the summary of a field; None in a sample is a missing value."""
     values = [s[field] for s in samples if s[field] is not None]
     if not values:
--- a/tests/trace_adapter.py
+++ b/tests/trace_adapter.py
@@ -29,7 +29,7 @@
 from .recovery_region import recovery_settings
 from .simulated_region import Region
 from .simulated_worker import Worker
-from .trace_determinism import OrderedTaskGroup, replaced_attribute, wait_in_order
+from .trace_determinism import OrderedTaskGroup, init_ordered_barrier, replaced_attribute
 from .trace_messages import (
     MessageLog,
     RecordedMultihostRegion,
@@ -56,7 +56,7 @@
     team: str = "blue"
     priority: str = "standard"
     gpus: float = 1.0
-    needs: tuple[str, ...] = ()
+    dependencies: tuple[str, ...] = ()
     is_gang: bool = False
     one_zone: bool = False
     spread: bool = False
@@ -71,7 +71,7 @@
             "crew": self.team,
             "precedence": self.priority,
             "cards": self.gpus,
-            "awaits": list(self.needs),
+            "awaits": list(self.dependencies),
             "oneZone": self.one_zone,
             "spread": self.spread,
             "loaners": self.may_use_spot,
@@ -87,11 +87,11 @@
 
     # -- controllers -----------------------------------------------------------------
 
-    async def begin(self) -> None:
+    async def start_controllers(self) -> None:
         """Start all controllers and wait until each shard has an owner."""
         await self._region.begin(machines=0)
 
-    async def begin_leading(self) -> None:
+    async def start_provisioning(self) -> None:
         """Run the leaders' loops too; the cloud's machines come up after they are rented."""
         await self._region.run_provisioners()
 
@@ -99,21 +99,21 @@
         """The virtual time."""
         return self._region.clock.now()
 
-    def living(self) -> list[str]:
+    def running_controllers(self) -> list[str]:
         """The controllers that run."""
         return [label for label in CONTROLLERS if label in self._region.nodes]
 
-    async def end(self, controller: str) -> None:
+    async def kill_controller(self, controller: str) -> None:
         """End a controller's process at once."""
         if controller in self._region.nodes:
             await self._region.kill(controller)
 
-    async def start(self, controller: str) -> None:
+    async def start_controller(self, controller: str) -> None:
         """Start a controller that does not run."""
         if controller not in self._region.nodes:
             await self._region.start(controller)
 
-    def freeze(self, controller: str, for_s: float) -> None:
+    def freeze_controller(self, controller: str, for_s: float) -> None:
         """Let a controller's process stand still."""
         self._region.frozen_until[controller] = self.now() + for_s
 
@@ -123,11 +123,11 @@
 
     # -- faults ----------------------------------------------------------------------
 
-    def cut_controller(self, controller: str) -> None:
+    def isolate_controller(self, controller: str) -> None:
         """Cut a controller from the state service and its peers."""
         self._region.isolate(controller)
 
-    def cut_zone(self, zone: str) -> None:
+    def isolate_zone(self, zone: str) -> None:
         """Cut a zone from the other and from the state service."""
         for label in CONTROLLERS:
             if ZONES[label] == zone:
@@ -138,31 +138,31 @@
 
         self._region.can_reach = reaches
 
-    def state_outage(self, is_out: bool) -> None:
+    def set_state_outage(self, is_out: bool) -> None:
         """Let the state service refuse everything, or serve again."""
         self._region.state.down = is_out
 
-    def refuse(self, controller: str) -> None:
+    def refuse_controller(self, controller: str) -> None:
         """Let the state service refuse one controller."""
         self._region.refused_requests[controller] = every_request
 
-    def lose_responses(self, each: int, carried_out: bool, for_s: float) -> None:
+    def lose_responses(self, number: int, executes_at_once: bool, for_s: float) -> None:
         """Give no answer to every so manyth transaction, carried out at once or late."""
-        lose_responses(each, self._region, 2.0, carried_out, for_s)
+        lose_responses(number, self._region, 2.0, executes_at_once, for_s)
 
-    def slow_state(self, late_s: float) -> None:
+    def delay_state(self, delay_s: float) -> None:
         """Hold up all requests to the state service."""
-        self._region.state_delay_s = late_s
+        self._region.state_delay_s = delay_s
 
-    def compact(self) -> None:
+    def compact_history(self) -> None:
         """Drop the state service's history of changes."""
         self._region.state.compact()
 
-    def cloud_outage(self, is_out: bool) -> None:
+    def set_cloud_outage(self, is_out: bool) -> None:
         """Let the cloud refuse everything, or serve again."""
         self._region.cloud.down = is_out
 
-    def no_capacity(self, rentals: int) -> None:
+    def fail_rentals(self, rentals: int) -> None:
         """Let the next rentals find no machine."""
         self._region.cloud.script += ["none"] * rentals
 
@@ -203,11 +203,11 @@
         """Let the machine's agent stand still."""
         self._region.workers[machine].is_frozen = is_frozen
 
-    def give_notice(self, machine: str, left_s: float) -> None:
+    def give_spot_notice(self, machine: str, remaining_s: float) -> None:
         """Let a worker report that the cloud takes its machine away."""
-        self._region.workers[machine].notice_s = left_s
+        self._region.workers[machine].notice_s = remaining_s
 
-    def take_away(self, machine: str) -> None:
+    def terminate_worker(self, machine: str) -> None:
         """End a machine."""
         worker = self._region.workers[machine]
         worker.is_terminated = True
@@ -223,19 +223,19 @@
 
     async def submit(self, controller: str, job: JobRequest) -> int:
         """Submit a job; the status, 0 if the controller ended."""
-        return await self._answered(
+        return await self._status_of(
             self._region.submit(controller, job.name, job.run_s, **job.fields())
         )
 
     async def cancel(self, controller: str, job: str) -> int:
         """Cancel a job; the status, 0 if the controller ended."""
-        return await self._answered(self._region.cancel(controller, job))
+        return await self._status_of(self._region.cancel(controller, job))
 
     async def show(self, controller: str, job: str) -> int:
         """Ask for a job's state; the status, 0 if the controller ended."""
-        return await self._answered(self._region.show(controller, job))
+        return await self._status_of(self._region.show(controller, job))
 
-    async def _answered(self, status: Awaitable[int]) -> int:
+    async def _status_of(self, status: Awaitable[int]) -> int:
         try:
             return await status
         except KeyError:
@@ -257,7 +257,7 @@
 
     _region: RecordedMultihostRegion
 
-    async def begin_pool(self, seed: int) -> dict[str, Callable[[], Awaitable[None]]]:
+    async def start_pool(self, seed: int) -> dict[str, Callable[[], Awaitable[None]]]:
         """Start a random pool with replica sets; return the faults that end by themselves."""
         self._faults = faults = MultihostFaults(self._region, seed)
         await faults.begin()
@@ -273,7 +273,9 @@
             "late heartbeats": faults.late_copies,
         }
 
-    async def declare(self, name: str, members: int, replicas: int, priority: int) -> int:
+    async def declare_replica_set(
+        self, name: str, members: int, replicas: int, priority: int
+    ) -> int:
         """Declare a replica set as an operator does; the status."""
         body = {
             "members": members,
@@ -301,9 +303,9 @@
         """The machines on which members run."""
         return sorted(name for name, agent in self._region.agents.items() if agent.members)
 
-    def give_agent_notice(self, machine: str, left_s: float | None) -> None:
+    def give_agent_notice(self, machine: str, remaining_s: float | None) -> None:
         """Let an agent report that its machine is taken away, or is not."""
-        self._region.agents[machine].notice_s = left_s
+        self._region.agents[machine].notice_s = remaining_s
 
     def lose_zone_heartbeats(self, zone: str, is_lost: bool) -> None:
         """Lose all heartbeats of a zone's agents."""
@@ -315,7 +317,7 @@
         """End the faults and revive machines that died."""
         await self._faults.mend()
 
-    def generations(self) -> int:
+    def total_generations(self) -> int:
         """The sum of all replicas' generations."""
         rows = self._region.state.keys.values()
         return sum(row[0].get("generation", 0) for row in rows if "phase" in row[0])
@@ -326,7 +328,7 @@
 
     _region: RecordedRecoveryRegion
 
-    def remember_state(self) -> dict[str, Any]:
+    def copy_state(self) -> dict[str, Any]:
         """A copy of what the state service holds."""
         return self._region.copy_state()
 
@@ -351,9 +353,9 @@
 
 
 def _play(region: RecordedRegion, log: MessageLog, scenario: Callable[[], Any]) -> None:
-    region.attach(log)
+    region.attach_log(log)
     with (
-        replaced_attribute(SchedBarrier, "__init__", wait_in_order),
+        replaced_attribute(SchedBarrier, "__init__", init_ordered_barrier),
         replaced_attribute(curio, "TaskGroup", OrderedTaskGroup),
         replaced_attribute(simulated_region, "PeerLink", RecordedPeerLink),
     ):
--- a/tests/trace_comparison.py
+++ b/tests/trace_comparison.py
@@ -18,16 +18,18 @@
 
     def time(self) -> float:
         """The earlier of the two lines' times."""
-        return min(float(t.partition("\t")[0]) for t in (self.before, self.after) if t is not None)
+        return min(
+            float(line.partition("\t")[0]) for line in (self.before, self.after) if line is not None
+        )
 
 
-def first_difference_of(
+def first_differing_line(
     file: str, before: Sequence[str], after: Sequence[str]
 ) -> Difference | None:
     """The first line in which two traces differ."""
-    for number, (one, other) in enumerate(zip_longest(before, after), start=1):
-        if one != other:
-            return Difference(file, number, one, other)
+    for number, (before_line, after_line) in enumerate(zip_longest(before, after), start=1):
+        if before_line != after_line:
+            return Difference(file, number, before_line, after_line)
     return None
 
 
@@ -37,24 +39,24 @@
 
 def first_difference(before: Path, after: Path) -> Difference | None:
     """The earliest difference, by virtual time, of the first scenario and seed that differ."""
-    names = sorted({path.name for top in (before, after) for path in top.glob("*.txt")})
-    found: dict[str, list[Difference]] = {}
+    names = sorted({path.name for folder in (before, after) for path in folder.glob("*.txt")})
+    differences_by_run: dict[str, list[Difference]] = {}
     for name in names:
-        difference = first_difference_of(
+        difference = first_differing_line(
             name, _read_lines(before / name), _read_lines(after / name)
         )
         if difference is not None:
             run = "-".join(name.split("-")[:2])
-            found.setdefault(run, []).append(difference)
-    if not found:
+            differences_by_run.setdefault(run, []).append(difference)
+    if not differences_by_run:
         return None
-    return min(found[min(found)], key=Difference.time)
+    return min(differences_by_run[min(differences_by_run)], key=Difference.time)
 
 
-def compare(stored: dict[str, Entry], taken: dict[str, Entry]) -> Iterator[str]:
-    """A sentence for each digest that was taken and is not the stored one."""
-    for key, entry in taken.items():
+def digest_differences(stored: dict[str, Entry], recorded: dict[str, Entry]) -> Iterator[str]:
+    """A sentence for each digest that was recorded and is not the stored one."""
+    for key, entry in recorded.items():
         if key not in stored:
             yield f"{key}: not stored"
         elif stored[key] != entry:
-            yield f"{key}: stored {stored[key]}, taken {entry}"
+            yield f"{key}: stored {stored[key]}, recorded {entry}"
--- a/tests/trace_determinism.py
+++ b/tests/trace_determinism.py
@@ -18,7 +18,7 @@
         setattr(owner, name, before)
 
 
-class ArrivalOrder(dict[Any, None]):
+class InsertionOrderedSet(dict[Any, None]):
     """Tasks in the order in which they came, in place of curio's sets."""
 
     def add(self, task: Any) -> None:
@@ -40,12 +40,12 @@
         return task
 
 
-def wait_in_order(barrier: Any) -> None:
+def init_ordered_barrier(barrier: Any) -> None:
     """Initialise a barrier of curio's so that its tasks wake in the order in which they came.
 
     Curio keeps them in a set, whose order depends on addresses in memory and differs between runs.
     """
-    barrier._tasks = ArrivalOrder()
+    barrier._tasks = InsertionOrderedSet()
 
 
 class OrderedTaskGroup(curio.TaskGroup):  # type: ignore[misc]
@@ -53,4 +53,4 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self._running = ArrivalOrder()
+        self._running = InsertionOrderedSet()
--- a/tests/trace_messages.py
+++ b/tests/trace_messages.py
@@ -23,7 +23,7 @@
 SENT, RECEIVED = "sent", "received"
 
 
-NO_ANSWER, NOT_REACHED = b"no answer", b"not reached"
+NO_RESPONSE, NOT_REACHED = b"no answer", b"not reached"
 
 
 @dataclass
@@ -37,8 +37,8 @@
     path: str
     body: bytes
     status: int = 0
-    answer: bytes = b""
-    answered_at: float | None = None
+    response: bytes = b""
+    responded_at: float | None = None
 
 
 class Recorder(Protocol):
@@ -54,7 +54,9 @@
     def __init__(self, recorder: Recorder, clock: FakeClock, counts: Counter[str]) -> None:
         self.recorder, self.clock, self.counts = recorder, clock, counts
 
-    def open(self, controller: str, direction: str, counterpart: str, request: Request) -> Message:
+    def record_request(
+        self, controller: str, direction: str, counterpart: str, request: Request
+    ) -> Message:
         """Record a request whose answer is still to come."""
         method, path, body = request.method, request.path, request.body
         now = self.clock.now()
@@ -63,10 +65,10 @@
         self.counts[f"messages {direction}, {counterpart.partition(':')[0]}"] += 1
         return message
 
-    def close(self, message: Message, status: int, answer: bytes) -> None:
+    def record_response(self, message: Message, status: int, response: bytes) -> None:
         """Fill in the answer."""
-        message.status, message.answer = status, answer
-        message.answered_at = self.clock.now()
+        message.status, message.response = status, response
+        message.responded_at = self.clock.now()
 
 
 class RecordedLink:
@@ -81,17 +83,17 @@
     ) -> tuple[int, bytes]:
         """Send a request and record it with its response."""
         request = Request(method, path, body)
-        message = self._log.open(self._controller, SENT, self._counterpart, request)
+        message = self._log.record_request(self._controller, SENT, self._counterpart, request)
         try:
-            status, answer = await self._link.request(method, path, body, timeout_s)
+            status, response = await self._link.request(method, path, body, timeout_s)
         except ConnectionFailedError:
-            self._log.close(message, 0, NOT_REACHED)
+            self._log.record_response(message, 0, NOT_REACHED)
             raise
         except NoResponseError:
-            self._log.close(message, 0, NO_ANSWER)
+            self._log.record_response(message, 0, NO_RESPONSE)
             raise
-        self._log.close(message, status, answer)
-        return status, answer
+        self._log.record_response(message, status, response)
+        return status, response
 
 
 class RecordedCloud(CloudService):
@@ -112,7 +114,7 @@
 
     log: MessageLog
 
-    def attach(self, log: MessageLog) -> None:
+    def attach_log(self, log: MessageLog) -> None:
         """Record from now on; called before any controller starts."""
         self.log = log
         self._shared_cloud = self.cloud
@@ -131,14 +133,14 @@
     def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
         """Record the new controller's links and handlers before any loop runs."""
         self.cloud = self._shared_cloud
-        parts = super().extra_loops(node)
+        loops = super().extra_loops(node)
         label = node.settings.label
         self._record_direct_commands(node, label)
-        self._count_preemptions(node)
+        self._count_stop_requests(node)
         for peer_handler in (node.lease_extensions, node.partition_protocol):
             self._record_handler(peer_handler, "peer", label)
         self._record_async_handler(node.jobs, "user", label)
-        return parts
+        return loops
 
     def _record_direct_commands(self, node: SteppedController, label: str) -> None:
         connect = node.command_sender.connect
@@ -148,7 +150,7 @@
 
         node.command_sender.connect = recorded
 
-    def _count_preemptions(self, node: SteppedController) -> None:
+    def _count_stop_requests(self, node: SteppedController) -> None:
         request_stop = node.heartbeats.request_stop
 
         def counted(attempt: PlannedAttempt, reason: StopReason) -> None:
@@ -161,9 +163,9 @@
         handle: Callable[[Request], Response] = handler.handle
 
         def recorded(request: Request) -> Response:
-            message = self.log.open(label, RECEIVED, counterpart, request)
+            message = self.log.record_request(label, RECEIVED, counterpart, request)
             response = handle(request)
-            self.log.close(message, response.status, response.body)
+            self.log.record_response(message, response.status, response.body)
             return response
 
         handler.handle = recorded
@@ -172,9 +174,9 @@
         handle: Callable[[Request], Awaitable[Response]] = handler.handle
 
         async def recorded(request: Request) -> Response:
-            message = self.log.open(label, RECEIVED, counterpart, request)
+            message = self.log.record_request(label, RECEIVED, counterpart, request)
             response = await handle(request)
-            self.log.close(message, response.status, response.body)
+            self.log.record_response(message, response.status, response.body)
             return response
 
         handler.handle = recorded
@@ -183,10 +185,10 @@
         """Deliver a heartbeat and record it with its response."""
         machine = orjson.loads(body)["stone"]
         request = Request("POST", "heartbeat", body)
-        message = self.log.open(label, RECEIVED, f"heartbeat:{machine}", request)
-        status, answer = super().deliver(body, label)
-        self.log.close(message, status, answer)
-        return status, answer
+        message = self.log.record_request(label, RECEIVED, f"heartbeat:{machine}", request)
+        status, response = super().deliver(body, label)
+        self.log.record_response(message, status, response)
+        return status, response
 
 
 class RecordedMultihostRegion(RecordedRegion, MultihostRegion):
@@ -194,10 +196,10 @@
 
     def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
         """Record the new controller's links and handlers before any loop runs."""
-        parts = super().extra_loops(node)
+        loops = super().extra_loops(node)
         label = node.settings.label
         self._record_async_handler(self.services[label], "multihost", label)
-        return parts
+        return loops
 
 
 class RecordedRecoveryRegion(RecordedRegion, RecoveryRegion):
@@ -205,14 +207,14 @@
 
     def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
         """Record the new controller's links and handlers before any loop runs."""
-        parts = super().extra_loops(node)
+        loops = super().extra_loops(node)
         label = node.settings.label
         self._record_async_handler(self.apis[label], "recovery operator", label)
-        return parts
+        return loops
 
 
 class RecordedPeerLink(PeerLink):
-    """The line from one controller to another, whose requests are recorded at the sender."""
+    """The link from one controller to another, whose requests are recorded at the sender."""
 
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
@@ -220,6 +222,6 @@
         """Send a request and record it with its response."""
         region = self._region
         assert isinstance(region, RecordedRegion)
-        line = PeerLink(region, self._source, self._label)
-        link = RecordedLink(line, region.log, self._source, f"peer:{self._label}")
+        peer_link = PeerLink(region, self._source, self._label)
+        link = RecordedLink(peer_link, region.log, self._source, f"peer:{self._label}")
         return await link.request(method, path, body, timeout_s)
--- a/tests/trace_recorder.py
+++ b/tests/trace_recorder.py
@@ -16,7 +16,7 @@
 
 def message_line(message: Message) -> str:
     """The message as a line of the trace."""
-    answered = "-" if message.answered_at is None else f"{message.answered_at:.6f}"
+    responded_at = "-" if message.responded_at is None else f"{message.responded_at:.6f}"
     parts = (
         f"{message.time:.6f}",
         message.direction,
@@ -25,8 +25,8 @@
         message.path,
         _body_text(message.body),
         str(message.status),
-        _body_text(message.answer),
-        answered,
+        _body_text(message.response),
+        responded_at,
     )
     return "\t".join(parts)
 
--- a/tests/trace_scenarios.py
+++ b/tests/trace_scenarios.py
@@ -43,15 +43,15 @@
 
 async def _run_under_faults(region: SimulatedRegion, seed: int, jobs: int) -> None:
     users = Users(region, random.Random(seed + 1), jobs, 90.0)
-    submitting = await curio.spawn(users.run)
+    users_task = await curio.spawn(users.run)
     await FaultSequence(region, random.Random(seed)).run()
-    await submitting.join()
+    await users_task.join()
     region.heal()
     await curio.sleep(SETTLE_S)
-    _count_end(region)
+    _count_results(region)
 
 
-def _count_end(region: SimulatedRegion) -> None:
+def _count_results(region: SimulatedRegion) -> None:
     for verb, number in region.orders().items():
         region.counts[f"orders to workers: {verb}"] += number
     region.counts["invariant violations"] += len(region.violations())
@@ -61,9 +61,9 @@
     """Run a region whose leader rents machines, with all ordinary faults."""
 
     async def scenario(region: SimulatedRegion) -> None:
-        await region.begin()
+        await region.start_controllers()
         await _add_workers(region, 1)
-        await region.begin_leading()
+        await region.start_provisioning()
         await _run_under_faults(region, seed, 60)
 
     play_ordinary(recorder, counts, scenario)
@@ -73,7 +73,7 @@
     """Run a region with few machines, so that work of lower priority is preempted."""
 
     async def scenario(region: SimulatedRegion) -> None:
-        await region.begin()
+        await region.start_controllers()
         await _add_workers(region, 3)
         await _run_under_faults(region, seed, 70)
 
@@ -84,13 +84,13 @@
     """Run a short scenario in which one controller ends, for tests of the trace itself."""
 
     async def scenario(region: SimulatedRegion) -> None:
-        await region.begin()
+        await region.start_controllers()
         await _add_workers(region, 2)
         users = Users(region, random.Random(seed), QUICK_JOBS, QUICK_SPAN_S)
-        submitting = await curio.spawn(users.run)
+        users_task = await curio.spawn(users.run)
         await curio.sleep(QUICK_SPAN_S / 2)
-        await region.end(CONTROLLERS[1])
-        await submitting.join()
+        await region.kill_controller(CONTROLLERS[1])
+        await users_task.join()
 
     play_ordinary(recorder, counts, scenario)
 
@@ -99,21 +99,21 @@
     """Run multi-machine replicas under faults, with spot notices and a set of higher priority."""
 
     async def scenario(region: SimulatedMultihostRegion) -> None:
-        draw = random.Random(seed)
-        kinds = await region.begin_pool(seed)
+        rng = random.Random(seed)
+        pool_faults = await region.start_pool(seed)
         await curio.spawn(_poll_replica_sets, region, daemon=True)
         await curio.sleep(15.0)
-        order = [*kinds, "spot notice", "owner frozen", "zone cut", "urgent set"]
-        for name in draw.sample(order, len(order)):
+        fault_names = [*pool_faults, "spot notice", "owner frozen", "zone cut", "urgent set"]
+        for name in rng.sample(fault_names, len(fault_names)):
             counts[f"replica fault: {name}"] += 1
-            if name in kinds:
-                await kinds[name]()
+            if name in pool_faults:
+                await pool_faults[name]()
             else:
-                await _inject_replica_fault(region, draw, name)
-            await curio.sleep(draw.uniform(0.0, 6.0))
+                await _inject_replica_fault(region, rng, name)
+            await curio.sleep(rng.uniform(0.0, 6.0))
         await region.mend()
         await curio.sleep(SETTLE_S)
-        counts["replica generations at the end"] += region.generations()
+        counts["replica generations at the end"] += region.total_generations()
         counts["invariant violations"] += len(region.violations())
 
     play_multihost(recorder, counts, scenario)
@@ -126,23 +126,23 @@
 
 
 async def _inject_replica_fault(
-    region: SimulatedMultihostRegion, draw: random.Random, name: str
+    region: SimulatedMultihostRegion, rng: random.Random, name: str
 ) -> None:
     if name == "spot notice":
         machines = region.member_machines()
         if machines:
-            region.give_agent_notice(draw.choice(machines), 30.0)
+            region.give_agent_notice(rng.choice(machines), 30.0)
     elif name == "owner frozen":
         owner = region.pool_owner()
         if owner is not None:
-            region.freeze(owner, draw.choice([2.0, 8.0, 20.0]))
+            region.freeze_controller(owner, rng.choice([2.0, 8.0, 20.0]))
     elif name == "zone cut":
-        zone = draw.choice(ZONES)
+        zone = rng.choice(ZONES)
         region.lose_zone_heartbeats(zone, True)
-        await curio.sleep(draw.uniform(4.0, 20.0))
+        await curio.sleep(rng.uniform(4.0, 20.0))
         region.lose_zone_heartbeats(zone, False)
     else:
-        while await region.declare("urgent", 4, 2, 9) not in (200, 201):
+        while await region.declare_replica_set("urgent", 4, 2, 9) not in (200, 201):
             await curio.sleep(1.0)
 
 
@@ -150,45 +150,45 @@
     """End all controllers together while work goes on, once with the state restored from a copy."""
 
     async def scenario(region: SimulatedRecoveryRegion) -> None:
-        draw = random.Random(seed)
-        await region.begin()
+        rng = random.Random(seed)
+        await region.start_controllers()
         await _add_workers(region, 4)
         users = Users(region, random.Random(seed + 1), 40, 70.0)
-        submitting = await curio.spawn(users.run)
+        users_task = await curio.spawn(users.run)
         await curio.sleep(25.0)
-        copy = region.remember_state()
-        await _restart_all(region, draw)
+        copy = region.copy_state()
+        await _restart_all(region, rng)
         await curio.sleep(25.0)
-        silent = draw.choice(region.workers())
+        silent = rng.choice(region.workers())
         region.lose_heartbeats(silent, True)
         for label in CONTROLLERS:
-            await region.end(label)
+            await region.kill_controller(label)
         await region.restore_state(copy)
-        await _restart_all(region, draw)
+        await _restart_all(region, rng)
         await _approve_until_steady(region)
         region.lose_heartbeats(silent, False)
-        await submitting.join()
+        await users_task.join()
         region.heal()
         await curio.sleep(SETTLE_S)
-        _count_end(region)
+        _count_results(region)
 
     play_recovery(recorder, counts, scenario)
 
 
-async def _restart_all(region: SimulatedRecoveryRegion, draw: random.Random) -> None:
+async def _restart_all(region: SimulatedRecoveryRegion, rng: random.Random) -> None:
     for label in CONTROLLERS:
-        await region.end(label)
-    await curio.sleep(draw.uniform(1.0, 5.0))
+        await region.kill_controller(label)
+    await curio.sleep(rng.uniform(1.0, 5.0))
     for label in CONTROLLERS:
-        await region.start(label)
-        await curio.sleep(draw.uniform(0.0, 1.0))
+        await region.start_controller(label)
+        await curio.sleep(rng.uniform(0.0, 1.0))
     region.counts["restarts of all controllers"] += 1
 
 
 async def _approve_until_steady(region: SimulatedRecoveryRegion) -> None:
     for _ in range(APPROVAL_ROUNDS):
         await curio.sleep(2.0)
-        for label in region.living():
+        for label in region.running_controllers():
             region.counts["approvals of held back differences"] += await region.approve_all(label)
         if region.is_steady():
             region.counts["recoveries that became steady"] += 1
