--- a/tests/behavior_trace.py
+++ b/tests/behavior_trace.py
@@ -1,16 +1,15 @@
-"""Shows whether two commits take the same decisions in simulated regions.
+"""Compare the decisions that two commits make in simulated regions.
 
-Every message of the controllers is kept in order and with its virtual time, as a digest per
-scenario,
-seed and controller. Two commits whose digests agree have taken the same decisions in these
-scenarios.
+A trace holds every message of one controller, in order and with its virtual time. For each
+scenario, seed and controller, the digest of the trace is stored. Two commits with equal digests
+made the same decisions in these scenarios.
 
     python -m tests.behavior_trace --check tests/data/behavior_trace.json
     python -m tests.behavior_trace --text DIR
     python -m tests.behavior_trace --difference DIR DIR
 
-Faults are drawn from the seed. Only tests/trace_adapter.py, trace_messages.py and
-trace_determinism.py know the code under test.
+The seed determines which faults occur and when. Only tests/trace_adapter.py, trace_messages.py
+and trace_determinism.py depend on the code under test.
 """
 
 import argparse
@@ -22,9 +21,7 @@
 
 import orjson
 
-from .trace_adapter import (
-    CONTROLLERS,
-)
+from .trace_adapter import CONTROLLERS
 from .trace_comparison import digest_differences, first_difference
 from .trace_recorder import Entry, TraceKey, TraceRecorder, digest
 from .trace_scenarios import SCENARIOS
@@ -33,7 +30,7 @@
 
 
 def record_traces(scenario: str, seed: int, counts: Counter[str]) -> dict[TraceKey, list[str]]:
-    """The lines of every controller's trace."""
+    """Run a scenario and return the lines of each controller's trace."""
     recorder = TraceRecorder()
     SCENARIOS[scenario].play(recorder, counts, seed)
     return {TraceKey(scenario, seed, label): recorder.lines(label) for label in CONTROLLERS}
@@ -42,14 +39,24 @@
 def _argument_parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(prog="python -m tests.behavior_trace", description=__doc__)
     parser.formatter_class = argparse.RawDescriptionHelpFormatter
-    parser.add_argument("--seeds", type=int, nargs="+", help="in place of each scenario's own")
+    parser.add_argument(
+        "--seeds", type=int, nargs="+", help="seeds to use instead of each scenario's own"
+    )
     parser.add_argument("--scenario", choices=SCENARIOS, nargs="+", default=list(SCENARIOS))
-    parser.add_argument("--text", type=Path, metavar="DIR", help="write the full traces")
+    parser.add_argument(
+        "--text", type=Path, metavar="DIR", help="write the full traces to this folder"
+    )
     parser.add_argument("--check", type=Path, metavar="FILE", help="compare with stored digests")
     parser.add_argument("--write", type=Path, metavar="FILE", help="store the digests")
-    parser.add_argument("--counts", action="store_true", help="print what occurred")
     parser.add_argument(
-        "--difference", type=Path, nargs=2, metavar="DIR", help="the first one of two --text DIRs"
+        "--counts", action="store_true", help="print how often each kind of event occurred"
+    )
+    parser.add_argument(
+        "--difference",
+        type=Path,
+        nargs=2,
+        metavar="DIR",
+        help="print the first difference between two folders written with --text",
     )
     return parser
 
@@ -94,7 +101,7 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Run the command; the exit code."""
+    """Run the command and return its exit code."""
     args = _argument_parser().parse_args(argv)
     if args.difference is not None:
         return _print_difference(*args.difference)
--- a/tests/test_behavior_trace.py
+++ b/tests/test_behavior_trace.py
@@ -1,4 +1,8 @@
-"""The behaviour trace itself: it repeats, sees a planted change and finds its first difference."""
+"""Tests of the behaviour trace itself.
+
+Two runs of a seed give the same trace, and a deliberately changed decision is detected and its
+first difference found.
+"""
 
 from collections import Counter
 from pathlib import Path
@@ -79,7 +83,7 @@
     index = difference.line - 1
     assert lines[label][:index] == changed_lines[label][:index]
     assert difference.before == lines[label][index] != changed_lines[label][index]
-    # the planted change is in what is placed, which the owner stores first
+    # the changed decision is a placement, which the shard's owner first writes to the state service
     assert difference.before.split("\t")[1:5] == ["sent", "state", "POST", "/txn"]
     assert first_difference(before, before) is None
 
--- a/tests/trace_adapter.py
+++ b/tests/trace_adapter.py
@@ -1,8 +1,8 @@
-"""Gives the behaviour trace's scenarios a region, whatever the code under test is named.
+"""Interface through which the behaviour trace's scenarios use a simulated region.
 
-A refactoring edits this module, trace_messages.py and trace_determinism.py; the rest of the trace
-names
-no class of crossmill or of the simulated region.
+A refactoring of the code under test needs edits in this module, trace_messages.py and
+trace_determinism.py only. The other modules of the behaviour trace import neither crossmill nor
+the simulated region.
 """
 
 from collections import Counter
@@ -42,13 +42,14 @@
 
 CONTROLLERS = Region.LABELS
 MACHINE_TYPE = "g4"
-# few differences are held back already, so that operators have something to approve
+# with these low limits, the recovery circuit breaker opens for two tasks or machines, so that
+# operators have something to approve
 BRAKE_LEAST, BRAKE_SHARE = 1, 0.0
 
 
 @dataclass(frozen=True)
 class JobRequest:
-    """A job as a scenario submits it."""
+    """A job that a scenario submits; `run_s` is None for a service."""
 
     name: str
     run_s: float | None = None
@@ -63,7 +64,7 @@
     may_use_spot: bool = False
 
     def fields(self) -> dict[str, Any]:
-        """The fields of the submission's body that differ from the usual ones."""
+        """Return the fields of the submission's body that replace the defaults."""
         kind = "service" if self.run_s is None else "array"
         return {
             "cut": "gang" if self.is_gang else kind,
@@ -79,7 +80,7 @@
 
 
 class SimulatedRegion:
-    """What scenarios do with a region of any kind."""
+    """The operations that scenarios can perform on any kind of region."""
 
     def __init__(self, region: RecordedRegion, counts: Counter[str]) -> None:
         self._region = region
@@ -92,43 +93,43 @@
         await self._region.begin(machines=0)
 
     async def start_provisioning(self) -> None:
-        """Run the leaders' loops too; the cloud's machines come up after they are rented."""
+        """Start the provisioners as well, so that the leader rents machines from the cloud."""
         await self._region.run_provisioners()
 
     def now(self) -> float:
-        """The virtual time."""
+        """Return the virtual time in seconds."""
         return self._region.clock.now()
 
     def running_controllers(self) -> list[str]:
-        """The controllers that run."""
+        """Return the labels of the running controllers."""
         return [label for label in CONTROLLERS if label in self._region.nodes]
 
     async def kill_controller(self, controller: str) -> None:
-        """End a controller's process at once."""
+        """Kill a controller's process if it is running."""
         if controller in self._region.nodes:
             await self._region.kill(controller)
 
     async def start_controller(self, controller: str) -> None:
-        """Start a controller that does not run."""
+        """Start a controller if it is not running."""
         if controller not in self._region.nodes:
             await self._region.start(controller)
 
     def freeze_controller(self, controller: str, for_s: float) -> None:
-        """Let a controller's process stand still."""
+        """Freeze a controller's process for the given time."""
         self._region.frozen_until[controller] = self.now() + for_s
 
     def owner(self, shard: int) -> str | None:
-        """The controller that owns a shard by the stored state."""
+        """Return the controller that owns a shard according to the stored state."""
         return self._region.owners().get(shard)
 
     # -- faults ----------------------------------------------------------------------
 
     def isolate_controller(self, controller: str) -> None:
-        """Cut a controller from the state service and its peers."""
+        """Disconnect a controller from the state service and its peers."""
         self._region.isolate(controller)
 
     def isolate_zone(self, zone: str) -> None:
-        """Cut a zone from the other and from the state service."""
+        """Disconnect a zone from the other zone and from the state service."""
         for label in CONTROLLERS:
             if ZONES[label] == zone:
                 self._region.isolate(label)
@@ -139,35 +140,35 @@
         self._region.can_reach = reaches
 
     def set_state_outage(self, is_out: bool) -> None:
-        """Let the state service refuse everything, or serve again."""
+        """Start or end an outage in which the state service refuses all requests."""
         self._region.state.down = is_out
 
     def refuse_controller(self, controller: str) -> None:
-        """Let the state service refuse one controller."""
+        """Make the state service refuse all requests of one controller."""
         self._region.refused_requests[controller] = every_request
 
     def lose_responses(self, number: int, executes_at_once: bool, for_s: float) -> None:
-        """Give no answer to every so manyth transaction, carried out at once or late."""
+        """Leave every `number`th transaction unanswered; it is executed immediately or late."""
         lose_responses(number, self._region, 2.0, executes_at_once, for_s)
 
     def delay_state(self, delay_s: float) -> None:
-        """Hold up all requests to the state service."""
+        """Delay all requests to the state service."""
         self._region.state_delay_s = delay_s
 
     def compact_history(self) -> None:
-        """Drop the state service's history of changes."""
+        """Compact the state service's history of changes."""
         self._region.state.compact()
 
     def set_cloud_outage(self, is_out: bool) -> None:
-        """Let the cloud refuse everything, or serve again."""
+        """Start or end an outage in which the cloud refuses all requests."""
         self._region.cloud.down = is_out
 
     def fail_rentals(self, rentals: int) -> None:
-        """Let the next rentals find no machine."""
+        """Make the next rentals fail for lack of capacity."""
         self._region.cloud.script += ["none"] * rentals
 
     def heal(self) -> None:
-        """End all faults but those of processes."""
+        """End all faults except those of workers and killed controllers."""
         clear_faults(self._region)
         self._region.frozen_until.clear()
         self._region.cloud.down = False
@@ -175,46 +176,46 @@
     # -- workers ---------------------------------------------------------------------
 
     async def add_worker(self, machine: str, zone: str, shard: int, spot: bool = False) -> None:
-        """Add a machine that a leader rented earlier."""
+        """Add a worker on a machine whose record says that a leader rented it earlier."""
         value = {"type": MACHINE_TYPE, "zone": zone, "spot": spot, "shard": shard}
         value |= {"at": self._region.clock.wall(), "retiring": "", "up": False}
         self._region.state.put(keys.machine(machine), value)
         await self._region.add_worker(machine, zone, shard, record=False)
 
     def workers(self) -> list[str]:
-        """The machines that run, by name."""
+        """Return the names of the running machines in sorted order."""
         return sorted(
             name for name, worker in self._region.workers.items() if not worker.is_terminated
         )
 
     def busy_workers(self) -> list[str]:
-        """The machines with a task."""
+        """Return the names of the running machines that have a task."""
         return [name for name in self.workers() if self._region.workers[name].tasks]
 
     def lose_heartbeats(self, machine: str, is_lost: bool) -> None:
-        """Lose the machine's heartbeats."""
+        """Set whether the machine's heartbeats are lost."""
         self._region.workers[machine].heartbeats_lost = is_lost
 
     def lose_inbound(self, machine: str, is_lost: bool) -> None:
-        """Lose the answers and commands to the machine."""
+        """Set whether responses and commands to the machine are lost."""
         self._region.workers[machine].inbound_lost = is_lost
 
     def freeze_worker(self, machine: str, is_frozen: bool) -> None:
-        """Let the machine's agent stand still."""
+        """Set whether the machine's agent is frozen."""
         self._region.workers[machine].is_frozen = is_frozen
 
     def give_spot_notice(self, machine: str, remaining_s: float) -> None:
-        """Let a worker report that the cloud takes its machine away."""
+        """Make a worker report that the cloud will reclaim its spot machine in the given time."""
         self._region.workers[machine].notice_s = remaining_s
 
     def terminate_worker(self, machine: str) -> None:
-        """End a machine."""
+        """Terminate a machine and its tasks."""
         worker = self._region.workers[machine]
         worker.is_terminated = True
         worker.tasks.clear()
 
     def repeat_heartbeats(self, machine: str, controller: str) -> None:
-        """Deliver copies of a worker's earlier heartbeats."""
+        """Deliver copies of a worker's earlier heartbeats to a controller."""
         if controller in self._region.nodes:
             for body in list(self._region.workers[machine].sent_heartbeats):
                 self._region.deliver(body, controller)
@@ -222,28 +223,28 @@
     # -- users -----------------------------------------------------------------------
 
     async def submit(self, controller: str, job: JobRequest) -> int:
-        """Submit a job; the status, 0 if the controller ended."""
+        """Submit a job and return the status, 0 if the controller was killed."""
         return await self._status_of(
             self._region.submit(controller, job.name, job.run_s, **job.fields())
         )
 
     async def cancel(self, controller: str, job: str) -> int:
-        """Cancel a job; the status, 0 if the controller ended."""
+        """Cancel a job and return the status, 0 if the controller was killed."""
         return await self._status_of(self._region.cancel(controller, job))
 
     async def show(self, controller: str, job: str) -> int:
-        """Ask for a job's state; the status, 0 if the controller ended."""
+        """Request a job's state and return the status, 0 if the controller was killed."""
         return await self._status_of(self._region.show(controller, job))
 
     async def _status_of(self, status: Awaitable[int]) -> int:
         try:
             return await status
         except KeyError:
-            # it ended while the user waited for it to go on
+            # the controller was killed while the request waited for it to leave a freeze
             return 0
 
     def orders(self) -> Counter[str]:
-        """How many orders the workers got, by verb."""
+        """Return the number of orders that the workers received, by verb."""
         workers = self._region.workers.values()
         return Counter(order[2]["verb"] for worker in workers for order in worker.orders)
 
@@ -258,7 +259,11 @@
     _region: RecordedMultihostRegion
 
     async def start_pool(self, seed: int) -> dict[str, Callable[[], Awaitable[None]]]:
-        """Start a random pool with replica sets; return the faults that end by themselves."""
+        """Start a pool of random size with replica sets.
+
+        Returns:
+            Functions that each inject a fault, by the fault's name. These faults end by themselves.
+        """
         self._faults = faults = MultihostFaults(self._region, seed)
         await faults.begin()
         return {
@@ -276,7 +281,7 @@
     async def declare_replica_set(
         self, name: str, members: int, replicas: int, priority: int
     ) -> int:
-        """Declare a replica set as an operator does; the status."""
+        """Declare a replica set as an operator does, and return the status."""
         body = {
             "members": members,
             "replicas": replicas,
@@ -291,24 +296,24 @@
         return int(status)
 
     async def poll_replica_sets(self) -> None:
-        """Ask for the list of the replica sets at every controller."""
+        """Request the list of the replica sets from every controller."""
         for label in list(self._region.services):
             await self._region.operate("GET", "replica-sets", label=label)
 
     def pool_owner(self) -> str | None:
-        """The controller that owns the pool."""
+        """Return the controller that owns the pool."""
         return self.owner(self._region.multihost.pool_shard)
 
     def member_machines(self) -> list[str]:
-        """The machines on which members run."""
+        """Return the names of the machines on which members run."""
         return sorted(name for name, agent in self._region.agents.items() if agent.members)
 
     def give_agent_notice(self, machine: str, remaining_s: float | None) -> None:
-        """Let an agent report that its machine is taken away, or is not."""
+        """Make an agent report that the cloud will reclaim its machine; None ends the notice."""
         self._region.agents[machine].notice_s = remaining_s
 
     def lose_zone_heartbeats(self, zone: str, is_lost: bool) -> None:
-        """Lose all heartbeats of a zone's agents."""
+        """Set whether all heartbeats of a zone's agents are lost."""
         for agent in self._region.agents.values():
             if agent.zone == zone:
                 agent.drops_heartbeats = is_lost
@@ -318,7 +323,7 @@
         await self._faults.mend()
 
     def total_generations(self) -> int:
-        """The sum of all replicas' generations."""
+        """Return the sum of all replicas' generations."""
         rows = self._region.state.keys.values()
         return sum(row[0].get("generation", 0) for row in rows if "phase" in row[0])
 
@@ -329,19 +334,23 @@
     _region: RecordedRecoveryRegion
 
     def copy_state(self) -> dict[str, Any]:
-        """A copy of what the state service holds."""
+        """Return a copy of the state service's keys, without those attached to leases."""
         return self._region.copy_state()
 
     async def restore_state(self, copy: dict[str, Any]) -> None:
-        """Restore the state service from a copy, while no controller runs."""
+        """Restore the state service from a copy; no controller may be running."""
         await self._region.restore_state(copy)
 
     def is_steady(self) -> bool:
-        """Whether every shard's owner has recovered it."""
+        """Return whether each shard has an owner that has finished its recovery."""
         return self._region.is_steady()
 
     async def approve_all(self, controller: str) -> int:
-        """Approve, as an operator, everything that the brake holds back; how many approvals."""
+        """Approve, as an operator, all changes that open circuit breakers hold back.
+
+        Returns:
+            The number of approvals.
+        """
         response = await self._region.request(controller, "GET", RECOVERY_PATH)
         if response.status != 200:
             return 0
@@ -398,7 +407,7 @@
     counts: Counter[str],
     scenario: Callable[[SimulatedRecoveryRegion], Awaitable[None]],
 ) -> None:
-    """Run a scenario in a region with recovery on."""
+    """Run a scenario in a region with recovery enabled."""
     clock = FakeClock()
     region = RecordedRecoveryRegion(
         clock, recovery_settings(brake_least=BRAKE_LEAST, brake_share=BRAKE_SHARE)
@@ -412,7 +421,7 @@
 
 @contextmanager
 def changed_placement() -> Iterator[None]:
-    """Change one decision for the context: the first machine with capacity is passed over."""
+    """Change one decision within the context: placement skips the first machine with capacity."""
 
     def changed_assign(
         spec: JobSpec, tasks: int, capacities: list[FreeCapacity], *rest: Any
--- a/tests/trace_comparison.py
+++ b/tests/trace_comparison.py
@@ -1,4 +1,4 @@
-"""Compares traces and digests, and finds the first difference."""
+"""Comparison of traces and of their digests."""
 
 from collections.abc import Iterator, Sequence
 from itertools import zip_longest
@@ -9,7 +9,10 @@
 
 
 class Difference(NamedTuple):
-    """The first line in which two traces of one controller differ; None where one has ended."""
+    """The first line in which two traces of one controller differ.
+
+    `before` or `after` is None if that trace has ended before this line.
+    """
 
     file: str
     line: int
@@ -17,7 +20,7 @@
     after: str | None
 
     def time(self) -> float:
-        """The earlier of the two lines' times."""
+        """Return the earlier of the two lines' virtual times."""
         return min(
             float(line.partition("\t")[0]) for line in (self.before, self.after) if line is not None
         )
@@ -26,7 +29,7 @@
 def first_differing_line(
     file: str, before: Sequence[str], after: Sequence[str]
 ) -> Difference | None:
-    """The first line in which two traces differ."""
+    """Return the first line in which two traces of one controller differ."""
     for number, (before_line, after_line) in enumerate(zip_longest(before, after), start=1):
         if before_line != after_line:
             return Difference(file, number, before_line, after_line)
@@ -38,7 +41,11 @@
 
 
 def first_difference(before: Path, after: Path) -> Difference | None:
-    """The earliest difference, by virtual time, of the first scenario and seed that differ."""
+    """Return the first difference between two folders of traces.
+
+    Of the first scenario and seed that differ, this is the difference with the earliest virtual
+    time over all controllers.
+    """
     names = sorted({path.name for folder in (before, after) for path in folder.glob("*.txt")})
     differences_by_run: dict[str, list[Difference]] = {}
     for name in names:
@@ -54,7 +61,7 @@
 
 
 def digest_differences(stored: dict[str, Entry], recorded: dict[str, Entry]) -> Iterator[str]:
-    """A sentence for each digest that was recorded and is not the stored one."""
+    """Yield a line for each recorded digest that is not stored or differs from the stored one."""
     for key, entry in recorded.items():
         if key not in stored:
             yield f"{key}: not stored"
--- a/tests/trace_determinism.py
+++ b/tests/trace_determinism.py
@@ -1,4 +1,4 @@
-"""Makes runs of curio's kernel repeat: tasks wake in the order in which they waited."""
+"""Replacements for parts of curio that make the order in which tasks wake deterministic."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -9,7 +9,7 @@
 
 @contextmanager
 def replaced_attribute(owner: Any, name: str, value: Any) -> Iterator[None]:
-    """Replace an attribute for a while."""
+    """Replace an attribute for the duration of the context."""
     before = getattr(owner, name)
     setattr(owner, name, value)
     try:
@@ -19,37 +19,40 @@
 
 
 class InsertionOrderedSet(dict[Any, None]):
-    """Tasks in the order in which they came, in place of curio's sets."""
+    """A set of tasks that keeps insertion order, used instead of curio's sets."""
 
     def add(self, task: Any) -> None:
-        """Let one more task wait."""
+        """Add a task at the end."""
         self[task] = None
 
     def remove(self, task: Any) -> None:
-        """Let a task wait no longer."""
+        """Remove a task."""
         del self[task]
 
     def discard(self, task: Any) -> None:
-        """Let a task wait no longer, if it does."""
+        """Remove a task if it is present."""
         super().pop(task, None)
 
     def pop(self, *_: Any) -> Any:
-        """Take the task that waits longest."""
+        """Remove and return the task that was added first."""
         task = next(iter(self))
         del self[task]
         return task
 
 
 def init_ordered_barrier(barrier: Any) -> None:
-    """Initialise a barrier of curio's so that its tasks wake in the order in which they came.
+    """Initialise a curio barrier so that its tasks wake in the order in which they began to wait.
 
-    Curio keeps them in a set, whose order depends on addresses in memory and differs between runs.
+    Curio keeps them in a set, whose order depends on memory addresses and differs between runs.
     """
     barrier._tasks = InsertionOrderedSet()
 
 
 class OrderedTaskGroup(curio.TaskGroup):  # type: ignore[misc]
-    """A group, made without tasks, that cancels them in the order in which they were spawned."""
+    """A task group that cancels its tasks in the order in which they were spawned.
+
+    It is created without tasks.
+    """
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/trace_faults.py
+++ b/tests/trace_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the behaviour trace, drawn from a seed."""
+"""Random fault injection for the behaviour trace."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -11,14 +11,14 @@
 
 
 class FaultSequence:
-    """Injects every kind of fault once, in a random order and for random durations."""
+    """Injects each kind of fault once, in random order and for random durations."""
 
     def __init__(self, region: SimulatedRegion, rng: random.Random) -> None:
         self.region, self.rng = region, rng
 
     async def run(self) -> None:
-        """Inject the faults, with pauses between them."""
-        kinds: dict[str, Callable[[], Awaitable[None]]] = {
+        """Inject the faults one after the other, with pauses between them."""
+        faults: dict[str, Callable[[], Awaitable[None]]] = {
             "state outage": self._state_outage,
             "controller ends": self._controller_killed,
             "controller frozen": self._controller_frozen,
@@ -35,11 +35,11 @@
             "heartbeats repeated": self._heartbeats_repeated,
             "spot notice": self._spot_notice,
             "cloud outage": self._cloud_outage,
-            "cloud without capacity": self._no_capacity,
+            "cloud without capacity": self._cloud_without_capacity,
         }
-        for name in self.rng.sample(sorted(kinds), len(kinds)):
+        for name in self.rng.sample(sorted(faults), len(faults)):
             self.region.counts[f"fault: {name}"] += 1
-            await kinds[name]()
+            await faults[name]()
             await curio.sleep(self.rng.uniform(0.5, 4.0))
 
     def _random_controller(self) -> str:
@@ -130,5 +130,5 @@
         await self._pause(2.0, 8.0)
         self.region.set_cloud_outage(False)
 
-    async def _no_capacity(self) -> None:
+    async def _cloud_without_capacity(self) -> None:
         self.region.fail_rentals(3)
--- a/tests/trace_messages.py
+++ b/tests/trace_messages.py
@@ -1,4 +1,4 @@
-"""Records the messages of a region's controllers where they are bytes of the protocol."""
+"""Recording of the messages that a simulated region's controllers send and receive, as bytes."""
 
 from collections import Counter
 from collections.abc import Awaitable, Callable
@@ -21,14 +21,12 @@
 from .stepped_controller import SteppedController
 
 SENT, RECEIVED = "sent", "received"
-
-
 NO_RESPONSE, NOT_REACHED = b"no answer", b"not reached"
 
 
 @dataclass
 class Message:
-    """A request that a controller sent or received, and its answer. Status 0 is no answer."""
+    """A request that a controller sent or received, and its response; status 0 if there is none."""
 
     time: float
     direction: str
@@ -42,14 +40,14 @@
 
 
 class Recorder(Protocol):
-    """What messages are given to, in the order of their requests."""
+    """Receives all messages, in the order of their requests."""
 
     def add(self, controller: str, message: Message) -> None:
-        """Take a message; its answer is filled in later."""
+        """Add a message; its response is filled in later."""
 
 
 class MessageLog:
-    """Records a controller's messages with the times of a region's clock."""
+    """Records the controllers' messages with the times of the region's clock."""
 
     def __init__(self, recorder: Recorder, clock: FakeClock, counts: Counter[str]) -> None:
         self.recorder, self.clock, self.counts = recorder, clock, counts
@@ -57,7 +55,7 @@
     def record_request(
         self, controller: str, direction: str, counterpart: str, request: Request
     ) -> Message:
-        """Record a request whose answer is still to come."""
+        """Record a request that has no response yet."""
         method, path, body = request.method, request.path, request.body
         now = self.clock.now()
         message = Message(now, direction, counterpart, method, path, body)
@@ -66,13 +64,13 @@
         return message
 
     def record_response(self, message: Message, status: int, response: bytes) -> None:
-        """Fill in the answer."""
+        """Add the response to a recorded message."""
         message.status, message.response = status, response
         message.responded_at = self.clock.now()
 
 
 class RecordedLink:
-    """A link of a controller, whose requests are recorded."""
+    """A controller's HTTP link that records each request."""
 
     def __init__(self, link: Http, log: MessageLog, controller: str, counterpart: str) -> None:
         self._link, self._log = link, log
@@ -97,7 +95,7 @@
 
 
 class RecordedCloud(CloudService):
-    """The region's cloud as one controller reaches it."""
+    """The region's cloud with one controller's requests recorded."""
 
     def __init__(self, cloud: CloudService, log: MessageLog, controller: str) -> None:
         self._link = RecordedLink(cloud, log, controller, "cloud")
@@ -110,12 +108,12 @@
 
 
 class RecordedRegion(Region):
-    """A region whose controllers' messages are recorded."""
+    """A simulated region that records the messages of its controllers."""
 
     log: MessageLog
 
     def attach_log(self, log: MessageLog) -> None:
-        """Record from now on; called before any controller starts."""
+        """Record messages from now on; call it before any controller starts."""
         self.log = log
         self._shared_cloud = self.cloud
         links = {
@@ -125,13 +123,13 @@
         self.state_links = links  # type: ignore[assignment]
 
     async def start(self, label: str) -> SteppedController:
-        """Start a controller whose requests to the cloud are recorded."""
-        # the region hands its cloud to the controller before anything else can run
+        """Start a controller and record its requests to the cloud."""
+        # `start` passes the region's cloud to the controller before any other task can run
         self.cloud = RecordedCloud(self._shared_cloud, self.log, label)
         return await super().start(label)
 
     def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
-        """Record the new controller's links and handlers before any loop runs."""
+        """Set up recording of the new controller's links and handlers before any loop runs."""
         self.cloud = self._shared_cloud
         loops = super().extra_loops(node)
         label = node.settings.label
@@ -192,10 +190,10 @@
 
 
 class RecordedMultihostRegion(RecordedRegion, MultihostRegion):
-    """A region with multi-machine replicas, recorded."""
+    """A region with multi-machine replicas that records the messages of its controllers."""
 
     def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
-        """Record the new controller's links and handlers before any loop runs."""
+        """Set up recording of the new controller's links and handlers before any loop runs."""
         loops = super().extra_loops(node)
         label = node.settings.label
         self._record_async_handler(self.services[label], "multihost", label)
@@ -203,10 +201,10 @@
 
 
 class RecordedRecoveryRegion(RecordedRegion, RecoveryRegion):
-    """A region with recovery on, recorded."""
+    """A region with recovery enabled that records the messages of its controllers."""
 
     def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
-        """Record the new controller's links and handlers before any loop runs."""
+        """Set up recording of the new controller's links and handlers before any loop runs."""
         loops = super().extra_loops(node)
         label = node.settings.label
         self._record_async_handler(self.apis[label], "recovery operator", label)
@@ -214,7 +212,7 @@
 
 
 class RecordedPeerLink(PeerLink):
-    """The link from one controller to another, whose requests are recorded at the sender."""
+    """The link from one controller to another; records each request as sent by the source."""
 
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
--- a/tests/trace_recorder.py
+++ b/tests/trace_recorder.py
@@ -1,4 +1,4 @@
-"""Keeps the messages of a run as lines of text, and their digests."""
+"""Recorder that keeps the messages of a run as lines of text, and digests of these lines."""
 
 import hashlib
 from collections.abc import Sequence
@@ -15,7 +15,7 @@
 
 
 def message_line(message: Message) -> str:
-    """The message as a line of the trace."""
+    """Return the message as a line of the trace."""
     responded_at = "-" if message.responded_at is None else f"{message.responded_at:.6f}"
     parts = (
         f"{message.time:.6f}",
@@ -38,23 +38,23 @@
         self.messages: dict[str, list[Message]] = {label: [] for label in CONTROLLERS}
 
     def add(self, controller: str, message: Message) -> None:
-        """Take a message; its answer is filled in later."""
+        """Add a message; its response is filled in later."""
         self.messages[controller].append(message)
 
     def lines(self, controller: str) -> list[str]:
-        """The controller's trace."""
+        """Return the lines of the controller's trace."""
         return [message_line(message) for message in self.messages[controller]]
 
 
 class Entry(NamedTuple):
-    """A controller's trace of one scenario and seed, in short."""
+    """The digest and the number of messages of one trace."""
 
     digest: str
     messages: int
 
 
 class TraceKey(NamedTuple):
-    """What a trace is of."""
+    """The run and the controller that a trace belongs to."""
 
     scenario: str
     seed: int
@@ -65,6 +65,6 @@
 
 
 def digest(lines: Sequence[str]) -> str:
-    """The shortened digest of a trace."""
+    """Return the shortened digest of a trace."""
     text = "\n".join(lines).encode()
     return hashlib.sha256(text).hexdigest()[:DIGEST_CHARACTERS]
--- a/tests/trace_scenarios.py
+++ b/tests/trace_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios of the behaviour trace, each played from a seed."""
+"""Scenarios of the behaviour trace; each run is determined by its seed."""
 
 import random
 from collections import Counter
@@ -21,17 +21,9 @@
 from .trace_users import Users
 
 SHARDS = 3
-
-
 SETTLE_S = 30.0
-
-
 APPROVAL_ROUNDS = 30
-
-
 QUICK_JOBS = 8
-
-
 QUICK_SPAN_S = 15.0
 
 
@@ -58,7 +50,7 @@
 
 
 def play_rented(recorder: TraceRecorder, counts: Counter[str], seed: int) -> None:
-    """Run a region whose leader rents machines, with all ordinary faults."""
+    """Run a region whose leader rents machines, with every fault of `FaultSequence`."""
 
     async def scenario(region: SimulatedRegion) -> None:
         await region.start_controllers()
@@ -70,7 +62,7 @@
 
 
 def play_crowded(recorder: TraceRecorder, counts: Counter[str], seed: int) -> None:
-    """Run a region with few machines, so that work of lower priority is preempted."""
+    """Run a region with few machines, so that tasks of lower priority are preempted."""
 
     async def scenario(region: SimulatedRegion) -> None:
         await region.start_controllers()
@@ -81,7 +73,7 @@
 
 
 def play_quick(recorder: TraceRecorder, counts: Counter[str], seed: int) -> None:
-    """Run a short scenario in which one controller ends, for tests of the trace itself."""
+    """Run a short scenario in which one controller is killed, for tests of the trace itself."""
 
     async def scenario(region: SimulatedRegion) -> None:
         await region.start_controllers()
@@ -96,7 +88,10 @@
 
 
 def play_replicas(recorder: TraceRecorder, counts: Counter[str], seed: int) -> None:
-    """Run multi-machine replicas under faults, with spot notices and a set of higher priority."""
+    """Run multi-machine replicas under faults.
+
+    The faults include spot notices and a new replica set of higher priority.
+    """
 
     async def scenario(region: SimulatedMultihostRegion) -> None:
         rng = random.Random(seed)
@@ -147,7 +142,10 @@
 
 
 def play_recovered(recorder: TraceRecorder, counts: Counter[str], seed: int) -> None:
-    """End all controllers together while work goes on, once with the state restored from a copy."""
+    """Kill all controllers twice while users submit jobs.
+
+    After the second time, the state service is restored from an earlier copy.
+    """
 
     async def scenario(region: SimulatedRecoveryRegion) -> None:
         rng = random.Random(seed)
@@ -196,7 +194,7 @@
 
 
 class Scenario(NamedTuple):
-    """A scenario and the seeds from which it is drawn."""
+    """A scenario and the seeds that it runs with."""
 
     play: Callable[[TraceRecorder, Counter[str], int], None]
     seeds: tuple[int, ...]
--- a/tests/trace_users.py
+++ b/tests/trace_users.py
@@ -1,4 +1,4 @@
-"""Users of the behaviour trace: they submit, read and cancel jobs."""
+"""Simulated users for the behaviour trace, who submit, read and cancel jobs."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -9,14 +9,20 @@
 from .trace_adapter import JobRequest, SimulatedRegion
 
 TEAMS = ("red", "blue", "green")
-
-
 MAX_REQUEST_ATTEMPTS = 40
 
 
 @dataclass
 class Users:
-    """Users who submit, read and cancel jobs at random controllers."""
+    """Users who submit, read and cancel random jobs at random controllers.
+
+    Attributes:
+        region: The region that receives the requests.
+        rng: The generator of all random choices.
+        jobs: The number of jobs to submit.
+        span_s: The mean time in seconds within which all jobs are submitted.
+        accepted: The names of the jobs that a controller accepted.
+    """
 
     region: SimulatedRegion
     rng: random.Random
@@ -43,7 +49,7 @@
         )
 
     async def run(self) -> None:
-        """Submit all jobs over the span."""
+        """Submit all jobs, spread over the time span."""
         await curio.spawn(self._poll_jobs, daemon=True)
         for number in range(self.jobs):
             job = self._random_job(number)
@@ -61,17 +67,17 @@
 
     async def _submit_and_cancel(self, job: JobRequest) -> None:
         is_cancelled, delay_s = self.rng.random() < 0.25, self.rng.choice([0.0, 1.0, 4.0, 12.0])
-        if not await self._retry_until_answered(lambda label: self.region.submit(label, job)):
+        if not await self._retry_until_accepted(lambda label: self.region.submit(label, job)):
             return
         self.accepted.append(job.name)
         if is_cancelled:
             await curio.sleep(delay_s)
-            done = await self._retry_until_answered(
+            done = await self._retry_until_accepted(
                 lambda label: self.region.cancel(label, job.name)
             )
             self.region.counts["cancellations answered"] += done
 
-    async def _retry_until_answered(self, send_request: Callable[[str], Awaitable[int]]) -> bool:
+    async def _retry_until_accepted(self, send_request: Callable[[str], Awaitable[int]]) -> bool:
         for _ in range(MAX_REQUEST_ATTEMPTS):
             controllers = self.region.running_controllers()
             if controllers and await send_request(self.rng.choice(controllers)) in (200, 201):
