--- a/tests/measure_multihost.py
+++ b/tests/measure_multihost.py
@@ -2,8 +2,9 @@
 
     python -m tests.measure_multihost [--seeds N] [--out FOLDER]
 
-It needs requirements-measure.txt and is no part of the test command. The baseline is this project's
-ordinary path: every member a task of a service, each replaced by itself.
+It needs the packages in requirements-measure.txt, and the test command does not run it. The
+baseline is an ordinary service in which each member is a task that is replaced independently of
+the others.
 """
 
 import argparse
@@ -33,10 +34,10 @@
 
 IMAGE_LOAD_S = 5.0
 STATE_WRITE_S = 0.5
-GANG_SIZES = (2, 4, 8)
+REPLICA_SIZES = (2, 4, 8)
 POOL_SIZES = (100, 1000, 4000)
 MAX_RECOVERY_S = 120.0
-# a large replica waits in a pool of so many machines, among so many small sets
+# in `measure_waiting`, a large replica waits in a pool of this many machines and small sets
 WAITING_POOL_SIZE = 16
 SMALL_SETS = 8
 MAX_WAITING_S = 600.0
@@ -44,7 +45,22 @@
 
 
 class Sample(NamedTuple):
-    """One failure and what followed, in seconds from it. Steps that did not come are None."""
+    """The recovery from one failure, with times in seconds since the failure.
+
+    A step's time is None if the step was not reached. In the baseline, `noticed_s`, `placed_s` and
+    `ready_s` are always None.
+
+    Attributes:
+        failure: The kind of failure, a key of `FAILURES`.
+        members: The number of the replica's members.
+        seed: The seed of the random choices.
+        last_answer_s: When the front member of the old generation last served; 0 if it did not.
+        noticed_s: When the replica's next generation began.
+        placed_s: When the new generation was placed.
+        ready_s: When the new generation was ready.
+        serving_s: When the replica served again with all its members.
+        wrong_s: How long the front member served while another member was missing.
+    """
 
     failure: str
     members: int
@@ -100,11 +116,11 @@
 
 
 def measure_failure(job: tuple[str, int, int, float]) -> Sample:
-    """Measure one failure of a replica that serves."""
+    """Measure the recovery of a serving replica from one failure."""
     failure, members, seed, load_s = job
     reached_at: dict[str, float | None] = dict.fromkeys(("noticed", "placed", "ready", "serving"))
     last_answer: list[float] = []
-    wrong = [0.0]
+    incomplete_s = [0.0]
 
     async def scenario(region: MultihostRegion) -> None:
         rng = Random(seed)
@@ -112,17 +128,21 @@
         await region.declare("chat", members=members, image_gb=load_s, restart_budget=1000)
         await region.until_serving("chat/0")
         await curio.sleep(rng.uniform(20.0, 23.0))
-        started_at, before = region.clock.now(), region.generation("chat/0")
+        started_at, old_generation = region.clock.now(), region.generation("chat/0")
         await FAILURES[failure](region, rng)
         while region.clock.now() - started_at < MAX_RECOVERY_S and reached_at["serving"] is None:
             elapsed_s, phase = region.clock.now() - started_at, region.phase("chat/0")
-            fronts = region.serving("chat/0")
-            new = [a for a in fronts if a.members["chat/0"].generation > before]
-            old = len(fronts) - len(new)
+            serving_agents = region.serving("chat/0")
+            new = [a for a in serving_agents if a.members["chat/0"].generation > old_generation]
+            old = len(serving_agents) - len(new)
             if old:
                 last_answer[:] = [elapsed_s]
-                wrong[0] += CHECK_INTERVAL_S * (not region.checker.is_complete("chat/0", before))
-            _record_step(reached_at, "noticed", elapsed_s, region.generation("chat/0") > before)
+                incomplete_s[0] += CHECK_INTERVAL_S * (
+                    not region.checker.is_complete("chat/0", old_generation)
+                )
+            _record_step(
+                reached_at, "noticed", elapsed_s, region.generation("chat/0") > old_generation
+            )
             _record_step(
                 reached_at,
                 "placed",
@@ -148,7 +168,7 @@
         reached_at["placed"],
         reached_at["ready"],
         reached_at["serving"],
-        round(wrong[0], 3),
+        round(incomplete_s[0], 3),
     )
 
 
@@ -160,10 +180,11 @@
 
 
 def measure_baseline(job: tuple[str, int, int]) -> Sample:
-    """Measure the same failures of a service whose tasks are the members, on the ordinary path.
+    """Measure the same failures of a service whose tasks stand for the members.
 
-    Its front, task 0, answers whenever it runs itself. Images are there at once, and idle machines
-    are kept all the time, so that there are as many spare ones as in the pool.
+    Task 0 is the front member and serves whenever it runs itself. Images need no time to load.
+    Idle machines are kept for the whole run, so that there are as many spare machines as in the
+    pool of `measure_failure`.
     """
     failure, members, seed = job
     result: list[Sample] = []
@@ -171,33 +192,43 @@
     async def scenario(region: Region) -> None:
         rng = Random(seed)
         await region.begin(machines=2 * members + 4)
-        # one task a machine
+        # the request for processors allows only one task per machine
         await region.submit("node-0", "wk-000001", sacks=members, cpus=20.0, cards=0.0)
         await region.wait_until(lambda: _running_tasks(region) == set(range(members)))
         await curio.sleep(rng.uniform(20.0, 23.0))
-        holders = {
+        workers_by_task = {
             index: worker for worker in region.workers.values() for (_, index) in worker.tasks
         }
-        dying = {
+        failed_tasks = {
             "one member": [rng.randint(1, members - 1)],
             "front member": [0],
             "two in a second": [0, members - 1],
             "all members": list(range(members)),
         }[failure]
         started_at = region.clock.now()
-        for index in dying:
-            holders[index].is_terminated = holders[index].is_frozen = True
-        wrong, last, serving = 0.0, 0.0, None
+        for index in failed_tasks:
+            workers_by_task[index].is_terminated = workers_by_task[index].is_frozen = True
+        incomplete_s, last_answer_s, serving_s = 0.0, 0.0, None
         while region.clock.now() - started_at < MAX_RECOVERY_S:
             elapsed_s, running = region.clock.now() - started_at, _running_tasks(region)
             if running == set(range(members)):
-                serving = elapsed_s
+                serving_s = elapsed_s
                 break
             if 0 in running:
-                wrong, last = wrong + CHECK_INTERVAL_S, elapsed_s
+                incomplete_s, last_answer_s = incomplete_s + CHECK_INTERVAL_S, elapsed_s
             await curio.sleep(CHECK_INTERVAL_S)
         result.append(
-            Sample(failure, members, seed, last, None, None, None, serving, round(wrong, 3))
+            Sample(
+                failure,
+                members,
+                seed,
+                last_answer_s,
+                None,
+                None,
+                None,
+                serving_s,
+                round(incomplete_s, 3),
+            )
         )
 
     long_timeout = property(lambda _: 10 * MAX_RECOVERY_S)
@@ -216,7 +247,7 @@
 
 
 def measure_waiting(idle_ratio: float) -> dict[str, float]:
-    """Measure how long a large replica waits among small ones, and what is idle meanwhile."""
+    """Measure how long a large replica waits among small ones, and the idle share of the pool."""
     result: dict[str, float] = {}
 
     async def scenario(region: MultihostRegion) -> None:
@@ -231,7 +262,7 @@
         await region.declare("large", members=6, image_gb=0.0)
         started_at, idle, sample_count, number = region.clock.now(), 0.0, 0, SMALL_SETS
         while region.clock.now() - started_at < MAX_WAITING_S and not region.serving("large/0"):
-            # a small set ends and another one comes, so that two machines at a time become free
+            # replace one small set by a new one, so that two machines at a time become free
             names = sorted(k[len(keys.SET) :] for k in region.state.keys if keys.SET in k)
             small = [n for n in names if n.startswith("small")]
             await region.operate("DELETE", f"replica-sets/{rng.choice(small)}")
@@ -255,7 +286,7 @@
 
 
 def measure_pool(machines: int) -> dict[str, float]:
-    """Measure the work of a pass and of a heartbeat in a pool of this size."""
+    """Measure the work for one heartbeat and for one idle round in a pool of this size."""
     result: dict[str, float] = {"machines": machines}
 
     async def scenario(
@@ -291,7 +322,7 @@
 
 
 def measure_transactions(members: int) -> dict[str, int]:
-    """Count the transactions of the pool's owner for a start and for a repair, up to serving."""
+    """Count the pool owner's transactions until a replica serves, for a start and for a repair."""
     result: dict[str, int] = {"members": members}
 
     async def scenario(region: MultihostRegion) -> None:
@@ -318,10 +349,10 @@
     """Run all measurements and write the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=20)
-    parser.add_argument("--workers", type=int, default=4, help="processes at once")
+    parser.add_argument("--workers", type=int, default=4, help="number of worker processes")
     parser.add_argument("--out", default="docs/multihost-results")
     args = parser.parse_args()
-    jobs = [(f, n, s) for f in FAILURES for n in GANG_SIZES for s in range(args.seeds)]
+    jobs = [(f, n, s) for f in FAILURES for n in REPLICA_SIZES for s in range(args.seeds)]
     baseline_jobs = [j for j in jobs if j[0] not in ("agent restarts", "all cut off")]
     with ProcessPoolExecutor(args.workers) as pool:
         loaded = list(pool.map(measure_failure, [(*j, IMAGE_LOAD_S) for j in jobs], chunksize=4))
--- a/tests/profile_controller.py
+++ b/tests/profile_controller.py
@@ -1,10 +1,10 @@
-"""Where a controller's processor time and memory go: `python -m tests.profile_controller`.
+"""Profile a controller's processor time and memory: `python -m tests.profile_controller`.
 
-One whole controller over the fake services, at the size given, by phases: the start's reading,
-reports,
-rounds without news, a burst of jobs, and HTTP over loopback. Prints the processor time of each
-phase by part of the program, its costliest functions, and the memory held after the start by file.
-Not a part of the test command's verdict: times differ from machine to machine.
+Runs one whole controller against the fake services, with the given number of machines, in phases:
+startup, reports, scheduling rounds without changes, a burst of jobs, and HTTP over loopback. Prints
+the processor time of each phase by module, the most expensive functions of each phase, and the
+memory in use after startup by file. The test command does not run it, because times differ between
+machines.
 """
 
 import argparse
@@ -36,7 +36,7 @@
 
 
 def _component(filename: str) -> str:
-    """The package or module that a profiled function's time is counted for."""
+    """Return the package or module to which a profiled function's time is attributed."""
     path = Path(filename)
     if path.is_relative_to(ROOT / "crossmill") or path.is_relative_to(ROOT / "tests"):
         return "/".join(path.relative_to(ROOT).with_suffix("").parts[:3])
@@ -48,14 +48,14 @@
     by_component: Counter[str] = Counter()
     for (filename, _, _), (_, _, own_s, _, _) in stats.items():
         by_component[_component(filename)] += own_s
-    print(f"\n{phase}: {1000 * elapsed_s / number:.3f} ms each of {number}")
+    print(f"\n{phase}: {1000 * elapsed_s / number:.3f} ms per run, runs: {number}")
     for component, own_s in by_component.most_common(MAX_ROWS):
         print(f"  {1000 * own_s / number:9.3f} ms  {component}")
     costliest = sorted(stats.items(), key=lambda entry: -entry[1][3])
     for (filename, line, name), (_, calls, _, total_s, _) in costliest[: 2 * MAX_ROWS]:
         if _component(filename).startswith("crossmill"):
-            where = f"{_component(filename)}:{line}:{name}"
-            print(f"    {1000 * total_s / number:9.3f} ms with callees, {calls:7d} calls  {where}")
+            location = f"{_component(filename)}:{line}:{name}"
+            print(f"    {1000 * total_s / number:9.3f} ms cumulative, {calls:7d} calls  {location}")
 
 
 async def _profile_phase(phase: str, run: Callable[[], Awaitable[object]], number: int = 1) -> None:
@@ -70,7 +70,7 @@
 
 def _print_memory() -> None:
     statistics = tracemalloc.take_snapshot().statistics("filename")
-    print(f"\nmemory held: {sum(entry.size for entry in statistics) / 1e6:.1f} MB")
+    print(f"\nmemory in use: {sum(entry.size for entry in statistics) / 1e6:.1f} MB")
     for entry in statistics[:MAX_ROWS]:
         component = _component(entry.traceback[0].filename)
         print(f"  {entry.size / 1e6:9.2f} MB in {entry.count:8d} objects  {component}")
@@ -80,9 +80,9 @@
     async def handler(request: Request) -> Response:
         return Response(200)
 
-    async with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as probe:
-        probe.bind(("127.0.0.1", 0))
-        port = int(probe.getsockname()[1])
+    async with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as port_probe:
+        port_probe.bind(("127.0.0.1", 0))
+        port = int(port_probe.getsockname()[1])
     server = Server(Endpoint("127.0.0.1", port), handler, 8, 60.0, max_cached_heads=8)
     await curio.spawn(server.run, daemon=True)
     await curio.sleep(0.05)
@@ -93,7 +93,7 @@
             await sock.sendall(REQUEST)
             await sock.recv(4096)
 
-        await _profile_phase("http exchange, both ends", exchange, HTTP_REQUESTS)
+        await _profile_phase("HTTP exchange, client and server", exchange, HTTP_REQUESTS)
 
 
 async def _profile_controller(
@@ -105,7 +105,7 @@
 ) -> None:
     full_fleet(state, clock, machines)
     node = SteppedController(state, clock, nodes)
-    await _profile_phase("start: reading and taking shards", node.boot)
+    await _profile_phase("startup (read state, acquire shards)", node.boot)
     seq = 0
 
     async def reports() -> None:
@@ -114,11 +114,11 @@
         report_all(node, machines, seq)
 
     await _profile_phase("reports of all machines", reports, REPEATS)
-    await _profile_phase("round without news", node.round, REPEATS)
+    await _profile_phase("round without changes", node.round, REPEATS)
     for job in range(jobs):
         add_job(state, clock, nameId=f"wk-{job + 100000:06d}", grist="batch")
-    await _profile_phase("watch: jobs of a burst", node.sync)
-    await _profile_phase("round with a burst waiting", node.round, REPEATS)
+    await _profile_phase("watch (jobs of a burst)", node.sync)
+    await _profile_phase("round with a burst of pending jobs", node.round, REPEATS)
 
     async def plan_forecast() -> None:
         node.forecast.plan(0)
@@ -127,10 +127,12 @@
 
 
 def main() -> None:
-    """Profile a controller of the size that the arguments give."""
+    """Profile a controller with the numbers of machines and jobs from the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--machines", type=int, default=304, help="default %(default)s")
-    parser.add_argument("--jobs", type=int, default=200, help="of the burst, default %(default)s")
+    parser.add_argument(
+        "--jobs", type=int, default=200, help="jobs in the burst, default %(default)s"
+    )
     args = parser.parse_args()
 
     async def memory(
@@ -138,7 +140,7 @@
     ) -> None:
         full_fleet(state, clock, args.machines)
         node = SteppedController(state, clock, nodes)
-        # a run by itself: what is traced takes several times as long
+        # memory is measured in a separate run, because tracing makes it several times slower
         tracemalloc.start()
         await node.boot()
         _print_memory()
--- a/tests/report_multihost.py
+++ b/tests/report_multihost.py
@@ -1,4 +1,4 @@
-"""Make plots and an HTML page from the figures of `tests/measure_multihost.py`."""
+"""Plots and HTML page of the figures that `tests/measure_multihost.py` measures."""
 
 from pathlib import Path
 from typing import Any
@@ -8,7 +8,7 @@
 STEPS = ("noticed_s", "placed_s", "ready_s", "serving_s")
 
 
-def _groups(samples: list[dict[str, Any]]) -> dict[tuple[str, int], list[dict[str, Any]]]:
+def _group_samples(samples: list[dict[str, Any]]) -> dict[tuple[str, int], list[dict[str, Any]]]:
     groups: dict[tuple[str, int], list[dict[str, Any]]] = {}
     for sample in samples:
         groups.setdefault((sample["failure"], sample["members"]), []).append(sample)
@@ -19,7 +19,7 @@
     rows = [
         [failure, members, summary_cell(group, "last_answer_s")]
         + [summary_cell(group, step) for step in STEPS]
-        for (failure, members), group in _groups(figures["loaded"]).items()
+        for (failure, members), group in _group_samples(figures["loaded"]).items()
     ]
     return Table(
         title=f"Recovery, weights fetched in {figures['load_s']:g} s",
@@ -34,7 +34,7 @@
 
 
 def _baseline_table(figures: dict[str, Any]) -> Table:
-    warm, baseline = _groups(figures["warm"]), _groups(figures["baseline"])
+    warm, baseline = _group_samples(figures["warm"]), _group_samples(figures["baseline"])
     rows = [
         [
             failure,
@@ -65,7 +65,7 @@
 
 
 def _plot_recovery(figures: dict[str, Any], path: Path) -> None:
-    groups = _groups(figures["loaded"])
+    groups = _group_samples(figures["loaded"])
     failures = list(dict.fromkeys(f for f, _ in groups))
     sizes = sorted({n for _, n in groups})
     with plot(path, len(failures), 14.0) as axes:
@@ -83,15 +83,15 @@
     with plot(path) as axis:
         for name, samples in (("now", figures["warm"]), ("baseline", figures["baseline"])):
             values = sorted(s["wrong_s"] for s in samples)
-            parts = [(i + 1) / len(values) for i in range(len(values))]
-            axis.step(values, parts, where="post", label=name)
+            shares = [(i + 1) / len(values) for i in range(len(values))]
+            axis.step(values, shares, where="post", label=name)
         axis.set_xlabel("seconds of answers while a member was missing")
         axis.set_ylabel("part of the failures")
         axis.legend()
 
 
 def write_report(figures: dict[str, Any], out: Path) -> None:
-    """Write plots and the page beside the figures."""
+    """Write the plots and the page into the folder of the figures."""
     _plot_recovery(figures, out / "recovery.svg")
     _plot_baseline(figures, out / "baseline.svg")
     tables = [
--- a/tests/report_page.py
+++ b/tests/report_page.py
@@ -1,6 +1,6 @@
-"""Summaries, tables, plots and the HTML page of reports on measurements.
+"""Summaries, tables, plots and HTML pages for reports on measurements.
 
-The measuring programs of recovery and multi-machine replicas use it. It needs
+The measurements of recovery and of multi-machine replicas use it. It needs the packages in
 requirements-measure.txt.
 """
 
@@ -38,7 +38,7 @@
 
 
 class Table(NamedTuple):
-    """A table of the page; `plot` is the file of the plot below it, empty if there is none."""
+    """A table of the page; `plot` is the file name of the plot below it, empty if there is none."""
 
     title: str
     text: str
@@ -48,7 +48,7 @@
 
 
 def summary(values: Sequence[float]) -> dict[str, float]:
-    """Returns the median, the 95th percentile and the largest value."""
+    """Return the median, the 95th percentile and the largest value."""
     ordered = sorted(values)
     p95 = ordered[min(len(ordered) - 1, int(P95 * len(ordered)))]
     return {
@@ -59,7 +59,7 @@
 
 
 def summary_cell(samples: Sequence[Mapping[str, Any]], field: str) -> str:
-    """Returns a table's cell with the summary of a field; None in a sample is a missing value."""
+    """Return a table cell with the summary of a field; None in a sample is a missing value."""
     values = [s[field] for s in samples if s[field] is not None]
     if not values:
         return "none"
@@ -70,16 +70,16 @@
 
 
 def plain_table(title: str, text: str, rows: Sequence[Mapping[str, Any]]) -> Table:
-    """Returns a table with a column for each field of the rows."""
+    """Return a table with a column for each field of the rows."""
     heads = list(rows[0])
     return Table(title, text, heads, [[row[h] for h in heads] for row in rows])
 
 
 @contextmanager
 def plot(path: Path, columns: int = 1, width: float = 7.0) -> Iterator[Any]:
-    """Gives the axes of a plot, and writes it to the file afterwards.
+    """Yield the axes of a plot, and write the plot to the file afterwards.
 
-    The same figures give the same file.
+    The file's content depends only on the figures, so that a repeated run writes the same file.
     """
     plt.rcParams["svg.hashsalt"] = "crossmill"
     figure, axes = plt.subplots(1, columns, figsize=(width, 3.6), sharey=True)
@@ -90,6 +90,6 @@
 
 
 def write_page(path: Path, title: str, text: str, module: str, tables: Sequence[Table]) -> None:
-    """Writes the page; `module` is the program that made it."""
+    """Write the page; `module` is the module that was run to make it."""
     template = Environment(autoescape=True).from_string(PAGE)
     path.write_text(template.render(title=title, text=text, module=module, tables=tables))
