--- a/tests/trace_adapter.py
+++ b/tests/trace_adapter.py
@@ -168,7 +168,10 @@
         self._region.cloud.script += ["none"] * rentals
 
     def heal(self) -> None:
-        """End all faults except those of workers and killed controllers."""
+        """End all disconnections, outages, delays, freezes and losses of messages.
+
+        Killed controllers and terminated machines are not restarted.
+        """
         clear_faults(self._region)
         self._region.frozen_until.clear()
         self._region.cloud.down = False
--- a/tests/trace_faults.py
+++ b/tests/trace_faults.py
@@ -37,6 +37,7 @@
             "cloud outage": self._cloud_outage,
             "cloud without capacity": self._cloud_without_capacity,
         }
+        # the sort order of the names decides the order of the faults: a new name changes the trace
         for name in self.rng.sample(sorted(faults), len(faults)):
             self.region.counts[f"fault: {name}"] += 1
             await faults[name]()
