--- a/crossmill/recovery/api.py
+++ b/crossmill/recovery/api.py
@@ -33,7 +33,7 @@
 
     def __init__(self, context: RecoveryContext, service: RecoveryService) -> None:
         self._settings = context.settings
-        self._recovery = context.recovery
+        self._recovery_settings = context.recovery_settings
         self._clock = context.clock
         self._cluster = context.cluster
         self._watcher = context.watcher
@@ -48,12 +48,12 @@
             return await self._approve(request)
         return Response(404, error_body("no such path"))
 
-    async def _is_current(self) -> bool:
+    async def _sync_state(self) -> bool:
         """Reads the state service; False if it does not answer in time."""
         return await self._watcher.sync(self._settings.submission_timeout_s)
 
     async def _show(self) -> Response:
-        if not await self._is_current():
+        if not await self._sync_state():
             return UNAVAILABLE
         breakers = [self._open_breaker(shard) for shard in range(self._settings.shard_count)]
         return Response(
@@ -68,7 +68,7 @@
 
     def _open_breaker(self, shard: int) -> BreakerReport | None:
         """Returns what the shard's breaker holds back; None if it is closed or has no owner."""
-        report = self.service.notes.breaker(shard)
+        report = self.service.breaker_state.breaker_report(shard)
         return report if self._cluster.shard_owners.get(shard) is not None else None
 
     async def _approve(self, request: Request) -> Response:
@@ -76,7 +76,7 @@
             approval = parse_approval(request.body)
         except MalformedMessageError as exc:
             return Response(400, error_body(str(exc)))
-        if not await self._is_current():
+        if not await self._sync_state():
             return UNAVAILABLE
         report = self._open_breaker(approval.shard)
         if report is None or report.digest != approval.digest:
@@ -85,7 +85,7 @@
 
     async def _store_approval(self, approval: Approval, report: BreakerReport) -> Response:
         """Stores an approval of exactly what the operator was shown."""
-        valid_until = self._clock.wall() + self._recovery.approval_s
+        valid_until = self._clock.wall() + self._recovery_settings.approval_s
         stored = StoredApproval(report.token, report.digest, valid_until)
         breaker_key, shard_key = keys.breaker(approval.shard), cluster_keys.shard(approval.shard)
         version = self._cluster.mirror.version
--- a/crossmill/recovery/circuit_breaker.py
+++ b/crossmill/recovery/circuit_breaker.py
@@ -13,7 +13,7 @@
 DIGEST_BYTES = 8
 
 
-class Impact(NamedTuple):
+class ActionCounts(NamedTuple):
     """What a shard's recovery would do and has done, and to how many tasks and machines in all."""
 
     stops: int
@@ -23,11 +23,11 @@
     machines_known: int
 
 
-def is_mass_action(impact: Impact, settings: RecoverySettings) -> bool:
+def is_mass_action(action_counts: ActionCounts, settings: RecoverySettings) -> bool:
     """Whether more than the permitted share of the tasks or of the machines is affected."""
-    affected_tasks = impact.stops + impact.restarts
-    return _exceeds_limit(affected_tasks, impact.tasks_known, settings) or _exceeds_limit(
-        impact.releases, impact.machines_known, settings
+    affected_tasks = action_counts.stops + action_counts.restarts
+    return _exceeds_limit(affected_tasks, action_counts.tasks_known, settings) or _exceeds_limit(
+        action_counts.releases, action_counts.machines_known, settings
     )
 
 
@@ -64,9 +64,9 @@
         self._differences = differences
         self._statistics = statistics
 
-    def impact(self) -> Impact:
+    def action_counts(self) -> ActionCounts:
         """Returns what recovery would do and has done without an approval."""
-        return Impact(
+        return ActionCounts(
             stops=self._differences.count_unapproved(RecoveryAction.STOP),
             restarts=self._differences.count_unapproved(RecoveryAction.START),
             releases=self.releases.unapproved_count,
@@ -77,7 +77,7 @@
     @property
     def is_open(self) -> bool:
         """Whether a mass action is held back until heartbeats or an operator resolve it."""
-        return is_mass_action(self.impact(), self._settings)
+        return is_mass_action(self.action_counts(), self._settings)
 
     def digest(self) -> str:
         """Identifies what is held back while the breaker is open."""
--- a/crossmill/recovery/classification.py
+++ b/crossmill/recovery/classification.py
@@ -1,10 +1,10 @@
 """Classifies the differences between stored state and heartbeats.
 
-The functions are pure and defined for all input. Each task that is stored or reported, and each
-machine that is stored, listed or reported, has
-exactly one class; a class has one rule (docs/recovery.md has the table). The commands themselves
-are derived by the heartbeat handler; the rules only say on what evidence and how soon they may be
-sent.
+The functions are pure and accept any combination of arguments. Each task that is stored or reported
+by a worker has exactly one class, and so has each machine that is stored, listed by the cloud or
+reporting. Each class has one rule (docs/recovery.md has the table). The heartbeat handler derives
+the commands themselves; the rules only define which evidence a command needs and how soon it may
+be sent.
 """
 
 from enum import IntEnum, StrEnum
@@ -12,32 +12,33 @@
 
 
 class JobStatus(StrEnum):
-    """What the stored state says about a task's job."""
+    """The status of a task's job in the stored state."""
 
     ACTIVE = "active"
-    # done or cancelled
+    # the job is done or cancelled
     ENDED = "ended"
     # the job's record is missing
     UNKNOWN = "unknown"
 
 
-class WorkerContact(StrEnum):
-    """What is known about a worker's liveness."""
+class WorkerLiveness(StrEnum):
+    """The known liveness of a worker."""
 
-    # it sent a heartbeat with this owner's token recently
+    # the worker recently sent a heartbeat with this owner's token
     REPORTING = "reporting"
-    # no recent heartbeat; it may be alive, unreachable, or answered by another controller
+    # no recent heartbeat; the worker may be alive but unreachable, or in contact with another
+    # controller
     UNRESPONSIVE = "unresponsive"
-    # its lease is proven to have expired
+    # the worker's lease is proven to have expired
     LEASE_EXPIRED = "lease expired"
 
 
 class StoredAttempt(NamedTuple):
-    """An attempt that a durable plan contains; `is_here` if it is planned onto this machine."""
+    """An attempt that a durable plan contains, for the machine in question or for another one."""
 
     attempt: int
     session: int
-    is_here: bool
+    is_on_this_machine: bool
 
 
 class ReportedAttempt(NamedTuple):
@@ -50,15 +51,15 @@
 class TaskClass(StrEnum):
     """The class of one task on one machine; the values are stored in records and digests."""
 
-    # stored and reported alike
+    # stored, and reported as running with the same attempt
     HEALTHY = "healthy"
     # stored, and reported to have exited
     EXITED = "exited"
-    # its job is done or cancelled, and the task still runs
+    # still running although its job is done or cancelled
     JOB_ENDED = "job-over"
     # stored, but not reported by a worker in the same session
     ABSENT = "absent"
-    # absent, and its job has ended: it can't start any more
+    # absent, and its job has ended, so it is not to be started any more
     NOT_STARTED = "not-started"
     # stored for an earlier session of the worker
     SESSION_ENDED = "session-over"
@@ -66,16 +67,16 @@
     UNRESPONSIVE = "silent"
     # stored, and its worker's lease is proven to have expired
     LEASE_EXPIRED = "lease-over"
-    # reported, and the stored state has no attempt of the task
+    # reported as running, and the stored state has no attempt of the task
     NEVER_STORED = "never-stored"
-    # reported with an attempt lower than the stored one
+    # reported as running with an attempt lower than the stored one
     SUPERSEDED = "superseded"
-    # reported with a higher attempt than the stored one, or stored for another machine: the stored
-    # plan may be outdated
+    # reported as running and not superseded, but the stored attempt is lower, or is for another
+    # machine or session: the stored plan may be outdated
     OTHER_ATTEMPT = "other-attempt"
-    # reported to have exited, and not stored: its outcome is durable
+    # reported to have exited, and not planned: its outcome is already durable
     EXITED_UNPLANNED = "left-over"
-    # stored without a record of its job
+    # stored, but its job has no record
     JOB_UNKNOWN = "job-unknown"
     # neither stored for this machine nor reported by it
     NOT_PRESENT = "nothing"
@@ -88,7 +89,7 @@
     HEALTHY = "healthy"
     # stored and not reporting, whether listed or not
     UNRESPONSIVE = "silent"
-    # stored and reporting, but not listed: the list is behind
+    # stored and reporting, but not listed: the cloud's list is outdated
     UNLISTED = "unlisted"
     # listed or reported, and not stored
     UNKNOWN = "unknown"
@@ -97,14 +98,14 @@
 
 
 class RecoveryAction(StrEnum):
-    """What is done about a difference."""
+    """The action that resolves a difference."""
 
     NONE = "none"
     WAIT = "wait"
     START = "start"
     STOP = "stop"
     FORGET = "forget"
-    # the attempt's end is written; the scheduler places the task again if it has to
+    # the attempt's end is written; the scheduler places the task again if necessary
     RECORD_END = "record end"
     # the machine is marked for return to the cloud
     RETIRE = "retire"
@@ -115,10 +116,10 @@
 
 
 class ActionEvidence(StrEnum):
-    """The evidence that has to exist before an action is taken."""
+    """The evidence that an action requires."""
 
     NONE = "none"
-    # the worker's own heartbeat, with this owner's token
+    # a heartbeat of the worker with this owner's token
     HEARTBEAT = "heartbeat"
     # a read of the state service that was sent after the heartbeat arrived
     FRESH_READ = "fresh read"
@@ -131,33 +132,34 @@
 
 
 class Urgency(IntEnum):
-    """The order in which differences are resolved; the lowest first."""
+    """The order in which differences are resolved, lowest value first."""
 
-    # exempt from rate limits and circuit breaker: cancellations have a deadline, and no two
-    # attempts of a task may run
-    FENCE = 0
+    # exempt from the rate limits and the circuit breaker: cancellations have a deadline, and two
+    # attempts of a task must not run at the same time
+    IMMEDIATE = 0
     RESTORE = 1
     CLEAN_UP = 2
 
 
 class Rule(NamedTuple):
-    """What is done about a class, on what evidence, and how soon.
+    """The action for a class, with the evidence it requires and its urgency.
 
-    `needs_breaker` if the circuit breaker counts it: done to many at once it is a mass action.
+    With `counts_toward_breaker` the circuit breaker counts the action: applied to many tasks or
+    machines, it is a mass action.
     """
 
     action: RecoveryAction
     evidence: ActionEvidence
     urgency: Urgency
-    needs_breaker: bool = False
+    counts_toward_breaker: bool = False
 
 
 TASK_RULES: dict[TaskClass, Rule] = {
     TaskClass.HEALTHY: Rule(RecoveryAction.NONE, ActionEvidence.HEARTBEAT, Urgency.CLEAN_UP),
     TaskClass.EXITED: Rule(RecoveryAction.RECORD_END, ActionEvidence.HEARTBEAT, Urgency.RESTORE),
-    TaskClass.JOB_ENDED: Rule(RecoveryAction.STOP, ActionEvidence.DURABLE_END, Urgency.FENCE),
+    TaskClass.JOB_ENDED: Rule(RecoveryAction.STOP, ActionEvidence.DURABLE_END, Urgency.IMMEDIATE),
     TaskClass.ABSENT: Rule(
-        RecoveryAction.START, ActionEvidence.HEARTBEAT, Urgency.RESTORE, needs_breaker=True
+        RecoveryAction.START, ActionEvidence.HEARTBEAT, Urgency.RESTORE, counts_toward_breaker=True
     ),
     TaskClass.NOT_STARTED: Rule(
         RecoveryAction.RECORD_END, ActionEvidence.HEARTBEAT, Urgency.RESTORE
@@ -170,11 +172,11 @@
         RecoveryAction.RECORD_END, ActionEvidence.LEASE_EXPIRY, Urgency.RESTORE
     ),
     TaskClass.NEVER_STORED: Rule(
-        RecoveryAction.STOP, ActionEvidence.FRESH_READ, Urgency.CLEAN_UP, needs_breaker=True
+        RecoveryAction.STOP, ActionEvidence.FRESH_READ, Urgency.CLEAN_UP, counts_toward_breaker=True
     ),
-    TaskClass.SUPERSEDED: Rule(RecoveryAction.STOP, ActionEvidence.DURABLE_END, Urgency.FENCE),
+    TaskClass.SUPERSEDED: Rule(RecoveryAction.STOP, ActionEvidence.DURABLE_END, Urgency.IMMEDIATE),
     TaskClass.OTHER_ATTEMPT: Rule(
-        RecoveryAction.STOP, ActionEvidence.FRESH_READ, Urgency.CLEAN_UP, needs_breaker=True
+        RecoveryAction.STOP, ActionEvidence.FRESH_READ, Urgency.CLEAN_UP, counts_toward_breaker=True
     ),
     TaskClass.EXITED_UNPLANNED: Rule(
         RecoveryAction.FORGET, ActionEvidence.DURABLE_END, Urgency.CLEAN_UP
@@ -186,7 +188,10 @@
 MACHINE_RULES: dict[MachineClass, Rule] = {
     MachineClass.HEALTHY: Rule(RecoveryAction.NONE, ActionEvidence.HEARTBEAT, Urgency.CLEAN_UP),
     MachineClass.UNRESPONSIVE: Rule(
-        RecoveryAction.RETIRE, ActionEvidence.LEASE_EXPIRY, Urgency.CLEAN_UP, needs_breaker=True
+        RecoveryAction.RETIRE,
+        ActionEvidence.LEASE_EXPIRY,
+        Urgency.CLEAN_UP,
+        counts_toward_breaker=True,
     ),
     MachineClass.UNLISTED: Rule(RecoveryAction.NONE, ActionEvidence.HEARTBEAT, Urgency.CLEAN_UP),
     MachineClass.UNKNOWN: Rule(RecoveryAction.ADOPT, ActionEvidence.CLOUD_LIST, Urgency.RESTORE),
@@ -198,23 +203,23 @@
 
 def classify_task(
     job: JobStatus,
-    contact: WorkerContact,
+    liveness: WorkerLiveness,
     session: int,
     stored: StoredAttempt | None,
     reported: ReportedAttempt | None,
 ) -> TaskClass:
-    """Returns the class of a task on a machine.
+    """Return the class of a task on a machine.
 
     Args:
         job: the status of the task's job
-        contact: the liveness of the machine's worker
+        liveness: the liveness of the machine's worker
         session: the worker's newest session
-        stored: the attempt that a durable plan contains, for this machine or for another
-        reported: the attempt in the worker's newest heartbeat; None if the task is not in it or
-            no heartbeat has arrived
+        stored: the attempt that a durable plan contains, for this machine or for another one
+        reported: the attempt in the worker's newest heartbeat; None if the heartbeat does not
+            contain the task or none has arrived
     """
-    if contact is not WorkerContact.REPORTING:
-        return _classify_without_heartbeat(contact, stored)
+    if liveness is not WorkerLiveness.REPORTING:
+        return _classify_without_heartbeat(liveness, stored)
     if reported is None:
         return _classify_not_reported(job, session, stored)
     is_planned = _is_planned(session, stored, reported)
@@ -226,13 +231,13 @@
 
 
 def _is_planned(session: int, stored: StoredAttempt | None, reported: ReportedAttempt) -> bool:
-    """Whether the reported attempt is the very one that is planned onto this machine."""
-    if stored is None or not stored.is_here:
+    """Return whether exactly the reported attempt is planned for this machine and session."""
+    if stored is None or not stored.is_on_this_machine:
         return False
     return (stored.attempt, stored.session) == (reported.attempt, session)
 
 
-# A plan without its job's record is not changed: nothing says what should happen to its tasks.
+# A plan whose job has no record is not changed: the job's status is not known.
 _CLASS_OF_RUNNING_PLANNED = {
     JobStatus.ACTIVE: TaskClass.HEALTHY,
     JobStatus.ENDED: TaskClass.JOB_ENDED,
@@ -240,16 +245,20 @@
 }
 
 
-def _classify_without_heartbeat(contact: WorkerContact, stored: StoredAttempt | None) -> TaskClass:
-    if stored is None or not stored.is_here:
+def _classify_without_heartbeat(
+    liveness: WorkerLiveness, stored: StoredAttempt | None
+) -> TaskClass:
+    if stored is None or not stored.is_on_this_machine:
         return TaskClass.NOT_PRESENT
     return (
-        TaskClass.UNRESPONSIVE if contact is WorkerContact.UNRESPONSIVE else TaskClass.LEASE_EXPIRED
+        TaskClass.UNRESPONSIVE
+        if liveness is WorkerLiveness.UNRESPONSIVE
+        else TaskClass.LEASE_EXPIRED
     )
 
 
 def _classify_not_reported(job: JobStatus, session: int, stored: StoredAttempt | None) -> TaskClass:
-    if stored is None or not stored.is_here or stored.session > session:
+    if stored is None or not stored.is_on_this_machine or stored.session > session:
         return TaskClass.NOT_PRESENT
     if stored.session < session:
         return TaskClass.SESSION_ENDED
@@ -271,21 +280,21 @@
 
 
 def classify_machine(
-    is_stored: bool, is_listed: bool | None, is_retiring: bool, contact: WorkerContact
+    is_stored: bool, is_in_cloud_list: bool | None, is_retiring: bool, liveness: WorkerLiveness
 ) -> MachineClass:
-    """Returns the class of a machine.
+    """Return the class of a machine.
 
     Args:
         is_stored: whether the machine has a record
-        is_listed: whether the cloud's newest list contains it; None where no list is available,
-            since only the leader reads it
-        is_retiring: whether the machine is marked for return
-        contact: the liveness of the machine's worker
+        is_in_cloud_list: whether the cloud's newest list contains the machine; None if no list is
+            available, since only the leader reads it
+        is_retiring: whether the machine is marked for return to the cloud
+        liveness: the liveness of the machine's worker
     """
     if not is_stored:
         return MachineClass.UNKNOWN
     if is_retiring:
         return MachineClass.RETIRING
-    if contact is not WorkerContact.REPORTING:
+    if liveness is not WorkerLiveness.REPORTING:
         return MachineClass.UNRESPONSIVE
-    return MachineClass.UNLISTED if is_listed is False else MachineClass.HEALTHY
+    return MachineClass.UNLISTED if is_in_cloud_list is False else MachineClass.HEALTHY
--- a/crossmill/recovery/context.py
+++ b/crossmill/recovery/context.py
@@ -14,7 +14,7 @@
     """Settings, clock and access to the stored state, for recovery on one controller."""
 
     settings: Settings
-    recovery: RecoverySettings
+    recovery_settings: RecoverySettings
     clock: Clock
     cluster: ClusterState
     watcher: StateWatcher
--- a/crossmill/recovery/differences.py
+++ b/crossmill/recovery/differences.py
@@ -13,7 +13,7 @@
     Rule,
     StoredAttempt,
     TaskClass,
-    WorkerContact,
+    WorkerLiveness,
     classify_task,
 )
 
@@ -58,14 +58,16 @@
     """Returns the attempt of the task in a durable plan, on this machine or on another."""
     attempt = machine.attempts.get(key)
     if attempt is not None:
-        return StoredAttempt(attempt.number, attempt.session, is_here=True)
+        return StoredAttempt(attempt.number, attempt.session, is_on_this_machine=True)
     job = cluster.jobs.get(key[0])
     if job is None or not job.chunks:
         return None
     chunk = job.chunks.get(cluster.layout.chunk_of(key[1], job.chunks).name)
     attempt = None if chunk is None else chunk.attempts.get(key[1])
     return (
-        None if attempt is None else StoredAttempt(attempt.number, attempt.session, is_here=False)
+        None
+        if attempt is None
+        else StoredAttempt(attempt.number, attempt.session, is_on_this_machine=False)
     )
 
 
@@ -84,7 +86,7 @@
         stored = stored_attempt(cluster, machine, key)
         status = job_status(cluster.jobs.get(key[0]))
         classes[key] = classify_task(
-            status, WorkerContact.REPORTING, view.session, stored, reported
+            status, WorkerLiveness.REPORTING, view.session, stored, reported
         )
     return classes
 
--- a/crossmill/recovery/order_admission.py
+++ b/crossmill/recovery/order_admission.py
@@ -30,13 +30,13 @@
         breaker: CircuitBreaker,
         statistics: RecoveryStatistics,
     ) -> None:
-        settings, clock = context.recovery, context.clock
+        settings, clock = context.recovery_settings, context.clock
         self._phases = phases
         self._differences = differences
         self._breaker = breaker
         self._statistics = statistics
         self._rate_limiter = OrderRateLimiter(clock, settings)
-        self._batches = MachineBatches(clock, settings.first_batch, settings.batch_s)
+        self._batches = MachineBatches(clock, settings.first_batch, settings.batch_timeout_s)
         # when the newest read that showed all durable writes was sent
         self._last_read_sent_at: float | None = None
 
@@ -45,21 +45,21 @@
         """Whether an order needs a read that was sent after the heartbeat it follows from."""
         return self._differences.needs_read(self._last_read_sent_at)
 
-    def note_read(self, sent_at: float) -> None:
+    def set_last_read(self, sent_at: float) -> None:
         """Notes a read, sent at this time, that showed all durable writes."""
         self._last_read_sent_at = sent_at
 
     def advance_batches(self, priority_of: Callable[[str], int]) -> None:
         """Begins the next batch if it is due; `priority_of` gives the priority of a job."""
         if self._batches.is_next_due(set(self._differences.machines())):
-            self._batches.begin_next(self._differences.machines_by_urgency(priority_of))
+            self._batches.start_next(self._differences.machines_by_urgency(priority_of))
 
     def admit(self, difference: Difference, kind: str) -> bool:
         """Decides whether an order of this kind for the difference may be sent, and counts it."""
-        if difference.rule.urgency is not Urgency.FENCE and not self._take_turn(difference):
+        if difference.rule.urgency is not Urgency.IMMEDIATE and not self._try_acquire(difference):
             return False
         self._statistics.orders[kind] += 1
-        self._differences.note_ordered(difference)
+        self._differences.mark_ordered(difference)
         return True
 
     def admit_release(self, machine_id: str) -> bool:
@@ -74,19 +74,19 @@
         self._statistics.orders[RELEASE_ORDER] += 1
         return True
 
-    def _take_turn(self, difference: Difference) -> bool:
+    def _try_acquire(self, difference: Difference) -> bool:
         """Takes tokens of the rate limits if the difference may be resolved now."""
-        return self._is_permitted(difference) and self._rate_limiter.take_for_worker(
+        return self._is_allowed_now(difference) and self._rate_limiter.take_for_worker(
             difference.machine
         )
 
-    def _is_permitted(self, difference: Difference) -> bool:
+    def _is_allowed_now(self, difference: Difference) -> bool:
         """Whether phase, batch, evidence and breaker permit an order for the difference."""
         if self._phases.current not in RESOLVING_PHASES or self._waits_for_batch(difference):
             return False
         if self._lacks_fresh_read(difference):
             return False
-        if difference.rule.needs_breaker and self._breaker.is_open:
+        if difference.rule.counts_toward_breaker and self._breaker.is_open:
             return False
         # The plan may be older than a move of the task: then it has to end where it runs first.
         is_start = difference.task_class is TaskClass.ABSENT
@@ -94,9 +94,9 @@
 
     def _waits_for_batch(self, difference: Difference) -> bool:
         is_batched = difference.rule.urgency is Urgency.CLEAN_UP
-        if not is_batched or self._phases.current is not RecoveryPhase.SETTLING:
+        if not is_batched or self._phases.current is not RecoveryPhase.RESOLVING:
             return False
-        return difference.machine not in self._batches.admitted
+        return difference.machine not in self._batches.current_batch
 
     def _lacks_fresh_read(self, difference: Difference) -> bool:
         if difference.rule.evidence is not ActionEvidence.FRESH_READ:
--- a/crossmill/recovery/pacing.py
+++ b/crossmill/recovery/pacing.py
@@ -49,36 +49,38 @@
         self._initial_size = initial_size
         self._timeout_s = timeout_s
         self._size = initial_size
-        self._begun_at = clock.now()
+        self._started_at = clock.now()
         self._postponed: set[str] = set()
-        self._begun_count = 0
+        self._started_count = 0
         # the machines of the present batch
-        self.admitted: set[str] = set()
+        self.current_batch: set[str] = set()
 
-    def is_next_due(self, differing: Container[str]) -> bool:
+    def is_next_due(self, unresolved_machines: Container[str]) -> bool:
         """Whether the next batch may begin: the present one is resolved or has timed out."""
-        return self._has_timed_out() or not any(machine in differing for machine in self.admitted)
+        return self._has_timed_out() or not any(
+            machine in unresolved_machines for machine in self.current_batch
+        )
 
     def _has_timed_out(self) -> bool:
-        return self._clock.now() - self._begun_at > self._timeout_s
+        return self._clock.now() - self._started_at > self._timeout_s
 
-    def begin_next(self, differing: Sequence[str]) -> None:
+    def start_next(self, unresolved_machines: Sequence[str]) -> None:
         """Begins the next batch with the machines that still differ, the most urgent first."""
-        unresolved = self.admitted & set(differing)
-        if unresolved:
-            self._postponed |= unresolved
+        timed_out = self.current_batch & set(unresolved_machines)
+        if timed_out:
+            self._postponed |= timed_out
             self._size = self._initial_size
-        elif self._begun_count:
+        elif self._started_count:
             self._size *= 2
-        waiting = [machine for machine in differing if machine not in self._postponed]
-        if not waiting:
+        candidates = [machine for machine in unresolved_machines if machine not in self._postponed]
+        if not candidates:
             # only postponed machines are left: they get another turn
             self._postponed.clear()
-            waiting = list(differing)
-        self.admitted = set(waiting[: self._size])
-        if self.admitted:
-            self._begun_count += 1
-            self._begun_at = self._clock.now()
+            candidates = list(unresolved_machines)
+        self.current_batch = set(candidates[: self._size])
+        if self.current_batch:
+            self._started_count += 1
+            self._started_at = self._clock.now()
 
 
 def count_batches(machine_count: int, initial_size: int) -> int:
--- a/crossmill/recovery/phases.py
+++ b/crossmill/recovery/phases.py
@@ -15,7 +15,7 @@
     # the differences are known; the circuit breaker decides whether they may be resolved
     CLASSIFYING = "classifying"
     # differences are resolved, in batches and at a limited rate
-    SETTLING = "settling"
+    RESOLVING = "settling"
     # no differences are left; the scheduler works without restrictions
     STEADY = "steady"
 
@@ -36,9 +36,9 @@
 TRANSITIONS: dict[RecoveryPhase, frozenset[RecoveryPhase]] = {
     RecoveryPhase.LOADING: frozenset({RecoveryPhase.OBSERVING}),
     RecoveryPhase.OBSERVING: frozenset({RecoveryPhase.CLASSIFYING}),
-    RecoveryPhase.CLASSIFYING: frozenset({RecoveryPhase.SETTLING}),
+    RecoveryPhase.CLASSIFYING: frozenset({RecoveryPhase.RESOLVING}),
     # machines that report late may bring so many differences that the breaker trips again
-    RecoveryPhase.SETTLING: frozenset({RecoveryPhase.CLASSIFYING, RecoveryPhase.STEADY}),
+    RecoveryPhase.RESOLVING: frozenset({RecoveryPhase.CLASSIFYING, RecoveryPhase.STEADY}),
     RecoveryPhase.STEADY: frozenset(),
 }
 
@@ -48,7 +48,7 @@
     {RecoveryPhase.LOADING, RecoveryPhase.OBSERVING, RecoveryPhase.CLASSIFYING}
 )
 # In these phases differences are resolved.
-RESOLVING_PHASES = frozenset({RecoveryPhase.SETTLING, RecoveryPhase.STEADY})
+RESOLVING_PHASES = frozenset({RecoveryPhase.RESOLVING, RecoveryPhase.STEADY})
 
 
 def check_transition(old: RecoveryPhase, new: RecoveryPhase) -> None:
--- a/crossmill/recovery/records.py
+++ b/crossmill/recovery/records.py
@@ -33,19 +33,21 @@
 def encode_breaker(recovery: ShardRecovery) -> dict[str, Any]:
     """Returns what the shard's open circuit breaker holds back, as it is stored."""
     breaker = recovery.breaker
-    report = BreakerReport(recovery.shard, recovery.term, breaker.digest(), *breaker.impact())
+    report = BreakerReport(
+        recovery.shard, recovery.term, breaker.digest(), *breaker.action_counts()
+    )
     return report._asdict()
 
 
 def encode_record(
-    recovery: ShardRecovery, controller: str, wall: float, dry_run: bool
+    recovery: ShardRecovery, controller: str, finished_at: float, dry_run: bool
 ) -> dict[str, Any]:
     """Returns the record of a finished recovery, as it is stored.
 
     Args:
         recovery: the finished recovery
         controller: the label of the controller that carried it out
-        wall: the wall clock time in seconds
+        finished_at: the wall clock time in seconds
         dry_run: whether nothing was withheld, and `let_through` counts what would have been
     """
     statistics = recovery.statistics
@@ -53,7 +55,7 @@
         "shard": recovery.shard,
         "token": recovery.term,
         "controller": controller,
-        "at": wall,
+        "at": finished_at,
         "machines": statistics.machines_known,
         "tasks": statistics.tasks_known,
         "phases_s": {
@@ -63,7 +65,7 @@
         "classes": _encode_counts(statistics.task_classes),
         "orders": _encode_counts(statistics.orders),
         "dry_run": dry_run,
-        "let_through": _encode_counts(statistics.withheld_in_dry_run),
+        "let_through": _encode_counts(statistics.admitted_by_dry_run),
     }
 
 
@@ -90,7 +92,7 @@
     return (int, float) if type_ is float else (type_,)
 
 
-class StoredNotes:
+class BreakerStateReader:
     """Reads approvals and open circuit breakers from the mirror of the state service.
 
     A value that a later version of the program wrote is ignored, with one warning per version of
@@ -106,7 +108,7 @@
         """Returns the operator's approval for the shard; None if there is none."""
         return self._read(StoredApproval, keys.approval(shard))
 
-    def breaker(self, shard: int) -> BreakerReport | None:
+    def breaker_report(self, shard: int) -> BreakerReport | None:
         """Returns what the shard's circuit breaker holds back; None if it is closed."""
         return self._read(BreakerReport, keys.breaker(shard))
 
@@ -148,7 +150,7 @@
         else:
             tokens.add(parsed.token)
 
-    def surplus(self, shard: int, kept: int) -> list[str]:
+    def surplus_keys(self, shard: int, kept: int) -> list[str]:
         """Returns the keys of a shard's records other than the newest `kept`."""
         tokens = sorted(self._tokens.get(shard, ()))
         surplus_count = max(0, len(tokens) - kept)
--- a/crossmill/recovery/service.py
+++ b/crossmill/recovery/service.py
@@ -20,7 +20,7 @@
 from ..workers.views import WorkerView
 from . import keys
 from .context import RecoveryContext
-from .records import RecordIndex, StoredNotes, encode_breaker, encode_record
+from .records import BreakerStateReader, RecordIndex, encode_breaker, encode_record
 from .shard_recovery import ShardRecovery
 from .statistics import RELEASE_ORDER
 
@@ -38,21 +38,21 @@
     ) -> None:
         self._context = context
         self._settings = context.settings
-        self._recovery = context.recovery
+        self._recovery_settings = context.recovery_settings
         self._clock = context.clock
         self._mirror = context.cluster.mirror
         self._membership = membership
         self._priority_of = priority_of
-        self._shards: dict[int, ShardRecovery] = {}
+        self._recoveries: dict[int, ShardRecovery] = {}
         # the shards whose record was written
         self._recorded: set[int] = set()
         self.records = RecordIndex(self._mirror)
-        self.notes = StoredNotes(self._mirror)
-        membership.subscribe_lost(self._forget)
+        self.breaker_state = BreakerStateReader(self._mirror)
+        membership.subscribe_lost(self._drop_recovery)
 
-    def _forget(self, shard: int) -> None:
+    def _drop_recovery(self, shard: int) -> None:
         # the next owner starts again from the stored state and the workers' heartbeats
-        if self._shards.pop(shard, None) is not None:
+        if self._recoveries.pop(shard, None) is not None:
             self._recorded.discard(shard)
 
     # -- the gate --------------------------------------------------------------------
@@ -62,12 +62,12 @@
     ) -> list[Command]:
         """Returns the commands that may answer a heartbeat now, the most urgent ones first."""
         recovery = self._recovery_of(machine.shard, ownership)
-        recovery.note_heartbeat(machine, view)
+        recovery.handle_heartbeat(machine, view)
         if not commands:
             return commands
         admitted = [command for command in commands if recovery.admit(machine, command)]
-        if self._recovery.dry_run:
-            recovery.statistics.note_withheld_in_dry_run(
+        if self._recovery_settings.dry_run:
+            recovery.statistics.count_dry_run_admissions(
                 command.op.value for command in commands if command not in admitted
             )
             return commands
@@ -76,30 +76,30 @@
 
     def may_place(self, shard: int) -> bool:
         """Whether waiting tasks of the shard may be placed."""
-        recovery = self._shards.get(shard)
-        return recovery is None or recovery.may_place or self._recovery.dry_run
+        recovery = self._recoveries.get(shard)
+        return recovery is None or recovery.may_place or self._recovery_settings.dry_run
 
     def is_claimed(self, job: str, index: int) -> bool:
         """Whether a worker runs the task although no plan contains it."""
-        if self._recovery.dry_run:
+        if self._recovery_settings.dry_run:
             return False
-        return any(r.is_running_unplanned((job, index)) for r in self._shards.values())
+        return any(r.is_running_unplanned((job, index)) for r in self._recoveries.values())
 
     def may_give_up(self, machine: Machine, why: str) -> bool:  # noqa: ARG002 (the gate's interface)
         """Whether the machine may be marked for return to the cloud."""
-        recovery = self._shards.get(machine.shard)
+        recovery = self._recoveries.get(machine.shard)
         if recovery is None or recovery.admit_release(machine):
             return True
-        if self._recovery.dry_run:
-            recovery.statistics.note_withheld_in_dry_run([RELEASE_ORDER])
-        return self._recovery.dry_run
+        if self._recovery_settings.dry_run:
+            recovery.statistics.count_dry_run_admissions([RELEASE_ORDER])
+        return self._recovery_settings.dry_run
 
     def _recovery_of(self, shard: int, ownership: ShardOwnership) -> ShardRecovery:
         """Returns the shard's recovery; begins it if the ownership is new."""
-        recovery = self._shards.get(shard)
+        recovery = self._recoveries.get(shard)
         if recovery is None or recovery.term != ownership.term:
             recovery = ShardRecovery(shard, ownership, self._context, self._priority_of)
-            self._shards[shard] = recovery
+            self._recoveries[shard] = recovery
             self._recorded.discard(shard)
             recovery.advance(ownership)
         return recovery
@@ -115,8 +115,8 @@
         while True:
             await self.step()
             pause_s = (
-                self._recovery.read_s
-                if self.recoveries()
+                self._recovery_settings.step_interval_s
+                if self.active_recoveries()
                 else self._settings.lease_renewal_interval_s
             )
             await curio.sleep(pause_s)
@@ -136,22 +136,22 @@
         if recovery.admission.needs_read:
             sent_at = self._clock.now()
             if await self._context.watcher.sync(self._settings.lease_renewal_interval_s):
-                recovery.admission.note_read(sent_at)
+                recovery.admission.set_last_read(sent_at)
         self._apply_approval(recovery)
         await self._store_breaker(recovery, ownership)
-        if recovery.is_settled and recovery.shard not in self._recorded:
+        if recovery.has_reached_steady_phase and recovery.shard not in self._recorded:
             self._recorded.add(recovery.shard)
             await self._write_record(recovery, ownership)
 
     def _apply_approval(self, recovery: ShardRecovery) -> None:
-        if not recovery.breaker.is_open or self._recovery.dry_run:
+        if not recovery.breaker.is_open or self._recovery_settings.dry_run:
             return
         if self._is_approved(recovery):
             recovery.approve()
 
     def _is_approved(self, recovery: ShardRecovery) -> bool:
         """Whether a valid approval covers exactly what is held back under this ownership."""
-        approval = self.notes.approval(recovery.shard)
+        approval = self.breaker_state.approval(recovery.shard)
         if approval is None or approval.token != recovery.term:
             return False
         return approval.digest == recovery.breaker.digest() and self._clock.wall() < approval.until
@@ -161,11 +161,11 @@
         shard = recovery.shard
         key = keys.breaker(shard)
         stored = self._mirror.value(key)
-        is_open = recovery.breaker.is_open and not self._recovery.dry_run
+        is_open = recovery.breaker.is_open and not self._recovery_settings.dry_run
         present = encode_breaker(recovery) if is_open else None
         # warns if another version wrote the stored value
-        self.notes.breaker(shard)
-        if stored == present or (present is None and self.notes.is_unreadable(key)):
+        self.breaker_state.breaker_report(shard)
+        if stored == present or (present is None and self.breaker_state.is_unreadable(key)):
             return
         conditions = {key: self._mirror.version(key)}
         if present is None:
@@ -185,7 +185,7 @@
             recovery.shard,
             ownership.term,
             stored["digest"],
-            *recovery.breaker.impact(),
+            *recovery.breaker.action_counts(),
         )
 
     def _stored_approval_keys(self, shard: int) -> list[str]:
@@ -194,22 +194,22 @@
 
     async def _write_record(self, recovery: ShardRecovery, ownership: ShardOwnership) -> None:
         """Writes the record of a finished recovery and deletes surplus ones."""
-        shard, dry_run = recovery.shard, self._recovery.dry_run
+        shard, dry_run = recovery.shard, self._recovery_settings.dry_run
         record = encode_record(recovery, self._settings.label, self._clock.wall(), dry_run)
         log.info(
             "recovery finished shard=%d token=%d after_s=%.2f machines=%d tasks=%d orders=%d "
             "dry_run=%s let_through=%d",
             shard,
             ownership.term,
-            self._clock.now() - recovery.begun_at,
+            self._clock.now() - recovery.started_at,
             recovery.statistics.machines_known,
             recovery.statistics.tasks_known,
             recovery.statistics.orders.total(),
             dry_run,
-            recovery.statistics.withheld_in_dry_run.total(),
+            recovery.statistics.admitted_by_dry_run.total(),
         )
-        surplus = self.records.surplus(shard, self._recovery.kept_records - 1)
-        txn = Txn({}, [Put(keys.record(shard, ownership.term), record)], surplus)
+        surplus_keys = self.records.surplus_keys(shard, self._recovery_settings.kept_records - 1)
+        txn = Txn({}, [Put(keys.record(shard, ownership.term), record)], surplus_keys)
         await self._commit(shard, ownership, txn)
 
     async def _commit(self, shard: int, ownership: ShardOwnership, txn: Txn) -> None:
@@ -225,19 +225,19 @@
     def is_steady(self, shard: int) -> bool:
         """Whether this controller acts for the shard and its recovery has ended."""
         ownership = self._membership.active_ownership(shard)
-        recovery = self._shards.get(shard)
+        recovery = self._recoveries.get(shard)
         if ownership is None or recovery is None or recovery.term != ownership.term:
             return False
         return recovery.has_ended and shard in self._recorded
 
-    def recoveries(self) -> list[ShardRecovery]:
+    def active_recoveries(self) -> list[ShardRecovery]:
         """Returns the recoveries in progress."""
-        return [recovery for recovery in self._shards.values() if not recovery.has_ended]
+        return [recovery for recovery in self._recoveries.values() if not recovery.has_ended]
 
     def phases(self) -> list[PhaseReport]:
         """Returns the phases of the recoveries in progress, by shard, for operators."""
-        dry_run = self._recovery.dry_run
+        dry_run = self._recovery_settings.dry_run
         return [
             PhaseReport(r.shard, r.term, str(r.phase), r.waits_for(), r.breaker.is_open, dry_run)
-            for r in sorted(self.recoveries(), key=lambda recovery: recovery.shard)
+            for r in sorted(self.active_recoveries(), key=lambda recovery: recovery.shard)
         ]
--- a/crossmill/recovery/settings.py
+++ b/crossmill/recovery/settings.py
@@ -43,7 +43,7 @@
     kept_records: int
     # whether nothing is withheld, and what would have been is only counted
     dry_run: bool
-    nodes: int
+    controller_count: int
     heartbeat_interval_s: float
     worker_lease_s: float
 
@@ -54,7 +54,7 @@
         The share belongs to the shard, which has one owner at a time. So the shares never add up to
         more than the region's rate, however many controllers end or return.
         """
-        return self.orders_per_s / self.nodes
+        return self.orders_per_s / self.controller_count
 
     @property
     def shard_burst(self) -> float:
@@ -72,12 +72,12 @@
         return self.observe_reports * self.heartbeat_interval_s
 
     @property
-    def batch_s(self) -> float:
+    def batch_timeout_s(self) -> float:
         """Seconds after which a batch that is not resolved is postponed."""
         return self.worker_lease_s
 
     @property
-    def read_s(self) -> float:
+    def step_interval_s(self) -> float:
         """Seconds between steps of a recovery, and so between reads of the state service."""
         return self.heartbeat_interval_s / 2
 
@@ -101,7 +101,7 @@
         approval_s=table.number("approval_s", 1, 60 * settings.worker_lease_s),
         kept_records=int(table.number("kept_records", 1, 8.0)),
         dry_run=table.flag("dry_run", False),
-        nodes=settings.controller_count,
+        controller_count=settings.controller_count,
         heartbeat_interval_s=settings.heartbeat_interval_s,
         worker_lease_s=settings.worker_lease_s,
     )
--- a/crossmill/recovery/shard_recovery.py
+++ b/crossmill/recovery/shard_recovery.py
@@ -17,7 +17,7 @@
     MACHINE_RULES,
     MachineClass,
     TaskClass,
-    WorkerContact,
+    WorkerLiveness,
     classify_machine,
 )
 from .context import RecoveryContext
@@ -45,10 +45,10 @@
         context: RecoveryContext,
         priority_of: Callable[[str], int],
     ) -> None:
-        settings, clock = context.recovery, context.clock
+        settings, clock = context.recovery_settings, context.clock
         self.shard = shard
         self.term = ownership.term
-        self.begun_at = clock.now()
+        self.started_at = clock.now()
         self.statistics = RecoveryStatistics()
         self._settings = settings
         self._clock = clock
@@ -78,14 +78,16 @@
         return self._phases.durations_s
 
     @property
-    def is_settled(self) -> bool:
+    def has_reached_steady_phase(self) -> bool:
         """Whether the last phase is reached: machines that have reported are not waited for."""
         return self.phase is RecoveryPhase.STEADY
 
     @property
     def has_ended(self) -> bool:
         """Whether nothing is left to do: all machines have reported or are gone, none differs."""
-        return self.is_settled and not self._not_reported and not self._differences.count
+        return (
+            self.has_reached_steady_phase and not self._not_reported and not self._differences.count
+        )
 
     @property
     def may_place(self) -> bool:
@@ -104,7 +106,7 @@
             return f"reports of {len(self._not_reported)} machines"
         if self.breaker.is_open:
             return "reports that resolve it, or an approval"
-        if self.phase is RecoveryPhase.SETTLING:
+        if self.phase is RecoveryPhase.RESOLVING:
             return f"{self._differences.count} differences to be settled"
         return f"{len(self._not_reported)} silent machines" if self._not_reported else "nothing"
 
@@ -117,16 +119,16 @@
 
     def advance(self, ownership: ShardOwnership) -> None:
         """Enters each next phase whose conditions are met."""
-        self._forget_departed_machines()
+        self._drop_departed_machines()
         if self.phase is RecoveryPhase.LOADING and ownership.ready:
             self._start_observing()
         if self.phase is RecoveryPhase.OBSERVING and self._is_observing_finished():
             self._enter(RecoveryPhase.CLASSIFYING)
             self._count_machines()
         if self.phase is RecoveryPhase.CLASSIFYING and not self.breaker.is_open:
-            self._enter(RecoveryPhase.SETTLING)
+            self._enter(RecoveryPhase.RESOLVING)
             self._resolving_timeout_s = self._estimate_resolving_s()
-        if self.phase is RecoveryPhase.SETTLING:
+        if self.phase is RecoveryPhase.RESOLVING:
             self._advance_resolving()
 
     def _enter(self, phase: RecoveryPhase) -> None:
@@ -162,8 +164,8 @@
 
     def _class_of(self, machine: Machine) -> MachineClass:
         has_reported = machine.id in self._reported
-        contact = WorkerContact.REPORTING if has_reported else WorkerContact.UNRESPONSIVE
-        return classify_machine(True, None, bool(machine.retiring), contact)
+        liveness = WorkerLiveness.REPORTING if has_reported else WorkerLiveness.UNRESPONSIVE
+        return classify_machine(True, None, bool(machine.retiring), liveness)
 
     def _advance_resolving(self) -> None:
         if self.breaker.is_open:
@@ -183,12 +185,14 @@
         batches = count_batches(len(machines), self._settings.first_batch)
         by_shard_rate_s = self._differences.count / self._settings.shard_orders_per_s
         by_worker_rate_s = largest / self._settings.worker_orders_per_s
-        return max(by_shard_rate_s, by_worker_rate_s) + (batches + 1) * self._settings.batch_s
+        return (
+            max(by_shard_rate_s, by_worker_rate_s) + (batches + 1) * self._settings.batch_timeout_s
+        )
 
-    def _forget_departed_machines(self) -> None:
+    def _drop_departed_machines(self) -> None:
         self._reported &= self._cluster.machines.keys()
-        watched = (*self._not_reported, *self._differences.machines())
-        for machine_id in [m for m in watched if self._has_departed(m)]:
+        tracked = (*self._not_reported, *self._differences.machines())
+        for machine_id in [m for m in tracked if self._has_departed(m)]:
             self._not_reported.discard(machine_id)
             self._differences.drop_machine(machine_id)
 
@@ -198,19 +202,19 @@
 
     # -- heartbeats and orders -------------------------------------------------------
 
-    def note_heartbeat(self, machine: Machine, view: WorkerView) -> None:
+    def handle_heartbeat(self, machine: Machine, view: WorkerView) -> None:
         """Takes in a heartbeat with this owner's token.
 
         A machine's first heartbeat shows what differs, a later one what still does.
         """
         if machine.id not in self._reported:
-            self._note_first_heartbeat(machine, view)
+            self._handle_first_heartbeat(machine, view)
         elif self._differences.of_machine(machine.id):
             classes = classify_machine_tasks(self._cluster, machine, view)
             found = find_differences(machine, view, classes)
             self._differences.update(machine.id, found, self._clock.now())
 
-    def _note_first_heartbeat(self, machine: Machine, view: WorkerView) -> None:
+    def _handle_first_heartbeat(self, machine: Machine, view: WorkerView) -> None:
         self._reported.add(machine.id)
         self._not_reported.discard(machine.id)
         classes = classify_machine_tasks(self._cluster, machine, view)
@@ -235,6 +239,6 @@
             return True
         if self.phase not in RESOLVING_PHASES:
             return False
-        if not MACHINE_RULES[self._class_of(machine)].needs_breaker:
+        if not MACHINE_RULES[self._class_of(machine)].counts_toward_breaker:
             return True
         return self.admission.admit_release(machine.id)
--- a/crossmill/recovery/statistics.py
+++ b/crossmill/recovery/statistics.py
@@ -13,12 +13,12 @@
     """What a shard's recovery found and did."""
 
     __slots__ = (
+        "admitted_by_dry_run",
         "machine_classes",
         "machines_known",
         "orders",
         "task_classes",
         "tasks_known",
-        "withheld_in_dry_run",
     )
 
     def __init__(self) -> None:
@@ -27,10 +27,10 @@
         # orders sent, by kind
         self.orders: Counter[str] = Counter()
         # orders that were sent in a dry run and would otherwise have been withheld, by kind
-        self.withheld_in_dry_run: Counter[str] = Counter()
+        self.admitted_by_dry_run: Counter[str] = Counter()
         self.machines_known = 0
         self.tasks_known = 0
 
-    def note_withheld_in_dry_run(self, kinds: Iterable[str]) -> None:
+    def count_dry_run_admissions(self, kinds: Iterable[str]) -> None:
         """Counts orders that were sent in a dry run and would otherwise have been withheld."""
-        self.withheld_in_dry_run.update(kinds)
+        self.admitted_by_dry_run.update(kinds)
--- a/crossmill/recovery/unresolved_differences.py
+++ b/crossmill/recovery/unresolved_differences.py
@@ -87,7 +87,7 @@
             self._running_unplanned[difference.key] += 1
         if difference.rule.evidence is ActionEvidence.FRESH_READ:
             self._reported_at[attempt] = now
-        if difference.rule.needs_breaker:
+        if difference.rule.counts_toward_breaker:
             self._counted.add(difference)
             self._actions[difference.rule.action] += 1
 
@@ -131,7 +131,7 @@
 
     # -- the circuit breaker ---------------------------------------------------------
 
-    def note_ordered(self, difference: Difference) -> None:
+    def mark_ordered(self, difference: Difference) -> None:
         """Notes that an order was sent, so that the breaker keeps counting the difference."""
         self._ordered.add(difference)
 
--- a/tests/measure_recovery.py
+++ b/tests/measure_recovery.py
@@ -25,8 +25,8 @@
 
 from .recovery_region import (
     RecoveryRegion,
+    add_unplanned_task,
     disconnect,
-    give_unplanned,
     recovery_settings,
     simulate_recovery,
 )
@@ -83,8 +83,10 @@
     team_of = {shard: team for team, shard in region.nodes["node-0"].settings.team_shards.items()}
     number = 0
     for shard, team in sorted(team_of.items()):
-        mine = [w for w in region.workers.values() if w.number % len(region.LABELS) == shard]
-        slots = mine * TASKS_PER_WORKER
+        shard_workers = [
+            w for w in region.workers.values() if w.number % len(region.LABELS) == shard
+        ]
+        slots = shard_workers * TASKS_PER_WORKER
         for first in range(0, len(slots), TASKS_PER_JOB):
             _put_job(region, f"wk-{number:06d}", team, slots[first : first + TASKS_PER_JOB])
             number += 1
@@ -109,20 +111,20 @@
     region.state.put(keys.job(job), orjson.loads(orjson.dumps(record)))
 
 
-def _inject_differences(region: RecoveryRegion, scenario: str, draw: Random) -> set[str]:
+def _inject_differences(region: RecoveryRegion, scenario: str, rng: Random) -> set[str]:
     """Makes state and workers differ, and returns the affected machines."""
     workers = list(region.workers.values())
     if scenario == "differing":
-        affected = draw.sample(workers, max(2, int(2 * AFFECTED_SHARE * len(workers))))
+        affected = rng.sample(workers, max(2, int(2 * AFFECTED_SHARE * len(workers))))
         for number, worker in enumerate(affected):
             if number % 2:
                 disconnect([worker])
             else:
-                give_unplanned(worker, "wk-000000", 500 + number, 9)
+                add_unplanned_task(worker, "wk-000000", 500 + number, 9)
         return {worker.machine for worker in affected}
     if scenario == "older":
         jobs = sorted(region.checker.jobs)
-        lost = set(draw.sample(jobs, int(LOST_SHARE * len(jobs))))
+        lost = set(rng.sample(jobs, int(LOST_SHARE * len(jobs))))
         for name in list(region.state.keys):
             if name.startswith((keys.JOB, keys.PLAN)) and name.split("/")[2] in lost:
                 region.state.delete(name)
@@ -135,18 +137,18 @@
     results: list[Sample] = []
 
     async def scenario(region: RecoveryRegion) -> None:
-        draw = Random(f"{case.scenario}/{case.workers}/{case.seed}")
+        rng = Random(f"{case.scenario}/{case.workers}/{case.seed}")
         await _fill(region, case.workers)
-        await curio.sleep(draw.random())
+        await curio.sleep(rng.random())
         tasks = sum(len(worker.tasks) for worker in region.workers.values())
         region.clear_orders()
         await region.kill_all()
-        affected = _inject_differences(region, case.scenario, draw)
+        affected = _inject_differences(region, case.scenario, rng)
         unplanned = sum(len(w.tasks) for w in region.workers.values()) - tasks
-        ended_at, outage_s = region.clock.now(), draw.uniform(0.5, 3.5)
+        ended_at, outage_s = region.clock.now(), rng.uniform(0.5, 3.5)
         calls, puts = len(region.state.calls), region.state.puts
         await curio.sleep(outage_s)
-        await region.start_all(draw.uniform(0.0, 0.5))
+        await region.start_all(rng.uniform(0.0, 0.5))
         times = await _measure_times(region, ended_at)
         orders = [(at, o["verb"]) for w in region.workers.values() for at, _, o in w.orders]
         seconds = Counter(int(at) for at, _ in orders)
@@ -185,15 +187,15 @@
     job = min(region.checker.jobs)
     while region.clock.now() - ended_at < OBSERVED_S:
         await curio.sleep(POLL_INTERVAL_S)
-        passed_s = round(region.clock.now() - ended_at, 2)
+        elapsed_s = round(region.clock.now() - ended_at, 2)
         connected = [w for w in region.workers.values() if not w.heartbeats_lost]
         answered = sum(worker.lease_renewed_at > ended_at + POLL_INTERVAL_S for worker in connected)
         if first_worker is None and answered:
-            first_worker = passed_s
+            first_worker = elapsed_s
         if all_workers is None and answered == len(connected):
-            all_workers = passed_s
+            all_workers = elapsed_s
         if first_user is None and await region.show("node-0", job) == OK:
-            first_user = passed_s
+            first_user = elapsed_s
     return AnswerTimes(first_worker, all_workers, first_user)
 
 
@@ -222,8 +224,8 @@
         mean = ", ".join(f"{verb} {number / len(group):.1f}" for verb, number in verbs.items())
         cells = [spread(group, field) for field in (*TIMES, *COUNTS)]
         rows.append([workers, "yes" if with_recovery else "no", len(group), mean or "0", *cells])
-    heads = ["workers", "recovery", "seeds", "orders (mean)", *TIMES, *COUNTS]
-    return Table(scenario, "Median / 95th percentile / largest.", heads, rows, f"{scenario}.svg")
+    headings = ["workers", "recovery", "seeds", "orders (mean)", *TIMES, *COUNTS]
+    return Table(scenario, "Median / 95th percentile / largest.", headings, rows, f"{scenario}.svg")
 
 
 def _plot(samples: list[dict[str, Any]], scenario: str, path: Path) -> None:
--- a/tests/recovery_region.py
+++ b/tests/recovery_region.py
@@ -84,7 +84,7 @@
             zone = ("north", "south")[number % 2]
             await self.add_worker(f"n-{number:03d}", zone, number % 3)
 
-    async def begin_busy(
+    async def begin_with_load(
         self, workers: int = FEW_WORKERS, services: int = FEW_SERVICES
     ) -> list[str]:
         """Starts a region that runs services, spread services and long arrays.
@@ -132,18 +132,18 @@
         for label in list(self.nodes):
             await self.kill(label)
 
-    async def start_all(self, apart_s: float = 0.0) -> None:
+    async def start_all(self, start_interval_s: float = 0.0) -> None:
         """Starts the controllers that do not run, one after another."""
         for label in self.LABELS:
             if label not in self.nodes:
                 await self.start(label)
-                await curio.sleep(apart_s)
+                await curio.sleep(start_interval_s)
 
-    async def restart_all(self, outage_s: float, apart_s: float = 0.0) -> None:
+    async def restart_all(self, outage_s: float, start_interval_s: float = 0.0) -> None:
         """Ends all controllers and starts them again."""
         await self.kill_all()
         await curio.sleep(outage_s)
-        await self.start_all(apart_s)
+        await self.start_all(start_interval_s)
 
     def copy_state(self) -> dict[str, Any]:
         """Copies the keys of the state service, apart from those attached to leases."""
@@ -194,13 +194,13 @@
             if key[0] == job
         )
 
-    def recoveries(self) -> list[ShardRecovery]:
+    def active_recoveries(self) -> list[ShardRecovery]:
         """Returns the recoveries in progress on running controllers."""
         return [
             recovery
             for label, service in self.services.items()
             if label in self.nodes
-            for recovery in service.recoveries()
+            for recovery in service.active_recoveries()
         ]
 
     def is_steady(self) -> bool:
@@ -262,12 +262,12 @@
     return [span for span in spans if span.orders > span.allowed + RATE_TOLERANCE]
 
 
-def give_unplanned(worker: Worker, job: str, index: int, attempt: int) -> None:
+def add_unplanned_task(worker: Worker, job: str, index: int, attempt: int) -> None:
     """Makes a worker run a task that no plan contains."""
     worker.tasks[job, index] = Task(attempt, "running", worker.region.clock.now())
 
 
-def is_unplanned(report_violation: str) -> bool:
+def is_unplanned_task_violation(report_violation: str) -> bool:
     """Whether a violation is about tasks that a test gave to workers without a plan."""
     return " orphaned " in report_violation and report_violation.endswith(": in no plan")
 
--- a/tests/test_recovery_classification.py
+++ b/tests/test_recovery_classification.py
@@ -17,7 +17,7 @@
     ReportedAttempt,
     StoredAttempt,
     TaskClass,
-    WorkerContact,
+    WorkerLiveness,
     classify_machine,
     classify_task,
 )
@@ -29,9 +29,9 @@
 from .fake_state_service import StateService
 from .stepped_controller import RECORD_BYTES, SteppedController, add_job, run_scenario, seed
 
-REPORTING = WorkerContact.REPORTING
-UNRESPONSIVE = WorkerContact.UNRESPONSIVE
-EXPIRED = WorkerContact.LEASE_EXPIRED
+REPORTING = WorkerLiveness.REPORTING
+UNRESPONSIVE = WorkerLiveness.UNRESPONSIVE
+EXPIRED = WorkerLiveness.LEASE_EXPIRED
 ACTIVE, ENDED, UNKNOWN = JobStatus.ACTIVE, JobStatus.ENDED, JobStatus.UNKNOWN
 NONE, WAIT, START, STOP, FORGET, RECORD_END = (
     RecoveryAction.NONE,
@@ -49,15 +49,15 @@
     """A task on a machine, its expected class and the action of that class."""
 
     job: JobStatus
-    contact: WorkerContact
+    liveness: WorkerLiveness
     stored: StoredAttempt | None
     reported: ReportedAttempt | None
     task_class: TaskClass
     action: RecoveryAction
 
 
-def _here(attempt: int = 1, session: int = SESSION) -> StoredAttempt:
-    return StoredAttempt(attempt, session, is_here=True)
+def _planned_here(attempt: int = 1, session: int = SESSION) -> StoredAttempt:
+    return StoredAttempt(attempt, session, is_on_this_machine=True)
 
 
 def _running(attempt: int = 1) -> ReportedAttempt:
@@ -68,37 +68,41 @@
     return ReportedAttempt(attempt, has_exited=True)
 
 
-ELSEWHERE = StoredAttempt(2, SESSION, is_here=False)
+ELSEWHERE = StoredAttempt(2, SESSION, is_on_this_machine=False)
 
 TASK_TABLE: list[TaskCase] = [
-    TaskCase(ACTIVE, REPORTING, _here(), _running(), TaskClass.HEALTHY, NONE),
-    TaskCase(ACTIVE, REPORTING, _here(), _exited(), TaskClass.EXITED, RECORD_END),
-    TaskCase(ENDED, REPORTING, _here(), _running(), TaskClass.JOB_ENDED, STOP),
+    TaskCase(ACTIVE, REPORTING, _planned_here(), _running(), TaskClass.HEALTHY, NONE),
+    TaskCase(ACTIVE, REPORTING, _planned_here(), _exited(), TaskClass.EXITED, RECORD_END),
+    TaskCase(ENDED, REPORTING, _planned_here(), _running(), TaskClass.JOB_ENDED, STOP),
     TaskCase(ENDED, REPORTING, None, _running(), TaskClass.JOB_ENDED, STOP),
-    TaskCase(UNKNOWN, REPORTING, _here(), _running(), TaskClass.JOB_UNKNOWN, WAIT),
-    TaskCase(UNKNOWN, REPORTING, _here(), None, TaskClass.JOB_UNKNOWN, WAIT),
-    TaskCase(ACTIVE, REPORTING, _here(), None, TaskClass.ABSENT, START),
-    TaskCase(ENDED, REPORTING, _here(), None, TaskClass.NOT_STARTED, RECORD_END),
-    TaskCase(ACTIVE, REPORTING, _here(session=1), None, TaskClass.SESSION_ENDED, RECORD_END),
-    TaskCase(UNKNOWN, REPORTING, _here(session=1), None, TaskClass.SESSION_ENDED, RECORD_END),
-    TaskCase(ACTIVE, REPORTING, _here(session=3), None, TaskClass.NOT_PRESENT, NONE),
+    TaskCase(UNKNOWN, REPORTING, _planned_here(), _running(), TaskClass.JOB_UNKNOWN, WAIT),
+    TaskCase(UNKNOWN, REPORTING, _planned_here(), None, TaskClass.JOB_UNKNOWN, WAIT),
+    TaskCase(ACTIVE, REPORTING, _planned_here(), None, TaskClass.ABSENT, START),
+    TaskCase(ENDED, REPORTING, _planned_here(), None, TaskClass.NOT_STARTED, RECORD_END),
+    TaskCase(
+        ACTIVE, REPORTING, _planned_here(session=1), None, TaskClass.SESSION_ENDED, RECORD_END
+    ),
+    TaskCase(
+        UNKNOWN, REPORTING, _planned_here(session=1), None, TaskClass.SESSION_ENDED, RECORD_END
+    ),
+    TaskCase(ACTIVE, REPORTING, _planned_here(session=3), None, TaskClass.NOT_PRESENT, NONE),
     TaskCase(ACTIVE, REPORTING, None, _running(), TaskClass.NEVER_STORED, STOP),
     TaskCase(UNKNOWN, REPORTING, None, _running(), TaskClass.NEVER_STORED, STOP),
-    TaskCase(ACTIVE, REPORTING, _here(2), _running(1), TaskClass.SUPERSEDED, STOP),
+    TaskCase(ACTIVE, REPORTING, _planned_here(2), _running(1), TaskClass.SUPERSEDED, STOP),
     TaskCase(ACTIVE, REPORTING, ELSEWHERE, _running(1), TaskClass.SUPERSEDED, STOP),
-    TaskCase(ACTIVE, REPORTING, _here(1), _running(2), TaskClass.OTHER_ATTEMPT, STOP),
+    TaskCase(ACTIVE, REPORTING, _planned_here(1), _running(2), TaskClass.OTHER_ATTEMPT, STOP),
     TaskCase(ACTIVE, REPORTING, ELSEWHERE, _running(2), TaskClass.OTHER_ATTEMPT, STOP),
     TaskCase(ACTIVE, REPORTING, None, _exited(), TaskClass.EXITED_UNPLANNED, FORGET),
     TaskCase(ACTIVE, REPORTING, ELSEWHERE, None, TaskClass.NOT_PRESENT, NONE),
-    TaskCase(ACTIVE, UNRESPONSIVE, _here(), None, TaskClass.UNRESPONSIVE, WAIT),
-    TaskCase(ACTIVE, EXPIRED, _here(), None, TaskClass.LEASE_EXPIRED, RECORD_END),
+    TaskCase(ACTIVE, UNRESPONSIVE, _planned_here(), None, TaskClass.UNRESPONSIVE, WAIT),
+    TaskCase(ACTIVE, EXPIRED, _planned_here(), None, TaskClass.LEASE_EXPIRED, RECORD_END),
     TaskCase(ACTIVE, UNRESPONSIVE, None, None, TaskClass.NOT_PRESENT, NONE),
 ]
 
 
 @pytest.mark.parametrize("case", TASK_TABLE)
 def test_the_class_of_a_task_and_its_action(case: TaskCase) -> None:
-    task_class = classify_task(case.job, case.contact, SESSION, case.stored, case.reported)
+    task_class = classify_task(case.job, case.liveness, SESSION, case.stored, case.reported)
     assert task_class is case.task_class
     assert TASK_RULES[task_class].action is case.action
 
@@ -109,7 +113,7 @@
 
 
 @pytest.mark.parametrize(
-    ("stored", "listed", "retiring", "contact", "expected"),
+    ("stored", "in_cloud_list", "retiring", "liveness", "expected"),
     [
         (True, True, False, REPORTING, MachineClass.HEALTHY),
         (True, None, False, REPORTING, MachineClass.HEALTHY),
@@ -123,12 +127,12 @@
 )
 def test_the_class_of_a_machine(
     stored: bool,
-    listed: bool | None,
+    in_cloud_list: bool | None,
     retiring: bool,
-    contact: WorkerContact,
+    liveness: WorkerLiveness,
     expected: MachineClass,
 ) -> None:
-    assert classify_machine(stored, listed, retiring, contact) is expected
+    assert classify_machine(stored, in_cloud_list, retiring, liveness) is expected
 
 
 # -- the classes agree with the commands and outcomes of the heartbeat handler ---------
@@ -137,15 +141,15 @@
 JOBS = {"wk-000001": ACTIVE, "wk-000002": ENDED, "wk-000003": UNKNOWN}
 
 
-class DrawnState(NamedTuple):
+class RandomState(NamedTuple):
     """Plans by job, and the tasks in the heartbeat of n-0."""
 
     plans: dict[str, list[PlannedAttempt]]
     reported: list[dict[str, Any]]
 
 
-def _draw_state(rng: random.Random) -> DrawnState:
-    drawn = DrawnState({}, [])
+def _random_state(rng: random.Random) -> RandomState:
+    drawn = RandomState({}, [])
     for job in JOBS:
         for index in range(TASKS):
             if rng.random() < 0.7:
@@ -159,7 +163,7 @@
     return drawn
 
 
-def _store(state: StateService, clock: FakeClock, drawn: DrawnState) -> None:
+def _store(state: StateService, clock: FakeClock, drawn: RandomState) -> None:
     seed(state, clock, machines=2)
     add_job(state, clock, nameId="wk-000001", sacks=TASKS)
     spec = make_spec(nameId="wk-000002", sacks=TASKS)
@@ -171,7 +175,7 @@
 
 
 async def _start_with_heartbeat(
-    state: StateService, clock: FakeClock, drawn: DrawnState
+    state: StateService, clock: FakeClock, drawn: RandomState
 ) -> tuple[SteppedController, list[Command]]:
     """Starts a controller and returns it with its commands after a heartbeat with its token."""
     _store(state, clock, drawn)
@@ -192,7 +196,7 @@
 
 
 def _compare_with_heartbeat_handler(number: int) -> None:
-    drawn = _draw_state(random.Random(number))
+    drawn = _random_state(random.Random(number))
 
     async def scenario(
         state: StateService, clock: FakeClock, nodes: dict[str, SteppedController]
--- a/tests/test_recovery_decisions.py
+++ b/tests/test_recovery_decisions.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from crossmill.recovery.circuit_breaker import Impact, digest_of, is_mass_action
+from crossmill.recovery.circuit_breaker import ActionCounts, digest_of, is_mass_action
 from crossmill.recovery.classification import TaskClass
 from crossmill.recovery.differences import Difference
 from crossmill.recovery.pacing import MachineBatches, count_batches
@@ -41,38 +41,40 @@
     sizes = []
     while machines:
         assert batches.is_next_due(machines)
-        batches.begin_next(machines)
-        sizes.append(len(batches.admitted))
+        batches.start_next(machines)
+        sizes.append(len(batches.current_batch))
         assert not batches.is_next_due(machines)
-        machines = [m for m in machines if m not in batches.admitted]
+        machines = [m for m in machines if m not in batches.current_batch]
     assert sizes == [1, 2, 4, 3]
     assert count_batches(10, 1) == len(sizes)
     unresolved = ["a", "b", "c"]
-    batches.begin_next(unresolved)
+    batches.start_next(unresolved)
     clock.time += 11.0
     assert batches.is_next_due(unresolved)
     unresolved.append("d")
-    batches.begin_next(unresolved)
-    assert batches.admitted == {"d"}
+    batches.start_next(unresolved)
+    assert batches.current_batch == {"d"}
 
 
-def _impact(stops: int = 0, restarts: int = 0, releases: int = 0) -> Impact:
-    return Impact(stops, restarts, releases, tasks_known=100, machines_known=40)
+def _action_counts(stops: int = 0, restarts: int = 0, releases: int = 0) -> ActionCounts:
+    return ActionCounts(stops, restarts, releases, tasks_known=100, machines_known=40)
 
 
 @pytest.mark.parametrize(
-    ("impact", "is_expected"),
+    ("counts", "is_expected"),
     [
-        (_impact(stops=20), False),
-        (_impact(stops=15, restarts=6), True),
-        (_impact(releases=8), False),
-        (_impact(releases=9), True),
-        (Impact(5, 0, 0, 6, 1), False),
-        (Impact(6, 0, 0, 6, 1), True),
+        (_action_counts(stops=20), False),
+        (_action_counts(stops=15, restarts=6), True),
+        (_action_counts(releases=8), False),
+        (_action_counts(releases=9), True),
+        (ActionCounts(5, 0, 0, 6, 1), False),
+        (ActionCounts(6, 0, 0, 6, 1), True),
     ],
 )
-def test_a_mass_action_is_measured_in_tasks_and_machines(impact: Impact, is_expected: bool) -> None:
-    assert is_mass_action(impact, recovery_settings()) is is_expected
+def test_a_mass_action_is_measured_in_tasks_and_machines(
+    counts: ActionCounts, is_expected: bool
+) -> None:
+    assert is_mass_action(counts, recovery_settings()) is is_expected
 
 
 def test_a_digest_identifies_exactly_what_is_held_back() -> None:
@@ -105,7 +107,7 @@
 
 def test_the_rates_of_all_shards_add_up_to_that_of_the_region() -> None:
     settings = recovery_settings(orders_per_s=12.0)
-    assert settings.shard_orders_per_s * settings.nodes == pytest.approx(12.0)
+    assert settings.shard_orders_per_s * settings.controller_count == pytest.approx(12.0)
 
 
 @pytest.mark.parametrize("body", [b"{}", b'{"shard":-1,"digest":"a"}', b'{"shard":0}', b"["])
--- a/tests/test_recovery_dry_run.py
+++ b/tests/test_recovery_dry_run.py
@@ -11,7 +11,7 @@
 
 from crossmill.cli import BAD_USAGE, main
 from crossmill.recovery import keys
-from crossmill.recovery.records import StoredNotes
+from crossmill.recovery.records import BreakerStateReader
 from crossmill.recovery.settings import RecoverySettings
 from crossmill.state.mirror import Mirror
 from crossmill.wire.checks import load_object
@@ -20,8 +20,8 @@
 from .builders import settings_table
 from .recovery_region import (
     RecoveryRegion,
-    give_unplanned,
-    is_unplanned,
+    add_unplanned_task,
+    is_unplanned_task_violation,
     recovery_settings,
     simulate_recovery,
 )
@@ -35,7 +35,7 @@
     await region.start_services(10)
     await region.kill_all()
     for number in range(0, 20, 5):
-        give_unplanned(region.workers[f"n-{number:02d}"], "wk-000000", 90 + number, 7)
+        add_unplanned_task(region.workers[f"n-{number:02d}"], "wk-000000", 90 + number, 7)
     region.clear_orders()
     await curio.sleep(2.0)
     await region.start_all()
@@ -45,7 +45,7 @@
 
 def _timeline(recovery: RecoverySettings | None) -> dict[str, list[tuple[float, str]]]:
     """Returns the times and verbs of the orders by worker."""
-    region = simulate_recovery(_restart_with_differences, recovery, is_unplanned)
+    region = simulate_recovery(_restart_with_differences, recovery, is_unplanned_task_violation)
     return {
         worker.machine: [(round(at, 1), order["verb"]) for at, _, order in worker.orders]
         for worker in region.workers.values()
@@ -74,7 +74,7 @@
         approval = approval_body(Approval(0, "ab"))
         assert (await region.request(label, "POST", APPROVE_PATH, approval)).status == 409
 
-    simulate_recovery(scenario, recovery_settings(dry_run=True), is_unplanned)
+    simulate_recovery(scenario, recovery_settings(dry_run=True), is_unplanned_task_violation)
 
 
 @pytest.mark.parametrize(
@@ -136,7 +136,7 @@
         await region.wait_until(region.is_steady, 60.0)
 
     with caplog.at_level("WARNING"):
-        simulate_recovery(scenario, recovery_settings(), is_unplanned)
+        simulate_recovery(scenario, recovery_settings(), is_unplanned_task_violation)
     messages = [record.getMessage() for record in caplog.records]
     for key in (keys.breaker(0), keys.RECORD + "0/by-zone/7"):
         assert any(key in message for message in messages), key
@@ -155,6 +155,6 @@
 def test_an_approval_is_read_only_in_the_form_of_this_version(value: object, is_read: bool) -> None:
     mirror = Mirror()
     mirror.written(keys.approval(0), value, 1)
-    notes = StoredNotes(mirror)
-    assert (notes.approval(0) is not None) is is_read
-    assert notes.is_unreadable(keys.approval(0)) is not is_read
+    reader = BreakerStateReader(mirror)
+    assert (reader.approval(0) is not None) is is_read
+    assert reader.is_unreadable(keys.approval(0)) is not is_read
--- a/tests/test_recovery_failures.py
+++ b/tests/test_recovery_failures.py
@@ -9,9 +9,9 @@
 
 from .recovery_region import (
     RecoveryRegion,
+    add_unplanned_task,
     disconnect,
-    give_unplanned,
-    is_unplanned,
+    is_unplanned_task_violation,
     reconnect,
     recovery_settings,
     simulate_recovery,
@@ -21,10 +21,10 @@
 @pytest.mark.parametrize("phase", list(RecoveryPhase))
 def test_a_second_restart_in_each_phase_leaves_healthy_workers_alone(phase: RecoveryPhase) -> None:
     async def scenario(region: RecoveryRegion) -> None:
-        await region.begin_busy()
+        await region.begin_with_load()
         affected = [w for w in region.workers.values() if w.tasks][:4]
         for worker in affected:
-            give_unplanned(worker, "wk-000001", 70 + worker.number, 9)
+            add_unplanned_task(worker, "wk-000001", 70 + worker.number, 9)
         others = [w for w in region.workers.values() if w not in affected]
         await region.kill_all()
         await curio.sleep(1.0)
@@ -32,7 +32,7 @@
         await region.start_all()
 
         def is_reached() -> bool:
-            seen.update(recovery.phase for recovery in region.recoveries())
+            seen.update(recovery.phase for recovery in region.active_recoveries())
             if phase is RecoveryPhase.STEADY:
                 return region.is_steady()
             return phase in seen or region.is_steady()
@@ -44,7 +44,7 @@
         assert region.orders(others) == {}
         assert all(index < 70 for worker in affected for _, index in worker.tasks)
 
-    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
+    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned_task_violation)
 
 
 def _make_unavailable(region: RecoveryRegion) -> None:
@@ -71,7 +71,7 @@
     fault: Callable[[RecoveryRegion], None],
 ) -> None:
     async def scenario(region: RecoveryRegion) -> None:
-        await region.begin_busy()
+        await region.begin_with_load()
         running = region.running_tasks()
         await region.kill_all()
         fault(region)
@@ -89,7 +89,7 @@
 
 def test_a_zone_partitioned_during_the_restart_does_not_affect_the_other() -> None:
     async def scenario(region: RecoveryRegion) -> None:
-        await region.begin_busy()
+        await region.begin_with_load()
         south = [w for w in region.workers.values() if w.zone == "south"]
         north = [w for w in region.workers.values() if w.zone == "north"]
         await region.kill_all()
@@ -109,18 +109,18 @@
 
 def test_a_controller_frozen_before_it_sends_orders_stops_only_unplanned_tasks() -> None:
     async def scenario(region: RecoveryRegion) -> None:
-        await region.begin_busy()
+        await region.begin_with_load()
         affected = next(w for w in region.workers.values() if w.tasks)
-        give_unplanned(affected, "wk-000001", 70, 9)
+        add_unplanned_task(affected, "wk-000001", 70, 9)
         others = [w for w in region.workers.values() if w is not affected]
         await region.restart_all(1.0)
         await region.wait_until(
-            lambda: any(r.phase is RecoveryPhase.SETTLING for r in region.recoveries())
+            lambda: any(r.phase is RecoveryPhase.RESOLVING for r in region.active_recoveries())
         )
         frozen = next(
             label
             for label, service in region.services.items()
-            if any(r.phase is RecoveryPhase.SETTLING for r in service.recoveries())
+            if any(r.phase is RecoveryPhase.RESOLVING for r in service.active_recoveries())
         )
         region.frozen_until[frozen] = region.clock.now() + 8.0
         await curio.sleep(12.0)
@@ -130,14 +130,14 @@
         assert ("wk-000001", 70) not in affected.tasks
         assert all(w.session == 1 for w in region.workers.values())
 
-    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
+    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned_task_violation)
 
 
 def test_a_controller_with_an_outdated_view_stops_nothing_that_another_planned() -> None:
     """One controller gets no changes, so it acquires a shard with an outdated view of the plans."""
 
     async def scenario(region: RecoveryRegion) -> None:
-        await region.begin_busy()
+        await region.begin_with_load()
         region.refused_requests["node-1"] = lambda method, path: path.startswith("/changes")
         for number in range(6):
             job = f"wk-{800000 + number}"
--- a/tests/test_recovery_restart.py
+++ b/tests/test_recovery_restart.py
@@ -12,9 +12,9 @@
 from .recovery_region import (
     FEW_WORKERS,
     RecoveryRegion,
+    add_unplanned_task,
     disconnect,
-    give_unplanned,
-    is_unplanned,
+    is_unplanned_task_violation,
     reconnect,
     recovery_settings,
     simulate_recovery,
@@ -25,13 +25,15 @@
 MANY_SERVICES = 70
 
 
-@pytest.mark.parametrize("apart_s", [0.0, 1.0])
-def test_healthy_workers_get_no_orders_after_all_controllers_restart(apart_s: float) -> None:
+@pytest.mark.parametrize("start_interval_s", [0.0, 1.0])
+def test_healthy_workers_get_no_orders_after_all_controllers_restart(
+    start_interval_s: float,
+) -> None:
     async def scenario(region: RecoveryRegion) -> None:
-        await region.begin_busy(MANY_WORKERS, MANY_SERVICES)
+        await region.begin_with_load(MANY_WORKERS, MANY_SERVICES)
         running = region.running_tasks()
         assert sum(map(len, running.values())) > 2 * MANY_SERVICES
-        await region.restart_all(2.0, apart_s)
+        await region.restart_all(2.0, start_interval_s)
         await region.wait_until(region.is_steady, 60.0)
         await curio.sleep(20.0)
         assert region.orders() == {}
@@ -46,7 +48,7 @@
     """Five workers are disconnected, one runs an unplanned task, and jobs are cancelled."""
 
     async def scenario(region: RecoveryRegion) -> None:
-        jobs = await region.begin_busy(MANY_WORKERS, MANY_SERVICES)
+        jobs = await region.begin_with_load(MANY_WORKERS, MANY_SERVICES)
         busy = [w for w in region.workers.values() if w.tasks]
         disconnected, affected = busy[:5], busy[5]
         cancelled = {key[0] for key in busy[6].tasks}
@@ -66,7 +68,7 @@
         }
         disconnect(disconnected)
         unplanned = jobs[-1], 77, 9
-        give_unplanned(affected, *unplanned)
+        add_unplanned_task(affected, *unplanned)
         await curio.sleep(2.0)
         await region.start_all()
         for job in cancelled:
@@ -88,21 +90,21 @@
         # they dropped their tasks when their leases expired, so no orders are needed
         assert region.orders(disconnected) == before == {}
 
-    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
+    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned_task_violation)
 
 
 def test_starts_in_progress_at_a_failover_do_not_wait_for_batches() -> None:
     """Each machine lacks a planned task whose start was not sent before the failover."""
 
     async def scenario(region: RecoveryRegion) -> None:
-        await region.begin_busy()
+        await region.begin_with_load()
         await region.kill_all()
         missing = {w.machine: next(iter(w.tasks)) for w in region.workers.values() if w.tasks}
         for machine, key in missing.items():
             del region.workers[machine].tasks[key]
         await curio.sleep(1.0)
         await region.start_all()
-        await region.wait_until(lambda: len(region.recoveries()) > 0, 20.0)
+        await region.wait_until(lambda: len(region.active_recoveries()) > 0, 20.0)
         started = [key in region.workers[machine].tasks for machine, key in missing.items()]
         assert not all(started)
         await region.wait_until(
@@ -114,7 +116,7 @@
 
 def test_many_machines_are_released_only_with_an_approval() -> None:
     async def scenario(region: RecoveryRegion) -> None:
-        await region.begin_busy()
+        await region.begin_with_load()
         disconnected = list(region.workers.values())[: FEW_WORKERS // 2]
         await region.kill_all()
         disconnect(disconnected)
@@ -139,7 +141,7 @@
 
 def test_the_number_of_records_is_limited() -> None:
     async def scenario(region: RecoveryRegion) -> None:
-        await region.begin_busy()
+        await region.begin_with_load()
         for _ in range(4):
             await region.restart_all(1.0)
             await region.wait_until(region.is_steady, 60.0)
@@ -160,7 +162,7 @@
     """A controller of the version before, or started without the recovery file, takes part."""
 
     async def scenario(region: RecoveryRegion) -> None:
-        await region.begin_busy()
+        await region.begin_with_load()
         running = region.running_tasks()
         await region.kill_all()
         await curio.sleep(1.0)
@@ -187,17 +189,17 @@
     """Heartbeats from before the restart reach the new owners before the workers' own ones."""
 
     async def scenario(region: RecoveryRegion) -> None:
-        await region.begin_busy()
+        await region.begin_with_load()
         busy = [w for w in region.workers.values() if w.tasks]
         old = [worker.sent_heartbeats[0] for worker in busy]
-        assert all(b'"sacks":[]' in copy for copy in old)
+        assert all(b'"sacks":[]' in heartbeat for heartbeat in old)
         await region.restart_all(1.0)
         for worker in busy:
             worker.heartbeats_lost = True
         await region.wait_until(lambda: _is_each_shard_served(region))
-        for copy in old:
+        for heartbeat in old:
             for label in region.LABELS:
-                region.deliver(copy, label)
+                region.deliver(heartbeat, label)
         for worker in busy:
             worker.heartbeats_lost = False
         await region.wait_until(region.is_steady, 60.0)
--- a/tests/test_recovery_restored_state.py
+++ b/tests/test_recovery_restored_state.py
@@ -16,7 +16,7 @@
     FEW_WORKERS,
     RateViolation,
     RecoveryRegion,
-    is_unplanned,
+    is_unplanned_task_violation,
     rate_violations,
     recovery_settings,
     simulate_recovery,
@@ -56,7 +56,7 @@
         least = region.recovery.brake_least * len(region.LABELS)
         assert sum(map(len, region.running_tasks().values())) >= running - least
 
-    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
+    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned_task_violation)
 
 
 def test_nothing_is_stopped_after_a_state_restore_until_it_is_approved() -> None:
@@ -78,12 +78,12 @@
         assert (await region.overview())["braked"] == []
         assert region.recovery is not None
         settings = region.recovery
-        burst = settings.nodes * settings.shard_burst
+        burst = settings.controller_count * settings.shard_burst
         stop_times = region.stop_times(since=approved_at)
         assert rate_violations(stop_times, settings.orders_per_s, burst) == []
 
     settings = recovery_settings(orders_per_s=1.5)
-    simulate_recovery(scenario, settings, expected=is_unplanned)
+    simulate_recovery(scenario, settings, expected=is_unplanned_task_violation)
 
 
 def test_a_missing_circuit_breaker_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -96,7 +96,7 @@
     """No machine has a record, and a worker without one may not be answered (PROTOCOL)."""
 
     async def scenario(region: RecoveryRegion) -> None:
-        await region.begin_busy()
+        await region.begin_with_load()
         await region.kill_all()
         await region.restore_state({})
         await curio.sleep(1.0)
@@ -105,7 +105,7 @@
         assert region.orders() == {}
         assert not any(worker.tasks for worker in region.workers.values())
 
-    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
+    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned_task_violation)
 
 
 def test_an_approval_is_void_for_the_next_owner() -> None:
@@ -125,7 +125,7 @@
         assert region.stop_times(since=0.0) == []
         assert shard in [report["shard"] for report in (await region.overview(other))["braked"]]
 
-    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
+    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned_task_violation)
 
 
 @pytest.mark.parametrize(("left_s", "is_honoured"), [(-1.0, False), (60.0, True)])
@@ -140,7 +140,7 @@
         await curio.sleep(20.0)
         assert bool(region.stop_times(since=0.0)) is is_honoured
 
-    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
+    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned_task_violation)
 
 
 def test_a_resubmitted_job_is_not_started_while_its_unplanned_tasks_run() -> None:
@@ -157,7 +157,7 @@
         await curio.sleep(60.0)
         assert region.running_tasks() == running
 
-    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
+    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned_task_violation)
 
 
 def test_a_cancellation_passes_an_open_circuit_breaker() -> None:
@@ -173,7 +173,7 @@
         await curio.sleep(region.cancellation_deadline_s + 1.0)
         assert not region.workers_running(job)
 
-    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
+    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned_task_violation)
 
 
 def _stop_times_without_breaker(settings: RecoverySettings) -> list[float]:
@@ -185,12 +185,12 @@
         await region.wait_until(region.is_steady, 200.0)
         times.extend(region.stop_times(since=0.0))
 
-    simulate_recovery(scenario, settings, expected=is_unplanned)
+    simulate_recovery(scenario, settings, expected=is_unplanned_task_violation)
     return times
 
 
 def _region_rate_violations(times: list[float], settings: RecoverySettings) -> list[RateViolation]:
-    burst = settings.nodes * settings.shard_burst
+    burst = settings.controller_count * settings.shard_burst
     return rate_violations(times, settings.orders_per_s, burst)
 
 
--- a/tests/test_recovery_service.py
+++ b/tests/test_recovery_service.py
@@ -115,20 +115,20 @@
     ) -> None:
         api = await _api(state, clock, nodes)
 
-        async def ask(method: str, path: str, body: bytes = b"") -> tuple[int, Any]:
+        async def send(method: str, path: str, body: bytes = b"") -> tuple[int, Any]:
             response = await api.handle(Request(method, path, body))
             return response.status, orjson.loads(response.body)
 
-        status, overview = await ask("GET", RECOVERY_PATH)
+        status, overview = await send("GET", RECOVERY_PATH)
         assert status == 200
         assert overview["controller"] == "node-0"
         # a machine that is up has not reported yet
         waiting = {phase["shard"]: phase["waits_for"] for phase in overview["recovering"]}
         assert waiting[0] == "reports of 1 machines"
         approval = approval_body(Approval(0, "ab"))
-        assert (await ask("POST", APPROVE_PATH, b"{}"))[0] == 400
-        assert (await ask("POST", APPROVE_PATH, approval))[0] == 409
-        assert (await ask("PUT", RECOVERY_PATH))[0] == 404
+        assert (await send("POST", APPROVE_PATH, b"{}"))[0] == 400
+        assert (await send("POST", APPROVE_PATH, approval))[0] == 409
+        assert (await send("PUT", RECOVERY_PATH))[0] == 404
 
     run_scenario(scenario)
 
--- a/tests/test_recovery_unplanned_tasks.py
+++ b/tests/test_recovery_unplanned_tasks.py
@@ -12,9 +12,9 @@
 
 from .recovery_region import (
     RecoveryRegion,
+    add_unplanned_task,
     disconnect,
-    give_unplanned,
-    is_unplanned,
+    is_unplanned_task_violation,
     rate_violations,
     reconnect,
     recovery_settings,
@@ -26,27 +26,27 @@
     """A worker runs more unplanned tasks than fit into an answer, and one cancelled task."""
 
     async def scenario(region: RecoveryRegion) -> None:
-        await region.begin_busy()
+        await region.begin_with_load()
         affected = next(w for w in region.workers.values() if w.tasks)
         job = next(iter(affected.tasks))[0]
         tasks, affected.tasks = affected.tasks, {}
         for index in range(2 * MAX_COMMANDS):
-            give_unplanned(affected, "wk-000001", 100 + index, 9)
+            add_unplanned_task(affected, "wk-000001", 100 + index, 9)
         affected.tasks.update(tasks)
         await region.restart_all(1.0)
         assert await region.cancel_until_confirmed("node-0", job, 30.0)
         await curio.sleep(3 * region.heartbeat_interval_s)
         assert not any(key[0] == job and t.state == "running" for key, t in affected.tasks.items())
 
-    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
+    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned_task_violation)
 
 
 def test_orders_to_a_flapping_worker_are_rate_limited() -> None:
     async def scenario(region: RecoveryRegion) -> None:
-        await region.begin_busy()
+        await region.begin_with_load()
         affected = next(w for w in region.workers.values() if w.tasks)
         for index in range(30):
-            give_unplanned(affected, "wk-000001", 100 + index, 9)
+            add_unplanned_task(affected, "wk-000001", 100 + index, 9)
         await region.restart_all(2.0)
         for _ in range(10):
             disconnect([affected])
@@ -59,14 +59,14 @@
         assert rate_violations(stop_times, rate, burst) == []
 
     settings = recovery_settings(orders_per_worker=2, brake_share=1.0)
-    simulate_recovery(scenario, settings, expected=is_unplanned)
+    simulate_recovery(scenario, settings, expected=is_unplanned_task_violation)
 
 
 def test_a_task_missing_from_the_plan_is_not_placed_while_it_runs() -> None:
     """The task's stop waits for the rate limit, while the plan has no attempt of the task."""
 
     async def scenario(region: RecoveryRegion) -> None:
-        await region.begin_busy()
+        await region.begin_with_load()
         affected = next(w for w in region.workers.values() if w.tasks)
         job, index = next(iter(affected.tasks))
         # with a termination notice, nothing is placed on this worker
@@ -90,14 +90,14 @@
         await region.wait_until(lambda: region.has_running(job, 3), 90.0)
 
     slow = recovery_settings(orders_per_s=0.1)
-    simulate_recovery(scenario, slow, expected=is_unplanned)
+    simulate_recovery(scenario, slow, expected=is_unplanned_task_violation)
 
 
 def test_a_planned_task_is_not_started_while_another_attempt_runs() -> None:
     """The stored plan is older than a move of the task, which runs on another machine."""
 
     async def scenario(region: RecoveryRegion) -> None:
-        await region.begin_busy()
+        await region.begin_with_load()
         machines = region.nodes["node-0"].cluster.machines
         before = next(w for w in region.workers.values() if w.tasks)
         after = next(
@@ -109,13 +109,13 @@
         (job, index), task = next(iter(before.tasks.items()))
         await region.kill_all()
         del before.tasks[job, index]
-        give_unplanned(after, job, index, task.attempt + 1)
+        add_unplanned_task(after, job, index, task.attempt + 1)
         await curio.sleep(1.0)
         await region.start_all()
         await region.wait_until(lambda: (job, index) in before.tasks, 120.0)
         assert (job, index) not in after.tasks or after.tasks[job, index].state == "exited"
 
-    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
+    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned_task_violation)
 
 
 @pytest.mark.parametrize(
@@ -135,12 +135,12 @@
 
 def test_an_unplanned_task_is_stopped_only_after_a_read_newer_than_its_heartbeat() -> None:
     async def scenario(region: RecoveryRegion) -> None:
-        await region.begin_busy()
+        await region.begin_with_load()
         affected = next(w for w in region.workers.values() if w.tasks)
-        give_unplanned(affected, "wk-000001", 70, 9)
+        add_unplanned_task(affected, "wk-000001", 70, 9)
         shard = region.nodes["node-0"].cluster.machines[affected.machine].shard
         await region.restart_all(1.0)
-        await region.wait_until(lambda: any(r.shard == shard for r in region.recoveries()))
+        await region.wait_until(lambda: any(r.shard == shard for r in region.active_recoveries()))
         # the shard is ready; from now on all reads fail
         for label in region.LABELS:
             region.refused_requests[label] = lambda method, path: path.startswith("/changes")
@@ -149,7 +149,7 @@
         region.reconnect()
         await region.wait_until(lambda: ("wk-000001", 70) not in affected.tasks)
 
-    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
+    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned_task_violation)
 
 
 def test_a_stop_without_a_fresh_read_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
