--- a/crossmill/recovery/api.py
+++ b/crossmill/recovery/api.py
@@ -1,7 +1,8 @@
-"""The operators' interface: shows recoveries, and takes approvals for open circuit breakers.
+"""The operator API: shows recoveries and accepts approvals for open circuit breakers.
 
-It is served at the address where controllers talk to each other. Any controller can answer, since
-the answers rest on the state service; only the phases are those of its own shards.
+It is served at the address on which controllers accept each other's requests. Any controller can
+respond, since the responses are based on the state service; only the phases are limited to the
+responding controller's own shards.
 """
 
 from ..cluster import keys as cluster_keys
@@ -29,7 +30,7 @@
 
 
 class RecoveryApi:
-    """Answers operators' requests."""
+    """Handles operators' requests about recoveries."""
 
     def __init__(self, context: RecoveryContext, service: RecoveryService) -> None:
         self._settings = context.settings
@@ -41,7 +42,7 @@
         self.service = service
 
     async def handle(self, request: Request) -> Response:
-        """Answers a request under RECOVERY_PATH."""
+        """Return the response to a request under RECOVERY_PATH."""
         if request.path == RECOVERY_PATH and request.method == "GET":
             return await self._show()
         if request.path == APPROVE_PATH and request.method == "POST":
@@ -49,7 +50,7 @@
         return Response(404, error_body("no such path"))
 
     async def _sync_state(self) -> bool:
-        """Reads the state service; False if it does not answer in time."""
+        """Synchronize with the state service; return False if it does not respond in time."""
         return await self._watcher.sync(self._settings.submission_timeout_s)
 
     async def _show(self) -> Response:
@@ -67,7 +68,7 @@
         )
 
     def _open_breaker(self, shard: int) -> BreakerReport | None:
-        """Returns what the shard's breaker holds back; None if it is closed or has no owner."""
+        """Return the report of the shard's open breaker; None if it is closed or has no owner."""
         report = self.service.breaker_state.breaker_report(shard)
         return report if self._cluster.shard_owners.get(shard) is not None else None
 
@@ -84,12 +85,12 @@
         return await self._store_approval(approval, report)
 
     async def _store_approval(self, approval: Approval, report: BreakerReport) -> Response:
-        """Stores an approval of exactly what the operator was shown."""
+        """Store an approval of exactly the actions that the operator was shown."""
         valid_until = self._clock.wall() + self._recovery_settings.approval_s
         stored = StoredApproval(report.token, report.digest, valid_until)
         breaker_key, shard_key = keys.breaker(approval.shard), cluster_keys.shard(approval.shard)
         version = self._cluster.mirror.version
-        # the write fails if the breaker's contents or the shard's owner have changed meanwhile
+        # the write fails if the breaker's report or the shard's owner has changed in the meantime
         conditions = {breaker_key: version(breaker_key), shard_key: version(shard_key)}
         txn = Txn(conditions, [Put(keys.approval(approval.shard), encode_approval(stored))])
         deadline = self._clock.now() + self._settings.submission_timeout_s
--- a/crossmill/recovery/circuit_breaker.py
+++ b/crossmill/recovery/circuit_breaker.py
@@ -1,4 +1,4 @@
-"""The circuit breaker: a mass action needs an operator's approval."""
+"""The circuit breaker, which blocks mass actions until an operator approves them."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -14,7 +14,15 @@
 
 
 class ActionCounts(NamedTuple):
-    """What a shard's recovery would do and has done, and to how many tasks and machines in all."""
+    """A shard's unapproved actions, pending and done, and the totals they are compared with.
+
+    Attributes:
+        stops: Orders to stop a task.
+        restarts: Orders to start a planned task that its worker does not run.
+        releases: Machines to be released, or released, to the cloud.
+        tasks_known: Tasks that are planned on or reported by machines that have reported.
+        machines_known: Machines of the shard.
+    """
 
     stops: int
     restarts: int
@@ -24,7 +32,7 @@
 
 
 def is_mass_action(action_counts: ActionCounts, settings: RecoverySettings) -> bool:
-    """Whether more than the permitted share of the tasks or of the machines is affected."""
+    """Return whether more than the permitted share of the tasks or machines is affected."""
     affected_tasks = action_counts.stops + action_counts.restarts
     return _exceeds_limit(affected_tasks, action_counts.tasks_known, settings) or _exceeds_limit(
         action_counts.releases, action_counts.machines_known, settings
@@ -36,13 +44,13 @@
 
 
 def digest_of(differences: Iterable[Difference], machines: Iterable[str]) -> str:
-    """Identifies a set of actions, so that an approval is for exactly those.
+    """Return an identifier of a set of actions, so that an approval covers exactly these.
 
     Args:
-        differences: the differences that would be resolved by orders
+        differences: the differences that orders would resolve
         machines: the machines that would be released
     """
-    # imported only when the breaker has tripped, so that a start does not load it
+    # imported only when the breaker has opened, so that it is not loaded at a start
     from hashlib import blake2b
 
     lines = sorted(f"{d.machine} {d.job}/{d.index} {d.attempt} {d.task_class}" for d in differences)
@@ -51,7 +59,7 @@
 
 
 class CircuitBreaker:
-    """The circuit breaker of a shard's recovery; open while a mass action is held back."""
+    """The circuit breaker of a shard's recovery; open while it blocks a mass action."""
 
     def __init__(
         self,
@@ -65,7 +73,7 @@
         self._statistics = statistics
 
     def action_counts(self) -> ActionCounts:
-        """Returns what recovery would do and has done without an approval."""
+        """Return the counts of the unapproved actions, pending and done."""
         return ActionCounts(
             stops=self._differences.count_unapproved(RecoveryAction.STOP),
             restarts=self._differences.count_unapproved(RecoveryAction.START),
@@ -76,14 +84,14 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether a mass action is held back until heartbeats or an operator resolve it."""
+        """Whether a mass action is blocked until heartbeats or an operator resolve it."""
         return is_mass_action(self.action_counts(), self._settings)
 
     def digest(self) -> str:
-        """Identifies what is held back while the breaker is open."""
-        return digest_of(self._differences.held_back(), self.releases.held_back())
+        """Return the identifier of the actions that the open breaker blocks."""
+        return digest_of(self._differences.blocked(), self.releases.blocked())
 
     def approve(self) -> None:
-        """Permits what the present digest identifies."""
+        """Permit the actions that the current digest identifies."""
         self._differences.approve()
         self.releases.approve()
--- a/crossmill/recovery/context.py
+++ b/crossmill/recovery/context.py
@@ -1,4 +1,4 @@
-"""The collaborators that the parts of recovery share."""
+"""The dependencies that the parts of recovery share."""
 
 from typing import NamedTuple
 
@@ -11,7 +11,7 @@
 
 
 class RecoveryContext(NamedTuple):
-    """Settings, clock and access to the stored state, for recovery on one controller."""
+    """The settings, the clock and the access to the stored state, for recovery on a controller."""
 
     settings: Settings
     recovery_settings: RecoverySettings
--- a/crossmill/recovery/differences.py
+++ b/crossmill/recovery/differences.py
@@ -1,4 +1,4 @@
-"""Finds the differences between the stored plans of one machine and its newest heartbeat."""
+"""Detection of differences between a machine's stored plans and its newest heartbeat."""
 
 from dataclasses import dataclass
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """A task of a machine for which the worker needs an order."""
+    """A task on a machine whose worker needs an order for it."""
 
     machine: str
     job: str
@@ -32,21 +32,21 @@
 
     @property
     def rule(self) -> Rule:
-        """What is done about the difference."""
+        """The rule that resolves the difference."""
         return TASK_RULES[self.task_class]
 
     @property
     def key(self) -> TaskKey:
-        """The task that differs."""
+        """The job ID and index of the task."""
         return self.job, self.index
 
 
-# the actions that consist of an order to the worker
+# the actions that are orders to the worker
 ORDER_ACTIONS = frozenset({RecoveryAction.START, RecoveryAction.STOP, RecoveryAction.FORGET})
 
 
 def job_status(job: Job | None) -> JobStatus:
-    """Returns what the stored state says about the job; None stands for a job without record."""
+    """Return the job's status in the stored state; None stands for a job without a record."""
     if job is not None and job.has_ended:
         return JobStatus.ENDED
     if job is None or not job.has_record:
@@ -55,7 +55,7 @@
 
 
 def stored_attempt(cluster: ClusterState, machine: Machine, key: TaskKey) -> StoredAttempt | None:
-    """Returns the attempt of the task in a durable plan, on this machine or on another."""
+    """Return the task's attempt in a durable plan, for this machine or for another one."""
     attempt = machine.attempts.get(key)
     if attempt is not None:
         return StoredAttempt(attempt.number, attempt.session, is_on_this_machine=True)
@@ -74,10 +74,9 @@
 def classify_machine_tasks(
     cluster: ClusterState, machine: Machine, view: WorkerView
 ) -> dict[TaskKey, TaskClass]:
-    """Returns the class of each task that is planned onto the machine or reported by it.
+    """Return the class of each task that is planned for the machine or reported by it.
 
-    The view's newest heartbeat must carry this owner's token: an older one says nothing about the
-    present.
+    The view's newest heartbeat must carry this owner's token: an older one may be outdated.
     """
     classes: dict[TaskKey, TaskClass] = {}
     for key in {*machine.attempts, *view.tasks}:
@@ -94,7 +93,7 @@
 def find_differences(
     machine: Machine, view: WorkerView, classes: dict[TaskKey, TaskClass]
 ) -> list[Difference]:
-    """Returns the differences for which the worker needs an order, given the tasks' classes."""
+    """Return the differences for which the worker needs an order, given the tasks' classes."""
     found = []
     for key, task_class in classes.items():
         if TASK_RULES[task_class].action not in ORDER_ACTIONS:
--- a/crossmill/recovery/keys.py
+++ b/crossmill/recovery/keys.py
@@ -1,4 +1,4 @@
-"""The keys of recovery in the state service; versions that do not know them ignore them."""
+"""The keys of recovery in the state service, which versions without recovery ignore."""
 
 from typing import NamedTuple
 
@@ -11,29 +11,29 @@
 
 
 def breaker(shard: int) -> str:
-    """Returns the key of what a shard's open circuit breaker holds back."""
+    """Return the key of the report of a shard's open circuit breaker."""
     return f"{BREAKER}{shard}"
 
 
 def approval(shard: int) -> str:
-    """Returns the key of the operator's approval for a shard."""
+    """Return the key of the operator's approval for a shard."""
     return f"{APPROVAL}{shard}"
 
 
 def record(shard: int, token: int) -> str:
-    """Returns the key of the record of the recovery that began under the token."""
+    """Return the key of the record of the recovery that began under the token."""
     return f"{RECORD}{shard}/{token}"
 
 
 class RecordKey(NamedTuple):
-    """The parts of a record's key."""
+    """The shard and the token in a record's key."""
 
     shard: int
     token: int
 
 
 def parse_record(key: str) -> RecordKey | None:
-    """Returns the parts of a record's key; None for a key that another version wrote."""
+    """Return the parsed key of a record; None for a key that another version wrote."""
     shard, _, token = key[len(RECORD) :].partition("/")
     if not (shard.isdecimal() and token.isdecimal()):
         return None
--- a/crossmill/recovery/order_admission.py
+++ b/crossmill/recovery/order_admission.py
@@ -1,7 +1,8 @@
-"""Decides which orders of a recovery may be sent now.
+"""The admission of a recovery's orders: which of them may be sent now.
 
 A difference may be resolved once phase, batch, evidence and circuit breaker permit it and the rate
-limits have a token. `ShardRecovery` asks for each command that resolves one of its differences.
+limits are not exhausted. `ShardRecovery` requests admission for each command that resolves one of
+its differences.
 """
 
 from collections.abc import Callable
@@ -17,9 +18,9 @@
 
 
 class OrderAdmission:
-    """The limits on a shard's orders.
+    """Decides which of a shard's orders may be sent, and counts those.
 
-    It owns the rate limits, the batches and the time of the last read, and counts what it admits.
+    It owns the rate limits, the batches and the time of the last read.
     """
 
     def __init__(
@@ -37,25 +38,25 @@
         self._statistics = statistics
         self._rate_limiter = OrderRateLimiter(clock, settings)
         self._batches = MachineBatches(clock, settings.first_batch, settings.batch_timeout_s)
-        # when the newest read that showed all durable writes was sent
+        # time when the newest read that showed all durable writes was sent, in seconds
         self._last_read_sent_at: float | None = None
 
     @property
     def needs_read(self) -> bool:
-        """Whether an order needs a read that was sent after the heartbeat it follows from."""
+        """Whether an order requires a read sent after its difference was first reported."""
         return self._differences.needs_read(self._last_read_sent_at)
 
     def set_last_read(self, sent_at: float) -> None:
-        """Notes a read, sent at this time, that showed all durable writes."""
+        """Set the time at which the newest read that showed all durable writes was sent."""
         self._last_read_sent_at = sent_at
 
     def advance_batches(self, priority_of: Callable[[str], int]) -> None:
-        """Begins the next batch if it is due; `priority_of` gives the priority of a job."""
+        """Start the next batch if it is due; `priority_of` returns the priority of a job."""
         if self._batches.is_next_due(set(self._differences.machines())):
             self._batches.start_next(self._differences.machines_by_urgency(priority_of))
 
     def admit(self, difference: Difference, kind: str) -> bool:
-        """Decides whether an order of this kind for the difference may be sent, and counts it."""
+        """Return whether an order of this kind for the difference may be sent; if so, count it."""
         if difference.rule.urgency is not Urgency.IMMEDIATE and not self._try_acquire(difference):
             return False
         self._statistics.orders[kind] += 1
@@ -63,7 +64,7 @@
         return True
 
     def admit_release(self, machine_id: str) -> bool:
-        """Decides whether an unresponsive machine may be returned, and counts it."""
+        """Return whether an unresponsive machine may be released; if so, count it once."""
         releases = self._breaker.releases
         releases.request(machine_id)
         if releases.is_permitted(machine_id):
@@ -75,20 +76,21 @@
         return True
 
     def _try_acquire(self, difference: Difference) -> bool:
-        """Takes tokens of the rate limits if the difference may be resolved now."""
+        """Return whether the difference may be resolved now; if so, charge the rate limits."""
         return self._is_allowed_now(difference) and self._rate_limiter.take_for_worker(
             difference.machine
         )
 
     def _is_allowed_now(self, difference: Difference) -> bool:
-        """Whether phase, batch, evidence and breaker permit an order for the difference."""
+        """Return whether phase, batch, evidence and breaker permit an order for the difference."""
         if self._phases.current not in RESOLVING_PHASES or self._waits_for_batch(difference):
             return False
         if self._lacks_fresh_read(difference):
             return False
         if difference.rule.counts_toward_breaker and self._breaker.is_open:
             return False
-        # The plan may be older than a move of the task: then it has to end where it runs first.
+        # The plan may be older than a move of the task: then the attempt that runs elsewhere has to
+        # end before the planned one starts.
         is_start = difference.task_class is TaskClass.ABSENT
         return not (is_start and self._differences.is_running_unplanned(difference.key))
 
--- a/crossmill/recovery/pacing.py
+++ b/crossmill/recovery/pacing.py
@@ -1,4 +1,4 @@
-"""How fast differences are resolved: rate limits and batches of growing size."""
+"""Limits on the speed of recovery: rate limits, and batches of growing size."""
 
 from collections.abc import Container, Sequence
 
@@ -8,7 +8,7 @@
 
 
 class OrderRateLimiter:
-    """The rate limits on recovery's orders: one of the shard, and one of each worker."""
+    """The rate limits on recovery's orders: one for the shard, and one for each worker."""
 
     def __init__(self, clock: Clock, settings: RecoverySettings) -> None:
         self._clock = clock
@@ -19,11 +19,11 @@
         self._workers: dict[str, Pacer] = {}
 
     def take_for_shard(self) -> bool:
-        """Takes a token of the shard's limit; False if there is none."""
+        """Charge an order to the shard's limit; return False if it exceeds the limit."""
         return self._shard.take()
 
     def take_for_worker(self, machine_id: str) -> bool:
-        """Takes a token of the shard's limit and of the worker's; False if either has none."""
+        """Charge an order to the shard's and the worker's limit; return False if it exceeds one."""
         worker = self._worker(machine_id)
         return worker.available() >= 1 and self._shard.take() and worker.take()
 
@@ -37,11 +37,11 @@
 
 
 class MachineBatches:
-    """Admits machines in batches, each twice as large as the one before.
+    """Selects the machines to resolve in batches, each twice as large as the one before.
 
-    A batch that is not resolved in time is postponed until all other machines have had their turn,
-    and the next batch has the initial size again. So a systematic mistake shows on few machines
-    before many are affected.
+    The machines of a batch that are not resolved in time are postponed until all other machines
+    have been in a batch, and the next batch has the initial size again. So a systematic fault shows
+    on few machines before it affects many.
     """
 
     def __init__(self, clock: Clock, initial_size: int, timeout_s: float) -> None:
@@ -52,11 +52,11 @@
         self._started_at = clock.now()
         self._postponed: set[str] = set()
         self._started_count = 0
-        # the machines of the present batch
+        # the machines of the current batch
         self.current_batch: set[str] = set()
 
     def is_next_due(self, unresolved_machines: Container[str]) -> bool:
-        """Whether the next batch may begin: the present one is resolved or has timed out."""
+        """Return whether the next batch may start: the current one is resolved or timed out."""
         return self._has_timed_out() or not any(
             machine in unresolved_machines for machine in self.current_batch
         )
@@ -65,7 +65,7 @@
         return self._clock.now() - self._started_at > self._timeout_s
 
     def start_next(self, unresolved_machines: Sequence[str]) -> None:
-        """Begins the next batch with the machines that still differ, the most urgent first."""
+        """Start the next batch from the machines with differences, the most urgent first."""
         timed_out = self.current_batch & set(unresolved_machines)
         if timed_out:
             self._postponed |= timed_out
@@ -74,7 +74,7 @@
             self._size *= 2
         candidates = [machine for machine in unresolved_machines if machine not in self._postponed]
         if not candidates:
-            # only postponed machines are left: they get another turn
+            # only postponed machines are left: they may be in a batch again
             self._postponed.clear()
             candidates = list(unresolved_machines)
         self.current_batch = set(candidates[: self._size])
@@ -84,7 +84,7 @@
 
 
 def count_batches(machine_count: int, initial_size: int) -> int:
-    """The number of batches that the machines take if each batch is resolved in time."""
+    """Return the number of batches for the machines if each batch is resolved in time."""
     batches, size = 0, initial_size
     while machine_count > 0:
         machine_count -= size
--- a/crossmill/recovery/phases.py
+++ b/crossmill/recovery/phases.py
@@ -6,17 +6,18 @@
 
 
 class RecoveryPhase(StrEnum):
-    """A phase in the recovery of a shard; the values appear in records and log lines."""
+    """A phase of a shard's recovery; the values appear in records and log lines."""
 
-    # the shard was acquired; the writes of earlier owners are being read
+    # the shard was acquired; the controller reads the writes of earlier owners
     LOADING = "loading"
-    # workers are answered; machines that were up may report, within a time limit
+    # the controller responds to heartbeats, and waits for the machines that were up to report, up
+    # to a time limit
     OBSERVING = "observing"
     # the differences are known; the circuit breaker decides whether they may be resolved
     CLASSIFYING = "classifying"
     # differences are resolved, in batches and at a limited rate
     RESOLVING = "settling"
-    # no differences are left; the scheduler works without restrictions
+    # no differences are left, or resolving them has timed out; batches no longer apply
     STEADY = "steady"
 
 
@@ -25,10 +26,10 @@
 
 
 class RecoveryTransitionError(RecoveryError):
-    """A recovery can't go from the old phase to the new one."""
+    """A phase transition that is not in TRANSITIONS."""
 
     def __init__(self, old: RecoveryPhase, new: RecoveryPhase) -> None:
-        super().__init__(f"a recovery that is {old} can't become {new}")
+        super().__init__(f"invalid recovery phase transition from {old} to {new}")
         self.old = old
         self.new = new
 
@@ -37,41 +38,41 @@
     RecoveryPhase.LOADING: frozenset({RecoveryPhase.OBSERVING}),
     RecoveryPhase.OBSERVING: frozenset({RecoveryPhase.CLASSIFYING}),
     RecoveryPhase.CLASSIFYING: frozenset({RecoveryPhase.RESOLVING}),
-    # machines that report late may bring so many differences that the breaker trips again
+    # machines that report late may have so many differences that the breaker opens again
     RecoveryPhase.RESOLVING: frozenset({RecoveryPhase.CLASSIFYING, RecoveryPhase.STEADY}),
     RecoveryPhase.STEADY: frozenset(),
 }
 
-# In these phases nothing is placed: machines that have not reported yet may run tasks that no plan
-# contains.
+# The phases in which nothing is placed, since machines that have not reported yet may run tasks
+# that no plan contains.
 PHASES_BEFORE_PLACEMENT = frozenset(
     {RecoveryPhase.LOADING, RecoveryPhase.OBSERVING, RecoveryPhase.CLASSIFYING}
 )
-# In these phases differences are resolved.
+# The phases in which differences are resolved.
 RESOLVING_PHASES = frozenset({RecoveryPhase.RESOLVING, RecoveryPhase.STEADY})
 
 
 def check_transition(old: RecoveryPhase, new: RecoveryPhase) -> None:
-    """Raises RecoveryTransitionError unless a recovery may go from the old phase to the new one."""
+    """Raise RecoveryTransitionError unless the new phase may follow the old one."""
     if new not in TRANSITIONS[old]:
         raise RecoveryTransitionError(old, new)
 
 
 class PhaseTracker:
-    """The present phase of a shard's recovery, and the time spent in the earlier ones."""
+    """The current phase of a shard's recovery, and the time spent in the earlier ones."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._entered_at = clock.now()
         self.current = RecoveryPhase.LOADING
-        # seconds spent in each phase that was left; a phase may be entered more than once
+        # seconds spent in each phase that has ended; a phase may be entered more than once
         self.durations_s: dict[RecoveryPhase, float] = {}
 
     def enter(self, phase: RecoveryPhase) -> float:
-        """Enters a phase and returns the seconds spent in the one before.
+        """Enter a phase and return the seconds spent in the previous one.
 
         Raises:
-            RecoveryTransitionError: if the phase can't follow the present one.
+            RecoveryTransitionError: if the phase can't follow the current one.
         """
         check_transition(self.current, phase)
         now = self._clock.now()
@@ -82,5 +83,5 @@
         return spent_s
 
     def elapsed_s(self) -> float:
-        """Seconds since the present phase was entered."""
+        """Return the seconds since the current phase was entered."""
         return self._clock.now() - self._entered_at
--- a/crossmill/recovery/records.py
+++ b/crossmill/recovery/records.py
@@ -1,6 +1,6 @@
-"""What is stored about recoveries: records, open circuit breakers, approvals.
+"""The stored values of recoveries: records, reports of open circuit breakers, approvals.
 
-`RecoveryService` writes the records and breakers, `RecoveryApi` the approvals; both read them.
+`RecoveryService` writes the records and reports, and `RecoveryApi` the approvals; both read them.
 """
 
 import logging
@@ -18,7 +18,13 @@
 
 
 class StoredApproval(NamedTuple):
-    """An operator's approval of one digest under one token, until a wall clock time in seconds."""
+    """An operator's approval of one digest under one fencing token.
+
+    Attributes:
+        token: The fencing token under which the shard's recovery began.
+        digest: The identifier of the approved actions.
+        until: The wall clock time in seconds until which the approval is valid.
+    """
 
     token: int
     digest: str
@@ -26,12 +32,12 @@
 
 
 def encode_approval(approval: StoredApproval) -> dict[str, Any]:
-    """Returns an approval as it is stored."""
+    """Encode an approval in the stored form."""
     return approval._asdict()
 
 
 def encode_breaker(recovery: ShardRecovery) -> dict[str, Any]:
-    """Returns what the shard's open circuit breaker holds back, as it is stored."""
+    """Encode the report of the shard's open circuit breaker in the stored form."""
     breaker = recovery.breaker
     report = BreakerReport(
         recovery.shard, recovery.term, breaker.digest(), *breaker.action_counts()
@@ -42,13 +48,14 @@
 def encode_record(
     recovery: ShardRecovery, controller: str, finished_at: float, dry_run: bool
 ) -> dict[str, Any]:
-    """Returns the record of a finished recovery, as it is stored.
+    """Encode the record of a finished recovery in the stored form.
 
     Args:
         recovery: the finished recovery
-        controller: the label of the controller that carried it out
-        finished_at: the wall clock time in seconds
-        dry_run: whether nothing was withheld, and `let_through` counts what would have been
+        controller: the label of the controller that carried out the recovery
+        finished_at: the wall clock time of its end, in seconds
+        dry_run: whether it was a dry run, whose `let_through` counts the orders that a regular
+            recovery would have delayed
     """
     statistics = recovery.statistics
     return {
@@ -70,7 +77,7 @@
 
 
 def _encode_counts(counts: Mapping[_Name, int]) -> dict[str, int]:
-    # JSON needs plain strings as keys, not members of a StrEnum
+    # the JSON encoder accepts only plain strings as keys, not members of a StrEnum
     return {str(name): number for name, number in counts.items()}
 
 
@@ -78,7 +85,7 @@
 
 
 def _decode(kind: type[_Stored], value: Any) -> _Stored | None:
-    """Returns the stored value; None unless its fields are exactly those of this version."""
+    """Return the decoded value; None unless its fields are exactly those of this version."""
     types = get_type_hints(kind)
     if not isinstance(value, dict) or value.keys() != types.keys():
         return None
@@ -88,32 +95,32 @@
 
 
 def _accepted_types(type_: type) -> tuple[type, ...]:
-    # the state service returns whole floats as either type
+    # the state service may return a float without a fraction as an int
     return (int, float) if type_ is float else (type_,)
 
 
 class BreakerStateReader:
-    """Reads approvals and open circuit breakers from the mirror of the state service.
+    """Reads approvals and reports of open circuit breakers from the mirror of the state service.
 
-    A value that a later version of the program wrote is ignored, with one warning per version of
-    the key.
+    A value in the format of another version of the program is ignored, with one warning for each
+    version of the key.
     """
 
     def __init__(self, mirror: Mirror) -> None:
         self._mirror = mirror
-        # keys with the versions that this program can't read
+        # key versions whose value is in the format of another program version
         self._unreadable: set[tuple[str, int]] = set()
 
     def approval(self, shard: int) -> StoredApproval | None:
-        """Returns the operator's approval for the shard; None if there is none."""
+        """Return the operator's approval for the shard; None if there is none."""
         return self._read(StoredApproval, keys.approval(shard))
 
     def breaker_report(self, shard: int) -> BreakerReport | None:
-        """Returns what the shard's circuit breaker holds back; None if it is closed."""
+        """Return the report of the shard's circuit breaker; None if the breaker is closed."""
         return self._read(BreakerReport, keys.breaker(shard))
 
     def is_unreadable(self, key: str) -> bool:
-        """Whether a read found the key's present value in a form of another version."""
+        """Return whether a read found the key's current value in the format of another version."""
         return (key, self._mirror.version(key)) in self._unreadable
 
     def _read(self, kind: type[_Stored], key: str) -> _Stored | None:
@@ -126,11 +133,11 @@
     def _warn_once(self, key: str) -> None:
         if not self.is_unreadable(key):
             self._unreadable.add((key, self._mirror.version(key)))
-            log.warning("recovery note of another version left alone key=%s", key)
+            log.warning("recovery value written by another version ignored key=%s", key)
 
 
 class RecordIndex:
-    """The tokens of the stored records by shard, updated with each change of the mirror."""
+    """An index of the stored records by shard and token, updated with each change of the mirror."""
 
     def __init__(self, mirror: Mirror) -> None:
         self._mirror = mirror
@@ -142,7 +149,7 @@
             return
         parsed = keys.parse_record(key)
         if parsed is None:
-            log.warning("recovery record of another version left alone key=%s", key)
+            log.warning("recovery record written by another version ignored key=%s", key)
             return
         tokens = self._tokens.setdefault(parsed.shard, set())
         if value is None:
@@ -151,13 +158,13 @@
             tokens.add(parsed.token)
 
     def surplus_keys(self, shard: int, kept: int) -> list[str]:
-        """Returns the keys of a shard's records other than the newest `kept`."""
+        """Return the keys of a shard's records other than the newest `kept` ones."""
         tokens = sorted(self._tokens.get(shard, ()))
         surplus_count = max(0, len(tokens) - kept)
         return [keys.record(shard, token) for token in tokens[:surplus_count]]
 
     def all(self) -> list[dict[str, object]]:
-        """Returns all records by shard, the oldest first."""
+        """Return all records, sorted by shard and then from oldest to newest."""
         return [
             self._mirror.value(keys.record(shard, token))
             for shard in sorted(self._tokens)
--- a/crossmill/recovery/release_tracker.py
+++ b/crossmill/recovery/release_tracker.py
@@ -1,8 +1,8 @@
-"""Machines that recovery gives back to the cloud, as the circuit breaker counts them."""
+"""Tracking of the machines that recovery releases to the cloud, for the circuit breaker."""
 
 
 class ReleaseTracker:
-    """The machines whose release was requested, was permitted, or was approved by an operator."""
+    """The machines whose release is requested, permitted or approved by an operator."""
 
     def __init__(self) -> None:
         self._requested: set[str] = set()
@@ -10,26 +10,26 @@
         self._approved: set[str] = set()
 
     def request(self, machine_id: str) -> None:
-        """Notes that the machine is to be released."""
+        """Record that the machine is to be released."""
         self._requested.add(machine_id)
 
     def is_permitted(self, machine_id: str) -> bool:
-        """Whether the machine's release was permitted before."""
+        """Return whether the machine's release has been permitted."""
         return machine_id in self._permitted
 
     def permit(self, machine_id: str) -> None:
-        """Notes that the machine's release is permitted."""
+        """Record that the machine's release is permitted."""
         self._permitted.add(machine_id)
 
     def approve(self) -> None:
-        """Notes an operator's approval of all releases requested so far."""
+        """Record an operator's approval of all releases requested so far."""
         self._approved |= self._requested
 
     @property
     def unapproved_count(self) -> int:
-        """How many releases the circuit breaker counts."""
+        """The number of releases that the circuit breaker counts."""
         return len(self._requested - self._approved)
 
-    def held_back(self) -> set[str]:
-        """The machines whose release waits for the circuit breaker."""
+    def blocked(self) -> set[str]:
+        """Return the machines whose release the open circuit breaker blocks."""
         return self._requested - self._permitted - self._approved
--- a/crossmill/recovery/service.py
+++ b/crossmill/recovery/service.py
@@ -1,7 +1,8 @@
-"""Recovery on one controller: a `ShardRecovery` for each shard that it owns.
+"""Recovery on one controller, with a `ShardRecovery` for each shard that the controller owns.
 
-The service is the gate that heartbeat handler, placement and machine maintenance ask before they
-act. Its loop advances the recoveries, and writes their records and open circuit breakers.
+The service implements `CommandGate`, which the heartbeat handler, the placement and the machine
+maintenance query before they act. Its loop advances the recoveries, and writes their records and
+the reports of open circuit breakers.
 """
 
 import logging
@@ -28,7 +29,7 @@
 
 
 class RecoveryService:
-    """Holds back commands, placements and releases of shards that recover, and advances them."""
+    """Advances shards' recoveries, and delays their commands, placements and releases."""
 
     def __init__(
         self,
@@ -44,23 +45,23 @@
         self._membership = membership
         self._priority_of = priority_of
         self._recoveries: dict[int, ShardRecovery] = {}
-        # the shards whose record was written
+        # the shards whose record is written or being written
         self._recorded: set[int] = set()
         self.records = RecordIndex(self._mirror)
         self.breaker_state = BreakerStateReader(self._mirror)
         membership.subscribe_lost(self._drop_recovery)
 
     def _drop_recovery(self, shard: int) -> None:
-        # the next owner starts again from the stored state and the workers' heartbeats
+        # the next owner begins a new recovery from the stored state and the workers' heartbeats
         if self._recoveries.pop(shard, None) is not None:
             self._recorded.discard(shard)
 
-    # -- the gate --------------------------------------------------------------------
+    # -- command gate ----------------------------------------------------------------
 
     def screen(
         self, machine: Machine, view: WorkerView, ownership: ShardOwnership, commands: list[Command]
     ) -> list[Command]:
-        """Returns the commands that may answer a heartbeat now, the most urgent ones first."""
+        """Return the commands that may be sent in the heartbeat's response, most urgent first."""
         recovery = self._recovery_of(machine.shard, ownership)
         recovery.handle_heartbeat(machine, view)
         if not commands:
@@ -71,22 +72,22 @@
                 command.op.value for command in commands if command not in admitted
             )
             return commands
-        # an answer has a maximum length, and only commands that stop a task may be urgent
+        # a response has a maximum length, and only commands that stop a task may be urgent
         return sorted(admitted, key=lambda command: command.op is not CommandKind.STOP)
 
     def may_place(self, shard: int) -> bool:
-        """Whether waiting tasks of the shard may be placed."""
+        """Return whether waiting tasks of the shard may be placed."""
         recovery = self._recoveries.get(shard)
         return recovery is None or recovery.may_place or self._recovery_settings.dry_run
 
     def is_claimed(self, job: str, index: int) -> bool:
-        """Whether a worker runs the task although no plan contains it."""
+        """Return whether a worker runs the task although no plan contains it."""
         if self._recovery_settings.dry_run:
             return False
         return any(r.is_running_unplanned((job, index)) for r in self._recoveries.values())
 
     def may_give_up(self, machine: Machine, why: str) -> bool:  # noqa: ARG002 (the gate's interface)
-        """Whether the machine may be marked for return to the cloud."""
+        """Return whether the machine may be marked for return to the cloud."""
         recovery = self._recoveries.get(machine.shard)
         if recovery is None or recovery.admit_release(machine):
             return True
@@ -95,7 +96,7 @@
         return self._recovery_settings.dry_run
 
     def _recovery_of(self, shard: int, ownership: ShardOwnership) -> ShardRecovery:
-        """Returns the shard's recovery; begins it if the ownership is new."""
+        """Return the shard's recovery; begin it if the ownership is new."""
         recovery = self._recoveries.get(shard)
         if recovery is None or recovery.term != ownership.term:
             recovery = ShardRecovery(shard, ownership, self._context, self._priority_of)
@@ -104,13 +105,13 @@
             recovery.advance(ownership)
         return recovery
 
-    # -- the loop --------------------------------------------------------------------
+    # -- loop ------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Advances the recoveries until the controller ends.
+        """Advance the recoveries until the controller stops.
 
-        While none is in progress it only checks for newly acquired shards, as often as a lease is
-        renewed.
+        While no recovery is in progress, the loop only checks for newly acquired shards, once in
+        each lease renewal interval.
         """
         while True:
             await self.step()
@@ -122,7 +123,7 @@
             await curio.sleep(pause_s)
 
     async def step(self) -> None:
-        """Advances the recovery of each shard that this controller owns."""
+        """Advance the recovery of each shard that this controller owns."""
         for shard, ownership in list(self._membership.ownerships.items()):
             recovery = self._recovery_of(shard, ownership)
             is_done = recovery.has_ended and shard in self._recorded
@@ -132,7 +133,7 @@
             await self._process(recovery, ownership)
 
     async def _process(self, recovery: ShardRecovery, ownership: ShardOwnership) -> None:
-        """Does the reads and writes that a recovery needs now."""
+        """Perform the reads and writes that a recovery needs now."""
         if recovery.admission.needs_read:
             sent_at = self._clock.now()
             if await self._context.watcher.sync(self._settings.lease_renewal_interval_s):
@@ -150,30 +151,30 @@
             recovery.approve()
 
     def _is_approved(self, recovery: ShardRecovery) -> bool:
-        """Whether a valid approval covers exactly what is held back under this ownership."""
+        """Return whether a valid approval covers exactly the currently blocked actions."""
         approval = self.breaker_state.approval(recovery.shard)
         if approval is None or approval.token != recovery.term:
             return False
         return approval.digest == recovery.breaker.digest() and self._clock.wall() < approval.until
 
     async def _store_breaker(self, recovery: ShardRecovery, ownership: ShardOwnership) -> None:
-        """Stores what the breaker holds back, so that operators can ask any controller."""
+        """Store the report of an open breaker, so that any controller can show it to operators."""
         shard = recovery.shard
         key = keys.breaker(shard)
         stored = self._mirror.value(key)
         is_open = recovery.breaker.is_open and not self._recovery_settings.dry_run
-        present = encode_breaker(recovery) if is_open else None
-        # warns if another version wrote the stored value
+        current = encode_breaker(recovery) if is_open else None
+        # log a warning if another version wrote the stored value
         self.breaker_state.breaker_report(shard)
-        if stored == present or (present is None and self.breaker_state.is_unreadable(key)):
+        if stored == current or (current is None and self.breaker_state.is_unreadable(key)):
             return
         conditions = {key: self._mirror.version(key)}
-        if present is None:
+        if current is None:
             log.info("recovery brake released shard=%d token=%d", shard, ownership.term)
             txn = Txn(conditions, [], [key, *self._stored_approval_keys(shard)])
         else:
-            self._log_open_breaker(recovery, ownership, present)
-            txn = Txn(conditions, [Put(key, present)])
+            self._log_open_breaker(recovery, ownership, current)
+            txn = Txn(conditions, [Put(key, current)])
         await self._commit(shard, ownership, txn)
 
     def _log_open_breaker(
@@ -193,7 +194,7 @@
         return [key] if self._mirror.value(key) is not None else []
 
     async def _write_record(self, recovery: ShardRecovery, ownership: ShardOwnership) -> None:
-        """Writes the record of a finished recovery and deletes surplus ones."""
+        """Write the record of a finished recovery and delete surplus records."""
         shard, dry_run = recovery.shard, self._recovery_settings.dry_run
         record = encode_record(recovery, self._settings.label, self._clock.wall(), dry_run)
         log.info(
@@ -213,9 +214,10 @@
         await self._commit(shard, ownership, txn)
 
     async def _commit(self, shard: int, ownership: ShardOwnership, txn: Txn) -> None:
-        """Commits a write under the ownership.
+        """Commit a write under the ownership.
 
-        A failure is not reported: the next step stores the breaker again, and a record may be lost.
+        A failure is ignored: the next step stores the breaker's report again, and a lost record is
+        tolerated.
         """
         intent = shard_intent(self._membership, shard, ownership, WriteRank.BACKGROUND, txn)
         await self._context.writer.commit(intent)
@@ -223,7 +225,7 @@
     # -- state -----------------------------------------------------------------------
 
     def is_steady(self, shard: int) -> bool:
-        """Whether this controller acts for the shard and its recovery has ended."""
+        """Return whether this controller acts for the shard and the shard's recovery has ended."""
         ownership = self._membership.active_ownership(shard)
         recovery = self._recoveries.get(shard)
         if ownership is None or recovery is None or recovery.term != ownership.term:
@@ -231,11 +233,11 @@
         return recovery.has_ended and shard in self._recorded
 
     def active_recoveries(self) -> list[ShardRecovery]:
-        """Returns the recoveries in progress."""
+        """Return the recoveries in progress."""
         return [recovery for recovery in self._recoveries.values() if not recovery.has_ended]
 
     def phases(self) -> list[PhaseReport]:
-        """Returns the phases of the recoveries in progress, by shard, for operators."""
+        """Return the phases of the recoveries in progress for operators, sorted by shard."""
         dry_run = self._recovery_settings.dry_run
         return [
             PhaseReport(r.shard, r.term, str(r.phase), r.waits_for(), r.breaker.is_open, dry_run)
--- a/crossmill/recovery/settings.py
+++ b/crossmill/recovery/settings.py
@@ -1,4 +1,4 @@
-"""Reads and checks the recovery file (see deploy/recovery.toml), and derives values from it."""
+"""The settings of recovery, read from the recovery file (see deploy/recovery.toml)."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -7,7 +7,7 @@
 from ..settings.loader import read_toml
 from ..settings.table import Table
 
-# the fields of the file's table
+# the fields of the file's `recovery` table
 FIELDS = (
     "orders_per_s",
     "orders_per_worker",
@@ -23,25 +23,25 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoverySettings:
-    """The checked settings of recovery, and the limits of one shard that follow from them."""
+    """The validated settings of recovery, and the limits of one shard derived from them."""
 
-    # orders per second that recovery may send in the whole region
+    # the rate limit of the whole region, in orders per second
     orders_per_s: float
-    # orders that recovery may send to one worker within the workers' lease
+    # the maximum number of orders to one worker within the duration of a worker lease
     orders_per_worker: float
-    # heartbeat intervals for which a shard waits for its machines to report
+    # the time for which a shard waits for its machines to report, in heartbeat intervals
     observe_reports: float
-    # the share of the known tasks or machines that recovery may affect without an approval
+    # the share of the known tasks or machines that may be affected without an approval
     brake_share: float
-    # so few tasks or machines are never a mass action
+    # the number of tasks or machines up to which an action is never a mass action
     brake_least: int
-    # machines in the first batch; each further batch is twice as large
+    # the number of machines in the first batch; each further batch is twice as large
     first_batch: int
-    # seconds for which an operator's approval is valid
+    # the validity of an operator's approval, in seconds
     approval_s: float
-    # records of recoveries that are kept for each shard
+    # the number of recovery records kept for each shard
     kept_records: int
-    # whether nothing is withheld, and what would have been is only counted
+    # whether all orders are sent without delay, and those beyond the limits are only counted
     dry_run: bool
     controller_count: int
     heartbeat_interval_s: float
@@ -49,16 +49,16 @@
 
     @property
     def shard_orders_per_s(self) -> float:
-        """A shard's share of the region's rate, in orders per second.
+        """A shard's share of the region's rate limit, in orders per second.
 
-        The share belongs to the shard, which has one owner at a time. So the shares never add up to
-        more than the region's rate, however many controllers end or return.
+        There are as many shards as controllers, and a shard has one owner at a time. So the shares
+        never add up to more than the region's limit, however many controllers stop or restart.
         """
         return self.orders_per_s / self.controller_count
 
     @property
     def shard_burst(self) -> float:
-        """Orders that a shard may send at once: its share of one heartbeat interval."""
+        """The maximum burst of a shard's orders: its share of one heartbeat interval."""
         return max(1.0, self.shard_orders_per_s * self.heartbeat_interval_s)
 
     @property
@@ -68,22 +68,22 @@
 
     @property
     def observe_s(self) -> float:
-        """Seconds for which a shard waits for its machines to report."""
+        """The time in seconds for which a shard waits for its machines to report."""
         return self.observe_reports * self.heartbeat_interval_s
 
     @property
     def batch_timeout_s(self) -> float:
-        """Seconds after which a batch that is not resolved is postponed."""
+        """The time in seconds after which an unresolved batch is postponed."""
         return self.worker_lease_s
 
     @property
     def step_interval_s(self) -> float:
-        """Seconds between steps of a recovery, and so between reads of the state service."""
+        """The time in seconds between the steps of a recovery, which read the state service."""
         return self.heartbeat_interval_s / 2
 
 
 def parse(data: dict[str, Any], settings: Settings) -> RecoverySettings:
-    """Checks the parsed file; raises SettingsError with the name of the invalid field."""
+    """Check the parsed file; raise SettingsError with the name of the invalid field."""
     Table(data, "").expect_only("recovery")
     table = Table(data, "").table("recovery")
     table.expect_only(*FIELDS)
@@ -91,7 +91,7 @@
     if share > 1:
         raise SettingsError("recovery.brake_share: a number from 0 to 1 is needed")
     return RecoverySettings(
-        # each order leads to a write, so a rate above the write limit gains nothing
+        # each order leads to a write, so a rate above the write limit has no effect
         orders_per_s=table.number("orders_per_s", 0.1, settings.lowest_state_limits.write_rps),
         orders_per_worker=table.number("orders_per_worker", 1, 8.0),
         observe_reports=table.number("observe_reports", 1, 2.0),
@@ -108,5 +108,5 @@
 
 
 def load(path: str, settings: Settings) -> RecoverySettings:
-    """Reads and checks the recovery file; raises SettingsError."""
+    """Read and check the recovery file; raise SettingsError if it is invalid."""
     return parse(read_toml(path), settings)
--- a/crossmill/recovery/shard_recovery.py
+++ b/crossmill/recovery/shard_recovery.py
@@ -1,8 +1,8 @@
-"""The recovery of one shard under one ownership: its phases, and which orders may be sent when.
+"""The recovery of one shard under one ownership: its phases and the admission of its orders.
 
-`RecoveryService` creates one for each shard that the controller acquires, passes it the heartbeats
-and advances it. It keeps all of its state in memory: the next owner starts again from the stored
-state and the workers' heartbeats.
+`RecoveryService` creates a recovery for each shard that the controller acquires, passes it the
+heartbeats and advances it. A recovery keeps all of its state in memory: the next owner begins a new
+one from the stored state and the workers' heartbeats.
 """
 
 import logging
@@ -32,10 +32,10 @@
 
 
 class ShardRecovery:
-    """Resolves what differs between plans and heartbeats after a shard was acquired.
+    """Resolves the differences between plans and heartbeats after a shard was acquired.
 
-    It covers only the differences that a machine's first heartbeat under the new token shows,
-    however late that arrives. Later differences are not restricted by recovery.
+    It covers only the differences that a machine's first heartbeat under the new token shows, even
+    if that heartbeat arrives late. Recovery does not restrict orders for later differences.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
             context, self._phases, self._differences, self.breaker, self.statistics
         )
         self._reported: set[str] = set()
-        # machines that may run tasks and have not reported under this token
+        # machines that may run tasks and have not sent a heartbeat under this token
         self._not_reported: set[str] = set()
         self._resolving_timeout_s = 0.0
 
@@ -69,37 +69,37 @@
 
     @property
     def phase(self) -> RecoveryPhase:
-        """The present phase."""
+        """The current phase."""
         return self._phases.current
 
     @property
     def phase_durations_s(self) -> dict[RecoveryPhase, float]:
-        """Seconds spent in each phase that was left."""
+        """The seconds spent in each phase that has ended."""
         return self._phases.durations_s
 
     @property
     def has_reached_steady_phase(self) -> bool:
-        """Whether the last phase is reached: machines that have reported are not waited for."""
+        """Whether the recovery is in its last phase, which may begin before all machines report."""
         return self.phase is RecoveryPhase.STEADY
 
     @property
     def has_ended(self) -> bool:
-        """Whether nothing is left to do: all machines have reported or are gone, none differs."""
+        """Whether no differences are left and all machines have reported or departed."""
         return (
             self.has_reached_steady_phase and not self._not_reported and not self._differences.count
         )
 
     @property
     def may_place(self) -> bool:
-        """Whether waiting tasks may be placed: only after the machines could report."""
+        """Whether waiting tasks may be placed, which requires that machines had time to report."""
         return self.phase not in PHASES_BEFORE_PLACEMENT
 
     def is_running_unplanned(self, key: TaskKey) -> bool:
-        """Whether a worker of the shard runs the task although no plan contains it."""
+        """Return whether a worker of the shard runs the task although no plan contains it."""
         return self._differences.is_running_unplanned(key)
 
     def waits_for(self) -> str:
-        """Returns what the present phase waits for, as text for an operator."""
+        """Return a text for operators that describes what the current phase waits for."""
         if self.phase is RecoveryPhase.LOADING:
             return "a read of all that earlier owners wrote"
         if self.phase is RecoveryPhase.OBSERVING:
@@ -111,14 +111,14 @@
         return f"{len(self._not_reported)} silent machines" if self._not_reported else "nothing"
 
     def approve(self) -> None:
-        """Permits what the circuit breaker holds back now."""
+        """Permit the actions that the circuit breaker blocks now."""
         self.breaker.approve()
         log.info("recovery approved shard=%d token=%d", self.shard, self.term)
 
     # -- phases ----------------------------------------------------------------------
 
     def advance(self, ownership: ShardOwnership) -> None:
-        """Enters each next phase whose conditions are met."""
+        """Enter each next phase whose conditions are met."""
         self._drop_departed_machines()
         if self.phase is RecoveryPhase.LOADING and ownership.ready:
             self._start_observing()
@@ -173,13 +173,13 @@
         elif not self._differences.count:
             self._enter(RecoveryPhase.STEADY)
         elif self._phases.elapsed_s() > self._resolving_timeout_s:
-            # what remains stays rate limited, but no other machine waits for it any more
+            # the remaining differences stay rate limited, but batches no longer delay any machine
             self._enter(RecoveryPhase.STEADY)
         else:
             self.admission.advance_batches(self._priority_of)
 
     def _estimate_resolving_s(self) -> float:
-        """Seconds in which all differences can be resolved under the rate limits, in batches."""
+        """Return the seconds that suffice to resolve all differences within the limits."""
         machines = self._differences.machines()
         largest = max((len(self._differences.of_machine(m)) for m in machines), default=0)
         batches = count_batches(len(machines), self._settings.first_batch)
@@ -203,9 +203,9 @@
     # -- heartbeats and orders -------------------------------------------------------
 
     def handle_heartbeat(self, machine: Machine, view: WorkerView) -> None:
-        """Takes in a heartbeat with this owner's token.
+        """Update the differences from a heartbeat with this owner's token.
 
-        A machine's first heartbeat shows what differs, a later one what still does.
+        A machine's first heartbeat shows its differences, and a later one those that remain.
         """
         if machine.id not in self._reported:
             self._handle_first_heartbeat(machine, view)
@@ -224,7 +224,7 @@
         self._differences.add_all(machine.id, found, self._clock.now())
 
     def admit(self, machine: Machine, command: Command) -> bool:
-        """Decides whether a command may be sent now, and counts it if so.
+        """Return whether a command may be sent now; if so, count it.
 
         A command that does not resolve one of the recovery's differences is always admitted.
         """
@@ -234,7 +234,10 @@
         return difference is None or self.admission.admit(difference, command.op.value)
 
     def admit_release(self, machine: Machine) -> bool:
-        """Decides whether the machine may be marked for return to the cloud, and counts it."""
+        """Return whether the machine may be marked for return to the cloud.
+
+        The release of an unresponsive machine counts as an order.
+        """
         if self.has_ended:
             return True
         if self.phase not in RESOLVING_PHASES:
--- a/crossmill/recovery/statistics.py
+++ b/crossmill/recovery/statistics.py
@@ -1,16 +1,16 @@
-"""Counts that a recovery collects for its record and its log lines."""
+"""The counters that a recovery keeps for its record and its log lines."""
 
 from collections import Counter
 from collections.abc import Iterable
 
 from .classification import MachineClass, TaskClass
 
-# the kind under which released machines are counted among the orders, as it is stored
+# the stored kind under which released machines are counted among the orders
 RELEASE_ORDER = "release"
 
 
 class RecoveryStatistics:
-    """What a shard's recovery found and did."""
+    """Counters of the tasks, machines and orders of a shard's recovery."""
 
     __slots__ = (
         "admitted_by_dry_run",
@@ -24,13 +24,13 @@
     def __init__(self) -> None:
         self.task_classes: Counter[TaskClass] = Counter()
         self.machine_classes: Counter[MachineClass] = Counter()
-        # orders sent, by kind
+        # number of orders admitted within the limits, by kind
         self.orders: Counter[str] = Counter()
-        # orders that were sent in a dry run and would otherwise have been withheld, by kind
+        # number of orders that were sent only because of the dry run, by kind
         self.admitted_by_dry_run: Counter[str] = Counter()
         self.machines_known = 0
         self.tasks_known = 0
 
     def count_dry_run_admissions(self, kinds: Iterable[str]) -> None:
-        """Counts orders that were sent in a dry run and would otherwise have been withheld."""
+        """Count orders that were sent only because of the dry run."""
         self.admitted_by_dry_run.update(kinds)
--- a/crossmill/recovery/unresolved_differences.py
+++ b/crossmill/recovery/unresolved_differences.py
@@ -1,7 +1,7 @@
 """The unresolved differences of a shard, and totals over all of them.
 
-The totals are updated with each change, so the cost of a heartbeat does not depend on how many
-differences other machines have.
+The totals are updated with each change, so the cost of a heartbeat does not depend on the number of
+differences that other machines have.
 """
 
 from collections import Counter
@@ -11,14 +11,14 @@
 from .classification import ActionEvidence, RecoveryAction, TaskClass
 from .differences import Difference, TaskKey
 
-# classes of tasks that run without a plan: meanwhile they may not be placed elsewhere
+# classes of tasks that run without a plan and must not be placed elsewhere while they run
 RUNNING_UNPLANNED_CLASSES = frozenset({TaskClass.NEVER_STORED, TaskClass.OTHER_ATTEMPT})
 
 AttemptDifferences = dict[AttemptId, Difference]
 
 
 class UnresolvedDifferences:
-    """The unresolved differences by machine, and what the circuit breaker counts.
+    """The unresolved differences by machine, and those that the circuit breaker counts.
 
     The breaker also counts differences that recovery's own orders have resolved.
     """
@@ -27,19 +27,20 @@
         self._by_machine: dict[str, AttemptDifferences] = {}
         self.count = 0
         self._running_unplanned: Counter[TaskKey] = Counter()
-        # by attempt whose order needs a fresh read: when the difference was first reported
+        # time in seconds at which a difference was first reported, by attempt; only for those whose
+        # order requires a fresh read
         self._reported_at: dict[AttemptId, float] = {}
-        # what the breaker counts: differences that are unresolved or were resolved by an order
+        # differences that the breaker counts: unresolved ones, and those resolved by an order
         self._counted: set[Difference] = set()
         self._actions: Counter[RecoveryAction] = Counter()
         self._ordered: set[Difference] = set()
 
     def machines(self) -> list[str]:
-        """Returns the machines with differences."""
+        """Return the machines with differences."""
         return list(self._by_machine)
 
     def machines_by_urgency(self, priority_of: Callable[[str], int]) -> list[str]:
-        """Returns the machines, sorted by their most urgent difference and its job's priority."""
+        """Return the machines, sorted by their most urgent difference and its job's priority."""
         ranks = {
             machine_id: min(
                 (difference.rule.urgency, priority_of(difference.job))
@@ -50,32 +51,32 @@
         return sorted(ranks, key=lambda machine_id: (ranks[machine_id], machine_id))
 
     def of_machine(self, machine_id: str) -> AttemptDifferences:
-        """Returns the differences of a machine."""
+        """Return the differences of a machine by attempt."""
         return self._by_machine.get(machine_id, {})
 
     def add_all(self, machine_id: str, found: list[Difference], now: float) -> None:
-        """Adds the differences that a machine's first heartbeat shows."""
+        """Add the differences that a machine's first heartbeat shows."""
         for difference in found:
             self._add(machine_id, difference, now)
 
     def update(self, machine_id: str, found: list[Difference], now: float) -> None:
-        """Compares a machine's differences with those that a later heartbeat shows.
+        """Update a machine's differences from a later heartbeat.
 
-        A difference that the heartbeat no longer shows is resolved. The class of one that remains
-        may have changed, for example because its job was cancelled. New ones are not added: only
-        those of a machine's first heartbeat belong to the recovery.
+        A difference that the heartbeat no longer shows is resolved. The class of a remaining
+        difference may have changed, for example because its job was cancelled. New differences are
+        not added: only those of a machine's first heartbeat belong to the recovery.
         """
         remaining = {_attempt_id(difference): difference for difference in found}
         for attempt, difference in list(self.of_machine(machine_id).items()):
-            present = remaining.get(attempt)
-            if present == difference:
+            current = remaining.get(attempt)
+            if current == difference:
                 continue
             self._remove(machine_id, difference)
-            if present is not None:
-                self._add(machine_id, present, now)
+            if current is not None:
+                self._add(machine_id, current, now)
 
     def drop_machine(self, machine_id: str) -> None:
-        """Drops the differences of a machine that is gone or belongs to another shard."""
+        """Drop the differences of a machine that has departed or belongs to another shard."""
         for difference in list(self.of_machine(machine_id).values()):
             self._remove(machine_id, difference)
 
@@ -112,36 +113,36 @@
     # -- evidence --------------------------------------------------------------------
 
     def needs_read(self, last_read_sent_at: float | None) -> bool:
-        """Whether an order needs a read that was sent after the heartbeat it follows from."""
+        """Return whether an order requires a read sent after its difference was first reported."""
         return any(
             last_read_sent_at is None or reported_at >= last_read_sent_at
             for reported_at in self._reported_at.values()
         )
 
     def has_fresh_read(self, difference: Difference, last_read_sent_at: float | None) -> bool:
-        """Whether the last read was sent after the difference was first reported."""
+        """Return whether the last read was sent after the difference was first reported."""
         reported_at = self._reported_at.get(_attempt_id(difference))
         if reported_at is None or last_read_sent_at is None:
             return False
         return last_read_sent_at > reported_at
 
     def is_running_unplanned(self, key: TaskKey) -> bool:
-        """Whether some machine runs the task although no plan contains it."""
+        """Return whether any machine runs the task although no plan contains it."""
         return self._running_unplanned[key] > 0
 
-    # -- the circuit breaker ---------------------------------------------------------
+    # -- circuit breaker -------------------------------------------------------------
 
     def mark_ordered(self, difference: Difference) -> None:
-        """Notes that an order was sent, so that the breaker keeps counting the difference."""
+        """Record that an order was sent, so that the breaker keeps counting the difference."""
         self._ordered.add(difference)
 
     def approve(self) -> None:
-        """Excludes from the count what the breaker counts now: an operator approved it."""
+        """Stop counting all currently counted differences, since an operator approved them."""
         for difference in list(self._counted):
             self._stop_counting(difference)
 
-    def held_back(self) -> list[Difference]:
-        """Returns the unresolved differences that the breaker counts."""
+    def blocked(self) -> list[Difference]:
+        """Return the unresolved differences that the breaker counts."""
         return [
             difference
             for differences in self._by_machine.values()
@@ -150,7 +151,7 @@
         ]
 
     def count_unapproved(self, action: RecoveryAction) -> int:
-        """Returns how many differences with this action the breaker counts."""
+        """Return the number of differences with this action that the breaker counts."""
         return self._actions[action]
 
 
--- a/crossmill/wire/recovery.py
+++ b/crossmill/wire/recovery.py
@@ -1,7 +1,7 @@
 """Messages between operators and controllers about recoveries.
 
-They are not part of PROTOCOL; docs/recovery-operations.md describes them. The fields of the named
-tuples are the fields of the messages, so they keep their names.
+They are not part of PROTOCOL; docs/recovery-operations.md describes them. The named tuples are
+encoded with their field names, so these can't be renamed.
 """
 
 from typing import NamedTuple
@@ -22,7 +22,18 @@
 
 
 class BreakerReport(NamedTuple):
-    """What the open circuit breaker of a shard holds back; also stored in this form."""
+    """The report of a shard's open circuit breaker, also stored in this form.
+
+    Attributes:
+        shard: The number of the shard.
+        token: The fencing token under which the recovery began.
+        digest: The identifier of the blocked actions.
+        stops: Unapproved orders to stop a task.
+        restarts: Unapproved orders to start a planned task that its worker does not run.
+        releases: Unapproved releases of machines.
+        tasks_known: Tasks that are planned on or reported by machines that have reported.
+        machines_known: Machines of the shard.
+    """
 
     shard: int
     token: int
@@ -35,24 +46,24 @@
 
 
 class PhaseReport(NamedTuple):
-    """The state of a recovery in progress on the answering controller."""
+    """The state of a recovery in progress on the responding controller."""
 
     shard: int
     token: int
     phase: str
     waits_for: str
     is_braked: bool
-    # whether nothing is withheld, and `is_braked` only says what would be
+    # whether nothing is delayed, and `is_braked` only shows whether the breaker would block
     is_dry_run: bool
 
 
 def approval_body(approval: Approval) -> bytes:
-    """Encodes an operator's approval."""
+    """Encode an operator's approval."""
     return orjson.dumps(approval._asdict())
 
 
 def parse_approval(body: bytes) -> Approval:
-    """Parses an operator's approval; raises MalformedMessageError."""
+    """Parse an operator's approval; raise MalformedMessageError if it is invalid."""
     data = checks.load_object(body)
     shard = data.get("shard")
     if type(shard) is not int or shard < 0:
@@ -66,12 +77,12 @@
     breakers: list[BreakerReport],
     records: list[dict[str, object]],
 ) -> bytes:
-    """Encodes the overview for operators, indented to be read.
+    """Encode the overview for operators, indented for readability.
 
     Args:
-        controller: the label of the answering controller
-        phases: the recoveries in progress on it
-        breakers: the open circuit breakers of all shards
+        controller: the label of the responding controller
+        phases: the recoveries in progress on that controller
+        breakers: the reports of the open circuit breakers of all shards
         records: the stored records of past recoveries
     """
     return orjson.dumps(
@@ -86,5 +97,5 @@
 
 
 def error_body(text: str) -> bytes:
-    """Encodes the reason why a request was refused."""
+    """Encode the reason for rejecting a request."""
     return orjson.dumps({"error": text})
