--- a/tests/measure_recovery.py
+++ b/tests/measure_recovery.py
@@ -2,9 +2,9 @@
 
     python -m tests.measure_recovery [--sizes 100:20,1000:20,4000:2] [--out FOLDER]
 
-It runs three controllers and simulated workers under virtual time. It needs
-requirements-measure.txt and is no part of the test command. The baseline are controllers without
-recovery.
+It runs three controllers and simulated workers under virtual time. It requires
+requirements-measure.txt and is not part of the test command. The baseline is the same restart
+without recovery.
 """
 
 import argparse
@@ -35,9 +35,9 @@
 
 TASKS_PER_JOB = 8
 TASKS_PER_WORKER = 2
-# the share of the workers that is disconnected, and that runs an unplanned task
+# the share of the workers that are disconnected, and the share that run an unplanned task
 AFFECTED_SHARE = 0.05
-# the share of the jobs that an older state of the state service lacks
+# the share of the jobs that are missing in an older state of the state service
 LOST_SHARE = 0.5
 OBSERVED_S = 25.0
 POLL_INTERVAL_S = 0.05
@@ -46,7 +46,7 @@
 
 
 class Case(NamedTuple):
-    """A restart to be measured."""
+    """The parameters of a measured restart."""
 
     scenario: str
     workers: int
@@ -55,7 +55,7 @@
 
 
 class Sample(NamedTuple):
-    """The figures of a restart; times in seconds after the controllers' end, None if never."""
+    """The figures of a restart; times are seconds since the controllers stopped, or None."""
 
     scenario: str
     workers: int
@@ -74,7 +74,7 @@
 
 
 async def _fill(region: RecoveryRegion, workers: int) -> None:
-    """Stores plans for all workers and waits until the controllers have started their tasks."""
+    """Store plans for all workers and wait until the controllers have started their tasks."""
     await region.begin(machines=0)
     for number in range(workers):
         zone = ("north", "south")[number % 2]
@@ -112,7 +112,7 @@
 
 
 def _inject_differences(region: RecoveryRegion, scenario: str, rng: Random) -> set[str]:
-    """Makes state and workers differ, and returns the affected machines."""
+    """Make stored state and workers differ, and return the affected machines."""
     workers = list(region.workers.values())
     if scenario == "differing":
         affected = rng.sample(workers, max(2, int(2 * AFFECTED_SHARE * len(workers))))
@@ -133,7 +133,7 @@
 
 
 def measure(case: Case) -> Sample:
-    """Measures one restart of all controllers."""
+    """Measure one restart of all controllers."""
     results: list[Sample] = []
 
     async def scenario(region: RecoveryRegion) -> None:
@@ -152,7 +152,7 @@
         times = await _measure_times(region, ended_at)
         orders = [(at, o["verb"]) for w in region.workers.values() for at, _, o in w.orders]
         seconds = Counter(int(at) for at, _ in orders)
-        left = sum(len(worker.tasks) for worker in region.workers.values())
+        tasks_left = sum(len(worker.tasks) for worker in region.workers.values())
         results.append(
             Sample(
                 *case,
@@ -161,7 +161,7 @@
                 dict(Counter(verb for _, verb in orders)),
                 sum(len(w.orders) for w in region.workers.values() if w.machine not in affected),
                 max(seconds.values(), default=0),
-                max(0, tasks + unplanned - left),
+                max(0, tasks + unplanned - tasks_left),
                 len(region.state.calls) - calls,
                 region.state.puts - puts,
             )
@@ -173,7 +173,7 @@
 
 
 class AnswerTimes(NamedTuple):
-    """When workers and users were answered again, in seconds after the end; None if never."""
+    """The times of the first responses, in seconds since the controllers stopped, or None."""
 
     first_worker_s: float | None
     all_workers_s: float | None
@@ -199,7 +199,7 @@
     return AnswerTimes(first_worker, all_workers, first_user)
 
 
-# -- the report ------------------------------------------------------------------------
+# -- report ----------------------------------------------------------------------------
 
 TIMES = ("first_worker_s", "all_workers_s", "first_user_s")
 COUNTS = ("orders_to_healthy", "peak_orders_per_s", "tasks_lost", "state_reads", "state_writes")
@@ -251,29 +251,29 @@
 
 
 def write_report(figures: dict[str, Any], out: Path) -> None:
-    """Writes the figures, the plots and the page."""
+    """Write the figures, the plots and the page."""
     out.mkdir(parents=True, exist_ok=True)
     (out / "figures.json").write_text(json.dumps(figures, indent=1) + "\n")
     samples = figures["samples"]
     for scenario in SCENARIOS:
         _plot(samples, scenario, out / f"{scenario}.svg")
     text = (
-        f"Three controllers end at once and return within 0.5 to 5 s; {OBSERVED_S:g} s from the "
-        f"end. Differing: {AFFECTED_SHARE:.0%} of the workers silent, {AFFECTED_SHARE:.0%} with "
-        f"a task never recorded. Older: the state service has lost {LOST_SHARE:.0%} of the jobs."
+        f"Three controllers stop at once and restart within 0.5 to 5 s; {OBSERVED_S:g} s from the "
+        f"stop. Differing: {AFFECTED_SHARE:.0%} of the workers disconnected, {AFFECTED_SHARE:.0%} "
+        f"with an unplanned task. Older: the state service has lost {LOST_SHARE:.0%} of the jobs."
     )
     tables = [_table(samples, scenario) for scenario in SCENARIOS]
-    title = "Restart after all controllers end, measured"
+    title = "Measured restarts of all controllers"
     write_page(out / "index.html", title, text, "tests.measure_recovery", tables)
 
 
 def main() -> None:
-    """Runs all measurements and writes the report."""
+    """Run all measurements and write the report."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument(
-        "--sizes", default="100:20,1000:20,4000:2", help="numbers of workers, and of seeds for each"
+        "--sizes", default="100:20,1000:20,4000:2", help="pairs of worker count and number of seeds"
     )
-    parser.add_argument("--workers", type=int, default=4, help="processes at once")
+    parser.add_argument("--workers", type=int, default=4, help="number of parallel processes")
     parser.add_argument("--out", default="docs/recovery-results")
     args = parser.parse_args()
     sizes = [tuple(map(int, size.split(":"))) for size in args.sizes.split(",")]
--- a/tests/recovery_region.py
+++ b/tests/recovery_region.py
@@ -1,7 +1,7 @@
-"""The simulated region with recovery on: each controller has the package's service.
+"""The simulated region with recovery on each controller.
 
-The tests of recovery share its helpers: filling a region with work, restarting all controllers,
-restoring the state service, and counting the orders that workers get.
+The tests of recovery share its helpers, which start tasks in a region, restart all controllers,
+restore the state service, and collect the orders that workers receive.
 """
 
 from collections.abc import Awaitable, Callable, Iterable
@@ -26,11 +26,11 @@
 from .stepped_controller import SteppedController
 from .virtual_time import run_under_virtual_time
 
-# the teams of successive jobs; the number of red ones is limited, since that team has a quota
+# the teams of successive jobs; the number of jobs of team red is limited, since it has a quota
 TEAMS = ("blue", "green", "blue", "green", "red")
 JOBS_WITH_RED = 5 * len(TEAMS)
 
-# a region that is small, but has work in each shard and each zone
+# the size of a small region with tasks in each shard and each zone
 FEW_WORKERS = 18
 FEW_SERVICES = 12
 
@@ -38,17 +38,17 @@
 ACCEPTED = (OK, 201)
 UNAVAILABLE = 503
 
-# what a fixed rate may be exceeded by, for the rounding of floats
+# the tolerance of a rate limit for float rounding, in orders
 RATE_TOLERANCE = 1e-6
 
 
 def recovery_settings(**changes: Any) -> RecoverySettings:
-    """Returns settings with the given fields of the recovery file."""
+    """Return settings with the given fields of the recovery file."""
     return parse({"recovery": changes}, make_settings())
 
 
 def add_recovery(node: SteppedController, recovery: RecoverySettings) -> RecoveryApi:
-    """Gives a controller the package's parts, as the application does."""
+    """Add recovery to a controller, as the application does."""
     context = RecoveryContext(
         node.settings, recovery, node.clock, node.cluster, node.watcher, node.writer
     )
@@ -58,27 +58,27 @@
 
 
 class RecoveryRegion(Region):
-    """A region whose controllers have recovery; with `recovery` of None they have not."""
+    """A region whose controllers use recovery unless the recovery settings are None."""
 
     def __init__(self, clock: FakeClock, recovery: RecoverySettings | None) -> None:
         super().__init__(clock)
-        self.recovery = recovery
+        self.recovery_settings = recovery
         self.services: dict[str, RecoveryService] = {}
         self.apis: dict[str, RecoveryApi] = {}
 
     def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
-        """Adds recovery to a controller that starts, and returns its loop."""
-        if self.recovery is None:
+        """Add recovery to a starting controller, and return the loop of recovery."""
+        if self.recovery_settings is None:
             return []
         label = node.settings.label
-        api = add_recovery(node, self.recovery)
+        api = add_recovery(node, self.recovery_settings)
         self.services[label], self.apis[label] = api.service, api
         return [api.service.run]
 
-    # -- work ------------------------------------------------------------------------
+    # -- load ------------------------------------------------------------------------
 
     async def begin_with_workers(self, workers: int) -> None:
-        """Starts the controllers, and workers in all shards and both zones."""
+        """Start the controllers, and workers in all shards and both zones."""
         await self.begin(machines=0)
         for number in range(workers):
             zone = ("north", "south")[number % 2]
@@ -87,10 +87,10 @@
     async def begin_with_load(
         self, workers: int = FEW_WORKERS, services: int = FEW_SERVICES
     ) -> list[str]:
-        """Starts a region that runs services, spread services and long arrays.
+        """Start a region that runs services, spread services and long array jobs.
 
         Returns:
-            The ids of the services.
+            The job IDs of the services.
         """
         await self.begin_with_workers(workers)
         await curio.sleep(8.0)
@@ -101,7 +101,7 @@
             fields = {"crew": "green", "sacks": 3, "cards": 0.0}
             await self.submit_until_accepted(label, job, 400.0, **fields)
         await curio.sleep(10.0)
-        if self.recovery is not None:
+        if self.recovery_settings is not None:
             await self.wait_until(self.is_steady, 120.0)
         self.clear_orders()
         return jobs
@@ -109,13 +109,13 @@
     async def submit_until_accepted(
         self, label: str, job: str, run_s: float | None, **fields: Any
     ) -> None:
-        """Submits a job again while it is answered 503, as PROTOCOL says for users."""
+        """Submit a job, and retry after each status 503, as PROTOCOL requires of users."""
         while (status := await self.submit(label, job, run_s, **fields)) not in ACCEPTED:
             assert status == UNAVAILABLE, status
             await curio.sleep(1.0)
 
     async def start_services(self, number: int, tasks: int = 3) -> list[str]:
-        """Submits services, every third of them spread, and waits until all their tasks run."""
+        """Submit services, every third one spread, and wait until all their tasks run."""
         jobs = [f"wk-{n:06d}" for n in range(number)]
         for n, job in enumerate(jobs):
             team = TEAMS[n % len(TEAMS)] if n < JOBS_WITH_RED else TEAMS[n % 2]
@@ -128,31 +128,31 @@
     # -- faults ----------------------------------------------------------------------
 
     async def kill_all(self) -> None:
-        """Ends all controllers."""
+        """Stop all controllers."""
         for label in list(self.nodes):
             await self.kill(label)
 
     async def start_all(self, start_interval_s: float = 0.0) -> None:
-        """Starts the controllers that do not run, one after another."""
+        """Start the controllers that do not run, one after another."""
         for label in self.LABELS:
             if label not in self.nodes:
                 await self.start(label)
                 await curio.sleep(start_interval_s)
 
     async def restart_all(self, outage_s: float, start_interval_s: float = 0.0) -> None:
-        """Ends all controllers and starts them again."""
+        """Stop all controllers and start them again after an outage."""
         await self.kill_all()
         await curio.sleep(outage_s)
         await self.start_all(start_interval_s)
 
     def copy_state(self) -> dict[str, Any]:
-        """Copies the keys of the state service, apart from those attached to leases."""
+        """Return a copy of the state service's keys, except those attached to leases."""
         return {
             key: deepcopy(value) for key, (value, _, lease) in self.state.keys.items() if not lease
         }
 
     async def restore_state(self, copy: dict[str, Any]) -> None:
-        """Restores the state service from a copy; no controller may run meanwhile."""
+        """Restore the state service from a copy; no controller may be running."""
         assert not self.nodes
         for key in list(self.state.keys):
             self.state.delete(key)
@@ -163,17 +163,17 @@
     # -- state -----------------------------------------------------------------------
 
     def orders(self, workers: Iterable[Worker] | None = None) -> dict[str, list[str]]:
-        """Returns the verbs of the orders by worker; workers without orders are left out."""
+        """Return the verbs of the orders by worker; workers without orders are omitted."""
         chosen = self.workers.values() if workers is None else workers
         return {w.machine: [o[2]["verb"] for o in w.orders] for w in chosen if w.orders}
 
     def clear_orders(self) -> None:
-        """Forgets the orders that workers got so far."""
+        """Clear the list of the orders that workers have received."""
         for worker in self.workers.values():
             worker.orders.clear()
 
     def stop_times(self, since: float) -> list[float]:
-        """Returns when workers got orders to stop tasks."""
+        """Return the times at which workers received orders to stop tasks."""
         return [
             at
             for worker in self.workers.values()
@@ -182,11 +182,11 @@
         ]
 
     def running_tasks(self) -> dict[str, Any]:
-        """Returns the tasks by machine."""
+        """Return the tasks by machine."""
         return {worker.machine: dict(worker.tasks) for worker in self.workers.values()}
 
     def has_running(self, job: str, tasks: int) -> bool:
-        """Whether exactly so many tasks of the job run."""
+        """Return whether exactly this number of the job's tasks run."""
         return tasks == sum(
             task.state == "running"
             for worker in self.workers_running(job)
@@ -195,7 +195,7 @@
         )
 
     def active_recoveries(self) -> list[ShardRecovery]:
-        """Returns the recoveries in progress on running controllers."""
+        """Return the recoveries in progress on running controllers."""
         return [
             recovery
             for label, service in self.services.items()
@@ -204,7 +204,7 @@
         ]
 
     def is_steady(self) -> bool:
-        """Whether each shard has an owner that has finished its recovery."""
+        """Return whether each shard has an owner that has finished the shard's recovery."""
         owners = self.owners()
         return len(owners) == len(self.LABELS) and all(
             label in self.nodes and self.services[label].is_steady(shard)
@@ -214,36 +214,36 @@
     # -- operators -------------------------------------------------------------------
 
     async def request(self, label: str, method: str, path: str, body: bytes = b"") -> Response:
-        """Sends an operator's request to a controller."""
+        """Send an operator's request to a controller."""
         return await self.apis[label].handle(Request(method, path, body))
 
     async def overview(self, label: str = "node-0") -> dict[str, Any]:
-        """Returns the overview of recoveries that a controller shows."""
+        """Return a controller's overview of recoveries."""
         response = await self.request(label, "GET", RECOVERY_PATH)
         assert response.status == OK, response
         overview: dict[str, Any] = orjson.loads(response.body)
         return overview
 
     async def approve(self, label: str, breakers: list[dict[str, Any]]) -> list[int]:
-        """Approves what open circuit breakers hold back; returns the statuses."""
+        """Approve the actions that open circuit breakers block; return the HTTP statuses."""
         bodies = [approval_body(Approval(b["shard"], b["digest"])) for b in breakers]
         return [(await self.request(label, "POST", APPROVE_PATH, body)).status for body in bodies]
 
 
 def disconnect(workers: Iterable[Worker]) -> None:
-    """Cuts workers off: neither heartbeats nor answers nor commands arrive."""
+    """Disconnect workers: neither heartbeats nor responses nor commands arrive."""
     for worker in workers:
         worker.heartbeats_lost = worker.inbound_lost = True
 
 
 def reconnect(workers: Iterable[Worker]) -> None:
-    """Ends what `disconnect` began."""
+    """Reconnect workers after `disconnect`."""
     for worker in workers:
         worker.heartbeats_lost = worker.inbound_lost = False
 
 
 class RateViolation(NamedTuple):
-    """A span of time with more orders than its rate limit allows."""
+    """A time span with more orders than its rate limit allows."""
 
     begin: float
     end: float
@@ -252,7 +252,7 @@
 
 
 def rate_violations(times: list[float], rate: float, burst: float) -> list[RateViolation]:
-    """Returns the spans with more orders than the rate and one burst allow."""
+    """Return the time spans with more orders than the rate and one burst allow."""
     times = sorted(times)
     spans = [
         RateViolation(begin, end, last - first + 1, (end - begin) * rate + burst)
@@ -263,12 +263,12 @@
 
 
 def add_unplanned_task(worker: Worker, job: str, index: int, attempt: int) -> None:
-    """Makes a worker run a task that no plan contains."""
+    """Add a running task to a worker that no plan contains."""
     worker.tasks[job, index] = Task(attempt, "running", worker.region.clock.now())
 
 
 def is_unplanned_task_violation(report_violation: str) -> bool:
-    """Whether a violation is about tasks that a test gave to workers without a plan."""
+    """Return whether a violation is about a task that a test added without a plan."""
     return " orphaned " in report_violation and report_violation.endswith(": in no plan")
 
 
@@ -277,7 +277,7 @@
     recovery: RecoverySettings | None,
     expected: Callable[[str], bool] = lambda _: False,
 ) -> RecoveryRegion:
-    """Plays a scenario; fails if an invariant is violated, apart from expected violations."""
+    """Run a scenario; fail if an invariant is violated, except for expected violations."""
     clock = FakeClock()
     region = RecoveryRegion(clock, recovery)
 
--- a/tests/test_recovery_classification.py
+++ b/tests/test_recovery_classification.py
@@ -1,4 +1,4 @@
-"""Recovery's classification of tasks and machines; it agrees with the heartbeat handler."""
+"""Recovery's classification of tasks and machines, compared with the heartbeat handler."""
 
 import random
 from typing import Any, NamedTuple
@@ -41,12 +41,12 @@
     RecoveryAction.FORGET,
     RecoveryAction.RECORD_END,
 )
-# the newest session of the worker
+# the worker's newest session
 SESSION = 2
 
 
 class TaskCase(NamedTuple):
-    """A task on a machine, its expected class and the action of that class."""
+    """A task on a machine, its expected class and the action for that class."""
 
     job: JobStatus
     liveness: WorkerLiveness
@@ -135,14 +135,14 @@
     assert classify_machine(stored, in_cloud_list, retiring, liveness) is expected
 
 
-# -- the classes agree with the commands and outcomes of the heartbeat handler ---------
+# -- comparison with the commands and outcomes of the heartbeat handler ----------------
 
 TASKS = 6
 JOBS = {"wk-000001": ACTIVE, "wk-000002": ENDED, "wk-000003": UNKNOWN}
 
 
 class RandomState(NamedTuple):
-    """Plans by job, and the tasks in the heartbeat of n-0."""
+    """Random plans by job ID, and the random tasks in the heartbeat of machine n-0."""
 
     plans: dict[str, list[PlannedAttempt]]
     reported: list[dict[str, Any]]
@@ -177,7 +177,7 @@
 async def _start_with_heartbeat(
     state: StateService, clock: FakeClock, drawn: RandomState
 ) -> tuple[SteppedController, list[Command]]:
-    """Starts a controller and returns it with its commands after a heartbeat with its token."""
+    """Start a controller; return it and its commands after a heartbeat with its token."""
     _store(state, clock, drawn)
     node = SteppedController(state, clock, {})
     await node.boot()
@@ -212,8 +212,8 @@
             if action in OPERATIONS:
                 expected[f"{key[0]}/{key[1]}", attempt] = OPERATIONS[action]
             has_outcome = planned is not None and node.heartbeats.outcomes.is_concluded(planned)
-            # a planned attempt of an earlier session has ended, even where the worker reports
-            # another attempt of the task
+            # a planned attempt of an earlier session has ended, even if the worker reports another
+            # attempt of the task
             is_session_ended = (
                 planned is not None and planned.session < SESSION and planned.number != attempt
             )
--- a/tests/test_recovery_decisions.py
+++ b/tests/test_recovery_decisions.py
@@ -1,4 +1,4 @@
-"""Recovery's phases, batches, circuit breaker, settings and approvals, each by itself."""
+"""Unit tests of recovery's phases, batches, circuit breaker, settings and approvals."""
 
 import pytest
 
@@ -77,7 +77,7 @@
     assert is_mass_action(counts, recovery_settings()) is is_expected
 
 
-def test_a_digest_identifies_exactly_what_is_held_back() -> None:
+def test_a_digest_identifies_exactly_the_blocked_actions() -> None:
     one = Difference("n-0", "wk-000001", 0, 1, TaskClass.NEVER_STORED)
     other = Difference("n-0", "wk-000001", 1, 1, TaskClass.NEVER_STORED)
     digests = {digest_of(found, {"n-1"}) for found in ([one, other], [other, one])}
@@ -100,7 +100,7 @@
         ("kept_records", 0),
     ],
 )
-def test_a_bad_field_is_named(field: str, value: object) -> None:
+def test_an_invalid_field_is_reported_by_name(field: str, value: object) -> None:
     with pytest.raises(SettingsError, match=f"recovery.{field}"):
         recovery_settings(**{field: value})
 
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize("body", [b"{}", b'{"shard":-1,"digest":"a"}', b'{"shard":0}', b"["])
-def test_a_bad_approval_is_refused(body: bytes) -> None:
+def test_an_invalid_approval_is_rejected(body: bytes) -> None:
     with pytest.raises(MalformedMessageError):
         parse_approval(body)
     approval = Approval(2, "ab")
--- a/tests/test_recovery_dry_run.py
+++ b/tests/test_recovery_dry_run.py
@@ -1,6 +1,6 @@
 """Recovery's dry run, invalid recovery files, and stored values of other versions.
 
-In a dry run nothing is withheld, and what would have been is counted.
+In a dry run no order is delayed, and the orders that a regular recovery would delay are counted.
 """
 
 from pathlib import Path
@@ -28,7 +28,7 @@
 
 
 async def _restart_with_differences(region: RecoveryRegion) -> None:
-    """Restarts all controllers; meanwhile a fifth of the machines gets unplanned tasks."""
+    """Restart all controllers; during the outage a fifth of the machines gets unplanned tasks."""
     await region.begin(machines=0)
     for number in range(20):
         await region.add_worker(f"n-{number:02d}", ("north", "south")[number % 2], number % 3)
@@ -44,7 +44,7 @@
 
 
 def _timeline(recovery: RecoverySettings | None) -> dict[str, list[tuple[float, str]]]:
-    """Returns the times and verbs of the orders by worker."""
+    """Return the times and verbs of the orders by worker."""
     region = simulate_recovery(_restart_with_differences, recovery, is_unplanned_task_violation)
     return {
         worker.machine: [(round(at, 1), order["verb"]) for at, _, order in worker.orders]
@@ -61,7 +61,7 @@
     assert _timeline(recovery_settings()) != plain
 
 
-def test_a_dry_run_counts_what_it_would_withhold_and_accepts_no_approval() -> None:
+def test_a_dry_run_counts_orders_beyond_the_limits_and_accepts_no_approval() -> None:
     async def scenario(region: RecoveryRegion) -> None:
         await _restart_with_differences(region)
         label = next(iter(region.nodes))
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "named"),
+    ("text", "expected_name"),
     [
         ("[recovery]\nbrake_shares = 0.2\n", "recovery.brake_shares"),
         ('[recovery]\ndry_run = "yes"\n', "recovery.dry_run"),
@@ -89,15 +89,15 @@
         ("recovery = 3\n", "recovery"),
     ],
 )
-def test_check_names_what_is_invalid_in_the_file(
-    text: str, named: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+def test_check_reports_the_invalid_field_of_the_file(
+    text: str, expected_name: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     config, bad = tmp_path / "settings.toml", tmp_path / "recovery.toml"
     config.write_text(tomli_w.dumps(settings_table()))
     bad.write_text(text)
     assert main(["check", "--config", str(config), "--recovery", str(bad)]) == BAD_USAGE
     error = capsys.readouterr().err.strip()
-    assert named in error
+    assert expected_name in error
     assert "\n" not in error
 
 
@@ -114,7 +114,7 @@
 def test_values_of_a_later_version_are_kept_and_logged(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    later = {
+    later_values = {
         keys.breaker(0): {"shard": 0, "token": 1, "digest": "ab", "zones": {}},
         keys.approval(0): {"token": 1, "digest": "ab", "until": 1e12, "by": "somebody"},
         keys.RECORD + "0/by-zone/7": {"shard": 0},
@@ -122,7 +122,7 @@
     }
 
     async def scenario(region: RecoveryRegion) -> None:
-        for key, value in later.items():
+        for key, value in later_values.items():
             region.state.put(key, value)
         await _restart_with_differences(region)
         label = next(iter(region.nodes))
@@ -131,8 +131,8 @@
         assert load_object(response.body)["braked"] == []
         approval = approval_body(Approval(0, "ab"))
         assert (await region.request(label, "POST", APPROVE_PATH, approval)).status == 409
-        stored = {key: region.state.keys[key][0] for key in later}
-        assert stored == later
+        stored = {key: region.state.keys[key][0] for key in later_values}
+        assert stored == later_values
         await region.wait_until(region.is_steady, 60.0)
 
     with caplog.at_level("WARNING"):
--- a/tests/test_recovery_failures.py
+++ b/tests/test_recovery_failures.py
@@ -1,4 +1,4 @@
-"""Controllers, the state service or a zone fail again while a recovery is in progress."""
+"""Further failures of controllers, the state service or a zone during a recovery."""
 
 from collections.abc import Callable
 
@@ -19,7 +19,9 @@
 
 
 @pytest.mark.parametrize("phase", list(RecoveryPhase))
-def test_a_second_restart_in_each_phase_leaves_healthy_workers_alone(phase: RecoveryPhase) -> None:
+def test_healthy_workers_get_no_orders_after_a_second_restart_in_each_phase(
+    phase: RecoveryPhase,
+) -> None:
     async def scenario(region: RecoveryRegion) -> None:
         await region.begin_with_load()
         affected = [w for w in region.workers.values() if w.tasks][:4]
@@ -100,9 +102,10 @@
         reconnect(south)
         await region.wait_until(region.is_steady, 120.0)
         await curio.sleep(30.0)
-        # tasks in the south ended with their workers' leases and may be placed again in the north
-        ended = [v for verbs in region.orders(north).values() for v in verbs if v != "start"]
-        assert ended == []
+        # the tasks in the south ended when their workers' leases expired, and may then be placed in
+        # the north
+        other_verbs = [v for verbs in region.orders(north).values() for v in verbs if v != "start"]
+        assert other_verbs == []
 
     simulate_recovery(scenario, recovery_settings())
 
@@ -134,7 +137,7 @@
 
 
 def test_a_controller_with_an_outdated_view_stops_nothing_that_another_planned() -> None:
-    """One controller gets no changes, so it acquires a shard with an outdated view of the plans."""
+    """A controller that receives no changes acquires a shard with an outdated view of the plans."""
 
     async def scenario(region: RecoveryRegion) -> None:
         await region.begin_with_load()
@@ -152,8 +155,8 @@
         await region.start_all()
         await region.wait_until(region.is_steady, 90.0)
         await curio.sleep(10.0)
-        ended = [v for verbs in region.orders().values() for v in verbs if v != "start"]
-        assert ended == []
+        other_verbs = [v for verbs in region.orders().values() for v in verbs if v != "start"]
+        assert other_verbs == []
         for machine, tasks in running.items():
             assert tasks.items() <= region.workers[machine].tasks.items()
 
--- a/tests/test_recovery_restart.py
+++ b/tests/test_recovery_restart.py
@@ -1,4 +1,4 @@
-"""All controllers end and return while work goes on: healthy work gets no orders."""
+"""Restarts of all controllers while tasks run: healthy workers get no orders."""
 
 from collections import Counter
 
@@ -20,7 +20,7 @@
     simulate_recovery,
 )
 
-# a region of the size that the operators named for a restart without orders
+# the region size for which the operators require a restart without orders
 MANY_WORKERS = 100
 MANY_SERVICES = 70
 
@@ -44,8 +44,8 @@
     simulate_recovery(scenario, recovery_settings())
 
 
-def test_only_workers_that_differ_get_orders_after_a_restart() -> None:
-    """Five workers are disconnected, one runs an unplanned task, and jobs are cancelled."""
+def test_only_workers_with_differences_get_orders_after_a_restart() -> None:
+    """Five workers are disconnected, one runs an unplanned task, and some jobs are cancelled."""
 
     async def scenario(region: RecoveryRegion) -> None:
         jobs = await region.begin_with_load(MANY_WORKERS, MANY_SERVICES)
@@ -76,19 +76,18 @@
         await region.wait_until(region.is_steady, 60.0)
         assert unplanned[:2] not in affected.tasks
         assert region.orders([affected]) == {affected.machine: ["kill", "reap"]}
-        # the tasks of disconnected workers are placed again after their leases have expired:
-        # healthy
-        # workers may get starts, but no stops
+        # the tasks of disconnected workers are placed again after the workers' leases have expired,
+        # so healthy workers may get starts, but no stops
         await region.wait_until(lambda: all(region.has_running(job, 3) for job in displaced), 60.0)
         stops = [v for verbs in region.orders(healthy).values() for v in verbs if v != "start"]
         assert stops == []
-        # after this time the scheduler may also drain machines that are mostly idle
+        # from now on the scheduler may also drain machines that are mostly idle
         await curio.sleep(60.0)
         reconnect(disconnected)
-        before = region.orders(disconnected)
+        orders_before = region.orders(disconnected)
         await curio.sleep(60.0)
-        # they dropped their tasks when their leases expired, so no orders are needed
-        assert region.orders(disconnected) == before == {}
+        # the workers stopped their tasks when their leases expired, so no orders are needed
+        assert region.orders(disconnected) == orders_before == {}
 
     simulate_recovery(scenario, recovery_settings(), expected=is_unplanned_task_violation)
 
@@ -128,7 +127,7 @@
             return sum(machine["retiring"] == "silent" for machine in machines)
 
         await curio.sleep(120.0)
-        # one in each shard is not a mass action
+        # one release in each shard is not a mass action
         assert released() <= len(region.LABELS)
         braked = (await region.overview())["braked"]
         assert braked
@@ -158,17 +157,17 @@
     simulate_recovery(scenario, recovery_settings(kept_records=2))
 
 
-def test_a_controller_without_recovery_beside_others_gives_no_orders() -> None:
-    """A controller of the version before, or started without the recovery file, takes part."""
+def test_a_controller_without_recovery_among_others_sends_no_orders() -> None:
+    """One controller runs the previous version, or was started without the recovery file."""
 
     async def scenario(region: RecoveryRegion) -> None:
         await region.begin_with_load()
         running = region.running_tasks()
         await region.kill_all()
         await curio.sleep(1.0)
-        recovery, region.recovery = region.recovery, None
+        settings, region.recovery_settings = region.recovery_settings, None
         await region.start("node-1")
-        region.recovery = recovery
+        region.recovery_settings = settings
         region.services.pop("node-1")
         await region.start_all()
         await curio.sleep(40.0)
@@ -186,7 +185,7 @@
 
 
 def _deliver_old_heartbeats_first() -> None:
-    """Heartbeats from before the restart reach the new owners before the workers' own ones."""
+    """Deliver heartbeats from before the restart to the new owners before the current ones."""
 
     async def scenario(region: RecoveryRegion) -> None:
         await region.begin_with_load()
--- a/tests/test_recovery_restored_state.py
+++ b/tests/test_recovery_restored_state.py
@@ -1,4 +1,4 @@
-"""The state service is restored from an older copy, or comes back empty."""
+"""Restarts after the state service is restored from an older copy, or without its keys."""
 
 from collections.abc import Callable
 
@@ -24,9 +24,9 @@
 
 
 async def _restore_older_state(region: RecoveryRegion, is_recorded_up: bool = True) -> None:
-    """Restarts all controllers with a state from before the running services were submitted.
+    """Restart all controllers with a state from before the running services were submitted.
 
-    Unless `is_recorded_up`, the restored state says of no machine that it is up.
+    Unless `is_recorded_up`, no machine is up according to the restored state.
     """
     await region.begin_with_workers(FEW_WORKERS)
     await curio.sleep(12.0)
@@ -45,16 +45,16 @@
 
 
 def test_machines_not_yet_recorded_as_up_are_protected_too() -> None:
-    """That a machine is up is written with low priority, so under load it is recorded late."""
+    """A machine's `up` field is written with low priority, and so late under high load."""
 
     async def scenario(region: RecoveryRegion) -> None:
         await _restore_older_state(region, is_recorded_up=False)
         running = sum(map(len, region.running_tasks().values()))
         await curio.sleep(40.0)
-        # before the breaker trips, each shard may stop as many as are never a mass action
-        assert region.recovery is not None
-        least = region.recovery.brake_least * len(region.LABELS)
-        assert sum(map(len, region.running_tasks().values())) >= running - least
+        # before the breaker opens, each shard may stop up to `brake_least` tasks
+        assert region.recovery_settings is not None
+        max_stopped = region.recovery_settings.brake_least * len(region.LABELS)
+        assert sum(map(len, region.running_tasks().values())) >= running - max_stopped
 
     simulate_recovery(scenario, recovery_settings(), expected=is_unplanned_task_violation)
 
@@ -76,8 +76,8 @@
         await region.wait_until(region.is_steady, 200.0)
         assert not any(worker.tasks for worker in region.workers.values())
         assert (await region.overview())["braked"] == []
-        assert region.recovery is not None
-        settings = region.recovery
+        assert region.recovery_settings is not None
+        settings = region.recovery_settings
         burst = settings.controller_count * settings.shard_burst
         stop_times = region.stop_times(since=approved_at)
         assert rate_violations(stop_times, settings.orders_per_s, burst) == []
@@ -93,7 +93,7 @@
 
 
 def test_an_empty_state_service_leads_to_no_orders() -> None:
-    """No machine has a record, and a worker without one may not be answered (PROTOCOL)."""
+    """No machine has a record, and workers without a record must get no response (PROTOCOL)."""
 
     async def scenario(region: RecoveryRegion) -> None:
         await region.begin_with_load()
@@ -115,7 +115,7 @@
         braked = (await region.overview())["braked"]
         shard = braked[0]["shard"]
         owner = region.owners()[shard]
-        # the approval is stored, but its owner ends before it reads it
+        # the approval is stored, but the shard's owner stops before it reads the approval
         region.frozen_until[owner] = region.clock.now() + 2.0
         other = next(label for label in region.LABELS if label != owner)
         assert set(await region.approve(other, braked[:1])) == {200}
@@ -128,28 +128,28 @@
     simulate_recovery(scenario, recovery_settings(), expected=is_unplanned_task_violation)
 
 
-@pytest.mark.parametrize(("left_s", "is_honoured"), [(-1.0, False), (60.0, True)])
-def test_an_approval_expires(left_s: float, is_honoured: bool) -> None:
+@pytest.mark.parametrize(("remaining_s", "is_accepted"), [(-1.0, False), (60.0, True)])
+def test_an_approval_expires(remaining_s: float, is_accepted: bool) -> None:
     async def scenario(region: RecoveryRegion) -> None:
         await _restore_older_state(region)
         await curio.sleep(30.0)
         report = (await region.overview())["braked"][0]
-        until = region.clock.wall() + left_s
+        until = region.clock.wall() + remaining_s
         approval = StoredApproval(report["token"], report["digest"], until)
         region.state.put(recovery_keys.approval(report["shard"]), encode_approval(approval))
         await curio.sleep(20.0)
-        assert bool(region.stop_times(since=0.0)) is is_honoured
+        assert bool(region.stop_times(since=0.0)) is is_accepted
 
     simulate_recovery(scenario, recovery_settings(), expected=is_unplanned_task_violation)
 
 
 def test_a_resubmitted_job_is_not_started_while_its_unplanned_tasks_run() -> None:
-    """The restored plan lacks tasks that run, and the circuit breaker holds back their stops."""
+    """The restored plan lacks running tasks, and the circuit breaker blocks their stops."""
 
     async def scenario(region: RecoveryRegion) -> None:
         await _restore_older_state(region)
         running = region.running_tasks()
-        # users may submit a job again; the restored state does not know it
+        # users may submit a job again, since the restored state does not contain it
         for job, facts in list(region.checker.jobs.items()):
             spec = facts.spec
             fields = {k: v for k, v in spec.items() if k != "nameId"}
@@ -160,7 +160,7 @@
     simulate_recovery(scenario, recovery_settings(), expected=is_unplanned_task_violation)
 
 
-def test_a_cancellation_passes_an_open_circuit_breaker() -> None:
+def test_a_cancellation_is_not_blocked_by_an_open_circuit_breaker() -> None:
     async def scenario(region: RecoveryRegion) -> None:
         await _restore_older_state(region)
         job, facts = next(iter(region.checker.jobs.items()))
@@ -177,7 +177,7 @@
 
 
 def _stop_times_without_breaker(settings: RecoverySettings) -> list[float]:
-    """Returns when tasks were stopped after a state restore; the settings disable the breaker."""
+    """Return the times of stops after a state restore, with settings that disable the breaker."""
     times: list[float] = []
 
     async def scenario(region: RecoveryRegion) -> None:
@@ -194,7 +194,7 @@
     return rate_violations(times, settings.orders_per_s, burst)
 
 
-def test_the_region_keeps_to_its_rate_limit() -> None:
+def test_the_region_does_not_exceed_its_rate_limit() -> None:
     settings = recovery_settings(orders_per_s=0.6, brake_share=1.0, first_batch=64)
     times = _stop_times_without_breaker(settings)
     assert len(times) > FEW_SERVICES
--- a/tests/test_recovery_service.py
+++ b/tests/test_recovery_service.py
@@ -1,4 +1,4 @@
-"""Recovery's command line and operators' interface, and what a start loads of the package."""
+"""Recovery's command line and operator API, and the modules that a start loads."""
 
 import subprocess
 import sys
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("verb", ["check", "serve"])
-def test_an_invalid_field_is_named_and_ends_the_command(
+def test_an_invalid_field_is_reported_and_ends_the_command(
     verb: str, config: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     bad = tmp_path / "recovery.toml"
@@ -68,7 +68,7 @@
     assert result.stdout.split() == []
 
 
-def test_with_the_file_heartbeats_pass_the_gate_from_the_start() -> None:
+def test_with_the_file_the_command_gate_is_set_from_the_start() -> None:
     app = App(make_settings(), FakeClock(), recovery=recovery_settings())
     assert isinstance(app.heartbeats.gate, RecoveryService)
 
@@ -93,7 +93,7 @@
     try:
         code: object = main(["recovery", *arguments])
     except SystemExit as exc:
-        # the parser itself exits where an argument is missing or has the wrong type
+        # the parser itself exits if an argument is missing or has the wrong type
         code = exc.code
     assert code == BAD_USAGE
 
@@ -109,7 +109,7 @@
     return api
 
 
-def test_the_operators_interface_answers_by_state_and_request() -> None:
+def test_the_operator_api_responds_by_state_and_request() -> None:
     async def scenario(
         state: StateService, clock: FakeClock, nodes: dict[str, SteppedController]
     ) -> None:
@@ -122,7 +122,7 @@
         status, overview = await send("GET", RECOVERY_PATH)
         assert status == 200
         assert overview["controller"] == "node-0"
-        # a machine that is up has not reported yet
+        # the machine is recorded as up and has not reported yet
         waiting = {phase["shard"]: phase["waits_for"] for phase in overview["recovering"]}
         assert waiting[0] == "reports of 1 machines"
         approval = approval_body(Approval(0, "ab"))
@@ -137,7 +137,7 @@
     ("method", "path", "body"),
     [("GET", RECOVERY_PATH, b""), ("POST", APPROVE_PATH, approval_body(Approval(0, "ab")))],
 )
-def test_operators_are_told_to_retry_while_the_state_service_is_down(
+def test_operators_get_retry_after_while_the_state_service_is_down(
     method: str, path: str, body: bytes
 ) -> None:
     async def scenario(
--- a/tests/test_recovery_unplanned_tasks.py
+++ b/tests/test_recovery_unplanned_tasks.py
@@ -1,4 +1,4 @@
-"""Workers run tasks that no plan contains, or another attempt than the planned one."""
+"""Workers that run tasks that no plan contains, or another attempt than the planned one."""
 
 from collections.abc import Callable
 from copy import deepcopy
@@ -23,7 +23,7 @@
 
 
 def test_a_cancellation_is_not_delayed_by_many_differences() -> None:
-    """A worker runs more unplanned tasks than fit into an answer, and one cancelled task."""
+    """A worker runs more unplanned tasks than a response has commands, and one cancelled task."""
 
     async def scenario(region: RecoveryRegion) -> None:
         await region.begin_with_load()
@@ -63,13 +63,13 @@
 
 
 def test_a_task_missing_from_the_plan_is_not_placed_while_it_runs() -> None:
-    """The task's stop waits for the rate limit, while the plan has no attempt of the task."""
+    """The rate limit delays the task's stop, and the plan has no attempt of the task."""
 
     async def scenario(region: RecoveryRegion) -> None:
         await region.begin_with_load()
         affected = next(w for w in region.workers.values() if w.tasks)
         job, index = next(iter(affected.tasks))
-        # with a termination notice, nothing is placed on this worker
+        # a worker with a termination notice gets no new tasks
         affected.notice_s = 1000.0
         await region.kill_all()
         name = next(
@@ -94,26 +94,28 @@
 
 
 def test_a_planned_task_is_not_started_while_another_attempt_runs() -> None:
-    """The stored plan is older than a move of the task, which runs on another machine."""
+    """The stored plan is older than the task's move to another machine, where the task runs."""
 
     async def scenario(region: RecoveryRegion) -> None:
         await region.begin_with_load()
         machines = region.nodes["node-0"].cluster.machines
-        before = next(w for w in region.workers.values() if w.tasks)
-        after = next(
+        planned_worker = next(w for w in region.workers.values() if w.tasks)
+        running_worker = next(
             worker
             for worker in region.workers.values()
-            if worker is not before
-            and machines[worker.machine].shard == machines[before.machine].shard
+            if worker is not planned_worker
+            and machines[worker.machine].shard == machines[planned_worker.machine].shard
         )
-        (job, index), task = next(iter(before.tasks.items()))
+        (job, index), task = next(iter(planned_worker.tasks.items()))
         await region.kill_all()
-        del before.tasks[job, index]
-        add_unplanned_task(after, job, index, task.attempt + 1)
+        del planned_worker.tasks[job, index]
+        add_unplanned_task(running_worker, job, index, task.attempt + 1)
         await curio.sleep(1.0)
         await region.start_all()
-        await region.wait_until(lambda: (job, index) in before.tasks, 120.0)
-        assert (job, index) not in after.tasks or after.tasks[job, index].state == "exited"
+        await region.wait_until(lambda: (job, index) in planned_worker.tasks, 120.0)
+        assert (job, index) not in running_worker.tasks or running_worker.tasks[
+            job, index
+        ].state == "exited"
 
     simulate_recovery(scenario, recovery_settings(), expected=is_unplanned_task_violation)
 
@@ -141,7 +143,7 @@
         shard = region.nodes["node-0"].cluster.machines[affected.machine].shard
         await region.restart_all(1.0)
         await region.wait_until(lambda: any(r.shard == shard for r in region.active_recoveries()))
-        # the shard is ready; from now on all reads fail
+        # the shard is ready, and from now on all reads fail
         for label in region.LABELS:
             region.refused_requests[label] = lambda method, path: path.startswith("/changes")
         await curio.sleep(2.5)
