--- a/crossmill/jobs/cancellation.py
+++ b/crossmill/jobs/cancellation.py
@@ -1,8 +1,9 @@
-"""Handler of users' requests to cancel a job.
+"""Handler of requests to cancel a job.
 
-A cancellation is confirmed only once no task of the job can start any more. It writes the job's
-record; the jobs that depend on it are cancelled by that too, whatever their number
-(cluster/dependencies.py). Called by the users' interface; owns no state.
+A cancellation is confirmed only once no task of the job can start any more. The handler writes only
+the job's record. Every controller derives from it that all jobs that depend on the job are
+cancelled too, however many there are (cluster/dependencies.py). Called by the job API; owns no
+state.
 """
 
 import logging
@@ -17,16 +18,16 @@
 from ..wire.state import Put, Txn
 from ..wire.users import JobSpec
 from .context import JobRequestContext
-from .lookup import NO_SUCH_JOB, NOT_NOW
+from .lookup import NO_SUCH_JOB, UNAVAILABLE
 
 log = logging.getLogger(__name__)
 
-# how often a cancellation is tried again when a precondition of its write has changed
+# maximum attempts at a cancellation if a precondition of its write changes
 MAX_ATTEMPTS = 3
 
 
 class CancellationHandler:
-    """Answers requests to cancel a job."""
+    """Handles requests to cancel a job."""
 
     def __init__(self, context: JobRequestContext, announcement: CancellationAnnouncement) -> None:
         self._settings = context.settings
@@ -37,48 +38,48 @@
         self._announcement = announcement
 
     async def handle(self, job_id: str) -> Response:
-        """Returns the response to one request to cancel the job."""
+        """Return the response to one request to cancel the job."""
         if not wire.is_job_id(job_id):
             return NO_SUCH_JOB
         for _ in range(MAX_ATTEMPTS):
             response = await self._try_to_cancel(job_id)
             if response is not None:
                 return response
-        return NOT_NOW
+        return UNAVAILABLE
 
     async def _try_to_cancel(self, job_id: str) -> Response | None:
-        """Returns the response, or None if the job changed meanwhile: to be tried again."""
-        job = self._lookup.final(job_id)
+        """Return the response, or None if the job has changed and the caller should retry."""
+        job = self._lookup.ended_job(job_id)
         if job is not None:
             return Response(200, wire.status_body(job_id, job.end))
-        if not await self._lookup.is_current():
-            return NOT_NOW
-        job = self._lookup.known(job_id)
+        if not await self._lookup.wait_until_current():
+            return UNAVAILABLE
+        job = self._lookup.recorded_job(job_id)
         if job is None:
-            return await self._lookup.archived(job_id)
+            return await self._lookup.archived_status_response(job_id)
         if job.end != ACTIVE or job.spec is None:
             return None
         return await self._cancel(job, job.spec)
 
     async def _cancel(self, job: Job, spec: JobSpec) -> Response | None:
-        # taken before the announcement: if the job ends during it, the write has to fail
+        # read before the announcement: if the job ends during it, the write must fail
         version = job.version
         preconditions = await self._preconditions(job)
         if preconditions is None:
-            return NOT_NOW
+            return UNAVAILABLE
         if not await self._commit(job.id, spec, {keys.job(job.id): version, **preconditions}):
             return None
         log.info("job cancelled job=%s", job.id)
         return Response(200, wire.status_body(job.id, CANCELLED))
 
     async def _preconditions(self, job: Job) -> dict[str, int] | None:
-        """Returns the key versions that the write needs; None if it can't be confirmed yet."""
+        """Return the key versions that the write requires, or None if it can't be confirmed yet."""
         dependency = next(self._cluster.jobs.graph.unfinished_dependencies(job), None)
         if dependency is not None:
-            # the job has no task anywhere, and gets none before the dependency's record changes
+            # the job has no tasks and gets none until the dependency's record changes
             return {keys.job(dependency.id): dependency.version}
-        # taken before the announcement: the plan must not change while it is made
-        zones, plan_versions = self._zones(job), self._versions_of_planned_chunks(job)
+        # read before the announcement: the plan must not change during it
+        zones, plan_versions = self._affected_zones(job), self._versions_of_planned_chunks(job)
         if len(plan_versions) > self._cluster.limits.machines_per_txn:
             zones.update(self._settings.zones)
         version = job.version
@@ -87,14 +88,14 @@
             await self._write_note(job.id, version)
             return None
         if not zones.issuperset(self._settings.zones):
-            # the other zones did not hear the announcement: no task may have moved there meanwhile
+            # the other zones are not notified, so the write must fail if a task has moved there
             preconditions |= plan_versions
         return preconditions
 
     def _versions_of_planned_chunks(self, job: Job) -> dict[str, int]:
-        """Returns the plan keys of the chunks with planned attempts, with their versions.
+        """Return the versions of the chunks with planned attempts, by plan key.
 
-        The other chunks have neither planned nor waiting tasks when no task of the job waits.
+        If no task of the job is waiting, the other chunks contain only finished tasks.
         """
         return {
             keys.plan(job.id, name): chunk.version
@@ -103,21 +104,21 @@
         }
 
     async def _write_note(self, job_id: str, version: int) -> None:
-        """Writes a cancellation note for the controllers that the announcement did not reach.
+        """Write a cancellation note for the controllers that the announcement did not reach.
 
-        They read it through the state service and confirm it in their own keys, which a later
-        attempt of the user then finds.
+        They read the note through the state service and confirm it in their own keys. A later
+        cancellation request of the user finds the confirmations.
         """
         if job_id in self._cluster.cancellation_notes:
             return
         note = keys.cancellation_note(job_id)
-        put = Put(note, {"at": self._clock.wall()})
+        put = Put(note, {"at": self._clock.wall_time()})
         txn = Txn({keys.job(job_id): version, note: 0}, [put])
         await self._writer.submit(WriteIntent(txn, WriteRank.URGENT, until=self._deadline()))
 
     async def _commit(self, job_id: str, spec: JobSpec, conditions: dict[str, int]) -> bool:
         max_bytes = self._cluster.limits.record_bytes
-        record = encode_end(CANCELLED, spec, self._clock.wall(), max_bytes)
+        record = encode_end(CANCELLED, spec, self._clock.wall_time(), max_bytes)
         txn = Txn(conditions, [Put(keys.job(job_id), record)])
         intent = WriteIntent(txn, WriteRank.URGENT, until=self._deadline())
         await self._writer.submit(intent)
@@ -127,8 +128,8 @@
     def _deadline(self) -> float:
         return self._clock.now() + self._settings.submission_timeout_s
 
-    def _zones(self, job: Job) -> set[str]:
-        """Returns the zones where tasks of the job run, or may start before its end is durable."""
+    def _affected_zones(self, job: Job) -> set[str]:
+        """Return the zones where the job's tasks run or may start before its end is durable."""
         zones = {
             zone
             for zone, task_count in self._cluster.machines.task_counts_by_zone(job).items()
--- a/crossmill/recovery/api.py
+++ b/crossmill/recovery/api.py
@@ -86,7 +86,7 @@
 
     async def _store_approval(self, approval: Approval, report: BreakerReport) -> Response:
         """Store an approval of exactly the actions that the operator was shown."""
-        valid_until = self._clock.wall() + self._recovery_settings.approval_s
+        valid_until = self._clock.wall_time() + self._recovery_settings.approval_s
         stored = StoredApproval(report.token, report.digest, valid_until)
         breaker_key, shard_key = keys.breaker(approval.shard), cluster_keys.shard(approval.shard)
         version = self._cluster.mirror.version
--- a/crossmill/recovery/service.py
+++ b/crossmill/recovery/service.py
@@ -58,7 +58,7 @@
 
     # -- command gate ----------------------------------------------------------------
 
-    def screen(
+    def filter_commands(
         self, machine: Machine, view: WorkerView, ownership: ShardOwnership, commands: list[Command]
     ) -> list[Command]:
         """Return the commands that may be sent in the heartbeat's response, most urgent first."""
@@ -86,7 +86,7 @@
             return False
         return any(r.is_running_unplanned((job, index)) for r in self._recoveries.values())
 
-    def may_give_up(self, machine: Machine, why: str) -> bool:  # noqa: ARG002 (the gate's interface)
+    def may_retire(self, machine: Machine, reason: str) -> bool:  # noqa: ARG002 (the gate's interface)
         """Return whether the machine may be marked for return to the cloud."""
         recovery = self._recoveries.get(machine.shard)
         if recovery is None or recovery.admit_release(machine):
@@ -155,7 +155,10 @@
         approval = self.breaker_state.approval(recovery.shard)
         if approval is None or approval.token != recovery.term:
             return False
-        return approval.digest == recovery.breaker.digest() and self._clock.wall() < approval.until
+        return (
+            approval.digest == recovery.breaker.digest()
+            and self._clock.wall_time() < approval.until
+        )
 
     async def _store_breaker(self, recovery: ShardRecovery, ownership: ShardOwnership) -> None:
         """Store the report of an open breaker, so that any controller can show it to operators."""
@@ -196,7 +199,7 @@
     async def _write_record(self, recovery: ShardRecovery, ownership: ShardOwnership) -> None:
         """Write the record of a finished recovery and delete surplus records."""
         shard, dry_run = recovery.shard, self._recovery_settings.dry_run
-        record = encode_record(recovery, self._settings.label, self._clock.wall(), dry_run)
+        record = encode_record(recovery, self._settings.label, self._clock.wall_time(), dry_run)
         log.info(
             "recovery finished shard=%d token=%d after_s=%.2f machines=%d tasks=%d orders=%d "
             "dry_run=%s let_through=%d",
