--- a/crossmill/recovery/circuit_breaker.py
+++ b/crossmill/recovery/circuit_breaker.py
@@ -50,7 +50,7 @@
         differences: the differences that orders would resolve
         machines: the machines that would be released
     """
-    # imported only when the breaker has opened, so that it is not loaded at a start
+    # imported only when the breaker has opened, so that startup does not load it
     from hashlib import blake2b
 
     lines = sorted(f"{d.machine} {d.job}/{d.index} {d.attempt} {d.task_class}" for d in differences)
--- a/crossmill/recovery/classification.py
+++ b/crossmill/recovery/classification.py
@@ -125,7 +125,7 @@
     FRESH_READ = "fresh read"
     # a durable record that the job or attempt has ended
     DURABLE_END = "durable end"
-    # no controller has answered the worker for the length of its lease
+    # no controller has responded to the worker for the duration of its lease
     LEASE_EXPIRY = "lease expiry"
     # the cloud's list of machines
     CLOUD_LIST = "cloud list"
--- a/crossmill/recovery/shard_recovery.py
+++ b/crossmill/recovery/shard_recovery.py
@@ -47,6 +47,7 @@
     ) -> None:
         settings, clock = context.recovery_settings, context.clock
         self.shard = shard
+        # the fencing token under which the ownership began
         self.term = ownership.term
         self.started_at = clock.now()
         self.statistics = RecoveryStatistics()
@@ -60,6 +61,7 @@
         self.admission = OrderAdmission(
             context, self._phases, self._differences, self.breaker, self.statistics
         )
+        # machines that have sent a heartbeat under this token
         self._reported: set[str] = set()
         # machines that may run tasks and have not sent a heartbeat under this token
         self._not_reported: set[str] = set()
--- a/tests/recovery_region.py
+++ b/tests/recovery_region.py
@@ -263,13 +263,13 @@
 
 
 def add_unplanned_task(worker: Worker, job: str, index: int, attempt: int) -> None:
-    """Add a running task to a worker that no plan contains."""
+    """Make a worker run a task that no plan contains."""
     worker.tasks[job, index] = Task(attempt, "running", worker.region.clock.now())
 
 
-def is_unplanned_task_violation(report_violation: str) -> bool:
+def is_unplanned_task_violation(violation: str) -> bool:
     """Return whether a violation is about a task that a test added without a plan."""
-    return " orphaned " in report_violation and report_violation.endswith(": in no plan")
+    return " orphaned " in violation and violation.endswith(": in no plan")
 
 
 def simulate_recovery(
@@ -286,10 +286,6 @@
         region.checker.check()
 
     run_under_virtual_time(clock, begin)
-    violations = [
-        report_violation
-        for report_violation in region.checker.violations
-        if not expected(report_violation)
-    ]
+    violations = [violation for violation in region.checker.violations if not expected(violation)]
     assert not violations, violations[:5]
     return region
--- a/tests/test_recovery_classification.py
+++ b/tests/test_recovery_classification.py
@@ -149,41 +149,43 @@
 
 
 def _random_state(rng: random.Random) -> RandomState:
-    drawn = RandomState({}, [])
+    random_state = RandomState({}, [])
     for job in JOBS:
         for index in range(TASKS):
             if rng.random() < 0.7:
                 number, machine = rng.randint(1, 3), rng.choice(("n-0", "n-0", "n-1"))
                 planned = PlannedAttempt(job, index, number, machine, rng.randint(1, 3))
-                drawn.plans.setdefault(job, []).append(planned)
+                random_state.plans.setdefault(job, []).append(planned)
             if rng.random() < 0.7:
                 exited = rng.random() < 0.3
                 state, cause = ("exited", "done") if exited else ("running", "")
-                drawn.reported.append(reported_task(job, index, rng.randint(1, 3), state, cause))
-    return drawn
+                random_state.reported.append(
+                    reported_task(job, index, rng.randint(1, 3), state, cause)
+                )
+    return random_state
 
 
-def _store(state: StateService, clock: FakeClock, drawn: RandomState) -> None:
+def _store(state: StateService, clock: FakeClock, random_state: RandomState) -> None:
     seed(state, clock, machines=2)
     add_job(state, clock, nameId="wk-000001", sacks=TASKS)
     spec = make_spec(nameId="wk-000002", sacks=TASKS)
     value = encode_end(CANCELLED, spec, clock.wall_time(), RECORD_BYTES)
     state.put(keys.job("wk-000002"), value)
-    for job, planned in drawn.plans.items():
+    for job, planned in random_state.plans.items():
         chunk = PlanChunk(4, 0, {attempt.index: attempt for attempt in planned})
         state.put(keys.plan(job, "0"), encode_chunk(chunk))
 
 
 async def _start_with_heartbeat(
-    state: StateService, clock: FakeClock, drawn: RandomState
+    state: StateService, clock: FakeClock, random_state: RandomState
 ) -> tuple[SteppedController, list[Command]]:
     """Start a controller; return it and its commands after a heartbeat with its token."""
-    _store(state, clock, drawn)
+    _store(state, clock, random_state)
     node = SteppedController(state, clock, {})
     await node.boot()
     node.report("n-0", SESSION, 1, 0)
-    answer = node.report("n-0", SESSION, 2, node.token(), *drawn.reported)
-    return node, list(answer.commands)
+    response = node.report("n-0", SESSION, 2, node.token(), *random_state.reported)
+    return node, list(response.commands)
 
 
 OPERATIONS = {START: "start", STOP: "stop", FORGET: "forget"}
@@ -196,12 +198,12 @@
 
 
 def _compare_with_heartbeat_handler(number: int) -> None:
-    drawn = _random_state(random.Random(number))
+    random_state = _random_state(random.Random(number))
 
     async def scenario(
         state: StateService, clock: FakeClock, nodes: dict[str, SteppedController]
     ) -> None:
-        node, commands = await _start_with_heartbeat(state, clock, drawn)
+        node, commands = await _start_with_heartbeat(state, clock, random_state)
         machine, view = node.cluster.machines["n-0"], node.heartbeats.find_view("n-0")
         assert view is not None
         expected = {}
