--- a/crossmill/cluster/partition_protocol.py
+++ b/crossmill/cluster/partition_protocol.py
@@ -1,8 +1,9 @@
-"""What controllers tell each other about partitioned zones, and the loop that drives it.
+"""The protocol between controllers for partitioned zones, and the loop that runs it.
 
-`keepalive` answers workers of this controller's own zone, `expiry_proof` gathers attestations for
-the machines that it owns, and `cancellations` announces cancellations to other controllers. The
-heartbeat handler, the scheduling loop and the job API use these parts directly.
+`keepalive` answers workers of this controller's own zone, `expiry_proof` collects attestations for
+the machines that this controller owns, and `cancellations` announces cancellations to other
+controllers. The heartbeat handler, the scheduling loop and the job API use these components
+directly.
 """
 
 from collections.abc import Callable
@@ -17,13 +18,13 @@
 from ..wire.checks import MalformedMessageError
 from .cancellation_announcement import CancellationAnnouncement
 from .lease_expiry_proof import LeaseExpiryProof
-from .partition_keepalive import DurableRead, PartitionDetector, PartitionKeepalive
+from .partition_keepalive import PartitionDetector, PartitionKeepalive, StateSync
 from .peer_links import PeerLinks
 from .state_access import StateAccess
 
 
 class PartitionProtocol:
-    """The parts that deal with partitioned zones, stepped together by one loop."""
+    """The components that handle partitioned zones, updated together by one loop."""
 
     def __init__(
         self,
@@ -35,10 +36,10 @@
         self._settings = settings
         self._controller_lease = state.controller_lease
         self.peers = PeerLinks(settings, clock, connect)
-        self.partition = PartitionDetector(clock, state.controller_lease, self.peers)
-        self.durable_read = DurableRead(settings, clock, state)
+        self.partition_detector = PartitionDetector(clock, state.controller_lease, self.peers)
+        self.state_sync = StateSync(settings, clock, state)
         self.keepalive = PartitionKeepalive(
-            settings, clock, state.cluster, self.partition, self.durable_read
+            settings, clock, state.cluster, self.partition_detector, self.state_sync
         )
         self.expiry_proof = LeaseExpiryProof(settings, clock, state.cluster, self.peers)
         self.cancellations = CancellationAnnouncement(
@@ -50,10 +51,10 @@
         )
 
     def handle(self, request: Request) -> Response:
-        """Answers a peer's request for attestations, or its announcement of cancellations."""
+        """Answer a peer's request for attestations or its announcement of cancellations."""
         try:
             if request.path == wire.ATTESTATION_PATH:
-                spans_s = self.keepalive.withhold(wire.parse_machines(request.body))
+                spans_s = self.keepalive.suspend(wire.parse_machines(request.body))
                 return Response(200, wire.attestations_body(spans_s))
             for job_id in wire.parse_cancellations(request.body):
                 self.keepalive.pending_cancellations.add(job_id)
@@ -62,25 +63,26 @@
         return Response(200)
 
     async def step(self) -> None:
-        """Notes absent controllers, probes other zones, and asks for attestations.
+        """Record absent controllers, probe other zones, request attestations, and sync the mirror.
 
-        Other zones are probed only while the controller's lease can't be renewed.
+        Other zones are probed only while the controller's lease can't be renewed. The mirror is
+        synced only while it can.
         """
         self.expiry_proof.observe_absences()
         self.expiry_proof.drop_expired()
         async with curio.TaskGroup() as group:
             if self._controller_lease.is_failing:
-                self.partition.note_lease_failing()
-                for label in self.peers.outside_zone:
+                self.partition_detector.record_renewal_failure()
+                for label in self.peers.labels_outside_zone:
                     await group.spawn(self.peers.call, label, "GET", wire.OWNED_SHARDS_PATH)
             else:
-                self.partition.note_lease_renewed()
-            await self.expiry_proof.ask_zones(group)
+                self.partition_detector.record_renewal()
+            await self.expiry_proof.query_zones(group)
         if not self._controller_lease.is_failing:
-            await self.durable_read.refresh()
+            await self.state_sync.refresh()
 
     async def run(self) -> None:
-        """Steps until the controller ends."""
+        """Call `step` at every lease renewal interval until the controller stops."""
         while True:
             await self.step()
             await curio.sleep(self._settings.lease_renewal_interval_s)
--- a/crossmill/workers/heartbeat_handler.py
+++ b/crossmill/workers/heartbeat_handler.py
@@ -182,7 +182,7 @@
 
         Without a redirect, the worker tries the controllers one after the other.
         """
-        redirect = owner or self._membership.owner_selection.reachable_alternative()
+        redirect = owner or self._membership.owner_selection.redirect_target()
         return HeartbeatResponse(HttpStatus.MISDIRECTED_REQUEST, redirect=redirect)
 
     def _answer_without_ownership(
@@ -210,7 +210,7 @@
         The worker would discard a response under the lower token, and its lease would expire.
         """
         self._membership.request_higher_token(machine.shard, heartbeat.token)
-        alternative = self._membership.owner_selection.reachable_alternative()
+        alternative = self._membership.owner_selection.redirect_target()
         if alternative is None:
             return HeartbeatResponse(HttpStatus.SERVICE_UNAVAILABLE)
         return HeartbeatResponse(HttpStatus.MISDIRECTED_REQUEST, redirect=alternative)
