--- a/tests/test_recovery_failures.py
+++ b/tests/test_recovery_failures.py
@@ -1,4 +1,4 @@
-"""Controllers, the state service or a zone fail again while a recovery is in progress."""
+"""Further failures of controllers, the state service or a zone during a recovery."""
 
 from collections.abc import Callable
 
@@ -9,9 +9,9 @@
 
 from .recovery_region import (
     RecoveryRegion,
+    add_unplanned_task,
     disconnect,
-    give_unplanned,
-    is_unplanned,
+    is_unplanned_task_violation,
     reconnect,
     recovery_settings,
     simulate_recovery,
@@ -19,12 +19,14 @@
 
 
 @pytest.mark.parametrize("phase", list(RecoveryPhase))
-def test_a_second_restart_in_each_phase_leaves_healthy_workers_alone(phase: RecoveryPhase) -> None:
+def test_healthy_workers_get_no_orders_after_a_second_restart_in_each_phase(
+    phase: RecoveryPhase,
+) -> None:
     async def scenario(region: RecoveryRegion) -> None:
-        await region.begin_busy()
+        await region.begin_with_load()
         affected = [w for w in region.workers.values() if w.tasks][:4]
         for worker in affected:
-            give_unplanned(worker, "wk-000001", 70 + worker.number, 9)
+            add_unplanned_task(worker, "wk-000001", 70 + worker.number, 9)
         others = [w for w in region.workers.values() if w not in affected]
         await region.kill_all()
         await curio.sleep(1.0)
@@ -32,7 +34,7 @@
         await region.start_all()
 
         def is_reached() -> bool:
-            seen.update(recovery.phase for recovery in region.recoveries())
+            seen.update(recovery.phase for recovery in region.active_recoveries())
             if phase is RecoveryPhase.STEADY:
                 return region.is_steady()
             return phase in seen or region.is_steady()
@@ -44,7 +46,7 @@
         assert region.orders(others) == {}
         assert all(index < 70 for worker in affected for _, index in worker.tasks)
 
-    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
+    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned_task_violation)
 
 
 def _make_unavailable(region: RecoveryRegion) -> None:
@@ -71,7 +73,7 @@
     fault: Callable[[RecoveryRegion], None],
 ) -> None:
     async def scenario(region: RecoveryRegion) -> None:
-        await region.begin_busy()
+        await region.begin_with_load()
         running = region.running_tasks()
         await region.kill_all()
         fault(region)
@@ -89,7 +91,7 @@
 
 def test_a_zone_partitioned_during_the_restart_does_not_affect_the_other() -> None:
     async def scenario(region: RecoveryRegion) -> None:
-        await region.begin_busy()
+        await region.begin_with_load()
         south = [w for w in region.workers.values() if w.zone == "south"]
         north = [w for w in region.workers.values() if w.zone == "north"]
         await region.kill_all()
@@ -100,27 +102,28 @@
         reconnect(south)
         await region.wait_until(region.is_steady, 120.0)
         await curio.sleep(30.0)
-        # tasks in the south ended with their workers' leases and may be placed again in the north
-        ended = [v for verbs in region.orders(north).values() for v in verbs if v != "start"]
-        assert ended == []
+        # the tasks in the south ended when their workers' leases expired, and may then be placed in
+        # the north
+        other_verbs = [v for verbs in region.orders(north).values() for v in verbs if v != "start"]
+        assert other_verbs == []
 
     simulate_recovery(scenario, recovery_settings())
 
 
 def test_a_controller_frozen_before_it_sends_orders_stops_only_unplanned_tasks() -> None:
     async def scenario(region: RecoveryRegion) -> None:
-        await region.begin_busy()
+        await region.begin_with_load()
         affected = next(w for w in region.workers.values() if w.tasks)
-        give_unplanned(affected, "wk-000001", 70, 9)
+        add_unplanned_task(affected, "wk-000001", 70, 9)
         others = [w for w in region.workers.values() if w is not affected]
         await region.restart_all(1.0)
         await region.wait_until(
-            lambda: any(r.phase is RecoveryPhase.SETTLING for r in region.recoveries())
+            lambda: any(r.phase is RecoveryPhase.RESOLVING for r in region.active_recoveries())
         )
         frozen = next(
             label
             for label, service in region.services.items()
-            if any(r.phase is RecoveryPhase.SETTLING for r in service.recoveries())
+            if any(r.phase is RecoveryPhase.RESOLVING for r in service.active_recoveries())
         )
         region.frozen_until[frozen] = region.clock.now() + 8.0
         await curio.sleep(12.0)
@@ -130,14 +133,14 @@
         assert ("wk-000001", 70) not in affected.tasks
         assert all(w.session == 1 for w in region.workers.values())
 
-    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned)
+    simulate_recovery(scenario, recovery_settings(), expected=is_unplanned_task_violation)
 
 
 def test_a_controller_with_an_outdated_view_stops_nothing_that_another_planned() -> None:
-    """One controller gets no changes, so it acquires a shard with an outdated view of the plans."""
+    """A controller that receives no changes acquires a shard with an outdated view of the plans."""
 
     async def scenario(region: RecoveryRegion) -> None:
-        await region.begin_busy()
+        await region.begin_with_load()
         region.refused_requests["node-1"] = lambda method, path: path.startswith("/changes")
         for number in range(6):
             job = f"wk-{800000 + number}"
@@ -152,8 +155,8 @@
         await region.start_all()
         await region.wait_until(region.is_steady, 90.0)
         await curio.sleep(10.0)
-        ended = [v for verbs in region.orders().values() for v in verbs if v != "start"]
-        assert ended == []
+        other_verbs = [v for verbs in region.orders().values() for v in verbs if v != "start"]
+        assert other_verbs == []
         for machine, tasks in running.items():
             assert tasks.items() <= region.workers[machine].tasks.items()
 
