--- a/crossmill/multihost/agents.py
+++ b/crossmill/multihost/agents.py
@@ -19,7 +19,7 @@
     # a late copy of an earlier heartbeat, or one that a newer one has overtaken
     STALE = "stale"
     # sent before the agent had an answer of this owner: nothing in it is believed
-    UNVERIFIED = "greeting"
+    UNVERIFIED = "unverified"
     NEW = "new"
 
 
@@ -35,14 +35,14 @@
     sequence: int = -1
     address: str = ""
     # when the machine is taken away by the cloud; None without a notice
-    notice_at: float | None = None
+    reclaim_at: float | None = None
     images: frozenset[str] = frozenset()
     members: dict[str, MemberReport] = field(default_factory=dict)
     # by replica: when an answer with an order to start a member of it was sent. Until a heartbeat
     # returns that answer or a later one, the order may still be carried out
     start_sent_at: dict[str, float] = field(default_factory=dict)
     # reports of the newest heartbeat that contradict the plan or one another
-    rejected: int = 0
+    rejected_reports: int = 0
 
     def runs_no_member_of(self, replica: str) -> bool:
         """Return whether the machine runs no member of the replica, nor has been ordered to."""
@@ -51,7 +51,7 @@
         return self.alive_at >= self.start_sent_at.get(replica, self.alive_at)
 
     @property
-    def is_empty(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether the machine runs no member, nor has been ordered to."""
         return self.is_verified and not self.members and not self.start_sent_at
 
@@ -92,11 +92,11 @@
         """Forget a machine that has left the pool."""
         self._views.pop(machine, None)
 
-    def note_start(self, machine: str, replica: str, sent_at: float) -> None:
+    def record_start_order(self, machine: str, replica: str, sent_at: float) -> None:
         """Note that an answer sent at this time orders to start a member of the replica."""
         self._views[machine].start_sent_at[replica] = sent_at
 
-    def heartbeats_before(self, time: float) -> Iterator[AgentView]:
+    def views_without_heartbeat_since(self, time: float) -> Iterator[AgentView]:
         """Iterate over the machines whose last heartbeat came before the time, oldest first.
 
         The views are ordered, so that this stops at the first machine with a later heartbeat.
@@ -131,13 +131,13 @@
             return Freshness.UNVERIFIED
         view.session, view.sequence = heartbeat.session, heartbeat.sequence
         if view.alive_at is None or proof.sent > view.alive_at:
-            self._note_alive(view, proof.sent, now)
+            self._record_alive(view, proof.sent, now)
         view.address = heartbeat.address
-        view.notice_at = None if heartbeat.notice_s is None else now + heartbeat.notice_s
+        view.reclaim_at = None if heartbeat.notice_s is None else now + heartbeat.notice_s
         view.images = frozenset(heartbeat.images)
         return Freshness.NEW
 
-    def _note_alive(self, view: AgentView, alive_at: float, now: float) -> None:
+    def _record_alive(self, view: AgentView, alive_at: float, now: float) -> None:
         """Note that the machine was alive when the answer that its heartbeat returns was sent.
 
         A heartbeat that was long under way shows no more than this.
--- a/crossmill/multihost/candidates.py
+++ b/crossmill/multihost/candidates.py
@@ -60,7 +60,7 @@
         return (
             bool(machine.drain_reason)
             or machine.is_released
-            or view.notice_at is not None
+            or view.reclaim_at is not None
             or self._pool.is_retiring(machine.id)
         )
 
@@ -70,5 +70,5 @@
         for name in view.members:
             replica_id = ReplicaId.parse(name)
             if replica_id is not None and replica_id not in machine.planned:
-                free = free.minus(self._pool.member_resources(replica_id))
+                free = free.subtract(self._pool.member_resources(replica_id))
         return free
--- a/crossmill/multihost/coordinator.py
+++ b/crossmill/multihost/coordinator.py
@@ -130,8 +130,8 @@
             self._begin_term(ownership)
         time = DecisionTime(self._clock.now(), self._clock.wall(), ownership.acquired_at)
         await self._registration.admit(ownership)
-        self._machines.note_changes(time)
-        await self._reconcile_changes(ownership, time, self._pool.take_changes())
+        self._machines.mark_affected_replicas(time)
+        await self._reconcile_changes(ownership, time, self._pool.pop_changes())
         await self._placements.place(
             ownership,
             time,
--- a/crossmill/multihost/failure_scores.py
+++ b/crossmill/multihost/failure_scores.py
@@ -4,7 +4,7 @@
 
 # a score below this counts as none
 NEGLIGIBLE_SCORE = 0.05
-SCORE_OF_A_FAILURE = 1.0
+SCORE_PER_FAILURE = 1.0
 
 
 class _Score(NamedTuple):
@@ -34,9 +34,9 @@
             return 0.0
         return value
 
-    def note_failure(self, machine: str, now: float) -> None:
+    def record_failure(self, machine: str, now: float) -> None:
         """Count a member on the machine that was lost, or did not start there."""
-        self._scores[machine] = _Score(self.score(machine, now) + SCORE_OF_A_FAILURE, now)
+        self._scores[machine] = _Score(self.score(machine, now) + SCORE_PER_FAILURE, now)
 
     def clear(self) -> None:
         """Forget all scores, when the ownership of the pool ends."""
--- a/crossmill/multihost/heartbeats.py
+++ b/crossmill/multihost/heartbeats.py
@@ -34,12 +34,12 @@
 
     Attributes:
         status: The HTTP status.
-        answer: The answer to an agent of the pool; None with any other status than 200.
+        response: The response to an agent of the pool; None with any other status than 200.
         owner: The label of the controller that owns the pool, where this one doesn't.
     """
 
     status: int
-    answer: AgentHeartbeatResponse | None = None
+    response: AgentHeartbeatResponse | None = None
     owner: str | None = None
 
 
@@ -58,7 +58,7 @@
     @property
     def rejected_reports(self) -> int:
         """How many reports contradicted the plan, since the start of the program."""
-        return self._reports.rejected
+        return self._reports.rejected_reports
 
     def handle(self, heartbeat: AgentHeartbeat) -> HeartbeatReply:
         """Apply a heartbeat and return the reply."""
@@ -79,7 +79,7 @@
         if machine.has_left:
             return HeartbeatReply(STATUS_GONE)
         orders = self._apply(heartbeat, ownership, may_order, now)
-        return HeartbeatReply(STATUS_OK, self._answer(heartbeat.machine, ownership, orders))
+        return HeartbeatReply(STATUS_OK, self._response(heartbeat.machine, ownership, orders))
 
     def _apply(
         self, heartbeat: AgentHeartbeat, ownership: ShardOwnership, may_order: bool, now: float
@@ -89,25 +89,25 @@
         Without full authority the agent is kept alive, but no member is started or stopped.
         """
         known = self._agents.get(heartbeat.machine)
-        had_notice = known is not None and known.notice_at is not None
+        had_notice = known is not None and known.reclaim_at is not None
         freshness = self._agents.apply_heartbeat(heartbeat, ownership.token, now)
         if freshness is not Freshness.NEW:
             return []
         view = self._agents.view(heartbeat.machine)
         self._reports.apply(heartbeat, view)
-        if (view.notice_at is not None) != had_notice:
+        if (view.reclaim_at is not None) != had_notice:
             self._pool.mark_machine_changed(heartbeat.machine)
             self._pool.mark_replicas_changed(self._pool.machines[heartbeat.machine].planned)
         orders = self._planner.member_orders(heartbeat, view) if may_order else []
         return orders + self._planner.serving_orders(view, now)
 
-    def _answer(
+    def _response(
         self, machine_id: str, ownership: ShardOwnership, orders: list[Order]
     ) -> AgentHeartbeatResponse:
         """Return the answer, and note the starts that it orders."""
         sent_at = self._clock.now()
         for order in orders:
             if order.op is OrderKind.START:
-                self._agents.note_start(machine_id, order.replica, sent_at)
+                self._agents.record_start_order(machine_id, order.replica, sent_at)
         proof = LivenessProof(self._agents.process, sent_at)
         return AgentHeartbeatResponse(ownership.token, proof, tuple(orders))
--- a/crossmill/multihost/machine_reconciler.py
+++ b/crossmill/multihost/machine_reconciler.py
@@ -30,26 +30,28 @@
         """Forget overdue heartbeats, when the ownership of the pool ends."""
         self._overdue.clear()
 
-    def note_changes(self, time: DecisionTime) -> None:
+    def mark_affected_replicas(self, time: DecisionTime) -> None:
         """Mark the replicas of all machines that have changed as changed.
 
         A machine has changed if its records or its agent's reports have, or if its heartbeats have
         become overdue or have resumed.
         """
-        self._note_overdue(time)
-        self._note_resumed(time)
+        self._detect_overdue(time)
+        self._detect_resumed(time)
         for machine_id in self._pool.changed_machines():
             self._mark_replicas_changed(machine_id)
 
-    def _note_overdue(self, time: DecisionTime) -> None:
-        for view in self._agents.heartbeats_before(time.now - self._settings.failure_detection_s):
+    def _detect_overdue(self, time: DecisionTime) -> None:
+        for view in self._agents.views_without_heartbeat_since(
+            time.now - self._settings.failure_detection_s
+        ):
             is_new = view.machine not in self._overdue
             if is_new and is_heartbeat_overdue(view, time, self._settings):
                 self._overdue.add(view.machine)
                 log.info("agent heartbeats missed machine=%s", view.machine)
                 self._mark_replicas_changed(view.machine)
 
-    def _note_resumed(self, time: DecisionTime) -> None:
+    def _detect_resumed(self, time: DecisionTime) -> None:
         for machine_id in list(self._overdue):
             view = self._agents.get(machine_id)
             if view is None or not is_heartbeat_overdue(view, time, self._settings):
@@ -79,7 +81,7 @@
         intents = [self._writer.deletion_of_machine(ownership, m) for m in returned]
         for machine_id in set(changed) - set(returned):
             machine = self._pool.machines.get(machine_id)
-            if machine is not None and self._may_leave(machine):
+            if machine is not None and self._can_leave(machine):
                 log.info("machine leaves the pool empty machine=%s", machine_id)
                 intents.append(self._writer.departure_of_machine(ownership, machine))
         return intents
@@ -88,9 +90,9 @@
         """Return whether the machine's ordinary record is gone, so that it was returned."""
         return machine_id in self._pool.machines and self._pool.record_version(machine_id) == 0
 
-    def _may_leave(self, machine: PoolMachine) -> bool:
+    def _can_leave(self, machine: PoolMachine) -> bool:
         """Return whether the machine is to leave the pool and runs no member."""
         if not machine.is_released or machine.has_left or machine.planned:
             return False
         view = self._agents.get(machine.id)
-        return view is not None and view.is_empty
+        return view is not None and view.is_idle
--- a/crossmill/multihost/member_reports.py
+++ b/crossmill/multihost/member_reports.py
@@ -36,7 +36,7 @@
     def __init__(self, pool: PoolState) -> None:
         self._pool = pool
         # since the start of the program
-        self.rejected = 0
+        self.rejected_reports = 0
 
     def apply(self, heartbeat: AgentHeartbeat, view: AgentView) -> None:
         """Replace the members of the view by those of its newest heartbeat.
@@ -44,14 +44,14 @@
         Replicas of which something has changed are marked as changed.
         """
         members: dict[str, MemberReport] = {}
-        view.rejected = 0
+        view.rejected_reports = 0
         for report in heartbeat.members:
             problem = self._problem(heartbeat.machine, report, members)
             if problem is None:
                 members[report.replica] = report
                 continue
-            view.rejected += 1
-            self.rejected += 1
+            view.rejected_reports += 1
+            self.rejected_reports += 1
             log.info(
                 "member report rejected replica=%s rank=%d generation=%d machine=%s reason=%s",
                 report.replica,
--- a/crossmill/multihost/member_status.py
+++ b/crossmill/multihost/member_status.py
@@ -54,7 +54,7 @@
 
 def first_contact_s(settings: MultihostSettings) -> float:
     """Return how long after a change of owner an agent may take to find the new owner."""
-    return settings.failure_detection_s + 2 * settings.answer_timeout_s
+    return settings.failure_detection_s + 2 * settings.response_timeout_s
 
 
 def is_heartbeat_overdue(
--- a/crossmill/multihost/model.py
+++ b/crossmill/multihost/model.py
@@ -20,13 +20,13 @@
     gpus: float
     memory_gb: float
 
-    def plus(self, other: "Resources") -> "Resources":
+    def add(self, other: "Resources") -> "Resources":
         """Return the sum of both."""
         return Resources(
             self.cpus + other.cpus, self.gpus + other.gpus, self.memory_gb + other.memory_gb
         )
 
-    def minus(self, other: "Resources") -> "Resources":
+    def subtract(self, other: "Resources") -> "Resources":
         """Return what is left of this without the other; amounts may become negative."""
         return Resources(
             self.cpus - other.cpus, self.gpus - other.gpus, self.memory_gb - other.memory_gb
--- a/crossmill/multihost/orders.py
+++ b/crossmill/multihost/orders.py
@@ -30,7 +30,7 @@
     replica: Replica
     member: Member
 
-    def is_run_as(self, report: MemberReport, session: int) -> bool:
+    def matches(self, report: MemberReport, session: int) -> bool:
         """Return whether the report of an agent's session is of exactly this member."""
         return (
             report.generation == self.replica.generation
@@ -38,7 +38,7 @@
             and session == self.member.session
         )
 
-    def is_to_be_started(self, report: MemberReport | None, session: int) -> bool:
+    def needs_start(self, report: MemberReport | None, session: int) -> bool:
         """Return whether the agent is to be ordered to start the member."""
         if self.replica.phase is not ReplicaPhase.STARTING or self.member.session != session:
             return False
@@ -64,10 +64,10 @@
         orders = [
             Order(OrderKind.STOP, report.replica, report.rank, report.generation)
             for report in heartbeat.members
-            if _is_to_be_stopped(report, planned.get(report.replica), view.session)
+            if _needs_stop(report, planned.get(report.replica), view.session)
         ]
         for name, entry in planned.items():
-            if entry.is_to_be_started(view.members.get(name), view.session):
+            if entry.needs_start(view.members.get(name), view.session):
                 order = self._start(entry.replica, entry.member)
                 if order is not None:
                     orders.append(order)
@@ -159,7 +159,7 @@
         return self._leases.grant(replica, front, alive_at, now)
 
 
-def _is_to_be_stopped(report: MemberReport, planned: _PlannedMember | None, session: int) -> bool:
+def _needs_stop(report: MemberReport, planned: _PlannedMember | None, session: int) -> bool:
     """Return whether the agent is to stop a member that it reports.
 
     One of an earlier generation is replaced by the start of the present one.
@@ -167,7 +167,7 @@
     if planned is None:
         return True
     is_older = report.generation < planned.replica.generation
-    return not is_older and not planned.is_run_as(report, session)
+    return not is_older and not planned.matches(report, session)
 
 
 def _runs(view: AgentView, replica: Replica, member: Member) -> bool:
--- a/crossmill/multihost/pool.py
+++ b/crossmill/multihost/pool.py
@@ -68,7 +68,7 @@
         """Return what the planned members leave free on the machine."""
         free = machine.capacity
         for replica_id in machine.planned:
-            free = free.minus(self.member_resources(replica_id))
+            free = free.subtract(self.member_resources(replica_id))
         return free
 
     def present_machines(self) -> list[PoolMachine]:
@@ -99,7 +99,7 @@
         """Return the machines that have changed since the last pass."""
         return tuple(self._changes.machines)
 
-    def take_changes(self) -> PoolChanges:
+    def pop_changes(self) -> PoolChanges:
         """Return what has changed since this was last called."""
         changes, self._changes = self._changes, PoolChanges()
         return changes
--- a/crossmill/multihost/preemption.py
+++ b/crossmill/multihost/preemption.py
@@ -80,9 +80,9 @@
     for victim in victims:
         for machine in victim.machines:
             known = freed.get(machine)
-            freed[machine] = victim.resources if known is None else known.plus(victim.resources)
+            freed[machine] = victim.resources if known is None else known.add(victim.resources)
     return [
-        c._replace(free=c.free.plus(freed[c.machine])) if c.machine in freed else c
+        c._replace(free=c.free.add(freed[c.machine])) if c.machine in freed else c
         for c in candidates
     ]
 
--- a/crossmill/multihost/registration.py
+++ b/crossmill/multihost/registration.py
@@ -67,7 +67,7 @@
     def _intent(self, ownership: ShardOwnership, heartbeat: AgentHeartbeat) -> WriteIntent | None:
         """Return the write that admits a machine; None if it may not join."""
         machine_id, offer = heartbeat.machine, heartbeat.offer
-        if machine_id in self._pool.machines or not self._may_join(machine_id):
+        if machine_id in self._pool.machines or not self._can_join(machine_id):
             return None
         capacity = Resources(offer.cpus, offer.gpus, offer.memory_gb)
         machine = PoolMachine(machine_id, offer.zone, capacity, offer.fetch_gb_per_s)
@@ -84,7 +84,7 @@
         log.info("machine joins the pool machine=%s zone=%s", machine_id, offer.zone)
         return self._ownership.write_intent(ownership, WriteRank.PLACEMENT, txn)
 
-    def _may_join(self, machine_id: str) -> bool:
+    def _can_join(self, machine_id: str) -> bool:
         known = self._cluster.machines.get(machine_id)
         if known is None:
             return True
--- a/crossmill/multihost/replica_reconciler.py
+++ b/crossmill/multihost/replica_reconciler.py
@@ -199,6 +199,6 @@
             self._suspects[replica.id] = decision.suspects
             for member in replica.members():
                 if member.rank in decision.suspects:
-                    self._failures.note_failure(member.machine, now)
+                    self._failures.record_failure(member.machine, now)
         elif decision.action is ReplicaAction.CONFIRM:
             self._suspects.pop(replica.id, None)
--- a/crossmill/multihost/scheduling.py
+++ b/crossmill/multihost/scheduling.py
@@ -134,7 +134,7 @@
             survivors=_survivors(replica, suspects, current),
             suspects=_suspected_machines(replica, suspects),
             candidates=[
-                c._replace(free=c.free.plus(spec.resources)) if c.machine in own_machines else c
+                c._replace(free=c.free.add(spec.resources)) if c.machine in own_machines else c
                 for c in current.candidates.values()
             ],
             replicas_by_zone=self._replicas_by_zone(replica),
@@ -226,5 +226,5 @@
     for _, machine, _ in placement.members:
         if machine not in request.own_machines:
             candidate = current.candidates[machine]
-            free = candidate.free.minus(request.spec.resources)
+            free = candidate.free.subtract(request.spec.resources)
             current.candidates[machine] = candidate._replace(free=free)
--- a/crossmill/multihost/service.py
+++ b/crossmill/multihost/service.py
@@ -10,8 +10,8 @@
 from ..wire.checks import MalformedMessageError
 from ..wire.multihost import (
     HEARTBEAT_PATH,
-    answer_body,
     error_body,
+    heartbeat_response_body,
     parse_agent_heartbeat,
     redirect_body,
 )
@@ -95,6 +95,6 @@
             return Response(400, error_body(str(exc)))
         reply = self.heartbeats.handle(heartbeat)
         await self.coordinator.wake_if_changed()
-        if reply.answer is not None:
-            return Response(200, answer_body(reply.answer))
+        if reply.response is not None:
+            return Response(200, heartbeat_response_body(reply.response))
         return Response(reply.status, redirect_body(reply.owner))
--- a/crossmill/multihost/serving.py
+++ b/crossmill/multihost/serving.py
@@ -91,7 +91,7 @@
             owned_since: When the ownership of the pool began.
             grantee: The view of the machine that was granted the last lease.
         """
-        earliest = owned_since + self._settings.fence_s
+        earliest = owned_since + self._settings.fencing_delay_s
         grant = self._grants.get(replica.id)
         if grant is None or grant.generation >= replica.generation:
             return earliest
--- a/crossmill/multihost/set_reconciler.py
+++ b/crossmill/multihost/set_reconciler.py
@@ -91,6 +91,6 @@
         view = self._agents.get(machine_id)
         if machine is not None and machine.drain_reason:
             return f"machine {machine_id} is drained: {machine.drain_reason}"
-        if view is not None and view.notice_at is not None:
+        if view is not None and view.reclaim_at is not None:
             return f"machine {machine_id} is taken away soon"
         return ""
--- a/crossmill/multihost/settings.py
+++ b/crossmill/multihost/settings.py
@@ -14,7 +14,7 @@
 CLOCK_DRIFT = 0.002
 
 
-MIN_HEARTBEAT_S = 0.05
+MIN_HEARTBEAT_INTERVAL_S = 0.05
 DEFAULT_IDLE_RATIO = 0.25
 PORT_COUNT = 65536
 
@@ -48,7 +48,7 @@
         return 5 * self.heartbeat_interval_s
 
     @property
-    def fence_s(self) -> float:
+    def fencing_delay_s(self) -> float:
         """After this long every serving lease that an earlier owner has granted has expired."""
         return self.serving_lease_s * (1 + CLOCK_DRIFT)
 
@@ -63,7 +63,7 @@
         return 4 * self.heartbeat_interval_s
 
     @property
-    def answer_timeout_s(self) -> float:
+    def response_timeout_s(self) -> float:
         """An agent drops answers that come later than this."""
         return 2 * self.heartbeat_interval_s
 
@@ -107,12 +107,12 @@
             load_s: What the slowest fetch of the weights takes.
             write_s: What a durable write takes.
         """
-        noticed = self.failure_detection_s + 2 * self.heartbeat_interval_s
-        fenced = max(self.fence_s, noticed)
-        placed = 2 * write_s + self.heartbeat_interval_s
-        loaded = load_s + 2 * self.heartbeat_interval_s
-        granted = write_s + 2 * self.heartbeat_interval_s
-        return fenced + placed + loaded + granted
+        detection_s = self.failure_detection_s + 2 * self.heartbeat_interval_s
+        fencing_s = max(self.fencing_delay_s, detection_s)
+        placement_s = 2 * write_s + self.heartbeat_interval_s
+        loading_s = load_s + 2 * self.heartbeat_interval_s
+        grant_s = write_s + 2 * self.heartbeat_interval_s
+        return fencing_s + placement_s + loading_s + grant_s
 
 
 def parse(data: dict[str, Any], settings: Settings) -> MultihostSettings:
@@ -142,7 +142,7 @@
         listen=Endpoint(settings.peer_listen.host, port),
         pool_shard=shard,
         heartbeat_interval_s=table.number(
-            "heartbeat_s", MIN_HEARTBEAT_S, settings.heartbeat_interval_s
+            "heartbeat_s", MIN_HEARTBEAT_INTERVAL_S, settings.heartbeat_interval_s
         ),
         idle_ratio=ratio,
     )
--- a/crossmill/multihost/writes.py
+++ b/crossmill/multihost/writes.py
@@ -111,19 +111,19 @@
         return await self.commit(ownership, WriteRank.PLACEMENT, txn)
 
     async def _delete_members(
-        self, ownership: ShardOwnership, replica: Replica, with_the_last: tuple[str, ...]
+        self, ownership: ShardOwnership, replica: Replica, keys_with_last_chunk: tuple[str, ...]
     ) -> bool:
         """Delete the members' records, and other keys together with the last of them."""
-        most = max(1, self.max_operations)
+        max_chunks = max(1, self.max_operations)
         chunks = sorted(replica.chunks)
-        for first in range(0, len(chunks), most):
+        for first in range(0, len(chunks), max_chunks):
             txn = Txn({keys.replica(replica.id): replica.version})
-            for number in chunks[first : first + most]:
+            for number in chunks[first : first + max_chunks]:
                 key = keys.members(replica.id, number)
                 txn.conditions[key] = replica.chunks[number].version
                 txn.deletes.append(key)
-            if first + most >= len(chunks):
-                txn.deletes.extend(with_the_last)
+            if first + max_chunks >= len(chunks):
+                txn.deletes.extend(keys_with_last_chunk)
             if not await self.commit(ownership, WriteRank.PLACEMENT, txn):
                 return False
         return True
--- a/crossmill/wire/multihost.py
+++ b/crossmill/wire/multihost.py
@@ -151,12 +151,12 @@
         raise checks.MalformedMessageError(f"version: {PROTOCOL_VERSION} is needed")
 
 
-def _objects(data: dict[str, Any], name: str, most: int) -> list[dict[str, Any]]:
+def _objects(data: dict[str, Any], name: str, max_length: int) -> list[dict[str, Any]]:
     value = data.get(name)
     if type(value) is not list or not all(type(v) is dict for v in value):
         raise checks.MalformedMessageError(f"{name}: a list of objects is needed")
-    if len(value) > most:
-        raise checks.MalformedMessageError(f"{name}: {most} at most")
+    if len(value) > max_length:
+        raise checks.MalformedMessageError(f"{name}: {max_length} at most")
     return value
 
 
@@ -167,7 +167,7 @@
     return value
 
 
-def _texts(data: dict[str, Any], name: str) -> tuple[str, ...]:
+def _strings(data: dict[str, Any], name: str) -> tuple[str, ...]:
     value = data.get(name, [])
     if type(value) is not list or not all(type(v) is str for v in value):
         raise checks.MalformedMessageError(f"{name}: a list of strings is needed")
@@ -248,7 +248,7 @@
         token=checks.count(data, "token"),
         proof=_parse_proof(data),
         notice_s=checks.optional_amount(data, "notice_s"),
-        images=_texts(data, "images"),
+        images=_strings(data, "images"),
         members=tuple(_parse_member(m) for m in _objects(data, "members", MAX_REPORTED_MEMBERS)),
     )
 
@@ -259,14 +259,14 @@
     return data
 
 
-def answer_body(answer: AgentHeartbeatResponse) -> bytes:
+def heartbeat_response_body(response: AgentHeartbeatResponse) -> bytes:
     """Return a controller's answer as it is sent."""
     return orjson.dumps(
         {
             "version": PROTOCOL_VERSION,
-            "token": answer.token,
-            "proof": _encode_proof(answer.proof),
-            "orders": [_encode_order(o) for o in answer.orders],
+            "token": response.token,
+            "proof": _encode_proof(response.proof),
+            "orders": [_encode_order(o) for o in response.orders],
         }
     )
 
@@ -293,7 +293,7 @@
     )
 
 
-def parse_answer(body: bytes) -> AgentHeartbeatResponse:
+def parse_heartbeat_response(body: bytes) -> AgentHeartbeatResponse:
     """Return a controller's answer after checking it.
 
     Raises:
--- a/tests/multihost_agents.py
+++ b/tests/multihost_agents.py
@@ -23,7 +23,7 @@
     PeerAddress,
     Ping,
     heartbeat_body,
-    parse_answer,
+    parse_heartbeat_response,
     parse_ping,
     parse_redirect,
     ping_body,
@@ -235,7 +235,7 @@
         await curio.sleep(HOP_S + self.region.delay_s(self))
         reply = await self.region.deliver_heartbeat(self, label, body)
         await curio.sleep(HOP_S + self.region.delay_s(self) + self.region.answer_delay_s(self))
-        timeout_s = self.region.multihost.answer_timeout_s
+        timeout_s = self.region.multihost.response_timeout_s
         while self.is_frozen and not self.dead:
             await curio.sleep(0.1)
         if reply is None or self.drops_answers or self.now() - sent > timeout_s:
@@ -250,7 +250,7 @@
             following = (self._target + 1) % len(labels)
             self._target = labels.index(str(owner)) if moves else following
             return 0.2 if moves else 0.5
-        answer = parse_answer(data)
+        answer = parse_heartbeat_response(data)
         if session == self.session and answer.token >= self.token and not self.dead:
             self.token, self.proof, self.answered_at = answer.token, answer.proof, sent
             self.apply_answer(answer, sent)
--- a/tests/multihost_invariants.py
+++ b/tests/multihost_invariants.py
@@ -30,7 +30,7 @@
 
 
 @dataclass
-class ServingFacts:
+class ServingObservation:
     """What was observed of a generation of a replica."""
 
     complete_at: float | None = None
@@ -48,11 +48,11 @@
 
     region: "MultihostRegion"
     violations: list[str] = field(default_factory=list)
-    facts: dict[tuple[str, int], ServingFacts] = field(default_factory=dict)
+    facts: dict[tuple[str, int], ServingObservation] = field(default_factory=dict)
     # by replica: when it was last seen to serve
     served_at: dict[str, float] = field(default_factory=dict)
     # the longest time that a generation went on answering after a member's death
-    latest_answer_s: float = 0.0
+    max_stale_serving_s: float = 0.0
     _phases: dict[str, str] = field(default_factory=dict)
 
     def report_violation(self, what: str) -> None:
@@ -79,7 +79,7 @@
         for agent in self.region.agents.values():
             for name, member in agent.members.items():
                 if member.rank == 0 and self.is_complete(name, member.generation):
-                    facts = self.facts.setdefault((name, member.generation), ServingFacts())
+                    facts = self.facts.setdefault((name, member.generation), ServingObservation())
                     facts.complete_at = self.region.clock.now()
                 generation = agent.serves(name)
                 if generation is not None:
@@ -94,12 +94,12 @@
 
     def _check_answer(self, name: str, generation: int) -> None:
         now = self.region.clock.now()
-        facts = self.facts.setdefault((name, generation), ServingFacts())
+        facts = self.facts.setdefault((name, generation), ServingObservation())
         facts.answers += 1
         if facts.complete_at is None:
             self.report_violation(f"incomplete {name}: generation {generation} never was complete")
         elif facts.complete_at < now:
-            self.latest_answer_s = max(self.latest_answer_s, now - facts.complete_at)
+            self.max_stale_serving_s = max(self.max_stale_serving_s, now - facts.complete_at)
             lease_s = self.region.multihost.serving_lease_s
             if now - facts.complete_at > lease_s + self.region.tolerance_s:
                 late = now - facts.complete_at
--- a/tests/multihost_pool.py
+++ b/tests/multihost_pool.py
@@ -34,7 +34,7 @@
 from .multihost_region import SETTINGS
 from .stepped_controller import SteppedController, seed
 
-EACH = Resources(16.0, 4.0, 64.0)
+PAIR_MEMBER_RESOURCES = Resources(16.0, 4.0, 64.0)
 
 
 def add_ready_pairs(state: StateService, clock: FakeClock, number: int) -> None:
@@ -44,7 +44,7 @@
         members = tuple(Member(r, f"m-{2 * index + r}", 1, 1) for r in range(2))
         state.put(keys.replica(replica.id), encode_replica(replica))
         state.put(keys.members(replica.id, 0), encode_chunk(1, members))
-    spec = ReplicaSetSpec("chat", 2, number, EACH, "weights", 1.0)
+    spec = ReplicaSetSpec("chat", 2, number, PAIR_MEMBER_RESOURCES, "weights", 1.0)
     state.put(keys.replica_set("chat"), encode_set(ReplicaSet(spec, False, number)))
 
 
@@ -54,7 +54,7 @@
     """Deliver a heartbeat of every machine: its member of a pair runs."""
     for m in range(machines):
         report = MemberReport(f"chat/{m // 2}", m % 2, 1, MemberState.LOADED)
-        service.heartbeats.handle(heartbeat_of(node, m, sequence, report))
+        service.heartbeats.handle(make_heartbeat(node, m, sequence, report))
 
 
 def pool_service(node: SteppedController, process: str) -> MultihostService:
@@ -81,7 +81,7 @@
     return node, service
 
 
-def heartbeat_of(
+def make_heartbeat(
     node: SteppedController, machine: int, sequence: int, *members: MemberReport
 ) -> AgentHeartbeat:
     """Return a heartbeat that proves liveness now."""
--- a/tests/test_multihost_failover.py
+++ b/tests/test_multihost_failover.py
@@ -15,9 +15,9 @@
 
 
 @pytest.mark.parametrize("phase", ["starting", "ready", "repairing"])
-@pytest.mark.parametrize("with_member", [False, True])
+@pytest.mark.parametrize("member_fails", [False, True])
 def test_the_next_owner_continues_after_a_transition_that_no_agent_was_told(
-    phase: str, with_member: bool
+    phase: str, member_fails: bool
 ) -> None:
     async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(10)
@@ -27,7 +27,7 @@
             region.agents_of("chat/0")[2].dead = True
         await region.wait_until(lambda: region.phase("chat/0") == phase)
         # the record has just been written, and no agent has been told yet
-        if with_member and region.agents_of("chat/0"):
+        if member_fails and region.agents_of("chat/0"):
             region.agents_of("chat/0")[1].dead = True
         await region.kill(region.owner())
         takeover_s = 3 * 10.0 * 0.32
--- a/tests/test_multihost_invariants.py
+++ b/tests/test_multihost_invariants.py
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize(
-    ("violation", "named"),
+    ("violation", "expected"),
     [
         (_two_serve, "two_serving"),
         (_answers_incomplete, "incomplete"),
@@ -56,7 +56,7 @@
         (_orders_early, "ordered_early"),
     ],
 )
-def test_the_checker_finds_a_planted_violation(violation: Violation, named: str) -> None:
+def test_the_checker_finds_a_planted_violation(violation: Violation, expected: str) -> None:
     async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(6)
         await region.declare("chat", members=3, min_ready=1, image_gb=0.0)
@@ -65,9 +65,10 @@
         assert not region.checker.violations
         violation(region)
         region.checker.check()
-        await curio.sleep(0.1 if named != "incomplete" else 8.0)
+        await curio.sleep(0.1 if expected != "incomplete" else 8.0)
         region.checker.check_end()
 
     assert any(
-        named in b for b in simulate_multihost(scenario, check_invariants=False).checker.violations
+        expected in b
+        for b in simulate_multihost(scenario, check_invariants=False).checker.violations
     )
--- a/tests/test_multihost_loopback.py
+++ b/tests/test_multihost_loopback.py
@@ -59,8 +59,8 @@
         agent.address = f"{endpoint.host}:{endpoint.port}"
 
         async def answer(request: Request) -> Response:
-            right = request.path == PING_PATH and agent.answer_ping(request.body)
-            return Response(200 if right else 409)
+            is_confirmed = request.path == PING_PATH and agent.answer_ping(request.body)
+            return Response(200 if is_confirmed else 409)
 
         await curio.spawn(Server(endpoint, answer, 32, 60.0, max_cached_heads=8).run, daemon=True)
         return agent
@@ -68,7 +68,7 @@
     async def _post(self, endpoint: Endpoint, path: str, body: bytes) -> tuple[int, bytes] | None:
         client = self._clients.setdefault(endpoint, Client(endpoint, max_sockets=16))
         try:
-            return await client.request("POST", path, body, FAST.answer_timeout_s)
+            return await client.request("POST", path, body, FAST.response_timeout_s)
         except (ConnectionFailedError, NoResponseError):
             return None
 
@@ -102,8 +102,8 @@
         await region.until_serving("chat/0", SLACK_S)
         region.agents_of("chat/0")[2].dead = True
         await region.wait_until(lambda: not region.serving("chat/0"), FAST.serving_lease_s + 1.0)
-        taken_s = await region.until_serving("chat/0", SLACK_S)
-        print(f"back after {taken_s:.1f} s, bound {bound_s:.1f} s")
+        repair_s = await region.until_serving("chat/0", SLACK_S)
+        print(f"back after {repair_s:.1f} s, bound {bound_s:.1f} s")
         assert region.generation("chat/0") == 2
         # the owner ends together with the front member's machine
         region.agents_of("chat/0")[0].dead = True
--- a/tests/test_multihost_member_failures.py
+++ b/tests/test_multihost_member_failures.py
@@ -17,11 +17,11 @@
 def test_a_replica_stops_serving_when_a_member_dies_until_it_is_complete_again() -> None:
     async def fault(region: MultihostRegion, agents: list[Agent]) -> None:
         agents[2].dead = True
-        begun = region.clock.now()
+        started_at = region.clock.now()
         await region.wait_until(
             lambda: not region.serving("chat/0"), SETTINGS.serving_lease_s + 0.1
         )
-        assert region.clock.now() - begun <= SETTINGS.serving_lease_s + 0.1
+        assert region.clock.now() - started_at <= SETTINGS.serving_lease_s + 0.1
 
     assert time_to_repair(fault) <= REPAIR_BOUND_S
 
--- a/tests/test_multihost_member_reports.py
+++ b/tests/test_multihost_member_reports.py
@@ -42,10 +42,10 @@
         await region.begin_pool(5)
         await region.declare("chat", image_gb=LOAD_S)
         await region.wait_until(lambda: region.phase("chat/0") == "starting")
-        right = MemberReport("chat/0", 1, 1, MemberState.LOADED)
+        confirmation = MemberReport("chat/0", 1, 1, MemberState.LOADED)
         outsider = next(a for a in region.agents.values() if a not in region.agents_of("chat/0"))
-        outsider.forged_reports = [right]
-        region.agents_of("chat/0")[1].forged_reports = [right, right]
+        outsider.forged_reports = [confirmation]
+        region.agents_of("chat/0")[1].forged_reports = [confirmation, confirmation]
         await curio.sleep(LOAD_S + 5.0)
         assert region.phase("chat/0") == "starting"
         assert region.services[region.owner()].heartbeats.rejected_reports >= 2
--- a/tests/test_multihost_messages.py
+++ b/tests/test_multihost_messages.py
@@ -17,10 +17,10 @@
     Order,
     OrderKind,
     PeerAddress,
-    answer_body,
     heartbeat_body,
+    heartbeat_response_body,
     parse_agent_heartbeat,
-    parse_answer,
+    parse_heartbeat_response,
 )
 
 HEARTBEAT = AgentHeartbeat(
@@ -79,7 +79,7 @@
 
 def test_an_answer_is_parsed_as_it_was_sent() -> None:
     answer = AgentHeartbeatResponse(41, LivenessProof("here", 1.5), (ORDER,))
-    assert parse_answer(answer_body(answer)) == answer
+    assert parse_heartbeat_response(heartbeat_response_body(answer)) == answer
 
 
 def test_unknown_fields_of_a_heartbeat_are_ignored() -> None:
--- a/tests/test_multihost_placement.py
+++ b/tests/test_multihost_placement.py
@@ -119,8 +119,8 @@
 
 def test_the_failure_score_of_a_machine_decays() -> None:
     scores = FailureScores(10.0)
-    scores.note_failure("m", 0.0)
-    scores.note_failure("m", 0.0)
+    scores.record_failure("m", 0.0)
+    scores.record_failure("m", 0.0)
     assert scores.score("m", 0.0) == 2.0
     assert scores.score("m", 10.0) == pytest.approx(1.0)
     assert scores.score("m", 1000.0) == 0.0
--- a/tests/test_multihost_random_faults.py
+++ b/tests/test_multihost_random_faults.py
@@ -60,4 +60,4 @@
 @pytest.mark.parametrize("seed", range(8))
 def test_replicas_recover_from_random_faults(seed: int) -> None:
     region = play_random_faults(seed)
-    assert region.checker.latest_answer_s <= SETTINGS.serving_lease_s * 1.01
+    assert region.checker.max_stale_serving_s <= SETTINGS.serving_lease_s * 1.01
--- a/tests/test_multihost_reconciliation.py
+++ b/tests/test_multihost_reconciliation.py
@@ -13,7 +13,7 @@
 from .multihost_pool import (
     add_ready_pairs,
     booted_pool,
-    heartbeat_of,
+    make_heartbeat,
     pool_service,
     send_all_heartbeats,
 )
@@ -56,7 +56,7 @@
         assert await examined_in_a_pass() == 0
         # one member fails: only its replica is examined, and no machine while none waits
         failed = MemberReport("chat/3", 1, 1, MemberState.FAILED)
-        service.heartbeats.handle(heartbeat_of(node, 7, 3, failed))
+        service.heartbeats.handle(make_heartbeat(node, 7, 3, failed))
         assert await examined_in_a_pass() == 1
         assert counts["candidates"] == 0
         # its record has changed, and it waits for machines
@@ -80,7 +80,7 @@
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node, service = await booted_pool(state, clock, nodes, machines=2)
         # its heartbeat reaches the new owner, whose answer does not reach it
-        service.heartbeats.handle(heartbeat_of(node, 0, 1)._replace(proof=None))
+        service.heartbeats.handle(make_heartbeat(node, 0, 1)._replace(proof=None))
         for seen in (0, 0, 0, 1, 1, 1):
             clock.time += 2.0
             await node.renew_and_sync()
--- a/tests/test_multihost_registration.py
+++ b/tests/test_multihost_registration.py
@@ -10,7 +10,7 @@
 from .fake_state_service import StateService
 from .multihost_pool import (
     booted_pool,
-    heartbeat_of,
+    make_heartbeat,
 )
 from .stepped_controller import SteppedController, add_job, run_scenario, seed
 
@@ -81,7 +81,7 @@
         assert ownership is not None
         assert node.cluster.machines["n-0"].attempts
         for machine in ("n-0", "n-1", "n-2"):
-            service.heartbeats.handle(heartbeat_of(node, 0, 1)._replace(machine=machine))
+            service.heartbeats.handle(make_heartbeat(node, 0, 1)._replace(machine=machine))
         await service.coordinator.reconcile(ownership)
         # the busy machine does not join; the empty and the unknown one do
         assert sorted(service.pool.machines) == ["n-1", "n-2"]
--- a/tests/test_multihost_serving_safety.py
+++ b/tests/test_multihost_serving_safety.py
@@ -11,10 +11,10 @@
 
 from .multihost_region import SETTINGS, MultihostRegion, simulate_multihost
 
-DEATHS_S = (0.0, 0.2, 0.4, 0.6, 0.8)
+DEATH_DELAYS_S = (0.0, 0.2, 0.4, 0.6, 0.8)
 
 
-def _dies_after(death_s: float, lease_from_receipt: bool) -> list[str]:
+def _violations_after_death(death_delay_s: float, lease_from_receipt: bool) -> list[str]:
     """A member dies so long after its heartbeat; answers to the front member are slow."""
 
     async def scenario(region: MultihostRegion) -> None:
@@ -28,7 +28,7 @@
         await curio.sleep(10.0)
         sent = victim.sequence
         await region.wait_until(lambda: victim.sequence > sent)
-        await curio.sleep(death_s)
+        await curio.sleep(death_delay_s)
         victim.dead = True
         await curio.sleep(SETTINGS.serving_lease_s + 3.0)
 
@@ -37,17 +37,21 @@
 
 def test_an_agent_that_counts_its_lease_from_the_receipt_violates_an_invariant() -> None:
     # planted fault in the agents: the front member then answers beyond the bound
-    caught = [entry for death_s in DEATHS_S for entry in _dies_after(death_s, True)]
-    assert caught
-    assert all("incomplete" in entry for entry in caught)
+    violations = [
+        entry
+        for death_delay_s in DEATH_DELAYS_S
+        for entry in _violations_after_death(death_delay_s, True)
+    ]
+    assert violations
+    assert all("incomplete" in entry for entry in violations)
 
 
-@pytest.mark.parametrize("death_s", DEATHS_S)
-def test_slow_messages_do_not_lengthen_the_serving_lease(death_s: float) -> None:
-    assert not _dies_after(death_s, False)
+@pytest.mark.parametrize("death_delay_s", DEATH_DELAYS_S)
+def test_slow_messages_do_not_lengthen_the_serving_lease(death_delay_s: float) -> None:
+    assert not _violations_after_death(death_delay_s, False)
 
 
-def _zone_cut(delay_s: float) -> MultihostRegion:
+def _simulate_zone_partition(delay_s: float) -> MultihostRegion:
     """All members of a replica are cut off from controllers, not from one another."""
 
     async def scenario(region: MultihostRegion) -> None:
@@ -72,7 +76,7 @@
 
 @pytest.mark.usefixtures("_long_lease")
 def test_a_replica_in_a_partitioned_zone_stops_before_its_successor_serves() -> None:
-    region = _zone_cut(0.0)
+    region = _simulate_zone_partition(0.0)
     assert not region.checker.violations
     assert region.generation("chat/0") == 2
     assert len(region.serving("chat/0")) == 1
@@ -83,7 +87,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(serving.ServingLeases, "fenced_at", lambda *_: 0.0)
-    assert any("two_serving" in entry for entry in _zone_cut(0.0).checker.violations)
+    assert any("two_serving" in entry for entry in _simulate_zone_partition(0.0).checker.violations)
 
 
 def test_a_controller_that_counts_liveness_from_the_receipt_violates_an_invariant(
