--- a/crossmill/multihost/__init__.py
+++ b/crossmill/multihost/__init__.py
@@ -1,4 +1,5 @@
-"""Model replicas whose members run on several machines, each replica handled as one unit.
+"""Schedules model replicas that span several machines, each replica as one unit.
 
-Loaded only when a controller is started with a multihost file; see docs/multihost.md.
+The package is imported only by a controller that is started with a multihost file; see
+docs/multihost.md.
 """
--- a/crossmill/multihost/agents.py
+++ b/crossmill/multihost/agents.py
@@ -1,8 +1,8 @@
-"""What the pool's owner knows about the machines from their agents' heartbeats.
+"""The pool owner's view of each machine, built from the heartbeats of its agent.
 
-The heartbeat handler applies heartbeats here; the reconcilers and the scheduler read the views.
-Everything here ends with the ownership: the next owner believes only agents that it has itself
-answered.
+The heartbeat handler applies heartbeats to the views; the reconcilers and the scheduler read them.
+The views are dropped when the ownership of the pool ends: the next owner accepts reports only from
+agents that have received one of its own responses.
 """
 
 from collections import OrderedDict
@@ -14,58 +14,58 @@
 
 
 class Freshness(Enum):
-    """How a heartbeat compares to what is already known of its machine."""
+    """Whether a heartbeat is newer than the machine's view and proves the machine's liveness."""
 
-    # a late copy of an earlier heartbeat, or one that a newer one has overtaken
+    # a late duplicate of an earlier heartbeat, or one that arrived after a newer one
     STALE = "stale"
-    # sent before the agent had an answer of this owner: nothing in it is believed
+    # sent before the agent received a response of this owner: its contents are ignored
     UNVERIFIED = "unverified"
     NEW = "new"
 
 
 @dataclass(slots=True, eq=False)
 class AgentView:
-    """A machine as its newest verified heartbeat shows it; times are of the steady clock."""
+    """A machine according to its newest verified heartbeat; times are of the steady clock."""
 
     machine: str
     last_heartbeat_at: float = 0.0
-    # the machine was alive at this moment: an answer sent then has arrived there
+    # the last time at which the machine is proved alive: a response sent then has arrived there
     alive_at: float | None = None
     session: int = 0
     sequence: int = -1
     address: str = ""
-    # when the machine is taken away by the cloud; None without a notice
+    # the time at which the cloud reclaims the machine; None without a notice
     reclaim_at: float | None = None
     images: frozenset[str] = frozenset()
     members: dict[str, MemberReport] = field(default_factory=dict)
-    # by replica: when an answer with an order to start a member of it was sent. Until a heartbeat
-    # returns that answer or a later one, the order may still be carried out
+    # the sending times of start orders, by replica. The agent may still carry an order out until a
+    # heartbeat returns the proof of the response that contains it, or of a later one
     start_sent_at: dict[str, float] = field(default_factory=dict)
-    # reports of the newest heartbeat that contradict the plan or one another
+    # the number of reports in the newest heartbeat that contradict the plan or one another
     rejected_reports: int = 0
 
     def runs_no_member_of(self, replica: str) -> bool:
-        """Return whether the machine runs no member of the replica, nor has been ordered to."""
+        """Return whether no member of the replica runs or has a pending start order here."""
         if replica in self.members or self.alive_at is None:
             return False
         return self.alive_at >= self.start_sent_at.get(replica, self.alive_at)
 
     @property
     def is_idle(self) -> bool:
-        """Whether the machine runs no member, nor has been ordered to."""
+        """Whether the machine runs no member and has no pending start order."""
         return self.is_verified and not self.members and not self.start_sent_at
 
     @property
     def is_verified(self) -> bool:
-        """Whether the agent has returned an answer of this owner since the ownership began."""
+        """Whether the agent has returned a proof of liveness made under the current ownership."""
         return self.alive_at is not None
 
 
 class Agents:
-    """The views of all machines, by the time of their last heartbeat, oldest first."""
+    """The views of all machines, ordered by their last heartbeat, oldest first."""
 
     def __init__(self, process: str) -> None:
-        # names this process in the proofs of liveness that agents return
+        # the name of this process in the proofs of liveness that agents return
         self.process = process
         self._views: OrderedDict[str, AgentView] = OrderedDict()
 
@@ -73,33 +73,33 @@
         return len(self._views)
 
     def get(self, machine: str) -> AgentView | None:
-        """Return the machine's view; None before its first heartbeat."""
+        """Return the machine's view; None if no heartbeat has been received from it."""
         return self._views.get(machine)
 
     def view(self, machine: str) -> AgentView:
-        """Return the view of a machine that has sent a heartbeat.
+        """Return the view of a machine from which a heartbeat has been received.
 
         Raises:
-            KeyError: The machine has sent none.
+            KeyError: No heartbeat has been received from the machine.
         """
         return self._views[machine]
 
     def clear(self) -> None:
-        """Forget all views, when the ownership of the pool ends."""
+        """Drop all views when the ownership of the pool ends."""
         self._views.clear()
 
     def forget(self, machine: str) -> None:
-        """Forget a machine that has left the pool."""
+        """Drop the view of a machine that has left the pool."""
         self._views.pop(machine, None)
 
     def record_start_order(self, machine: str, replica: str, sent_at: float) -> None:
-        """Note that an answer sent at this time orders to start a member of the replica."""
+        """Record the sending time of an order to start a member of the replica."""
         self._views[machine].start_sent_at[replica] = sent_at
 
     def views_without_heartbeat_since(self, time: float) -> Iterator[AgentView]:
-        """Iterate over the machines whose last heartbeat came before the time, oldest first.
+        """Iterate over the machines without a heartbeat since the given time, oldest first.
 
-        The views are ordered, so that this stops at the first machine with a later heartbeat.
+        The views are ordered, so that the iteration stops at the first later heartbeat.
         """
         for view in self._views.values():
             if view.last_heartbeat_at >= time:
@@ -107,18 +107,18 @@
             yield view
 
     def apply_heartbeat(self, heartbeat: AgentHeartbeat, token: int, now: float) -> Freshness:
-        """Take over what a heartbeat says about its machine, but not about members.
+        """Update a machine's view from a heartbeat, except for the reports about members.
 
-        It is believed if it returns a proof of this process, made under the owner's fencing token,
-        and is the newest of its agent.
+        A heartbeat is accepted if it is the newest of its agent and returns a proof that this
+        process made under the owner's fencing token.
 
         Args:
             heartbeat: The heartbeat.
             token: The fencing token of this owner.
-            now: The time of its receipt.
+            now: The time at which the heartbeat was received.
 
         Returns:
-            Whether it was believed; only then the view has changed.
+            NEW if the heartbeat was accepted. Otherwise it has not changed what the view holds.
         """
         view = self._views.get(heartbeat.machine)
         if view is None:
@@ -138,9 +138,9 @@
         return Freshness.NEW
 
     def _record_alive(self, view: AgentView, alive_at: float, now: float) -> None:
-        """Note that the machine was alive when the answer that its heartbeat returns was sent.
+        """Record that the machine was alive when the response that its heartbeat returns was sent.
 
-        A heartbeat that was long under way shows no more than this.
+        A heartbeat that was delayed on the network proves nothing about a later time.
         """
         view.alive_at = alive_at
         view.last_heartbeat_at = now
--- a/crossmill/multihost/context.py
+++ b/crossmill/multihost/context.py
@@ -1,6 +1,7 @@
-"""The collaborators that the parts of multi-machine replicas share.
+"""The collaborators shared by the components that manage multi-machine replicas.
 
-`service` makes both contexts; the parts take from them what they need and never change them.
+`service` creates the `PoolContext` and `app` the `ControllerContext`. The components take what they
+need from them and never modify them.
 """
 
 from typing import NamedTuple
@@ -20,7 +21,7 @@
 
 
 class ControllerContext(NamedTuple):
-    """What a controller gives to its service for multi-machine replicas."""
+    """The controller's objects that its service for multi-machine replicas uses."""
 
     settings: Settings
     clock: Clock
@@ -31,16 +32,16 @@
 
 
 class PoolContext(NamedTuple):
-    """What the parts that act for the pool's owner work on.
+    """The objects shared by the components that act for the pool's owner.
 
     Attributes:
         settings: The settings of multi-machine replicas.
         clock: The controller's clock.
-        ownership: Whether this controller owns the pool.
+        ownership: This controller's authority over the pool.
         pool: The durable records of the pool.
         agents: The views of the pool's machines.
         leases: The serving leases that this owner has granted.
-        writer: Writes records of the pool.
+        writer: The writer of the pool's records.
     """
 
     settings: MultihostSettings
--- a/crossmill/multihost/due_times.py
+++ b/crossmill/multihost/due_times.py
@@ -1,4 +1,4 @@
-"""The times at which replicas are to be reconciled again though nothing has changed."""
+"""The times at which replicas are to be reconciled again even if nothing has changed."""
 
 import heapq
 from itertools import count
@@ -8,7 +8,7 @@
 
 
 class _DueEntry(NamedTuple):
-    """A replica in the heap; the number keeps entries of the same time in the order of adding."""
+    """A heap entry; the number keeps entries with the same time in insertion order."""
 
     at: float
     number: int
@@ -18,7 +18,7 @@
 class DueTimes:
     """The earliest due time of each replica, by the controller's steady clock.
 
-    Owned by the replica reconciler; empty whenever this controller doesn't own the pool.
+    The replica reconciler owns the due times and clears them when it loses the pool.
     """
 
     def __init__(self) -> None:
@@ -27,7 +27,7 @@
         self._numbers = count()
 
     def add(self, replica_id: ReplicaId, at: float) -> None:
-        """Make the replica due at this time, or sooner if it was already."""
+        """Make the replica due at this time, unless it is already due earlier."""
         known = self._due_at.get(replica_id)
         if known is None or at < known:
             self._due_at[replica_id] = at
@@ -38,14 +38,14 @@
         due: set[ReplicaId] = set()
         while self._heap and self._heap[0].at <= now:
             entry = heapq.heappop(self._heap)
-            # an entry that was replaced by an earlier one stays in the heap
+            # entries replaced by an earlier one stay in the heap and are skipped here
             if self._due_at.get(entry.replica_id) == entry.at:
                 del self._due_at[entry.replica_id]
                 due.add(entry.replica_id)
         return due
 
     def next_at(self) -> float | None:
-        """Return a time before which nothing is due; None if nothing is due at all."""
+        """Return a time before which no replica is due; None if there are no due times."""
         return self._heap[0].at if self._heap else None
 
     def clear(self) -> None:
--- a/crossmill/multihost/errors.py
+++ b/crossmill/multihost/errors.py
@@ -1,5 +1,5 @@
-"""The base class of the errors that scheduling of multi-machine replicas raises."""
+"""The base class of errors raised while scheduling multi-machine replicas."""
 
 
 class MultihostError(Exception):
-    """Multi-machine replicas can't be handled as asked; subclasses say why."""
+    """An operation on multi-machine replicas has failed; subclasses state the reason."""
--- a/crossmill/multihost/failure_scores.py
+++ b/crossmill/multihost/failure_scores.py
@@ -1,8 +1,8 @@
-"""Failure scores of machines, so that those that fail repeatedly are avoided for a while."""
+"""Failure scores of machines, by which placement avoids machines that fail repeatedly."""
 
 from typing import NamedTuple
 
-# a score below this counts as none
+# lower scores count as zero
 NEGLIGIBLE_SCORE = 0.05
 SCORE_PER_FAILURE = 1.0
 
@@ -13,10 +13,10 @@
 
 
 class FailureScores:
-    """A score for each machine: one more with each failure, halved in each half-life.
+    """A score for each machine: it grows by one per failure and decays exponentially.
 
-    Kept in the memory of the pool's owner alone: a new owner begins with none. Times are of the
-    controller's steady clock.
+    The scores are kept only in the memory of the pool's owner, so that a new owner starts without
+    any. Times are of the controller's steady clock.
     """
 
     def __init__(self, half_life_s: float) -> None:
@@ -24,7 +24,7 @@
         self._scores: dict[str, _Score] = {}
 
     def score(self, machine: str, now: float) -> float:
-        """Return the machine's score now."""
+        """Return the machine's score at the given time."""
         known = self._scores.get(machine)
         if known is None:
             return 0.0
@@ -35,7 +35,7 @@
         return value
 
     def record_failure(self, machine: str, now: float) -> None:
-        """Count a member on the machine that was lost, or did not start there."""
+        """Count a member that was lost on the machine or failed to start there."""
         self._scores[machine] = _Score(self.score(machine, now) + SCORE_PER_FAILURE, now)
 
     def clear(self) -> None:
--- a/crossmill/multihost/heartbeats.py
+++ b/crossmill/multihost/heartbeats.py
@@ -1,7 +1,7 @@
-"""Answers agents' heartbeats for the controller that owns the pool.
+"""Handles agents' heartbeats on the controller that owns the pool.
 
-`AgentHeartbeatHandler` is called by the service for each heartbeat. It applies the heartbeat to the
-agents' views, and answers with orders and a proof of liveness; it has no state of its own.
+The service calls `AgentHeartbeatHandler` for each heartbeat. The handler applies the heartbeat to
+the agents' views and responds with orders and a proof of liveness. It has no state of its own.
 """
 
 from typing import NamedTuple
@@ -21,21 +21,21 @@
 from .registration import Registration
 
 STATUS_OK = 200
-# the machine has left the pool: its agent ends
+# the machine has left the pool: its agent exits
 STATUS_GONE = 410
 # another controller owns the pool
 STATUS_NOT_OWNER = 421
-# the agent is to ask again
+# the agent repeats its heartbeat later
 STATUS_UNAVAILABLE = 503
 
 
 class HeartbeatReply(NamedTuple):
-    """How a heartbeat is answered.
+    """The reply to a heartbeat.
 
     Attributes:
         status: The HTTP status.
-        response: The response to an agent of the pool; None with any other status than 200.
-        owner: The label of the controller that owns the pool, where this one doesn't.
+        response: The response to an agent of the pool; None unless the status is 200.
+        owner: The label of the pool's owner, if another controller is known to own the pool.
     """
 
     status: int
@@ -57,7 +57,7 @@
 
     @property
     def rejected_reports(self) -> int:
-        """How many reports contradicted the plan, since the start of the program."""
+        """The number of reports that contradicted the plan, since the start of the program."""
         return self._reports.rejected_reports
 
     def handle(self, heartbeat: AgentHeartbeat) -> HeartbeatReply:
@@ -67,7 +67,7 @@
             return HeartbeatReply(STATUS_NOT_OWNER, owner=self._ownership.other_owner())
         ownership, may_order = authority
         if heartbeat.token > ownership.token:
-            # the agent would drop an answer with a lower fencing token
+            # the agent would drop a response with a lower fencing token
             self._ownership.request_higher_token()
             return HeartbeatReply(STATUS_UNAVAILABLE)
         now = self._clock.now()
@@ -86,7 +86,7 @@
     ) -> list[Order]:
         """Apply a heartbeat to the view of its machine and return the orders to its agent.
 
-        Without full authority the agent is kept alive, but no member is started or stopped.
+        If `may_order` is false, the response extends leases, but no member is started or stopped.
         """
         known = self._agents.get(heartbeat.machine)
         had_notice = known is not None and known.reclaim_at is not None
@@ -104,7 +104,7 @@
     def _response(
         self, machine_id: str, ownership: ShardOwnership, orders: list[Order]
     ) -> AgentHeartbeatResponse:
-        """Return the answer, and note the starts that it orders."""
+        """Return the response and record the start orders that it contains."""
         sent_at = self._clock.now()
         for order in orders:
             if order.op is OrderKind.START:
--- a/crossmill/multihost/keys.py
+++ b/crossmill/multihost/keys.py
@@ -1,7 +1,7 @@
-"""Names of the keys of multi-machine replicas in the state service.
+"""Keys of multi-machine replicas in the state service.
 
-They lie under the controllers' common prefix, so that one watch brings them too; versions of the
-program that do not know them ignore them.
+The keys share the controllers' common prefix, so that the controllers' single watch covers them.
+Versions of the program without multi-machine replicas ignore them.
 """
 
 from typing import NamedTuple
@@ -18,22 +18,22 @@
 
 
 class MalformedKeyError(MultihostError):
-    """A stored key under the prefix of replicas does not name a replica."""
+    """A stored key under the prefix of replicas or members does not name a replica."""
 
     def __init__(self, name: str) -> None:
-        super().__init__(f"not a replica: {name}")
+        super().__init__(f"key does not name a replica: {name}")
         self.name = name
 
 
 class ChunkKey(NamedTuple):
-    """The replica and the number of a chunk of members."""
+    """The replica that a chunk of members belongs to, and the chunk's number."""
 
     replica_id: ReplicaId
     chunk: int
 
 
 def replica_set(name: str) -> str:
-    """Return the key of the declaration of a set."""
+    """Return the key of a replica set's declaration."""
     return SET + name
 
 
@@ -48,15 +48,15 @@
 
 
 def machine(machine_id: str) -> str:
-    """Return the key of a machine of the pool."""
+    """Return the key of a machine's pool record."""
     return MACHINE + machine_id
 
 
 def parse_replica(name: str) -> ReplicaId:
-    """Return the replica of a key without its prefix.
+    """Return the ID of the replica that a key without its prefix names.
 
     Raises:
-        MalformedKeyError: The name is not that of a replica.
+        MalformedKeyError: The name does not name a replica.
     """
     replica_id = ReplicaId.parse(name)
     if replica_id is None:
@@ -65,10 +65,10 @@
 
 
 def parse_members(name: str) -> ChunkKey:
-    """Return the replica and the chunk's number of a key without its prefix.
+    """Return the chunk of members that a key without its prefix names.
 
     Raises:
-        MalformedKeyError: The name is not that of a chunk of a replica's members.
+        MalformedKeyError: The name does not name a chunk of members.
     """
     replica_name, _, chunk = name.rpartition("/")
     if not chunk.isdecimal():
--- a/crossmill/multihost/machine_reconciler.py
+++ b/crossmill/multihost/machine_reconciler.py
@@ -1,7 +1,7 @@
-"""Reconciles the machines of the pool: overdue heartbeats, machines that leave or are returned.
+"""Reconciles pool machines: detects overdue heartbeats and removes machines from the pool.
 
-`MachineReconciler` is called by the coordinator in each pass. It remembers which machines' overdue
-heartbeats it has reported; this ends with the ownership of the pool.
+The coordinator calls `MachineReconciler` in each pass. The reconciler remembers the machines whose
+overdue heartbeats it has already logged, until the ownership of the pool ends.
 """
 
 import logging
@@ -17,7 +17,7 @@
 
 
 class MachineReconciler:
-    """Watches machines for the pool's owner."""
+    """Detects overdue heartbeats and removes machines for the pool's owner."""
 
     def __init__(self, context: PoolContext) -> None:
         self._settings = context.settings
@@ -27,14 +27,14 @@
         self._overdue: set[str] = set()
 
     def clear(self) -> None:
-        """Forget overdue heartbeats, when the ownership of the pool ends."""
+        """Drop the overdue machines when the ownership of the pool ends."""
         self._overdue.clear()
 
     def mark_affected_replicas(self, time: DecisionTime) -> None:
-        """Mark the replicas of all machines that have changed as changed.
+        """Mark the replicas of all changed machines as changed.
 
-        A machine has changed if its records or its agent's reports have, or if its heartbeats have
-        become overdue or have resumed.
+        A machine has changed if its records or its agent's reports have changed, or if its
+        heartbeats have become overdue or have resumed.
         """
         self._detect_overdue(time)
         self._detect_resumed(time)
@@ -60,7 +60,7 @@
                 self._mark_replicas_changed(machine_id)
 
     def _mark_replicas_changed(self, machine_id: str) -> None:
-        """Mark the replicas that are planned on the machine or reported by its agent as changed."""
+        """Mark the replicas planned on the machine or reported by its agent as changed."""
         machine = self._pool.machines.get(machine_id)
         if machine is not None:
             self._pool.mark_replicas_changed(machine.planned.keys())
@@ -72,7 +72,7 @@
             )
 
     def reconcile(self, ownership: ShardOwnership, changed: Iterable[str]) -> list[WriteIntent]:
-        """Return the writes for changed machines that leave the pool or were returned."""
+        """Return the writes for changed machines that leave the pool or have been returned."""
         returned = [m for m in changed if self._is_returned(m)]
         for machine_id in returned:
             self._agents.forget(machine_id)
@@ -82,16 +82,16 @@
         for machine_id in set(changed) - set(returned):
             machine = self._pool.machines.get(machine_id)
             if machine is not None and self._can_leave(machine):
-                log.info("machine leaves the pool empty machine=%s", machine_id)
+                log.info("idle machine removed from the pool machine=%s", machine_id)
                 intents.append(self._writer.departure_of_machine(ownership, machine))
         return intents
 
     def _is_returned(self, machine_id: str) -> bool:
-        """Return whether the machine's ordinary record is gone, so that it was returned."""
+        """Return whether the machine's ordinary record is deleted: it was returned to the cloud."""
         return machine_id in self._pool.machines and self._pool.record_version(machine_id) == 0
 
     def _can_leave(self, machine: PoolMachine) -> bool:
-        """Return whether the machine is to leave the pool and runs no member."""
+        """Return whether the machine is released and has no member, planned or running."""
         if not machine.is_released or machine.has_left or machine.planned:
             return False
         view = self._agents.get(machine.id)
--- a/crossmill/multihost/member_reports.py
+++ b/crossmill/multihost/member_reports.py
@@ -1,8 +1,8 @@
-"""Checks agents' reports about members against the plan, and applies them to the agents' views.
+"""Checks agents' reports about members against the plan and applies them to the agents' views.
 
-`MemberReports` is called by the heartbeat handler. A report that contradicts the plan is counted,
-and is applied as a refused member of generation 0: it proves nothing, but its resources are in use
-until the agent has stopped it.
+The heartbeat handler calls `MemberReports`. A report that contradicts the plan is counted and
+applied as a refused member of generation 0: it confirms nothing, but the member's resources count
+as in use until the agent has stopped it.
 """
 
 import logging
@@ -15,12 +15,12 @@
 
 log = logging.getLogger(__name__)
 
-# no replica has this generation: it begins at 1
+# no replica has this generation: generations start at 1
 NO_GENERATION = 0
 
 
 class ReportProblem(StrEnum):
-    """Why a report about a member is rejected, as it is logged."""
+    """The logged reason for which a report about a member is rejected."""
 
     DUPLICATE = "reported twice"
     MALFORMED_NAME = "no replica's name"
@@ -31,17 +31,17 @@
 
 
 class MemberReports:
-    """Applies reports for the pool's owner."""
+    """Applies reports about members for the pool's owner."""
 
     def __init__(self, pool: PoolState) -> None:
         self._pool = pool
-        # since the start of the program
+        # the number of rejected reports since the start of the program
         self.rejected_reports = 0
 
     def apply(self, heartbeat: AgentHeartbeat, view: AgentView) -> None:
-        """Replace the members of the view by those of its newest heartbeat.
+        """Replace the members of a view by those that the newest heartbeat reports.
 
-        Replicas of which something has changed are marked as changed.
+        Replicas whose report differs from the previous one are marked as changed.
         """
         members: dict[str, MemberReport] = {}
         view.rejected_reports = 0
@@ -77,7 +77,7 @@
     def _problem(
         self, machine_id: str, report: MemberReport, applied: dict[str, MemberReport]
     ) -> ReportProblem | None:
-        """Return what is wrong with a report; None if it may be true."""
+        """Return the reason to reject a report; None if it is plausible."""
         if report.replica in applied:
             return ReportProblem.DUPLICATE
         replica_id = ReplicaId.parse(report.replica)
@@ -89,14 +89,14 @@
         if report.generation > replica.generation:
             return ReportProblem.UNKNOWN_GENERATION
         if report.generation < replica.generation:
-            # it is to be stopped or replaced; nothing else is concluded from it
+            # the member will be stopped or replaced, so that its rank does not matter
             return None
         return self._planning_problem(machine_id, replica_id, report.rank)
 
     def _planning_problem(
         self, machine_id: str, replica_id: ReplicaId, rank: int
     ) -> ReportProblem | None:
-        """Return how a member of the current generation differs from the plan."""
+        """Return how a member of the current generation contradicts the plan, if it does."""
         member = self._pool.machines[machine_id].planned.get(replica_id)
         if member is None:
             return ReportProblem.NOT_PLANNED
--- a/crossmill/multihost/member_status.py
+++ b/crossmill/multihost/member_status.py
@@ -1,6 +1,6 @@
-"""Classifies a replica's members by what their machines' agents report.
+"""Determines the status of a replica's members from their agents' reports.
 
-Pure functions. `observations` and `candidates` call them with the views that `agents` keeps.
+Pure functions, which other modules call with the views that `agents` keeps.
 """
 
 from enum import Enum
@@ -13,26 +13,26 @@
 
 
 class MemberStatus(Enum):
-    """The state of a member as far as the pool's owner can tell."""
+    """The status of a member as known to the pool's owner."""
 
-    # the owner has not had a heartbeat of its machine yet, and still waits for the first one
+    # the owner has received no heartbeat from its machine yet, and the first one is not overdue
     UNKNOWN = "unheard"
-    # its machine's agent reports, and doesn't run it in this generation
+    # its machine's agent sends heartbeats, but doesn't run the member in this generation
     ABSENT = "absent"
     LOADING = "loading"
     LOADED = "loaded"
     FAILED = "failed"
-    # its machine's heartbeats are overdue, the machine is gone, or its agent began a new session
+    # its machine's heartbeats are overdue, the machine is gone, or its agent has a new session
     LOST = "lost"
 
 
 class DecisionTime(NamedTuple):
-    """The time of a decision, and since when this controller has owned the pool.
+    """The time of a decision, and the start of this controller's ownership of the pool.
 
     Attributes:
-        now: The controller's steady clock, in seconds.
-        wall: The wall clock, in seconds; stored times are wall times.
-        owned_since: When the ownership began, by the steady clock.
+        now: The time by the controller's steady clock, in seconds.
+        wall: The time by the wall clock, in seconds; stored times are wall times.
+        owned_since: The steady time at which the ownership began.
     """
 
     now: float
@@ -53,17 +53,17 @@
 
 
 def first_contact_s(settings: MultihostSettings) -> float:
-    """Return how long after a change of owner an agent may take to find the new owner."""
+    """Return the time that agents are given to find the new owner after a change of owner."""
     return settings.failure_detection_s + 2 * settings.response_timeout_s
 
 
 def is_heartbeat_overdue(
     view: AgentView | None, time: DecisionTime, settings: MultihostSettings
 ) -> bool:
-    """Return whether the machine has sent no heartbeat for so long that it counts as lost.
+    """Return whether the machine's last heartbeat is so old that the machine counts as lost.
 
-    After a change of owner the agents first have to find the new one, so that a machine without a
-    verified heartbeat is given `first_contact_s`.
+    After a change of owner the agents first have to find the new one. A machine without a verified
+    heartbeat therefore counts as lost only after `first_contact_s`.
     """
     if view is None or not view.is_verified:
         return time.now - time.owned_since > first_contact_s(settings)
@@ -77,14 +77,14 @@
     time: DecisionTime,
     settings: MultihostSettings,
 ) -> MemberStatus:
-    """Return the state of a member of the replica's current generation.
+    """Return the status of a member of the replica's current generation.
 
     Args:
-        member: The member as it is planned.
+        member: The planned member.
         replica: The replica that it belongs to.
-        view: The view of the member's machine; None before its first heartbeat.
+        view: The view of the member's machine; None if no heartbeat has been received.
         time: The time of the decision.
-        settings: The time spans that decide when a heartbeat is overdue.
+        settings: The settings that determine when a heartbeat is overdue.
     """
     if is_heartbeat_overdue(view, time, settings):
         return MemberStatus.LOST
--- a/crossmill/multihost/model.py
+++ b/crossmill/multihost/model.py
@@ -1,7 +1,7 @@
-"""Replica sets, replicas, members and the machines of the pool, as their durable records say.
+"""Data types of replica sets, replicas, members and pool machines, as stored in their records.
 
-Plain types without behaviour of their own. `pool` keeps the objects up to date with the state
-service; everybody else only reads them.
+The types have no behaviour of their own. `pool` keeps the objects up to date with the state
+service; all other modules only read them.
 """
 
 from dataclasses import dataclass, field
@@ -9,31 +9,31 @@
 
 from .phases import ReplicaPhase
 
-# the rank of the front member, which answers requests for the whole replica
+# the rank of the front member, which serves requests for the whole replica
 FRONT_RANK = 0
 
 
 class Resources(NamedTuple):
-    """What a member needs of a machine, or what a machine has."""
+    """The resources that a member requires, or that a machine has or has free."""
 
     cpus: float
     gpus: float
     memory_gb: float
 
     def add(self, other: "Resources") -> "Resources":
-        """Return the sum of both."""
+        """Return the sum of the two amounts."""
         return Resources(
             self.cpus + other.cpus, self.gpus + other.gpus, self.memory_gb + other.memory_gb
         )
 
     def subtract(self, other: "Resources") -> "Resources":
-        """Return what is left of this without the other; amounts may become negative."""
+        """Return the difference of the two amounts, which may be negative."""
         return Resources(
             self.cpus - other.cpus, self.gpus - other.gpus, self.memory_gb - other.memory_gb
         )
 
     def can_fit(self, other: "Resources") -> bool:
-        """Return whether the other fits into this."""
+        """Return whether the other amount fits into this one."""
         return (
             self.cpus >= other.cpus
             and self.gpus >= other.gpus
@@ -45,7 +45,7 @@
 
 
 class ReplicaId(NamedTuple):
-    """A replica of a set: the set's name and a number that is never used again."""
+    """The ID of a replica: its set's name and a number that is never reused in the set."""
 
     set_name: str
     number: int
@@ -55,7 +55,7 @@
 
     @classmethod
     def parse(cls, name: str) -> "ReplicaId | None":
-        """Return the replica of this name; None if it is not the name of a replica."""
+        """Return the ID that the name spells; None if it is not the name of a replica."""
         set_name, _, number = name.rpartition("/")
         if not set_name or not number.isdecimal():
             return None
@@ -63,11 +63,11 @@
 
 
 class ReplicaSetSpec(NamedTuple):
-    """What an operator declares: how many replicas, of how many members each, and where.
+    """An operator's declaration of a replica set: its size, its resources and its zones.
 
-    The fields are spelled as in the declaration. `hold_s` is how long a replica may keep a part of
-    its machines reserved while it waits for the rest; `min_ready` is the disruption budget, the
-    number of ready replicas that no voluntary stop goes below.
+    The fields are spelled as in the declaration. `hold_s` is the time for which a replica may keep
+    some of its machines reserved while it waits for the others. `min_ready` is the disruption
+    budget: no voluntary stop reduces the number of ready replicas below it.
     """
 
     name: str
@@ -92,31 +92,31 @@
 
 @dataclass(slots=True, eq=False)
 class ReplicaSet:
-    """A stored declaration; `is_removed` once all its replicas are to be stopped."""
+    """A stored declaration; `is_removed` means that all its replicas are to be stopped."""
 
     spec: ReplicaSetSpec
     is_removed: bool = False
-    # the number of the next replica that is created
+    # the number that the next new replica gets
     next_index: int = 0
     version: int = 0
 
 
 class Member(NamedTuple):
-    """One machine's part of a replica.
+    """The part of a replica that runs on one machine.
 
-    It belongs to one session of the machine's agent: an agent that begins a new session has lost
-    it. Stored by position, and shown to operators by its fields' names.
+    It belongs to one session of the machine's agent and is lost when the agent starts a new one.
+    The records store the fields by position; the operators' API shows them under their names.
     """
 
     rank: int
     machine: str
     session: int
-    # how many machines the rank has been on
+    # the number of machines that the rank has been placed on so far
     attempt: int
 
 
 class PhaseChange(NamedTuple):
-    """An entry of a replica's history; `at` is a wall time."""
+    """A phase transition in a replica's history; `at` is its wall time."""
 
     phase: ReplicaPhase
     at: float
@@ -125,7 +125,7 @@
 
 @dataclass(slots=True, eq=False)
 class MemberChunk:
-    """Some of a replica's members, stored in one record and reserved for one generation."""
+    """A group of a replica's members, stored in one record and reserved for one generation."""
 
     generation: int
     members: tuple[Member, ...]
@@ -134,7 +134,7 @@
 
 @dataclass(slots=True, eq=False)
 class Replica:
-    """A replica as its records say; `since` is the wall time at which it entered its phase."""
+    """A replica as stored; `since` is the wall time at which it entered its phase."""
 
     id: ReplicaId
     phase: ReplicaPhase = ReplicaPhase.PENDING
@@ -142,16 +142,16 @@
     chunk_count: int = 0
     since: float = 0.0
     reason: str = ""
-    # if not empty it is to be stopped, once a replacement serves or the disruption budget allows it
+    # if not empty, the reason to stop it once a replacement serves or the disruption budget allows
     stop_reason: str = ""
-    # wall times of the restarts that count against the budget
+    # wall times of the restarts that count against the restart budget
     restarts: tuple[float, ...] = ()
     history: tuple[PhaseChange, ...] = ()
     chunks: dict[int, MemberChunk] = field(default_factory=dict)
     version: int = 0
 
     def members(self) -> list[Member]:
-        """Return all members reserved for the current generation, by rank."""
+        """Return the members reserved for the current generation, sorted by rank."""
         current = [c for c in self.chunks.values() if c.generation == self.generation]
         return sorted((m for c in current for m in c.members), key=lambda m: m.rank)
 
@@ -168,9 +168,9 @@
     zone: str
     capacity: Resources
     fetch_gb_per_s: float
-    # if not empty, replicas with a member here are to be replaced elsewhere
+    # if not empty, the reason to replace the replicas that have a member here
     drain_reason: str = ""
-    # it is to leave the pool once it is empty, and has left it
+    # whether it is to leave the pool once it runs no member, and whether it has left
     is_released: bool = False
     has_left: bool = False
     version: int = 0
--- a/crossmill/multihost/observations.py
+++ b/crossmill/multihost/observations.py
@@ -1,7 +1,7 @@
-"""Gathers what a decision about a replica depends on, from the records and the agents' views.
+"""Collects the inputs of a decision about a replica from the records and the agents' views.
 
-`ReplicaObserver` is called by the replica reconciler. It owns the rendezvous of the members of
-starting replicas; all else is looked up.
+The replica reconciler calls `ReplicaObserver`. Its only state is the rendezvous of the members of
+starting replicas; everything else is looked up.
 """
 
 from collections.abc import Mapping
@@ -16,14 +16,14 @@
 from .serving import ServingLeases
 from .settings import MultihostSettings
 
-# an agent counts its lease by its own clock, and answers to it may have been on their way
+# covers the drift of the agent's clock and responses that were still in transit to it
 AGENT_LEASE_MARGIN = 1.1
-# the fetch rate that is assumed while no member's machine is known
+# assumed while no member's machine is known
 DEFAULT_FETCH_GB_PER_S = 1.0
 
 
 class ReplicaObserver:
-    """Observes replicas for the pool's owner."""
+    """Collects observations of replicas for the pool's owner."""
 
     def __init__(
         self,
@@ -39,19 +39,19 @@
         self._rendezvous = Rendezvous()
 
     def clear(self) -> None:
-        """Forget what was observed, when the ownership of the pool ends."""
+        """Drop the observed rendezvous when the ownership of the pool ends."""
         self._rendezvous.clear()
 
     def observe(
         self, replica: Replica, stored: ReplicaSet, time: DecisionTime, may_stop: bool
     ) -> ReplicaObservation:
-        """Return what is known about a replica.
+        """Return the observation of a replica.
 
         Args:
             replica: The replica.
             stored: The set that it belongs to.
             time: The time of the decision.
-            may_stop: Whether the set's disruption budget lets the replica be stopped.
+            may_stop: Whether the set's disruption budget allows the replica to be stopped.
         """
         members = replica.members()
         statuses = {m.rank: self._status(m, replica, time) for m in members}
@@ -70,7 +70,7 @@
     def _unreachable(
         self, replica: Replica, members: list[Member], statuses: Mapping[int, MemberStatus]
     ) -> frozenset[int]:
-        """Return the current ranks that the front member reports as unreachable."""
+        """Return the current members' ranks that the front member reports as unreachable."""
         front = next((m for m in members if m.rank == FRONT_RANK), None)
         view = self._agents.get(front.machine) if front is not None else None
         if view is None or statuses.get(FRONT_RANK) is not MemberStatus.LOADED:
@@ -78,7 +78,7 @@
         return frozenset(view.members[str(replica.id)].unreachable) & statuses.keys()
 
     def _grantee(self, replica: Replica) -> AgentView | None:
-        """Return the view of the machine that was granted the replica's last serving lease."""
+        """Return the view of the machine that holds the replica's last granted serving lease."""
         machine = self._leases.granted_machine(replica.id)
         return self._agents.get(machine) if machine is not None else None
 
--- a/crossmill/multihost/orders.py
+++ b/crossmill/multihost/orders.py
@@ -1,7 +1,7 @@
-"""Orders to agents: they follow from comparing agents' reports with the durable plan.
+"""Plans orders to agents by comparing their reports with the durable plan.
 
-`OrderPlanner` is called by the heartbeat handler and has no state of its own. Orders can be
-repeated, and go out only in answers to heartbeats, which an agent drops when they come late.
+The heartbeat handler calls `OrderPlanner`, which has no state of its own. Orders are idempotent and
+are sent only in responses to heartbeats; an agent drops a response that arrives late.
 """
 
 from typing import NamedTuple
@@ -25,13 +25,13 @@
 
 
 class _PlannedMember(NamedTuple):
-    """A member that is to run on a machine."""
+    """A member that is planned to run on a machine."""
 
     replica: Replica
     member: Member
 
     def matches(self, report: MemberReport, session: int) -> bool:
-        """Return whether the report of an agent's session is of exactly this member."""
+        """Return whether a report from the agent's session describes exactly this member."""
         return (
             report.generation == self.replica.generation
             and report.rank == self.member.rank
@@ -39,7 +39,7 @@
         )
 
     def needs_start(self, report: MemberReport | None, session: int) -> bool:
-        """Return whether the agent is to be ordered to start the member."""
+        """Return whether the agent needs an order to start the member."""
         if self.replica.phase is not ReplicaPhase.STARTING or self.member.session != session:
             return False
         if report is None or report.generation != self.replica.generation:
@@ -48,7 +48,7 @@
 
 
 class OrderPlanner:
-    """Plans the orders of the pool's owner to one agent."""
+    """Plans the orders in the response to one agent's heartbeat."""
 
     def __init__(self, context: PoolContext) -> None:
         self._settings = context.settings
@@ -59,7 +59,7 @@
     # -- starting and stopping -------------------------------------------------------
 
     def member_orders(self, heartbeat: AgentHeartbeat, view: AgentView) -> list[Order]:
-        """Return the orders to stop and start members that differ from the plan."""
+        """Return the orders that stop and start members so that the machine matches the plan."""
         planned = self._planned(heartbeat.machine)
         orders = [
             Order(OrderKind.STOP, report.replica, report.rank, report.generation)
@@ -74,7 +74,7 @@
         return orders
 
     def _planned(self, machine_id: str) -> dict[str, _PlannedMember]:
-        """Return the members that are to run on the machine, by the replica's name."""
+        """Return the members that are planned to run on the machine, by replica name."""
         planned: dict[str, _PlannedMember] = {}
         for replica_id, member in self._pool.machines[machine_id].planned.items():
             replica = self._pool.replicas.get(replica_id)
@@ -83,7 +83,7 @@
         return planned
 
     def _start(self, replica: Replica, member: Member) -> Order | None:
-        """Return the order to start a member; None while an address of another is unknown."""
+        """Return the order to start a member; None while a member's address is unknown."""
         stored = self._pool.sets.get(replica.id.set_name)
         peers = self._peer_addresses(replica)
         if stored is None or peers is None:
@@ -91,7 +91,7 @@
         return self._start_order(stored.spec, replica, member, peers)
 
     def _peer_addresses(self, replica: Replica) -> tuple[PeerAddress, ...] | None:
-        """Return the addresses of all members of a replica; None while one is unknown."""
+        """Return the addresses of a replica's members; None while one of them is unknown."""
         peers: list[PeerAddress] = []
         for member in replica.members():
             view = self._agents.get(member.machine)
@@ -123,7 +123,7 @@
     # -- serving ---------------------------------------------------------------------
 
     def serving_orders(self, view: AgentView, now: float) -> list[Order]:
-        """Return the orders that let front members on the machine serve; grants their leases."""
+        """Grant leases to the machine's front members and return the orders that contain them."""
         orders: list[Order] = []
         for replica_id, member in self._pool.machines[view.machine].planned.items():
             replica = self._pool.replicas.get(replica_id)
@@ -144,9 +144,9 @@
         return orders
 
     def _grant(self, replica: Replica, front: Member, now: float) -> float:
-        """Return how long the front member may serve, in seconds.
+        """Return the length of the front member's new serving lease, in seconds.
 
-        It may not serve at all unless every member runs the current generation.
+        No lease is granted unless every member runs the current generation.
         """
         members = replica.members()
         views = [self._agents.get(m.machine) for m in members]
@@ -160,9 +160,10 @@
 
 
 def _needs_stop(report: MemberReport, planned: _PlannedMember | None, session: int) -> bool:
-    """Return whether the agent is to stop a member that it reports.
+    """Return whether the agent needs an order to stop a member that it reports.
 
-    One of an earlier generation is replaced by the start of the present one.
+    A planned member of an earlier generation needs none: starting the current generation replaces
+    it.
     """
     if planned is None:
         return True
@@ -171,7 +172,7 @@
 
 
 def _runs(view: AgentView, replica: Replica, member: Member) -> bool:
-    """Return whether the machine runs the member in the current generation, with its weights."""
+    """Return whether the machine runs the current generation of the member, weights loaded."""
     report = view.members.get(str(replica.id))
     return (
         report is not None
--- a/crossmill/multihost/pool.py
+++ b/crossmill/multihost/pool.py
@@ -1,8 +1,8 @@
-"""The durable records of multi-machine replicas, kept up to date with the mirror.
+"""The durable records of multi-machine replicas, kept in sync with the state service's mirror.
 
-`PoolState` owns the decoded records: replica sets, replicas with their members, and machines. Only
-changes of keys in the state service modify them. It also collects what has changed for the pool's
-owner, whose coordinator takes the changes in each pass.
+`PoolState` owns the decoded records: replica sets, replicas with their members, and machines. They
+are modified only when keys in the state service change. `PoolState` also collects the changes that
+the coordinator of the pool's owner processes in its next pass.
 """
 
 from collections.abc import Iterable
@@ -30,7 +30,7 @@
 
 
 class PoolChanges:
-    """What has changed in the records, or by heartbeats, since the last pass."""
+    """The sets, replicas and machines that have changed since the last pass, by ID."""
 
     __slots__ = ("machines", "replicas", "sets")
 
@@ -44,7 +44,7 @@
 
 
 class PoolState:
-    """Replica sets, replicas with their members, and machines, as they are stored."""
+    """Replica sets, replicas with their members, and machines, as stored in the state service."""
 
     def __init__(self, mirror: Mirror) -> None:
         self._mirror = mirror
@@ -52,7 +52,7 @@
         self.replicas: dict[ReplicaId, Replica] = {}
         self.replicas_of: dict[str, dict[int, Replica]] = {}
         self.machines: dict[str, PoolMachine] = {}
-        # members planned on machines whose records are deleted or haven't been read, by machine
+        # planned members by machine ID, for machines whose record is deleted or not yet read
         self._members_without_machine: dict[str, dict[ReplicaId, Member]] = {}
         self._changes = PoolChanges()
         mirror.listen(self._on_key)
@@ -60,12 +60,12 @@
     # -- reading ---------------------------------------------------------------------
 
     def member_resources(self, replica_id: ReplicaId) -> Resources:
-        """Return what a member of the replica needs; nothing if its set is not known."""
+        """Return the resources that a member requires; zero if the replica's set is unknown."""
         stored = self.sets.get(replica_id.set_name)
         return stored.spec.resources if stored is not None else NO_RESOURCES
 
     def free(self, machine: PoolMachine) -> Resources:
-        """Return what the planned members leave free on the machine."""
+        """Return the machine's capacity minus the resources of its planned members."""
         free = machine.capacity
         for replica_id in machine.planned:
             free = free.subtract(self.member_resources(replica_id))
@@ -76,12 +76,12 @@
         return [m for m in self.machines.values() if not m.has_left]
 
     def is_retiring(self, machine_id: str) -> bool:
-        """Return whether the machine is about to be returned, or was."""
+        """Return whether the machine is being returned to the cloud, or has been."""
         record = self.ordinary_record(machine_id)
         return record is None or bool(record["retiring"])
 
     def ordinary_record(self, machine_id: str) -> Any:
-        """Return the record that all versions have of the machine; None if it is deleted."""
+        """Return the machine's ordinary record, which all versions know; None if it is deleted."""
         return self._mirror.value(cluster_keys.machine(machine_id))
 
     def record_version(self, machine_id: str) -> int:
@@ -100,20 +100,20 @@
         return tuple(self._changes.machines)
 
     def pop_changes(self) -> PoolChanges:
-        """Return what has changed since this was last called."""
+        """Return the changes since the last call and reset them."""
         changes, self._changes = self._changes, PoolChanges()
         return changes
 
     def mark_machine_changed(self, machine_id: str) -> None:
-        """Have the next pass examine a machine."""
+        """Mark a machine to be examined by the next pass."""
         self._changes.machines.add(machine_id)
 
     def mark_replicas_changed(self, replica_ids: Iterable[ReplicaId]) -> None:
-        """Have the next pass examine these replicas."""
+        """Mark replicas to be examined by the next pass."""
         self._changes.replicas.update(replica_ids)
 
     def mark_all_changed(self) -> None:
-        """Have the next pass examine everything."""
+        """Mark all sets, replicas and machines to be examined by the next pass."""
         self._changes.replicas |= set(self.replicas)
         self._changes.sets |= set(self.sets) | set(self.replicas_of)
         self._changes.machines |= set(self.machines)
@@ -151,7 +151,7 @@
         old = self.replicas.get(replica_id)
         chunks = old.chunks if old is not None else {}
         if value is None:
-            # the deletion of its members' records may be seen later: until then they stay planned
+            # its members' records may be deleted later: until then the members stay planned
             self._store(Replica(replica_id, chunks=chunks))
         else:
             replica = decode_replica(replica_id, value, version)
@@ -159,7 +159,7 @@
             self._store(replica)
 
     def _store(self, replica: Replica) -> None:
-        """Index a replica; one that has no records left is removed."""
+        """Index a replica, or remove it if it has no records left."""
         siblings = self.replicas_of.setdefault(replica.id.set_name, {})
         if replica.version == 0 and not replica.chunks:
             self.replicas.pop(replica.id, None)
@@ -179,7 +179,7 @@
         if value is not None:
             replica.chunks[chunk] = decode_chunk(value, version)
         self._store(replica)
-        # a member may have moved to a machine of another chunk, so that all are indexed again
+        # a member may have moved to a machine that another chunk names too: index all chunks again
         for other in replica.chunks.values():
             self._plan(replica_id, other)
 
--- a/crossmill/multihost/pool_ownership.py
+++ b/crossmill/multihost/pool_ownership.py
@@ -1,6 +1,6 @@
-"""Ownership of the pool: whoever owns the pool's shard acts for all multi-machine replicas.
+"""Ownership of the pool: the owner of the pool's shard manages all multi-machine replicas.
 
-`PoolOwnership` narrows the controllers' membership to this one shard. It has no state of its own.
+`PoolOwnership` applies the controllers' membership to this one shard. It has no state of its own.
 """
 
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 
 
 class PoolOwnership:
-    """Says with which authority this controller may act for the pool."""
+    """Reports the authority with which this controller may act for the pool."""
 
     def __init__(
         self, membership: Membership, cluster: ClusterState, shard: int, own_label: str
@@ -24,7 +24,7 @@
         self._own_label = own_label
 
     def on_lost(self, listener: Callable[[], None]) -> None:
-        """Have the listener called whenever this controller loses the pool."""
+        """Register a listener that is called whenever this controller loses the pool."""
 
         def on_shard_lost(shard: int) -> None:
             if shard == self.shard:
@@ -33,27 +33,27 @@
         self._membership.subscribe_lost(on_shard_lost)
 
     def command_ownership(self) -> ShardOwnership | None:
-        """Return the ownership if members may be started and stopped; None otherwise."""
+        """Return the ownership if this controller may start and stop members; None otherwise."""
         return self._membership.command_ownership(self.shard)
 
     def heartbeat_authority(self) -> tuple[ShardOwnership, bool] | None:
-        """Return the ownership if agents may be answered, and whether with orders."""
+        """Return the ownership, and whether orders may be sent; None if agents get no response."""
         return self._membership.heartbeat_authority(self.shard)
 
     def request_higher_token(self) -> None:
-        """Ask for a higher fencing token, since an agent has seen one that is above ours."""
+        """Request a higher fencing token, because an agent has seen one above this owner's."""
         self._membership.request_higher_token(self.shard)
 
     def owner(self) -> str | None:
-        """Return the label of the pool's owner, which may be this controller, if it is known."""
+        """Return the label of the pool's owner, possibly this controller; None if unknown."""
         known = self._cluster.shard_owners.get(self.shard)
         return None if known is None else known.owner
 
     def other_owner(self) -> str | None:
-        """Return the label of another controller that owns the pool, if one is known."""
+        """Return the label of the pool's owner; None if it is this controller or unknown."""
         owner = self.owner()
         return None if owner == self._own_label else owner
 
     def write_intent(self, ownership: ShardOwnership, rank: WriteRank, txn: Txn) -> WriteIntent:
-        """Return the transaction as an intent that fails once another controller owns the pool."""
+        """Return a write intent that fails once another controller owns the pool."""
         return shard_intent(self._membership, self.shard, ownership, rank, txn)
--- a/crossmill/multihost/records.py
+++ b/crossmill/multihost/records.py
@@ -1,7 +1,11 @@
-"""Stored formats of replica sets, replicas, members and pool machines, field by field.
+"""Encodes and decodes the records of replica sets, replicas, members and pool machines.
 
-Pure functions: `pool` decodes, the writers encode. Other versions of the program read the records,
-so the spelling of the stored fields stays whatever the code calls them; unknown fields are ignored.
+Pure functions: `pool` decodes, the writers encode. Other versions of the program read the records
+too, so the stored names never change, whatever the code calls the fields. Unknown fields are
+ignored.
+
+A pool machine has two records: one of the pool, and the ordinary machine record that every version
+of the program knows and that single-machine tasks are scheduled by.
 """
 
 from typing import Any
@@ -19,10 +23,10 @@
 )
 from .phases import ReplicaPhase
 
-# entries of a replica's history that are kept
+# the number of phase transitions that a replica's record keeps
 HISTORY_LENGTH = 8
-# versions of the program that don't know multi-machine replicas read this as a machine type that no
-# catalog has: they place nothing on such a machine and never return it
+# versions of the program without multi-machine replicas read a type with this prefix as one that no
+# catalog lists: they place no task on such a machine and never return it to the cloud
 RESERVED_TYPE_PREFIX = "multihost/"
 
 
@@ -50,7 +54,7 @@
 
 
 def decode_set(value: dict[str, Any], version: int) -> ReplicaSet:
-    """Return the declaration of a record."""
+    """Return the declaration stored in a record."""
     spec = ReplicaSetSpec(
         name=value["name"],
         members=value["members"],
@@ -85,7 +89,7 @@
 
 
 def decode_replica(replica_id: ReplicaId, value: dict[str, Any], version: int) -> Replica:
-    """Return the replica of a record; its members have records of their own."""
+    """Return the replica stored in a record; its members have separate records."""
     return Replica(
         replica_id,
         ReplicaPhase(value["phase"]),
@@ -106,7 +110,7 @@
 
 
 def decode_chunk(value: dict[str, Any], version: int) -> MemberChunk:
-    """Return the chunk of members of a record."""
+    """Return the chunk of members stored in a record."""
     return MemberChunk(value["generation"], tuple(Member(*m) for m in value["members"]), version)
 
 
@@ -123,7 +127,7 @@
 
 
 def decode_machine(machine_id: str, value: dict[str, Any], version: int) -> PoolMachine:
-    """Return the pool machine of a record."""
+    """Return the pool machine stored in a record."""
     return PoolMachine(
         machine_id,
         value["zone"],
@@ -139,13 +143,13 @@
 def returned_record(record: dict[str, Any]) -> dict[str, Any]:
     """Return the ordinary record of a machine that has left the pool.
 
-    Single-machine tasks may use the machine again, and it is returned if nobody does.
+    Single-machine tasks can use the machine again; if none does, it is returned to the cloud.
     """
     return record | {"type": str(record["type"]).removeprefix(RESERVED_TYPE_PREFIX)}
 
 
 def is_reserved_type(machine_type: str) -> bool:
-    """Return whether an ordinary machine record is that of a machine of the pool."""
+    """Return whether the type in an ordinary machine record marks a machine of the pool."""
     return machine_type.startswith(RESERVED_TYPE_PREFIX)
 
 
@@ -154,8 +158,9 @@
 ) -> dict[str, Any]:
     """Return the ordinary record of a pool machine, in the format that every version reads.
 
-    Its type keeps single-machine tasks and the return of idle machines away. It is never counted as
-    up, so that missing heartbeats to the ordinary interface say nothing about its zone.
+    The reserved type excludes the machine from single-machine tasks and from the return of idle
+    machines. The record never counts the machine as up, because a pool machine sends no heartbeats
+    to the ordinary interface and their absence would wrongly indicate a failure of its zone.
     """
     return {
         "type": RESERVED_TYPE_PREFIX + machine_type,
--- a/crossmill/multihost/registration.py
+++ b/crossmill/multihost/registration.py
@@ -1,7 +1,8 @@
-"""Admits machines into the pool whose agents ask for it.
+"""Admits machines to the pool when their agents send heartbeats.
 
-The heartbeat handler notes requests in `Registration`, and the coordinator has them admitted in its
-next pass. Requests are kept only in memory: an agent that isn't admitted asks again.
+The heartbeat handler stores the requests in `Registration`, and the coordinator admits the machines
+in its next pass. Requests are kept only in memory: an agent that isn't admitted repeats its
+heartbeat.
 """
 
 import logging
@@ -25,8 +26,8 @@
 class Registration:
     """Writes the records of machines that join the pool.
 
-    A machine that runs ordinary tasks, is about to be returned, or belongs to another shard is not
-    admitted.
+    A machine that runs single-machine tasks, is being returned to the cloud, or belongs to another
+    shard is not admitted.
     """
 
     def __init__(
@@ -42,15 +43,15 @@
         self._ownership = ownership
         self._writer = writer
         self._pool = pool
-        # by machine: the heartbeat with which its agent has asked last
+        # the latest heartbeat of each machine that requests admission, by machine ID
         self._requests: dict[str, AgentHeartbeat] = {}
 
     def request(self, heartbeat: AgentHeartbeat) -> None:
-        """Note that a machine that isn't in the pool has sent a heartbeat."""
+        """Store the request for admission of a machine that isn't in the pool."""
         self._requests[heartbeat.machine] = heartbeat
 
     async def admit(self, ownership: ShardOwnership) -> None:
-        """Write the records of all machines that have asked since the last call."""
+        """Write the records of the machines that have requested admission since the last call."""
         if not self._requests:
             return
         requests, self._requests = self._requests, {}
@@ -65,7 +66,7 @@
             await intent.future.wait()
 
     def _intent(self, ownership: ShardOwnership, heartbeat: AgentHeartbeat) -> WriteIntent | None:
-        """Return the write that admits a machine; None if it may not join."""
+        """Return the write that admits a machine; None if it can't join."""
         machine_id, offer = heartbeat.machine, heartbeat.offer
         if machine_id in self._pool.machines or not self._can_join(machine_id):
             return None
@@ -89,6 +90,6 @@
         if known is None:
             return True
         if known.retiring or known.attempts or known.shard != self._ownership.shard:
-            log.debug("machine may not join yet machine=%s", machine_id)
+            log.debug("pool admission deferred machine=%s", machine_id)
             return False
         return True
--- a/crossmill/multihost/rendezvous.py
+++ b/crossmill/multihost/rendezvous.py
@@ -1,7 +1,8 @@
-"""Shows that all members of a generation were alive at one moment after all had confirmed it.
+"""Detects when all members of a generation are alive at the same time after confirming it.
 
-Members confirm at different times, and one may have died since it did. Their rendezvous is complete
-when each was proved alive, in the session in which it confirmed, after the last confirmation came.
+Members confirm at different times, and one may have died after its confirmation. The rendezvous of
+a generation is complete once every member is proved alive after the last confirmation arrived, in
+the session in which it confirmed.
 """
 
 from collections.abc import Iterable
@@ -13,24 +14,24 @@
 
 
 class _Confirmation(NamedTuple):
-    """When all members of a generation were first seen to have confirmed it."""
+    """The steady time at which all members of a generation were first seen to have confirmed it."""
 
     generation: int
     at: float
 
 
 class Rendezvous:
-    """The replicas all of whose members have confirmed, kept by the pool's owner."""
+    """The replicas whose members have all confirmed their generation, kept by the pool's owner."""
 
     def __init__(self) -> None:
         self._confirmations: dict[ReplicaId, _Confirmation] = {}
 
     def clear(self) -> None:
-        """Forget all confirmations, when the ownership of the pool ends."""
+        """Drop all confirmations when the ownership of the pool ends."""
         self._confirmations.clear()
 
     def forget(self, replica_id: ReplicaId) -> None:
-        """Forget a replica that has a member without confirmation, or has left its phase."""
+        """Drop a replica that has an unconfirmed member or is no longer starting."""
         self._confirmations.pop(replica_id, None)
 
     def is_complete(
@@ -40,9 +41,10 @@
         views: Iterable[AgentView | None],
         now: float,
     ) -> bool:
-        """Return whether all members were alive at one moment after the last confirmation.
+        """Return whether all members were alive at some moment after the last confirmation.
 
-        Every member must have confirmed the replica's generation; the first call notes the time.
+        Call this only if every member has confirmed the replica's generation; the first call for a
+        generation records the time.
         """
         known = self._confirmations.get(replica.id)
         if known is None or known.generation != replica.generation:
--- a/crossmill/multihost/service.py
+++ b/crossmill/multihost/service.py
@@ -1,7 +1,7 @@
-"""Makes the parts of multi-machine replicas, and serves their address.
+"""Creates the components that manage multi-machine replicas and serves their HTTP address.
 
-`app` makes one `MultihostService` for a controller that is started with a multihost file, and runs
-its loops. The service owns the parts and routes requests; all other state belongs to the parts.
+`app` creates one `MultihostService` for a controller that is started with a multihost file, and
+runs its loops. The service routes requests to the components, which own all other state.
 """
 
 from collections.abc import Awaitable, Callable
@@ -29,12 +29,12 @@
 
 
 class MultihostService:
-    """Multi-machine replicas on one controller.
+    """The service for multi-machine replicas on one controller.
 
     Args:
         settings: The settings of multi-machine replicas.
-        controller: What the controller gives to the service.
-        process: Names this process in the proofs of liveness that agents return; must be unique.
+        controller: The controller's objects that the service uses.
+        process: The unique name of this process in the proofs of liveness that agents return.
     """
 
     def __init__(
@@ -75,11 +75,11 @@
 
     @property
     def loops(self) -> tuple[Callable[[], Awaitable[None]], ...]:
-        """What runs as long as the controller does."""
+        """The loops that run until the controller stops."""
         return (self.server.run, self.coordinator.run)
 
     async def handle(self, request: Request) -> Response:
-        """Return the answer to a request of an agent or an operator."""
+        """Handle a request of an agent or an operator and return the response."""
         if request.path == HEARTBEAT_PATH:
             if request.method != "POST":
                 return Response(405, error_body("wrong method"))
--- a/crossmill/multihost/serving.py
+++ b/crossmill/multihost/serving.py
@@ -1,11 +1,12 @@
-"""Serving leases of front members, and when none of an earlier generation can still be valid.
+"""Serving leases of front members, and the time when those of earlier generations have expired.
 
-A lease ends `serving_lease_s` after the moment at which every member was last proved alive. That
-moment is the sending of the oldest of the answers that the members' newest heartbeats return; the
-receipt of a heartbeat proves nothing, since it may have been under way for minutes.
+A lease expires `serving_lease_s` after the last moment at which every member was proved alive. Each
+member's newest heartbeat returns a response of the controller, which proves that the member was
+alive when that response was sent; the earliest of these times counts. The receipt of a heartbeat
+proves nothing, because the heartbeat may have been in transit for minutes.
 
-`ServingLeases` is the memory of the pool's owner: the heartbeat handler grants leases, and the
-replica reconciler waits until those of earlier generations have expired.
+`ServingLeases` keeps the leases in the memory of the pool's owner. The heartbeat handler grants
+them, and the replica reconciler waits until those of earlier generations have expired.
 """
 
 from collections.abc import Iterable
@@ -17,7 +18,7 @@
 
 
 class ServingGrant(NamedTuple):
-    """The last grant of a replica's serving lease; `until` is in the controller's steady time."""
+    """The last grant of a replica's serving lease; `until` is the steady time of its expiry."""
 
     machine: str
     session: int
@@ -26,10 +27,12 @@
 
 
 def all_alive_at(members: Iterable[Member], views: Iterable[AgentView | None]) -> float | None:
-    """Return a moment at which every member's machine was alive, in its member's session.
+    """Return the last moment at which every member's machine was proved alive.
+
+    A proof counts only if the machine's agent is still in the session that the member belongs to.
 
     Returns:
-        The moment in the controller's steady time; None if a member was not proved alive.
+        The moment in the controller's steady time; None if there is no proof for a member.
     """
     moments: list[float] = []
     for member, view in zip(members, views, strict=True):
@@ -40,34 +43,35 @@
 
 
 class ServingLeases:
-    """The serving leases granted since this controller owns the pool."""
+    """The serving leases granted since this controller acquired the pool."""
 
     def __init__(self, settings: MultihostSettings) -> None:
         self._settings = settings
         self._grants: dict[ReplicaId, ServingGrant] = {}
 
     def clear(self) -> None:
-        """Forget all grants when the ownership ends; the next owner waits until they expire."""
+        """Drop all grants when the ownership ends; the next owner waits until they have expired."""
         self._grants.clear()
 
     def forget(self, replica_id: ReplicaId) -> None:
-        """Forget the grant of a replica that is deleted."""
+        """Drop the grant of a replica that is deleted."""
         self._grants.pop(replica_id, None)
 
     def grant(self, replica: Replica, front: Member, alive_at: float, now: float) -> float:
         """Grant the front member a lease and return its length in seconds.
 
-        The lease counts from the sending of the heartbeat that is answered now. That was before
-        now, so the lease ends no later than it does by this clock.
+        The agent counts the lease from the time at which it sent the heartbeat that is being
+        answered. That time is before `now`, so for the agent the lease expires no later than for
+        the controller.
 
         Args:
-            replica: The replica that may serve.
+            replica: The replica that is allowed to serve.
             front: Its front member.
-            alive_at: When all members were proved alive.
+            alive_at: The steady time at which all members were proved alive.
             now: The controller's steady time.
 
         Returns:
-            The length of the lease; 0 if all were proved alive too long ago.
+            The length of the lease; 0 if `alive_at` is too long ago.
         """
         until = alive_at + self._settings.serving_lease_s
         lease_s = (until - now) * (1 - CLOCK_DRIFT)
@@ -82,13 +86,14 @@
         return lease_s
 
     def fenced_at(self, replica: Replica, owned_since: float, grantee: AgentView | None) -> float:
-        """Return the time from which on no front member of an earlier generation serves.
+        """Return the time after which no front member of an earlier generation serves.
 
-        Its lease has expired by then, or its agent has said that it runs a later generation.
+        By then its lease has expired, or its agent has reported a later generation or has started a
+        new session.
 
         Args:
-            replica: The replica in its present generation.
-            owned_since: When the ownership of the pool began.
+            replica: The replica in its current generation.
+            owned_since: The steady time at which the ownership of the pool began.
             grantee: The view of the machine that was granted the last lease.
         """
         earliest = owned_since + self._settings.fencing_delay_s
@@ -103,6 +108,6 @@
         return max(earliest, grant.until + self._settings.serving_lease_s * CLOCK_DRIFT)
 
     def granted_machine(self, replica_id: ReplicaId) -> str | None:
-        """Return the machine of the replica's last grant; None without one."""
+        """Return the machine that the replica's last lease was granted to; None without a lease."""
         grant = self._grants.get(replica_id)
         return None if grant is None else grant.machine
--- a/crossmill/multihost/settings.py
+++ b/crossmill/multihost/settings.py
@@ -1,6 +1,6 @@
-"""The settings of multi-machine replicas: the multihost file and what is derived from it.
+"""The settings of multi-machine replicas, read from the multihost file or derived from it.
 
-See deploy/multihost.toml. Read once at the start; never changed afterwards.
+The file is read once at startup; deploy/multihost.toml is an example.
 """
 
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 from ..settings.loader import read_toml
 from ..settings.table import Table
 
-# PROTOCOL's drift between two steady clocks, doubled for safety
+# PROTOCOL's bound on the drift between two steady clocks, doubled as a safety margin
 CLOCK_DRIFT = 0.002
 
 
@@ -29,7 +29,7 @@
         listen: Where agents and operators reach the controller.
         pool_shard: The shard whose owner owns the pool.
         heartbeat_interval_s: How often an agent sends a heartbeat.
-        idle_ratio: The part of the pool that may be kept free for the first replica that waits.
+        idle_ratio: The fraction of the pool that may be kept free for the first waiting replica.
     """
 
     listen: Endpoint
@@ -39,73 +39,73 @@
 
     @property
     def failure_detection_s(self) -> float:
-        """A machine without a heartbeat for longer than this is lost to its replicas."""
+        """The time without a heartbeat after which a machine counts as lost."""
         return 3 * self.heartbeat_interval_s
 
     @property
     def serving_lease_s(self) -> float:
-        """The front member answers for at most this long after every member was last alive."""
+        """The time that a front member may serve after all members were last proved alive."""
         return 5 * self.heartbeat_interval_s
 
     @property
     def fencing_delay_s(self) -> float:
-        """After this long every serving lease that an earlier owner has granted has expired."""
+        """The time after which every serving lease granted by an earlier owner has expired."""
         return self.serving_lease_s * (1 + CLOCK_DRIFT)
 
     @property
     def agent_lease_s(self) -> float:
-        """An agent that no controller has answered for this long stops all its members."""
+        """The time without any controller's response after which an agent stops its members."""
         return 10 * self.heartbeat_interval_s
 
     @property
     def idle_poll_interval_s(self) -> float:
-        """How often a controller to which no agent reports checks whether it owns the pool."""
+        """The interval at which a controller without agents checks whether it owns the pool."""
         return 4 * self.heartbeat_interval_s
 
     @property
     def response_timeout_s(self) -> float:
-        """An agent drops answers that come later than this."""
+        """The time after which an agent drops the response to a heartbeat."""
         return 2 * self.heartbeat_interval_s
 
     @property
     def start_overhead_s(self) -> float:
-        """What a start may take besides the fetch of the weights."""
+        """The time allowed for a start in addition to the fetch of the weights."""
         return 10 * self.heartbeat_interval_s
 
     @property
     def initial_backoff_s(self) -> float:
-        """The wait before a second restart in a row; it doubles with each further one."""
+        """The delay before a second consecutive restart; it doubles with each further one."""
         return 2 * self.heartbeat_interval_s
 
     @property
     def max_backoff_s(self) -> float:
-        """The longest wait before a restart."""
+        """The maximum delay before a restart."""
         return 32 * self.heartbeat_interval_s
 
     @property
     def failure_half_life_s(self) -> float:
-        """The time in which a machine's failure score is halved."""
+        """The time in which a machine's failure score decays by half."""
         return 120 * self.heartbeat_interval_s
 
     @property
     def max_failure_score(self) -> float:
-        """A machine with a higher failure score is used only where no other is left."""
+        """The failure score above which a machine is used only if no other is available."""
         return 1.5
 
     @property
     def preempt_after_s(self) -> float:
-        """A replica that has found too few machines for this long may preempt others."""
+        """The time for which a replica must lack machines before it may preempt others."""
         return 5 * self.heartbeat_interval_s
 
     def repair_bound_s(self, load_s: float, write_s: float) -> float:
         """Return the time within which a replica serves again after a member's death.
 
-        It holds if machines are free and no back-off is due. After several deaths it counts from
-        the last one.
+        The bound applies if machines are free and no back-off delay is pending. After several
+        deaths it counts from the last one.
 
         Args:
-            load_s: What the slowest fetch of the weights takes.
-            write_s: What a durable write takes.
+            load_s: The duration of the slowest fetch of the weights.
+            write_s: The duration of a durable write.
         """
         detection_s = self.failure_detection_s + 2 * self.heartbeat_interval_s
         fencing_s = max(self.fencing_delay_s, detection_s)
@@ -116,25 +116,25 @@
 
 
 def parse(data: dict[str, Any], settings: Settings) -> MultihostSettings:
-    """Return the settings of the file's contents after checking them.
+    """Return the checked settings from the contents of the multihost file.
 
     Args:
         data: The contents of the multihost file.
-        settings: The controller's settings, which give the defaults.
+        settings: The controller's settings, from which the defaults are taken.
 
     Raises:
-        SettingsError: A field is wrong; the error names it.
+        SettingsError: A field is invalid; the message names it.
     """
     table = Table(data, "").table("multihost")
     offset = int(table.number("port_offset", 1))
     shard = int(table.number("pool_shard", 0, 0.0))
     if shard >= settings.controller_count:
         raise SettingsError(
-            f"multihost.pool_shard: below {settings.controller_count}, the controllers' number"
+            f"multihost.pool_shard: a number below {settings.controller_count} is needed"
         )
     port = settings.peer_listen.port + offset
     if port >= PORT_COUNT:
-        raise SettingsError("multihost.port_offset: the port is past 65535")
+        raise SettingsError("multihost.port_offset: the resulting port exceeds 65535")
     ratio = table.number("idle_ratio", 0, DEFAULT_IDLE_RATIO)
     if ratio > 1:
         raise SettingsError("multihost.idle_ratio: a number from 0 to 1 is needed")
@@ -152,6 +152,6 @@
     """Read and check the multihost file.
 
     Raises:
-        SettingsError: It can't be read, or a field is wrong.
+        SettingsError: The file can't be read, or a field is invalid.
     """
     return parse(read_toml(path), settings)
--- a/crossmill/multihost/writes.py
+++ b/crossmill/multihost/writes.py
@@ -1,8 +1,8 @@
-"""Transactions of the pool's owner on single records: transitions, creations and deletions.
+"""Builds the transactions of the pool's owner that create, change and delete records.
 
-Each has the version of the shard's key among its conditions, so that it fails once another
-controller owns the pool, and the versions of the records that it was decided on. Reservations of
-machines are in `reservations`.
+The conditions of each transaction include the version of the shard's key, so that it fails once
+another controller owns the pool, and the versions of the records that the decision is based on.
+Reservations of machines are in `reservations`.
 """
 
 from collections.abc import Sequence
@@ -26,15 +26,15 @@
 )
 
 CREATION_REASON = "declared"
-# a transition into any other phase may end service, and is written before these
+# a transition into any other phase may stop a replica from serving: it is written with priority
 NOT_URGENT_PHASES = frozenset({ReplicaPhase.PENDING, ReplicaPhase.STOPPED})
 
 
 def after_transition(replica: Replica, phase: ReplicaPhase, wall: float, reason: str) -> Replica:
-    """Return the replica as it is after a transition at this wall time.
+    """Return a copy of the replica after a transition at the given wall time.
 
     Raises:
-        IllegalPhaseTransitionError: The replica can't enter the phase from its present one.
+        IllegalPhaseTransitionError: The replica can't enter the phase from its current one.
     """
     change = PhaseChange(phase, wall, reason)
     return replace(
@@ -48,28 +48,28 @@
 
 
 class PoolWriter:
-    """Writes the pool's records for its owner, and counts the transactions."""
+    """Writes the pool's records for the pool's owner, and counts the transactions."""
 
     def __init__(self, ownership: PoolOwnership, writer: Writer, pool: PoolState) -> None:
         self._ownership = ownership
         self._writer = writer
         self._pool = pool
-        # since the start of the program
+        # the number of transactions since the start of the program
         self.transactions = 0
 
     @property
     def max_operations(self) -> int:
-        """How many records one transaction may write or delete beside the replica's own."""
+        """The maximum number of records in one transaction, not counting the replica's own."""
         return self._writer.limits.txn_ops - 1
 
     @property
     def max_record_bytes(self) -> int:
-        """The longest record that the state service takes."""
+        """The maximum length of a record that the state service accepts, in bytes."""
         return self._writer.limits.record_bytes
 
     @property
     def max_machines(self) -> int:
-        """How many machines one transaction may have among its conditions."""
+        """The maximum number of machines in the conditions of one transaction."""
         return self._writer.limits.machines_per_txn
 
     async def commit(self, ownership: ShardOwnership, rank: WriteRank, txn: Txn) -> bool:
@@ -77,7 +77,7 @@
         return await self._writer.commit(self._intent(ownership, rank, txn)) == WriteResult.OK
 
     async def submit(self, intents: Sequence[WriteIntent]) -> list[bool]:
-        """Submit all, then wait for all; return for each whether it was committed."""
+        """Submit all intents, wait for all, and return for each whether it was committed."""
         for intent in intents:
             await self._writer.submit(intent)
         return [await intent.future.wait() == WriteResult.OK for intent in intents]
@@ -99,11 +99,11 @@
         return self._intent(ownership, rank, txn)
 
     async def delete_members(self, ownership: ShardOwnership, replica: Replica) -> bool:
-        """Delete the records of a replica's members; return whether all are deleted."""
+        """Delete the records of a replica's members and return whether all are deleted."""
         return await self._delete_members(ownership, replica, ())
 
     async def delete_replica(self, ownership: ShardOwnership, replica: Replica) -> bool:
-        """Delete the records of a replica's members and its own; return whether all are deleted."""
+        """Delete a replica's record and its members' and return whether all are deleted."""
         key = keys.replica(replica.id)
         if replica.chunks:
             return await self._delete_members(ownership, replica, (key,))
@@ -113,7 +113,7 @@
     async def _delete_members(
         self, ownership: ShardOwnership, replica: Replica, keys_with_last_chunk: tuple[str, ...]
     ) -> bool:
-        """Delete the members' records, and other keys together with the last of them."""
+        """Delete the members' records, and the given keys in the last transaction."""
         max_chunks = max(1, self.max_operations)
         chunks = sorted(replica.chunks)
         for first in range(0, len(chunks), max_chunks):
@@ -135,7 +135,7 @@
     ) -> WriteIntent:
         """Return the write that creates new replicas of a set and advances its counter.
 
-        One transaction takes only so many; the rest is created by later passes.
+        The size of a transaction is limited; later passes create the remaining replicas.
         """
         count = min(count, self.max_operations)
         set_key = keys.replica_set(stored.spec.name)
@@ -151,16 +151,16 @@
         return self._intent(ownership, WriteRank.PLACEMENT, txn)
 
     def deletion_of_set(self, ownership: ShardOwnership, stored: ReplicaSet) -> WriteIntent:
-        """Return the write that deletes the record of a removed set without replicas."""
+        """Return the write that deletes the record of a removed set that has no replicas left."""
         key = keys.replica_set(stored.spec.name)
         return self._intent(ownership, WriteRank.PLACEMENT, Txn({key: stored.version}, [], [key]))
 
     # -- machines --------------------------------------------------------------------
 
     def deletion_of_machine(self, ownership: ShardOwnership, machine_id: str) -> WriteIntent:
-        """Return the write that deletes the pool's record of a machine that was returned.
+        """Return the write that deletes the pool record of a machine returned to the cloud.
 
-        Its ordinary record is gone already, which is a condition of the write.
+        The write is conditional on the machine's ordinary record having been deleted.
         """
         key = keys.machine(machine_id)
         version = self._pool.machines[machine_id].version
@@ -168,10 +168,10 @@
         return self._intent(ownership, WriteRank.PLACEMENT, Txn(conditions, [], [key]))
 
     def departure_of_machine(self, ownership: ShardOwnership, machine: PoolMachine) -> WriteIntent:
-        """Return the write by which an empty machine leaves the pool.
+        """Return the write that removes an idle machine from the pool.
 
-        Its ordinary record names its own type again. The pool's record stays until the machine is
-        returned, so that its agent is not admitted again.
+        The write restores the machine type in the ordinary record. The pool record is kept until
+        the machine is returned to the cloud, so that its agent is not admitted again.
         """
         key, ordinary = keys.machine(machine.id), cluster_keys.machine(machine.id)
         value = encode_machine(replace(machine, has_left=True))
--- a/crossmill/wire/multihost.py
+++ b/crossmill/wire/multihost.py
@@ -1,11 +1,12 @@
 """Messages between controllers, agents and operators about multi-machine replicas.
 
-The protocol is crossmill's own: agents (one a machine) send heartbeats to the controller that owns
-the pool, whose answers carry orders; the front member's agent pings the others. It is no part of
-PROTOCOL. Unknown fields are ignored; another protocol version is refused.
+The protocol is specific to crossmill and not part of PROTOCOL. The agent on each machine sends
+heartbeats to the controller that owns the pool, and the responses contain orders. The agent of the
+front member pings the other members' agents. Unknown fields are ignored; messages of another
+protocol version are rejected.
 
-Pure functions, called by `multihost.service`, the operators' interface and agents. The fields of
-the named tuples are the messages' fields: their names don't change.
+Pure functions, called by `multihost.service`, the operators' API and agents. The fields of the
+named tuples are the fields of the messages, so their names never change.
 """
 
 from enum import StrEnum
@@ -23,25 +24,25 @@
 REPLICAS_PATH = BASE_PATH + "/replicas"
 MACHINES_PATH = BASE_PATH + "/machines"
 
-# more members than one machine runs at a time
+# exceeds the number of members that one machine runs at a time
 MAX_REPORTED_MEMBERS = 256
-# of an order: CPUs, GPUs and memory in GB
+# the amounts of resources in an order: CPUs, GPUs and memory in GB
 RESOURCE_COUNT = 3
 
 
 class MemberState(StrEnum):
-    """The state of a member as its agent reports it."""
+    """The state of a member as reported by its agent."""
 
     LOADING = "loading"
-    # it has its weights and has confirmed its generation
+    # the weights are loaded, which confirms the generation
     LOADED = "loaded"
     FAILED = "failed"
-    # the machine has too little free for it at the moment
+    # the machine currently lacks the free resources to run the member
     REFUSED = "refused"
 
 
 class OrderKind(StrEnum):
-    """What an agent is ordered to do."""
+    """The action that an order requests from an agent."""
 
     START = "start"
     STOP = "stop"
@@ -49,13 +50,13 @@
 
 
 class LivenessProof(NamedTuple):
-    """Names an answer of a controller, so that a heartbeat which returns it proves liveness.
+    """Identifies a controller's response, so that a heartbeat that returns it proves liveness.
 
-    The heartbeat was sent after that answer had arrived.
+    The agent must have sent the heartbeat after it received that response.
 
     Attributes:
-        process: The process that sent the answer.
-        sent: When it did, by that process's steady clock.
+        process: The process that sent the response.
+        sent: The time at which it was sent, by that process's steady clock.
     """
 
     process: str
@@ -63,18 +64,18 @@
 
 
 class MemberReport(NamedTuple):
-    """A member as its agent reports it."""
+    """An agent's report about a member."""
 
     replica: str
     rank: int
     generation: int
     state: MemberState
-    # ranks that the front member has not reached for as long as its lease on them lasts
+    # ranks that have not answered the front member's pings for the length of a serving lease
     unreachable: tuple[int, ...] = ()
 
 
 class AgentOffer(NamedTuple):
-    """What a machine that joins the pool offers."""
+    """The properties and capacity of a machine that requests admission to the pool."""
 
     type: str
     zone: str
@@ -88,9 +89,9 @@
 class AgentHeartbeat(NamedTuple):
     """An agent's heartbeat with the status of its machine and members.
 
-    Of two the one with the larger (session, sequence) is newer. `session` is the incarnation of the
-    agent's process, `token` the highest fencing token that it has seen, `notice_s` the time until
-    the cloud takes the machine away.
+    Heartbeats are ordered by (session, sequence). `session` is the incarnation of the agent's
+    process, `token` the highest fencing token that it has seen, `notice_s` the time until the cloud
+    reclaims the machine.
     """
 
     machine: str
@@ -106,16 +107,16 @@
 
 
 class PeerAddress(NamedTuple):
-    """The address at which a member of a replica is reached."""
+    """The network address of a replica's member."""
 
     rank: int
     address: str
 
 
 class Order(NamedTuple):
-    """What an agent is to do with a member.
+    """An order to an agent about one member.
 
-    A lease is counted from the sending of the heartbeat that the order answers.
+    A lease counts from the time at which the agent sent the heartbeat that the order responds to.
     """
 
     op: OrderKind
@@ -130,7 +131,7 @@
 
 
 class AgentHeartbeatResponse(NamedTuple):
-    """A controller's answer to a heartbeat, with its fencing token."""
+    """A controller's response to a heartbeat, with its fencing token."""
 
     token: int
     proof: LivenessProof
@@ -138,7 +139,7 @@
 
 
 class Ping(NamedTuple):
-    """A question of the front member: whether another member runs the same generation."""
+    """A query of the front member's agent: whether another member runs the same generation."""
 
     replica: str
     rank: int
@@ -204,7 +205,7 @@
 
 
 def heartbeat_body(heartbeat: AgentHeartbeat) -> bytes:
-    """Return a heartbeat as it is sent."""
+    """Return the encoded heartbeat."""
     return orjson.dumps(
         {
             "version": PROTOCOL_VERSION,
@@ -223,10 +224,10 @@
 
 
 def parse_agent_heartbeat(body: bytes) -> AgentHeartbeat:
-    """Return a heartbeat after checking it.
+    """Return the decoded heartbeat after checking it.
 
     Raises:
-        MalformedMessageError: It is not what the protocol says.
+        MalformedMessageError: The message violates the protocol.
     """
     data = checks.load_object(body)
     _check_version(data)
@@ -260,7 +261,7 @@
 
 
 def heartbeat_response_body(response: AgentHeartbeatResponse) -> bytes:
-    """Return a controller's answer as it is sent."""
+    """Return the encoded response to a heartbeat."""
     return orjson.dumps(
         {
             "version": PROTOCOL_VERSION,
@@ -294,10 +295,10 @@
 
 
 def parse_heartbeat_response(body: bytes) -> AgentHeartbeatResponse:
-    """Return a controller's answer after checking it.
+    """Return the decoded response to a heartbeat after checking it.
 
     Raises:
-        MalformedMessageError: It is not what the protocol says.
+        MalformedMessageError: The message violates the protocol.
     """
     data = checks.load_object(body)
     _check_version(data)
@@ -309,29 +310,29 @@
 
 
 def redirect_body(owner: str | None) -> bytes:
-    """Return the message that names the pool's owner to an agent, if it is known."""
+    """Return the encoded message that redirects an agent to the pool's owner, if it is known."""
     return orjson.dumps({} if owner is None else {"owner": owner})
 
 
 def parse_redirect(body: bytes) -> str | None:
-    """Return the label of the controller that an agent is sent to; None if it isn't known.
+    """Return the label of the controller that an agent is redirected to; None if unknown.
 
     Raises:
-        MalformedMessageError: The message is not what the protocol says.
+        MalformedMessageError: The message violates the protocol.
     """
     return checks.optional_text(checks.load_object(body), "owner")
 
 
 def ping_body(ping: Ping) -> bytes:
-    """Return a ping as it is sent."""
+    """Return the encoded ping."""
     return orjson.dumps({"version": PROTOCOL_VERSION, **ping._asdict()})
 
 
 def parse_ping(body: bytes) -> Ping:
-    """Return a ping after checking it.
+    """Return the decoded ping after checking it.
 
     Raises:
-        MalformedMessageError: It is not what the protocol says.
+        MalformedMessageError: The message violates the protocol.
     """
     data = checks.load_object(body)
     _check_version(data)
@@ -341,5 +342,5 @@
 
 
 def error_body(error: str, field: str = "") -> bytes:
-    """Return an error of the operators' interface; it names the field where one is wrong."""
+    """Return the encoded error of an HTTP request, with the invalid field if there is one."""
     return orjson.dumps({"error": error, "field": field} if field else {"error": error})
