--- a/crossmill/multihost/agents.py
+++ b/crossmill/multihost/agents.py
@@ -29,7 +29,8 @@
 
     machine: str
     last_heartbeat_at: float = 0.0
-    # the last time at which the machine is proved alive: a response sent then has arrived there
+    # the latest time at which the machine is proved to have been alive: the sending time of the
+    # response that its heartbeat returns
     alive_at: float | None = None
     session: int = 0
     sequence: int = -1
--- a/crossmill/multihost/failure_scores.py
+++ b/crossmill/multihost/failure_scores.py
@@ -39,5 +39,5 @@
         self._scores[machine] = _Score(self.score(machine, now) + SCORE_PER_FAILURE, now)
 
     def clear(self) -> None:
-        """Forget all scores, when the ownership of the pool ends."""
+        """Drop all scores when the ownership of the pool ends."""
         self._scores.clear()
--- a/crossmill/multihost/machine_reconciler.py
+++ b/crossmill/multihost/machine_reconciler.py
@@ -82,8 +82,8 @@
         for machine_id in set(changed) - set(returned):
             machine = self._pool.machines.get(machine_id)
             if machine is not None and self._can_leave(machine):
-                log.info("idle machine removed from the pool machine=%s", machine_id)
-                intents.append(self._writer.departure_of_machine(ownership, machine))
+                log.info("removing idle machine from the pool machine=%s", machine_id)
+                intents.append(self._writer.removal_of_machine(ownership, machine))
         return intents
 
     def _is_returned(self, machine_id: str) -> bool:
--- a/crossmill/multihost/model.py
+++ b/crossmill/multihost/model.py
@@ -142,7 +142,8 @@
     chunk_count: int = 0
     since: float = 0.0
     reason: str = ""
-    # if not empty, the reason to stop it once a replacement serves or the disruption budget allows
+    # if not empty, the reason to stop it, as soon as a replacement serves or the disruption budget
+    # allows it
     stop_reason: str = ""
     # wall times of the restarts that count against the restart budget
     restarts: tuple[float, ...] = ()
@@ -162,7 +163,7 @@
 
 @dataclass(slots=True, eq=False)
 class PoolMachine:
-    """A machine whose agent has registered."""
+    """A machine of the pool; its agent has registered it."""
 
     id: str
     zone: str
--- a/crossmill/multihost/pool_ownership.py
+++ b/crossmill/multihost/pool_ownership.py
@@ -37,7 +37,10 @@
         return self._membership.command_ownership(self.shard)
 
     def heartbeat_authority(self) -> tuple[ShardOwnership, bool] | None:
-        """Return the ownership, and whether orders may be sent; None if agents get no response."""
+        """Return the ownership and whether members may be started and stopped.
+
+        Without the authority to respond to agents, return None.
+        """
         return self._membership.heartbeat_authority(self.shard)
 
     def request_higher_token(self) -> None:
--- a/crossmill/multihost/records.py
+++ b/crossmill/multihost/records.py
@@ -140,7 +140,7 @@
     )
 
 
-def returned_record(record: dict[str, Any]) -> dict[str, Any]:
+def unreserved_record(record: dict[str, Any]) -> dict[str, Any]:
     """Return the ordinary record of a machine that has left the pool.
 
     Single-machine tasks can use the machine again; if none does, it is returned to the cloud.
--- a/crossmill/multihost/registration.py
+++ b/crossmill/multihost/registration.py
@@ -90,6 +90,6 @@
         if known is None:
             return True
         if known.retiring or known.attempts or known.shard != self._ownership.shard:
-            log.debug("pool admission deferred machine=%s", machine_id)
+            log.debug("machine not yet admitted to the pool machine=%s", machine_id)
             return False
         return True
--- a/crossmill/multihost/writes.py
+++ b/crossmill/multihost/writes.py
@@ -22,7 +22,7 @@
     encode_machine,
     encode_replica,
     encode_set,
-    returned_record,
+    unreserved_record,
 )
 
 CREATION_REASON = "declared"
@@ -167,7 +167,7 @@
         conditions = {key: version, cluster_keys.machine(machine_id): 0}
         return self._intent(ownership, WriteRank.PLACEMENT, Txn(conditions, [], [key]))
 
-    def departure_of_machine(self, ownership: ShardOwnership, machine: PoolMachine) -> WriteIntent:
+    def removal_of_machine(self, ownership: ShardOwnership, machine: PoolMachine) -> WriteIntent:
         """Return the write that removes an idle machine from the pool.
 
         The write restores the machine type in the ordinary record. The pool record is kept until
@@ -175,7 +175,7 @@
         """
         key, ordinary = keys.machine(machine.id), cluster_keys.machine(machine.id)
         value = encode_machine(replace(machine, has_left=True))
-        record = returned_record(self._pool.ordinary_record(machine.id))
+        record = unreserved_record(self._pool.ordinary_record(machine.id))
         txn = Txn({key: machine.version, ordinary: self._pool.record_version(machine.id)})
         txn.puts += [Put(key, value), Put(ordinary, record)]
         return self._intent(ownership, WriteRank.PLACEMENT, txn)
--- a/crossmill/wire/multihost.py
+++ b/crossmill/wire/multihost.py
@@ -75,7 +75,7 @@
 
 
 class AgentOffer(NamedTuple):
-    """The properties and capacity of a machine that requests admission to the pool."""
+    """The properties and capacity that a machine offers to the pool."""
 
     type: str
     zone: str
--- a/tests/multihost_invariants.py
+++ b/tests/multihost_invariants.py
@@ -1,7 +1,7 @@
-"""The invariants of multi-machine replicas, checked while a simulated region runs.
+"""Checks the invariants of multi-machine replicas while a simulated region runs.
 
-`MultihostRegion` calls the checker many times a second. Tests plant violations to show that each of
-them is found (tests/test_multihost_invariants.py).
+`MultihostRegion` calls the checker many times per simulated second.
+tests/test_multihost_invariants.py injects violations and checks that each one is found.
 """
 
 from dataclasses import dataclass, field
@@ -22,7 +22,7 @@
 
 
 class InvariantViolationError(Exception):
-    """Invariants were violated; `violations` says which."""
+    """Invariants were violated; `violations` lists the violations."""
 
     def __init__(self, violations: list[str]) -> None:
         super().__init__("; ".join(violations))
@@ -31,7 +31,12 @@
 
 @dataclass
 class ServingObservation:
-    """What was observed of a generation of a replica."""
+    """The observations of one generation of a replica.
+
+    Attributes:
+        complete_at: The last time at which all its members were seen to run; None if never.
+        answers: The number of checks in which a front member was serving.
+    """
 
     complete_at: float | None = None
     answers: int = 0
@@ -39,30 +44,32 @@
 
 @dataclass
 class MultihostInvariantChecker:
-    """Checks agents and records many times a second, and collects violations of invariants.
+    """Checks agents and records, and collects the violations of these invariants.
 
-    Never two generations that serve; never an answer while a member is missing beyond the bound; no
-    machine reserved beyond its capacity; no order that precedes its record; no voluntary stop below
-    the disruption budget.
+    - At most one front member of a replica serves at a time.
+    - A replica stops serving within the lease's length after a member is lost.
+    - No machine has more resources reserved than its capacity.
+    - No order to start a generation is sent before the generation's record is written.
+    - No voluntary stop reduces the number of ready replicas below the disruption budget.
     """
 
     region: "MultihostRegion"
     violations: list[str] = field(default_factory=list)
-    facts: dict[tuple[str, int], ServingObservation] = field(default_factory=dict)
-    # by replica: when it was last seen to serve
+    observations: dict[tuple[str, int], ServingObservation] = field(default_factory=dict)
+    # the last time at which a replica was seen to serve, by replica name
     served_at: dict[str, float] = field(default_factory=dict)
-    # the longest time that a generation went on answering after a member's death
+    # the longest time that a generation served after it was last complete, in seconds
     max_stale_serving_s: float = 0.0
     _phases: dict[str, str] = field(default_factory=dict)
 
     def report_violation(self, what: str) -> None:
-        """Record a violation; only the first ones are kept."""
+        """Record a violation; only the first `MAX_VIOLATIONS` are kept."""
         entry = f"{self.region.clock.now():.2f} {what}"
         if len(self.violations) < MAX_VIOLATIONS:
             self.violations.append(entry)
 
     def check_order(self, order: Order) -> None:
-        """Check that the generation that an agent is ordered to start was durable before."""
+        """Check that the generation in an order to start a member is already stored."""
         replica_id = ReplicaId.parse(order.replica)
         if replica_id is None:
             self.report_violation(f"order for {order.replica}, which names no replica")
@@ -74,13 +81,15 @@
             self.report_violation(f"ordered_early {order.replica} generation {order.generation}")
 
     def check(self) -> None:
-        """Check everything that holds at any moment."""
+        """Check the invariants that apply at any time."""
         serving: dict[str, list[tuple[Agent, int]]] = {}
         for agent in self.region.agents.values():
             for name, member in agent.members.items():
                 if member.rank == 0 and self.is_complete(name, member.generation):
-                    facts = self.facts.setdefault((name, member.generation), ServingObservation())
-                    facts.complete_at = self.region.clock.now()
+                    observation = self.observations.setdefault(
+                        (name, member.generation), ServingObservation()
+                    )
+                    observation.complete_at = self.region.clock.now()
                 generation = agent.serves(name)
                 if generation is not None:
                     serving.setdefault(name, []).append((agent, generation))
@@ -88,21 +97,21 @@
             if len(fronts) > 1:
                 self.report_violation(f"two_serving {name}: {[(a.machine, g) for a, g in fronts]}")
             for _, generation in fronts:
-                self._check_answer(name, generation)
+                self._check_serving(name, generation)
             self.served_at[name] = self.region.clock.now()
         self._check_records()
 
-    def _check_answer(self, name: str, generation: int) -> None:
+    def _check_serving(self, name: str, generation: int) -> None:
         now = self.region.clock.now()
-        facts = self.facts.setdefault((name, generation), ServingObservation())
-        facts.answers += 1
-        if facts.complete_at is None:
+        observation = self.observations.setdefault((name, generation), ServingObservation())
+        observation.answers += 1
+        if observation.complete_at is None:
             self.report_violation(f"incomplete {name}: generation {generation} never was complete")
-        elif facts.complete_at < now:
-            self.max_stale_serving_s = max(self.max_stale_serving_s, now - facts.complete_at)
+        elif observation.complete_at < now:
+            self.max_stale_serving_s = max(self.max_stale_serving_s, now - observation.complete_at)
             lease_s = self.region.multihost.serving_lease_s
-            if now - facts.complete_at > lease_s + self.region.tolerance_s:
-                late = now - facts.complete_at
+            if now - observation.complete_at > lease_s + self.region.tolerance_s:
+                late = now - observation.complete_at
                 self.report_violation(
                     f"incomplete {name}: generation {generation} answers {late:.2f} s late"
                 )
@@ -119,7 +128,7 @@
         return stored is not None and ranks == set(range(stored[0]["members"]))
 
     def _check_records(self) -> None:
-        """Check the machines' capacity and the disruption budgets of the records."""
+        """Check the stored records against the machines' capacity and the disruption budgets."""
         self._check_capacity()
         ready: dict[str, int] = {}
         drained: list[str] = []
@@ -136,7 +145,7 @@
             self._check_budget(name, ready[name.rpartition("/")[0]])
 
     def _check_capacity(self) -> None:
-        """Check that no machine has more members planned than it takes."""
+        """Check that the members planned on a machine fit into its capacity."""
         for machine, amounts in self.planned_use().items():
             stored = self.region.state.keys.get(keys.machine(machine))
             if stored is not None and any(
@@ -175,7 +184,7 @@
                 amounts[i] += amount
 
     def check_end(self) -> None:
-        """Check, after all faults, that nothing is reserved or runs without need."""
+        """Check, after all faults, that no reservation and no running member is left over."""
         state = self.region.state.keys
         planned: dict[str, set[str]] = {}
         for key, (value, version, _) in state.items():
--- a/tests/multihost_pool.py
+++ b/tests/multihost_pool.py
@@ -1,4 +1,4 @@
-"""A pool of any size with one controller that owns it; tests step it and deliver heartbeats."""
+"""A pool with one controller that owns it; tests step the controller and send heartbeats."""
 
 from crossmill.cluster import keys as cluster_keys
 from crossmill.multihost import keys
@@ -38,7 +38,7 @@
 
 
 def add_ready_pairs(state: StateService, clock: FakeClock, number: int) -> None:
-    """Store a set of ready replicas of two members, on the machines of a pool in order."""
+    """Store a set of ready replicas with two members each, on consecutive machines."""
     for index in range(number):
         replica = Replica(ReplicaId("chat", index), ReplicaPhase.READY, 1, 1, since=clock.wall())
         members = tuple(Member(r, f"m-{2 * index + r}", 1, 1) for r in range(2))
@@ -51,7 +51,7 @@
 def send_all_heartbeats(
     node: SteppedController, service: MultihostService, machines: int, sequence: int
 ) -> None:
-    """Deliver a heartbeat of every machine: its member of a pair runs."""
+    """Deliver a heartbeat of every machine that reports its member of a pair as loaded."""
     for m in range(machines):
         report = MemberReport(f"chat/{m // 2}", m % 2, 1, MemberState.LOADED)
         service.heartbeats.handle(make_heartbeat(node, m, sequence, report))
@@ -84,7 +84,7 @@
 def make_heartbeat(
     node: SteppedController, machine: int, sequence: int, *members: MemberReport
 ) -> AgentHeartbeat:
-    """Return a heartbeat that proves liveness now."""
+    """Return a machine's heartbeat with a proof of liveness at the current time."""
     proof = LivenessProof("process", node.clock.now())
     offer = AgentOffer("g4", "north", False, 32.0, 4.0, 256.0, 1.0)
     token = node.token(SETTINGS.pool_shard)
--- a/tests/test_multihost_failover.py
+++ b/tests/test_multihost_failover.py
@@ -1,4 +1,4 @@
-"""The pool's owner ends, loses the pool, or can't reach the state service."""
+"""The pool's owner crashes, loses the pool, or can't reach the state service."""
 
 from typing import Any
 
@@ -16,7 +16,7 @@
 
 @pytest.mark.parametrize("phase", ["starting", "ready", "repairing"])
 @pytest.mark.parametrize("member_fails", [False, True])
-def test_the_next_owner_continues_after_a_transition_that_no_agent_was_told(
+def test_the_next_owner_continues_after_a_transition_unknown_to_agents(
     phase: str, member_fails: bool
 ) -> None:
     async def scenario(region: MultihostRegion) -> None:
@@ -26,7 +26,7 @@
             await region.until_serving("chat/0")
             region.agents_of("chat/0")[2].dead = True
         await region.wait_until(lambda: region.phase("chat/0") == phase)
-        # the record has just been written, and no agent has been told yet
+        # the record has just been written, and no order has been sent to an agent yet
         if member_fails and region.agents_of("chat/0"):
             region.agents_of("chat/0")[1].dead = True
         await region.kill(region.owner())
@@ -40,7 +40,7 @@
 
 
 def test_an_owner_that_loses_the_pool_during_placement_stops_placing() -> None:
-    # guards against a pass over the queue that continues after the ownership has ended
+    # guards against a pass over the placement queue that continues after the loss of the pool
     async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(8)
         owner = region.owner()
--- a/tests/test_multihost_invariants.py
+++ b/tests/test_multihost_invariants.py
@@ -1,4 +1,4 @@
-"""The invariant checker finds planted violations."""
+"""The invariant checker finds injected violations."""
 
 from collections.abc import Callable
 
@@ -56,7 +56,7 @@
         (_orders_early, "ordered_early"),
     ],
 )
-def test_the_checker_finds_a_planted_violation(violation: Violation, expected: str) -> None:
+def test_the_checker_finds_an_injected_violation(violation: Violation, expected: str) -> None:
     async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(6)
         await region.declare("chat", members=3, min_ready=1, image_gb=0.0)
--- a/tests/test_multihost_loopback.py
+++ b/tests/test_multihost_loopback.py
@@ -1,4 +1,4 @@
-"""Simulated agents over real sockets on loopback and in real time, with three controllers."""
+"""Simulated agents and three controllers that communicate over loopback sockets in real time."""
 
 import time
 from collections.abc import Awaitable, Callable
@@ -20,12 +20,12 @@
 
 FAST = replace(SETTINGS, heartbeat_interval_s=0.3)
 LOAD_S = 0.5
-# a busy machine may stall all of it for a while
+# the whole test may stall for a while on a busy machine
 SLACK_S = 10.0
 
 
 class RealTime(FakeClock):
-    """The clock of this machine in place of virtual time."""
+    """The clock of the machine that runs the test, instead of virtual time."""
 
     def now(self) -> float:
         """Return the steady time in seconds."""
@@ -37,7 +37,7 @@
 
 
 class LoopbackRegion(MultihostRegion):
-    """Heartbeats and pings go over HTTP; only the state service is called without a socket."""
+    """A region that sends heartbeats and pings over HTTP; the state service is called directly."""
 
     def __init__(self) -> None:
         super().__init__(RealTime(), multihost=FAST)
@@ -46,7 +46,7 @@
         self._clients: dict[Endpoint, Client] = {}
 
     def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
-        """Return the loops of a controller's service, with its server."""
+        """Return the loops of a controller's service, including its server."""
         listen = Endpoint("127.0.0.1", next(self._ports))
         self.multihost = replace(FAST, listen=listen)
         parts = super().extra_loops(node)
@@ -103,9 +103,9 @@
         region.agents_of("chat/0")[2].dead = True
         await region.wait_until(lambda: not region.serving("chat/0"), FAST.serving_lease_s + 1.0)
         repair_s = await region.until_serving("chat/0", SLACK_S)
-        print(f"back after {repair_s:.1f} s, bound {bound_s:.1f} s")
+        print(f"serving again after {repair_s:.1f} s, bound {bound_s:.1f} s")
         assert region.generation("chat/0") == 2
-        # the owner ends together with the front member's machine
+        # the owner and the front member's machine fail at the same time
         region.agents_of("chat/0")[0].dead = True
         await region.kill(region.owner())
         await curio.sleep(FAST.serving_lease_s + 0.5)
--- a/tests/test_multihost_member_failures.py
+++ b/tests/test_multihost_member_failures.py
@@ -1,4 +1,4 @@
-"""Members and machines that fail while a replica starts, serves or is repaired."""
+"""Failures of members and machines while a replica starts, serves or is repaired."""
 
 import curio
 import pytest
@@ -53,19 +53,19 @@
     async def fault(region: MultihostRegion, agents: list[Agent]) -> None:
         agents[1].dead = True
         await curio.sleep(after_s)
-        # a survivor, and a machine chosen for the repair if there is one yet
+        # a surviving member, then the replacement of the first if the repair has placed it
         now = region.agents_of("chat/0")
         now[3].dead = True
         await curio.sleep(0.3)
         region.agents_of("chat/0")[1].dead = True
 
-    # the last repair may have to wait for two back-offs
+    # the last repair may be delayed by two back-off delays
     assert time_to_repair(fault, machines=14) <= 2 * REPAIR_BOUND_S
 
 
 @pytest.mark.parametrize("after_s", [0.0, 0.05, 0.3, 1.0, 1.6, 3.0, 5.0, 5.5, 6.0])
 def test_a_replica_is_repaired_when_a_machine_dies_during_its_start(after_s: float) -> None:
-    # before and after each step: the reservation, the orders, the weights, the rendezvous
+    # the delays are before and after each step: reservation, orders, weights, rendezvous
 
     async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(8)
@@ -83,7 +83,7 @@
 
 @pytest.mark.parametrize("hang_s", [2.0, 4.0, 7.0, 9.0, 15.0])
 @pytest.mark.parametrize("rank", [0, 2])
-def test_a_frozen_member_that_resumes_with_its_old_generation_is_harmless(
+def test_a_frozen_member_that_resumes_with_its_old_generation_violates_no_invariant(
     hang_s: float, rank: int
 ) -> None:
     async def scenario(region: MultihostRegion) -> None:
@@ -116,8 +116,8 @@
         await region.until_serving("chat/0")
         generation = region.generation("chat/0")
         assert generation > start.generation
-        # the old order is applied without the checks of a real answer, and the old heartbeat is
-        # delivered to the owner
+        # the late order is applied directly, without the agent's checks of a response, and the late
+        # heartbeat is delivered to the owner
         agent.apply_answer(
             AgentHeartbeatResponse(agent.token, LivenessProof("late", 0.0), (start,)), agent.now()
         )
@@ -142,7 +142,7 @@
         await curio.sleep(10.0 + 2 * SETTINGS.heartbeat_interval_s)
         assert region.phase("chat/0") == "pending"
         assert not region.agents_of("chat/0")
-        # three machines are left: two of them serve the other set
+        # three machines are alive: two of them serve the other set
         await region.until_serving("small/0", REPAIR_BOUND_S)
         for number in range(3):
             await region.add_agent(f"new-{number}", "north")
--- a/tests/test_multihost_member_reports.py
+++ b/tests/test_multihost_member_reports.py
@@ -1,4 +1,4 @@
-"""Reports of agents that contradict the plan or one another."""
+"""Agents' reports that contradict the plan or one another."""
 
 import curio
 import pytest
--- a/tests/test_multihost_messages.py
+++ b/tests/test_multihost_messages.py
@@ -1,4 +1,4 @@
-"""Messages between agents and controllers, and what heartbeats prove."""
+"""Messages between agents and controllers, and proofs of liveness in heartbeats."""
 
 from typing import Any
 
@@ -37,7 +37,7 @@
 )
 
 
-def test_a_delayed_heartbeat_proves_liveness_only_when_it_was_sent() -> None:
+def test_a_delayed_heartbeat_proves_liveness_only_at_the_time_of_its_proof() -> None:
     agents = Agents("here")
     assert agents.apply_heartbeat(HEARTBEAT, 41, 101.0) is Freshness.NEW
     late = HEARTBEAT._replace(sequence=8, proof=LivenessProof("here", 100.5))
@@ -51,7 +51,7 @@
 @pytest.mark.parametrize(
     "change", [{"proof": None}, {"proof": LivenessProof("another", 100.0)}, {"token": 40}]
 )
-def test_a_heartbeat_without_a_proof_of_this_owner_is_not_believed(change: dict[str, Any]) -> None:
+def test_a_heartbeat_without_a_proof_of_this_owner_is_not_accepted(change: dict[str, Any]) -> None:
     agents = Agents("here")
     assert agents.apply_heartbeat(HEARTBEAT._replace(**change), 41, 101.0) is Freshness.UNVERIFIED
     view = agents.get("m-1")
@@ -77,9 +77,9 @@
     assert parse_agent_heartbeat(heartbeat_body(HEARTBEAT)) == HEARTBEAT
 
 
-def test_an_answer_is_parsed_as_it_was_sent() -> None:
-    answer = AgentHeartbeatResponse(41, LivenessProof("here", 1.5), (ORDER,))
-    assert parse_heartbeat_response(heartbeat_response_body(answer)) == answer
+def test_a_response_is_parsed_as_it_was_sent() -> None:
+    response = AgentHeartbeatResponse(41, LivenessProof("here", 1.5), (ORDER,))
+    assert parse_heartbeat_response(heartbeat_response_body(response)) == response
 
 
 def test_unknown_fields_of_a_heartbeat_are_ignored() -> None:
@@ -105,7 +105,7 @@
         ("notice_s", -1),
     ],
 )
-def test_a_malformed_heartbeat_is_refused(field: str, value: Any) -> None:
+def test_a_malformed_heartbeat_is_rejected(field: str, value: Any) -> None:
     data = orjson.loads(heartbeat_body(HEARTBEAT)) | {field: value}
     with pytest.raises(MalformedMessageError):
         parse_agent_heartbeat(orjson.dumps(data))
--- a/tests/test_multihost_partitions.py
+++ b/tests/test_multihost_partitions.py
@@ -1,4 +1,4 @@
-"""The front member of a replica is cut off from other members or from the controllers."""
+"""Partitions between a replica's front member and the other members or the controllers."""
 
 import pytest
 
@@ -22,7 +22,7 @@
         await region.wait_until(
             lambda: not region.serving("chat/0"), SETTINGS.serving_lease_s + 0.5
         )
-        # the front member notices it only when its leases on the other members have expired
+        # the front member detects the partition only when its leases on the others have expired
         await region.until_serving("chat/0", SETTINGS.serving_lease_s + REPAIR_BOUND_S)
         assert region.agents_of("chat/0")[0] is not front
 
--- a/tests/test_multihost_records.py
+++ b/tests/test_multihost_records.py
@@ -1,4 +1,4 @@
-"""Stored records of multi-machine replicas."""
+"""Encoding and decoding of the stored records of multi-machine replicas."""
 
 from typing import Any
 
@@ -29,7 +29,7 @@
 
 
 def _stored(record: dict[str, Any]) -> Any:
-    """A record as another version of the program may have stored it: with one more field."""
+    """Return the record as another version may have stored it, with an additional field."""
     return orjson.loads(orjson.dumps(record | {"later": 1}))
 
 
--- a/tests/test_multihost_registration.py
+++ b/tests/test_multihost_registration.py
@@ -1,4 +1,4 @@
-"""Machines that join the pool, beside ordinary machines and other versions."""
+"""Admission of machines to the pool, with ordinary machines and other versions around."""
 
 from crossmill.cluster import keys as cluster_keys
 from crossmill.multihost import keys
@@ -17,8 +17,8 @@
 Nodes = dict[str, SteppedController]
 
 
-def test_a_controller_without_the_multihost_file_does_not_touch_the_pool() -> None:
-    # like an older version: it does not know the keys, and no catalog has the machine's type
+def test_a_controller_without_the_multihost_file_does_not_modify_the_pool() -> None:
+    # like an older version, it does not know the keys, and no catalog lists the machine's type
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
@@ -32,7 +32,7 @@
         node = SteppedController(state, clock, nodes)
         await node.boot()
         stored = {k: v for k, v in state.keys.items() if k.startswith(keys.PREFIX)}
-        # the cloud has listed it for long: it is neither adopted nor returned
+        # the cloud has listed the machine for a long time: it is neither adopted nor returned
         node.cloud.listed = [
             {
                 "nameId": "m-0",
@@ -50,7 +50,7 @@
             await node.sync()
             await node.membership.step()
             node.report("n-0", 1, sequence, node.token())
-            # an ordinary worker on the machine, if there is one, gets no commands either
+            # an ordinary worker that runs on the machine gets no commands
             answer = node.report("m-0", 1, sequence, node.token())
             assert answer.commands == ()
             await node.round()
@@ -58,7 +58,7 @@
                 await node.provisioner.run_once()
         assert not node.cluster.machines["m-0"].attempts
         assert len(node.cluster.machines["n-0"].attempts) > 0
-        # that its ordinary worker reports is noted, and nothing else
+        # the record changes only in the flag set by the ordinary worker's heartbeats
         assert state.keys[cluster_keys.machine("m-0")][0] == record | {"up": True}
         assert {k: v for k, v in state.keys.items() if k.startswith(keys.PREFIX)} == stored
         assert "m-0" not in node.cloud.released
@@ -83,7 +83,7 @@
         for machine in ("n-0", "n-1", "n-2"):
             service.heartbeats.handle(make_heartbeat(node, 0, 1)._replace(machine=machine))
         await service.coordinator.reconcile(ownership)
-        # the busy machine does not join; the empty and the unknown one do
+        # the busy machine does not join; the idle and the unknown machine do
         assert sorted(service.pool.machines) == ["n-1", "n-2"]
         assert state.keys[cluster_keys.machine("n-1")][0]["type"] == "multihost/g4"
         assert state.keys[cluster_keys.machine("n-0")][0]["type"] == "g4"
--- a/tests/test_multihost_serving.py
+++ b/tests/test_multihost_serving.py
@@ -1,4 +1,4 @@
-"""Serving leases of front members, and when they have expired."""
+"""Grants of serving leases to front members, and the time when leases have expired."""
 
 import pytest
 
@@ -50,7 +50,7 @@
         pytest.param(_view("m-2", 12.0, session=2), id="another session"),
     ],
 )
-def test_members_are_not_all_alive_while_one_is_not_proved(third: AgentView | None) -> None:
+def test_members_are_not_all_alive_while_one_has_no_proof(third: AgentView | None) -> None:
     assert all_alive_at(MEMBERS, [*VIEWS[:2], third]) is None
 
 
@@ -66,7 +66,7 @@
 
 
 def _granted_leases() -> ServingLeases:
-    """The leases of an owner that has granted one in generation 2, on a proof made at 10.0."""
+    """Return the leases of an owner that granted one in generation 2 on a proof of time 10.0."""
     leases, replica = ServingLeases(SETTINGS), _ready_replica(generation=2)
     leases.grant(replica, replica.members()[0], alive_at=10.0, now=11.5)
     return leases
@@ -97,7 +97,7 @@
     assert leases.fenced_at(replica, 0.0, grantee) < leases.fenced_at(replica, 0.0, None)
 
 
-def test_a_mere_heartbeat_does_not_shorten_the_wait() -> None:
+def test_a_heartbeat_alone_does_not_shorten_the_delay() -> None:
     leases, replica = _granted_leases(), _ready_replica(generation=3)
     view = _view("m-0", 20.0)
     assert leases.fenced_at(replica, 0.0, view) == leases.fenced_at(replica, 0.0, None)
--- a/tests/test_multihost_serving_safety.py
+++ b/tests/test_multihost_serving_safety.py
@@ -1,4 +1,4 @@
-"""No replica serves while incomplete; two planted faults in counting leases are found."""
+"""No replica serves while incomplete; the invariant checker finds injected lease faults."""
 
 from typing import Any
 
@@ -15,7 +15,10 @@
 
 
 def _violations_after_death(death_delay_s: float, lease_from_receipt: bool) -> list[str]:
-    """A member dies so long after its heartbeat; answers to the front member are slow."""
+    """Return the violations when a member dies the given time after its heartbeat.
+
+    Responses to the front member and to its pings are slow.
+    """
 
     async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(4)
@@ -36,7 +39,7 @@
 
 
 def test_an_agent_that_counts_its_lease_from_the_receipt_violates_an_invariant() -> None:
-    # planted fault in the agents: the front member then answers beyond the bound
+    # injected fault in the agent: the front member serves past the end of its lease
     violations = [
         entry
         for death_delay_s in DEATH_DELAYS_S
@@ -52,7 +55,7 @@
 
 
 def _simulate_zone_partition(delay_s: float) -> MultihostRegion:
-    """All members of a replica are cut off from controllers, not from one another."""
+    """Run a replica whose members can reach one another but no controller."""
 
     async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(8, ("north", "south"))
@@ -70,7 +73,7 @@
 
 @pytest.fixture
 def _long_lease(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A lease so long that only the fence is between the two generations."""
+    """Make the serving lease so long that only the fencing delay separates two generations."""
     monkeypatch.setattr(MultihostSettings, "serving_lease_s", property(lambda _: 9.9))
 
 
@@ -83,7 +86,7 @@
 
 
 @pytest.mark.usefixtures("_long_lease")
-def test_an_owner_that_does_not_wait_for_the_fence_violates_an_invariant(
+def test_an_owner_that_skips_the_fencing_delay_violates_an_invariant(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(serving.ServingLeases, "fenced_at", lambda *_: 0.0)
@@ -93,7 +96,7 @@
 def test_a_controller_that_counts_liveness_from_the_receipt_violates_an_invariant(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # planted fault in the controllers: the receipt of a heartbeat is taken for a proof of liveness
+    # injected fault in the controller: the receipt of a heartbeat counts as a proof of liveness
     real = agents.Agents.apply_heartbeat
 
     def apply_with_fault(
@@ -111,7 +114,7 @@
         await region.until_serving("chat/0")
         await curio.sleep(10.0)
         front, victim, _ = region.agents_of("chat/0")
-        # the front member's own leases on its peers are made to last, so that grants alone count
+        # extend the front member's leases on its peers, so that only the grants matter
         for peer in front.members["chat/0"].peers:
             front.members["chat/0"].peer_alive_at[peer.rank] = front.now() + 1000.0
         delayed = [victim.heartbeat() for _ in range(4)]
@@ -131,6 +134,6 @@
 
 
 def _deliver_after_death(region: MultihostRegion, heartbeat: AgentHeartbeat) -> None:
-    """A heartbeat sent before its machine died arrives after it."""
+    """Deliver a heartbeat that was sent before its machine died."""
     for service in region.services.values():
         service.heartbeats.handle(heartbeat)
--- a/tests/test_multihost_settings.py
+++ b/tests/test_multihost_settings.py
@@ -1,4 +1,4 @@
-"""The settings of multi-machine replicas."""
+"""Parsing of the multihost file and the settings derived from it."""
 
 import subprocess
 import sys
@@ -26,7 +26,7 @@
         ("idle_ratio", 1.5),
     ],
 )
-def test_an_error_names_the_wrong_setting(field: str, value: Any) -> None:
+def test_an_error_names_the_invalid_setting(field: str, value: Any) -> None:
     table = {"port_offset": 10, field: value}
     with pytest.raises(SettingsError, match=field):
         parse({"multihost": {k: v for k, v in table.items() if v is not None}}, make_settings())
