--- a/crossmill/jobs/submission.py
+++ b/crossmill/jobs/submission.py
@@ -1,7 +1,7 @@
-"""Handler of users' submissions: a job is accepted once its record is durable.
+"""Handler of job submissions: a job is accepted once its record is durable.
 
-Submissions are idempotent: a repeated one is answered with the state of the job, whatever else it
-says. Called by the users' interface; owns no state.
+Submissions are idempotent: the response to a repeated submission is the job's current state, even
+if the rest of the request differs or is invalid. Called by the job API; owns no state.
 """
 
 import logging
@@ -26,28 +26,32 @@
     DependencyRefusedError,
     DependencyUnknownError,
 )
-from .lookup import NOT_NOW, status_of
+from .lookup import UNAVAILABLE, encode_status
 from .team_quotas import LIMIT_TOLERANCE
 
 log = logging.getLogger(__name__)
 
-# status codes of the protocol; UNPROCESSABLE is a job that can never run
-OK, CREATED, MALFORMED, NOT_FOUND, UNPROCESSABLE = 200, 201, 400, 404, 422
-# how often a submission is tried again when a precondition of its write has changed
+# HTTP status codes; UNPROCESSABLE rejects a job that can never run
+OK, CREATED, BAD_REQUEST, NOT_FOUND, UNPROCESSABLE = 200, 201, 400, 404, 422
+# maximum attempts at a submission if a precondition of its write changes
 MAX_ATTEMPTS = 3
-# far above what users name; each may have to be read from the archive
+# far above what users submit; bounds the archive reads, since each dependency may need one
 MAX_DEPENDENCIES = 256
 
 
 def _parse_body(request: Request) -> dict[str, Any]:
-    """Returns the body's fields; raises MalformedMessageError."""
-    if request.too_large:
+    """Return the body's fields.
+
+    Raises:
+        MalformedMessageError: The body is too large or not a JSON object.
+    """
+    if request.is_too_large:
         raise MalformedMessageError("body over 64 KiB")
     return load_object(request.body)
 
 
 class SubmissionHandler:
-    """Answers submissions of jobs."""
+    """Handles job submissions."""
 
     def __init__(self, context: JobRequestContext, dependencies: DependencyCheck) -> None:
         self._settings = context.settings
@@ -58,80 +62,80 @@
         self._dependencies = dependencies
 
     async def handle(self, request: Request) -> Response:
-        """Returns the response to one submission."""
+        """Return the response to one submission."""
         try:
             data = _parse_body(request)
             job_id = wire.parse_id(data)
         except MalformedMessageError as exc:
-            return Response(MALFORMED, wire.error_body(str(exc)))
-        job = self._lookup.final(job_id)
+            return Response(BAD_REQUEST, wire.error_body(str(exc)))
+        job = self._lookup.ended_job(job_id)
         if job is not None:
-            return Response(OK, status_of(job))
-        if self._lookup.known(job_id) is not None:
-            return await self._lookup.show(job_id)
+            return Response(OK, encode_status(job))
+        if self._lookup.recorded_job(job_id) is not None:
+            return await self._lookup.status_response(job_id)
         try:
             submission = wire.parse_submission(data)
         except MalformedMessageError as exc:
-            return await self._refuse(job_id, MALFORMED, str(exc))
-        return await self._decide(submission)
+            return await self._refuse(job_id, BAD_REQUEST, str(exc))
+        return await self._validate_and_accept(submission)
 
-    async def _refuse(self, job_id: str, status: int, why: str) -> Response:
-        """Returns the refusal, or the job's state if a job with this id was accepted before."""
-        known = await self._lookup.show(job_id)
-        if known.status != NOT_FOUND:
-            return known
-        return Response(status, wire.error_body(why))
+    async def _refuse(self, job_id: str, status: int, reason: str) -> Response:
+        """Return the refusal, or the job's state if a job with this ID was accepted before."""
+        response = await self._lookup.status_response(job_id)
+        if response.status != NOT_FOUND:
+            return response
+        return Response(status, wire.error_body(reason))
 
-    async def _decide(self, submission: Submission) -> Response:
+    async def _validate_and_accept(self, submission: Submission) -> Response:
         spec, dependency_ids = submission.spec, submission.dependencies
         if not self._cluster.catalog:
-            return NOT_NOW
-        why = self._why_unschedulable(spec)
-        if why is None and len(dependency_ids) > MAX_DEPENDENCIES:
-            why = f"more than {MAX_DEPENDENCIES} jobs to wait for"
-        if why is not None:
-            return await self._refuse(spec.id, UNPROCESSABLE, why)
-        if not self._lookup.is_served():
-            return NOT_NOW
+            return UNAVAILABLE
+        reason = self._unschedulable_reason(spec)
+        if reason is None and len(dependency_ids) > MAX_DEPENDENCIES:
+            reason = f"more than {MAX_DEPENDENCIES} jobs to wait for"
+        if reason is not None:
+            return await self._refuse(spec.id, UNPROCESSABLE, reason)
+        if not self._lookup.is_available():
+            return UNAVAILABLE
         if not dependency_ids:
-            return await self._accept(spec, Dependencies()) or NOT_NOW
+            return await self._accept(spec, Dependencies()) or UNAVAILABLE
         return await self._accept_dependent(spec, dependency_ids)
 
     async def _accept_dependent(self, spec: JobSpec, dependency_ids: tuple[str, ...]) -> Response:
         if self._cluster.level is None:
-            # a controller of the previous version would start the job at once
-            return NOT_NOW
+            # a controller of the previous version would start the job without waiting
+            return UNAVAILABLE
         for _ in range(MAX_ATTEMPTS):
-            # read before the first dependency is resolved: archiving one meanwhile raises it
+            # read before dependencies are resolved: archiving one of them later raises the version
             archivings_version = self._archivings_version()
             try:
                 dependencies = await self._dependencies.resolve(spec.id, dependency_ids)
             except DependencyRefusedError as exc:
                 return await self._refuse(spec.id, UNPROCESSABLE, str(exc))
             except DependencyUnknownError:
-                return NOT_NOW
+                return UNAVAILABLE
             response = await self._accept(spec, dependencies, archivings_version)
             if response is not None:
                 return response
-        return NOT_NOW
+        return UNAVAILABLE
 
     def _archivings_version(self) -> int:
         return self._cluster.mirror.version(keys.ARCHIVINGS)
 
-    def _why_unschedulable(self, spec: JobSpec) -> str | None:
-        """Returns the reason why the job can never run; None if it can."""
+    def _unschedulable_reason(self, spec: JobSpec) -> str | None:
+        """Return the reason why the job can never run, or None if it can."""
         team = self._settings.team(spec.team)
         if team is None:
             return "unknown team"
-        kinds = [
-            kind
-            for name, kind in self._cluster.catalog.items()
+        machine_types = [
+            machine_type
+            for name, machine_type in self._cluster.catalog.items()
             if (spec.types is None or name in spec.types)
-            and (spec.zone is None or spec.zone in kind.zones)
+            and (spec.zone is None or spec.zone in machine_type.zones)
         ]
-        if not any(slots_on(spec, kind) for kind in kinds):
+        if not any(slots_on(spec, machine_type) for machine_type in machine_types):
             return "a task fits no allowed machine type"
-        # the tasks of an array may run one after the other, all others run at the same time
+        # tasks of an array job may run one after the other; those of other jobs run in parallel
         tasks = 1 if spec.is_array else spec.tasks
         for limit, per_task in ((team.cpus_max, spec.cpus), (team.gpus_max, spec.gpus)):
             if limit > 0 and tasks * per_task > limit + LIMIT_TOLERANCE:
@@ -141,17 +145,17 @@
     async def _accept(
         self, spec: JobSpec, dependencies: Dependencies, archivings_version: int = 0
     ) -> Response | None:
-        """Writes the job's record and returns the response.
+        """Write the job's record and return the response.
 
-        None means that a precondition of the write has changed. The mirror has the change by then,
-        so the dependencies can be resolved again.
+        None means that a precondition of the write has changed. By then the mirror includes the
+        change, so the dependencies can be resolved again.
         """
-        now, wall = self._clock.now(), self._clock.wall()
+        now, wall_time = self._clock.now(), self._clock.wall_time()
         key = keys.job(spec.id)
         if dependencies.is_cancelled:
-            record = encode_end(CANCELLED, spec, wall, self._cluster.limits.record_bytes)
+            record = encode_end(CANCELLED, spec, wall_time, self._cluster.limits.record_bytes)
         else:
-            record = encode_job(spec, wall, tuple(dependencies.unfinished))
+            record = encode_job(spec, wall_time, tuple(dependencies.unfinished))
         encoded = orjson.dumps(record)
         if len(encoded) > self._cluster.limits.record_bytes:
             return await self._refuse(spec.id, UNPROCESSABLE, "too long to be stored")
@@ -169,16 +173,17 @@
                 spec.tasks,
                 len(dependencies.unfinished),
             )
-            return await self._accepted(spec.id, self._is_slow(intent, now))
-        if result is None or not await self._lookup.is_current():
-            return NOT_NOW
-        known = await self._lookup.show(spec.id)
-        return None if known.status == NOT_FOUND else known
+            return await self._accepted_response(spec.id, self._is_slow_write(intent, now))
+        if result is None or not await self._lookup.wait_until_current():
+            return UNAVAILABLE
+        response = await self._lookup.status_response(spec.id)
+        return None if response.status == NOT_FOUND else response
 
-    def _is_slow(self, intent: WriteIntent, submitted_at: float) -> bool:
-        """Whether others may have answered about the job's later states before this response.
+    def _is_slow_write(self, intent: WriteIntent, submitted_at: float) -> bool:
+        """Return whether other controllers may have reported a later state of the job by now.
 
-        They see the job as soon as it is durable; after a slow write they may have told its end.
+        They see the job as soon as it is durable, so during a slow write they may already have
+        reported the job's end to users.
         """
         took_s = self._clock.now() - submitted_at
         return intent.outcome_unknown or took_s > self._settings.lease_renewal_interval_s / 4
@@ -186,12 +191,13 @@
     def _add_preconditions(
         self, dependencies: Dependencies, archivings_version: int, txn: Txn
     ) -> None:
-        """Adds the conditions that the dependencies are unfinished when the job is accepted.
+        """Add the conditions that the dependencies are still unfinished when the job is accepted.
 
-        A job may name another as unfinished only before that one's end is written: whoever archives
-        the other has seen everything up to there, and so knows of this job. Where the records
-        exceed a transaction's conditions, the counter of archivings stands for them. This write
-        raises it too, which keeps controllers that have not seen the job from archiving.
+        A job may list a dependency as unfinished only before the dependency's end is written. The
+        controller that archives the dependency has seen all writes up to that end, so it knows of
+        this job. If the records exceed the limit on a transaction's conditions, the archiving
+        counter replaces them as a condition. This write also increments the counter, which makes
+        an archiving write fail on controllers that have not seen the job yet.
         """
         records = {
             keys.job(dependency_id): version
@@ -204,10 +210,10 @@
         txn.conditions[keys.ARCHIVINGS] = archivings_version
         txn.puts.append(Put(keys.ARCHIVINGS, {"n": counter["n"] + 1}))
 
-    async def _accepted(self, job_id: str, is_slow: bool) -> Response:
-        if is_slow and not await self._lookup.is_current():
-            return NOT_NOW
-        job = self._lookup.known(job_id)
+    async def _accepted_response(self, job_id: str, is_slow: bool) -> Response:
+        if is_slow and not await self._lookup.wait_until_current():
+            return UNAVAILABLE
+        job = self._lookup.recorded_job(job_id)
         if job is None:
-            return await self._lookup.archived(job_id)
-        return Response(CREATED, status_of(job))
+            return await self._lookup.archived_status_response(job_id)
+        return Response(CREATED, encode_status(job))
--- a/tests/test_worker_faults.py
+++ b/tests/test_worker_faults.py
@@ -1,4 +1,4 @@
-"""Workers that hang, or whose messages are lost, delayed or repeated."""
+"""Workers that hang, and messages of workers that are lost, delayed or repeated."""
 
 import curio
 import pytest
@@ -12,7 +12,7 @@
 
 
 def test_repeated_old_heartbeats_during_a_failover_are_harmless() -> None:
-    """Copies of old heartbeats, from an earlier session too, arrive with the highest token seen."""
+    """Copies of heartbeats, some from an earlier session, arrive with the highest token seen."""
 
     async def scenario(region: Region) -> None:
         await region.begin(machines=2)
@@ -39,24 +39,24 @@
 
 @pytest.mark.parametrize("fault", ["inbound_lost", "heartbeats_lost", "is_frozen"])
 def test_jobs_move_away_from_a_worker_with_lost_messages(fault: str) -> None:
-    """Jobs that another machine could run do not wait for a faulty one.
+    """Jobs that another machine can run do not wait for a faulty machine.
 
-    What was cancelled on the faulty machine meanwhile ends in time.
+    Tasks on the faulty machine whose job is cancelled during the fault end in time.
     """
 
     async def scenario(region: Region) -> None:
         await region.begin(machines=2)
         await region.submit("node-1", "wk-000001", sacks=4, cards=1.0)
         await region.wait_until(lambda: len(region.checker.starts) == 4)
-        odd = region.workers["n-0"]
-        setattr(odd, fault, True)
+        faulty = region.workers["n-0"]
+        setattr(faulty, fault, True)
         assert await region.cancel_until_confirmed("node-2", "wk-000001", 10.0)
         await region.submit("node-2", "wk-000002", run_s=4.0, sacks=6)
         await region.kill("node-0")
         await region.wait_until(
             lambda: len(region.checker.jobs["wk-000002"].finished) == 6, 4 * region.worker_lease_s
         )
-        setattr(odd, fault, False)
+        setattr(faulty, fault, False)
         await region.start("node-0")
         await wait_until_all_ended(region)
 
@@ -68,9 +68,9 @@
 def test_a_delayed_start_command_is_harmless_after_the_machine_resumes(
     hang_s: float, cancelled: bool
 ) -> None:
-    """A frozen machine carries out a start command when it resumes.
+    """A frozen machine executes a start command when it resumes.
 
-    By then the job was cancelled, or its owner replaced, or the attempt ended.
+    By then, the job has been cancelled, its owner has been replaced, or the attempt has ended.
     """
 
     async def scenario(region: Region) -> None:
@@ -99,7 +99,7 @@
 
 @pytest.mark.parametrize("mode", ["cancel", "answer lost"])
 def test_a_zone_partition_that_outlasts_the_worker_lease(mode: str) -> None:
-    """Jobs bound to the zone lose machines at the same time."""
+    """The jobs bound to the partitioned zone also lose machines during the partition."""
 
     async def scenario(region: Region) -> None:
         await region.begin(machines=3)
@@ -120,14 +120,16 @@
             )
         region.isolate("node-0")
         region.workers["n-2"].is_frozen = True
-        asks = await curio.spawn(region.cancel_until_confirmed, "node-1", "wk-000001", 120.0)
+        cancellation = await curio.spawn(
+            region.cancel_until_confirmed, "node-1", "wk-000001", 120.0
+        )
         await curio.sleep(3.0)
         region.transaction_fault = lambda *_: None
         await curio.sleep(region.worker_lease_s * 2.2)
         region.reconnect()
         region.can_reach = lambda worker, label: label in region.nodes
         region.workers["n-2"].is_frozen = False
-        assert await asks.join()
+        assert await cancellation.join()
         await wait_until_all_ended(region, 120.0)
 
     simulate(scenario)
