--- a/crossmill/multihost/agents.py
+++ b/crossmill/multihost/agents.py
@@ -14,7 +14,7 @@
 
 
 class Freshness(Enum):
-    """Whether a heartbeat is newer than the machine's view and proves the machine's liveness."""
+    """The result of checking a heartbeat's order and its proof of liveness."""
 
     # a late duplicate of an earlier heartbeat, or one that arrived after a newer one
     STALE = "stale"
--- a/crossmill/multihost/due_times.py
+++ b/crossmill/multihost/due_times.py
@@ -8,10 +8,10 @@
 
 
 class _DueEntry(NamedTuple):
-    """A heap entry; the number keeps entries with the same time in insertion order."""
+    """A heap entry; `sequence` keeps entries of the same time in insertion order."""
 
     at: float
-    number: int
+    sequence: int
     replica_id: ReplicaId
 
 
@@ -24,14 +24,14 @@
     def __init__(self) -> None:
         self._heap: list[_DueEntry] = []
         self._due_at: dict[ReplicaId, float] = {}
-        self._numbers = count()
+        self._sequences = count()
 
     def add(self, replica_id: ReplicaId, at: float) -> None:
         """Make the replica due at this time, unless it is already due earlier."""
         known = self._due_at.get(replica_id)
         if known is None or at < known:
             self._due_at[replica_id] = at
-            heapq.heappush(self._heap, _DueEntry(at, next(self._numbers), replica_id))
+            heapq.heappush(self._heap, _DueEntry(at, next(self._sequences), replica_id))
 
     def pop_due(self, now: float) -> set[ReplicaId]:
         """Remove and return the replicas that are due by now."""
--- a/crossmill/multihost/heartbeats.py
+++ b/crossmill/multihost/heartbeats.py
@@ -73,7 +73,7 @@
         now = self._clock.now()
         machine = self._pool.machines.get(heartbeat.machine)
         if machine is None:
-            self._registration.request(heartbeat)
+            self._registration.request_admission(heartbeat)
             self._pool.mark_machine_changed(heartbeat.machine)
             return HeartbeatReply(STATUS_UNAVAILABLE)
         if machine.has_left:
--- a/crossmill/multihost/member_status.py
+++ b/crossmill/multihost/member_status.py
@@ -52,7 +52,7 @@
 }
 
 
-def first_contact_s(settings: MultihostSettings) -> float:
+def first_contact_timeout_s(settings: MultihostSettings) -> float:
     """Return the time that agents are given to find the new owner after a change of owner."""
     return settings.failure_detection_s + 2 * settings.response_timeout_s
 
@@ -63,10 +63,10 @@
     """Return whether the machine's last heartbeat is so old that the machine counts as lost.
 
     After a change of owner the agents first have to find the new one. A machine without a verified
-    heartbeat therefore counts as lost only after `first_contact_s`.
+    heartbeat therefore counts as lost only after `first_contact_timeout_s`.
     """
     if view is None or not view.is_verified:
-        return time.now - time.owned_since > first_contact_s(settings)
+        return time.now - time.owned_since > first_contact_timeout_s(settings)
     return time.now - view.last_heartbeat_at > settings.failure_detection_s
 
 
--- a/crossmill/multihost/registration.py
+++ b/crossmill/multihost/registration.py
@@ -46,7 +46,7 @@
         # the latest heartbeat of each machine that requests admission, by machine ID
         self._requests: dict[str, AgentHeartbeat] = {}
 
-    def request(self, heartbeat: AgentHeartbeat) -> None:
+    def request_admission(self, heartbeat: AgentHeartbeat) -> None:
         """Store the request for admission of a machine that isn't in the pool."""
         self._requests[heartbeat.machine] = heartbeat
 
--- a/crossmill/multihost/replica_reconciler.py
+++ b/crossmill/multihost/replica_reconciler.py
@@ -21,7 +21,7 @@
     decide,
     recent_restarts,
 )
-from .member_status import DecisionTime, MemberStatus, first_contact_s
+from .member_status import DecisionTime, MemberStatus, first_contact_timeout_s
 from .model import Replica, ReplicaId, ReplicaSet
 from .observations import ReplicaObserver
 from .phases import ReplicaPhase
@@ -166,7 +166,7 @@
             self._due.add(replica_id, decision.recheck_at)
         if MemberStatus.UNKNOWN in observation.statuses.values():
             settings = self._context.settings
-            first_contact_at = time.owned_since + first_contact_s(settings)
+            first_contact_at = time.owned_since + first_contact_timeout_s(settings)
             margin_s = settings.heartbeat_interval_s / FIRST_CONTACT_MARGIN_DIVISOR
             self._due.add(replica_id, first_contact_at + margin_s)
 
--- a/crossmill/multihost/serving.py
+++ b/crossmill/multihost/serving.py
@@ -18,12 +18,12 @@
 
 
 class ServingGrant(NamedTuple):
-    """The last grant of a replica's serving lease; `until` is the steady time of its expiry."""
+    """The last grant of a replica's serving lease; `expires_at` is a steady time."""
 
     machine: str
     session: int
     generation: int
-    until: float
+    expires_at: float
 
 
 def all_alive_at(members: Iterable[Member], views: Iterable[AgentView | None]) -> float | None:
@@ -73,15 +73,15 @@
         Returns:
             The length of the lease; 0 if `alive_at` is too long ago.
         """
-        until = alive_at + self._settings.serving_lease_s
-        lease_s = (until - now) * (1 - CLOCK_DRIFT)
+        expires_at = alive_at + self._settings.serving_lease_s
+        lease_s = (expires_at - now) * (1 - CLOCK_DRIFT)
         if lease_s <= 0:
             return 0.0
         known = self._grants.get(replica.id)
         if known is not None and known.generation == replica.generation:
-            until = max(until, known.until)
+            expires_at = max(expires_at, known.expires_at)
         self._grants[replica.id] = ServingGrant(
-            front.machine, front.session, replica.generation, until
+            front.machine, front.session, replica.generation, expires_at
         )
         return lease_s
 
@@ -105,7 +105,7 @@
             runs_later = report is not None and report.generation >= replica.generation
             if runs_later or grantee.session > grant.session:
                 return earliest
-        return max(earliest, grant.until + self._settings.serving_lease_s * CLOCK_DRIFT)
+        return max(earliest, grant.expires_at + self._settings.serving_lease_s * CLOCK_DRIFT)
 
     def granted_machine(self, replica_id: ReplicaId) -> str | None:
         """Return the machine that the replica's last lease was granted to; None without a lease."""
--- a/tests/test_multihost_member_failures.py
+++ b/tests/test_multihost_member_failures.py
@@ -54,8 +54,8 @@
         agents[1].dead = True
         await curio.sleep(after_s)
         # a surviving member, then the replacement of the first if the repair has placed it
-        now = region.agents_of("chat/0")
-        now[3].dead = True
+        current = region.agents_of("chat/0")
+        current[3].dead = True
         await curio.sleep(0.3)
         region.agents_of("chat/0")[1].dead = True
 
@@ -109,19 +109,20 @@
         await region.declare("chat", image_gb=LOAD_S)
         await region.until_serving("chat/0")
         agent = region.agents_of("chat/0")[1]
-        start = next(o for _, o in agent.orders if o.op is OrderKind.START)
-        old_copy = agent.sent_heartbeats[-1]
+        start_order = next(o for _, o in agent.orders if o.op is OrderKind.START)
+        late_heartbeat = agent.sent_heartbeats[-1]
         agent.restart()
         await curio.sleep(90.0)
         await region.until_serving("chat/0")
         generation = region.generation("chat/0")
-        assert generation > start.generation
+        assert generation > start_order.generation
         # the late order is applied directly, without the agent's checks of a response, and the late
         # heartbeat is delivered to the owner
         agent.apply_answer(
-            AgentHeartbeatResponse(agent.token, LivenessProof("late", 0.0), (start,)), agent.now()
+            AgentHeartbeatResponse(agent.token, LivenessProof("late", 0.0), (start_order,)),
+            agent.now(),
         )
-        await region.deliver_heartbeat(agent, region.owner(), old_copy)
+        await region.deliver_heartbeat(agent, region.owner(), late_heartbeat)
         await curio.sleep(20.0)
         assert region.generation("chat/0") == generation
         assert len(region.serving("chat/0")) == 1
