--- a/crossmill/multihost/api.py
+++ b/crossmill/multihost/api.py
@@ -46,13 +46,20 @@
 NO_SUCH_REPLICA = Response(404, error_body("no such replica"))
 NO_SUCH_MACHINE = Response(404, error_body("no such machine in the pool"))
 NO_SUCH_PATH = Response(404, error_body("no such path"))
-RESTARTED = "restarted by an operator"
-RELEASED = "it leaves the pool"
+RESTART_REASON = "restarted by an operator"
+RELEASE_REASON = "it leaves the pool"
 DEFAULT_DRAIN_REASON = "by an operator"
-NOT_DRAINED = ""
+NO_DRAIN_REASON = ""
 
 # what a declaration may change while replicas run
-CHANGEABLE = ("replicas", "priority", "min_ready", "restart_budget", "restart_window_s", "hold_s")
+MUTABLE_FIELDS = (
+    "replicas",
+    "priority",
+    "min_ready",
+    "restart_budget",
+    "restart_window_s",
+    "hold_s",
+)
 # an operator may restart a replica in one of these phases, and this is the phase after it
 PHASE_AFTER_RESTART = {
     ReplicaPhase.FAILED: ReplicaPhase.PENDING,
@@ -127,9 +134,9 @@
             case "POST", [machine, "drain"]:
                 return lambda: self._drain(machine, request.body)
             case "POST", [machine, "undrain"]:
-                return lambda: self._set_drain_reason(machine, NOT_DRAINED)
+                return lambda: self._set_drain_reason(machine, NO_DRAIN_REASON)
             case "POST", [machine, "release"]:
-                return lambda: self._set_drain_reason(machine, RELEASED, is_released=True)
+                return lambda: self._set_drain_reason(machine, RELEASE_REASON, is_released=True)
         return None
 
     # -- reads -----------------------------------------------------------------------
@@ -145,8 +152,8 @@
         return Response(200, orjson.dumps(describe_set(self._pool, stored)))
 
     async def _list_replicas(self) -> Response:
-        wall = self._clock.wall()
-        replicas = [describe_replica(r, wall) for _, r in sorted(self._pool.replicas.items())]
+        wall_time = self._clock.wall()
+        replicas = [describe_replica(r, wall_time) for _, r in sorted(self._pool.replicas.items())]
         return Response(200, orjson.dumps({"replicas": replicas}))
 
     async def _show_replica(self, replica_id: ReplicaId) -> Response:
@@ -172,17 +179,19 @@
             return Response(400, error_body(str(exc), exc.field))
         except UnplaceableError as exc:
             return Response(422, error_body(str(exc), "members"))
-        return await self._store(name, lambda stored: self._declared(spec, stored))
+        return await self._update_set(name, lambda stored: self._after_declaration(spec, stored))
 
     @staticmethod
-    def _declared(spec: ReplicaSetSpec, stored: ReplicaSet | None) -> ReplicaSet | Response:
+    def _after_declaration(
+        spec: ReplicaSetSpec, stored: ReplicaSet | None
+    ) -> ReplicaSet | Response:
         if stored is None:
             return ReplicaSet(spec)
         if stored.is_removed:
             return Response(409, error_body("a set of this name is being removed"), RETRY_AFTER_S)
-        changes = {field: getattr(spec, field) for field in CHANGEABLE}
+        changes = {field: getattr(spec, field) for field in MUTABLE_FIELDS}
         if stored.spec._replace(**changes) != spec:
-            allowed = ", ".join(CHANGEABLE)
+            allowed = ", ".join(MUTABLE_FIELDS)
             return Response(409, error_body(f"of a declared set only these change: {allowed}"))
         return ReplicaSet(spec, False, stored.next_index)
 
@@ -192,9 +201,9 @@
                 return NO_SUCH_SET
             return ReplicaSet(stored.spec, True, stored.next_index)
 
-        return await self._store(name, removed)
+        return await self._update_set(name, removed)
 
-    async def _store(
+    async def _update_set(
         self, name: str, change: Callable[[ReplicaSet | None], ReplicaSet | Response]
     ) -> Response:
         """Change a set's record, and try again where the pool's owner has written it meanwhile.
@@ -234,15 +243,17 @@
         phase = PHASE_AFTER_RESTART.get(replica.phase)
         if phase is None:
             return Response(409, error_body(f"a replica that is {replica.phase} is not restarted"))
-        wall = self._clock.wall()
-        after = after_transition(replica, phase, wall, RESTARTED)
+        wall_time = self._clock.wall()
+        after = after_transition(replica, phase, wall_time, RESTART_REASON)
         if phase is ReplicaPhase.PENDING:
             # the operator's restart of a failed replica renews its budget
             after.restarts = ()
         intent = self._pool_writer.transition(ownership, replica, after)
         if not all(await self._pool_writer.submit([intent])):
             return UNAVAILABLE
-        return Response(200, orjson.dumps(describe_replica(self._pool.replicas[replica_id], wall)))
+        return Response(
+            200, orjson.dumps(describe_replica(self._pool.replicas[replica_id], wall_time))
+        )
 
     async def _drain(self, machine_id: str, body: bytes) -> Response:
         try:
--- a/crossmill/multihost/coordinator.py
+++ b/crossmill/multihost/coordinator.py
@@ -61,7 +61,7 @@
     @property
     def replicas_examined(self) -> int:
         """How many times a replica was examined, since the start of the program."""
-        return self._replicas.examined
+        return self._replicas.examined_count
 
     # -- the loop --------------------------------------------------------------------
 
@@ -78,10 +78,10 @@
                 await self.reconcile(ownership)
             await curio.sleep(self._settings.heartbeat_interval_s / MAX_PASSES_PER_HEARTBEAT)
             if ownership is None or not self._pool.has_changes:
-                await curio.ignore_after(self._wait_s(), self._wake.wait)
+                await curio.ignore_after(self._max_delay_s(), self._wake.wait)
             self._wake.clear()
 
-    def _wait_s(self) -> float:
+    def _max_delay_s(self) -> float:
         """Return the longest wait until the next pass.
 
         A machine's overdue heartbeats are noticed by a pass. A controller to which no agent reports
--- a/crossmill/multihost/declaration.py
+++ b/crossmill/multihost/declaration.py
@@ -12,7 +12,7 @@
 from .errors import MultihostError
 from .model import PoolMachine, ReplicaSetSpec, Resources
 
-NAME = re.compile(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?")
+SET_NAME_PATTERN = re.compile(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?")
 MAX_MEMBERS = 4096
 MAX_REPLICAS = 4096
 MAX_PRIORITY = 1000
@@ -91,7 +91,7 @@
     Raises:
         InvalidDeclarationError: A field is wrong; the error names it.
     """
-    if not NAME.fullmatch(name):
+    if not SET_NAME_PATTERN.fullmatch(name):
         raise InvalidDeclarationError("name", "up to 63 of a-z, 0-9 and - are needed")
     image = data.get("image")
     if type(image) is not str or not image or " " in image:
--- a/crossmill/multihost/lifecycle.py
+++ b/crossmill/multihost/lifecycle.py
@@ -116,9 +116,9 @@
     reason: str
 
 
-def recent_restarts(replica: Replica, spec: ReplicaSetSpec, wall: float) -> tuple[float, ...]:
+def recent_restarts(replica: Replica, spec: ReplicaSetSpec, wall_time: float) -> tuple[float, ...]:
     """Return the wall times of the restarts that still count against the set's budget."""
-    return tuple(at for at in replica.restarts if wall - at <= spec.restart_window_s)
+    return tuple(at for at in replica.restarts if wall_time - at <= spec.restart_window_s)
 
 
 def backoff_s(restarts: int, settings: MultihostSettings) -> float:
@@ -158,15 +158,15 @@
     replica, now = inputs.replica, inputs.time.now
     if replica.stop_reason:
         return ReplicaDecision(ReplicaAction.DRAIN, replica.stop_reason)
-    wait_s = 0.0
+    backoff_delay_s = 0.0
     if replica.phase is ReplicaPhase.REPAIRING:
-        wait_s = backoff_s(inputs.restart_count, inputs.settings)
-    place_from = inputs.phase_entered_at + wait_s
-    if now < place_from:
-        return ReplicaDecision(ReplicaAction.WAIT, recheck_at=place_from)
-    if now >= place_from + inputs.spec.hold_s:
+        backoff_delay_s = backoff_s(inputs.restart_count, inputs.settings)
+    placement_starts_at = inputs.phase_entered_at + backoff_delay_s
+    if now < placement_starts_at:
+        return ReplicaDecision(ReplicaAction.WAIT, recheck_at=placement_starts_at)
+    if now >= placement_starts_at + inputs.spec.hold_s:
         return ReplicaDecision(ReplicaAction.RELEASE, "no room within the bound on holding a part")
-    return ReplicaDecision(ReplicaAction.PLACE, recheck_at=place_from + inputs.spec.hold_s)
+    return ReplicaDecision(ReplicaAction.PLACE, recheck_at=placement_starts_at + inputs.spec.hold_s)
 
 
 def _decide_starting(inputs: DecisionInput) -> ReplicaDecision:
@@ -174,16 +174,16 @@
         return ReplicaDecision(ReplicaAction.DRAIN, inputs.replica.stop_reason)
     suspicion = _suspects(inputs.observation, FAILED_STATUSES)
     if suspicion.ranks:
-        return _decide_failing(inputs, suspicion)
+        return _decide_after_failure(inputs, suspicion)
     statuses = inputs.observation.statuses
     not_loaded = frozenset(r for r, s in statuses.items() if s is not MemberStatus.LOADED)
     if not not_loaded:
         return _decide_loaded(inputs)
-    limit = inputs.phase_entered_at + inputs.observation.start_limit_s
-    if inputs.time.now < limit:
-        return ReplicaDecision(ReplicaAction.WAIT, recheck_at=limit)
+    start_deadline = inputs.phase_entered_at + inputs.observation.start_limit_s
+    if inputs.time.now < start_deadline:
+        return ReplicaDecision(ReplicaAction.WAIT, recheck_at=start_deadline)
     timeout = _Suspicion(not_loaded, f"start timed out: rank {_format_ranks(not_loaded)}")
-    return _decide_failing(inputs, timeout)
+    return _decide_after_failure(inputs, timeout)
 
 
 def _decide_loaded(inputs: DecisionInput) -> ReplicaDecision:
@@ -200,7 +200,7 @@
 def _decide_ready(inputs: DecisionInput) -> ReplicaDecision:
     suspicion = _suspects(inputs.observation, FAILED_STATUSES_WHEN_READY)
     if suspicion.ranks:
-        return _decide_failing(inputs, suspicion)
+        return _decide_after_failure(inputs, suspicion)
     if inputs.replica.stop_reason and inputs.observation.may_stop:
         return ReplicaDecision(ReplicaAction.DRAIN, inputs.replica.stop_reason)
     return ReplicaDecision(ReplicaAction.WAIT)
@@ -244,7 +244,7 @@
 # -- members that have failed --------------------------------------------------------
 
 
-def _decide_failing(inputs: DecisionInput, suspicion: _Suspicion) -> ReplicaDecision:
+def _decide_after_failure(inputs: DecisionInput, suspicion: _Suspicion) -> ReplicaDecision:
     """Return the next step of a replica that has lost members."""
     replica = inputs.replica
     if replica.stop_reason:
--- a/crossmill/multihost/phases.py
+++ b/crossmill/multihost/phases.py
@@ -70,7 +70,7 @@
 }
 
 # these transitions begin a new generation: whatever belongs to an older one is fenced off
-RAISES_GENERATION = frozenset(
+GENERATION_RAISING_TRANSITIONS = frozenset(
     {
         (ReplicaPhase.PENDING, ReplicaPhase.RESERVING),
         (ReplicaPhase.PENDING, ReplicaPhase.STARTING),
@@ -107,4 +107,4 @@
         IllegalPhaseTransitionError: the table of transitions doesn't have this one.
     """
     check_transition(old, new)
-    return generation + 1 if (old, new) in RAISES_GENERATION else generation
+    return generation + 1 if (old, new) in GENERATION_RAISING_TRANSITIONS else generation
--- a/crossmill/multihost/placement.py
+++ b/crossmill/multihost/placement.py
@@ -101,14 +101,14 @@
     )
 
 
-def zone_limit(spec: ReplicaSetSpec) -> int:
+def max_replicas_per_zone(spec: ReplicaSetSpec) -> int:
     """Return how many replicas of a set may run in one zone."""
     return (spec.replicas + 1) // 2 if spec.spread else spec.replicas
 
 
 def _is_zone_full(spec: ReplicaSetSpec, zone: str, replicas_by_zone: Mapping[str, int]) -> bool:
     """Return whether a zone has as many replicas as a set that is spread allows."""
-    return spec.spread and replicas_by_zone.get(zone, 0) >= zone_limit(spec)
+    return spec.spread and replicas_by_zone.get(zone, 0) >= max_replicas_per_zone(spec)
 
 
 def choose_placement(
@@ -134,12 +134,12 @@
             by_zone.setdefault(candidate.zone, []).append(candidate)
     if not spec.one_zone:
         everywhere = [c for group in by_zone.values() for c in group]
-        return _fill(spec, survivors, everywhere, excluded)
+        return _place_members(spec, survivors, everywhere, excluded)
     best: _RankedPlacement | None = None
     for zone, group in by_zone.items():
         if _is_zone_full(spec, zone, replicas_by_zone):
             continue
-        placement = _fill(spec, survivors, group, excluded)
+        placement = _place_members(spec, survivors, group, excluded)
         if placement is None:
             continue
         others = replicas_by_zone.get(zone, 0) if spec.spread else 0
@@ -150,7 +150,7 @@
     return best.placement if best is not None else None
 
 
-def _fill(
+def _place_members(
     spec: ReplicaSetSpec,
     survivors: Mapping[int, str],
     candidates: list[Candidate],
@@ -177,11 +177,11 @@
     return ReplicaPlacement(members, load_s, len(staying))
 
 
-def earmark(
+def machines_to_keep_idle(
     spec: ReplicaSetSpec,
     candidates: Iterable[Candidate],
     replicas_by_zone: Mapping[str, int],
-    most: int,
+    max_machines: int,
 ) -> frozenset[str]:
     """Return free machines that are kept for a replica that finds too few.
 
@@ -191,7 +191,7 @@
         spec: The declaration of the replica's set.
         candidates: The machines that can take members.
         replicas_by_zone: How many other replicas of the set run in each zone.
-        most: How many machines may be kept at most.
+        max_machines: The maximum number of machines to keep idle.
     """
     by_zone: dict[str, list[Candidate]] = {}
     for candidate in candidates:
@@ -205,4 +205,4 @@
         return frozenset()
     largest = max(open_groups, key=lambda group: (len(group), group[0].zone))
     largest.sort(key=lambda c: _candidate_rank(c, spec))
-    return frozenset(c.machine for c in largest[: min(most, spec.members)])
+    return frozenset(c.machine for c in largest[: min(max_machines, spec.members)])
--- a/crossmill/multihost/placement_executor.py
+++ b/crossmill/multihost/placement_executor.py
@@ -17,7 +17,7 @@
 from .reservations import Reservation, ReservationWriter
 from .scheduling import PlacementChoice, Scheduler
 from .set_reconciler import SetReconciler
-from .sets import PREEMPTED
+from .sets import PREEMPTED_REASON_PREFIX
 from .writes import PoolWriter
 
 log = logging.getLogger(__name__)
@@ -66,7 +66,7 @@
 
     async def _preempt(self, ownership: ShardOwnership, choice: PlacementChoice) -> None:
         """Mark the victims of a choice as stopping."""
-        reason = f"{PREEMPTED} {choice.replica_id}"
+        reason = f"{PREEMPTED_REASON_PREFIX} {choice.replica_id}"
         intents = [self._sets.mark_stopping(ownership, v, reason) for v in choice.victims]
         await self._writer.submit(intents)
 
--- a/crossmill/multihost/placement_queue.py
+++ b/crossmill/multihost/placement_queue.py
@@ -13,8 +13,8 @@
 
 # reservations already begun go first: only one is ever left open, and it is finished or undone
 # before another is begun. Then repairs, which have machines reserved; then all others
-STAGES = {ReplicaPhase.RESERVING: 0, ReplicaPhase.REPAIRING: 1}
-LAST_STAGE = 2
+STAGE_BY_PHASE = {ReplicaPhase.RESERVING: 0, ReplicaPhase.REPAIRING: 1}
+DEFAULT_STAGE = 2
 
 
 class _QueueEntry:
@@ -113,7 +113,7 @@
         replica = self._pool.replicas[replica_id]
         spec = self._pool.sets[replica_id.set_name].spec
         return QueuePosition(
-            STAGES.get(replica.phase, LAST_STAGE),
+            STAGE_BY_PHASE.get(replica.phase, DEFAULT_STAGE),
             -spec.priority,
             self._entries[replica_id].waiting_since,
             replica_id.set_name,
--- a/crossmill/multihost/preemption.py
+++ b/crossmill/multihost/preemption.py
@@ -19,7 +19,7 @@
     name: str
     priority: int
     # when it entered its phase: the youngest has least to lose
-    since: float
+    phase_entered_at: float
     machines: tuple[str, ...]
     resources: Resources
 
@@ -29,12 +29,12 @@
 
     priority: int
     member_count: int
-    negative_since: float
+    negative_phase_entered_at: float
     name: str
 
 
 def _victim_rank(victim: Victim) -> _VictimRank:
-    return _VictimRank(victim.priority, len(victim.machines), -victim.since, victim.name)
+    return _VictimRank(victim.priority, len(victim.machines), -victim.phase_entered_at, victim.name)
 
 
 def choose_victims(
@@ -55,26 +55,26 @@
     """
     machines = list(candidates)
 
-    def are_enough(stopped: list[Victim]) -> bool:
-        freed = _with_freed(machines, stopped)
+    def frees_enough(stopped: list[Victim]) -> bool:
+        freed = _with_freed_resources(machines, stopped)
         return choose_placement(spec, {}, freed, replicas_by_zone) is not None
 
     chosen: list[Victim] = []
     for victim in sorted((v for v in victims if v.priority < spec.priority), key=_victim_rank):
         chosen.append(victim)
-        if are_enough(chosen):
+        if frees_enough(chosen):
             break
     else:
         return ()
     # those that turned out not to be needed stay
     for victim in list(chosen[:-1]):
         fewer = [v for v in chosen if v is not victim]
-        if are_enough(fewer):
+        if frees_enough(fewer):
             chosen = fewer
     return tuple(chosen)
 
 
-def _with_freed(candidates: list[Candidate], victims: list[Victim]) -> list[Candidate]:
+def _with_freed_resources(candidates: list[Candidate], victims: list[Victim]) -> list[Candidate]:
     """Return the candidates with what the victims' stop makes free."""
     freed: dict[str, Resources] = {}
     for victim in victims:
--- a/crossmill/multihost/replica_reconciler.py
+++ b/crossmill/multihost/replica_reconciler.py
@@ -34,7 +34,7 @@
 # interval is added
 FIRST_CONTACT_MARGIN_DIVISOR = 20
 
-PHASE_AFTER = {
+PHASE_AFTER_ACTION = {
     ReplicaAction.CONFIRM: ReplicaPhase.READY,
     ReplicaAction.REPAIR: ReplicaPhase.REPAIRING,
     ReplicaAction.RELEASE: ReplicaPhase.PENDING,
@@ -45,7 +45,7 @@
 }
 
 
-class _Pass(NamedTuple):
+class _ReconcilePass(NamedTuple):
     """One pass over replicas, under one ownership of the pool."""
 
     ownership: ShardOwnership
@@ -83,7 +83,7 @@
         # ranks whose machines are avoided when their replica is repaired
         self._suspects: dict[ReplicaId, frozenset[int]] = {}
         # how many times a replica was examined, since the start of the program
-        self.examined = 0
+        self.examined_count = 0
 
     def clear(self) -> None:
         """Forget everything, when the ownership of the pool ends."""
@@ -122,19 +122,23 @@
         for replica_id in sorted(replica_ids):
             replica = self._pool.replicas.get(replica_id)
             if replica is not None:
-                current = _Pass(ownership, time)
-                self._reconcile_one(current, replica, replica_id in may_stop, changes)
+                reconcile_pass = _ReconcilePass(ownership, time)
+                self._reconcile_one(reconcile_pass, replica, replica_id in may_stop, changes)
         return changes
 
     def _reconcile_one(
-        self, current: _Pass, replica: Replica, may_stop: bool, changes: ReplicaChanges
+        self,
+        reconcile_pass: _ReconcilePass,
+        replica: Replica,
+        may_stop: bool,
+        changes: ReplicaChanges,
     ) -> None:
-        self.examined += 1
+        self.examined_count += 1
         stored = self._pool.sets.get(replica.id.set_name)
         if replica.version == 0 or stored is None:
             # its own record, or that of its set, was deleted or hasn't been read yet
             return
-        time = current.time
+        time = reconcile_pass.time
         observation = self._observer.observe(replica, stored, time, may_stop)
         settings = self._context.settings
         decision = decide(DecisionInput(replica, stored.spec, observation, time, settings))
@@ -152,7 +156,7 @@
                 self._forget(replica.id)
                 changes.deletions.append(RecordDeletion(replica, includes_replica=True))
             case _:
-                changes.intents.append(self._transition(current, replica, stored, decision))
+                changes.intents.append(self._transition(reconcile_pass, replica, stored, decision))
 
     def _note_due(
         self,
@@ -175,14 +179,20 @@
         self._suspects.pop(replica_id, None)
 
     def _transition(
-        self, current: _Pass, replica: Replica, stored: ReplicaSet, decision: ReplicaDecision
+        self,
+        reconcile_pass: _ReconcilePass,
+        replica: Replica,
+        stored: ReplicaSet,
+        decision: ReplicaDecision,
     ) -> WriteIntent:
         """Return the write of the phase that follows from the decision."""
-        wall = current.time.wall
-        after = after_transition(replica, PHASE_AFTER[decision.action], wall, decision.reason)
+        wall = reconcile_pass.time.wall
+        after = after_transition(
+            replica, PHASE_AFTER_ACTION[decision.action], wall, decision.reason
+        )
         if decision.action is ReplicaAction.REPAIR:
             after.restarts = (*recent_restarts(replica, stored.spec, wall), wall)
-        self._note_suspects(replica, decision, current.time.now)
+        self._note_suspects(replica, decision, reconcile_pass.time.now)
         log.info(
             "replica phase replica=%s from=%s to=%s generation=%d reason=%s",
             replica.id,
@@ -191,7 +201,7 @@
             after.generation,
             decision.reason,
         )
-        return self._context.writer.transition(current.ownership, replica, after)
+        return self._context.writer.transition(reconcile_pass.ownership, replica, after)
 
     def _note_suspects(self, replica: Replica, decision: ReplicaDecision, now: float) -> None:
         """Count the failures of suspected machines; a confirmed generation has no suspects."""
--- a/crossmill/multihost/representations.py
+++ b/crossmill/multihost/representations.py
@@ -24,7 +24,7 @@
     return data
 
 
-def describe_replica(replica: Replica, wall: float) -> dict[str, Any]:
+def describe_replica(replica: Replica, wall_time: float) -> dict[str, Any]:
     """Return a replica with its members and its history, at this wall time."""
     return {
         "replica": str(replica.id),
@@ -32,16 +32,16 @@
         "generation": replica.generation,
         "reason": replica.reason,
         "leaving": replica.stop_reason,
-        "in_phase_s": round(wall - replica.since, TIME_DECIMALS),
+        "in_phase_s": round(wall_time - replica.since, TIME_DECIMALS),
         "restarts": len(replica.restarts),
         "members": [m._asdict() for m in replica.members()],
-        "history": _describe_history(replica, wall),
+        "history": _describe_history(replica, wall_time),
     }
 
 
-def _describe_history(replica: Replica, wall: float) -> list[dict[str, Any]]:
+def _describe_history(replica: Replica, wall_time: float) -> list[dict[str, Any]]:
     """Return the last phases, with the time spent in each."""
-    ends = [change.at for change in replica.history[1:]] + [wall]
+    ends = [change.at for change in replica.history[1:]] + [wall_time]
     return [
         {
             "phase": change.phase.value,
--- a/crossmill/multihost/reservations.py
+++ b/crossmill/multihost/reservations.py
@@ -31,7 +31,7 @@
     replica: Replica
     placement: ReplicaPlacement
     # of the decision
-    wall: float
+    decided_at: float
     reason: str
 
 
@@ -63,7 +63,7 @@
     async def _reserve_at_once(self, reservation: Reservation, members: tuple[Member, ...]) -> bool:
         replica = reservation.replica
         after = after_transition(
-            replica, ReplicaPhase.STARTING, reservation.wall, reservation.reason
+            replica, ReplicaPhase.STARTING, reservation.decided_at, reservation.reason
         )
         after.chunk_count = 1
         txn = self._chunk_transaction(replica, 0, after.generation, members)
@@ -86,7 +86,7 @@
         """Write the intent to reserve the machines in so many steps."""
         replica = reservation.replica
         after = after_transition(
-            replica, ReplicaPhase.RESERVING, reservation.wall, reservation.reason
+            replica, ReplicaPhase.RESERVING, reservation.decided_at, reservation.reason
         )
         after.chunk_count = chunk_count
         intent = self._writer.transition(reservation.ownership, replica, after)
@@ -113,7 +113,7 @@
         """Begin the start of a replica whose machines are all reserved."""
         replica = self._pool.replicas[reservation.replica.id]
         after = after_transition(
-            replica, ReplicaPhase.STARTING, reservation.wall, reservation.reason
+            replica, ReplicaPhase.STARTING, reservation.decided_at, reservation.reason
         )
         after.chunk_count = chunk_count
         key = keys.replica(replica.id)
--- a/crossmill/multihost/scheduling.py
+++ b/crossmill/multihost/scheduling.py
@@ -13,14 +13,14 @@
 from .member_status import DecisionTime
 from .model import Member, Replica, ReplicaId, ReplicaSetSpec
 from .phases import RESERVING_PHASES, ReplicaPhase
-from .placement import Candidate, ReplicaPlacement, choose_placement, earmark
+from .placement import Candidate, ReplicaPlacement, choose_placement, machines_to_keep_idle
 from .placement_queue import PlacementQueue
 from .pool import PoolState
 from .preemption import PreemptionPlanner
 from .settings import MultihostSettings
 
-REPAIRED = "repaired"
-PLACED = "placed"
+REPAIRED_REASON = "repaired"
+PLACED_REASON = "placed"
 
 
 class PlacementChoice(NamedTuple):
@@ -38,7 +38,7 @@
     time: DecisionTime
     candidates: dict[str, Candidate]
     # machines kept for the first replica that found too few
-    earmarked: set[str]
+    kept_idle: set[str]
 
 
 class _PlacementRequest(NamedTuple):
@@ -94,27 +94,29 @@
         if self._queue.is_empty:
             return
         candidates = {c.machine: c for c in self._finder.candidates(time)}
-        current = _SchedulingPass(time, candidates, set())
+        scheduling_pass = _SchedulingPass(time, candidates, set())
         for replica_id in self._queue.in_order():
             if not self._queue.is_waiting(replica_id):
                 continue
-            choice = self._choose_one(replica_id, suspects_of(replica_id), current)
+            choice = self._choose_one(replica_id, suspects_of(replica_id), scheduling_pass)
             if choice is not None:
                 yield choice
 
     def _choose_one(
-        self, replica_id: ReplicaId, suspects: frozenset[int], current: _SchedulingPass
+        self, replica_id: ReplicaId, suspects: frozenset[int], scheduling_pass: _SchedulingPass
     ) -> PlacementChoice | None:
-        request = self._request(replica_id, suspects, current)
-        placement = _choose_machines(request, current)
+        request = self._request(replica_id, suspects, scheduling_pass)
+        placement = _choose_machines(request, scheduling_pass)
         if placement is not None:
             self._queue.note_placed(replica_id)
-            _take(request, placement, current)
+            _subtract_placement(request, placement, scheduling_pass)
             is_repair = request.replica.phase is ReplicaPhase.REPAIRING
-            return PlacementChoice(replica_id, REPAIRED if is_repair else PLACED, placement)
-        self._queue.note_unplaced(replica_id, current.time.now)
-        self._earmark(request, current)
-        if not self._queue.is_overdue(replica_id, current.time.now):
+            return PlacementChoice(
+                replica_id, REPAIRED_REASON if is_repair else PLACED_REASON, placement
+            )
+        self._queue.note_unplaced(replica_id, scheduling_pass.time.now)
+        self._keep_machines_idle(request, scheduling_pass)
+        if not self._queue.is_overdue(replica_id, scheduling_pass.time.now):
             return None
         victims = self._preemption.choose(
             request.spec, request.candidates, request.replicas_by_zone
@@ -122,7 +124,7 @@
         return PlacementChoice(replica_id, victims=victims) if victims else None
 
     def _request(
-        self, replica_id: ReplicaId, suspects: frozenset[int], current: _SchedulingPass
+        self, replica_id: ReplicaId, suspects: frozenset[int], scheduling_pass: _SchedulingPass
     ) -> _PlacementRequest:
         replica = self._pool.replicas[replica_id]
         spec = self._pool.sets[replica_id.set_name].spec
@@ -131,11 +133,11 @@
             replica=replica,
             spec=spec,
             own_machines=own_machines,
-            survivors=_survivors(replica, suspects, current),
+            survivors=_survivors(replica, suspects, scheduling_pass),
             suspects=_suspected_machines(replica, suspects),
             candidates=[
                 c._replace(free=c.free.plus(spec.resources)) if c.machine in own_machines else c
-                for c in current.candidates.values()
+                for c in scheduling_pass.candidates.values()
             ],
             replicas_by_zone=self._replicas_by_zone(replica),
         )
@@ -152,27 +154,32 @@
                 by_zone[machine.zone] = by_zone.get(machine.zone, 0) + 1
         return by_zone
 
-    def _earmark(self, request: _PlacementRequest, current: _SchedulingPass) -> None:
+    def _keep_machines_idle(
+        self, request: _PlacementRequest, scheduling_pass: _SchedulingPass
+    ) -> None:
         """Keep free machines for the first replica that finds too few, and for it alone.
 
         None are kept if the pool as it is could not take the replica even if it were empty.
         """
-        if current.earmarked:
+        if scheduling_pass.kept_idle:
             return
-        machines = (self._pool.machines[m] for m in current.candidates)
+        machines = (self._pool.machines[m] for m in scheduling_pass.candidates)
         try:
             check_placeable(request.spec, machines)
         except UnplaceableError:
             return
-        most = int(self._settings.idle_ratio * len(current.candidates))
-        earmarked = earmark(
-            request.spec, current.candidates.values(), request.replicas_by_zone, most
+        max_machines = int(self._settings.idle_ratio * len(scheduling_pass.candidates))
+        kept_idle = machines_to_keep_idle(
+            request.spec,
+            scheduling_pass.candidates.values(),
+            request.replicas_by_zone,
+            max_machines,
         )
-        current.earmarked.update(earmarked)
+        scheduling_pass.kept_idle.update(kept_idle)
 
 
 def _choose_machines(
-    request: _PlacementRequest, current: _SchedulingPass
+    request: _PlacementRequest, scheduling_pass: _SchedulingPass
 ) -> ReplicaPlacement | None:
     """Return machines for the replica; suspected ones only where no others are left."""
 
@@ -185,15 +192,15 @@
             excluded,
         )
 
-    placement = choose_without(request.suspects | current.earmarked)
-    has_other_suspects = not request.suspects <= current.earmarked
+    placement = choose_without(request.suspects | scheduling_pass.kept_idle)
+    has_other_suspects = not request.suspects <= scheduling_pass.kept_idle
     if placement is None and has_other_suspects:
-        placement = choose_without(current.earmarked)
+        placement = choose_without(scheduling_pass.kept_idle)
     return placement
 
 
 def _survivors(
-    replica: Replica, suspects: frozenset[int], current: _SchedulingPass
+    replica: Replica, suspects: frozenset[int], scheduling_pass: _SchedulingPass
 ) -> dict[int, str]:
     """Return, by rank, the machines of members that may stay."""
     if replica.phase not in RESERVING_PHASES:
@@ -201,7 +208,7 @@
     return {
         m.rank: m.machine
         for m in replica.all_members()
-        if m.machine in current.candidates and not _is_suspect(m, replica, suspects)
+        if m.machine in scheduling_pass.candidates and not _is_suspect(m, replica, suspects)
     }
 
 
@@ -216,8 +223,8 @@
     return {m.machine for m in replica.all_members() if _is_suspect(m, replica, suspects)}
 
 
-def _take(
-    request: _PlacementRequest, placement: ReplicaPlacement, current: _SchedulingPass
+def _subtract_placement(
+    request: _PlacementRequest, placement: ReplicaPlacement, scheduling_pass: _SchedulingPass
 ) -> None:
     """Subtract what the placement takes from the candidates of this pass.
 
@@ -225,6 +232,6 @@
     """
     for _, machine, _ in placement.members:
         if machine not in request.own_machines:
-            candidate = current.candidates[machine]
+            candidate = scheduling_pass.candidates[machine]
             free = candidate.free.minus(request.spec.resources)
-            current.candidates[machine] = candidate._replace(free=free)
+            scheduling_pass.candidates[machine] = candidate._replace(free=free)
--- a/crossmill/multihost/set_reconciler.py
+++ b/crossmill/multihost/set_reconciler.py
@@ -62,8 +62,10 @@
         changes.may_stop.update(plan.may_stop)
         for replica_id, reason in plan.stop_reasons.items():
             changes.intents.append(self.mark_stopping(ownership, replica_id, reason))
-        if plan.create:
-            changes.intents.append(self._writer.creation(ownership, stored, plan.create, time.wall))
+        if plan.create_count:
+            changes.intents.append(
+                self._writer.creation(ownership, stored, plan.create_count, time.wall)
+            )
         if plan.delete_set:
             changes.intents.append(self._writer.deletion_of_set(ownership, stored))
 
--- a/crossmill/multihost/sets.py
+++ b/crossmill/multihost/sets.py
@@ -10,23 +10,23 @@
 from .model import Replica, ReplicaId, ReplicaSet
 from .phases import ENDED_PHASES, ReplicaPhase
 
-REMOVED = "the set was removed"
-SURPLUS = "more replicas than declared"
+REMOVED_REASON = "the set was removed"
+SURPLUS_REASON = "more replicas than declared"
 # a replica that is stopped for this reason does not wait for a replacement
-PREEMPTED = "preempted for"
+PREEMPTED_REASON_PREFIX = "preempted for"
 
 
 class SetPlan(NamedTuple):
     """Changes of a set's replicas.
 
     Attributes:
-        create: How many replicas are to be created.
+        create_count: How many replicas are to be created.
         stop_reasons: The replicas that are to be marked as stopping, with the reason.
         may_stop: The replicas marked as stopping that may be stopped now.
         delete_set: Whether the set's record itself is to be deleted.
     """
 
-    create: int
+    create_count: int
     stop_reasons: dict[ReplicaId, str]
     may_stop: frozenset[ReplicaId]
     delete_set: bool
@@ -56,27 +56,27 @@
     alive = [r for r in replicas.values() if r.version and r.phase not in ENDED_PHASES]
     stop_reasons = {r.id: evacuated[r.id] for r in alive if not r.stop_reason and r.id in evacuated}
     if stored.is_removed:
-        stop_reasons = {r.id: REMOVED for r in alive if not r.stop_reason}
-    staying = [r for r in alive if not r.stop_reason and r.id not in stop_reasons]
-    wanted = 0 if stored.is_removed else stored.spec.replicas
-    for replica in _surplus(staying, wanted):
-        stop_reasons[replica.id] = SURPLUS
-        staying.remove(replica)
+        stop_reasons = {r.id: REMOVED_REASON for r in alive if not r.stop_reason}
+    remaining = [r for r in alive if not r.stop_reason and r.id not in stop_reasons]
+    desired = 0 if stored.is_removed else stored.spec.replicas
+    for replica in _surplus_replicas(remaining, desired):
+        stop_reasons[replica.id] = SURPLUS_REASON
+        remaining.remove(replica)
     return SetPlan(
-        create=max(0, wanted - len(staying)),
+        create_count=max(0, desired - len(remaining)),
         stop_reasons=stop_reasons,
         may_stop=_may_stop(stored, alive, stop_reasons, is_placement_overdue),
         delete_set=stored.is_removed and not replicas,
     )
 
 
-def _surplus(staying: list[Replica], wanted: int) -> list[Replica]:
+def _surplus_replicas(remaining: list[Replica], desired: int) -> list[Replica]:
     """Return the replicas that are more than wanted."""
 
     def rank(replica: Replica) -> _SurplusRank:
         return _SurplusRank(replica.phase is ReplicaPhase.READY, -replica.id.number)
 
-    return sorted(staying, key=rank)[: max(0, len(staying) - wanted)]
+    return sorted(remaining, key=rank)[: max(0, len(remaining) - desired)]
 
 
 def _may_stop(
@@ -93,15 +93,15 @@
     stopping = [r for r in ready if r.stop_reason or r.id in stop_reasons]
     if stored.is_removed:
         return frozenset(r.id for r in stopping)
-    wanted = stored.spec.replicas
-    is_replaced = len(ready) - len(stopping) >= wanted
+    desired = stored.spec.replicas
+    is_replaced = len(ready) - len(stopping) >= desired
     allowed: list[ReplicaId] = []
     for replica in sorted(stopping, key=lambda r: r.id):
         left = len(ready) - len(allowed) - 1
         if left < stored.spec.min_ready:
             continue
         reason = replica.stop_reason or stop_reasons[replica.id]
-        needs_no_replacement = is_placement_overdue or reason.startswith(PREEMPTED)
-        if left >= wanted or is_replaced or needs_no_replacement:
+        needs_no_replacement = is_placement_overdue or reason.startswith(PREEMPTED_REASON_PREFIX)
+        if left >= desired or is_replaced or needs_no_replacement:
             allowed.append(replica.id)
     return frozenset(allowed)
--- a/tests/multihost_agents.py
+++ b/tests/multihost_agents.py
@@ -35,7 +35,7 @@
     from .multihost_region import MultihostRegion
 
 # PROTOCOL: steady clocks drift apart by as much as this
-DRIFT = 0.0005
+CLOCK_DRIFT = 0.0005
 # the shortest time between two heartbeats
 MIN_HEARTBEAT_GAP_S = 0.2
 
@@ -67,13 +67,13 @@
         self.region, self.machine, self.number, self.zone = region, machine, number, zone
         self.address = f"127.0.0.1:{30000 + number}"
         # neighbouring machines drift in opposite directions
-        self._rate = 1.0 + (DRIFT if number % 2 else -DRIFT)
+        self._rate = 1.0 + (CLOCK_DRIFT if number % 2 else -CLOCK_DRIFT)
         self.capacity = (32.0, 4.0, 256.0)
         self.fetch_gb_per_s = 1.0
         self.session, self.sequence, self.token = 1, 0, 0
         self.proof: LivenessProof | None = None
         self.members: dict[str, AgentMember] = {}
-        self.highest: dict[str, int] = {}
+        self.highest_generations: dict[str, int] = {}
         self.images: dict[str, float] = {}
         self.answered_at = self.now()
         self.dead, self.has_left = False, False
@@ -136,13 +136,13 @@
         """Restart the agent's process, which remembers nothing but its session."""
         self.session += 1
         self.members.clear()
-        self.highest.clear()
+        self.highest_generations.clear()
         self.proof, self.answered_at = None, self.now()
 
     def _is_lease_expired(self) -> bool:
         return self.now() - self.answered_at > self.region.multihost.agent_lease_s
 
-    def _tick(self) -> None:
+    def _check_lease(self) -> None:
         if self._is_lease_expired():
             self.session += 1
             self.members.clear()
@@ -166,11 +166,11 @@
 
     def _start(self, order: Order) -> None:
         known = self.members.get(order.replica)
-        if order.generation < self.highest.get(order.replica, 0):
+        if order.generation < self.highest_generations.get(order.replica, 0):
             return
         if known is not None and not known.refused and known.generation == order.generation:
             return
-        self.highest[order.replica] = order.generation
+        self.highest_generations[order.replica] = order.generation
         others = [m.resources for r, m in self.members.items() if r != order.replica]
         used = [sum(amounts) for amounts in zip(order.resources, *others, strict=True)]
         fits = all(u <= c for u, c in zip(used, self.capacity, strict=True))
@@ -190,7 +190,9 @@
         known = self.members.get(order.replica)
         if known is not None and known.generation <= order.generation:
             del self.members[order.replica]
-            self.highest[order.replica] = max(order.generation, self.highest.get(order.replica, 0))
+            self.highest_generations[order.replica] = max(
+                order.generation, self.highest_generations.get(order.replica, 0)
+            )
 
     # -- messages --------------------------------------------------------------------
 
@@ -223,7 +225,7 @@
             if self.is_frozen:
                 await curio.sleep(0.1)
                 continue
-            self._tick()
+            self._check_lease()
             wait_s = await self._send_heartbeat(labels)
             await curio.sleep(wait_s)
 
@@ -246,10 +248,10 @@
             self.has_left = True
         if status != STATUS_OK:
             owner = parse_redirect(data) if status == STATUS_NOT_OWNER else None
-            moves = owner in labels and owner != label
-            following = (self._target + 1) % len(labels)
-            self._target = labels.index(str(owner)) if moves else following
-            return 0.2 if moves else 0.5
+            is_other_controller = owner in labels and owner != label
+            next_target = (self._target + 1) % len(labels)
+            self._target = labels.index(str(owner)) if is_other_controller else next_target
+            return 0.2 if is_other_controller else 0.5
         answer = parse_answer(data)
         if session == self.session and answer.token >= self.token and not self.dead:
             self.token, self.proof, self.answered_at = answer.token, answer.proof, sent
@@ -259,10 +261,12 @@
     def _next_heartbeat_s(self) -> float:
         """Return the time until the next heartbeat: sooner if a member's weights arrive before."""
         loads = [m.loaded_at - self.now() for m in self.members.values()]
-        soon = [max(MIN_HEARTBEAT_GAP_S, s + 0.01) for s in loads if s > -MIN_HEARTBEAT_GAP_S]
+        load_delays = [
+            max(MIN_HEARTBEAT_GAP_S, s + 0.01) for s in loads if s > -MIN_HEARTBEAT_GAP_S
+        ]
         return min(
             self.region.multihost.heartbeat_interval_s,
-            *soon,
+            *load_delays,
             self.region.multihost.heartbeat_interval_s,
         )
 
@@ -287,8 +291,8 @@
         """Return whether this machine runs the requested member in exactly that generation."""
         ping = parse_ping(body)
         member = self.members.get(ping.replica)
-        is_right = member is not None and member.rank == ping.rank
-        return is_right and self.runs(ping.replica, ping.generation)
+        is_requested_rank = member is not None and member.rank == ping.rank
+        return is_requested_rank and self.runs(ping.replica, ping.generation)
 
 
 def heartbeat_request(body: bytes) -> Request:
--- a/tests/multihost_fault_injection.py
+++ b/tests/multihost_fault_injection.py
@@ -20,7 +20,7 @@
 
 
 class MultihostFaults:
-    """Injects random faults, a few at a time; each ends by itself or is ended by `mend`."""
+    """Injects random faults; `end_all_faults` ends those that have not ended by themselves."""
 
     def __init__(self, region: MultihostRegion, seed: int) -> None:
         self.region = region
@@ -70,79 +70,79 @@
 
     async def _inject_one(self) -> None:
         faults = (
-            self.machine_dies,
-            self.machine_dies,
-            self.agent_restarts,
-            self.machine_hangs,
-            self.one_way_cut,
-            self.link_cut,
-            self.zone_cut,
-            self.owner_ends,
-            self.state_outage,
+            self.crash_machine,
+            self.crash_machine,
+            self.restart_agent,
+            self.freeze_machine,
+            self.cut_machine_one_way,
+            self.cut_link,
+            self.cut_zone,
+            self.restart_owner,
+            self.stop_state_service,
             self.drain,
-            self.late_copies,
+            self.redeliver_heartbeats,
         )
         await self.random.choice(faults)()
 
-    def _machine(self) -> str:
+    def _random_machine(self) -> str:
         return self.random.choice(sorted(self.region.agents))
 
-    async def _later(self, least_s: float, most_s: float) -> None:
+    async def _sleep_between(self, least_s: float, most_s: float) -> None:
         await curio.sleep(self.random.uniform(least_s, most_s))
 
-    async def machine_dies(self) -> None:
+    async def crash_machine(self) -> None:
         """Kill a machine; it comes back after a while."""
-        machine = self._machine()
+        machine = self._random_machine()
         self.region.agents[machine].dead = True
 
-        async def back() -> None:
-            await self._later(2.0, 40.0)
+        async def recover() -> None:
+            await self._sleep_between(2.0, 40.0)
             if self.region.agents[machine].dead:
                 await self.region.revive(machine)
 
-        await curio.spawn(back, daemon=True)
+        await curio.spawn(recover, daemon=True)
 
-    async def agent_restarts(self) -> None:
+    async def restart_agent(self) -> None:
         """Restart an agent, which forgets its members."""
-        self.region.agents[self._machine()].restart()
+        self.region.agents[self._random_machine()].restart()
 
-    async def machine_hangs(self) -> None:
+    async def freeze_machine(self) -> None:
         """Freeze a machine for a while."""
-        agent = self.region.agents[self._machine()]
+        agent = self.region.agents[self._random_machine()]
         agent.is_frozen = True
 
-        async def back() -> None:
-            await self._later(0.5, 15.0)
+        async def recover() -> None:
+            await self._sleep_between(0.5, 15.0)
             agent.is_frozen = False
 
-        await curio.spawn(back, daemon=True)
+        await curio.spawn(recover, daemon=True)
 
-    async def one_way_cut(self) -> None:
+    async def cut_machine_one_way(self) -> None:
         """Lose the heartbeats of a machine, or the answers to it, for a while."""
-        agent = self.region.agents[self._machine()]
+        agent = self.region.agents[self._random_machine()]
         if self.random.random() < LOST_HEARTBEATS_PROBABILITY:
             agent.drops_heartbeats = True
         else:
             agent.drops_answers = True
 
-        async def back() -> None:
-            await self._later(1.0, 20.0)
+        async def recover() -> None:
+            await self._sleep_between(1.0, 20.0)
             agent.drops_heartbeats = agent.drops_answers = False
 
-        await curio.spawn(back, daemon=True)
+        await curio.spawn(recover, daemon=True)
 
-    async def link_cut(self) -> None:
+    async def cut_link(self) -> None:
         """Cut one machine off from another, in one direction, for a while."""
-        pair = (self._machine(), self._machine())
+        pair = (self._random_machine(), self._random_machine())
         self.region.cut_links.add(pair)
 
-        async def back() -> None:
-            await self._later(1.0, 20.0)
+        async def recover() -> None:
+            await self._sleep_between(1.0, 20.0)
             self.region.cut_links.discard(pair)
 
-        await curio.spawn(back, daemon=True)
+        await curio.spawn(recover, daemon=True)
 
-    async def zone_cut(self) -> None:
+    async def cut_zone(self) -> None:
         """Cut a zone's machines off from the controllers, but not from one another."""
         if self.random.random() < NO_ZONE_CUT_PROBABILITY:
             return
@@ -151,45 +151,45 @@
             if agent.zone == zone:
                 agent.drops_heartbeats = True
 
-        async def back() -> None:
-            await self._later(2.0, 25.0)
+        async def recover() -> None:
+            await self._sleep_between(2.0, 25.0)
             for agent in self.region.agents.values():
                 if agent.zone == zone:
                     agent.drops_heartbeats = False
 
-        await curio.spawn(back, daemon=True)
+        await curio.spawn(recover, daemon=True)
 
-    async def owner_ends(self) -> None:
+    async def restart_owner(self) -> None:
         """End the pool owner's process, and start it again after a while."""
         owner = self.region.owners().get(SETTINGS.pool_shard)
         if owner in self.region.nodes:
             await self.region.restart(owner, self.random.uniform(0.1, 6.0))
 
-    async def state_outage(self) -> None:
+    async def stop_state_service(self) -> None:
         """Make the state service unavailable for a while."""
         self.region.state.down = True
 
-        async def back() -> None:
-            await self._later(0.5, 12.0)
+        async def recover() -> None:
+            await self._sleep_between(0.5, 12.0)
             self.region.state.down = False
 
-        await curio.spawn(back, daemon=True)
+        await curio.spawn(recover, daemon=True)
 
     async def drain(self) -> None:
         """Drain a machine, and allow replicas on it again after a while."""
-        machine = self._machine()
+        machine = self._random_machine()
         await self.region.operate("POST", f"machines/{machine}/drain")
 
-        async def back() -> None:
-            await self._later(5.0, 30.0)
+        async def recover() -> None:
+            await self._sleep_between(5.0, 30.0)
             while (await self.region.operate("POST", f"machines/{machine}/undrain"))[
                 0
             ] == STATUS_UNAVAILABLE:
                 await curio.sleep(1.0)
 
-        await curio.spawn(back, daemon=True)
+        await curio.spawn(recover, daemon=True)
 
-    async def late_copies(self) -> None:
+    async def redeliver_heartbeats(self) -> None:
         """Deliver copies of old heartbeats to every controller."""
         for agent in self.random.sample(
             sorted(self.region.agents.values(), key=lambda a: a.number), k=2
@@ -200,7 +200,7 @@
                 for label in list(self.region.services):
                     await self.region.deliver_heartbeat(agent, label, body)
 
-    async def mend(self) -> None:
+    async def end_all_faults(self) -> None:
         """End all faults and bring dead machines back."""
         await curio.sleep(45.0)
         region = self.region
--- a/tests/multihost_scenarios.py
+++ b/tests/multihost_scenarios.py
@@ -12,7 +12,7 @@
 WRITE_S = 0.5
 REPAIR_BOUND_S = SETTINGS.repair_bound_s(LOAD_S, WRITE_S)
 # a replica that is not repaired by then never will be
-GIVE_UP_AFTER_S = 10 * REPAIR_BOUND_S
+REPAIR_TIMEOUT_S = 10 * REPAIR_BOUND_S
 
 # called with the region and the agents of the replica's members, by rank
 FaultInjection = Callable[[MultihostRegion, list[Agent]], Awaitable[None]]
@@ -43,7 +43,7 @@
         def is_repaired() -> bool:
             return region.generation("chat/0") > before and len(region.serving("chat/0")) == 1
 
-        await region.wait_until(is_repaired, GIVE_UP_AFTER_S)
+        await region.wait_until(is_repaired, REPAIR_TIMEOUT_S)
         repaired_after_s.append(region.clock.now() - begun)
         await curio.sleep(SETTINGS.agent_lease_s * 2)
         region.checker.check_end()
--- a/tests/test_multihost_operator_api.py
+++ b/tests/test_multihost_operator_api.py
@@ -42,7 +42,7 @@
 }
 
 
-def _play_operator(scenario: Scenario) -> None:
+def _run_with_pool(scenario: Scenario) -> None:
     """Run a scenario in which four machines have joined the pool."""
 
     async def begin(region: MultihostRegion) -> None:
@@ -67,14 +67,14 @@
     async def scenario(region: MultihostRegion) -> None:
         assert (await _put(region, name, body))[1]["field"] == field
 
-    _play_operator(scenario)
+    _run_with_pool(scenario)
 
 
 def test_a_declaration_that_is_no_object_is_refused() -> None:
     async def scenario(region: MultihostRegion) -> None:
         assert (await _put(region, "chat", [1]))[0] == 400
 
-    _play_operator(scenario)
+    _run_with_pool(scenario)
 
 
 def test_a_declaration_that_the_pool_can_never_take_is_refused() -> None:
@@ -83,7 +83,7 @@
         assert status == 422
         assert "the pool has 4" in answer["error"]
 
-    _play_operator(scenario)
+    _run_with_pool(scenario)
 
 
 def test_a_declared_set_takes_only_changes_that_running_replicas_allow() -> None:
@@ -94,7 +94,7 @@
         assert status == 409
         assert "min_ready" in answer["error"]
 
-    _play_operator(scenario)
+    _run_with_pool(scenario)
 
 
 def test_a_replica_is_shown_with_its_members_and_history() -> None:
@@ -105,7 +105,7 @@
         assert (status, answer["phase"], len(answer["members"])) == (200, "ready", 2)
         assert [h["phase"] for h in answer["history"]] == ["pending", "starting", "ready"]
 
-    _play_operator(scenario)
+    _run_with_pool(scenario)
 
 
 def test_sets_replicas_and_machines_are_listed() -> None:
@@ -117,7 +117,7 @@
         machines = (await region.operate("GET", "machines"))[1]["machines"]
         assert sum(m["replicas"] == ["chat/0"] for m in machines) == 2
 
-    _play_operator(scenario)
+    _run_with_pool(scenario)
 
 
 @pytest.mark.parametrize(
@@ -137,7 +137,7 @@
         await region.until_serving("chat/0")
         assert (await region.operate(method, path))[0] == 404
 
-    _play_operator(scenario)
+    _run_with_pool(scenario)
 
 
 @pytest.mark.parametrize(("method", "path"), [("GET", "replicas"), ("PUT", "replica-sets/more")])
@@ -150,7 +150,7 @@
         region.state.down = True
         assert (await region.operate(method, path, DECLARED))[0] == 503
 
-    _play_operator(scenario)
+    _run_with_pool(scenario)
 
 
 def test_the_owner_acts_on_a_declaration_that_another_controller_took() -> None:
--- a/tests/test_multihost_phases.py
+++ b/tests/test_multihost_phases.py
@@ -5,7 +5,7 @@
 import pytest
 
 from crossmill.multihost.phases import (
-    RAISES_GENERATION,
+    GENERATION_RAISING_TRANSITIONS,
     TRANSITIONS,
     IllegalPhaseTransitionError,
     ReplicaPhase,
@@ -16,7 +16,7 @@
 @pytest.mark.parametrize(("old", "new"), itertools.product(ReplicaPhase, ReplicaPhase))
 def test_transitions_outside_the_table_are_illegal(old: ReplicaPhase, new: ReplicaPhase) -> None:
     if new in TRANSITIONS[old]:
-        raised = (old, new) in RAISES_GENERATION
+        raised = (old, new) in GENERATION_RAISING_TRANSITIONS
         assert next_generation(3, old, new) == 3 + raised
     else:
         with pytest.raises(IllegalPhaseTransitionError):
@@ -29,4 +29,4 @@
         (ReplicaPhase.PENDING, ReplicaPhase.STARTING),
         (ReplicaPhase.PENDING, ReplicaPhase.RESERVING),
     }
-    assert ends | begins <= RAISES_GENERATION
+    assert ends | begins <= GENERATION_RAISING_TRANSITIONS
--- a/tests/test_multihost_placement.py
+++ b/tests/test_multihost_placement.py
@@ -7,7 +7,7 @@
 from crossmill.multihost.model import (
     ReplicaSetSpec,
 )
-from crossmill.multihost.placement import Candidate, choose_placement, earmark
+from crossmill.multihost.placement import Candidate, choose_placement, machines_to_keep_idle
 from crossmill.multihost.settings import MultihostSettings
 from crossmill.settings import Endpoint
 
@@ -16,7 +16,7 @@
 SETTINGS = MultihostSettings(Endpoint("127.0.0.1", 1), 0, 1.0, 0.25)
 
 
-WARM = frozenset({"weights"})
+CACHED_IMAGES = frozenset({"weights"})
 
 
 def test_a_replica_without_enough_machines_in_one_zone_gets_none() -> None:
@@ -37,18 +37,18 @@
 
 
 NORTH = make_candidates("north", 3)
-SURVIVORS = [c._replace(images=WARM) for c in NORTH if c.machine != "north-1"]
+SURVIVORS = [c._replace(images=CACHED_IMAGES) for c in NORTH if c.machine != "north-1"]
 KEPT = {0: "north-0", 2: "north-2"}
-COLD_SPARE, WARM_SPARE = NORTH[1], NORTH[1]._replace(images=WARM)
-ELSEWHERE = make_candidates("south", 3, images=WARM)
+UNCACHED_SPARE, CACHED_SPARE = NORTH[1], NORTH[1]._replace(images=CACHED_IMAGES)
+ELSEWHERE = make_candidates("south", 3, images=CACHED_IMAGES)
 
 
 @pytest.mark.parametrize(
     ("candidates", "survivor_count", "load_s"),
     [
-        pytest.param([*SURVIVORS, WARM_SPARE, *ELSEWHERE], 2, 0.0, id="stays if as soon"),
-        pytest.param([*SURVIVORS, COLD_SPARE, *ELSEWHERE], 0, 0.0, id="moves if sooner"),
-        pytest.param([*SURVIVORS, COLD_SPARE], 2, 10.0, id="stays without another zone"),
+        pytest.param([*SURVIVORS, CACHED_SPARE, *ELSEWHERE], 2, 0.0, id="stays if as soon"),
+        pytest.param([*SURVIVORS, UNCACHED_SPARE, *ELSEWHERE], 0, 0.0, id="moves if sooner"),
+        pytest.param([*SURVIVORS, UNCACHED_SPARE], 2, 10.0, id="stays without another zone"),
     ],
 )
 def test_survivors_stay_unless_the_replica_is_ready_sooner_elsewhere(
@@ -61,7 +61,7 @@
 
 
 FAILED_OFTEN = [
-    make_candidates("north", 1)[0]._replace(is_avoided=True, images=WARM),
+    make_candidates("north", 1)[0]._replace(is_avoided=True, images=CACHED_IMAGES),
     *make_candidates("north", 4)[1:],
 ]
 
@@ -81,7 +81,7 @@
 
 
 SPREAD = SPEC._replace(spread=True)
-TWO_ZONES = make_candidates("north", 3, images=WARM) + make_candidates("south", 3)
+TWO_ZONES = make_candidates("north", 3, images=CACHED_IMAGES) + make_candidates("south", 3)
 
 
 def test_the_first_replica_of_a_spread_set_gets_the_zone_that_has_the_weights() -> None:
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize(
-    ("spec", "most", "count"),
+    ("spec", "max_machines", "count"),
     [
         pytest.param(SPEC, 5, 2, id="all of the largest zone"),
         pytest.param(SPEC, 1, 1, id="up to the bound"),
@@ -109,12 +109,12 @@
     ],
 )
 def test_free_machines_are_earmarked_for_the_first_replica_that_waits(
-    spec: ReplicaSetSpec, most: int, count: int
+    spec: ReplicaSetSpec, max_machines: int, count: int
 ) -> None:
     candidates = make_candidates("north", 2) + make_candidates("south", 1)
-    earmarked = earmark(spec, candidates, {}, most)
-    assert len(earmarked) == count
-    assert earmarked <= {"north-0", "north-1"}
+    kept_idle = machines_to_keep_idle(spec, candidates, {}, max_machines)
+    assert len(kept_idle) == count
+    assert kept_idle <= {"north-0", "north-1"}
 
 
 def test_the_failure_score_of_a_machine_decays() -> None:
--- a/tests/test_multihost_random_faults.py
+++ b/tests/test_multihost_random_faults.py
@@ -16,14 +16,14 @@
 RECOVERY_S = SETTINGS.max_backoff_s + 2 * SETTINGS.repair_bound_s(24.0, 1.0)
 
 
-def play_random_faults(seed: int) -> MultihostRegion:
+def run_random_faults(seed: int) -> MultihostRegion:
     """Inject random faults, then wait until all declared sets serve, and check what is left."""
 
     async def scenario(region: MultihostRegion) -> None:
         faults = MultihostFaults(region, seed)
         await faults.begin()
         await faults.run(SPAN_S)
-        await faults.mend()
+        await faults.end_all_faults()
         await region.wait_until(lambda: all_serve(region), RECOVERY_S)
         await curio.sleep(2 * SETTINGS.agent_lease_s)
         region.checker.check_end()
@@ -59,5 +59,5 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_replicas_recover_from_random_faults(seed: int) -> None:
-    region = play_random_faults(seed)
+    region = run_random_faults(seed)
     assert region.checker.latest_answer_s <= SETTINGS.serving_lease_s * 1.01
--- a/tests/test_multihost_sets.py
+++ b/tests/test_multihost_sets.py
@@ -12,7 +12,7 @@
 from crossmill.multihost.phases import (
     ReplicaPhase,
 )
-from crossmill.multihost.sets import PREEMPTED, plan_set
+from crossmill.multihost.sets import PREEMPTED_REASON_PREFIX, plan_set
 
 from .multihost_samples import SPEC
 
@@ -44,12 +44,12 @@
     others: list[Replica], create: int, may_stop: set[ReplicaId]
 ) -> None:
     plan = _plan(2, _replica(0, stop_reason="drained"), *others)
-    assert plan.create == create
+    assert plan.create_count == create
     assert plan.may_stop == may_stop
 
 
 DRAINED = _replica(0, stop_reason="drained")
-PREEMPTED_REPLICA = _replica(0, stop_reason=f"{PREEMPTED} x/0")
+PREEMPTED_REPLICA = _replica(0, stop_reason=f"{PREEMPTED_REASON_PREFIX} x/0")
 
 
 @pytest.mark.parametrize("stopping", [DRAINED, PREEMPTED_REPLICA])
@@ -84,7 +84,7 @@
     plan = _plan(2, _replica(0), _replica(1), removed=True)
     assert len(plan.stop_reasons) == 2
     assert len(plan.may_stop) == 2
-    assert plan.create == 0
+    assert plan.create_count == 0
 
 
 def test_a_removed_set_without_replicas_is_deleted() -> None:
--- a/tests/trace_adapter.py
+++ b/tests/trace_adapter.py
@@ -262,15 +262,15 @@
         self._faults = faults = MultihostFaults(self._region, seed)
         await faults.begin()
         return {
-            "machine dies": faults.machine_dies,
-            "agent restarts": faults.agent_restarts,
-            "agent hangs": faults.machine_hangs,
-            "one-way cut": faults.one_way_cut,
-            "machines parted": faults.link_cut,
-            "owner ends": faults.owner_ends,
-            "state outage": faults.state_outage,
+            "machine dies": faults.crash_machine,
+            "agent restarts": faults.restart_agent,
+            "agent hangs": faults.freeze_machine,
+            "one-way cut": faults.cut_machine_one_way,
+            "machines parted": faults.cut_link,
+            "owner ends": faults.restart_owner,
+            "state outage": faults.stop_state_service,
             "machine drained": faults.drain,
-            "late heartbeats": faults.late_copies,
+            "late heartbeats": faults.redeliver_heartbeats,
         }
 
     async def declare(self, name: str, members: int, replicas: int, priority: int) -> int:
@@ -313,7 +313,7 @@
 
     async def mend(self) -> None:
         """End the faults and revive machines that died."""
-        await self._faults.mend()
+        await self._faults.end_all_faults()
 
     def generations(self) -> int:
         """The sum of all replicas' generations."""
