--- a/crossmill/multihost/api.py
+++ b/crossmill/multihost/api.py
@@ -1,8 +1,8 @@
-"""The operators' interface: declaring replica sets, watching replicas, emptying machines.
+"""The operators' API: declares replica sets, shows replicas, drains and releases machines.
 
-`OperatorApi` is called by the service and has no state of its own. Any controller answers reads and
-takes declarations; what only the pool's owner can do is answered by the others with 421 and the
-owner's label.
+The service calls `OperatorApi`, which has no state of its own. Any controller serves reads and
+accepts declarations. Requests that only the pool's owner can serve are answered by the other
+controllers with 421 and the owner's label.
 """
 
 from collections.abc import Awaitable, Callable
@@ -36,7 +36,7 @@
 from .representations import describe_machine, describe_replica, describe_set
 from .writes import after_transition
 
-# the paths that this interface answers
+# the paths that this API serves
 OPERATOR_PATHS = (SETS_PATH, REPLICAS_PATH, MACHINES_PATH)
 
 MAX_WRITE_ATTEMPTS = 3
@@ -51,7 +51,7 @@
 DEFAULT_DRAIN_REASON = "by an operator"
 NO_DRAIN_REASON = ""
 
-# what a declaration may change while replicas run
+# the fields of a declaration that may change while replicas run
 MUTABLE_FIELDS = (
     "replicas",
     "priority",
@@ -60,7 +60,8 @@
     "restart_window_s",
     "hold_s",
 )
-# an operator may restart a replica in one of these phases, and this is the phase after it
+# the phase after an operator's restart, by the phase before; replicas in other phases can't be
+# restarted
 PHASE_AFTER_RESTART = {
     ReplicaPhase.FAILED: ReplicaPhase.PENDING,
     ReplicaPhase.READY: ReplicaPhase.REPAIRING,
@@ -71,7 +72,7 @@
 
 
 class OperatorApi:
-    """Routes and answers operators' requests."""
+    """Routes and handles operators' requests."""
 
     def __init__(self, controller: ControllerContext, context: PoolContext) -> None:
         self._settings = controller.settings
@@ -83,7 +84,7 @@
         self._pool_writer = context.writer
 
     async def handle(self, request: Request) -> Response:
-        """Return the answer to a request."""
+        """Handle a request, with records that are up to date, and return the response."""
         handler = self._route(request)
         if handler is None:
             return NO_SUCH_PATH
@@ -206,11 +207,11 @@
     async def _update_set(
         self, name: str, change: Callable[[ReplicaSet | None], ReplicaSet | Response]
     ) -> Response:
-        """Change a set's record, and try again where the pool's owner has written it meanwhile.
+        """Update a set's record; retry if another controller has written it concurrently.
 
         Args:
             name: The name of the set.
-            change: Returns the set after the change, or the answer that says why it can't change.
+            change: Returns the set after the change, or an error response if it can't be changed.
         """
         for _ in range(MAX_WRITE_ATTEMPTS):
             stored = self._pool.sets.get(name)
@@ -226,7 +227,7 @@
         return UNAVAILABLE
 
     async def _write(self, txn: Txn) -> bool:
-        """Write a transaction within the time of a submission; return whether it was committed."""
+        """Write a transaction within the submission timeout; return whether it was committed."""
         until = self._clock.now() + self._settings.submission_timeout_s
         intent = WriteIntent(txn, WriteRank.URGENT, until=until)
         return await self._state_writer.commit(intent) == WriteResult.OK
@@ -246,7 +247,7 @@
         wall_time = self._clock.wall()
         after = after_transition(replica, phase, wall_time, RESTART_REASON)
         if phase is ReplicaPhase.PENDING:
-            # the operator's restart of a failed replica renews its budget
+            # an operator's restart of a failed replica resets its restart budget
             after.restarts = ()
         intent = self._pool_writer.transition(ownership, replica, after)
         if not all(await self._pool_writer.submit([intent])):
--- a/crossmill/multihost/candidates.py
+++ b/crossmill/multihost/candidates.py
@@ -1,7 +1,7 @@
-"""Finds the machines of the pool that can take members now, and what is free on them.
+"""Finds the machines of the pool that can run more members, and the free resources of each.
 
-`CandidateFinder` is called once in each pass of the scheduler while a replica waits. It has no
-state of its own.
+The scheduler calls `CandidateFinder` once per pass while a replica waits for machines. The finder
+has no state of its own.
 """
 
 from collections.abc import Iterator
@@ -16,7 +16,7 @@
 
 
 class CandidateFinder:
-    """Selects machines by their records, their agents' heartbeats and their failures."""
+    """Selects machines by their records, their agents' heartbeats and their failure scores."""
 
     def __init__(
         self,
@@ -31,14 +31,14 @@
         self._failures = failures
 
     def candidates(self, time: DecisionTime) -> Iterator[Candidate]:
-        """Iterate over the machines that can take members now."""
+        """Iterate over the machines that can run more members now."""
         for machine in self._pool.machines.values():
             candidate = self.candidate(machine, time)
             if candidate is not None:
                 yield candidate
 
     def candidate(self, machine: PoolMachine, time: DecisionTime) -> Candidate | None:
-        """Return the machine as a candidate; None if it takes no members now."""
+        """Return the machine as a candidate; None if no member may be placed on it now."""
         view = self._agents.get(machine.id)
         if view is None or not view.is_verified:
             return None
@@ -56,7 +56,7 @@
         )
 
     def _is_leaving(self, machine: PoolMachine, view: AgentView) -> bool:
-        """Return whether the machine is being emptied, or will be taken away or returned."""
+        """Return whether the machine is drained, released, about to be reclaimed or retiring."""
         return (
             bool(machine.drain_reason)
             or machine.is_released
@@ -65,7 +65,11 @@
         )
 
     def _free(self, machine: PoolMachine, view: AgentView) -> Resources:
-        """Return what neither planned members use, nor others that the agent still runs."""
+        """Return the resources that no member uses.
+
+        The agent may still run members of replicas that are no longer planned on its machine; their
+        resources count as used.
+        """
         free = self._pool.free(machine)
         for name in view.members:
             replica_id = ReplicaId.parse(name)
--- a/crossmill/multihost/coordinator.py
+++ b/crossmill/multihost/coordinator.py
@@ -1,8 +1,9 @@
 """The reconciliation loop of the pool's owner.
 
-A pass examines only replicas, sets and machines that have changed or are due. Whatever it decides
-is durable before an agent is told, so a controller may end at any moment: the next owner finds
-every replica in a phase from which it goes on. `service` runs the loop; heartbeats wake it.
+A pass examines only replicas, sets and machines that have changed or are due. Every decision is
+durable before an agent receives an order that follows from it. A controller may therefore stop at
+any moment: the next owner continues each replica from its stored phase. `service` runs the loop,
+and heartbeats wake it.
 """
 
 import logging
@@ -25,9 +26,9 @@
 
 log = logging.getLogger(__name__)
 
-# in a heartbeat interval: how many passes are made at most, and at least while agents report, so
-# that an overdue heartbeat is noticed in time
+# maximum number of passes in a heartbeat interval
 MAX_PASSES_PER_HEARTBEAT = 20
+# minimum number while agents report, so that an overdue heartbeat is detected in time
 MIN_PASSES_PER_HEARTBEAT = 2
 
 
@@ -54,24 +55,25 @@
             context.pool, context.writer, self._queue, scheduler, self._sets
         )
         self._wake = curio.Event()
-        # the token under which the present ownership began; None while there is none
+        # the term (the fencing token) of the ownership under which passes run; None until its
+        # first pass and after its end
         self._term: int | None = None
         context.ownership.on_lost(self._on_ownership_lost)
 
     @property
     def replicas_examined(self) -> int:
-        """How many times a replica was examined, since the start of the program."""
+        """The number of times that a replica was examined since the process started."""
         return self._replicas.examined_count
 
     # -- the loop --------------------------------------------------------------------
 
     async def wake_if_changed(self) -> None:
-        """End the wait between two passes if something has changed."""
+        """Start the next pass early if something has changed."""
         if self._pool.has_changes:
             await self._wake.set()
 
     async def run(self) -> None:
-        """Run a pass as soon as something has changed and whenever something is due."""
+        """Run passes while this controller owns the pool, as soon as there is something to do."""
         while True:
             ownership = self._ownership.command_ownership()
             if ownership is not None:
@@ -82,10 +84,10 @@
             self._wake.clear()
 
     def _max_delay_s(self) -> float:
-        """Return the longest wait until the next pass.
+        """Return the maximum delay before the next pass, in seconds.
 
-        A machine's overdue heartbeats are noticed by a pass. A controller to which no agent reports
-        can miss none, and the first heartbeat wakes it.
+        While agents report, passes must be frequent enough to detect overdue heartbeats. Without
+        agents no heartbeat can be overdue, and the first one wakes the loop.
         """
         longest_s = self._settings.heartbeat_interval_s / MIN_PASSES_PER_HEARTBEAT
         if len(self._agents) == 0:
@@ -98,7 +100,7 @@
     # -- the ownership ---------------------------------------------------------------
 
     def _on_ownership_lost(self) -> None:
-        """Forget all that is known of agents and replicas beyond their records."""
+        """Discard all state of agents and replicas that is not in their records."""
         self._term = None
         self._agents.clear()
         self._leases.clear()
@@ -108,10 +110,10 @@
         self._replicas.clear()
 
     def _begin_term(self, ownership: ShardOwnership) -> None:
-        """Have the first pass of an ownership examine everything.
+        """Mark everything as changed, so that the first pass of an ownership examines it.
 
-        What agents have reported and were granted since it began stays: all of it was dropped when
-        the ownership before ended.
+        Agents' reports and the leases granted to them are kept: all of them date from this
+        ownership, since the end of the previous one discarded the earlier ones.
         """
         self._term = ownership.term
         self._pool.mark_all_changed()
@@ -125,7 +127,7 @@
     # -- one pass --------------------------------------------------------------------
 
     async def reconcile(self, ownership: ShardOwnership) -> None:
-        """Take everything that has changed or is due its next step."""
+        """Run one pass: carry out the next step of everything that has changed or is due."""
         if self._term != ownership.term:
             self._begin_term(ownership)
         time = DecisionTime(self._clock.now(), self._clock.wall(), ownership.acquired_at)
@@ -146,7 +148,7 @@
         machine_intents = self._machines.reconcile(ownership, changes.machines)
         set_names = changes.sets | {r.set_name for r in replica_ids} | self._queue.set_names()
         sets = self._sets.reconcile(ownership, time, set_names)
-        # the state of one replica of a set may let another one be stopped
+        # a change of one replica can allow another replica of its set to be stopped
         replicas = self._replicas.reconcile(
             ownership, time, replica_ids | sets.may_stop, sets.may_stop
         )
--- a/crossmill/multihost/declaration.py
+++ b/crossmill/multihost/declaration.py
@@ -1,7 +1,7 @@
-"""Checks an operator's declaration of a replica set.
+"""Validates operators' declarations of replica sets.
 
-Pure functions, called by the operators' interface; the scheduler also asks whether the pool as it
-is could ever take a replica.
+Pure functions, called by the operators' API. The scheduler also uses them to check whether the
+machines now in the pool could hold a replica at all.
 """
 
 import re
@@ -21,7 +21,7 @@
 
 
 class InvalidDeclarationError(MultihostError):
-    """A field of a declaration is wrong."""
+    """A field of a declaration is invalid."""
 
     def __init__(self, field: str, problem: str) -> None:
         super().__init__(f"{field}: {problem}")
@@ -29,7 +29,7 @@
 
 
 class UnplaceableError(MultihostError):
-    """No zone of the pool can ever take a replica of the set."""
+    """The pool could not hold a replica of the set even with all machines idle."""
 
     def __init__(self, spec: ReplicaSetSpec, fitting: int) -> None:
         where = "one zone" if spec.one_zone else "all zones together"
@@ -40,26 +40,28 @@
         self.fitting = fitting
 
 
-def _number(data: dict[str, Any], name: str, low: float, default: float | None = None) -> float:
+def _number(data: dict[str, Any], name: str, minimum: float, default: float | None = None) -> float:
     if name not in data and default is not None:
         return default
     try:
         value = checks.amount(data, name)
     except checks.MalformedMessageError as exc:
-        raise InvalidDeclarationError(name, f"a number of at least {low:g} is needed") from exc
-    if value < low:
-        raise InvalidDeclarationError(name, f"a number of at least {low:g} is needed")
+        raise InvalidDeclarationError(name, f"a number of at least {minimum:g} is needed") from exc
+    if value < minimum:
+        raise InvalidDeclarationError(name, f"a number of at least {minimum:g} is needed")
     return value
 
 
-def _count(data: dict[str, Any], name: str, low: int, high: int, default: int | None = None) -> int:
+def _count(
+    data: dict[str, Any], name: str, minimum: int, maximum: int, default: int | None = None
+) -> int:
     if name not in data and default is not None:
         return default
     try:
-        return checks.count(data, name, low, high)
+        return checks.count(data, name, minimum, maximum)
     except checks.MalformedMessageError as exc:
         raise InvalidDeclarationError(
-            name, f"a whole number from {low} to {high} is needed"
+            name, f"a whole number from {minimum} to {maximum} is needed"
         ) from exc
 
 
@@ -70,26 +72,26 @@
     return value
 
 
-def _zones(data: dict[str, Any], known: Iterable[str]) -> tuple[str, ...]:
+def _zones(data: dict[str, Any], known_zones: Iterable[str]) -> tuple[str, ...]:
     value = data.get("zones", [])
     if type(value) is not list or not all(type(z) is str for z in value):
         raise InvalidDeclarationError("zones", "a list of zones is needed")
-    unknown = sorted(set(value) - set(known))
+    unknown = sorted(set(value) - set(known_zones))
     if unknown:
         raise InvalidDeclarationError("zones", f"no such zone: {', '.join(unknown)}")
     return tuple(value)
 
 
 def parse_declaration(name: str, data: dict[str, Any], zones: Iterable[str]) -> ReplicaSetSpec:
-    """Return the declaration after checking it.
+    """Validate an operator's declaration and return it as a specification.
 
     Args:
         name: The name of the set.
-        data: The declaration's fields as the operator gave them.
-        zones: The zones of the site.
+        data: The fields of the operator's request.
+        zones: The zones that the controller's settings list.
 
     Raises:
-        InvalidDeclarationError: A field is wrong; the error names it.
+        InvalidDeclarationError: A field is invalid; the error names it.
     """
     if not SET_NAME_PATTERN.fullmatch(name):
         raise InvalidDeclarationError("name", "up to 63 of a-z, 0-9 and - are needed")
@@ -122,15 +124,15 @@
 
 
 def check_placeable(spec: ReplicaSetSpec, machines: Iterable[PoolMachine]) -> None:
-    """Check that the pool could take one replica if it were empty.
+    """Check that the machines could hold one replica if all of them were idle.
 
     Raises:
-        UnplaceableError: It has too few machines that fit.
+        UnplaceableError: Too few machines have the capacity for a member.
     """
     fitting: dict[str, int] = {}
     for machine in machines:
         if spec.allows_zone(machine.zone) and machine.capacity.can_fit(spec.resources):
             fitting[machine.zone] = fitting.get(machine.zone, 0) + 1
-    most = max(fitting.values(), default=0) if spec.one_zone else sum(fitting.values())
-    if most < spec.members:
-        raise UnplaceableError(spec, most)
+    available = max(fitting.values(), default=0) if spec.one_zone else sum(fitting.values())
+    if available < spec.members:
+        raise UnplaceableError(spec, available)
--- a/crossmill/multihost/lifecycle.py
+++ b/crossmill/multihost/lifecycle.py
@@ -1,8 +1,8 @@
-"""Decides what happens next to a replica, from its records and its members' state.
+"""Decides the next step of a replica from its records and the state of its members.
 
-Pure functions without state. `observations` gathers their input, and `replica_reconciler` carries
-the decisions out. Every decision depends only on durable records and on what agents report, so that
-the next owner of the pool comes to the same ones.
+Pure functions. `observations` gathers their input, and `replica_reconciler` carries out the
+decisions. Every decision depends only on durable records and on the agents' reports, so that the
+next owner of the pool reaches the same decisions.
 """
 
 from collections.abc import Mapping
@@ -14,31 +14,33 @@
 from .phases import ReplicaPhase
 from .settings import MultihostSettings
 
-# a start may take so many times what its fetch should take: rates differ, and fetches share them
+# allowed ratio of a start's fetch time to the expected one: fetch rates vary, and concurrent
+# fetches share them
 FETCH_TIME_FACTOR = 3.0
-# a machine's fetch rate counts as at least this, so that no start limit is infinite
+# lower bound on a machine's fetch rate, so that no start limit is infinite
 MIN_FETCH_GB_PER_S = 1e-3
-# restarts that are not delayed, and the number of doublings after which the back-off stays
+# number of restarts without delay
 RESTARTS_WITHOUT_BACKOFF = 1
+# upper bound on the exponent of the back-off
 MAX_BACKOFF_DOUBLINGS = 16
-# while the members' rendezvous is incomplete it is checked so many times in a heartbeat interval
+# number of checks per heartbeat interval while the members' rendezvous is incomplete
 RENDEZVOUS_CHECKS_PER_HEARTBEAT = 8
 
 FAILED_STATUSES = frozenset({MemberStatus.LOST, MemberStatus.FAILED})
-# once all have confirmed the generation, a member that no longer does has failed
+# every member of a ready replica has confirmed the generation; one that no longer does has failed
 FAILED_STATUSES_WHEN_READY = FAILED_STATUSES | {MemberStatus.ABSENT, MemberStatus.LOADING}
 
 
 class ReplicaAction(Enum):
-    """What is to be done about a replica."""
+    """The next step of a replica."""
 
     WAIT = "wait"
-    # machines are needed
+    # wait for machines in the placement queue
     PLACE = "place"
-    # every member runs: the replica becomes ready
+    # mark the replica as ready, since every member runs
     CONFIRM = "confirm"
     REPAIR = "repair"
-    # give up the machines reserved so far and wait for all of them together
+    # release the machines reserved so far and wait until all can be reserved together
     RELEASE = "release"
     # delete the records of members whose machines are no longer reserved
     CLEAR = "clear"
@@ -46,18 +48,19 @@
     STOP = "stop"
     FAIL = "fail"
     RETRY = "retry"
-    # delete the record of a stopped replica
+    # delete the records of a stopped replica
     DELETE = "delete"
 
 
 class ReplicaDecision(NamedTuple):
-    """What is to be done about a replica, why, and when to decide again if nothing changes.
+    """The next step of a replica, with its reason.
 
     Attributes:
-        action: What is to be done.
-        reason: The reason as operators see it.
-        recheck_at: When to decide again, in the controller's steady time.
-        suspects: Ranks whose machines are not used for the next generation.
+        action: The next step.
+        reason: The reason as shown to operators.
+        recheck_at: The steady time at which to decide again if nothing changes; None if only a
+            change makes another decision necessary.
+        suspects: The ranks whose machines are avoided for the next generation.
     """
 
     action: ReplicaAction
@@ -67,16 +70,16 @@
 
 
 class ReplicaObservation(NamedTuple):
-    """What is known about a replica at the time of a decision.
+    """The observed state of a replica at the time of a decision.
 
     Attributes:
-        statuses: The state of each member, by rank.
-        unreachable: Ranks that the front member does not reach.
-        is_rendezvous_complete: Whether every member was alive, in this generation, after the last
-            of them had confirmed it.
-        fenced_at: From this steady time on no serving lease of an earlier generation is valid.
-        start_limit_s: A start that takes longer has failed.
-        may_stop: Whether the disruption budget lets the replica be stopped now.
+        statuses: The status of each member, by rank.
+        unreachable: The ranks that the front member can't reach.
+        is_rendezvous_complete: Whether every member was alive in this generation after the last of
+            them had confirmed it.
+        fenced_at: The steady time from which no serving lease of an earlier generation is valid.
+        start_limit_s: The time in seconds after which a start counts as failed.
+        may_stop: Whether the disruption budget allows the replica to be stopped now.
         all_stopped: Whether no member of any generation can still run.
     """
 
@@ -90,7 +93,7 @@
 
 
 class DecisionInput(NamedTuple):
-    """All that a decision about one replica depends on."""
+    """The input of a decision about one replica."""
 
     replica: Replica
     spec: ReplicaSetSpec
@@ -105,24 +108,24 @@
 
     @property
     def restart_count(self) -> int:
-        """The number of restarts that count against the set's budget."""
+        """The number of restarts that count against the set's restart budget."""
         return len(recent_restarts(self.replica, self.spec, self.time.wall))
 
 
 class _Suspicion(NamedTuple):
-    """The ranks that are to be replaced, and the reason as it is shown."""
+    """The ranks that are suspected of having failed, and the reason as shown to operators."""
 
     ranks: frozenset[int]
     reason: str
 
 
 def recent_restarts(replica: Replica, spec: ReplicaSetSpec, wall_time: float) -> tuple[float, ...]:
-    """Return the wall times of the restarts that still count against the set's budget."""
+    """Return the wall times of the restarts that still count against the set's restart budget."""
     return tuple(at for at in replica.restarts if wall_time - at <= spec.restart_window_s)
 
 
 def backoff_s(restarts: int, settings: MultihostSettings) -> float:
-    """Return how long a replica that was restarted so often waits before it is placed again."""
+    """Return the delay before a replica with this number of restarts is placed again."""
     if restarts <= RESTARTS_WITHOUT_BACKOFF:
         return 0.0
     doublings = min(restarts - RESTARTS_WITHOUT_BACKOFF - 1, MAX_BACKOFF_DOUBLINGS)
@@ -132,7 +135,7 @@
 def start_limit_s(
     spec: ReplicaSetSpec, slowest_fetch_gb_per_s: float, settings: MultihostSettings
 ) -> float:
-    """Return the time after which a start counts as failed."""
+    """Return the time in seconds after which a start counts as failed."""
     fetch_s = FETCH_TIME_FACTOR * spec.image_gb / max(slowest_fetch_gb_per_s, MIN_FETCH_GB_PER_S)
     return fetch_s + settings.start_overhead_s
 
@@ -142,7 +145,7 @@
     return _DECISIONS[inputs.replica.phase](inputs)
 
 
-# -- by phase ------------------------------------------------------------------------
+# -- decisions by phase --------------------------------------------------------------
 
 
 def _decide_pending(inputs: DecisionInput) -> ReplicaDecision:
@@ -172,7 +175,7 @@
 def _decide_starting(inputs: DecisionInput) -> ReplicaDecision:
     if inputs.replica.stop_reason:
         return ReplicaDecision(ReplicaAction.DRAIN, inputs.replica.stop_reason)
-    suspicion = _suspects(inputs.observation, FAILED_STATUSES)
+    suspicion = _find_suspects(inputs.observation, FAILED_STATUSES)
     if suspicion.ranks:
         return _decide_after_failure(inputs, suspicion)
     statuses = inputs.observation.statuses
@@ -187,7 +190,7 @@
 
 
 def _decide_loaded(inputs: DecisionInput) -> ReplicaDecision:
-    """Return the next step of a replica all of whose members have their weights."""
+    """Return the next step of a replica whose members have all loaded their weights."""
     observation, now = inputs.observation, inputs.time.now
     if not observation.is_rendezvous_complete:
         check_s = inputs.settings.heartbeat_interval_s / RENDEZVOUS_CHECKS_PER_HEARTBEAT
@@ -198,7 +201,7 @@
 
 
 def _decide_ready(inputs: DecisionInput) -> ReplicaDecision:
-    suspicion = _suspects(inputs.observation, FAILED_STATUSES_WHEN_READY)
+    suspicion = _find_suspects(inputs.observation, FAILED_STATUSES_WHEN_READY)
     if suspicion.ranks:
         return _decide_after_failure(inputs, suspicion)
     if inputs.replica.stop_reason and inputs.observation.may_stop:
@@ -241,11 +244,11 @@
 }
 
 
-# -- members that have failed --------------------------------------------------------
+# -- member failures -----------------------------------------------------------------
 
 
 def _decide_after_failure(inputs: DecisionInput, suspicion: _Suspicion) -> ReplicaDecision:
-    """Return the next step of a replica that has lost members."""
+    """Return the next step of a replica with members that have failed."""
     replica = inputs.replica
     if replica.stop_reason:
         return ReplicaDecision(ReplicaAction.DRAIN, f"{replica.stop_reason}; {suspicion.reason}")
@@ -255,22 +258,22 @@
     return ReplicaDecision(ReplicaAction.REPAIR, suspicion.reason, suspects=suspicion.ranks)
 
 
-def _suspects(
+def _find_suspects(
     observation: ReplicaObservation, failed_statuses: frozenset[MemberStatus]
 ) -> _Suspicion:
-    """Return the ranks to be replaced; none if the replica is healthy."""
+    """Return the ranks that have probably failed; none if the replica is healthy."""
     statuses = observation.statuses
     failed = frozenset(r for r, s in statuses.items() if s in failed_statuses)
     if failed:
-        how = " and ".join(sorted({statuses[r].value for r in failed}))
-        return _Suspicion(failed, f"member {how}: rank {_format_ranks(failed)}")
+        statuses_shown = " and ".join(sorted({statuses[r].value for r in failed}))
+        return _Suspicion(failed, f"member {statuses_shown}: rank {_format_ranks(failed)}")
     unreachable = observation.unreachable
     if not unreachable:
         return _Suspicion(frozenset(), "")
     shown = _format_ranks(unreachable)
     others = len(statuses) - 1
     if 2 * len(unreachable) > others and others > 1:
-        # one machine that reaches hardly any other is likelier at fault than all the others
+        # a front member that can't reach most others is more likely at fault than all of them
         front = frozenset({FRONT_RANK})
         return _Suspicion(front, f"front member reaches no majority: rank {shown}")
     return _Suspicion(unreachable, f"not reached by the front member: rank {shown}")
--- a/crossmill/multihost/phases.py
+++ b/crossmill/multihost/phases.py
@@ -1,7 +1,7 @@
 """The phases of a replica's life cycle and the transitions between them.
 
-Pure tables and functions without state. The records of replicas store the phases' values, so these
-don't change. Used by `lifecycle`, which decides on transitions, and by `writes`, which stores them.
+Tables and pure functions. `lifecycle` decides on transitions, `writes` stores them. Replica records
+contain the enum values of the phases, so these values must not change.
 """
 
 from enum import StrEnum
@@ -10,30 +10,30 @@
 
 
 class ReplicaPhase(StrEnum):
-    """Where a replica is in its life cycle."""
+    """The phase of a replica in its life cycle."""
 
-    # it has no machines and waits until enough of them are free
+    # the replica has no machines and waits until enough of them are free
     PENDING = "pending"
-    # its machines are being reserved in several transactions
+    # the replica's machines are being reserved in several transactions
     RESERVING = "reserving"
-    # all its machines are reserved; its members load their weights and find one another
+    # all machines are reserved; the members load their weights and connect to one another
     STARTING = "starting"
     # every member has confirmed the generation: the front member may be granted a serving lease
     READY = "ready"
     # a member was lost: the generation has ended, machines for the next one are being reserved
     REPAIRING = "repairing"
-    # its members are being stopped for good
+    # the members are being stopped permanently
     DRAINING = "draining"
     STOPPED = "stopped"
-    # it was restarted too often; it is retried by an operator or after the restart window
+    # the restart budget is used up; an operator's restart or the end of the restart window retries
     FAILED = "failed"
 
 
 class IllegalPhaseTransitionError(MultihostError):
-    """A replica can't go from the one phase to the other."""
+    """A transition is not in the table of transitions."""
 
     def __init__(self, old: ReplicaPhase, new: ReplicaPhase) -> None:
-        super().__init__(f"a replica that is {old} can't become {new}")
+        super().__init__(f"illegal replica phase transition from {old} to {new}")
         self.old = old
         self.new = new
 
@@ -69,7 +69,7 @@
     ReplicaPhase.FAILED: frozenset({ReplicaPhase.PENDING, ReplicaPhase.DRAINING}),
 }
 
-# these transitions begin a new generation: whatever belongs to an older one is fenced off
+# transitions that begin a new generation; members and serving leases of older ones are fenced off
 GENERATION_RAISING_TRANSITIONS = frozenset(
     {
         (ReplicaPhase.PENDING, ReplicaPhase.RESERVING),
@@ -83,18 +83,19 @@
     }
 )
 
-# members of the current generation are to run
+# phases in which the members of the current generation should run
 RUNNING_PHASES = frozenset({ReplicaPhase.STARTING, ReplicaPhase.READY})
-# machines are being reserved, for at most the time that the set's declaration allows
+# phases in which machines are being reserved, for at most the `hold_s` of the set's declaration
 RESERVING_PHASES = frozenset({ReplicaPhase.RESERVING, ReplicaPhase.REPAIRING})
+# phases in which a replica no longer counts towards the replicas of its set
 ENDED_PHASES = frozenset({ReplicaPhase.DRAINING, ReplicaPhase.STOPPED})
 
 
 def check_transition(old: ReplicaPhase, new: ReplicaPhase) -> None:
-    """Check that a replica may go from one phase to the other.
+    """Check that a replica may change from one phase to the other.
 
     Raises:
-        IllegalPhaseTransitionError: the table of transitions doesn't have this one.
+        IllegalPhaseTransitionError: The transition is not in the table.
     """
     if new not in TRANSITIONS[old]:
         raise IllegalPhaseTransitionError(old, new)
@@ -104,7 +105,7 @@
     """Return the replica's generation after a transition.
 
     Raises:
-        IllegalPhaseTransitionError: the table of transitions doesn't have this one.
+        IllegalPhaseTransitionError: The transition is not in the table.
     """
     check_transition(old, new)
     return generation + 1 if (old, new) in GENERATION_RAISING_TRANSITIONS else generation
--- a/crossmill/multihost/placement.py
+++ b/crossmill/multihost/placement.py
@@ -1,8 +1,8 @@
-"""Chooses machines for a replica's members: for all of them, or for none.
+"""Chooses machines for a replica's members: for all of them or for none (gang scheduling).
 
 Pure functions, called by `scheduling` and `preemption`. Members of one replica run on different
-machines; survivors of an earlier generation stay where they are, unless the whole replica is ready
-sooner elsewhere.
+machines. Members that survive from an earlier generation stay on their machines, unless the whole
+replica is ready sooner in another zone.
 """
 
 from collections.abc import Collection, Iterable, Mapping
@@ -10,16 +10,16 @@
 
 from .model import ReplicaSetSpec, Resources
 
-# a machine's fetch rate counts as at least this, so that no load time is infinite
+# lower bound on a machine's fetch rate, so that no load time is infinite
 MIN_FETCH_GB_PER_S = 1e-3
-# zones whose load times are the same to this many decimals count as equally fast
+# load times of zones are rounded to this many decimals before they are compared
 LOAD_TIME_DECIMALS = 3
-# stands for all zones together where a replica may be spread over them
+# the group key of all zones together, for a replica that may span zones
 ALL_ZONES = ""
 
 
 class Candidate(NamedTuple):
-    """A machine that can take members now, and what is free on it."""
+    """A machine that can run more members now, with its free resources."""
 
     machine: str
     zone: str
@@ -27,11 +27,11 @@
     free: Resources
     fetch_gb_per_s: float
     images: frozenset[str] = frozenset()
-    # it has failed often of late, and is used only where no other is left
+    # whether the machine failed often recently, so that it is chosen only if no other is left
     is_avoided: bool = False
 
     def load_s(self, spec: ReplicaSetSpec) -> float:
-        """Return how long a member waits here for its weights."""
+        """Return the seconds that a member takes to load its weights on this machine."""
         if spec.image in self.images:
             return 0.0
         return spec.image_gb / max(self.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
@@ -50,8 +50,8 @@
 
     Attributes:
         members: The machine of each rank.
-        load_s: How long until the last member has its weights.
-        survivor_count: How many members stay where they are.
+        load_s: The seconds until the last member has loaded its weights.
+        survivor_count: The number of members that stay on their machines.
     """
 
     members: tuple[MemberPlacement, ...]
@@ -60,15 +60,15 @@
 
     @property
     def machines(self) -> frozenset[str]:
-        """All machines that it takes."""
+        """The machines of all members."""
         return frozenset(m.machine for m in self.members)
 
 
 class _CandidateRank(NamedTuple):
-    """The order in which candidates are taken, the smallest first.
+    """The sort key of candidates; the smallest is chosen first.
 
-    Machines that have the weights come first, then those with the least free, so that large free
-    capacities stay for large members.
+    Machines that already have the weights are preferred, then those with the least free resources,
+    so that machines with more remain available to large members (best fit).
     """
 
     is_avoided: bool
@@ -78,10 +78,10 @@
 
 
 class _ZoneRank(NamedTuple):
-    """The order in which zones are preferred, the smallest first.
+    """The sort key of zones; the smallest is preferred.
 
-    The replica is to be ready soon; among equals the zone with fewer of the set's replicas is
-    taken, then the one where fewer members move.
+    The zone with the shortest load time is preferred, then for a spread set the one with fewer of
+    the set's replicas, then the one where fewer members move.
     """
 
     load_s: float
@@ -102,12 +102,12 @@
 
 
 def max_replicas_per_zone(spec: ReplicaSetSpec) -> int:
-    """Return how many replicas of a set may run in one zone."""
+    """Return the maximum number of a set's replicas in one zone: half of them if it is spread."""
     return (spec.replicas + 1) // 2 if spec.spread else spec.replicas
 
 
 def _is_zone_full(spec: ReplicaSetSpec, zone: str, replicas_by_zone: Mapping[str, int]) -> bool:
-    """Return whether a zone has as many replicas as a set that is spread allows."""
+    """Return whether a spread set has its maximum number of replicas in the zone."""
     return spec.spread and replicas_by_zone.get(zone, 0) >= max_replicas_per_zone(spec)
 
 
@@ -122,11 +122,11 @@
 
     Args:
         spec: The set's declaration.
-        survivors: The machines of ranks that may stay; what these members use is counted as free
-            in `candidates`.
-        candidates: The machines that can take members.
-        replicas_by_zone: How many other replicas of the set run in each zone.
-        excluded: Machines that take no new member.
+        survivors: The machines of the members that may stay, by rank. The resources that these
+            members use are counted as free in `candidates`.
+        candidates: The machines that can run more members.
+        replicas_by_zone: The number of other replicas of the set in each zone.
+        excluded: Machines on which no new member is placed.
     """
     by_zone: dict[str, list[Candidate]] = {}
     for candidate in candidates:
@@ -156,7 +156,7 @@
     candidates: list[Candidate],
     excluded: Collection[str],
 ) -> ReplicaPlacement | None:
-    """Return a placement on these candidates; None if there are too few."""
+    """Return a placement of all members on these candidates; None if there are too few."""
     by_machine = {c.machine: c for c in candidates}
     staying = {rank: by_machine[m] for rank, m in survivors.items() if m in by_machine}
     taken = {c.machine for c in staying.values()}
@@ -183,14 +183,15 @@
     replicas_by_zone: Mapping[str, int],
     max_machines: int,
 ) -> frozenset[str]:
-    """Return free machines that are kept for a replica that finds too few.
+    """Return free machines to keep idle for a replica that has too few machines to be placed.
 
-    They are in the zone that has most of them. Replicas behind it in the queue do not get them.
+    The machines are in the zone with the most free ones. Replicas that are later in the queue are
+    not placed on them, so that they can't delay the replica indefinitely.
 
     Args:
         spec: The declaration of the replica's set.
-        candidates: The machines that can take members.
-        replicas_by_zone: How many other replicas of the set run in each zone.
+        candidates: The machines that can run more members.
+        replicas_by_zone: The number of other replicas of the set in each zone.
         max_machines: The maximum number of machines to keep idle.
     """
     by_zone: dict[str, list[Candidate]] = {}
--- a/crossmill/multihost/placement_executor.py
+++ b/crossmill/multihost/placement_executor.py
@@ -1,7 +1,7 @@
-"""Carries out the scheduler's choices: reserves machines, and marks preempted replicas.
+"""Carries out the scheduler's choices: reserves machines and marks preempted replicas.
 
-`PlacementExecutor` is called by the coordinator at the end of each pass. It has no state of its
-own. Choices are carried out one after another in the order of the queue.
+The coordinator calls `PlacementExecutor` at the end of each pass. Choices are carried out one after
+the other, in the order of the queue. The executor has no state of its own.
 """
 
 import logging
@@ -24,7 +24,7 @@
 
 
 class PlacementExecutor:
-    """Reserves machines for the replicas that wait."""
+    """Reserves machines for the replicas in the placement queue."""
 
     def __init__(
         self,
@@ -48,13 +48,14 @@
         suspects_of: Callable[[ReplicaId], frozenset[int]],
         is_still_owner: Callable[[], bool],
     ) -> None:
-        """Serve all replicas that wait.
+        """Place the replicas in the queue, or preempt others for them.
 
         Args:
             ownership: The ownership of the pool.
             time: The time of the decisions.
             suspects_of: Returns the ranks whose machines caused a replica's restart.
-            is_still_owner: Returns whether the ownership has not ended between two choices.
+            is_still_owner: Returns whether the ownership still holds; called before each choice
+                is carried out.
         """
         for choice in self._scheduler.choose(time, suspects_of):
             if not is_still_owner():
@@ -65,7 +66,7 @@
                 await self._reserve(ownership, time, choice, choice.placement)
 
     async def _preempt(self, ownership: ShardOwnership, choice: PlacementChoice) -> None:
-        """Mark the victims of a choice as stopping."""
+        """Mark the replicas to be preempted as stopping."""
         reason = f"{PREEMPTED_REASON_PREFIX} {choice.replica_id}"
         intents = [self._sets.mark_stopping(ownership, v, reason) for v in choice.victims]
         await self._writer.submit(intents)
@@ -77,9 +78,9 @@
         choice: PlacementChoice,
         placement: ReplicaPlacement,
     ) -> None:
-        """Reserve the machines of a choice."""
+        """Reserve the chosen machines, unless another reservation must be finished first."""
         replica = self._pool.replicas.get(choice.replica_id)
-        if replica is None or self._must_wait_for_another(replica):
+        if replica is None or self._must_wait_for_open_reservation(replica):
             return
         reservation = Reservation(ownership, replica, placement, time.wall, choice.reason)
         if await self._reservations.reserve(reservation):
@@ -93,10 +94,10 @@
                 placement.load_s,
             )
 
-    def _must_wait_for_another(self, replica: Replica) -> bool:
-        """Return whether a reservation in steps would begin while another one is open."""
+    def _must_wait_for_open_reservation(self, replica: Replica) -> bool:
+        """Return whether the replica needs a reservation in steps while another one is open."""
         if replica.phase is not ReplicaPhase.PENDING:
             return False
         members = self._pool.sets[replica.id.set_name].spec.members
-        takes_steps = members > self._reservations.members_per_chunk()
-        return takes_steps and self._queue.has_open_reservation()
+        needs_steps = members > self._reservations.members_per_chunk()
+        return needs_steps and self._queue.has_open_reservation()
--- a/crossmill/multihost/placement_queue.py
+++ b/crossmill/multihost/placement_queue.py
@@ -1,7 +1,7 @@
 """The queue of replicas that wait for machines.
 
-All replicas wait in one total order. The queue is in the memory of the pool's owner: the replica
-reconciler adds and removes replicas, the scheduler serves them.
+The queue has one total order for all replicas. It exists only in the memory of the pool's owner.
+The replica reconciler adds and removes replicas, the scheduler chooses machines for them.
 """
 
 from typing import NamedTuple
@@ -11,27 +11,29 @@
 from .pool import PoolState
 from .settings import MultihostSettings
 
-# reservations already begun go first: only one is ever left open, and it is finished or undone
-# before another is begun. Then repairs, which have machines reserved; then all others
+# The stage decides first on a replica's position. Reservations in steps are first: at most one is
+# open, and it is finished or undone before the next begins. Repairs follow, since they hold
+# reserved machines, then all other replicas.
 STAGE_BY_PHASE = {ReplicaPhase.RESERVING: 0, ReplicaPhase.REPAIRING: 1}
 DEFAULT_STAGE = 2
 
 
 class _QueueEntry:
-    """A replica in the queue; times are of the controller's steady clock."""
+    """A replica in the queue. Times are read from the controller's steady clock."""
 
     __slots__ = ("unplaced_since", "waiting_since")
 
     def __init__(self, waiting_since: float) -> None:
         self.waiting_since = waiting_since
-        # since when the scheduler has found too few machines for it
+        # when the scheduler first found too few machines; None once it has found enough
         self.unplaced_since: float | None = None
 
 
 class QueuePosition(NamedTuple):
-    """The position of a replica in the queue, the smallest first.
+    """The sort key of a replica in the queue; the smallest is served first.
 
-    Within a stage the higher priority is served first, then the replica that has waited longer.
+    Within a stage the replica of higher priority is served first, then the one that has waited
+    longer.
     """
 
     stage: int
@@ -55,36 +57,36 @@
         return not self._entries
 
     def clear(self) -> None:
-        """Remove all replicas, when the ownership of the pool ends."""
+        """Remove all replicas; called when the ownership of the pool ends."""
         self._entries.clear()
 
     def add(self, replica_id: ReplicaId, now: float) -> None:
-        """Add a replica that needs machines; one that waits already keeps its time."""
+        """Add a replica that needs machines; one already in the queue keeps its waiting time."""
         self._entries.setdefault(replica_id, _QueueEntry(now))
 
     def remove(self, replica_id: ReplicaId) -> None:
-        """Remove a replica that needs no machines, or has got them."""
+        """Remove a replica that has its machines or no longer needs any."""
         self._entries.pop(replica_id, None)
 
     def note_placed(self, replica_id: ReplicaId) -> None:
-        """Note that the scheduler has found machines for a replica."""
+        """Record that the scheduler has found machines for a replica."""
         self._entries[replica_id].unplaced_since = None
 
     def note_unplaced(self, replica_id: ReplicaId, now: float) -> None:
-        """Note that the scheduler has found too few machines for a replica."""
+        """Record that the scheduler has found too few machines for a replica."""
         entry = self._entries[replica_id]
         if entry.unplaced_since is None:
             entry.unplaced_since = now
 
     def is_overdue(self, replica_id: ReplicaId, now: float) -> bool:
-        """Return whether the replica has found too few machines for so long that it may preempt."""
+        """Return whether the replica has been unplaceable for so long that it may preempt."""
         unplaced_since = self._entries[replica_id].unplaced_since
         if unplaced_since is None:
             return False
         return now - unplaced_since >= self._settings.preempt_after_s
 
     def has_overdue_replica(self, set_name: str, now: float) -> bool:
-        """Return whether a replica of the set is overdue."""
+        """Return whether a replica of the set has been unplaceable for too long."""
         return any(
             self.is_overdue(replica_id, now)
             for replica_id in self._entries
@@ -92,21 +94,21 @@
         )
 
     def set_names(self) -> set[str]:
-        """Return the names of the sets of the replicas that wait."""
+        """Return the names of the sets with a replica in the queue."""
         return {replica_id.set_name for replica_id in self._entries}
 
     def has_open_reservation(self) -> bool:
-        """Return whether a reservation in steps was begun and is neither finished nor undone."""
-        known = (self._pool.replicas.get(replica_id) for replica_id in self._entries)
-        return any(r is not None and r.phase is ReplicaPhase.RESERVING for r in known)
+        """Return whether a reservation in steps has begun and is neither finished nor undone."""
+        known_replicas = (self._pool.replicas.get(replica_id) for replica_id in self._entries)
+        return any(r is not None and r.phase is ReplicaPhase.RESERVING for r in known_replicas)
 
     def is_waiting(self, replica_id: ReplicaId) -> bool:
-        """Return whether the replica is in the queue, and known with its set."""
+        """Return whether the replica is in the queue, and both it and its set have records."""
         has_records = replica_id in self._pool.replicas and replica_id.set_name in self._pool.sets
         return replica_id in self._entries and has_records
 
     def in_order(self) -> list[ReplicaId]:
-        """Return the replicas that wait, in the order in which they are served."""
+        """Return the waiting replicas in the order in which they are served."""
         return sorted(filter(self.is_waiting, self._entries), key=self._position)
 
     def _position(self, replica_id: ReplicaId) -> QueuePosition:
--- a/crossmill/multihost/preemption.py
+++ b/crossmill/multihost/preemption.py
@@ -1,7 +1,8 @@
-"""Chooses whole replicas that are stopped for one of higher priority.
+"""Chooses the replicas to preempt for a replica of higher priority.
 
-The scheduler calls `PreemptionPlanner` for a replica that has waited too long for machines. It
-only reads the pool; the placement executor marks the chosen replicas as stopping.
+Replicas are preempted whole. The scheduler calls `PreemptionPlanner` for a replica that has waited
+too long for machines. The planner only reads the pool; the placement executor marks the chosen
+replicas as stopping.
 """
 
 from collections.abc import Iterable, Iterator, Mapping
@@ -14,18 +15,18 @@
 
 
 class Victim(NamedTuple):
-    """A whole replica that may be stopped for one of higher priority."""
+    """A replica that may be preempted for one of higher priority."""
 
     name: str
     priority: int
-    # when it entered its phase: the youngest has least to lose
+    # wall time at which the replica entered its phase: the latest loses the least work
     phase_entered_at: float
     machines: tuple[str, ...]
     resources: Resources
 
 
 class _VictimRank(NamedTuple):
-    """The order in which victims are taken: low priority, few members, young."""
+    """The sort key of victims: lowest priority first, then fewest members, then latest phase."""
 
     priority: int
     member_count: int
@@ -43,15 +44,16 @@
     victims: Iterable[Victim],
     replicas_by_zone: Mapping[str, int],
 ) -> tuple[Victim, ...]:
-    """Return whole replicas that make enough machines free; empty if no choice does.
+    """Return the victims whose stop frees enough machines; empty if no choice does.
 
-    They are of the lowest priority, with the fewest members lost, and the youngest.
+    Victims of the lowest priority are chosen first, then those with the fewest members, then those
+    that entered their phase last.
 
     Args:
         spec: The declaration of the set whose replica is to be placed.
-        candidates: The machines that can take members, and what is free on them.
-        victims: The replicas that may be stopped.
-        replicas_by_zone: How many other replicas of the set run in each zone.
+        candidates: The machines that can run more members, with their free resources.
+        victims: The replicas that may be preempted.
+        replicas_by_zone: The number of other replicas of the set in each zone.
     """
     machines = list(candidates)
 
@@ -66,7 +68,7 @@
             break
     else:
         return ()
-    # those that turned out not to be needed stay
+    # spare each earlier victim that a later one has made unnecessary
     for victim in list(chosen[:-1]):
         fewer = [v for v in chosen if v is not victim]
         if frees_enough(fewer):
@@ -75,12 +77,14 @@
 
 
 def _with_freed_resources(candidates: list[Candidate], victims: list[Victim]) -> list[Candidate]:
-    """Return the candidates with what the victims' stop makes free."""
+    """Return the candidates with the resources that stopping the victims frees added."""
     freed: dict[str, Resources] = {}
     for victim in victims:
         for machine in victim.machines:
-            known = freed.get(machine)
-            freed[machine] = victim.resources if known is None else known.plus(victim.resources)
+            freed_so_far = freed.get(machine)
+            freed[machine] = (
+                victim.resources if freed_so_far is None else freed_so_far.plus(victim.resources)
+            )
     return [
         c._replace(free=c.free.plus(freed[c.machine])) if c.machine in freed else c
         for c in candidates
@@ -99,14 +103,18 @@
         candidates: list[Candidate],
         replicas_by_zone: Mapping[str, int],
     ) -> tuple[ReplicaId, ...]:
-        """Return the replicas to be stopped; empty while others are already being stopped."""
-        if any(r.stop_reason for r in self._lower_priority(spec)):
+        """Return the replicas to preempt.
+
+        Empty while a replica of lower priority is already being stopped, since its machines may be
+        enough.
+        """
+        if any(r.stop_reason for r in self._lower_priority_replicas(spec)):
             return ()
         victims = choose_victims(spec, candidates, self._victims(spec), replicas_by_zone)
         return tuple(i for v in victims if (i := ReplicaId.parse(v.name)) is not None)
 
-    def _lower_priority(self, spec: ReplicaSetSpec) -> Iterator[Replica]:
-        """Iterate over the replicas with machines whose sets have a lower priority."""
+    def _lower_priority_replicas(self, spec: ReplicaSetSpec) -> Iterator[Replica]:
+        """Iterate over the replicas of lower priority that have machines."""
         for name, replicas in self._pool.replicas_of.items():
             stored = self._pool.sets.get(name)
             if stored is None or stored.spec.priority >= spec.priority:
@@ -114,11 +122,11 @@
             yield from (r for r in replicas.values() if r.all_members())
 
     def _victims(self, spec: ReplicaSetSpec) -> list[Victim]:
-        """Return the replicas that may be stopped within their sets' disruption budgets."""
+        """Return the replicas that their sets' disruption budgets allow to be preempted."""
         victims: list[Victim] = []
-        # by set: how many ready replicas may still be stopped
+        # number of ready replicas that may still be stopped, by set name
         budgets: dict[str, int] = {}
-        for replica in self._lower_priority(spec):
+        for replica in self._lower_priority_replicas(spec):
             stored = self._pool.sets[replica.id.set_name]
             name = stored.spec.name
             if replica.phase is ReplicaPhase.READY:
@@ -130,7 +138,7 @@
         return victims
 
     def _disruption_budget(self, stored: ReplicaSet) -> int:
-        """Return how many ready replicas of the set may be stopped."""
+        """Return the number of ready replicas of the set that may be stopped."""
         replicas = self._pool.replicas_of[stored.spec.name].values()
         return sum(r.phase is ReplicaPhase.READY for r in replicas) - stored.spec.min_ready
 
--- a/crossmill/multihost/replica_reconciler.py
+++ b/crossmill/multihost/replica_reconciler.py
@@ -1,7 +1,8 @@
-"""Reconciles replicas: observes each one that has changed or is due, and carries decisions out.
+"""Reconciles replicas: decides on each one that has changed or is due, and plans the writes.
 
-`ReplicaReconciler` is called by the coordinator in each pass. It owns the due times of replicas and
-the suspected members of replicas under repair; both end with the ownership of the pool.
+The coordinator calls `ReplicaReconciler` in each pass. The reconciler keeps the due times of
+replicas and the suspected members of replicas under repair; both are discarded when the ownership
+of the pool ends.
 """
 
 import logging
@@ -30,10 +31,11 @@
 
 log = logging.getLogger(__name__)
 
-# an agent's first heartbeat may come right at the end of the time for it: this part of a heartbeat
-# interval is added
+# this fraction (1/20) of a heartbeat interval is added to the time allowed for an agent's first
+# heartbeat, which may arrive right at its end
 FIRST_CONTACT_MARGIN_DIVISOR = 20
 
+# the phase that each action moves a replica to; the other actions keep the phase
 PHASE_AFTER_ACTION = {
     ReplicaAction.CONFIRM: ReplicaPhase.READY,
     ReplicaAction.REPAIR: ReplicaPhase.REPAIRING,
@@ -53,21 +55,21 @@
 
 
 class RecordDeletion(NamedTuple):
-    """A replica whose members' records are to be deleted, and perhaps its own."""
+    """The deletion of the records of a replica's members and, optionally, of its own record."""
 
     replica: Replica
     includes_replica: bool
 
 
 class ReplicaChanges(NamedTuple):
-    """What the replicas of a pass need: the writes, then the deletions, in order."""
+    """The changes from a pass over replicas: the writes, then the deletions, in order."""
 
     intents: list[WriteIntent]
     deletions: list[RecordDeletion]
 
 
 class ReplicaReconciler:
-    """Takes each replica its next step."""
+    """Plans the next step of each replica."""
 
     def __init__(
         self, context: PoolContext, queue: PlacementQueue, failures: FailureScores
@@ -80,23 +82,23 @@
             context.settings, context.pool, context.agents, context.leases
         )
         self._due = DueTimes()
-        # ranks whose machines are avoided when their replica is repaired
+        # ranks whose machines are avoided when the replica is repaired, by replica ID
         self._suspects: dict[ReplicaId, frozenset[int]] = {}
-        # how many times a replica was examined, since the start of the program
+        # number of times that a replica was examined since the process started
         self.examined_count = 0
 
     def clear(self) -> None:
-        """Forget everything, when the ownership of the pool ends."""
+        """Discard all state; called when the ownership of the pool ends."""
         self._observer.clear()
         self._due.clear()
         self._suspects.clear()
 
     def next_due_at(self) -> float | None:
-        """Return a steady time before which no replica is due; None if none is due at all."""
+        """Return a steady time before which no replica is due; None if no due time is set."""
         return self._due.next_at()
 
     def pop_due(self, now: float) -> set[ReplicaId]:
-        """Remove and return the replicas that are due by now."""
+        """Remove and return the replicas that are due."""
         return self._due.pop_due(now)
 
     def suspects_of(self, replica_id: ReplicaId) -> frozenset[int]:
@@ -110,13 +112,13 @@
         replica_ids: Iterable[ReplicaId],
         may_stop: set[ReplicaId],
     ) -> ReplicaChanges:
-        """Return what these replicas need.
+        """Return the changes that these replicas need.
 
         Args:
             ownership: The ownership of the pool.
             time: The time of the decisions.
             replica_ids: The replicas that have changed or are due.
-            may_stop: The replicas that their sets' disruption budgets let stop now.
+            may_stop: The replicas whose stop their sets' disruption budgets allow now.
         """
         changes = ReplicaChanges([], [])
         for replica_id in sorted(replica_ids):
@@ -136,7 +138,7 @@
         self.examined_count += 1
         stored = self._pool.sets.get(replica.id.set_name)
         if replica.version == 0 or stored is None:
-            # its own record, or that of its set, was deleted or hasn't been read yet
+            # the record of the replica or of its set was deleted or has not been read yet
             return
         time = reconcile_pass.time
         observation = self._observer.observe(replica, stored, time, may_stop)
@@ -165,7 +167,7 @@
         observation: ReplicaObservation,
         time: DecisionTime,
     ) -> None:
-        """Note when the replica is to be examined again if nothing changes."""
+        """Schedule the next examination of the replica, for the case that nothing changes."""
         if decision.recheck_at is not None:
             self._due.add(replica_id, decision.recheck_at)
         if MemberStatus.UNKNOWN in observation.statuses.values():
@@ -185,7 +187,7 @@
         stored: ReplicaSet,
         decision: ReplicaDecision,
     ) -> WriteIntent:
-        """Return the write of the phase that follows from the decision."""
+        """Return the write of the phase transition that the decision requires."""
         wall = reconcile_pass.time.wall
         after = after_transition(
             replica, PHASE_AFTER_ACTION[decision.action], wall, decision.reason
@@ -204,7 +206,10 @@
         return self._context.writer.transition(reconcile_pass.ownership, replica, after)
 
     def _note_suspects(self, replica: Replica, decision: ReplicaDecision, now: float) -> None:
-        """Count the failures of suspected machines; a confirmed generation has no suspects."""
+        """Record suspected members and count their machines' failures.
+
+        A replica that becomes ready has no suspects any more.
+        """
         if decision.suspects:
             self._suspects[replica.id] = decision.suspects
             for member in replica.members():
--- a/crossmill/multihost/representations.py
+++ b/crossmill/multihost/representations.py
@@ -1,6 +1,6 @@
-"""How replica sets, replicas and machines are shown to operators, as JSON objects.
+"""Converts replica sets, replicas and machines to the JSON objects of the operators' API.
 
-Pure functions, called by the operators' interface.
+Pure functions, called by `api`.
 """
 
 from typing import Any
@@ -10,12 +10,12 @@
 from .pool import PoolState
 from .records import encode_set
 
-# of times in the answers, in seconds
+# number of decimals of the times in responses, which are in seconds
 TIME_DECIMALS = 3
 
 
 def describe_set(pool: PoolState, stored: ReplicaSet) -> dict[str, Any]:
-    """Return a set with its declaration and the number of its replicas."""
+    """Describe a set with its declaration and the number of its replicas."""
     replicas = pool.replicas_of.get(stored.spec.name, {})
     data = encode_set(stored)
     data["resources"] = stored.spec.resources._asdict()
@@ -25,7 +25,7 @@
 
 
 def describe_replica(replica: Replica, wall_time: float) -> dict[str, Any]:
-    """Return a replica with its members and its history, at this wall time."""
+    """Describe a replica with its members and its history, as of this wall time."""
     return {
         "replica": str(replica.id),
         "phase": replica.phase.value,
@@ -40,7 +40,7 @@
 
 
 def _describe_history(replica: Replica, wall_time: float) -> list[dict[str, Any]]:
-    """Return the last phases, with the time spent in each."""
+    """Describe the latest phases with the time spent in each."""
     ends = [change.at for change in replica.history[1:]] + [wall_time]
     return [
         {
@@ -54,7 +54,7 @@
 
 
 def describe_machine(pool: PoolState, machine: PoolMachine) -> dict[str, Any]:
-    """Return a machine with what is free on it and its replicas."""
+    """Describe a machine with its free resources and its replicas."""
     return {
         "machine": machine.id,
         "zone": machine.zone,
--- a/crossmill/multihost/reservations.py
+++ b/crossmill/multihost/reservations.py
@@ -1,8 +1,9 @@
-"""Reserves the machines of all members of a replica, or of none.
+"""Reserves machines for all members of a replica or for none.
 
-`ReservationWriter` is called by the placement executor. A reservation that fits into one
-transaction is atomic. A larger one is made in steps under a durable intent, the replica's phase: a
-controller may end between two steps, and the next owner finishes or undoes the reservation.
+The placement executor calls `ReservationWriter`. A reservation that fits into one transaction is
+atomic. A larger one is made in steps, one chunk of members per transaction, under a durable intent:
+the replica's phase RESERVING or REPAIRING. If the controller stops between two steps, the next
+owner finishes or undoes the reservation.
 """
 
 from collections.abc import Sequence
@@ -20,17 +21,17 @@
 from .records import encode_chunk, encode_replica
 from .writes import PoolWriter, after_transition
 
-# the longest encoding of a member in a record
+# upper bound on the encoded size of a member in a record
 MAX_MEMBER_RECORD_BYTES = 96
 
 
 class Reservation(NamedTuple):
-    """Machines that are to be reserved for a replica, decided under an ownership of the pool."""
+    """A decision to reserve machines for a replica, under an ownership of the pool."""
 
     ownership: ShardOwnership
     replica: Replica
     placement: ReplicaPlacement
-    # of the decision
+    # wall time of the decision, in seconds
     decided_at: float
     reason: str
 
@@ -43,12 +44,12 @@
         self._pool = pool
 
     def members_per_chunk(self) -> int:
-        """Return how many members one transaction reserves, with a condition on each machine."""
+        """Return how many members one transaction can reserve, with a condition per machine."""
         members_in_a_record = self._writer.max_record_bytes // MAX_MEMBER_RECORD_BYTES
         return max(1, min(self._writer.max_machines, members_in_a_record))
 
     async def reserve(self, reservation: Reservation) -> bool:
-        """Reserve all machines and begin the start; return whether this was written."""
+        """Reserve all machines and move the replica to STARTING; return whether this succeeded."""
         replica = reservation.replica
         chunks = self._split(_members(replica, reservation.placement))
         if len(chunks) == 1 and replica.chunk_count <= 1:
@@ -56,7 +57,7 @@
         return await self._reserve_in_steps(reservation, chunks)
 
     def _split(self, members: Sequence[Member]) -> list[tuple[Member, ...]]:
-        """Return the members as they are spread over records."""
+        """Split the members into chunks that fit into one transaction and one record each."""
         size = self.members_per_chunk()
         return [tuple(members[i : i + size]) for i in range(0, len(members), size)]
 
@@ -83,7 +84,7 @@
         return await self._finish(reservation, len(chunks))
 
     async def _begin(self, reservation: Reservation, chunk_count: int) -> bool:
-        """Write the intent to reserve the machines in so many steps."""
+        """Write the intent to reserve the machines in this number of chunks."""
         replica = reservation.replica
         after = after_transition(
             replica, ReplicaPhase.RESERVING, reservation.decided_at, reservation.reason
@@ -95,13 +96,13 @@
     async def _reserve_chunks(
         self, reservation: Reservation, replica: Replica, chunks: list[tuple[Member, ...]]
     ) -> bool:
-        """Reserve the machines of each chunk that isn't reserved for this generation yet."""
+        """Reserve the machines of each chunk that is not yet reserved for this generation."""
         for number, members in enumerate(chunks):
-            known = replica.chunks.get(number)
+            stored_chunk = replica.chunks.get(number)
             if (
-                known is not None
-                and known.generation == replica.generation
-                and known.members == members
+                stored_chunk is not None
+                and stored_chunk.generation == replica.generation
+                and stored_chunk.members == members
             ):
                 continue
             txn = self._chunk_transaction(replica, number, replica.generation, members)
@@ -110,7 +111,7 @@
         return True
 
     async def _finish(self, reservation: Reservation, chunk_count: int) -> bool:
-        """Begin the start of a replica whose machines are all reserved."""
+        """Move a replica whose machines are all reserved to STARTING."""
         replica = self._pool.replicas[reservation.replica.id]
         after = after_transition(
             replica, ReplicaPhase.STARTING, reservation.decided_at, reservation.reason
@@ -118,7 +119,7 @@
         after.chunk_count = chunk_count
         key = keys.replica(replica.id)
         txn = Txn({key: replica.version}, [Put(key, encode_replica(after))])
-        # an earlier generation may have had more chunks
+        # delete the remaining chunks of an earlier generation that had more of them
         for number in [n for n in replica.chunks if n >= chunk_count]:
             txn.deletes.append(keys.members(replica.id, number))
         return await self._writer.commit(reservation.ownership, WriteRank.PLACEMENT, txn)
@@ -128,12 +129,12 @@
     ) -> Txn:
         """Return the transaction that reserves the machines of one chunk.
 
-        It fails if a machine's ordinary record has changed, since the machine may be about to be
-        returned.
+        The transaction fails if a machine's record in the cluster (not that of the pool) has
+        changed, since the machine may be about to be returned to its provider.
         """
         key = keys.members(replica.id, number)
-        known = replica.chunks.get(number)
-        txn = Txn({key: known.version if known else 0})
+        stored_chunk = replica.chunks.get(number)
+        txn = Txn({key: stored_chunk.version if stored_chunk else 0})
         txn.conditions[keys.replica(replica.id)] = replica.version
         for member in members:
             machine_key = cluster_keys.machine(member.machine)
@@ -143,11 +144,11 @@
 
 
 def _members(replica: Replica, placement: ReplicaPlacement) -> list[Member]:
-    """Return the members at their new places, counting the machines that each rank has been on."""
+    """Return the placed members; a rank that moves to another machine begins a new attempt."""
     previous = {m.rank: m for m in replica.all_members()}
     members = []
     for rank, machine, session in placement.members:
-        known = previous.get(rank)
-        attempt = 1 if known is None else known.attempt + (known.machine != machine)
+        old = previous.get(rank)
+        attempt = 1 if old is None else old.attempt + (old.machine != machine)
         members.append(Member(rank, machine, session, attempt))
     return members
--- a/crossmill/multihost/scheduling.py
+++ b/crossmill/multihost/scheduling.py
@@ -1,8 +1,9 @@
-"""Decides which of the replicas that wait get which machines.
+"""Decides which waiting replicas are placed on which machines.
 
-`Scheduler` is called by the placement executor in each pass of the coordinator. A replica gets all
-of its machines or none. The first replica that finds too few keeps free machines from those behind
-it in the queue, up to a configured part of the pool. State is kept only within a pass.
+The placement executor calls `Scheduler` in each pass of the coordinator. A replica gets all of its
+machines or none. For the first replica that can't be placed, free machines are kept idle, up to a
+configured share of the pool, so that replicas later in the queue don't occupy them. The scheduler
+keeps no state between passes.
 """
 
 from collections.abc import Callable, Iterator
@@ -24,7 +25,7 @@
 
 
 class PlacementChoice(NamedTuple):
-    """What a waiting replica gets: machines, or other replicas that are to be stopped for it."""
+    """The decision on a waiting replica: a placement, or the replicas to preempt for it."""
 
     replica_id: ReplicaId
     reason: str = ""
@@ -33,25 +34,25 @@
 
 
 class _SchedulingPass(NamedTuple):
-    """One pass over the queue: the candidates as earlier choices leave them."""
+    """One pass over the queue, with the candidates that remain after the choices so far."""
 
     time: DecisionTime
     candidates: dict[str, Candidate]
-    # machines kept for the first replica that found too few
+    # machines kept idle for the first replica that could not be placed
     kept_idle: set[str]
 
 
 class _PlacementRequest(NamedTuple):
-    """What is needed to choose machines for one replica.
+    """The input for choosing the machines of one replica.
 
     Attributes:
-        replica: The replica that waits.
+        replica: The waiting replica.
         spec: The declaration of its set.
-        own_machines: The machines on which it has members.
-        survivors: The machines of ranks that may stay.
-        suspects: Machines that caused its restart.
-        candidates: The candidates; what the replica itself uses is counted as free.
-        replicas_by_zone: How many other replicas of the set run in each zone.
+        own_machines: The machines on which the replica has members.
+        survivors: The machines of the members that may stay, by rank.
+        suspects: The machines that caused the replica's restart.
+        candidates: The candidates, with the resources that the replica itself uses counted as free.
+        replicas_by_zone: The number of other replicas of the set in each zone.
     """
 
     replica: Replica
@@ -64,7 +65,7 @@
 
 
 class Scheduler:
-    """Chooses machines for the replicas that wait."""
+    """Chooses machines for the waiting replicas."""
 
     def __init__(
         self,
@@ -82,10 +83,10 @@
     def choose(
         self, time: DecisionTime, suspects_of: Callable[[ReplicaId], frozenset[int]]
     ) -> Iterator[PlacementChoice]:
-        """Iterate over what the waiting replicas get, in the order of the queue.
+        """Iterate over the choices for the waiting replicas, in the order of the queue.
 
-        Choices are carried out one by one, and the ownership may end in between. Costs nothing
-        while no replica waits.
+        The caller carries out each choice before it requests the next, and the ownership may end in
+        between. No machine is examined while the queue is empty.
 
         Args:
             time: The time of the decision.
@@ -98,14 +99,14 @@
         for replica_id in self._queue.in_order():
             if not self._queue.is_waiting(replica_id):
                 continue
-            choice = self._choose_one(replica_id, suspects_of(replica_id), scheduling_pass)
+            choice = self._choose_for_replica(replica_id, suspects_of(replica_id), scheduling_pass)
             if choice is not None:
                 yield choice
 
-    def _choose_one(
+    def _choose_for_replica(
         self, replica_id: ReplicaId, suspects: frozenset[int], scheduling_pass: _SchedulingPass
     ) -> PlacementChoice | None:
-        request = self._request(replica_id, suspects, scheduling_pass)
+        request = self._build_request(replica_id, suspects, scheduling_pass)
         placement = _choose_machines(request, scheduling_pass)
         if placement is not None:
             self._queue.note_placed(replica_id)
@@ -123,7 +124,7 @@
         )
         return PlacementChoice(replica_id, victims=victims) if victims else None
 
-    def _request(
+    def _build_request(
         self, replica_id: ReplicaId, suspects: frozenset[int], scheduling_pass: _SchedulingPass
     ) -> _PlacementRequest:
         replica = self._pool.replicas[replica_id]
@@ -143,7 +144,7 @@
         )
 
     def _replicas_by_zone(self, replica: Replica) -> dict[str, int]:
-        """Return how many other replicas of the set run in each zone."""
+        """Return the number of other replicas of the set in each zone."""
         by_zone: dict[str, int] = {}
         for other in self._pool.replicas_of[replica.id.set_name].values():
             members = other.all_members()
@@ -157,9 +158,9 @@
     def _keep_machines_idle(
         self, request: _PlacementRequest, scheduling_pass: _SchedulingPass
     ) -> None:
-        """Keep free machines for the first replica that finds too few, and for it alone.
+        """Keep free machines idle for the first replica of the pass that can't be placed.
 
-        None are kept if the pool as it is could not take the replica even if it were empty.
+        No machines are kept if the candidates could not hold the replica even if all were idle.
         """
         if scheduling_pass.kept_idle:
             return
@@ -181,7 +182,7 @@
 def _choose_machines(
     request: _PlacementRequest, scheduling_pass: _SchedulingPass
 ) -> ReplicaPlacement | None:
-    """Return machines for the replica; suspected ones only where no others are left."""
+    """Choose machines for the replica; suspects only if there are too few others."""
 
     def choose_without(excluded: set[str]) -> ReplicaPlacement | None:
         return choose_placement(
@@ -202,7 +203,7 @@
 def _survivors(
     replica: Replica, suspects: frozenset[int], scheduling_pass: _SchedulingPass
 ) -> dict[int, str]:
-    """Return, by rank, the machines of members that may stay."""
+    """Return the machines of the members that may stay, by rank."""
     if replica.phase not in RESERVING_PHASES:
         return {}
     return {
@@ -213,7 +214,7 @@
 
 
 def _is_suspect(member: Member, replica: Replica, suspects: frozenset[int]) -> bool:
-    """Return whether the member's machine caused the restart; one chosen since then did not."""
+    """Return whether the member's machine caused the restart; one reserved since then did not."""
     reserved = {m.rank: m.machine for m in replica.members()}
     is_new = reserved.get(member.rank) == member.machine
     return member.rank in suspects and not is_new
@@ -226,9 +227,9 @@
 def _subtract_placement(
     request: _PlacementRequest, placement: ReplicaPlacement, scheduling_pass: _SchedulingPass
 ) -> None:
-    """Subtract what the placement takes from the candidates of this pass.
+    """Subtract the resources of the placement from the candidates of this pass.
 
-    Where the replica has members already, its records count what they use.
+    Machines on which the replica already has members are left out: its records already count there.
     """
     for _, machine, _ in placement.members:
         if machine not in request.own_machines:
--- a/crossmill/multihost/set_reconciler.py
+++ b/crossmill/multihost/set_reconciler.py
@@ -1,7 +1,7 @@
-"""Reconciles replica sets: creates replicas and marks those that are to be stopped.
+"""Reconciles replica sets: creates replicas and marks others as stopping.
 
-`SetReconciler` is called by the coordinator in each pass, and by the placement executor for
-preemption. It has no state of its own.
+The coordinator calls `SetReconciler` in each pass, the placement executor calls it for preemption.
+The reconciler has no state of its own.
 """
 
 import logging
@@ -21,11 +21,11 @@
 
 
 class SetChanges(NamedTuple):
-    """What the sets need.
+    """The changes from a pass over sets.
 
     Attributes:
         intents: The writes, in the order in which they are submitted.
-        may_stop: The replicas marked as stopping that the disruption budget lets stop now.
+        may_stop: The replicas marked as stopping whose stop the disruption budget allows now.
     """
 
     intents: list[WriteIntent]
@@ -44,7 +44,7 @@
     def reconcile(
         self, ownership: ShardOwnership, time: DecisionTime, names: Iterable[str]
     ) -> SetChanges:
-        """Return what the sets of these names need."""
+        """Return the changes that the sets with these names need."""
         changes = SetChanges([], set())
         for name in sorted(names):
             self._reconcile_set(ownership, time, name, changes)
@@ -72,13 +72,13 @@
     def mark_stopping(
         self, ownership: ShardOwnership, replica_id: ReplicaId, reason: str
     ) -> WriteIntent:
-        """Return the write that marks a replica as stopping for this reason."""
+        """Return the write that marks a replica as stopping, with the reason."""
         replica = self._pool.replicas[replica_id]
         log.info("replica leaves replica=%s reason=%s", replica_id, reason)
         return self._writer.transition(ownership, replica, replace(replica, stop_reason=reason))
 
     def _evacuated(self, replicas: Iterable[Replica]) -> dict[ReplicaId, str]:
-        """Return the replicas with a member on a machine that is to be emptied, with the reason."""
+        """Return the reasons of replicas with a member on a machine to evacuate, by replica ID."""
         evacuated: dict[ReplicaId, str] = {}
         for replica in replicas:
             for member in replica.all_members():
@@ -88,7 +88,7 @@
         return evacuated
 
     def _evacuation_reason(self, machine_id: str) -> str:
-        """Return why the machine is to be emptied; empty if it is not."""
+        """Return why the machine must be evacuated; empty if it need not be."""
         machine = self._pool.machines.get(machine_id)
         view = self._agents.get(machine_id)
         if machine is not None and machine.drain_reason:
--- a/crossmill/multihost/sets.py
+++ b/crossmill/multihost/sets.py
@@ -1,7 +1,7 @@
-"""Plans what a replica set needs as a whole: replicas to be created, or to be stopped.
+"""Plans the changes of a replica set: which replicas to create and which to stop.
 
-Pure functions over the set's replicas, called by `set_reconciler`. The disruption budget is
-enforced here: no voluntary stop leaves fewer ready replicas than the declaration's `min_ready`.
+Pure functions over the set's replicas, called by `set_reconciler`. They enforce the disruption
+budget: no voluntary stop leaves fewer ready replicas than the declaration's `min_ready`.
 """
 
 from collections.abc import Mapping
@@ -12,18 +12,18 @@
 
 REMOVED_REASON = "the set was removed"
 SURPLUS_REASON = "more replicas than declared"
-# a replica that is stopped for this reason does not wait for a replacement
+# prefix of the stop reason of a preempted replica, which stops without waiting for a replacement
 PREEMPTED_REASON_PREFIX = "preempted for"
 
 
 class SetPlan(NamedTuple):
-    """Changes of a set's replicas.
+    """The changes that bring a replica set to its declared state.
 
     Attributes:
-        create_count: How many replicas are to be created.
-        stop_reasons: The replicas that are to be marked as stopping, with the reason.
-        may_stop: The replicas marked as stopping that may be stopped now.
-        delete_set: Whether the set's record itself is to be deleted.
+        create_count: The number of replicas to create.
+        stop_reasons: The reasons of the replicas to mark as stopping, by replica ID.
+        may_stop: The replicas marked as stopping whose stop the disruption budget allows now.
+        delete_set: Whether to delete the set's own record.
     """
 
     create_count: int
@@ -33,7 +33,7 @@
 
 
 class _SurplusRank(NamedTuple):
-    """The order in which surplus replicas are stopped: those not ready, then the newest."""
+    """The sort key of surplus replicas: those that are not ready stop first, then the newest."""
 
     is_ready: bool
     negative_number: int
@@ -45,12 +45,12 @@
     evacuated: Mapping[ReplicaId, str],
     is_placement_overdue: bool,
 ) -> SetPlan:
-    """Return what the set needs now.
+    """Return the changes that the set needs now.
 
     Args:
-        stored: The set.
-        replicas: Its replicas by number.
-        evacuated: Replicas with a member on a machine that is to be emptied, with the reason.
+        stored: The set's record.
+        replicas: The set's replicas, by number.
+        evacuated: The reasons of replicas with a member on a machine to evacuate, by replica ID.
         is_placement_overdue: Whether a replica of the set has waited too long for machines.
     """
     alive = [r for r in replicas.values() if r.version and r.phase not in ENDED_PHASES]
@@ -71,7 +71,7 @@
 
 
 def _surplus_replicas(remaining: list[Replica], desired: int) -> list[Replica]:
-    """Return the replicas that are more than wanted."""
+    """Return the replicas in excess of the desired number."""
 
     def rank(replica: Replica) -> _SurplusRank:
         return _SurplusRank(replica.phase is ReplicaPhase.READY, -replica.id.number)
@@ -85,9 +85,10 @@
     stop_reasons: Mapping[ReplicaId, str],
     is_placement_overdue: bool,
 ) -> frozenset[ReplicaId]:
-    """Return the ready replicas whose stop keeps the set at its minimum.
+    """Return the stopping replicas that may stop without violating the disruption budget.
 
-    A replacement is waited for, unless it finds no machines.
+    A replica stops only once its replacement is ready, unless it is preempted or a replica of the
+    set has waited too long for machines. All replicas of a removed set may stop.
     """
     ready = [r for r in alive if r.phase is ReplicaPhase.READY]
     stopping = [r for r in ready if r.stop_reason or r.id in stop_reasons]
@@ -97,11 +98,11 @@
     is_replaced = len(ready) - len(stopping) >= desired
     allowed: list[ReplicaId] = []
     for replica in sorted(stopping, key=lambda r: r.id):
-        left = len(ready) - len(allowed) - 1
-        if left < stored.spec.min_ready:
+        ready_after_stop = len(ready) - len(allowed) - 1
+        if ready_after_stop < stored.spec.min_ready:
             continue
         reason = replica.stop_reason or stop_reasons[replica.id]
         needs_no_replacement = is_placement_overdue or reason.startswith(PREEMPTED_REASON_PREFIX)
-        if left >= desired or is_replaced or needs_no_replacement:
+        if ready_after_stop >= desired or is_replaced or needs_no_replacement:
             allowed.append(replica.id)
     return frozenset(allowed)
--- a/tests/multihost_agents.py
+++ b/tests/multihost_agents.py
@@ -165,10 +165,10 @@
                         member.serve_until = max(member.serve_until, begin + order.lease_s)
 
     def _start(self, order: Order) -> None:
-        known = self.members.get(order.replica)
+        running = self.members.get(order.replica)
         if order.generation < self.highest_generations.get(order.replica, 0):
             return
-        if known is not None and not known.refused and known.generation == order.generation:
+        if running is not None and not running.refused and running.generation == order.generation:
             return
         self.highest_generations[order.replica] = order.generation
         others = [m.resources for r, m in self.members.items() if r != order.replica]
@@ -187,8 +187,8 @@
         )
 
     def _stop(self, order: Order) -> None:
-        known = self.members.get(order.replica)
-        if known is not None and known.generation <= order.generation:
+        running = self.members.get(order.replica)
+        if running is not None and running.generation <= order.generation:
             del self.members[order.replica]
             self.highest_generations[order.replica] = max(
                 order.generation, self.highest_generations.get(order.replica, 0)
@@ -284,8 +284,8 @@
         body = ping_body(Ping(name, peer.rank, member.generation))
         if await self.region.deliver_ping(self, peer.address, body) and not self.is_frozen:
             alive_at = self.now() if self.lease_from_receipt else sent
-            known = member.peer_alive_at.get(peer.rank, alive_at)
-            member.peer_alive_at[peer.rank] = max(known, alive_at)
+            previous = member.peer_alive_at.get(peer.rank, alive_at)
+            member.peer_alive_at[peer.rank] = max(previous, alive_at)
 
     def answer_ping(self, body: bytes) -> bool:
         """Return whether this machine runs the requested member in exactly that generation."""
