--- a/tests/multihost_agents.py
+++ b/tests/multihost_agents.py
@@ -1,6 +1,6 @@
-"""Simulated agents of the multihost protocol, one for each machine, under virtual time.
+"""Simulated agents of the multihost protocol, one per machine, under virtual time.
 
-Each has a steady clock of its own that drifts.
+Each agent has its own steady clock, which drifts.
 """
 
 from dataclasses import dataclass, field
@@ -34,7 +34,7 @@
 if TYPE_CHECKING:
     from .multihost_region import MultihostRegion
 
-# PROTOCOL: steady clocks drift apart by as much as this
+# PROTOCOL: the maximum drift rate of a steady clock
 CLOCK_DRIFT = 0.0005
 # the shortest time between two heartbeats
 MIN_HEARTBEAT_GAP_S = 0.2
@@ -42,7 +42,7 @@
 
 @dataclass
 class AgentMember:
-    """A member on a machine. Times are the agent's own."""
+    """A member on a machine. Times are read from the agent's clock."""
 
     rank: int
     generation: int
@@ -52,21 +52,21 @@
     loaded_at: float
     refused: bool = False
     serve_until: float = 0.0
-    # by rank: the sending of the last ping that was answered
+    # time at which the last answered ping was sent, by rank
     peer_alive_at: dict[int, float] = field(default_factory=dict)
 
 
 class Agent:
     """A machine's agent.
 
-    `lease_from_receipt` plants a fault: leases are counted from the receipt of an answer instead of
-    from the sending of the heartbeat that it answers.
+    `lease_from_receipt` injects a protocol violation: leases are counted from the receipt of a
+    response instead of from the sending of its heartbeat.
     """
 
     def __init__(self, region: "MultihostRegion", machine: str, number: int, zone: str) -> None:
         self.region, self.machine, self.number, self.zone = region, machine, number, zone
         self.address = f"127.0.0.1:{30000 + number}"
-        # neighbouring machines drift in opposite directions
+        # the clocks of neighbouring machines drift in opposite directions
         self._rate = 1.0 + (CLOCK_DRIFT if number % 2 else -CLOCK_DRIFT)
         self.capacity = (32.0, 4.0, 256.0)
         self.fetch_gb_per_s = 1.0
@@ -79,12 +79,12 @@
         self.dead, self.has_left = False, False
         self.is_frozen = False
         self.notice_s: float | None = None
-        # one-way cuts: heartbeats do not reach controllers, or answers do not reach the agent
+        # one-way cuts: heartbeats don't reach controllers, or responses don't reach the agent
         self.drops_heartbeats, self.drops_answers = False, False
         self.lease_from_receipt = False
         self.sent_heartbeats: list[bytes] = []
         self.orders: list[tuple[float, Order]] = []
-        # if not empty, reported instead of the members that run
+        # reports sent instead of those of the running members, unless empty
         self.forged_reports: list[MemberReport] = []
         self._target = 0
 
@@ -95,20 +95,20 @@
     # -- members ---------------------------------------------------------------------
 
     def state(self, member: AgentMember) -> MemberState:
-        """Return the state that the agent reports for the member."""
+        """Return the state that the agent reports of the member."""
         if member.refused:
             return MemberState.REFUSED
         return MemberState.LOADED if self.now() >= member.loaded_at else MemberState.LOADING
 
     def runs(self, replica: str, generation: int) -> bool:
-        """Return whether a member of the generation runs with its weights."""
+        """Return whether a member of this generation runs and has loaded its weights."""
         member = self.members.get(replica)
         if self.dead or self.is_frozen or member is None or member.generation != generation:
             return False
         return self.state(member) is MemberState.LOADED
 
     def serves(self, replica: str) -> int | None:
-        """Return the generation in which the front member would answer a request now, if any."""
+        """Return the generation in which the front member can serve requests now; None if none."""
         member = self.members.get(replica)
         if self.dead or self.is_frozen or member is None or member.rank != 0:
             return None
@@ -125,7 +125,7 @@
         if member.rank != 0 or self.state(member) is not MemberState.LOADED:
             return ()
         since = {p.rank: member.peer_alive_at.get(p.rank, member.loaded_at) for p in member.peers}
-        # a peer may load for longer than this one; only one that was reached before can be lost
+        # a peer may load longer than this member; only one that was reached before can be lost
         return tuple(
             rank
             for rank, at in since.items()
@@ -133,7 +133,7 @@
         )
 
     def restart(self) -> None:
-        """Restart the agent's process, which remembers nothing but its session."""
+        """Restart the agent's process, which keeps only its session number."""
         self.session += 1
         self.members.clear()
         self.highest_generations.clear()
@@ -142,14 +142,14 @@
     def _is_lease_expired(self) -> bool:
         return self.now() - self.answered_at > self.region.multihost.agent_lease_s
 
-    def _check_lease(self) -> None:
+    def _end_session_if_lease_expired(self) -> None:
         if self._is_lease_expired():
             self.session += 1
             self.members.clear()
             self.proof, self.answered_at = None, self.now()
 
     def apply_answer(self, answer: AgentHeartbeatResponse, sent: float) -> None:
-        """Carry out an answer's orders."""
+        """Carry out the orders of a heartbeat response."""
         for order in answer.orders:
             self.orders.append((self.region.clock.now(), order))
             self.region.checker.check_order(order)
@@ -217,7 +217,7 @@
         )
 
     async def run(self) -> None:
-        """Send heartbeats, and pings as front member, until the machine dies."""
+        """Send heartbeats, and pings for front members, until the machine dies or has left."""
         await curio.spawn(self._run_pings, daemon=True)
         labels = list(self.region.state_links)
         self._target = self.number % len(labels)
@@ -225,12 +225,12 @@
             if self.is_frozen:
                 await curio.sleep(0.1)
                 continue
-            self._check_lease()
+            self._end_session_if_lease_expired()
             wait_s = await self._send_heartbeat(labels)
             await curio.sleep(wait_s)
 
     async def _send_heartbeat(self, labels: list[str]) -> float:
-        """Send one heartbeat and return the time until the next."""
+        """Send one heartbeat and return the time until the next one."""
         label = labels[self._target]
         body, sent, session = heartbeat_body(self.heartbeat()), self.now(), self.session
         self.sent_heartbeats = [*self.sent_heartbeats[-40:], body]
@@ -248,10 +248,10 @@
             self.has_left = True
         if status != STATUS_OK:
             owner = parse_redirect(data) if status == STATUS_NOT_OWNER else None
-            is_other_controller = owner in labels and owner != label
+            is_redirected = owner in labels and owner != label
             next_target = (self._target + 1) % len(labels)
-            self._target = labels.index(str(owner)) if is_other_controller else next_target
-            return 0.2 if is_other_controller else 0.5
+            self._target = labels.index(str(owner)) if is_redirected else next_target
+            return 0.2 if is_redirected else 0.5
         answer = parse_answer(data)
         if session == self.session and answer.token >= self.token and not self.dead:
             self.token, self.proof, self.answered_at = answer.token, answer.proof, sent
@@ -259,14 +259,14 @@
         return self._next_heartbeat_s()
 
     def _next_heartbeat_s(self) -> float:
-        """Return the time until the next heartbeat: sooner if a member's weights arrive before."""
-        loads = [m.loaded_at - self.now() for m in self.members.values()]
-        load_delays = [
-            max(MIN_HEARTBEAT_GAP_S, s + 0.01) for s in loads if s > -MIN_HEARTBEAT_GAP_S
+        """Return the time until the next heartbeat; it is sent early if a member has loaded."""
+        remaining_load_s = [m.loaded_at - self.now() for m in self.members.values()]
+        early_heartbeats_s = [
+            max(MIN_HEARTBEAT_GAP_S, s + 0.01) for s in remaining_load_s if s > -MIN_HEARTBEAT_GAP_S
         ]
         return min(
             self.region.multihost.heartbeat_interval_s,
-            *load_delays,
+            *early_heartbeats_s,
             self.region.multihost.heartbeat_interval_s,
         )
 
@@ -288,7 +288,7 @@
             member.peer_alive_at[peer.rank] = max(previous, alive_at)
 
     def answer_ping(self, body: bytes) -> bool:
-        """Return whether this machine runs the requested member in exactly that generation."""
+        """Return whether this machine runs the pinged member in exactly that generation."""
         ping = parse_ping(body)
         member = self.members.get(ping.replica)
         is_requested_rank = member is not None and member.rank == ping.rank
--- a/tests/multihost_fault_injection.py
+++ b/tests/multihost_fault_injection.py
@@ -1,6 +1,6 @@
 """Random fault injection for regions with multi-machine replicas.
 
-A seed gives the same faults on every machine and in every run.
+The same seed gives the same faults on every host and in every run.
 """
 
 from random import Random
@@ -13,9 +13,9 @@
 
 ZONES = ("north", "south")
 SLOW_MESSAGE_PROBABILITY = 0.05
-# of a one-way cut: that heartbeats are lost, and not the answers
+# probability that a one-way cut loses the heartbeats and not the responses
 LOST_HEARTBEATS_PROBABILITY = 0.5
-# that the fault of a partitioned zone does nothing, since it hits many machines
+# probability that `cut_zone` does nothing: zone cuts affect many machines, so they are made rarer
 NO_ZONE_CUT_PROBABILITY = 0.6
 
 
@@ -36,7 +36,7 @@
         )
 
     async def begin(self) -> None:
-        """Begin a pool in two zones, and sets that do not all fit when machines fail."""
+        """Set up a pool in two zones, and sets that don't all fit when machines fail."""
         draw = self.random
         await self.region.begin_pool(draw.randint(12, 18), ZONES)
         budget = {"restart_budget": 1000, "restart_window_s": 60.0}
@@ -62,7 +62,7 @@
         )
 
     async def run(self, span_s: float) -> None:
-        """Inject faults for so long."""
+        """Inject faults for this time."""
         end = self.region.clock.now() + span_s
         while self.region.clock.now() < end:
             await self._inject_one()
@@ -79,7 +79,7 @@
             self.cut_zone,
             self.restart_owner,
             self.stop_state_service,
-            self.drain,
+            self.drain_machine,
             self.redeliver_heartbeats,
         )
         await self.random.choice(faults)()
@@ -91,7 +91,7 @@
         await curio.sleep(self.random.uniform(least_s, most_s))
 
     async def crash_machine(self) -> None:
-        """Kill a machine; it comes back after a while."""
+        """Crash a machine and revive it after a while."""
         machine = self._random_machine()
         self.region.agents[machine].dead = True
 
@@ -103,7 +103,7 @@
         await curio.spawn(recover, daemon=True)
 
     async def restart_agent(self) -> None:
-        """Restart an agent, which forgets its members."""
+        """Restart an agent, which loses its members."""
         self.region.agents[self._random_machine()].restart()
 
     async def freeze_machine(self) -> None:
@@ -118,7 +118,7 @@
         await curio.spawn(recover, daemon=True)
 
     async def cut_machine_one_way(self) -> None:
-        """Lose the heartbeats of a machine, or the answers to it, for a while."""
+        """Lose the heartbeats of a machine, or the responses to it, for a while."""
         agent = self.region.agents[self._random_machine()]
         if self.random.random() < LOST_HEARTBEATS_PROBABILITY:
             agent.drops_heartbeats = True
@@ -143,7 +143,7 @@
         await curio.spawn(recover, daemon=True)
 
     async def cut_zone(self) -> None:
-        """Cut a zone's machines off from the controllers, but not from one another."""
+        """Lose the heartbeats of all machines in a zone, but not the pings between them."""
         if self.random.random() < NO_ZONE_CUT_PROBABILITY:
             return
         zone = self.random.choice(ZONES)
@@ -160,7 +160,7 @@
         await curio.spawn(recover, daemon=True)
 
     async def restart_owner(self) -> None:
-        """End the pool owner's process, and start it again after a while."""
+        """Stop the pool owner's process and start it again after a while."""
         owner = self.region.owners().get(SETTINGS.pool_shard)
         if owner in self.region.nodes:
             await self.region.restart(owner, self.random.uniform(0.1, 6.0))
@@ -175,8 +175,8 @@
 
         await curio.spawn(recover, daemon=True)
 
-    async def drain(self) -> None:
-        """Drain a machine, and allow replicas on it again after a while."""
+    async def drain_machine(self) -> None:
+        """Drain a machine and undrain it after a while."""
         machine = self._random_machine()
         await self.region.operate("POST", f"machines/{machine}/drain")
 
@@ -201,7 +201,7 @@
                     await self.region.deliver_heartbeat(agent, label, body)
 
     async def end_all_faults(self) -> None:
-        """End all faults and bring dead machines back."""
+        """End all faults and revive dead machines."""
         await curio.sleep(45.0)
         region = self.region
         region.state.down = False
--- a/tests/multihost_invariants.py
+++ b/tests/multihost_invariants.py
@@ -1,7 +1,7 @@
 """The invariants of multi-machine replicas, checked while a simulated region runs.
 
-`MultihostRegion` calls the checker many times a second. Tests plant violations to show that each of
-them is found (tests/test_multihost_invariants.py).
+`MultihostRegion` calls the checker many times a second. tests/test_multihost_invariants.py injects
+violations to show that the checker detects each of them.
 """
 
 from dataclasses import dataclass, field
@@ -22,7 +22,7 @@
 
 
 class InvariantViolationError(Exception):
-    """Invariants were violated; `violations` says which."""
+    """Invariants were violated; `violations` describes each violation."""
 
     def __init__(self, violations: list[str]) -> None:
         super().__init__("; ".join(violations))
@@ -31,7 +31,12 @@
 
 @dataclass
 class ServingFacts:
-    """What was observed of a generation of a replica."""
+    """Observations of one generation of a replica.
+
+    Attributes:
+        complete_at: The latest time at which all members ran; None if they never did.
+        answers: The number of checks in which the front member could serve.
+    """
 
     complete_at: float | None = None
     answers: int = 0
@@ -41,28 +46,29 @@
 class MultihostInvariantChecker:
     """Checks agents and records many times a second, and collects violations of invariants.
 
-    Never two generations that serve; never an answer while a member is missing beyond the bound; no
-    machine reserved beyond its capacity; no order that precedes its record; no voluntary stop below
-    the disruption budget.
+    The invariants: at most one front member of a replica serves; no replica serves for longer than
+    the serving lease after it has lost a member; no machine is reserved beyond its capacity; no
+    start order precedes the record of its generation; no voluntary stop violates the disruption
+    budget.
     """
 
     region: "MultihostRegion"
     violations: list[str] = field(default_factory=list)
     facts: dict[tuple[str, int], ServingFacts] = field(default_factory=dict)
-    # by replica: when it was last seen to serve
+    # latest time at which the replica could serve, by replica name
     served_at: dict[str, float] = field(default_factory=dict)
-    # the longest time that a generation went on answering after a member's death
+    # longest time for which a generation could still serve after it had lost a member
     latest_answer_s: float = 0.0
     _phases: dict[str, str] = field(default_factory=dict)
 
     def report_violation(self, what: str) -> None:
-        """Record a violation; only the first ones are kept."""
+        """Record a violation, up to a maximum number."""
         entry = f"{self.region.clock.now():.2f} {what}"
         if len(self.violations) < MAX_VIOLATIONS:
             self.violations.append(entry)
 
     def check_order(self, order: Order) -> None:
-        """Check that the generation that an agent is ordered to start was durable before."""
+        """Check that the generation in a start order was durable before the order."""
         replica_id = ReplicaId.parse(order.replica)
         if replica_id is None:
             self.report_violation(f"order for {order.replica}, which names no replica")
@@ -74,7 +80,7 @@
             self.report_violation(f"ordered_early {order.replica} generation {order.generation}")
 
     def check(self) -> None:
-        """Check everything that holds at any moment."""
+        """Check the invariants that must hold at any time."""
         serving: dict[str, list[tuple[Agent, int]]] = {}
         for agent in self.region.agents.values():
             for name, member in agent.members.items():
@@ -108,7 +114,7 @@
                 )
 
     def is_complete(self, name: str, generation: int) -> bool:
-        """Return whether every rank runs this generation on some machine that is alive."""
+        """Return whether every rank runs in this generation on a machine that is alive."""
         ranks = {
             agent.members[name].rank
             for agent in self.region.agents.values()
@@ -119,7 +125,7 @@
         return stored is not None and ranks == set(range(stored[0]["members"]))
 
     def _check_records(self) -> None:
-        """Check the machines' capacity and the disruption budgets of the records."""
+        """Check the records for capacity and disruption budget violations."""
         self._check_capacity()
         ready: dict[str, int] = {}
         drained: list[str] = []
@@ -136,7 +142,7 @@
             self._check_budget(name, ready[name.rpartition("/")[0]])
 
     def _check_capacity(self) -> None:
-        """Check that no machine has more members planned than it takes."""
+        """Check that the members planned on a machine don't exceed its capacity."""
         for machine, amounts in self.planned_use().items():
             stored = self.region.state.keys.get(keys.machine(machine))
             if stored is not None and any(
@@ -146,18 +152,18 @@
                 self.report_violation(f"over_committed {machine}: {amounts}")
 
     def _check_budget(self, name: str, ready: int) -> None:
-        """Check that the voluntary stop of a replica left enough ready replicas of its set."""
+        """Check that a voluntary stop has left enough ready replicas of the set."""
         stored = self.region.state.keys.get(keys.replica_set(name.rpartition("/")[0]))
         if stored is None or stored[0]["removed"]:
             return
         reason = self.region.state.keys[keys.REPLICA + name][0]["reason"]
-        # a replica that has lost a member is not stopped voluntarily
+        # the stop of a replica that has lost a member is not voluntary; its reason contains "; "
         is_voluntary = "; " not in reason
         if is_voluntary and ready < stored[0]["min_ready"]:
             self.report_violation(f"below_minimum {name} stopped, {ready} ready")
 
     def planned_use(self) -> dict[str, list[float]]:
-        """Return the resources that the records plan on each machine."""
+        """Return the resources reserved on each machine, according to the records."""
         used: dict[str, list[float]] = {}
         for key, (value, _, _) in self.region.state.keys.items():
             if key.startswith(keys.MEMBERS):
@@ -175,7 +181,7 @@
                 amounts[i] += amount
 
     def check_end(self) -> None:
-        """Check, after all faults, that nothing is reserved or runs without need."""
+        """Check after all faults that no reservation or member is leaked."""
         state = self.region.state.keys
         planned: dict[str, set[str]] = {}
         for key, (value, version, _) in state.items():
--- a/tests/multihost_region.py
+++ b/tests/multihost_region.py
@@ -1,6 +1,6 @@
 """A small simulated region with multi-machine replicas, under virtual time.
 
-Its invariants are checked all the time (tests/multihost_invariants.py).
+The invariants in tests/multihost_invariants.py are checked throughout the simulation.
 """
 
 from collections.abc import Awaitable, Callable
@@ -31,7 +31,7 @@
 
 
 class UnexpectedAnswerError(Exception):
-    """A controller has not answered an operator's request as the test needs it."""
+    """A controller has answered an operator's request with an unexpected status."""
 
     def __init__(self, status: int, answer: Any) -> None:
         super().__init__(f"{status}: {answer}")
@@ -40,7 +40,7 @@
 
 
 class MultihostRegion(Region):
-    """Controllers with the multihost service, and agents."""
+    """A simulated region whose controllers run the multihost service, with agents."""
 
     def __init__(
         self, clock: FakeClock, state: StateService | None = None, multihost: Any = SETTINGS
@@ -50,12 +50,12 @@
         self.services: dict[str, MultihostService] = {}
         self.agents: dict[str, Agent] = {}
         self.checker: MultihostInvariantChecker = MultihostInvariantChecker(self)  # type: ignore[assignment]
-        # pairs of machines: pings of the first do not reach the second
+        # pairs of machines where pings of the first don't reach the second
         self.cut_links: set[tuple[str, str]] = set()
         self.delay_s: Callable[[Agent], float] = lambda _: 0.0
         self.answer_delay_s: Callable[[Agent], float] = lambda _: 0.0
         self.ping_answer_delay_s = 0.0
-        # how late a check may see what happens
+        # maximum delay between an event and the check that detects it
         self.tolerance_s = 2 * CHECK_INTERVAL_S
         self._processes = 0
 
@@ -78,12 +78,12 @@
         return [service.coordinator.run]
 
     async def kill(self, label: str) -> None:
-        """End a controller's process with its service."""
+        """Kill a controller's process, including its multihost service."""
         await super().kill(label)
         self.services.pop(label)
 
     async def begin_pool(self, machines: int, zones: tuple[str, ...] = ("north",)) -> None:
-        """Start controllers, and agents, and wait until all have joined the pool."""
+        """Start controllers and agents, and wait until all machines have joined the pool."""
         await self.begin(machines=0)
         for number in range(machines):
             await self.add_agent(f"h-{number:03d}", zones[number % len(zones)])
@@ -96,7 +96,7 @@
         return agent
 
     async def revive(self, machine: str) -> Agent:
-        """Bring a dead machine back, with a new agent that knows nothing but its session."""
+        """Revive a dead machine with a new agent that keeps only the session number."""
         old = self.agents[machine]
         old.dead = True
         agent = self.agents[machine] = Agent(self, machine, old.number, old.zone)
@@ -113,7 +113,7 @@
     async def deliver_heartbeat(
         self, agent: Agent, label: str, body: bytes
     ) -> tuple[int, bytes] | None:
-        """Deliver a heartbeat to a controller; return the status and the answer, None if lost."""
+        """Deliver a heartbeat to a controller; return the status and body, None if it is lost."""
         service = self.services.get(label)
         is_lost = agent.drops_heartbeats or agent.dead
         if service is None or is_lost or self.is_frozen(label):
@@ -122,7 +122,7 @@
         return response.status, response.body
 
     async def deliver_ping(self, source: Agent, address: str, body: bytes) -> bool:
-        """Deliver a ping to another machine and return whether its answer confirms the member."""
+        """Deliver a ping to another machine; return whether the response confirms the member."""
         await curio.sleep(HOP_S + self.delay_s(source))
         target = next((a for a in self.agents.values() if a.address == address), None)
         if target is None or target.dead or target.is_frozen or source.dead:
@@ -134,14 +134,14 @@
         return answer and (target.machine, source.machine) not in self.cut_links
 
     async def operate(self, method: str, path: str, body: Any = None, label: str = "") -> Any:
-        """Send an operator's request and return the status and the answer."""
+        """Send an operator's request; return the status and the decoded body."""
         service = self.services[label or next(iter(self.services))]
         data = b"" if body is None else orjson.dumps(body)
         response = await service.handle(Request(method, "/multihost/v1/" + path, data))
         return response.status, orjson.loads(response.body)
 
     async def declare(self, name: str, **changes: Any) -> Any:
-        """Declare a replica set of four members, with changes to the defaults."""
+        """Declare a replica set with four members; `changes` overrides the defaults."""
         data = {
             "members": 4,
             "replicas": 1,
@@ -156,24 +156,24 @@
             raise UnexpectedAnswerError(status, answer)
         return answer
 
-    # -- observations ---------------------------------------------------------------
+    # -- observations ----------------------------------------------------------------
 
     def phase(self, name: str) -> str:
-        """Return the stored phase of a replica; empty without a record."""
+        """Return the stored phase of a replica; empty if it has no record."""
         stored = self.state.keys.get(keys.REPLICA + name)
         return "" if stored is None else str(stored[0]["phase"])
 
     def generation(self, name: str) -> int:
-        """Return the stored generation of a replica; 0 without a record."""
+        """Return the stored generation of a replica; 0 if it has no record."""
         stored = self.state.keys.get(keys.REPLICA + name)
         return 0 if stored is None else int(stored[0]["generation"])
 
     def serving(self, name: str) -> list[Agent]:
-        """Return the agents whose front member of the replica would answer a request."""
+        """Return the agents whose front member of the replica can serve requests now."""
         return [a for a in self.agents.values() if a.serves(name) is not None]
 
     def agents_of(self, name: str) -> list[Agent]:
-        """Return the agents of the replica's members by its records, by rank."""
+        """Return the agents of the replica's members in order of rank, according to the records."""
         members = [
             m
             for key, (value, version, _) in self.state.keys.items()
@@ -193,7 +193,7 @@
         return self.clock.now() - begun
 
     async def run_checks(self) -> None:
-        """Check the invariants again and again."""
+        """Check the invariants periodically."""
         while True:
             self.checker.check()
             await curio.sleep(CHECK_INTERVAL_S)
--- a/tests/multihost_scenarios.py
+++ b/tests/multihost_scenarios.py
@@ -1,4 +1,4 @@
-"""A scenario that tests share: a replica serves, a fault is injected, and it is repaired."""
+"""A shared test scenario: a replica serves, a fault is injected, and the replica is repaired."""
 
 from collections.abc import Awaitable, Callable
 
@@ -8,21 +8,20 @@
 from .multihost_region import SETTINGS, MultihostRegion, simulate_multihost
 
 LOAD_S = 5.0
-# a write of the simulated state service, including the wait for the next pass
+# time for a write to the simulated state service, including the delay until the next pass
 WRITE_S = 0.5
 REPAIR_BOUND_S = SETTINGS.repair_bound_s(LOAD_S, WRITE_S)
-# a replica that is not repaired by then never will be
+# timeout after which the test fails, far above the bound on a repair
 REPAIR_TIMEOUT_S = 10 * REPAIR_BOUND_S
 
-# called with the region and the agents of the replica's members, by rank
+# called with the region and the agents of the replica's members, in order of rank
 FaultInjection = Callable[[MultihostRegion, list[Agent]], Awaitable[None]]
 
 
 def time_to_repair(inject_fault: FaultInjection, machines: int = 10, members: int = 4) -> float:
-    """Return how long after a fault a replica serves again in a new generation, in seconds.
+    """Return the seconds between a fault and the time a replica serves in a new generation.
 
-    No invariant may be violated, and afterwards no machine may be reserved or run a member without
-    need.
+    The scenario fails if an invariant is violated, or if a reservation or member is leaked.
 
     Args:
         inject_fault: Injects the fault into a replica that serves.
--- a/tests/test_multihost_declaration.py
+++ b/tests/test_multihost_declaration.py
@@ -1,4 +1,4 @@
-"""Checks of operators' declarations of replica sets."""
+"""Validation of operators' declarations of replica sets."""
 
 from typing import Any
 
@@ -21,7 +21,7 @@
 DECLARED = {"members": 2, "replicas": 1, "cpus": 1, "memory_gb": 2, "image": "w", "image_gb": 3}
 
 
-def test_a_right_declaration_is_taken() -> None:
+def test_a_valid_declaration_is_accepted() -> None:
     assert parse_declaration("chat", DECLARED, ["north"]).members == 2
 
 
@@ -49,14 +49,14 @@
         ("priority", 1.5),
     ],
 )
-def test_an_error_names_the_wrong_field_of_a_declaration(field: str, value: Any) -> None:
+def test_an_error_names_the_invalid_field_of_a_declaration(field: str, value: Any) -> None:
     with pytest.raises(InvalidDeclarationError) as caught:
         parse_declaration("chat", DECLARED | {field: value}, ["north"])
     assert caught.value.field == field
 
 
 @pytest.mark.parametrize("name", ["", "Chat", "a/b", "a b", "-a", "x" * 64])
-def test_a_wrong_name_of_a_set_is_refused(name: str) -> None:
+def test_an_invalid_set_name_is_rejected(name: str) -> None:
     with pytest.raises(InvalidDeclarationError):
         parse_declaration(name, DECLARED, ["north"])
 
@@ -74,7 +74,7 @@
         pytest.param(SPEC._replace(members=4, one_zone=False), id="all zones"),
     ],
 )
-def test_a_set_that_the_empty_pool_could_take_is_placeable(spec: ReplicaSetSpec) -> None:
+def test_a_set_that_fits_into_the_idle_pool_is_placeable(spec: ReplicaSetSpec) -> None:
     check_placeable(spec, MACHINES)
 
 
@@ -84,11 +84,11 @@
         pytest.param(SPEC, id="too many members for one zone"),
         pytest.param(SPEC._replace(members=5, one_zone=False), id="too many members"),
         pytest.param(
-            SPEC._replace(members=1, resources=Resources(17.0, 0.0, 0.0)), id="too large members"
+            SPEC._replace(members=1, resources=Resources(17.0, 0.0, 0.0)), id="members too large"
         ),
         pytest.param(SPEC._replace(members=2, zones=("west",)), id="no machine in the zone"),
     ],
 )
-def test_a_set_that_no_zone_can_ever_take_is_refused(spec: ReplicaSetSpec) -> None:
+def test_a_set_that_does_not_fit_into_the_idle_pool_is_rejected(spec: ReplicaSetSpec) -> None:
     with pytest.raises(UnplaceableError):
         check_placeable(spec, MACHINES)
--- a/tests/test_multihost_drain.py
+++ b/tests/test_multihost_drain.py
@@ -1,4 +1,4 @@
-"""Machines that are drained, released or taken away, and sets that are removed."""
+"""Machines that are drained, released or reclaimed by the provider, and sets that are removed."""
 
 import curio
 
@@ -17,7 +17,7 @@
         status, _ = await region.operate("POST", f"machines/{machine}/drain", {"reason": "disks"})
         assert status == 200
         await region.until_serving("chat/1", REPAIR_BOUND_S)
-        # the old one serves until the new one does
+        # the old replica serves until the new one does
         await region.wait_until(lambda: region.phase("chat/0") == "", 20.0)
         assert not region.agents[machine].members
         region.checker.check_end()
@@ -56,7 +56,7 @@
     simulate_multihost(scenario)
 
 
-def test_a_released_machine_leaves_the_pool_only_when_it_is_empty() -> None:
+def test_a_released_machine_leaves_the_pool_only_when_it_is_idle() -> None:
     async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(10)
         await region.declare("chat", min_ready=1, image_gb=LOAD_S)
@@ -70,14 +70,14 @@
         assert not agent.members
         assert region.state.keys[record][0]["type"] == "g4"
         assert (await region.operate("POST", f"machines/{agent.machine}/undrain"))[0] == 409
-        # once the machine is returned nothing is left of it
+        # the machine's pool record is deleted once the machine has been returned
         region.state.delete(record)
         await region.wait_until(lambda: region.pool_size() == 9)
 
     simulate_multihost(scenario)
 
 
-def test_a_spot_notice_moves_the_whole_replica() -> None:
+def test_a_spot_interruption_notice_moves_the_whole_replica() -> None:
     async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(10)
         await region.declare("chat", min_ready=1, image_gb=LOAD_S)
@@ -90,7 +90,7 @@
     simulate_multihost(scenario)
 
 
-def test_a_removed_set_leaves_no_member_and_no_record() -> None:
+def test_removing_a_set_leaves_no_members_and_no_records() -> None:
     async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(8)
         await region.declare("chat", replicas=2, min_ready=2, image_gb=LOAD_S)
--- a/tests/test_multihost_operator_api.py
+++ b/tests/test_multihost_operator_api.py
@@ -1,4 +1,4 @@
-"""The operators' interface to multi-machine replicas."""
+"""The operators' API for multi-machine replicas."""
 
 import subprocess
 import sys
@@ -43,13 +43,13 @@
 
 
 def _run_with_pool(scenario: Scenario) -> None:
-    """Run a scenario in which four machines have joined the pool."""
+    """Run a scenario with a pool of four machines."""
 
-    async def begin(region: MultihostRegion) -> None:
+    async def run(region: MultihostRegion) -> None:
         await region.begin_pool(4)
         await scenario(region)
 
-    simulate_multihost(begin)
+    simulate_multihost(run)
 
 
 async def _put(region: MultihostRegion, name: str, body: Any) -> tuple[int, Any]:
@@ -61,7 +61,7 @@
     ("name", "body", "field"),
     [("chat", DECLARED | {"members": 0}, "members"), ("Chat", DECLARED, "name")],
 )
-def test_the_answer_to_a_wrong_declaration_names_the_field(
+def test_the_response_to_an_invalid_declaration_names_the_field(
     name: str, body: Any, field: str
 ) -> None:
     async def scenario(region: MultihostRegion) -> None:
@@ -70,14 +70,14 @@
     _run_with_pool(scenario)
 
 
-def test_a_declaration_that_is_no_object_is_refused() -> None:
+def test_a_declaration_that_is_not_an_object_is_rejected() -> None:
     async def scenario(region: MultihostRegion) -> None:
         assert (await _put(region, "chat", [1]))[0] == 400
 
     _run_with_pool(scenario)
 
 
-def test_a_declaration_that_the_pool_can_never_take_is_refused() -> None:
+def test_a_declaration_that_exceeds_the_pool_is_rejected() -> None:
     async def scenario(region: MultihostRegion) -> None:
         status, answer = await _put(region, "chat", DECLARED | {"members": 5})
         assert status == 422
@@ -86,7 +86,7 @@
     _run_with_pool(scenario)
 
 
-def test_a_declared_set_takes_only_changes_that_running_replicas_allow() -> None:
+def test_only_mutable_fields_of_a_declared_set_can_change() -> None:
     async def scenario(region: MultihostRegion) -> None:
         assert (await _put(region, "chat", DECLARED))[0] == 201
         assert (await _put(region, "chat", DECLARED | {"min_ready": 1}))[0] == 200
@@ -131,7 +131,7 @@
         ("DELETE", "replica-sets/none"),
     ],
 )
-def test_what_does_not_exist_is_answered_as_not_found(method: str, path: str) -> None:
+def test_requests_for_unknown_resources_are_answered_with_404(method: str, path: str) -> None:
     async def scenario(region: MultihostRegion) -> None:
         assert (await _put(region, "chat", DECLARED))[0] == 201
         await region.until_serving("chat/0")
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize(("method", "path"), [("GET", "replicas"), ("PUT", "replica-sets/more")])
-def test_requests_are_answered_as_unavailable_in_an_outage_of_the_state_service(
+def test_requests_are_answered_with_503_during_an_outage_of_the_state_service(
     method: str, path: str
 ) -> None:
     async def scenario(region: MultihostRegion) -> None:
@@ -153,7 +153,7 @@
     _run_with_pool(scenario)
 
 
-def test_the_owner_acts_on_a_declaration_that_another_controller_took() -> None:
+def test_the_owner_acts_on_a_declaration_that_another_controller_accepted() -> None:
     async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(4)
         other = next(label for label in region.services if label != region.owner())
@@ -164,7 +164,7 @@
     simulate_multihost(scenario)
 
 
-def test_client_verbs_reach_a_controller_over_a_socket() -> None:
+def test_command_line_verbs_reach_a_controller_over_a_socket() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node, service = await booted_pool(state, clock, nodes, machines=4)
         async with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as free:
--- a/tests/test_multihost_phases.py
+++ b/tests/test_multihost_phases.py
@@ -1,4 +1,4 @@
-"""The phases of a replica and the generations that transitions begin."""
+"""The transitions between a replica's phases, and those that begin a new generation."""
 
 import itertools
 
@@ -16,8 +16,8 @@
 @pytest.mark.parametrize(("old", "new"), itertools.product(ReplicaPhase, ReplicaPhase))
 def test_transitions_outside_the_table_are_illegal(old: ReplicaPhase, new: ReplicaPhase) -> None:
     if new in TRANSITIONS[old]:
-        raised = (old, new) in GENERATION_RAISING_TRANSITIONS
-        assert next_generation(3, old, new) == 3 + raised
+        is_raised = (old, new) in GENERATION_RAISING_TRANSITIONS
+        assert next_generation(3, old, new) == 3 + is_raised
     else:
         with pytest.raises(IllegalPhaseTransitionError):
             next_generation(3, old, new)
--- a/tests/test_multihost_placement.py
+++ b/tests/test_multihost_placement.py
@@ -1,4 +1,4 @@
-"""Choosing machines for replicas, and the machines that are avoided."""
+"""The choice of machines for replicas, and the avoidance of machines that failed."""
 
 import pytest
 
@@ -31,7 +31,7 @@
     assert [p.rank for p in placement.members] == [0, 1, 2]
 
 
-def test_a_replica_that_may_span_zones_uses_machines_of_several() -> None:
+def test_a_replica_that_may_span_zones_can_use_machines_of_several() -> None:
     candidates = make_candidates("a", 2) + make_candidates("b", 1)
     assert choose_placement(SPEC._replace(one_zone=False), {}, candidates, {})
 
@@ -46,9 +46,9 @@
 @pytest.mark.parametrize(
     ("candidates", "survivor_count", "load_s"),
     [
-        pytest.param([*SURVIVORS, CACHED_SPARE, *ELSEWHERE], 2, 0.0, id="stays if as soon"),
-        pytest.param([*SURVIVORS, UNCACHED_SPARE, *ELSEWHERE], 0, 0.0, id="moves if sooner"),
-        pytest.param([*SURVIVORS, UNCACHED_SPARE], 2, 10.0, id="stays without another zone"),
+        pytest.param([*SURVIVORS, CACHED_SPARE, *ELSEWHERE], 2, 0.0, id="equally soon: stays"),
+        pytest.param([*SURVIVORS, UNCACHED_SPARE, *ELSEWHERE], 0, 0.0, id="sooner: moves"),
+        pytest.param([*SURVIVORS, UNCACHED_SPARE], 2, 10.0, id="no other zone: stays"),
     ],
 )
 def test_survivors_stay_unless_the_replica_is_ready_sooner_elsewhere(
@@ -66,13 +66,13 @@
 ]
 
 
-def test_a_machine_that_failed_often_is_not_chosen_even_with_the_weights() -> None:
+def test_a_machine_that_failed_often_is_not_preferred_for_its_weights() -> None:
     placement = choose_placement(SPEC, {}, FAILED_OFTEN, {})
     assert placement is not None
     assert "north-0" not in placement.machines
 
 
-def test_a_machine_that_failed_often_is_chosen_where_no_other_is_left() -> None:
+def test_a_machine_that_failed_often_is_chosen_if_no_other_is_left() -> None:
     assert choose_placement(SPEC, {}, FAILED_OFTEN[:3], {}) is not None
 
 
@@ -84,13 +84,13 @@
 TWO_ZONES = make_candidates("north", 3, images=CACHED_IMAGES) + make_candidates("south", 3)
 
 
-def test_the_first_replica_of_a_spread_set_gets_the_zone_that_has_the_weights() -> None:
+def test_the_first_replica_of_a_spread_set_is_placed_where_the_weights_are() -> None:
     placement = choose_placement(SPREAD, {}, TWO_ZONES, {})
     assert placement is not None
     assert placement.machines >= {"north-0"}
 
 
-def test_the_second_replica_of_a_spread_set_gets_another_zone() -> None:
+def test_the_second_replica_of_a_spread_set_is_placed_in_another_zone() -> None:
     placement = choose_placement(SPREAD, {}, TWO_ZONES, {"north": 1})
     assert placement is not None
     assert placement.machines == {"south-0", "south-1", "south-2"}
@@ -103,12 +103,12 @@
 @pytest.mark.parametrize(
     ("spec", "max_machines", "count"),
     [
-        pytest.param(SPEC, 5, 2, id="all of the largest zone"),
-        pytest.param(SPEC, 1, 1, id="up to the bound"),
-        pytest.param(SPEC._replace(zones=("west",)), 5, 0, id="none without an allowed zone"),
+        pytest.param(SPEC, 5, 2, id="all of the zone with most"),
+        pytest.param(SPEC, 1, 1, id="up to the maximum"),
+        pytest.param(SPEC._replace(zones=("west",)), 5, 0, id="none outside the allowed zones"),
     ],
 )
-def test_free_machines_are_earmarked_for_the_first_replica_that_waits(
+def test_free_machines_are_kept_idle_for_the_first_unplaceable_replica(
     spec: ReplicaSetSpec, max_machines: int, count: int
 ) -> None:
     candidates = make_candidates("north", 2) + make_candidates("south", 1)
@@ -126,8 +126,8 @@
     assert scores.score("m", 1000.0) == 0.0
 
 
-def test_the_backoff_doubles_up_to_a_bound() -> None:
-    waits = [backoff_s(n, SETTINGS) for n in range(40)]
-    assert waits[:5] == [0.0, 0.0, 2.0, 4.0, 8.0]
-    assert waits == sorted(waits)
-    assert waits[-1] == SETTINGS.max_backoff_s
+def test_the_backoff_doubles_up_to_its_maximum() -> None:
+    delays = [backoff_s(n, SETTINGS) for n in range(40)]
+    assert delays[:5] == [0.0, 0.0, 2.0, 4.0, 8.0]
+    assert delays == sorted(delays)
+    assert delays[-1] == SETTINGS.max_backoff_s
--- a/tests/test_multihost_preemption.py
+++ b/tests/test_multihost_preemption.py
@@ -1,4 +1,4 @@
-"""Replicas that are stopped for those of higher priority."""
+"""Preemption of replicas by those of higher priority."""
 
 import curio
 
@@ -14,13 +14,13 @@
             await region.until_serving(f"batch/{number}")
         await region.declare("chat", members=4, priority=9, image_gb=LOAD_S)
         await region.until_serving("chat/0", SETTINGS.preempt_after_s + 2 * REPAIR_BOUND_S)
-        left = [n for n in range(4) if region.serving(f"batch/{n}")]
-        assert len(left) == 2
+        still_serving = [n for n in range(4) if region.serving(f"batch/{n}")]
+        assert len(still_serving) == 2
 
     simulate_multihost(scenario)
 
 
-def test_preemption_keeps_the_minimum_of_the_set_of_lower_priority() -> None:
+def test_preemption_keeps_the_minimum_of_ready_replicas_of_the_other_set() -> None:
     async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(8)
         await region.declare("batch", members=2, replicas=4, min_ready=3, image_gb=1.0)
--- a/tests/test_multihost_random_faults.py
+++ b/tests/test_multihost_random_faults.py
@@ -1,4 +1,4 @@
-"""Random faults: afterwards all sets serve again, and nothing is left over."""
+"""Recovery from random faults: all sets serve again, and no reservation or member is leaked."""
 
 from collections import Counter
 
@@ -12,12 +12,13 @@
 from .multihost_region import SETTINGS, MultihostRegion, simulate_multihost
 
 SPAN_S = 120.0
-# longest back-off, then detection, fence, load and grant; another set may have to be placed first
+# the longest back-off, then two repairs, since another set may have to be placed first; a repair
+# is failure detection, fencing, loading the weights and granting the serving lease
 RECOVERY_S = SETTINGS.max_backoff_s + 2 * SETTINGS.repair_bound_s(24.0, 1.0)
 
 
 def run_random_faults(seed: int) -> MultihostRegion:
-    """Inject random faults, then wait until all declared sets serve, and check what is left."""
+    """Inject random faults, wait until all declared sets serve, and check for leaks."""
 
     async def scenario(region: MultihostRegion) -> None:
         faults = MultihostFaults(region, seed)
@@ -33,26 +34,26 @@
 
 
 def all_serve(region: MultihostRegion) -> bool:
-    """Return whether all declared replicas serve, except those that no zone could take."""
+    """Return whether all declared replicas serve, except those without enough free machines."""
     for key in region.state.keys:
         if key.startswith(keys.SET):
             spec = region.set_record(key[len(keys.SET) :]).spec
             names = {n for a in region.agents.values() for n in a.members}
-            mine = [n for n in names if n.rpartition("/")[0] == spec.name]
-            serving = sum(len(region.serving(n)) for n in mine)
+            names_of_set = [n for n in names if n.rpartition("/")[0] == spec.name]
+            serving = sum(len(region.serving(n)) for n in names_of_set)
             if serving < spec.replicas and has_free_machines(region, spec):
                 return False
     return True
 
 
 def has_free_machines(region: MultihostRegion, spec: ReplicaSetSpec) -> bool:
-    """Return whether a zone's machines, as the records have them, would take another replica."""
+    """Return whether a zone has enough free machines for a replica, according to the records."""
     used = region.checker.planned_use()
     free: Counter[str] = Counter()
     for agent in region.agents.values():
         amounts = used.get(agent.machine, [0.0, 0.0, 0.0])
-        left = [c - u for c, u in zip(agent.capacity, amounts, strict=True)]
-        if all(a >= need for a, need in zip(left, spec.resources, strict=True)):
+        unused = [c - u for c, u in zip(agent.capacity, amounts, strict=True)]
+        if all(a >= need for a, need in zip(unused, spec.resources, strict=True)):
             free[agent.zone] += 1
     return max(free.values(), default=0) >= spec.members
 
--- a/tests/test_multihost_reconciliation.py
+++ b/tests/test_multihost_reconciliation.py
@@ -1,4 +1,4 @@
-"""What a pass of the coordinator examines, at several sizes of the pool."""
+"""The work of the coordinator's passes: only what has changed is examined and logged."""
 
 from collections import Counter
 from typing import Any
@@ -54,12 +54,12 @@
         await node.renew_and_sync()
         send_all_heartbeats(node, service, machines, 2)
         assert await examined_in_a_pass() == 0
-        # one member fails: only its replica is examined, and no machine while none waits
+        # one member fails: only its replica is examined, and no machine while no replica waits
         failed = MemberReport("chat/3", 1, 1, MemberState.FAILED)
         service.heartbeats.handle(heartbeat_of(node, 7, 3, failed))
         assert await examined_in_a_pass() == 1
         assert counts["candidates"] == 0
-        # its record has changed, and it waits for machines
+        # the replica's record has changed, and the replica waits for machines
         assert await examined_in_a_pass() == 1
         assert counts["candidates"] == machines
         assert service.writer.transactions - transactions <= 2
@@ -71,7 +71,8 @@
 def test_missed_heartbeats_of_a_machine_are_logged_once(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    # guards against a line, and an examination of its replicas, in every pass of a new owner
+    # guards against a new owner that logs a machine's missed heartbeats and examines the machine's
+    # replicas in every pass
     caplog.set_level("INFO")
 
     def lines() -> int:
@@ -79,7 +80,7 @@
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node, service = await booted_pool(state, clock, nodes, machines=2)
-        # its heartbeat reaches the new owner, whose answer does not reach it
+        # the agent's heartbeat reaches the new owner, but the owner's response is lost
         service.heartbeats.handle(heartbeat_of(node, 0, 1)._replace(proof=None))
         for seen in (0, 0, 0, 1, 1, 1):
             clock.time += 2.0
@@ -93,7 +94,7 @@
     run_scenario(scenario)
 
 
-def test_a_service_that_starts_late_reads_all_earlier_records() -> None:
+def test_a_service_that_starts_later_reads_all_existing_records() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         add_ready_pairs(state, clock, 3)
         node, early = await booted_pool(state, clock, nodes, machines=6)
--- a/tests/test_multihost_reservations.py
+++ b/tests/test_multihost_reservations.py
@@ -45,7 +45,7 @@
         region.transaction_delay_s[region.owner()] = 0.3
         await region.declare("first", members=40, image_gb=LOAD_S, hold_s=25.0)
         await region.wait_until(lambda: len(region.agents_of("first/0")) > 0)
-        # too few machines are left, so that the next owner can only wait until hold_s has passed
+        # too few machines remain, so the next owner has to wait until hold_s has passed
         await region.kill(region.owner())
         for agent in list(region.agents.values())[:25]:
             agent.dead = True
@@ -61,7 +61,7 @@
     simulate_multihost(scenario)
 
 
-def test_a_reservation_in_steps_that_can_not_be_finished_is_undone() -> None:
+def test_a_reservation_in_steps_that_cannot_be_finished_is_undone() -> None:
     async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(42)
         region.transaction_delay_s[region.owner()] = 0.3
--- a/tests/test_multihost_restart_budget.py
+++ b/tests/test_multihost_restart_budget.py
@@ -1,4 +1,4 @@
-"""Replicas that fail repeatedly, and their restart by an operator."""
+"""Replicas that use up their restart budget, and their restart by an operator."""
 
 import curio
 
@@ -6,7 +6,7 @@
 
 
 async def _fail_until_budget_is_used_up(region: MultihostRegion) -> None:
-    """Lose a member of a replica again and again until the replica has failed."""
+    """Restart the agent of one member repeatedly until the replica has failed."""
     await region.begin_pool(4)
     await region.declare("chat", image_gb=1.0, restart_budget=2, restart_window_s=500.0)
     for _ in range(3):
@@ -36,7 +36,7 @@
     simulate_multihost(scenario)
 
 
-def test_a_controller_that_does_not_own_the_pool_names_the_owner_for_a_restart() -> None:
+def test_a_controller_that_does_not_own_the_pool_redirects_a_restart_to_the_owner() -> None:
     async def scenario(region: MultihostRegion) -> None:
         await _fail_until_budget_is_used_up(region)
         owner = region.owner()
--- a/tests/test_multihost_sets.py
+++ b/tests/test_multihost_sets.py
@@ -1,4 +1,4 @@
-"""What a replica set needs as a whole, and its disruption budget."""
+"""Plans for replica sets: creating and stopping replicas within the disruption budget."""
 
 from typing import Any
 
@@ -65,7 +65,7 @@
     assert _plan(1, PREEMPTED_REPLICA, _replica(1)).may_stop == {PREEMPTED_REPLICA.id}
 
 
-def test_a_replica_whose_replacement_finds_no_machines_may_stop() -> None:
+def test_a_replica_whose_replacement_is_unplaceable_may_stop() -> None:
     plan = _plan(1, DRAINED, _replica(1), is_placement_overdue=True)
     assert plan.may_stop == {DRAINED.id}
 
--- a/tests/test_multihost_victims.py
+++ b/tests/test_multihost_victims.py
@@ -1,4 +1,4 @@
-"""Choosing the replicas that are stopped for one of higher priority."""
+"""The choice of the replicas to preempt for one of higher priority."""
 
 import pytest
 
@@ -22,10 +22,10 @@
 @pytest.mark.parametrize(
     ("spec", "names"),
     [
-        # the replica of two members frees too little; it is not needed with the one of three
+        # a/0 frees too few machines, and with b/0 it is not needed
         pytest.param(SPEC._replace(priority=2), ["b/0"], id="no more than needed"),
         pytest.param(SPEC._replace(priority=0), [], id="none of the same priority"),
-        pytest.param(SPEC._replace(priority=2, members=7), [], id="none if all are too few"),
+        pytest.param(SPEC._replace(priority=2, members=7), [], id="none if all free too few"),
     ],
 )
 def test_victims_are_whole_replicas_of_lower_priority(
--- a/tests/trace_adapter.py
+++ b/tests/trace_adapter.py
@@ -269,7 +269,7 @@
             "machines parted": faults.cut_link,
             "owner ends": faults.restart_owner,
             "state outage": faults.stop_state_service,
-            "machine drained": faults.drain,
+            "machine drained": faults.drain_machine,
             "late heartbeats": faults.redeliver_heartbeats,
         }
 
