--- a/crossmill/multihost/placement.py
+++ b/crossmill/multihost/placement.py
@@ -31,7 +31,7 @@
     is_avoided: bool = False
 
     def load_s(self, spec: ReplicaSetSpec) -> float:
-        """Return the seconds that a member takes to load its weights on this machine."""
+        """Return the time in seconds to load a member's weights on this machine."""
         if spec.image in self.images:
             return 0.0
         return spec.image_gb / max(self.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
@@ -158,23 +158,25 @@
 ) -> ReplicaPlacement | None:
     """Return a placement of all members on these candidates; None if there are too few."""
     by_machine = {c.machine: c for c in candidates}
-    staying = {rank: by_machine[m] for rank, m in survivors.items() if m in by_machine}
-    taken = {c.machine for c in staying.values()}
-    missing = [rank for rank in range(spec.members) if rank not in staying]
+    kept = {rank: by_machine[m] for rank, m in survivors.items() if m in by_machine}
+    used_machines = {c.machine for c in kept.values()}
+    missing = [rank for rank in range(spec.members) if rank not in kept]
     free = [
         c
         for c in candidates
-        if c.machine not in taken and c.machine not in excluded and c.free.can_fit(spec.resources)
+        if c.machine not in used_machines
+        and c.machine not in excluded
+        and c.free.can_fit(spec.resources)
     ]
     if len(free) < len(missing):
         return None
     free.sort(key=lambda c: _candidate_rank(c, spec))
-    chosen = {**staying, **dict(zip(missing, free, strict=False))}
+    chosen = {**kept, **dict(zip(missing, free, strict=False))}
     members = tuple(
         MemberPlacement(rank, c.machine, c.session) for rank, c in sorted(chosen.items())
     )
     load_s = max((c.load_s(spec) for c in chosen.values()), default=0.0)
-    return ReplicaPlacement(members, load_s, len(staying))
+    return ReplicaPlacement(members, load_s, len(kept))
 
 
 def machines_to_keep_idle(
--- a/tests/multihost_invariants.py
+++ b/tests/multihost_invariants.py
@@ -54,6 +54,7 @@
 
     region: "MultihostRegion"
     violations: list[str] = field(default_factory=list)
+    # observations by replica name and generation
     facts: dict[tuple[str, int], ServingFacts] = field(default_factory=dict)
     # latest time at which the replica could serve, by replica name
     served_at: dict[str, float] = field(default_factory=dict)
@@ -61,9 +62,9 @@
     latest_answer_s: float = 0.0
     _phases: dict[str, str] = field(default_factory=dict)
 
-    def report_violation(self, what: str) -> None:
+    def report_violation(self, description: str) -> None:
         """Record a violation, up to a maximum number."""
-        entry = f"{self.region.clock.now():.2f} {what}"
+        entry = f"{self.region.clock.now():.2f} {description}"
         if len(self.violations) < MAX_VIOLATIONS:
             self.violations.append(entry)
 
@@ -90,10 +91,12 @@
                 generation = agent.serves(name)
                 if generation is not None:
                     serving.setdefault(name, []).append((agent, generation))
-        for name, fronts in serving.items():
-            if len(fronts) > 1:
-                self.report_violation(f"two_serving {name}: {[(a.machine, g) for a, g in fronts]}")
-            for _, generation in fronts:
+        for name, front_members in serving.items():
+            if len(front_members) > 1:
+                self.report_violation(
+                    f"two_serving {name}: {[(a.machine, g) for a, g in front_members]}"
+                )
+            for _, generation in front_members:
                 self._check_answer(name, generation)
             self.served_at[name] = self.region.clock.now()
         self._check_records()
