--- a/crossmill/jobs/machine_transfer.py
+++ b/crossmill/jobs/machine_transfer.py
@@ -13,7 +13,7 @@
 from ..cluster.model import Job, Machine, PlannedAttempt, ShardAssignment
 from ..cluster.ownership import ShardOwnership
 from ..cluster.records import encode_machine
-from ..planning.demand import TaskDemand, slots_on
+from ..planning.demand import TaskDemand, slots_per_machine
 from ..planning.free_capacity import is_allowed
 from ..state.writer import WriteIntent, WriteRank
 from ..wire.state import Put, Txn
@@ -62,7 +62,13 @@
         """
         planned = self._planned_transfers.get(machine.id)
         view = self._heartbeats.find_view(machine.id)
-        if planned is None or view is None or machine.attempts or view.tasks or machine.retiring:
+        if (
+            planned is None
+            or view is None
+            or machine.attempts
+            or view.tasks
+            or machine.retirement_reason
+        ):
             return None
         return None if self._heartbeats.has_unacknowledged_starts(machine.id) else planned.shard
 
@@ -112,7 +118,7 @@
             if (
                 machine is None
                 or machine.shard == planned.shard
-                or machine.retiring
+                or machine.retirement_reason
                 or now > planned.expires_at
             ):
                 del self._planned_transfers[machine_id]
@@ -163,7 +169,7 @@
             if tasks_left <= 0:
                 break
             if machine.id not in self._planned_transfers and self._is_ready(machine, is_busy):
-                tasks_left -= slots_on(demand.spec, self._cluster.catalog[machine.type])
+                tasks_left -= slots_per_machine(demand.spec, self._cluster.catalog[machine.type])
                 selected.append(machine)
         return selected
 
@@ -214,13 +220,13 @@
     def _is_candidate(self, machine: Machine, demand: TaskDemand, is_busy: bool) -> bool:
         spec = demand.spec
         machine_type = self._cluster.catalog.get(machine.type)
-        if machine_type is None or machine.retiring or not machine.up:
+        if machine_type is None or machine.retirement_reason or not machine.is_up:
             return False
         if bool(machine.attempts) is not is_busy or demand.zones.remaining(machine.zone) <= 0:
             return False
         if not is_allowed(spec, machine.type, machine.zone, machine.spot):
             return False
-        return slots_on(spec, machine_type) > 0 and all(
+        return slots_per_machine(spec, machine_type) > 0 and all(
             self._is_preemptible_by(demand, attempt) for attempt in machine.attempts.values()
         )
 
--- a/crossmill/jobs/submission.py
+++ b/crossmill/jobs/submission.py
@@ -13,7 +13,7 @@
 from ..cluster.model import CANCELLED
 from ..cluster.records import encode_end, encode_job
 from ..net.server import Request, Response
-from ..planning.demand import slots_on
+from ..planning.demand import slots_per_machine
 from ..state.writer import WriteIntent, WriteRank, WriteResult
 from ..wire import users as wire
 from ..wire.checks import MalformedMessageError, load_object
@@ -133,7 +133,7 @@
             if (spec.types is None or name in spec.types)
             and (spec.zone is None or spec.zone in machine_type.zones)
         ]
-        if not any(slots_on(spec, machine_type) for machine_type in machine_types):
+        if not any(slots_per_machine(spec, machine_type) for machine_type in machine_types):
             return "a task fits no allowed machine type"
         # tasks of an array job may run one after the other; those of other jobs run in parallel
         tasks = 1 if spec.is_array else spec.tasks
@@ -161,7 +161,9 @@
             return await self._refuse(spec.id, UNPROCESSABLE, "too long to be stored")
         txn = Txn({key: 0, keys.archived(spec.id): 0}, [Put(key, orjson.loads(encoded))])
         self._add_preconditions(dependencies, archivings_version, txn)
-        intent = WriteIntent(txn, WriteRank.URGENT, until=now + self._settings.submission_timeout_s)
+        intent = WriteIntent(
+            txn, WriteRank.URGENT, send_deadline=now + self._settings.submission_timeout_s
+        )
         await self._writer.submit(intent)
         result = await intent.future.wait(self._settings.submission_timeout_s)
         if result == WriteResult.OK:
--- a/tests/test_gpu_footprints.py
+++ b/tests/test_gpu_footprints.py
@@ -1,4 +1,4 @@
-"""Footprints of GPU tasks, and what they make of a machine's capacity."""
+"""Tests of the footprints of GPU tasks and of the contention cost derived from them."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from crossmill.planning.gpu_footprints import gpu_footprints
 
 from .builders import make_spec
-from .planning_builders import TYPES, empty_machine
+from .planning_builders import TYPES, idle_machine
 
 MANY_SMALL_TASKS = make_spec(grist="train", sacks=50, cpus=4.0, cards=1.0, ramGb=16.0)
 FEW_LARGE_TASKS = make_spec(grist="chat", sacks=2, cpus=8.0, cards=4.0, ramGb=200.0)
@@ -23,13 +23,13 @@
 @pytest.mark.parametrize(
     ("spot", "expected"), [(False, TaskFootprint(8.0, 4.0, 200.0)), (True, None)]
 )
-def test_a_type_is_exclusive_to_the_class_that_fits_on_no_other_but_not_on_spot_machines(
+def test_a_type_except_its_spot_machines_is_exclusive_to_the_class_that_fits_on_no_other(
     spot: bool, expected: TaskFootprint | None
 ) -> None:
     footprints = gpu_footprints(
         [MANY_SMALL_TASKS, FEW_LARGE_TASKS, FEW_LARGE_TASKS], [TYPES["g4"], SMALL_TYPE]
     )
-    assert footprints.exclusive_to(empty_machine("a", spot=spot)) == expected
+    assert footprints.exclusive_footprint(idle_machine("a", spot=spot)) == expected
 
 
 def test_no_type_is_exclusive_if_all_classes_fit_on_one_type_only() -> None:
@@ -49,6 +49,6 @@
 def test_a_task_without_gpus_costs_more_on_a_gpu_machine_and_most_on_an_exclusive_type(
     gpus: float, type_name: str, exclusive: TaskFootprint | None, cost: int
 ) -> None:
-    capacity = empty_machine("n", type_name=type_name)
+    capacity = idle_machine("n", type_name=type_name)
     capacity.exclusive_gpu_task = exclusive
     assert capacity.contention_cost(make_spec(cards=gpus)) == cost
