--- a/tests/multihost_invariants.py
+++ b/tests/multihost_invariants.py
@@ -1,7 +1,7 @@
-"""Checks the invariants of multi-machine replicas while a simulated region runs.
+"""The invariants of multi-machine replicas, checked while a simulated region runs.
 
-`MultihostRegion` calls the checker many times per simulated second.
-tests/test_multihost_invariants.py injects violations and checks that each one is found.
+`MultihostRegion` calls the checker many times a second. tests/test_multihost_invariants.py injects
+violations to show that the checker detects each of them.
 """
 
 from dataclasses import dataclass, field
@@ -22,7 +22,7 @@
 
 
 class InvariantViolationError(Exception):
-    """Invariants were violated; `violations` lists the violations."""
+    """Invariants were violated; `violations` describes each violation."""
 
     def __init__(self, violations: list[str]) -> None:
         super().__init__("; ".join(violations))
@@ -31,11 +31,11 @@
 
 @dataclass
 class ServingObservation:
-    """The observations of one generation of a replica.
+    """Observations of one generation of a replica.
 
     Attributes:
-        complete_at: The last time at which all its members were seen to run; None if never.
-        answers: The number of checks in which a front member was serving.
+        complete_at: The latest time at which all members ran; None if they never did.
+        answers: The number of checks in which the front member could serve.
     """
 
     complete_at: float | None = None
@@ -44,32 +44,32 @@
 
 @dataclass
 class MultihostInvariantChecker:
-    """Checks agents and records, and collects the violations of these invariants.
+    """Checks agents and records many times a second, and collects violations of invariants.
 
-    - At most one front member of a replica serves at a time.
-    - A replica stops serving within the lease's length after a member is lost.
-    - No machine has more resources reserved than its capacity.
-    - No order to start a generation is sent before the generation's record is written.
-    - No voluntary stop reduces the number of ready replicas below the disruption budget.
+    The invariants: at most one front member of a replica serves; no replica serves for longer than
+    the serving lease after it has lost a member; no machine is reserved beyond its capacity; no
+    start order precedes the record of its generation; no voluntary stop violates the disruption
+    budget.
     """
 
     region: "MultihostRegion"
     violations: list[str] = field(default_factory=list)
+    # observations by replica name and generation
     observations: dict[tuple[str, int], ServingObservation] = field(default_factory=dict)
-    # the last time at which a replica was seen to serve, by replica name
+    # latest time at which the replica could serve, by replica name
     served_at: dict[str, float] = field(default_factory=dict)
-    # the longest time that a generation served after it was last complete, in seconds
+    # longest time for which a generation could still serve after it had lost a member
     max_stale_serving_s: float = 0.0
     _phases: dict[str, str] = field(default_factory=dict)
 
-    def report_violation(self, what: str) -> None:
-        """Record a violation; only the first `MAX_VIOLATIONS` are kept."""
-        entry = f"{self.region.clock.now():.2f} {what}"
+    def report_violation(self, description: str) -> None:
+        """Record a violation, up to a maximum number."""
+        entry = f"{self.region.clock.now():.2f} {description}"
         if len(self.violations) < MAX_VIOLATIONS:
             self.violations.append(entry)
 
     def check_order(self, order: Order) -> None:
-        """Check that the generation in an order to start a member is already stored."""
+        """Check that the generation in a start order was durable before the order."""
         replica_id = ReplicaId.parse(order.replica)
         if replica_id is None:
             self.report_violation(f"order for {order.replica}, which names no replica")
@@ -81,7 +81,7 @@
             self.report_violation(f"ordered_early {order.replica} generation {order.generation}")
 
     def check(self) -> None:
-        """Check the invariants that apply at any time."""
+        """Check the invariants that must hold at any time."""
         serving: dict[str, list[tuple[Agent, int]]] = {}
         for agent in self.region.agents.values():
             for name, member in agent.members.items():
@@ -93,10 +93,12 @@
                 generation = agent.serves(name)
                 if generation is not None:
                     serving.setdefault(name, []).append((agent, generation))
-        for name, fronts in serving.items():
-            if len(fronts) > 1:
-                self.report_violation(f"two_serving {name}: {[(a.machine, g) for a, g in fronts]}")
-            for _, generation in fronts:
+        for name, front_members in serving.items():
+            if len(front_members) > 1:
+                self.report_violation(
+                    f"two_serving {name}: {[(a.machine, g) for a, g in front_members]}"
+                )
+            for _, generation in front_members:
                 self._check_serving(name, generation)
             self.served_at[name] = self.region.clock.now()
         self._check_records()
@@ -117,7 +119,7 @@
                 )
 
     def is_complete(self, name: str, generation: int) -> bool:
-        """Return whether every rank runs this generation on some machine that is alive."""
+        """Return whether every rank runs in this generation on a machine that is alive."""
         ranks = {
             agent.members[name].rank
             for agent in self.region.agents.values()
@@ -128,7 +130,7 @@
         return stored is not None and ranks == set(range(stored[0]["members"]))
 
     def _check_records(self) -> None:
-        """Check the stored records against the machines' capacity and the disruption budgets."""
+        """Check the records for capacity and disruption budget violations."""
         self._check_capacity()
         ready: dict[str, int] = {}
         drained: list[str] = []
@@ -145,7 +147,7 @@
             self._check_budget(name, ready[name.rpartition("/")[0]])
 
     def _check_capacity(self) -> None:
-        """Check that the members planned on a machine fit into its capacity."""
+        """Check that the members planned on a machine don't exceed its capacity."""
         for machine, amounts in self.planned_use().items():
             stored = self.region.state.keys.get(keys.machine(machine))
             if stored is not None and any(
@@ -155,18 +157,18 @@
                 self.report_violation(f"over_committed {machine}: {amounts}")
 
     def _check_budget(self, name: str, ready: int) -> None:
-        """Check that the voluntary stop of a replica left enough ready replicas of its set."""
+        """Check that a voluntary stop has left enough ready replicas of the set."""
         stored = self.region.state.keys.get(keys.replica_set(name.rpartition("/")[0]))
         if stored is None or stored[0]["removed"]:
             return
         reason = self.region.state.keys[keys.REPLICA + name][0]["reason"]
-        # a replica that has lost a member is not stopped voluntarily
+        # the stop of a replica that has lost a member is not voluntary; its reason contains "; "
         is_voluntary = "; " not in reason
         if is_voluntary and ready < stored[0]["min_ready"]:
             self.report_violation(f"below_minimum {name} stopped, {ready} ready")
 
     def planned_use(self) -> dict[str, list[float]]:
-        """Return the resources that the records plan on each machine."""
+        """Return the resources reserved on each machine, according to the records."""
         used: dict[str, list[float]] = {}
         for key, (value, _, _) in self.region.state.keys.items():
             if key.startswith(keys.MEMBERS):
@@ -184,7 +186,7 @@
                 amounts[i] += amount
 
     def check_end(self) -> None:
-        """Check, after all faults, that no reservation and no running member is left over."""
+        """Check after all faults that no reservation or member is leaked."""
         state = self.region.state.keys
         planned: dict[str, set[str]] = {}
         for key, (value, version, _) in state.items():
