--- a/crossmill/cluster/cancellation_announcement.py
+++ b/crossmill/cluster/cancellation_announcement.py
@@ -60,8 +60,8 @@
             key = keys.controller(label)
             version = self._cluster.mirror.version(key)
             body = wire.cancellation_body(job_id)
-            answer = await self._peers.call(label, "POST", wire.CANCELLATION_PATH, body)
-            if answer is not None or self.has_stopped_keepalives(label):
+            response = await self._peers.call(label, "POST", wire.CANCELLATION_PATH, body)
+            if response is not None or self.has_been_absent_long_enough(label):
                 preconditions[key] = version
                 notified.add(label)
             elif note is not None and self._has_read(label, note):
@@ -79,7 +79,10 @@
         return self._max_run_after_sync_s() <= self._settings.cancellation_deadline_s
 
     def _max_run_after_sync_s(self) -> float:
-        """Return how long a worker may run after its controller's last valid sync, in seconds."""
+        """Return how long a worker may run after its controller's last valid sync, in seconds.
+
+        `StateSync` defines which syncs are valid.
+        """
         settings = self._settings
         return (
             settings.partition_keepalive_s
@@ -87,11 +90,11 @@
             + settings.heartbeat_interval_s
         )
 
-    def has_stopped_keepalives(self, label: str) -> bool:
-        """Return whether an unreachable controller can no longer keep tasks alive for too long.
+    def has_been_absent_long_enough(self, label: str) -> bool:
+        """Return whether all tasks that the controller may have kept alive end in time.
 
-        This is the case once the controller has been absent for so long that all tasks it kept
-        alive end in time without a command.
+        This is the case once the controller has been absent for so long that they end within the
+        cancellation deadline without a command.
         """
         span_s = self._max_run_after_sync_s() - self._settings.cancellation_deadline_s
         span_s *= 1 + self._settings.clock_drift
--- a/crossmill/cluster/cluster_state.py
+++ b/crossmill/cluster/cluster_state.py
@@ -18,7 +18,8 @@
 from .plan_index import PlanIndex
 from .records import decode_catalog, decode_controller, decode_job, decode_level
 
-# applies a change of a key: the key without its prefix, its value (None: deleted), its version
+# applies a change of a key: the key (handlers by prefix: without the prefix), its value (None:
+# deleted), its version
 KeyHandler = Callable[[str, Any, int], None]
 
 
@@ -31,7 +32,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.leader: str | None = None
-        # the number of writes and deletions of each controller's key
+        # numbers of writes and deletions of the controllers' keys, by label
         self.key_change_counts: dict[str, int] = {}
         # feature note versions by label of the controllers that support the next feature level
         self.feature_note_versions: dict[str, int] = {}
@@ -44,7 +45,7 @@
         else:
             self[label] = decode_controller(value)
 
-    def apply_level_note(self, label: str, value: Any, version: int) -> None:
+    def apply_feature_note(self, label: str, value: Any, version: int) -> None:
         """Apply a change of the note that a controller supports the next feature level."""
         if value is None:
             self.feature_note_versions.pop(label, None)
@@ -81,7 +82,7 @@
             keys.SHARD: self._on_shard,
             keys.CONTROLLER: self._on_controller,
             keys.CANCELLATION_NOTE: self._on_cancellation_note,
-            keys.FEATURE_NOTE: self.controllers.apply_level_note,
+            keys.FEATURE_NOTE: self.controllers.apply_feature_note,
         }
         self._key_handlers: dict[str, KeyHandler] = {
             keys.LEVEL: self._on_level,
--- a/crossmill/cluster/controller_lease.py
+++ b/crossmill/cluster/controller_lease.py
@@ -15,9 +15,9 @@
 class ControllerLease:
     """The lease that this controller acquires and renews in the state service.
 
-    The controller measures the lease from when it sent the last successful renewal, less the
-    allowance for clock drift. The state service measures it from when it received the renewal. So
-    the controller stops acting before the lease expires.
+    The controller counts the lease from when it sent the last successful renewal, and shortens it
+    by the allowance for clock drift. The state service counts it from when it received the renewal.
+    So the controller stops acting before the lease expires.
     """
 
     def __init__(self, client: StateClient, clock: Clock, settings: Settings) -> None:
--- a/crossmill/cluster/layout.py
+++ b/crossmill/cluster/layout.py
@@ -2,9 +2,9 @@
 
 The *legacy* layout numbers the chunks: chunk `n` contains `legacy_tasks` tasks, starting at task
 `n * legacy_tasks`. Once the feature level is raised, plans are written in *segments*, whose names
-`FIRST-TASKS` give their range of tasks. A segment never crosses the boundary between two legacy
-chunks. Both sizes are stored in the level's record, so that no later change of settings can change
-the range of a stored chunk.
+`FIRST-TASKS` give the index of their first task and their number of tasks. A segment never crosses
+the boundary between two legacy chunks. Both sizes are stored in the level's record, so that no
+later change of settings can change the range of a stored chunk.
 """
 
 from collections.abc import Container, Iterator
@@ -59,7 +59,7 @@
         return self.segment_of(index)
 
     def chunks(self, tasks: int, existing: Container[str]) -> Iterator[ChunkRange]:
-        """Yield all chunks in effect of a job with `tasks` tasks, the last one cut off there."""
+        """Yield all chunks in effect of a job with `tasks` tasks; the last one ends at `tasks`."""
         index = 0
         while index < tasks:
             chunk = self.chunk_of(index, existing)
--- a/crossmill/cluster/lease_expiry_proof.py
+++ b/crossmill/cluster/lease_expiry_proof.py
@@ -157,7 +157,10 @@
         return absent_since + keepalive_s
 
     def is_zone_unreachable(self, zone: str) -> bool:
-        """Return whether the zone has other controllers but none responded for a worker's lease."""
+        """Return whether no other controller of the zone has responded within a worker's lease.
+
+        Returns False if the zone has no other controllers.
+        """
         since = self._clock.now() - self._settings.worker_lease_s
         labels = list(self._peers.labels_in_zone(zone))
         responses = self._peers.last_response_at
--- a/crossmill/cluster/lease_extensions.py
+++ b/crossmill/cluster/lease_extensions.py
@@ -29,13 +29,13 @@
 
 
 class ServiceStatus(Protocol):
-    """The times of this controller's last successful and failed requests to the state service."""
+    """The times of this controller's last successful and failed calls to the state service."""
 
     def last_success_age_s(self) -> float | None:
-        """Return the seconds since the last request was served, or None if none ever was."""
+        """Return the seconds since the last successful call; None if no call has succeeded."""
 
     def last_failure_at(self) -> float:
-        """Return when a request was last refused or not answered, on the monotonic clock."""
+        """Return when the service last was unavailable or did not respond (monotonic clock)."""
 
 
 class LeaseExtensions:
@@ -65,7 +65,7 @@
         # when this controller was first unable to renew its lease; None while it can
         self._failing_since: float | None = None
         # when this controller first learned that the state service serves a peer but not itself
-        self._peer_served_at: float | None = None
+        self._isolation_suspected_at: float | None = None
         # whether the state service serves peers but not this controller
         self.is_isolated = False
 
@@ -132,7 +132,7 @@
         """Clear all received extensions, once the lease can be renewed again."""
         if self._failing_since is not None:
             self._failing_since = None
-            self._peer_served_at = None
+            self._isolation_suspected_at = None
             self.is_isolated = False
             self._received_until.clear()
 
@@ -197,8 +197,8 @@
             return
         if peer_served_at <= self._failing_since + self._settings.lease_renewal_interval_s:
             return
-        if self._peer_served_at is None:
-            self._peer_served_at = self._clock.now()
-        elif self._service.last_failure_at() > self._peer_served_at:
+        if self._isolation_suspected_at is None:
+            self._isolation_suspected_at = self._clock.now()
+        elif self._service.last_failure_at() > self._isolation_suspected_at:
             log.info("state service refuses only this controller peer=%s", label)
             self.is_isolated = True
--- a/crossmill/cluster/machine_index.py
+++ b/crossmill/cluster/machine_index.py
@@ -69,7 +69,10 @@
         return machine.attempts if machine else self._orphaned.setdefault(machine_id, {})
 
     def orphaned_attempts(self) -> Iterator[PlannedAttempt]:
-        """Yield the attempts on machines that have no record because they were released."""
+        """Yield the attempts on machines that have no record because they were released.
+
+        All attempts that ran on such a machine have ended with its release.
+        """
         for attempts in self._orphaned.values():
             yield from attempts.values()
 
--- a/crossmill/cluster/membership.py
+++ b/crossmill/cluster/membership.py
@@ -41,14 +41,14 @@
         self._reachability = reachability
         self._writer = writer
         # version of the newest cancellation note that this controller has read
-        self._seen_note_version = 0
+        self._newest_read_note = 0
 
     async def publish(self) -> None:
         """Write the record if it differs from the stored one."""
-        self._update_seen_note()
+        self._update_newest_read_note()
         lease_id = self._writer.lease_id
         record = ControllerRecord(
-            lease_id, self._reachability.is_unreachable, self._seen_note_version
+            lease_id, self._reachability.is_unreachable, self._newest_read_note
         )
         if lease_id is None or self._cluster.controllers.get(self._writer.label) == record:
             return
@@ -56,7 +56,7 @@
         key = keys.controller(self._writer.label)
         await self._writer.commit(Txn({}, [Put(key, encode_controller(record), lease_id)]))
 
-    def _update_seen_note(self) -> None:
+    def _update_newest_read_note(self) -> None:
         """Update the version of the newest cancellation note that this controller has read.
 
         Controllers that can't reach this one take it from the record. A note that this controller
@@ -64,8 +64,8 @@
         """
         read = self._cluster.mirror.revision
         notes = (note.version for note in self._cluster.cancellation_notes.values())
-        self._seen_note_version = max(
-            (self._seen_note_version, *(version for version in notes if version <= read))
+        self._newest_read_note = max(
+            (self._newest_read_note, *(version for version in notes if version <= read))
         )
 
 
@@ -101,7 +101,7 @@
             settings, clock, self._cluster, lease_extensions, self.owner_selection
         )
         self._leadership = Leadership(self._cluster, self._policy, self.ownership_writer)
-        # tokens that workers have seen, by shard; the shard's next token must be higher
+        # tokens that the shard's next token must exceed, by shard; workers may have seen them
         self._token_floors: dict[int, int] = {}
 
     # -- authority -------------------------------------------------------------------
@@ -161,16 +161,17 @@
     # -- tokens and events -----------------------------------------------------------
 
     def next_token(self) -> NextToken:
-        """Return the next fencing token, for a machine that is moved to another shard."""
+        """Return the next fencing token, for a machine that is transferred to another shard."""
         return self._acquisition.next_token()
 
     def request_higher_token(self, shard: int, above: int = 0) -> None:
         """Schedule the shard's acquisition under a token higher than `above`, at the next step.
 
-        Needed when a worker has seen a higher token than the shard's, or may still receive a
-        command sent under the shard's current token: it then accepts only commands with a new
-        token. After the state service is restored from an older backup, the token counter may be
-        far below `above`.
+        Needed when a worker has seen a higher token than the shard's, and would therefore discard
+        responses under the shard's token. Also needed when a command sent under the shard's current
+        token may still arrive: once the worker has seen the new token, it rejects that command.
+        After the state service is restored from an older backup, the token counter may be far below
+        `above`.
         """
         self._token_floors[shard] = max(above, self._token_floors.get(shard, 0))
 
--- a/crossmill/cluster/model.py
+++ b/crossmill/cluster/model.py
@@ -178,14 +178,14 @@
 
 
 class ShardAssignment(NamedTuple):
-    """The shard that a machine is moved to, and its new fencing token."""
+    """The shard that a machine is transferred to, and the machine's new fencing token."""
 
     shard: int
     token: int
 
 
 class OwnershipRecord(NamedTuple):
-    """The owner of a shard and its fencing token."""
+    """A shard's owner and fencing token, and the version of the shard's key."""
 
     owner: str
     token: int
@@ -195,7 +195,7 @@
 class ControllerRecord(NamedTuple):
     """The status that a controller publishes under its lease.
 
-    `seen_note` is the version of the newest cancellation note that the controller has read.
+    `newest_read_note` is the version of the newest cancellation note that the controller has read.
     """
 
     lease_id: int | None
--- a/crossmill/cluster/owner_selection.py
+++ b/crossmill/cluster/owner_selection.py
@@ -98,7 +98,8 @@
     def acquisition_rank(self) -> int:
         """Return how many controllers precede this one in acquiring keys without an owner.
 
-        Controllers that are not exposed come first, then those that own fewer shards.
+        Controllers that are not exposed precede exposed ones. Then those that own fewer shards
+        precede the others, and ties are broken by label.
         """
         shard_counts = {
             label: 0
--- a/crossmill/cluster/ownership.py
+++ b/crossmill/cluster/ownership.py
@@ -1,7 +1,7 @@
-"""The shards that this controller owns.
+"""The shards that this controller owns, and the authority to answer their workers.
 
-`ShardAcquisition` modifies them, `Membership` makes them available to code that acts for a shard,
-and `LeaseExtensions` reports them to peers.
+`ShardAcquisition` modifies the ownerships, `Membership` makes them available to code that acts for
+a shard, and `LeaseExtensions` reports the owned shards to peers.
 """
 
 import logging
--- a/crossmill/cluster/partition_keepalive.py
+++ b/crossmill/cluster/partition_keepalive.py
@@ -159,9 +159,9 @@
         return self._partition.is_partitioned()
 
     def _is_sync_recent(self) -> bool:
-        read_at = self._state_sync.sent_at
+        synced_at = self._state_sync.sent_at
         keepalive_s = self._settings.partition_keepalive_s * (1 - self._settings.clock_drift)
-        return read_at is not None and self._clock.now() <= read_at + keepalive_s
+        return synced_at is not None and self._clock.now() <= synced_at + keepalive_s
 
     def _known_token(self, machine: Machine) -> int:
         owner = self._cluster.shard_owners.get(machine.shard)
--- a/crossmill/cluster/plan_index.py
+++ b/crossmill/cluster/plan_index.py
@@ -57,7 +57,7 @@
             job.staged[name] = chunk
 
     def _switch_layout(self, job: Job, legacy: ChunkRange, is_present: bool) -> None:
-        """Stage or unstage the segments of a legacy chunk that was written or deleted."""
+        """Stage the segments of a written legacy chunk; put those of a deleted one into effect."""
         if is_present:
             self.legacy_chunks[job.id, legacy.name] = job
             for name, chunk in _segments_of(job.chunks, legacy):
--- a/crossmill/cluster/shard_acquisition.py
+++ b/crossmill/cluster/shard_acquisition.py
@@ -43,7 +43,7 @@
         return NextToken(token, self._cluster.mirror.version(keys.TOKEN))
 
     def drop_if_lost(self, shard: int, ownership: ShardOwnership) -> bool:
-        """Drop the shard if the mirrored state shows its ownership lost; return whether it did."""
+        """Drop the shard if its ownership is known to have ended; return whether it was dropped."""
         reason = self._loss_reason(shard, ownership)
         if reason is None:
             return False
--- a/crossmill/state/client.py
+++ b/crossmill/state/client.py
@@ -106,11 +106,14 @@
         self._last_failure_at = clock.now()
 
     def last_success_age_s(self) -> float | None:
-        """Return the seconds since the last successful call; None if no call has succeeded."""
+        """Return the seconds since the last successful call; None if no call has succeeded.
+
+        A call succeeds if the service is available, also if it limits the rate of requests.
+        """
         return None if self._last_success_at is None else self._clock.now() - self._last_success_at
 
     def last_failure_at(self) -> float:
-        """Return when a call last failed, in seconds of steady time.
+        """Return when a call last failed, on the monotonic clock.
 
         A call fails if the service is unavailable or does not respond. Before the first failure,
         this is the time at which the client was created.
--- a/crossmill/state/watcher.py
+++ b/crossmill/state/watcher.py
@@ -18,6 +18,7 @@
 
 log = logging.getLogger(__name__)
 
+# a watch blocks at most for the shorter of MAX_WATCH_S and this number of worker leases
 MAX_WATCH_S = 60.0
 WATCH_TIMEOUT_WORKER_LEASES = 4
 # each of the two loops uses at most 1/LOOP_REQUEST_DIVISOR of this controller's request rate
@@ -49,9 +50,11 @@
 
     Attributes:
         ready: Event that is set once the mirror holds a full read.
-        current_at: The send time of the newest successful read or watch, in steady time: the
-            mirror holds everything that was durable then. None before the first one.
-        on_change: Callback invoked after each step that changed the mirror, if set.
+        current_at: The send time of the newest successful read or watch, on the monotonic clock:
+            the mirror holds everything that was durable then. None before the first one.
+
+    Args:
+        on_change: Callback invoked after each step that changed the mirror; None if unused.
     """
 
     def __init__(
@@ -90,7 +93,7 @@
         return bool(await future.wait(timeout_s))
 
     async def load(self) -> None:
-        """Read every key and replace the mirror's contents with the state at one revision.
+        """Read every key and bring the mirror up to date with the state at one revision.
 
         The pages of a full read are read at different times; the changes since the first page
         bring all of them to the last revision.
--- a/crossmill/state/write_intent.py
+++ b/crossmill/state/write_intent.py
@@ -62,7 +62,8 @@
     Attributes:
         txn: The changes and their conditions.
         rank: The rank that determines the order in which intents are sent.
-        send_deadline: The latest time to send the intent, in steady time; None if unlimited.
+        send_deadline: The latest time to send the intent, on the monotonic clock; None if
+            unlimited.
         authority: Callback that is checked before each send; None if the intent may always be
             sent.
         outcome_unknown: Whether a request with the intent got no response, so that the changes
--- a/crossmill/state/writer.py
+++ b/crossmill/state/writer.py
@@ -1,8 +1,8 @@
 """Sends write intents in batches, within this controller's share of the state service's rate.
 
-The writer owns the queue of intents and the set of keys in flight. The application runs it; a
-component that decides on a change submits an intent and waits for its result. Successful writes
-are applied to the mirror immediately.
+The writer owns the queue of intents and the set of keys that are being written. The application
+runs it; a component that decides on a change submits an intent and waits for its result.
+Successful writes are applied to the mirror immediately.
 """
 
 import logging
@@ -71,13 +71,13 @@
         self._mirror = mirror
         self._clock = clock
         self._limits = limits
-        # set when a transaction is first refused for its size; overrides the announced limits
+        # set when a transaction is first refused for its size; `_limits` is ignored from then on
         self._reduced_limits: StateLimits | None = None
         self._lowest_limits = settings.lowest_state_limits
         share = settings.state_write_rate
         self._pacer = TokenBucket(clock, share, max(share, 1.0))
-        # the number of writes by which user requests and leases may exceed this controller's share,
-        # using rate that other controllers leave unused
+        # the number of changes by which user requests and ownership writes may exceed this
+        # controller's share, using rate that other controllers leave unused
         self._urgent_overdraft = settings.urgent_write_burst
         self._retry_s = settings.lease_renewal_interval_s / RETRIES_PER_RENEWAL
         self._queue: list[WriteIntent] = []
--- a/tests/partition_scenario.py
+++ b/tests/partition_scenario.py
@@ -72,8 +72,8 @@
                 await node.partition_protocol.step()
             if to is not None:
                 self.seq += 1
-                answer = to.report("n-0", 1, self.seq, self.token, RUNNING)
-                assert (answer.status, answer.token) == (200, self.token), self.clock.time
+                response = to.report("n-0", 1, self.seq, self.token, RUNNING)
+                assert (response.status, response.token) == (200, self.token), self.clock.time
             await self.owner.round()
 
     def report_to_zone_controller(self, seq: int) -> HeartbeatResponse:
@@ -95,7 +95,7 @@
         self.nodes["node-0"].is_unreachable = self.nodes["node-1"].is_unreachable = False
 
     def planned_attempts(self) -> int:
-        """Return the number of attempts that the owner has planned on the machine."""
+        """Return the number of attempts that the owner has planned onto the machine."""
         return len(self.owner.cluster.machines["n-0"].attempts)
 
 
--- a/tests/test_controller_failovers.py
+++ b/tests/test_controller_failovers.py
@@ -88,7 +88,7 @@
 
 
 def test_a_stream_of_single_task_jobs_leaves_nothing_behind() -> None:
-    """All jobs end, and no job state or plan remains in the state service or the mirrors."""
+    """All jobs end, their plans are deleted, and no controller has a queued write left."""
 
     async def scenario(region: Region) -> None:
         await region.begin(machines=8)
--- a/tests/test_derivation.py
+++ b/tests/test_derivation.py
@@ -88,7 +88,7 @@
         return all(n not in records or records[n]["end"] == DONE for n in self.dependencies[job])
 
     def plan(self) -> None:
-        """Rewrites one segment of a ready job's plan."""
+        """Rewrite one segment of a ready job's plan."""
         ready = [job for job in self._unfinished() if self._is_ready(job)]
         machines = self._machines()
         if not ready or not machines:
@@ -117,16 +117,16 @@
         record = encode_end(end, spec, 2.0, RECORD_BYTES)
         self.state.put(keys.job(job), orjson.loads(orjson.dumps(record)))
         if end == CANCELLED:
-            self._record_dependents(job)
+            self._record_cancelled_dependents(job)
 
-    def _record_dependents(self, job: str) -> None:
+    def _record_cancelled_dependents(self, job: str) -> None:
         for other in self._unfinished():
             if job in self.dependencies[other]:
                 spec = make_spec(nameId=other, sacks=TASKS)
                 record = encode_end(CANCELLED, spec, 2.0, RECORD_BYTES)
                 record["spec"]["team"] = self._records()[other]["spec"]["team"]
                 self.state.put(keys.job(other), orjson.loads(orjson.dumps(record)))
-                self._record_dependents(other)
+                self._record_cancelled_dependents(other)
 
     def _ended(self) -> list[str]:
         return [job for job, record in self._records().items() if record["end"]]
--- a/tests/test_lease_extensions.py
+++ b/tests/test_lease_extensions.py
@@ -45,8 +45,8 @@
             seq += 1
             await node.controller_lease.step()
             await _request_extensions(node)
-            answer = node.report("n-0", 1, seq, node.token(), running)
-            assert answer.status == 200
+            response = node.report("n-0", 1, seq, node.token(), running)
+            assert response.status == 200
         # peers that granted extensions don't acquire the shard, even if its owner's key is deleted
         assert nodes["node-1"].lease_extensions.is_granted_to_peer(0)
         nodes["node-2"].is_unreachable = True
--- a/tests/test_missed_watch_events.py
+++ b/tests/test_missed_watch_events.py
@@ -226,7 +226,7 @@
 
 def test_a_controller_announces_only_the_cancellation_notes_it_has_read() -> None:
     # ran_cancelled: the controller knew its own newer note before the watch delivered older ones,
-    # and announced it as if it had read them all; a cancellation was confirmed on that basis
+    # and published it as if it had read them all; a cancellation was confirmed on that basis
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
         node = SteppedController(state, clock, nodes)
@@ -250,7 +250,7 @@
 
 def test_keepalive_needs_a_sync_that_began_after_the_announcement() -> None:
     # ran_cancelled: a cancellation was announced to the previous process and became durable after
-    # this process sent a read but before it published its announcement; it was assumed to be known
+    # this process sent a sync but before it published its record; it was assumed to be known
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
         node = SteppedController(state, clock, nodes)
--- a/tests/test_partition_cancellations.py
+++ b/tests/test_partition_cancellations.py
@@ -20,8 +20,8 @@
         partition.isolate_zone()
         await partition.pass_time(2, partition.zone_controller)
         path = "/v1/jobs/wk-000001"
-        answer = await partition.owner.ask("POST", path + "/withdraw")
-        assert (answer.status, answer.retry_after_s) == (503, 1)
+        response = await partition.owner.ask("POST", path + "/withdraw")
+        assert (response.status, response.retry_after_s) == (503, 1)
         assert b"withdrawn" not in (await partition.owner.ask("GET", path)).body
         # once node-0 is certain to have stopped keepalives early enough, it need not be notified
         partition.state.end_lease(partition.zone_controller.controller_lease.lease_id or 0)
@@ -39,8 +39,8 @@
 
 def test_keepalive_stops_tasks_of_a_job_whose_cancellation_was_announced() -> None:
     async def scenario(partition: PartitionScenario) -> None:
-        answer = await partition.owner.ask("POST", "/v1/jobs/wk-000001/withdraw")
-        assert answer.status == 200
+        response = await partition.owner.ask("POST", "/v1/jobs/wk-000001/withdraw")
+        assert response.status == 200
         # the mirror of node-0 does not hold the cancellation yet: node-0 relies on the announcement
         assert partition.zone_controller.cluster.jobs["wk-000001"].end == ""
         partition.isolate_zone()
@@ -114,9 +114,9 @@
             return handle(request)
 
         partition.zone_controller.partition_protocol.handle = handle_after_move  # type: ignore[method-assign]
-        answer = await partition.owner.ask("POST", "/v1/jobs/wk-000001/withdraw")
+        response = await partition.owner.ask("POST", "/v1/jobs/wk-000001/withdraw")
         assert (
-            answer.status == 503
+            response.status == 503
             or "wk-000001" in other.partition_protocol.keepalive.pending_cancellations
         )
 
--- a/tests/test_partition_keepalive.py
+++ b/tests/test_partition_keepalive.py
@@ -116,8 +116,8 @@
         partition = await _begin_unsettled(state, clock, nodes)
         await _announce_and_settle(partition)
         await _isolate_except_from_south(partition)
-        answer = partition.report_to_zone_controller(901)
-        assert (answer.status, answer.redirect) == (421, "node-1")
+        response = partition.report_to_zone_controller(901)
+        assert (response.status, response.redirect) == (421, "node-1")
 
     run_scenario(scenario)
 
@@ -222,7 +222,7 @@
         assert owner.membership.heartbeat_authority(owner.cluster.machines["s-0"].shard) is None
         assert (
             owner.report("s-0", 1, 50, partition.token).status == 200
-        ), "worker is not kept alive without owner authority"
+        ), "worker was not answered after its owner's authority ended"
         assert view.answered_at == clock.now()
 
     run_scenario(scenario)
--- a/tests/test_state_watcher.py
+++ b/tests/test_state_watcher.py
@@ -92,7 +92,8 @@
 
 
 def test_a_sync_includes_changes_made_after_a_concurrent_full_read_began() -> None:
-    # went_back: a full read begun earlier misses changes that were durable when sync was called
+    # regression test for the invariant went_back (tests/invariant_checker.py): a full read begun
+    # earlier misses changes that were durable when sync was called
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
         node = SteppedController(_PagedStateHttp(state), clock, nodes)
--- a/tests/test_unanswered_requests.py
+++ b/tests/test_unanswered_requests.py
@@ -33,7 +33,7 @@
 
 
 def test_later_writes_of_others_are_known_once_an_unanswered_write_is_resolved() -> None:
-    """Guard against an outdated owner after a machine transfer.
+    """Guards against an outdated owner after a machine transfer.
 
     The new owner's record was read while the outcome of the transfer's write was unknown, and was
     then discarded, so that the former owner continued to answer the machine's worker.
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -154,7 +154,7 @@
         state.put(keys.job(JOB), {"end": "cancelled", "spec": state.keys[keys.job(JOB)][0]["spec"]})
         state.put(keys.plan(JOB, "0"), {"next": 401, "done": "5", "rows": []})
         await node.sync()
-        # the chunk that they were copied from is deleted last: the copies take effect without it
+        # the chunk that they were copied from is deleted last, because they take effect without it
         deletable = [
             name
             for name, _ in node.scheduling_loop._cleanup._deletable_chunks(node.cluster.jobs[JOB])
