--- a/crossmill/cluster/membership.py
+++ b/crossmill/cluster/membership.py
@@ -59,8 +59,9 @@
     def _update_newest_read_note(self) -> None:
         """Update the version of the newest cancellation note that this controller has read.
 
-        Controllers that can't reach this one take it from the record. A note that this controller
-        wrote itself may be newer than the revision it has read, and does not count until then.
+        Controllers that can't reach this one read the version in its record. A note that this
+        controller wrote itself may be newer than the revision it has read; until it has read that
+        revision, the note does not count.
         """
         read = self._cluster.mirror.revision
         notes = (note.version for note in self._cluster.cancellation_notes.values())
--- a/crossmill/cluster/partition_keepalive.py
+++ b/crossmill/cluster/partition_keepalive.py
@@ -168,6 +168,7 @@
         return max(machine.token, owner.token if owner is not None else 0)
 
     def _has_ended(self, job_id: str) -> bool:
+        """Return whether the job has ended or is about to be cancelled."""
         if job_id in self.pending_cancellations or job_id in self._cluster.cancellation_notes:
             return True
         job = self._cluster.jobs.get(job_id)
--- a/crossmill/cluster/partition_protocol.py
+++ b/crossmill/cluster/partition_protocol.py
@@ -66,7 +66,7 @@
         """Record absent controllers, probe other zones, request attestations, and sync the mirror.
 
         Other zones are probed only while the controller's lease can't be renewed. The mirror is
-        synced only while it can.
+        synced only while the lease can be renewed.
         """
         self.expiry_proof.observe_absences()
         self.expiry_proof.drop_expired()
