--- a/crossmill/jobs/capacity_selection.py
+++ b/crossmill/jobs/capacity_selection.py
@@ -20,7 +20,8 @@
 from .preemption import Preemption
 from .team_quotas import UsageByTeam
 
-# largest share of a service's start objective that the image fetch may take
+# largest share of a service's start objective, the time in which its replicas should start, that
+# the image fetch may take
 MAX_IMAGE_DELAY_SHARE = 0.75
 
 
@@ -137,13 +138,13 @@
         """Return whether other tasks may be stopped for the job.
 
         Only failures of its own replicas bar a service from preemption; a replica that ended with
-        its machine does not count as one. An array may preempt only until its first task has ended.
-        If it could preempt again for each task, two arrays would stop each other's tasks
-        alternately.
+        its machine does not count as one. Any other job may preempt only until its first task has
+        ended. If an array could preempt again for each task, two arrays would stop each other's
+        tasks alternately.
         """
         is_service = request.spec.is_service
-        has_own_failures = failures is not None and (not is_service or failures.failures != 0)
-        return not has_own_failures and self._preemption.can_preempt_for(request.job, request.usage)
+        is_barred = failures is not None and (not is_service or failures.failure_count != 0)
+        return not is_barred and self._preemption.can_preempt_for(request.job, request.usage)
 
     def _assign_or_preempt(
         self,
--- a/crossmill/jobs/failures.py
+++ b/crossmill/jobs/failures.py
@@ -23,12 +23,12 @@
 class JobFailures:
     """Failures of the tasks of one job."""
 
-    __slots__ = ("failures", "machines", "not_before", "succeeded")
+    __slots__ = ("failure_count", "machines", "not_before", "succeeded")
 
     def __init__(self) -> None:
         # IDs of the machines on which tasks of the job failed
         self.machines: set[str] = set()
-        self.failures = 0
+        self.failure_count = 0
         self.succeeded = False
         # the earliest time for placing the job's next task, in seconds on the controller's clock
         self.not_before = 0.0
@@ -70,7 +70,7 @@
 
     def _record_failure(self, job: Job, entry: JobFailures, outcome: AttemptOutcome) -> None:
         machine = outcome.attempt.machine
-        entry.failures += 1
+        entry.failure_count += 1
         entry.machines.add(machine)
         # a job that fails on several machines is probably the cause itself: it is retried with
         # exponential backoff, and its failures don't count against the machines
@@ -83,7 +83,7 @@
                 self._by_machine.get(suspected, set()).discard(job.id)
 
     def _backoff_s(self, entry: JobFailures) -> float:
-        factor: int = 2 ** min(entry.failures, MAX_BACKOFF_DOUBLINGS)
+        factor: int = 2 ** min(entry.failure_count, MAX_BACKOFF_DOUBLINGS)
         backoff_s = self._settings.heartbeat_interval_s * factor
         return min(backoff_s, self._settings.max_retry_backoff_s)
 
--- a/crossmill/jobs/lookup.py
+++ b/crossmill/jobs/lookup.py
@@ -1,4 +1,4 @@
-"""Lookup of jobs for users: from memory if the state is final, otherwise after a current read.
+"""Lookup of jobs for users: directly from memory if the state is final, else after a mirror sync.
 
 Owns no state. The handlers of submissions and cancellations also use it: the response to a repeated
 submission, or to the cancellation of an ended job, comes from the same lookup as that to a poll.
--- a/crossmill/jobs/machine_maintenance.py
+++ b/crossmill/jobs/machine_maintenance.py
@@ -204,9 +204,9 @@
     ) -> RetireReason | None:
         """Return the reason to retire a machine that sent this owner no trusted heartbeat."""
         if machine.is_up or view.has_been_answered:
-            # an earlier owner has received its heartbeats. Without this check, a controller that
-            # took over a shard while its zone was partitioned classified half of the fleet as never
-            # booted
+            # this or an earlier owner has received its heartbeats. Without this check, a controller
+            # that took over a shard while its zone was partitioned classified half of the fleet as
+            # never booted
             return RetireReason.SILENT
         has_failed = self._forecast.capacity.has_boot_failed(
             machine, machine_type, self._clock.wall_time()
--- a/crossmill/jobs/outcome_batch.py
+++ b/crossmill/jobs/outcome_batch.py
@@ -14,7 +14,7 @@
 
 
 class ChunkOutcomes:
-    """The confirmed outcomes of one plan chunk's tasks, which are written together."""
+    """The proved outcomes of one plan chunk's tasks, which are written together."""
 
     __slots__ = ("chunk", "job", "name", "outcomes")
 
@@ -40,7 +40,7 @@
 def collect_outcomes(
     cluster: ClusterState, outcomes: Mapping[TaskKey, AttemptOutcome], shard: int, term: int
 ) -> list[ChunkOutcomes]:
-    """Return the outcomes confirmed in the owner's current term by chunk, oldest first."""
+    """Return the outcomes proved in the owner's current term by chunk, oldest first."""
     batches: dict[tuple[str, str], ChunkOutcomes] = {}
     for (job_id, index), outcome in outcomes.items():
         job = cluster.jobs.get(job_id)
--- a/crossmill/jobs/placement.py
+++ b/crossmill/jobs/placement.py
@@ -202,7 +202,7 @@
         waiting = self._waiting_tasks(job, spec)
         if gate is None:
             return waiting
-        return [index for index in waiting if not gate.is_claimed(job.id, index)]
+        return [index for index in waiting if not gate.is_running_unplanned(job.id, index)]
 
     def _plan_start(self, job: Job, index: int, machine_id: str, edits: PlanEdits) -> None:
         """Add the task's start to the edits, if the chunk's transaction has space for it."""
--- a/crossmill/jobs/plan_writer.py
+++ b/crossmill/jobs/plan_writer.py
@@ -28,12 +28,20 @@
     write fails if any of the versions has changed since.
     """
 
-    __slots__ = ("base", "chunk", "job", "job_version", "machine_versions", "outcomes", "starts")
-
-    def __init__(self, job: Job, chunk: str) -> None:
+    __slots__ = (
+        "base",
+        "chunk_name",
+        "job",
+        "job_version",
+        "machine_versions",
+        "outcomes",
+        "starts",
+    )
+
+    def __init__(self, job: Job, chunk_name: str) -> None:
         self.job = job
-        self.chunk = chunk
-        self.base: PlanChunk | None = job.chunks.get(chunk)
+        self.chunk_name = chunk_name
+        self.base: PlanChunk | None = job.chunks.get(chunk_name)
         self.job_version = job.version
         # outcomes of attempts that have ended
         self.outcomes: list[AttemptOutcome] = []
@@ -51,11 +59,11 @@
 PlanEdits = dict[tuple[str, str], PlanEdit]
 
 
-def get_or_create_edit(edits: PlanEdits, job: Job, chunk: str) -> PlanEdit:
+def get_or_create_edit(edits: PlanEdits, job: Job, chunk_name: str) -> PlanEdit:
     """Return the round's edit of the chunk, creating it if there is none yet."""
-    edit = edits.get((job.id, chunk))
+    edit = edits.get((job.id, chunk_name))
     if edit is None:
-        edit = edits[job.id, chunk] = PlanEdit(job, chunk)
+        edit = edits[job.id, chunk_name] = PlanEdit(job, chunk_name)
     return edit
 
 
@@ -75,18 +83,18 @@
         job, spec = edit.job, edit.job.spec
         if not (edit.outcomes or edit.starts) or not (job.has_record or job.has_ended):
             return None
-        if self._migration.is_due(job, edit.chunk):
-            # the chunk may exceed the new size limit; the next heartbeats confirm the outcomes
-            # again, and a later round places the tasks again
+        if self._migration.is_due(job, edit.chunk_name):
+            # the chunk may exceed the new size limit; the next heartbeats prove the outcomes again,
+            # and a later round places the tasks again
             return None
         old = edit.base
-        chunk_range = self._cluster.layout.parse(edit.chunk)
+        chunk_range = self._cluster.layout.parse(edit.chunk_name)
         new = (
             PlanChunk(old.next_attempt_number, old.done_bitmap, dict(old.attempts))
             if old
             else PlanChunk()
         )
-        key = keys.plan(job.id, edit.chunk)
+        key = keys.plan(job.id, edit.chunk_name)
         txn = Txn({key: old.version if old else 0})
         if old is None:
             txn.conditions.update(self._layout_conditions(job, chunk_range))
@@ -150,7 +158,7 @@
         """Remove the attempts that have ended from the new chunk.
 
         An outcome of another term or of another attempt is ignored. So is an outcome whose
-        preconditions exceed the transaction's limit; it is confirmed again later.
+        preconditions exceed the transaction's limit; it is proved again later.
         """
         max_conditions = self._cluster.limits.conditions - OTHER_CONDITIONS
         for outcome in edit.outcomes:
@@ -172,7 +180,7 @@
         done_elsewhere = sum(
             chunk.done_bitmap.bit_count()
             for name, chunk in job.chunks.items()
-            if name != edit.chunk
+            if name != edit.chunk_name
         )
         return new.done_bitmap.bit_count() + done_elsewhere == spec.tasks
 
--- a/crossmill/jobs/scheduling_loop.py
+++ b/crossmill/jobs/scheduling_loop.py
@@ -243,7 +243,7 @@
                 edit.outcomes.append(outcome)
 
     def _drop_stale_outcomes(self, shard: int, batches: list[ChunkOutcomes]) -> None:
-        """Drop outcomes that no longer match the plan or whose shard has another owner now."""
+        """Drop outcomes that no longer match the plan or whose shard this controller lost."""
         outcomes = self._heartbeats.outcomes
         valid = {
             (outcome.attempt.job, outcome.attempt.index)
--- a/crossmill/jobs/submission.py
+++ b/crossmill/jobs/submission.py
@@ -80,7 +80,10 @@
         return await self._validate_and_accept(submission)
 
     async def _refuse(self, job_id: str, status: int, reason: str) -> Response:
-        """Return the refusal, or the job's state if a job with this ID was accepted before."""
+        """Return the refusal, or the job's state if a job with this ID was accepted before.
+
+        If that can't be determined now, return a 503.
+        """
         response = await self._lookup.status_response(job_id)
         if response.status != NOT_FOUND:
             return response
--- a/crossmill/jobs/team_quotas.py
+++ b/crossmill/jobs/team_quotas.py
@@ -35,7 +35,7 @@
 UsageByTeam = dict[str, ResourceUsage]
 
 
-class _QuotaClaim(NamedTuple):
+class _QuotaDemand(NamedTuple):
     """The GPUs of a job's unfinished tasks, which count against its team's quota.
 
     Sorts by order of acceptance.
@@ -69,7 +69,10 @@
         return usage
 
     def gpus_over_quota(self, team_name: str, usage: UsageByTeam) -> float:
-        """Return the GPUs that the team uses in excess of its quota; 0 without a quota."""
+        """Return the GPUs that the team uses in excess of its quota; 0 if it has no quota.
+
+        The number is negative if the team uses less than its quota.
+        """
         team = self._settings.team(team_name)
         used = usage.get(team_name)
         gpus = used.gpus if used is not None else 0.0
@@ -94,31 +97,31 @@
         The result is computed in one pass over all jobs. Summing up a team's earlier jobs for each
         job separately took two fifths of a controller's CPU time with some 600 machines.
         """
-        claims_by_team: dict[str, list[_QuotaClaim]] = {}
+        demands_by_team: dict[str, list[_QuotaDemand]] = {}
         for job in self._cluster.jobs.active[shard].values():
             # a job that waits for its dependencies does not count against a quota
             if job.spec is not None and not job.is_blocked:
                 gpus = job.spec.gpus * (job.spec.tasks - job.done_task_count())
-                claim = _QuotaClaim(job.acceptance_order, gpus, job.id)
-                claims_by_team.setdefault(job.spec.team, []).append(claim)
+                demand = _QuotaDemand(job.acceptance_order, gpus, job.id)
+                demands_by_team.setdefault(job.spec.team, []).append(demand)
         within_quota: set[str] = set()
-        for team_name, claims in claims_by_team.items():
+        for team_name, demands in demands_by_team.items():
             team = self._settings.team(team_name)
             if team is not None and team.gpus > 0:
-                within_quota.update(_job_ids_within(claims, team.gpus))
+                within_quota.update(_job_ids_within(demands, team.gpus))
         return within_quota
 
 
-def _job_ids_within(claims: list[_QuotaClaim], quota_gpus: float) -> list[str]:
+def _job_ids_within(demands: list[_QuotaDemand], quota_gpus: float) -> list[str]:
     """Return the IDs of the earliest jobs that fit into the quota together."""
-    claims.sort()
+    demands.sort()
     job_ids: list[str] = []
     gpus = 0.0
     # jobs accepted in one transaction have the same order, so either all of them fit or none
-    for _, same_order in groupby(claims, key=attrgetter("order")):
+    for _, same_order in groupby(demands, key=attrgetter("order")):
         group = list(same_order)
-        gpus += sum(claim.gpus for claim in group)
+        gpus += sum(demand.gpus for demand in group)
         if gpus > quota_gpus:
             break
-        job_ids.extend(claim.job_id for claim in group)
+        job_ids.extend(demand.job_id for demand in group)
     return job_ids
--- a/crossmill/net/request_heads.py
+++ b/crossmill/net/request_heads.py
@@ -18,7 +18,8 @@
 LENGTH_PLACEHOLDER = 1_234_567_890
 # one template per pair of status and Retry-After, whose number does not grow with the fleet
 MAX_RESPONSE_TEMPLATES = 256
-# h11 frames a response according to its request; this one represents all that keep the connection
+# h11 frames a response according to its request; this one represents all requests that keep the
+# connection open
 PLAIN_REQUEST = b"GET / HTTP/1.1\r\nhost: a\r\n\r\n"
 
 
--- a/crossmill/recovery/service.py
+++ b/crossmill/recovery/service.py
@@ -79,7 +79,7 @@
         recovery = self._shards.get(shard)
         return recovery is None or recovery.may_place or self._recovery.dry_run
 
-    def is_claimed(self, job: str, index: int) -> bool:
+    def is_running_unplanned(self, job: str, index: int) -> bool:
         """Whether a worker runs the task although no plan contains it."""
         if self._recovery.dry_run:
             return False
--- a/crossmill/workers/__init__.py
+++ b/crossmill/workers/__init__.py
@@ -1,1 +1,1 @@
-"""The status and leases of workers, and the commands that they are sent."""
+"""The status and leases of workers, and the commands sent to them."""
--- a/crossmill/workers/attempt_outcomes.py
+++ b/crossmill/workers/attempt_outcomes.py
@@ -3,8 +3,8 @@
 Outcomes of ended attempts are kept until they are durably written. Writing an outcome removes the
 attempt from the plan, so each outcome names the proof that the attempt has ended, the term of the
 shard owner that recorded it, and the key versions that the write is conditional on. An outcome is
-invalid once that term ends: a later owner may have started the same attempt that this owner found
-not to have started.
+stale once that term ends: a later owner may have started the same attempt that this owner found not
+to have started.
 
 The reconciler owns the three collections. They are not stored: the next owner of the shard derives
 them again. The reconciler, the lease expiry check and the scheduling loop record outcomes, and the
@@ -21,7 +21,7 @@
 from ..cluster.model import AttemptId, PlannedAttempt
 from ..wire.workers import TaskKey, WorkerHeartbeat
 
-# unacknowledged starts of one machine by attempt ID, with the fencing token they were sent under
+# fencing tokens under which one machine's unacknowledged starts were sent, by attempt ID
 MachineStarts = dict[AttemptId, int]
 
 NO_PRECONDITIONS: Mapping[str, int] = MappingProxyType({})
@@ -108,7 +108,7 @@
         """Return whether the attempt has ended, so that no start of it may be sent."""
         return attempt.id in self._ended
 
-    def end_term(self, shard: int) -> None:
+    def end_ownership(self, shard: int) -> None:
         """Drop the shard's outcomes and ended attempts after its ownership has ended."""
         for key in [key for key in self if self._can_belong_to(key[0], shard)]:
             del self[key]
--- a/crossmill/workers/command_gate.py
+++ b/crossmill/workers/command_gate.py
@@ -27,7 +27,7 @@
     def may_place(self, shard: int) -> bool:
         """Return whether waiting tasks of the shard may be placed."""
 
-    def is_claimed(self, job: str, index: int) -> bool:
+    def is_running_unplanned(self, job: str, index: int) -> bool:
         """Return whether a worker runs the task although no plan contains it.
 
         Such a task must not be placed, as it would run twice.
--- a/crossmill/workers/command_sender.py
+++ b/crossmill/workers/command_sender.py
@@ -43,9 +43,11 @@
 class CommandSender:
     """Sends commands to workers' own addresses.
 
+    Args:
+        on_response: Called after a worker's response has been applied; optional.
+
     Attributes:
         connect: Creates the HTTP client for a worker's address.
-        on_response: Called after a worker's response has been applied; optional.
     """
 
     def __init__(
--- a/crossmill/workers/heartbeat_handler.py
+++ b/crossmill/workers/heartbeat_handler.py
@@ -114,7 +114,7 @@
         """Return the view of a machine, creating it if the machine is new or has returned.
 
         An earlier owner may have responded to the worker until this controller took over, so a new
-        view takes the current time as the last response.
+        view takes the current time as the time of the last response.
         """
         view = self._views.get(machine.id)
         if view is None or view.machine_token != machine.token:
@@ -143,17 +143,17 @@
         if self.is_transferring(machine.id):
             return self._redirect()
         if authority is None:
-            return self._answer_without_ownership(machine, heartbeat)
-        return self._answer_as_owner(machine, heartbeat, authority)
+            return self._respond_without_ownership(machine, heartbeat)
+        return self._respond_as_owner(machine, heartbeat, authority)
 
-    def _answer_as_owner(
+    def _respond_as_owner(
         self, machine: Machine, heartbeat: WorkerHeartbeat, authority: HeartbeatAuthority
     ) -> HeartbeatResponse:
         """Respond to a worker of an owned shard; without full authority, only keep it alive."""
         ownership = authority.ownership
         token = self.command_token(machine, ownership)
         if heartbeat.token > token:
-            return self._answer_newer_token(machine, heartbeat)
+            return self._respond_to_newer_token(machine, heartbeat)
         view = self.ensure_view(machine)
         verdict = view.apply_heartbeat(heartbeat, token, self._clock.now())
         if verdict is HeartbeatVerdict.STALE:
@@ -185,7 +185,7 @@
         redirect = owner or self._membership.owner_selection.redirect_target()
         return HeartbeatResponse(HttpStatus.MISDIRECTED_REQUEST, redirect=redirect)
 
-    def _answer_without_ownership(
+    def _respond_without_ownership(
         self, machine: Machine, heartbeat: WorkerHeartbeat
     ) -> HeartbeatResponse:
         """Keep a worker of a partitioned zone alive, or redirect it to its owner."""
@@ -202,7 +202,7 @@
             view.answered_at = self._clock.now()
         return HeartbeatResponse(HttpStatus.OK, heartbeat.token, tuple(commands[:MAX_COMMANDS]))
 
-    def _answer_newer_token(
+    def _respond_to_newer_token(
         self, machine: Machine, heartbeat: WorkerHeartbeat
     ) -> HeartbeatResponse:
         """Redirect a worker that has seen a higher token than this owner's.
--- a/crossmill/workers/reconciliation.py
+++ b/crossmill/workers/reconciliation.py
@@ -31,7 +31,7 @@
 _RUNNING = TaskState.RUNNING
 _SAVING = TaskState.SAVING
 
-# number of heartbeats by which a checkpoint starts earlier than a machine's termination requires
+# a checkpoint starts this many heartbeat intervals earlier than a machine's termination requires
 TERMINATION_MARGIN_HEARTBEATS = 3
 # a stopped task may save for this multiple of the time that its job declares
 SAVE_GRACE_FACTOR = 2
@@ -58,7 +58,7 @@
 
     def end_ownership(self, shard: int) -> None:
         """Drop the outcomes and stop requests of a shard that this controller has lost."""
-        self.outcomes.end_term(shard)
+        self.outcomes.end_ownership(shard)
         self.stop_requests.end_ownership(self._cluster, shard)
 
     def may_start(self, attempt: PlannedAttempt, machine: Machine) -> bool:
--- a/tests/test_attempt_end_proofs.py
+++ b/tests/test_attempt_end_proofs.py
@@ -18,9 +18,9 @@
         successor = SteppedController(state, clock, nodes)
         await successor.boot()
         assert successor.token() > node.token()
-        answer = successor.report("n-0", 1, 2, node.token())
-        assert answer.commands == ()
-        assert answer.token == successor.token()
+        response = successor.report("n-0", 1, 2, node.token())
+        assert response.commands == ()
+        assert response.token == successor.token()
         assert not successor.heartbeats.outcomes
         await successor.round()
         assert len(successor.cluster.machines["n-0"].attempts) == 1
@@ -128,10 +128,11 @@
 
 
 def test_a_session_known_from_command_responses_alone_has_its_own_lease() -> None:
-    """Attempts that still ran were considered ended and were started on other machines.
+    """Guards against starting attempts that still run on other machines.
 
     A worker whose heartbeats are lost begins a new session. The lease of the attempts placed in
-    that session was counted from the last heartbeat that had been answered, long before.
+    that session was counted from the last heartbeat that had been answered, long before, so they
+    were considered ended.
     """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
--- a/tests/test_command_delivery.py
+++ b/tests/test_command_delivery.py
@@ -90,8 +90,8 @@
 def test_tasks_of_a_cancelled_job_are_stopped_and_its_recorded_end_is_kept() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
-        answer = await node.ask("POST", f"/v1/jobs/{JOB}/withdraw")
-        assert (answer.status, orjson.loads(answer.body)["stage"]) == (200, "withdrawn")
+        response = await node.ask("POST", f"/v1/jobs/{JOB}/withdraw")
+        assert (response.status, orjson.loads(response.body)["stage"]) == (200, "withdrawn")
         running = reported_task(JOB, 0, 1, "running")
         commands = node.report("n-0", 1, 5, node.token(), running).commands
         assert commands == (Command(CommandKind.STOP, f"{JOB}/0", 1, 0.0),)
@@ -103,9 +103,10 @@
 
 
 def test_a_command_response_without_the_task_does_not_prove_that_it_will_not_start() -> None:
-    """A task that was considered not started was placed again, and then the first start arrived.
+    """Guards against placing a task again before its first start arrives.
 
-    The start may be in the response to the last heartbeat, which has not arrived yet.
+    The task was considered not started, but the start may be in the response to the last heartbeat,
+    which has not arrived yet.
     """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
@@ -126,7 +127,7 @@
 
 
 def test_an_attempt_found_not_started_is_never_started() -> None:
-    """A direct command started a task after its attempt had been found not started.
+    """Guards against a direct command that starts an attempt after it was found not started.
 
     The watch delivered the plan before the response to its write arrived. A heartbeat without the
     task then ended the attempt, which was on a machine to be released. The response to the write
--- a/tests/test_concurrent_cancellations.py
+++ b/tests/test_concurrent_cancellations.py
@@ -69,7 +69,7 @@
 def test_an_isolated_controller_ends_the_job_whose_cancellation_it_requested() -> None:
     """A zone's only controller requests a cancellation and never reads that it was written.
 
-    Isolated together with its zone, it would have kept the job's tasks alive for three leases.
+    Isolated together with its zone, it would otherwise keep the job's tasks alive for three leases.
     """
 
     async def scenario(region: Region) -> None:
--- a/tests/test_machine_transfer.py
+++ b/tests/test_machine_transfer.py
@@ -130,7 +130,7 @@
 
 
 def test_no_start_is_planned_on_a_machine_in_the_round_that_transfers_it() -> None:
-    """A start planned in that round would be committed together with the transfer.
+    """Guards against committing a start together with the transfer of its machine.
 
     The write of the start is conditional on the machine's version but does not change it.
     """
@@ -171,10 +171,10 @@
 
 
 def test_a_controller_without_heartbeats_releases_its_shards() -> None:
-    """Ninety tasks were lost when no worker could reach the owner of their shard.
+    """Guards against the loss of tasks when no worker can reach the owner of their shard.
 
-    The owner kept its shards, and every peer redirected the workers to it until the workers'
-    leases expired.
+    Ninety tasks were lost: the owner kept its shards, and every peer redirected the workers to it
+    until the workers' leases expired.
     """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -53,7 +53,7 @@
     run_scenario(scenario)
 
 
-def test_capacity_freed_on_a_machine_without_the_image_is_used_at_once() -> None:
+def test_capacity_freed_on_a_machine_without_the_image_is_used_immediately() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await boot_with_job(state, clock, nodes, machines=1, sacks=4)
         running = _running(ARRAY, 4)
@@ -110,7 +110,10 @@
 
 
 def test_a_replica_that_ended_with_its_machine_may_preempt_again() -> None:
-    """A replica waited for a free machine when every ended attempt counted as a failure."""
+    """Guards against a replica that waits for a free machine because it may not preempt.
+
+    That was so while every ended attempt counted as a failure.
+    """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         service, array = "wk-000001", "wk-000002"
@@ -134,9 +137,10 @@
 
 
 def test_stoppable_jobs_are_computed_once_per_job_and_round() -> None:
-    """Computing them for each task on each machine took two thirds of a controller's CPU time.
+    """Guards against computing the stoppable jobs for each task on each machine.
 
-    Simulated days of 300 machines did not end within their CPU time limit.
+    That took two thirds of a controller's CPU time, and simulated days of 300 machines did not end
+    within their CPU time limit.
     """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
@@ -161,7 +165,7 @@
 
 
 def test_stops_for_a_quota_leave_other_teams_their_quota() -> None:
-    """Whole arrays were stopped for one task, so that their team fell below its own quota."""
+    """Guards against stopping whole arrays for one task, which left their team below its quota."""
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await boot_with_job(state, clock, nodes, machines=1, sacks=3)
--- a/tests/test_request_heads.py
+++ b/tests/test_request_heads.py
@@ -101,7 +101,7 @@
 def test_a_repeated_request_is_not_parsed_and_receives_the_same_response(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # parsing heartbeats and polls took more than a third of a controller's time
+    # parsing each heartbeat and poll took more than a third of a controller's time
     counts: Counter[str] = Counter()
 
     async def handler(request: Request) -> Response:
@@ -114,22 +114,22 @@
         await curio.sleep(0.05)
         async with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as sock:
             await sock.connect(("127.0.0.1", port))
-            answers: list[bytes] = []
+            responses: list[bytes] = []
             for data in (POST, POST, POST, POST + POST):
                 await sock.sendall(data)
-                answer = b""
-                while answer.count(BODY) < data.count(BODY):
-                    answer += await sock.recv(4096)
-                answers.append(answer)
-                if len(answers) == 2:
+                response = b""
+                while response.count(BODY) < data.count(BODY):
+                    response += await sock.recv(4096)
+                responses.append(response)
+                if len(responses) == 2:
                     # h11 has now parsed the request head and encoded the response head
                     _count_calls(monkeypatch, counts, "next_event")
-                if len(answers) == 3:
+                if len(responses) == 3:
                     assert not counts
             # two requests received together are passed to h11
             assert counts
-            assert answers[3] == 2 * answers[2]
-            assert answers[0] == answers[1] == answers[2]
+            assert responses[3] == 2 * responses[2]
+            assert responses[0] == responses[1] == responses[2]
 
     async def bounded() -> None:
         await curio.timeout_after(5.0, scenario)
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -26,12 +26,12 @@
                     await curio.sleep(byte_interval_s)
             else:
                 await sock.sendall(data)
-            answer = b""
+            response = b""
             while part := await sock.recv(65536):
-                answer += part
+                response += part
         except OSError:
             return b"reset"
-        return answer
+        return response
 
 
 @pytest.mark.parametrize(
@@ -46,7 +46,7 @@
 def test_a_bad_request_ends_its_connection_and_no_other(
     data: bytes, byte_interval_s: float, expected: bytes
 ) -> None:
-    # a client that slowly sent single bytes kept its socket indefinitely
+    # guards against a client that keeps its socket indefinitely by slowly sending single bytes
 
     async def scenario() -> None:
         async with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as free:
@@ -55,8 +55,8 @@
         server = Server(Endpoint("127.0.0.1", port), _handler, 8, 0.5, max_cached_heads=8)
         await curio.spawn(server.run, daemon=True)
         await curio.sleep(0.05)
-        answer = await curio.timeout_after(5.0, _exchange, port, data, byte_interval_s)
-        assert expected in answer
+        response = await curio.timeout_after(5.0, _exchange, port, data, byte_interval_s)
+        assert expected in response
         while server.open_sockets:
             await curio.sleep(0.01)
         assert b"200" in await curio.timeout_after(5.0, _exchange, port, GOOD_REQUEST, 0)
--- a/tests/test_silent_machines.py
+++ b/tests/test_silent_machines.py
@@ -7,7 +7,10 @@
 
 
 def test_machines_silent_since_a_takeover_are_not_retired_during_a_possible_partition() -> None:
-    """Half a fleet was released as never started 16 s after a takeover during a partition."""
+    """Guards against the release of machines as never started during a partition.
+
+    Half a fleet was released 16 s after a takeover.
+    """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=3)
@@ -33,7 +36,7 @@
 
 
 def test_no_machine_is_retired_while_a_zone_falls_silent_and_comes_back_one_by_one() -> None:
-    """A zone's machines that become unreachable one after the other are not retired.
+    """Guards against retiring a zone's machines that become unreachable one after the other.
 
     The first machines were retired before the others had become unreachable, and the last machines
     as soon as most of the others were reachable again.
