--- a/crossmill/jobs/plan_migration.py
+++ b/crossmill/jobs/plan_migration.py
@@ -5,6 +5,7 @@
 atomically. If the copies and the deletion fit into one transaction, a single one does both. At no
 time does a planned task appear to be unplanned, and after a crash between two transactions the
 legacy chunk is still in effect. Called by the scheduling loop and the plan writer; owns no state.
+The next limits are `next_state_limits` in the settings.
 """
 
 import logging
--- a/crossmill/workers/views.py
+++ b/crossmill/workers/views.py
@@ -46,8 +46,8 @@
         session: The worker's newest session (its incarnation).
         session_seen_at: The time at which that session was first seen.
         seq: The sequence number of the newest status within the session.
-        last_heartbeat_number: The session and sequence number of the newest heartbeat; responses to
-            direct commands don't count.
+        last_heartbeat_number: The session and sequence number of the newest heartbeat that reported
+            this owner's token; responses to direct commands don't count.
         last_heartbeat_at: The time at which that heartbeat was received; None before the first.
         has_confirmed_token: Whether the worker has reported this owner's token.
         address: The worker's own address, `host:port`.
