--- a/crossmill/recovery/circuit_breaker.py
+++ b/crossmill/recovery/circuit_breaker.py
@@ -19,7 +19,7 @@
     Attributes:
         stops: Orders to stop a task.
         restarts: Orders to start a planned task that its worker does not run.
-        releases: Machines to be released, or released, to the cloud.
+        releases: Releases of machines to the cloud.
         tasks_known: Tasks that are planned on or reported by machines that have reported.
         machines_known: Machines of the shard.
     """
@@ -32,7 +32,7 @@
 
 
 def is_mass_action(action_counts: ActionCounts, settings: RecoverySettings) -> bool:
-    """Return whether more than the permitted share of the tasks or machines is affected."""
+    """Return whether more tasks or machines are affected than is permitted without an approval."""
     affected_tasks = action_counts.stops + action_counts.restarts
     return _exceeds_limit(affected_tasks, action_counts.tasks_known, settings) or _exceeds_limit(
         action_counts.releases, action_counts.machines_known, settings
--- a/crossmill/recovery/classification.py
+++ b/crossmill/recovery/classification.py
@@ -1,4 +1,4 @@
-"""Classifies the differences between stored state and heartbeats.
+"""Classification of tasks and machines by their stored state and the heartbeats.
 
 The functions are pure and accept any combination of arguments. Each task that is stored or reported
 by a worker has exactly one class, and so has each machine that is stored, listed by the cloud or
@@ -51,7 +51,7 @@
 class TaskClass(StrEnum):
     """The class of one task on one machine; the values are stored in records and digests."""
 
-    # stored, and reported as running with the same attempt
+    # stored, and reported as running with the same attempt in the same session
     HEALTHY = "healthy"
     # stored, and reported to have exited
     EXITED = "exited"
@@ -93,7 +93,7 @@
     UNLISTED = "unlisted"
     # listed or reported, and not stored
     UNKNOWN = "unknown"
-    # marked for return to the cloud
+    # marked for release to the cloud
     RETIRING = "retiring"
 
 
@@ -107,11 +107,11 @@
     FORGET = "forget"
     # the attempt's end is written; the scheduler places the task again if necessary
     RECORD_END = "record end"
-    # the machine is marked for return to the cloud
+    # the machine is marked for release to the cloud
     RETIRE = "retire"
     # the machine's record is written
     ADOPT = "adopt"
-    # the machine is returned to the cloud
+    # the machine is released to the cloud
     RELEASE = "release"
 
 
@@ -288,7 +288,7 @@
         is_stored: whether the machine has a record
         is_in_cloud_list: whether the cloud's newest list contains the machine; None if no list is
             available, since only the leader reads it
-        is_retiring: whether the machine is marked for return to the cloud
+        is_retiring: whether the machine is marked for release to the cloud
         liveness: the liveness of the machine's worker
     """
     if not is_stored:
--- a/crossmill/recovery/context.py
+++ b/crossmill/recovery/context.py
@@ -1,4 +1,4 @@
-"""The dependencies that the parts of recovery share."""
+"""The dependencies that the modules of this package share."""
 
 from typing import NamedTuple
 
@@ -11,7 +11,7 @@
 
 
 class RecoveryContext(NamedTuple):
-    """The settings, the clock and the access to the stored state, for recovery on a controller."""
+    """The settings, the clock and the access to the stored state of one controller."""
 
     settings: Settings
     recovery_settings: RecoverySettings
--- a/crossmill/recovery/differences.py
+++ b/crossmill/recovery/differences.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """A task on a machine whose worker needs an order for it."""
+    """A difference of one task on a machine, which an order to the machine's worker resolves."""
 
     machine: str
     job: str
@@ -93,7 +93,7 @@
 def find_differences(
     machine: Machine, view: WorkerView, classes: dict[TaskKey, TaskClass]
 ) -> list[Difference]:
-    """Return the differences for which the worker needs an order, given the tasks' classes."""
+    """Return the differences that require an order to the worker, given the tasks' classes."""
     found = []
     for key, task_class in classes.items():
         if TASK_RULES[task_class].action not in ORDER_ACTIONS:
--- a/crossmill/recovery/order_admission.py
+++ b/crossmill/recovery/order_admission.py
@@ -1,8 +1,8 @@
 """The admission of a recovery's orders: which of them may be sent now.
 
 A difference may be resolved once phase, batch, evidence and circuit breaker permit it and the rate
-limits are not exhausted. `ShardRecovery` requests admission for each command that resolves one of
-its differences.
+limits are not exhausted; differences of IMMEDIATE urgency need none of this. `ShardRecovery`
+requests admission for each command that resolves one of its differences.
 """
 
 from collections.abc import Callable
@@ -38,12 +38,12 @@
         self._statistics = statistics
         self._rate_limiter = OrderRateLimiter(clock, settings)
         self._batches = MachineBatches(clock, settings.first_batch, settings.batch_timeout_s)
-        # time when the newest read that showed all durable writes was sent, in seconds
+        # monotonic time when the newest read that showed all durable writes was sent, in seconds
         self._last_read_sent_at: float | None = None
 
     @property
     def needs_read(self) -> bool:
-        """Whether an order requires a read sent after its difference was first reported."""
+        """Whether an order waits for a read sent after its difference was first reported."""
         return self._differences.needs_read(self._last_read_sent_at)
 
     def set_last_read(self, sent_at: float) -> None:
@@ -57,7 +57,7 @@
 
     def admit(self, difference: Difference, kind: str) -> bool:
         """Return whether an order of this kind for the difference may be sent; if so, count it."""
-        if difference.rule.urgency is not Urgency.IMMEDIATE and not self._try_acquire(difference):
+        if difference.rule.urgency is not Urgency.IMMEDIATE and not self._try_charge(difference):
             return False
         self._statistics.orders[kind] += 1
         self._differences.mark_ordered(difference)
@@ -69,15 +69,15 @@
         releases.request(machine_id)
         if releases.is_permitted(machine_id):
             return True
-        if self._breaker.is_open or not self._rate_limiter.take_for_shard():
+        if self._breaker.is_open or not self._rate_limiter.try_take_for_shard():
             return False
         releases.permit(machine_id)
         self._statistics.orders[RELEASE_ORDER] += 1
         return True
 
-    def _try_acquire(self, difference: Difference) -> bool:
+    def _try_charge(self, difference: Difference) -> bool:
         """Return whether the difference may be resolved now; if so, charge the rate limits."""
-        return self._is_allowed_now(difference) and self._rate_limiter.take_for_worker(
+        return self._is_allowed_now(difference) and self._rate_limiter.try_take_for_worker(
             difference.machine
         )
 
--- a/crossmill/recovery/pacing.py
+++ b/crossmill/recovery/pacing.py
@@ -18,11 +18,11 @@
         self._shard.drain()
         self._workers: dict[str, TokenBucket] = {}
 
-    def take_for_shard(self) -> bool:
+    def try_take_for_shard(self) -> bool:
         """Charge an order to the shard's limit; return False if it exceeds the limit."""
         return self._shard.try_take()
 
-    def take_for_worker(self, machine_id: str) -> bool:
+    def try_take_for_worker(self, machine_id: str) -> bool:
         """Charge an order to the shard's and the worker's limit; return False if it exceeds one."""
         worker = self._worker(machine_id)
         return worker.available() >= 1 and self._shard.try_take() and worker.try_take()
@@ -39,7 +39,7 @@
 
 
 class MachineBatches:
-    """Selects the machines to resolve in batches, each twice as large as the one before.
+    """Divides the machines with differences into batches, each twice as large as the one before.
 
     The machines of a batch that are not resolved in time are postponed until all other machines
     have been in a batch, and the next batch has the initial size again. So a systematic fault shows
--- a/crossmill/recovery/phases.py
+++ b/crossmill/recovery/phases.py
@@ -10,8 +10,8 @@
 
     # the shard was acquired; the controller reads the writes of earlier owners
     LOADING = "loading"
-    # the controller responds to heartbeats, and waits for the machines that were up to report, up
-    # to a time limit
+    # the controller responds to heartbeats; within a time limit, it waits for heartbeats of the
+    # machines that may run tasks
     OBSERVING = "observing"
     # the differences are known; the circuit breaker decides whether they may be resolved
     CLASSIFYING = "classifying"
--- a/crossmill/recovery/service.py
+++ b/crossmill/recovery/service.py
@@ -29,7 +29,7 @@
 
 
 class RecoveryService:
-    """Advances shards' recoveries, and delays their commands, placements and releases."""
+    """Advances the recoveries, and delays the shards' commands, placements and releases."""
 
     def __init__(
         self,
@@ -87,7 +87,7 @@
         return any(r.is_running_unplanned((job, index)) for r in self._recoveries.values())
 
     def may_retire(self, machine: Machine, reason: str) -> bool:  # noqa: ARG002 (the gate's interface)
-        """Return whether the machine may be marked for return to the cloud."""
+        """Return whether the machine may be marked for release to the cloud."""
         recovery = self._recoveries.get(machine.shard)
         if recovery is None or recovery.admit_release(machine):
             return True
@@ -151,7 +151,7 @@
             recovery.approve()
 
     def _is_approved(self, recovery: ShardRecovery) -> bool:
-        """Return whether a valid approval covers exactly the currently blocked actions."""
+        """Return whether a valid approval of this recovery covers exactly the blocked actions."""
         approval = self.breaker_state.approval(recovery.shard)
         if approval is None or approval.token != recovery.term:
             return False
@@ -161,7 +161,7 @@
         )
 
     async def _store_breaker(self, recovery: ShardRecovery, ownership: ShardOwnership) -> None:
-        """Store the report of an open breaker, so that any controller can show it to operators."""
+        """Store an open breaker's report, which any controller can show; delete it when closed."""
         shard = recovery.shard
         key = keys.breaker(shard)
         stored = self._mirror.value(key)
@@ -227,7 +227,7 @@
 
     # -- state -----------------------------------------------------------------------
 
-    def is_steady(self, shard: int) -> bool:
+    def has_recovered(self, shard: int) -> bool:
         """Return whether this controller acts for the shard and the shard's recovery has ended."""
         ownership = self._membership.active_ownership(shard)
         recovery = self._recoveries.get(shard)
--- a/crossmill/recovery/settings.py
+++ b/crossmill/recovery/settings.py
@@ -41,7 +41,7 @@
     approval_s: float
     # the number of recovery records kept for each shard
     kept_records: int
-    # whether all orders are sent without delay, and those beyond the limits are only counted
+    # whether recovery delays nothing, and only counts the orders that it would have delayed
     dry_run: bool
     controller_count: int
     heartbeat_interval_s: float
@@ -78,7 +78,7 @@
 
     @property
     def step_interval_s(self) -> float:
-        """The time in seconds between the steps of a recovery, which read the state service."""
+        """The time in seconds between a recovery's steps, and so between its reads of the state."""
         return self.heartbeat_interval_s / 2
 
 
--- a/crossmill/recovery/shard_recovery.py
+++ b/crossmill/recovery/shard_recovery.py
@@ -181,7 +181,7 @@
             self.admission.advance_batches(self._priority_of)
 
     def _estimate_resolving_s(self) -> float:
-        """Return the seconds that suffice to resolve all differences within the limits."""
+        """Return the seconds that suffice to resolve all differences in rate limited batches."""
         machines = self._differences.machines()
         largest = max((len(self._differences.of_machine(m)) for m in machines), default=0)
         batches = count_batches(len(machines), self._settings.first_batch)
@@ -228,7 +228,8 @@
     def admit(self, machine: Machine, command: Command) -> bool:
         """Return whether a command may be sent now; if so, count it.
 
-        A command that does not resolve one of the recovery's differences is always admitted.
+        A command that does not resolve one of the recovery's differences is always admitted and
+        is not counted.
         """
         job, _, index = command.task.rpartition("/")
         attempt = AttemptId(job, int(index), command.attempt)
@@ -236,9 +237,9 @@
         return difference is None or self.admission.admit(difference, command.op.value)
 
     def admit_release(self, machine: Machine) -> bool:
-        """Return whether the machine may be marked for return to the cloud.
+        """Return whether the machine may be marked for release to the cloud.
 
-        The release of an unresponsive machine counts as an order.
+        During the recovery, the release of an unresponsive machine counts as an order.
         """
         if self.has_ended:
             return True
--- a/crossmill/recovery/statistics.py
+++ b/crossmill/recovery/statistics.py
@@ -24,7 +24,7 @@
     def __init__(self) -> None:
         self.task_classes: Counter[TaskClass] = Counter()
         self.machine_classes: Counter[MachineClass] = Counter()
-        # number of orders admitted within the limits, by kind
+        # number of orders that recovery admitted, by kind
         self.orders: Counter[str] = Counter()
         # number of orders that were sent only because of the dry run, by kind
         self.admitted_by_dry_run: Counter[str] = Counter()
--- a/crossmill/recovery/subcommands.py
+++ b/crossmill/recovery/subcommands.py
@@ -17,7 +17,7 @@
         "show", help="show recovering shards, open circuit breakers and past recoveries"
     )
     approve = subcommands.add_parser(
-        "approve", help="approve the actions that an open circuit breaker holds back"
+        "approve", help="approve the actions that an open circuit breaker blocks"
     )
     approve.add_argument("shard", type=int, help="the shard's number")
     approve.add_argument("digest", help="the digest of these actions, as printed by `show`")
--- a/crossmill/recovery/unresolved_differences.py
+++ b/crossmill/recovery/unresolved_differences.py
@@ -27,12 +27,13 @@
         self._by_machine: dict[str, AttemptDifferences] = {}
         self.count = 0
         self._running_unplanned: Counter[TaskKey] = Counter()
-        # time in seconds at which a difference was first reported, by attempt; only for those whose
-        # order requires a fresh read
+        # monotonic time in seconds at which a difference was first reported, by attempt; only for
+        # differences whose order requires a fresh read
         self._reported_at: dict[AttemptId, float] = {}
         # differences that the breaker counts: unresolved ones, and those resolved by an order
         self._counted: set[Difference] = set()
         self._actions: Counter[RecoveryAction] = Counter()
+        # differences for which an order was sent
         self._ordered: set[Difference] = set()
 
     def machines(self) -> list[str]:
@@ -113,7 +114,7 @@
     # -- evidence --------------------------------------------------------------------
 
     def needs_read(self, last_read_sent_at: float | None) -> bool:
-        """Return whether an order requires a read sent after its difference was first reported."""
+        """Return whether an order waits for a read sent after its difference was first reported."""
         return any(
             last_read_sent_at is None or reported_at >= last_read_sent_at
             for reported_at in self._reported_at.values()
--- a/crossmill/wire/recovery.py
+++ b/crossmill/wire/recovery.py
@@ -1,7 +1,7 @@
 """Messages between operators and controllers about recoveries.
 
 They are not part of PROTOCOL; docs/recovery-operations.md describes them. The named tuples are
-encoded with their field names, so these can't be renamed.
+encoded with their field names, so the fields can't be renamed.
 """
 
 from typing import NamedTuple
@@ -51,7 +51,9 @@
     shard: int
     token: int
     phase: str
+    # a text that describes what the phase waits for
     waits_for: str
+    # whether the circuit breaker is open
     is_braked: bool
     # whether nothing is delayed, and `is_braked` only shows whether the breaker would block
     is_dry_run: bool
--- a/tests/measure_recovery.py
+++ b/tests/measure_recovery.py
@@ -55,7 +55,7 @@
 
 
 class Sample(NamedTuple):
-    """The figures of a restart; times are seconds since the controllers stopped, or None."""
+    """The figures of a restart; times in seconds since the controllers stopped, None if never."""
 
     scenario: str
     workers: int
@@ -172,15 +172,15 @@
     return results[0]
 
 
-class AnswerTimes(NamedTuple):
-    """The times of the first responses, in seconds since the controllers stopped, or None."""
+class FirstResponseTimes(NamedTuple):
+    """The times of the first responses, in seconds since the controllers stopped; None if never."""
 
     first_worker_s: float | None
     all_workers_s: float | None
     first_user_s: float | None
 
 
-async def _measure_times(region: RecoveryRegion, ended_at: float) -> AnswerTimes:
+async def _measure_times(region: RecoveryRegion, ended_at: float) -> FirstResponseTimes:
     first_worker: float | None = None
     all_workers: float | None = None
     first_user: float | None = None
@@ -196,7 +196,7 @@
             all_workers = elapsed_s
         if first_user is None and await region.show("node-0", job) == OK:
             first_user = elapsed_s
-    return AnswerTimes(first_worker, all_workers, first_user)
+    return FirstResponseTimes(first_worker, all_workers, first_user)
 
 
 # -- report ----------------------------------------------------------------------------
@@ -258,12 +258,12 @@
     for scenario in SCENARIOS:
         _plot(samples, scenario, out / f"{scenario}.svg")
     text = (
-        f"Three controllers stop at once and restart within 0.5 to 5 s; {OBSERVED_S:g} s from the "
-        f"stop. Differing: {AFFECTED_SHARE:.0%} of the workers disconnected, {AFFECTED_SHARE:.0%} "
-        f"with an unplanned task. Older: the state service has lost {LOST_SHARE:.0%} of the jobs."
+        f"Three controllers end at once and return within 0.5 to 5 s; {OBSERVED_S:g} s from the "
+        f"end. Differing: {AFFECTED_SHARE:.0%} of the workers silent, {AFFECTED_SHARE:.0%} with "
+        f"a task never recorded. Older: the state service has lost {LOST_SHARE:.0%} of the jobs."
     )
     tables = [_table(samples, scenario) for scenario in SCENARIOS]
-    title = "Measured restarts of all controllers"
+    title = "Restart after all controllers end, measured"
     write_page(out / "index.html", title, text, "tests.measure_recovery", tables)
 
 
--- a/tests/recovery_region.py
+++ b/tests/recovery_region.py
@@ -207,7 +207,7 @@
         """Return whether each shard has an owner that has finished the shard's recovery."""
         owners = self.owners()
         return len(owners) == len(self.LABELS) and all(
-            label in self.nodes and self.services[label].is_steady(shard)
+            label in self.nodes and self.services[label].has_recovered(shard)
             for shard, label in owners.items()
         )
 
--- a/tests/test_recovery_decisions.py
+++ b/tests/test_recovery_decisions.py
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize(
-    ("counts", "is_expected"),
+    ("counts", "is_mass"),
     [
         (_action_counts(stops=20), False),
         (_action_counts(stops=15, restarts=6), True),
@@ -72,9 +72,9 @@
     ],
 )
 def test_a_mass_action_is_measured_in_tasks_and_machines(
-    counts: ActionCounts, is_expected: bool
+    counts: ActionCounts, is_mass: bool
 ) -> None:
-    assert is_mass_action(counts, recovery_settings()) is is_expected
+    assert is_mass_action(counts, recovery_settings()) is is_mass
 
 
 def test_a_digest_identifies_exactly_the_blocked_actions() -> None:
--- a/tests/test_recovery_restored_state.py
+++ b/tests/test_recovery_restored_state.py
@@ -45,7 +45,7 @@
 
 
 def test_machines_not_yet_recorded_as_up_are_protected_too() -> None:
-    """A machine's `up` field has a low write priority, so it is stored late under load."""
+    """A machine's `up` field has a low write priority, so under load it is stored late."""
 
     async def scenario(region: RecoveryRegion) -> None:
         await _restore_older_state(region, is_recorded_up=False)
--- a/tests/test_recovery_service.py
+++ b/tests/test_recovery_service.py
@@ -89,7 +89,7 @@
 @pytest.mark.parametrize(
     "arguments", [["approve", "-1", "ab"], ["approve", "x", "ab"], ["approve", "0"], []]
 )
-def test_invalid_arguments_of_the_verbs_are_rejected(arguments: list[str]) -> None:
+def test_invalid_arguments_of_the_subcommands_are_rejected(arguments: list[str]) -> None:
     try:
         code: object = main(["recovery", *arguments])
     except SystemExit as exc:
