--- a/crossmill/multihost/machine_reconciler.py
+++ b/crossmill/multihost/machine_reconciler.py
@@ -1,7 +1,7 @@
-"""Reconciles the machines of the pool: overdue heartbeats, machines that leave or are returned.
+"""Reconciles pool machines: detects overdue heartbeats and removes machines from the pool.
 
-`MachineReconciler` is called by the coordinator in each pass. It remembers which machines' overdue
-heartbeats it has reported; this ends with the ownership of the pool.
+The coordinator calls `MachineReconciler` in each pass. The reconciler remembers the machines whose
+overdue heartbeats it has already logged, until the ownership of the pool ends.
 """
 
 import logging
@@ -17,7 +17,7 @@
 
 
 class MachineReconciler:
-    """Watches machines for the pool's owner."""
+    """Detects overdue heartbeats and removes machines for the pool's owner."""
 
     def __init__(self, context: PoolContext) -> None:
         self._settings = context.settings
@@ -27,29 +27,31 @@
         self._overdue: set[str] = set()
 
     def clear(self) -> None:
-        """Forget overdue heartbeats, when the ownership of the pool ends."""
+        """Drop the overdue machines when the ownership of the pool ends."""
         self._overdue.clear()
 
-    def note_changes(self, time: DecisionTime) -> None:
-        """Mark the replicas of all machines that have changed as changed.
+    def mark_affected_replicas(self, time: DecisionTime) -> None:
+        """Mark the replicas of all changed machines as changed.
 
-        A machine has changed if its records or its agent's reports have, or if its heartbeats have
-        become overdue or have resumed.
+        A machine has changed if its records or its agent's reports have changed, or if its
+        heartbeats have become overdue or have resumed.
         """
-        self._note_overdue(time)
-        self._note_resumed(time)
+        self._detect_overdue(time)
+        self._detect_resumed(time)
         for machine_id in self._pool.changed_machines():
             self._mark_replicas_changed(machine_id)
 
-    def _note_overdue(self, time: DecisionTime) -> None:
-        for view in self._agents.heartbeats_before(time.now - self._settings.failure_detection_s):
+    def _detect_overdue(self, time: DecisionTime) -> None:
+        for view in self._agents.views_without_heartbeat_since(
+            time.now - self._settings.failure_detection_s
+        ):
             is_new = view.machine not in self._overdue
             if is_new and is_heartbeat_overdue(view, time, self._settings):
                 self._overdue.add(view.machine)
                 log.info("agent heartbeats missed machine=%s", view.machine)
                 self._mark_replicas_changed(view.machine)
 
-    def _note_resumed(self, time: DecisionTime) -> None:
+    def _detect_resumed(self, time: DecisionTime) -> None:
         for machine_id in list(self._overdue):
             view = self._agents.get(machine_id)
             if view is None or not is_heartbeat_overdue(view, time, self._settings):
@@ -58,7 +60,7 @@
                 self._mark_replicas_changed(machine_id)
 
     def _mark_replicas_changed(self, machine_id: str) -> None:
-        """Mark the replicas that are planned on the machine or reported by its agent as changed."""
+        """Mark the replicas planned on the machine or reported by its agent as changed."""
         machine = self._pool.machines.get(machine_id)
         if machine is not None:
             self._pool.mark_replicas_changed(machine.planned.keys())
@@ -70,7 +72,7 @@
             )
 
     def reconcile(self, ownership: ShardOwnership, changed: Iterable[str]) -> list[WriteIntent]:
-        """Return the writes for changed machines that leave the pool or were returned."""
+        """Return the writes for changed machines that leave the pool or have been returned."""
         returned = [m for m in changed if self._is_returned(m)]
         for machine_id in returned:
             self._agents.forget(machine_id)
@@ -79,18 +81,18 @@
         intents = [self._writer.deletion_of_machine(ownership, m) for m in returned]
         for machine_id in set(changed) - set(returned):
             machine = self._pool.machines.get(machine_id)
-            if machine is not None and self._may_leave(machine):
-                log.info("machine leaves the pool empty machine=%s", machine_id)
-                intents.append(self._writer.departure_of_machine(ownership, machine))
+            if machine is not None and self._can_leave(machine):
+                log.info("removing idle machine from the pool machine=%s", machine_id)
+                intents.append(self._writer.removal_of_machine(ownership, machine))
         return intents
 
     def _is_returned(self, machine_id: str) -> bool:
-        """Return whether the machine's ordinary record is gone, so that it was returned."""
+        """Return whether the machine's ordinary record is deleted: it was returned to the cloud."""
         return machine_id in self._pool.machines and self._pool.record_version(machine_id) == 0
 
-    def _may_leave(self, machine: PoolMachine) -> bool:
-        """Return whether the machine is to leave the pool and runs no member."""
+    def _can_leave(self, machine: PoolMachine) -> bool:
+        """Return whether the machine is released and has no member, planned or running."""
         if not machine.is_released or machine.has_left or machine.planned:
             return False
         view = self._agents.get(machine.id)
-        return view is not None and view.is_empty
+        return view is not None and view.is_idle
--- a/crossmill/multihost/sets.py
+++ b/crossmill/multihost/sets.py
@@ -1,7 +1,7 @@
-"""Plans what a replica set needs as a whole: replicas to be created, or to be stopped.
+"""Plans the changes of a replica set: which replicas to create and which to stop.
 
-Pure functions over the set's replicas, called by `set_reconciler`. The disruption budget is
-enforced here: no voluntary stop leaves fewer ready replicas than the declaration's `min_ready`.
+Pure functions over the set's replicas, called by `set_reconciler`. They enforce the disruption
+budget: no voluntary stop leaves fewer ready replicas than the declaration's `min_ready`.
 """
 
 from collections.abc import Mapping
@@ -10,30 +10,30 @@
 from .model import Replica, ReplicaId, ReplicaSet
 from .phases import ENDED_PHASES, ReplicaPhase
 
-REMOVED = "the set was removed"
-SURPLUS = "more replicas than declared"
-# a replica that is stopped for this reason does not wait for a replacement
-PREEMPTED = "preempted for"
+REMOVED_REASON = "the set was removed"
+SURPLUS_REASON = "more replicas than declared"
+# prefix of the stop reason of a preempted replica, which stops without waiting for a replacement
+PREEMPTED_REASON_PREFIX = "preempted for"
 
 
 class SetPlan(NamedTuple):
-    """Changes of a set's replicas.
+    """The changes that bring a replica set to its declared state.
 
     Attributes:
-        create: How many replicas are to be created.
-        stop_reasons: The replicas that are to be marked as stopping, with the reason.
-        may_stop: The replicas marked as stopping that may be stopped now.
-        delete_set: Whether the set's record itself is to be deleted.
+        create_count: The number of replicas to create.
+        stop_reasons: The reasons of the replicas to mark as stopping, by replica ID.
+        may_stop: The replicas marked as stopping whose stop the disruption budget allows now.
+        delete_set: Whether to delete the set's own record.
     """
 
-    create: int
+    create_count: int
     stop_reasons: dict[ReplicaId, str]
     may_stop: frozenset[ReplicaId]
     delete_set: bool
 
 
 class _SurplusRank(NamedTuple):
-    """The order in which surplus replicas are stopped: those not ready, then the newest."""
+    """The sort key of surplus replicas: those that are not ready stop first, then the newest."""
 
     is_ready: bool
     negative_number: int
@@ -45,38 +45,38 @@
     evacuated: Mapping[ReplicaId, str],
     is_placement_overdue: bool,
 ) -> SetPlan:
-    """Return what the set needs now.
+    """Return the changes that the set needs now.
 
     Args:
-        stored: The set.
-        replicas: Its replicas by number.
-        evacuated: Replicas with a member on a machine that is to be emptied, with the reason.
+        stored: The set's record.
+        replicas: The set's replicas, by number.
+        evacuated: The reasons of replicas with a member on a machine to evacuate, by replica ID.
         is_placement_overdue: Whether a replica of the set has waited too long for machines.
     """
     alive = [r for r in replicas.values() if r.version and r.phase not in ENDED_PHASES]
     stop_reasons = {r.id: evacuated[r.id] for r in alive if not r.stop_reason and r.id in evacuated}
     if stored.is_removed:
-        stop_reasons = {r.id: REMOVED for r in alive if not r.stop_reason}
-    staying = [r for r in alive if not r.stop_reason and r.id not in stop_reasons]
-    wanted = 0 if stored.is_removed else stored.spec.replicas
-    for replica in _surplus(staying, wanted):
-        stop_reasons[replica.id] = SURPLUS
-        staying.remove(replica)
+        stop_reasons = {r.id: REMOVED_REASON for r in alive if not r.stop_reason}
+    remaining = [r for r in alive if not r.stop_reason and r.id not in stop_reasons]
+    desired = 0 if stored.is_removed else stored.spec.replicas
+    for replica in _surplus_replicas(remaining, desired):
+        stop_reasons[replica.id] = SURPLUS_REASON
+        remaining.remove(replica)
     return SetPlan(
-        create=max(0, wanted - len(staying)),
+        create_count=max(0, desired - len(remaining)),
         stop_reasons=stop_reasons,
         may_stop=_may_stop(stored, alive, stop_reasons, is_placement_overdue),
         delete_set=stored.is_removed and not replicas,
     )
 
 
-def _surplus(staying: list[Replica], wanted: int) -> list[Replica]:
-    """Return the replicas that are more than wanted."""
+def _surplus_replicas(remaining: list[Replica], desired: int) -> list[Replica]:
+    """Return the replicas in excess of the desired number."""
 
     def rank(replica: Replica) -> _SurplusRank:
         return _SurplusRank(replica.phase is ReplicaPhase.READY, -replica.id.number)
 
-    return sorted(staying, key=rank)[: max(0, len(staying) - wanted)]
+    return sorted(remaining, key=rank)[: max(0, len(remaining) - desired)]
 
 
 def _may_stop(
@@ -85,23 +85,24 @@
     stop_reasons: Mapping[ReplicaId, str],
     is_placement_overdue: bool,
 ) -> frozenset[ReplicaId]:
-    """Return the ready replicas whose stop keeps the set at its minimum.
+    """Return the stopping replicas that may stop without violating the disruption budget.
 
-    A replacement is waited for, unless it finds no machines.
+    A replica stops only once its replacement is ready, unless it is preempted or a replica of the
+    set has waited too long for machines. All replicas of a removed set may stop.
     """
     ready = [r for r in alive if r.phase is ReplicaPhase.READY]
     stopping = [r for r in ready if r.stop_reason or r.id in stop_reasons]
     if stored.is_removed:
         return frozenset(r.id for r in stopping)
-    wanted = stored.spec.replicas
-    is_replaced = len(ready) - len(stopping) >= wanted
+    desired = stored.spec.replicas
+    is_replaced = len(ready) - len(stopping) >= desired
     allowed: list[ReplicaId] = []
     for replica in sorted(stopping, key=lambda r: r.id):
-        left = len(ready) - len(allowed) - 1
-        if left < stored.spec.min_ready:
+        ready_after_stop = len(ready) - len(allowed) - 1
+        if ready_after_stop < stored.spec.min_ready:
             continue
         reason = replica.stop_reason or stop_reasons[replica.id]
-        needs_no_replacement = is_placement_overdue or reason.startswith(PREEMPTED)
-        if left >= wanted or is_replaced or needs_no_replacement:
+        needs_no_replacement = is_placement_overdue or reason.startswith(PREEMPTED_REASON_PREFIX)
+        if ready_after_stop >= desired or is_replaced or needs_no_replacement:
             allowed.append(replica.id)
     return frozenset(allowed)
--- a/tests/multihost_invariants.py
+++ b/tests/multihost_invariants.py
@@ -1,7 +1,7 @@
 """The invariants of multi-machine replicas, checked while a simulated region runs.
 
-`MultihostRegion` calls the checker many times a second. Tests plant violations to show that each of
-them is found (tests/test_multihost_invariants.py).
+`MultihostRegion` calls the checker many times a second. tests/test_multihost_invariants.py injects
+violations to show that the checker detects each of them.
 """
 
 from dataclasses import dataclass, field
@@ -22,7 +22,7 @@
 
 
 class InvariantViolationError(Exception):
-    """Invariants were violated; `violations` says which."""
+    """Invariants were violated; `violations` describes each violation."""
 
     def __init__(self, violations: list[str]) -> None:
         super().__init__("; ".join(violations))
@@ -30,8 +30,13 @@
 
 
 @dataclass
-class ServingFacts:
-    """What was observed of a generation of a replica."""
+class ServingObservation:
+    """Observations of one generation of a replica.
+
+    Attributes:
+        complete_at: The latest time at which all members ran; None if they never did.
+        answers: The number of checks in which the front member could serve.
+    """
 
     complete_at: float | None = None
     answers: int = 0
@@ -41,28 +46,30 @@
 class MultihostInvariantChecker:
     """Checks agents and records many times a second, and collects violations of invariants.
 
-    Never two generations that serve; never an answer while a member is missing beyond the bound; no
-    machine reserved beyond its capacity; no order that precedes its record; no voluntary stop below
-    the disruption budget.
+    The invariants: at most one front member of a replica serves; no replica serves for longer than
+    the serving lease after it has lost a member; no machine is reserved beyond its capacity; no
+    start order precedes the record of its generation; no voluntary stop violates the disruption
+    budget.
     """
 
     region: "MultihostRegion"
     violations: list[str] = field(default_factory=list)
-    facts: dict[tuple[str, int], ServingFacts] = field(default_factory=dict)
-    # by replica: when it was last seen to serve
+    # observations by replica name and generation
+    observations: dict[tuple[str, int], ServingObservation] = field(default_factory=dict)
+    # latest time at which the replica could serve, by replica name
     served_at: dict[str, float] = field(default_factory=dict)
-    # the longest time that a generation went on answering after a member's death
-    latest_answer_s: float = 0.0
+    # longest time for which a generation could still serve after it had lost a member
+    max_stale_serving_s: float = 0.0
     _phases: dict[str, str] = field(default_factory=dict)
 
-    def report_violation(self, what: str) -> None:
-        """Record a violation; only the first ones are kept."""
-        entry = f"{self.region.clock.now():.2f} {what}"
+    def report_violation(self, description: str) -> None:
+        """Record a violation, up to a maximum number."""
+        entry = f"{self.region.clock.now():.2f} {description}"
         if len(self.violations) < MAX_VIOLATIONS:
             self.violations.append(entry)
 
     def check_order(self, order: Order) -> None:
-        """Check that the generation that an agent is ordered to start was durable before."""
+        """Check that the generation in a start order was durable before the order."""
         replica_id = ReplicaId.parse(order.replica)
         if replica_id is None:
             self.report_violation(f"order for {order.replica}, which names no replica")
@@ -74,41 +81,45 @@
             self.report_violation(f"ordered_early {order.replica} generation {order.generation}")
 
     def check(self) -> None:
-        """Check everything that holds at any moment."""
+        """Check the invariants that must hold at any time."""
         serving: dict[str, list[tuple[Agent, int]]] = {}
         for agent in self.region.agents.values():
             for name, member in agent.members.items():
                 if member.rank == 0 and self.is_complete(name, member.generation):
-                    facts = self.facts.setdefault((name, member.generation), ServingFacts())
-                    facts.complete_at = self.region.clock.now()
+                    observation = self.observations.setdefault(
+                        (name, member.generation), ServingObservation()
+                    )
+                    observation.complete_at = self.region.clock.now()
                 generation = agent.serves(name)
                 if generation is not None:
                     serving.setdefault(name, []).append((agent, generation))
-        for name, fronts in serving.items():
-            if len(fronts) > 1:
-                self.report_violation(f"two_serving {name}: {[(a.machine, g) for a, g in fronts]}")
-            for _, generation in fronts:
-                self._check_answer(name, generation)
+        for name, front_members in serving.items():
+            if len(front_members) > 1:
+                self.report_violation(
+                    f"two_serving {name}: {[(a.machine, g) for a, g in front_members]}"
+                )
+            for _, generation in front_members:
+                self._check_serving(name, generation)
             self.served_at[name] = self.region.clock.now()
         self._check_records()
 
-    def _check_answer(self, name: str, generation: int) -> None:
+    def _check_serving(self, name: str, generation: int) -> None:
         now = self.region.clock.now()
-        facts = self.facts.setdefault((name, generation), ServingFacts())
-        facts.answers += 1
-        if facts.complete_at is None:
+        observation = self.observations.setdefault((name, generation), ServingObservation())
+        observation.answers += 1
+        if observation.complete_at is None:
             self.report_violation(f"incomplete {name}: generation {generation} never was complete")
-        elif facts.complete_at < now:
-            self.latest_answer_s = max(self.latest_answer_s, now - facts.complete_at)
+        elif observation.complete_at < now:
+            self.max_stale_serving_s = max(self.max_stale_serving_s, now - observation.complete_at)
             lease_s = self.region.multihost.serving_lease_s
-            if now - facts.complete_at > lease_s + self.region.tolerance_s:
-                late = now - facts.complete_at
+            if now - observation.complete_at > lease_s + self.region.tolerance_s:
+                late = now - observation.complete_at
                 self.report_violation(
                     f"incomplete {name}: generation {generation} answers {late:.2f} s late"
                 )
 
     def is_complete(self, name: str, generation: int) -> bool:
-        """Return whether every rank runs this generation on some machine that is alive."""
+        """Return whether every rank runs in this generation on a machine that is alive."""
         ranks = {
             agent.members[name].rank
             for agent in self.region.agents.values()
@@ -119,7 +130,7 @@
         return stored is not None and ranks == set(range(stored[0]["members"]))
 
     def _check_records(self) -> None:
-        """Check the machines' capacity and the disruption budgets of the records."""
+        """Check the records for capacity and disruption budget violations."""
         self._check_capacity()
         ready: dict[str, int] = {}
         drained: list[str] = []
@@ -136,7 +147,7 @@
             self._check_budget(name, ready[name.rpartition("/")[0]])
 
     def _check_capacity(self) -> None:
-        """Check that no machine has more members planned than it takes."""
+        """Check that the members planned on a machine don't exceed its capacity."""
         for machine, amounts in self.planned_use().items():
             stored = self.region.state.keys.get(keys.machine(machine))
             if stored is not None and any(
@@ -146,18 +157,18 @@
                 self.report_violation(f"over_committed {machine}: {amounts}")
 
     def _check_budget(self, name: str, ready: int) -> None:
-        """Check that the voluntary stop of a replica left enough ready replicas of its set."""
+        """Check that a voluntary stop has left enough ready replicas of the set."""
         stored = self.region.state.keys.get(keys.replica_set(name.rpartition("/")[0]))
         if stored is None or stored[0]["removed"]:
             return
         reason = self.region.state.keys[keys.REPLICA + name][0]["reason"]
-        # a replica that has lost a member is not stopped voluntarily
+        # the stop of a replica that has lost a member is not voluntary; its reason contains "; "
         is_voluntary = "; " not in reason
         if is_voluntary and ready < stored[0]["min_ready"]:
             self.report_violation(f"below_minimum {name} stopped, {ready} ready")
 
     def planned_use(self) -> dict[str, list[float]]:
-        """Return the resources that the records plan on each machine."""
+        """Return the resources reserved on each machine, according to the records."""
         used: dict[str, list[float]] = {}
         for key, (value, _, _) in self.region.state.keys.items():
             if key.startswith(keys.MEMBERS):
@@ -175,7 +186,7 @@
                 amounts[i] += amount
 
     def check_end(self) -> None:
-        """Check, after all faults, that nothing is reserved or runs without need."""
+        """Check after all faults that no reservation or member is leaked."""
         state = self.region.state.keys
         planned: dict[str, set[str]] = {}
         for key, (value, version, _) in state.items():
--- a/tests/test_multihost_phases.py
+++ b/tests/test_multihost_phases.py
@@ -1,11 +1,11 @@
-"""The phases of a replica and the generations that transitions begin."""
+"""The transitions between a replica's phases, and those that begin a new generation."""
 
 import itertools
 
 import pytest
 
 from crossmill.multihost.phases import (
-    RAISES_GENERATION,
+    GENERATION_RAISING_TRANSITIONS,
     TRANSITIONS,
     IllegalPhaseTransitionError,
     ReplicaPhase,
@@ -16,8 +16,8 @@
 @pytest.mark.parametrize(("old", "new"), itertools.product(ReplicaPhase, ReplicaPhase))
 def test_transitions_outside_the_table_are_illegal(old: ReplicaPhase, new: ReplicaPhase) -> None:
     if new in TRANSITIONS[old]:
-        raised = (old, new) in RAISES_GENERATION
-        assert next_generation(3, old, new) == 3 + raised
+        is_raised = (old, new) in GENERATION_RAISING_TRANSITIONS
+        assert next_generation(3, old, new) == 3 + is_raised
     else:
         with pytest.raises(IllegalPhaseTransitionError):
             next_generation(3, old, new)
@@ -29,4 +29,4 @@
         (ReplicaPhase.PENDING, ReplicaPhase.STARTING),
         (ReplicaPhase.PENDING, ReplicaPhase.RESERVING),
     }
-    assert ends | begins <= RAISES_GENERATION
+    assert ends | begins <= GENERATION_RAISING_TRANSITIONS
--- a/tests/test_multihost_sets.py
+++ b/tests/test_multihost_sets.py
@@ -1,4 +1,4 @@
-"""What a replica set needs as a whole, and its disruption budget."""
+"""Plans for replica sets: creating and stopping replicas within the disruption budget."""
 
 from typing import Any
 
@@ -12,7 +12,7 @@
 from crossmill.multihost.phases import (
     ReplicaPhase,
 )
-from crossmill.multihost.sets import PREEMPTED, plan_set
+from crossmill.multihost.sets import PREEMPTED_REASON_PREFIX, plan_set
 
 from .multihost_samples import SPEC
 
@@ -44,12 +44,12 @@
     others: list[Replica], create: int, may_stop: set[ReplicaId]
 ) -> None:
     plan = _plan(2, _replica(0, stop_reason="drained"), *others)
-    assert plan.create == create
+    assert plan.create_count == create
     assert plan.may_stop == may_stop
 
 
 DRAINED = _replica(0, stop_reason="drained")
-PREEMPTED_REPLICA = _replica(0, stop_reason=f"{PREEMPTED} x/0")
+PREEMPTED_REPLICA = _replica(0, stop_reason=f"{PREEMPTED_REASON_PREFIX} x/0")
 
 
 @pytest.mark.parametrize("stopping", [DRAINED, PREEMPTED_REPLICA])
@@ -65,7 +65,7 @@
     assert _plan(1, PREEMPTED_REPLICA, _replica(1)).may_stop == {PREEMPTED_REPLICA.id}
 
 
-def test_a_replica_whose_replacement_finds_no_machines_may_stop() -> None:
+def test_a_replica_whose_replacement_is_unplaceable_may_stop() -> None:
     plan = _plan(1, DRAINED, _replica(1), is_placement_overdue=True)
     assert plan.may_stop == {DRAINED.id}
 
@@ -84,7 +84,7 @@
     plan = _plan(2, _replica(0), _replica(1), removed=True)
     assert len(plan.stop_reasons) == 2
     assert len(plan.may_stop) == 2
-    assert plan.create == 0
+    assert plan.create_count == 0
 
 
 def test_a_removed_set_without_replicas_is_deleted() -> None:
