--- a/tests/measure_recovery.py
+++ b/tests/measure_recovery.py
@@ -151,7 +151,7 @@
         await region.start_all(rng.uniform(0.0, 0.5))
         times = await _measure_times(region, ended_at)
         orders = [(at, o["verb"]) for w in region.workers.values() for at, _, o in w.orders]
-        seconds = Counter(int(at) for at, _ in orders)
+        orders_by_second = Counter(int(at) for at, _ in orders)
         tasks_left = sum(len(worker.tasks) for worker in region.workers.values())
         results.append(
             Sample(
@@ -160,7 +160,7 @@
                 *times,
                 dict(Counter(verb for _, verb in orders)),
                 sum(len(w.orders) for w in region.workers.values() if w.machine not in affected),
-                max(seconds.values(), default=0),
+                max(orders_by_second.values(), default=0),
                 max(0, tasks + unplanned - tasks_left),
                 len(region.state.calls) - calls,
                 region.state.puts - puts,
