--- a/crossmill/arguments.py
+++ b/crossmill/arguments.py
@@ -1,7 +1,7 @@
 """The argument parser of the command line.
 
 A controller that is started by the command of the deploy file does not load this module: `cli`
-parses the arguments of that form itself.
+parses the arguments of that command itself.
 """
 
 import argparse
@@ -25,7 +25,7 @@
         epilog="LOG_LEVEL (error, info, debug) sets the level of the log on standard error.",
     )
     parser.add_argument("--version", action="version", version=f"crossmill {__version__}")
-    subcommands = parser.add_subparsers(dest="subcommand", required=True, metavar="VERB")
+    subcommands = parser.add_subparsers(dest="subcommand", required=True, metavar="SUBCOMMAND")
     for name, text in (
         ("serve", "run a controller until it is killed"),
         ("check", "check a settings file and print the values derived from it"),
--- a/crossmill/bytecode.py
+++ b/crossmill/bytecode.py
@@ -3,8 +3,8 @@
 The cache is in the folder `sys.pycache_prefix`, which `run.py` sets. With a prefix, Python looks
 for bytecode nowhere else, so the cache must also contain the modules of the standard library:
 otherwise a controller, which can't write to that folder, compiles each of them from source
-whenever it starts. Importing a module here makes Python write its bytecode; when Python loads the
-bytecode, it checks it against the source.
+whenever it starts. Importing a module here makes Python write its bytecode. Whenever Python loads
+bytecode, it checks the file against the source.
 """
 
 import logging
--- a/crossmill/cli.py
+++ b/crossmill/cli.py
@@ -117,7 +117,7 @@
         _print_derived(multihost, "heartbeat_s", "detection_s", "serving_lease_s", "agent_lease_s")
     if recovery is not None:
         kind = "recovery, dry run" if recovery.dry_run else "recovery"
-        print(f"{kind}, brake at {recovery.brake_share:g} of the tasks or machines known")
+        print(f"{kind}, circuit breaker at {recovery.brake_share:g} of the known tasks or machines")
         _print_derived(recovery, "observe_s", "shard_orders_per_s", "worker_orders_per_s")
 
 
--- a/crossmill/fleet/arrivals.py
+++ b/crossmill/fleet/arrivals.py
@@ -22,10 +22,10 @@
 class _Arrival:
     """A submission: its wall time, number of tasks and their total estimated run time."""
 
-    __slots__ = ("submitted", "tasks", "work_s")
+    __slots__ = ("submitted_at", "tasks", "work_s")
 
-    def __init__(self, submitted: float, tasks: int, work_s: float) -> None:
-        self.submitted = submitted
+    def __init__(self, submitted_at: float, tasks: int, work_s: float) -> None:
+        self.submitted_at = submitted_at
         self.tasks = tasks
         self.work_s = work_s
 
@@ -60,7 +60,7 @@
         self._newest_order = 0
 
     def record(self, wall_time: float) -> None:
-        """Record the jobs that arrived since the last call, and drop those before the window."""
+        """Record the jobs that arrived since the last call; drop those from before the window."""
         newest = self._newest_order
         for shard, jobs in self._cluster.jobs.active.items():
             for job in jobs.values():
@@ -77,7 +77,7 @@
         self._newest_order = newest
         window_start = wall_time - self._settings.arrival_window_s
         for entry in self._classes.values():
-            entry.arrivals = [a for a in entry.arrivals if a.submitted >= window_start]
+            entry.arrivals = [a for a in entry.arrivals if a.submitted_at >= window_start]
 
     def replica_demands(self, shard: int) -> list[TaskDemand]:
         """Return the demand of replicas that are likely to arrive while a machine boots.
--- a/crossmill/fleet/boot_times.py
+++ b/crossmill/fleet/boot_times.py
@@ -32,7 +32,7 @@
 class _Boot(NamedTuple):
     """A completed boot: the wall time of the rental and the duration of the boot."""
 
-    rented: float
+    rented_at: float
     duration_s: float
 
 
@@ -112,7 +112,7 @@
     ) -> list[str]:
         """Return the late, not overtaken machines of the type if this machine is one of them."""
         boots = self._boots.get(machine_type.name, ())
-        newest = max((boot.rented for boot in boots), default=-inf)
+        newest = max((boot.rented_at for boot in boots), default=-inf)
         if machine.rented_at <= newest:
             return []
         latest = wall_time - self._settings.boot_late_factor * machine_type.boot_s
--- a/crossmill/fleet/capacity.py
+++ b/crossmill/fleet/capacity.py
@@ -26,11 +26,11 @@
 class _Entry:
     """The free capacity of a machine, and the state of the machine for which it was computed."""
 
-    __slots__ = ("capacity", "changes", "machine", "machine_type")
+    __slots__ = ("capacity", "change_count", "machine", "machine_type")
 
     def __init__(self, machine: Machine, machine_type: MachineType, capacity: FreeCapacity) -> None:
         self.machine = machine
-        self.changes = machine.change_count
+        self.change_count = machine.change_count
         self.machine_type = machine_type
         self.capacity = capacity
 
@@ -38,7 +38,7 @@
         """Return whether the machine is unchanged and no task was assigned to the capacity."""
         return (
             self.machine is machine
-            and self.changes == machine.change_count
+            and self.change_count == machine.change_count
             and self.machine_type is machine_type
             and not self.capacity.has_new_tasks
         )
@@ -115,7 +115,7 @@
         """Stop requests to the source for the backoff time: the cloud had too few machines."""
         self._no_capacity_until[source] = self._clock.now() + self._settings.no_capacity_backoff_s
 
-    def is_exhausted_for(self, spec: JobSpec) -> bool:
+    def is_out_of_capacity(self, spec: JobSpec) -> bool:
         """Return whether the cloud currently has no machine that the job may use."""
         return not any(
             self.limit(source) > 0
@@ -124,7 +124,7 @@
             and slots_per_machine(spec, source.type) > 0
         )
 
-    def has_few_types(self, zone: str) -> bool:
+    def is_limited_zone(self, zone: str) -> bool:
         """Return whether the zone offers fewer machine types than another one.
 
         Replicas that are spread over the zones find the least capacity there.
@@ -196,7 +196,7 @@
         capacity.memory_gb -= machine.used_memory_gb
         capacity.images = dict(machine.images)
         capacity.is_used = bool(machine.attempts)
-        capacity.in_limited_zone = self.has_few_types(machine.zone)
+        capacity.in_limited_zone = self.is_limited_zone(machine.zone)
         footprints = self._gpu_footprints()
         capacity.typical_gpu_task = footprints.typical
         capacity.exclusive_gpu_task = footprints.exclusive_footprint(capacity)
@@ -230,7 +230,7 @@
         return machine_type
 
     def _gpu_footprints(self) -> GpuFootprints:
-        """Return the footprints of GPU tasks, recomputed once per worker lease time."""
+        """Return the footprints of GPU tasks, recomputed at most once per worker lease."""
         now = self._clock.now()
         if now - self._footprints_computed_at > self._settings.worker_lease_s:
             self._footprints_computed_at = now
--- a/crossmill/fleet/cloud.py
+++ b/crossmill/fleet/cloud.py
@@ -76,7 +76,9 @@
         http: HttpClient | None = None,
     ) -> None:
         self._http = http or Client(settings.cloud, max_sockets=MAX_SOCKETS)
-        self._pacer = TokenBucket(clock, settings.cloud_request_rate, settings.cloud_request_rate)
+        self._token_bucket = TokenBucket(
+            clock, settings.cloud_request_rate, settings.cloud_request_rate
+        )
         self._timeout_s = max(MIN_TIMEOUT_S, TIMEOUT_REQUESTS / settings.cloud_rps)
         self._request_names = (f"{settings.label}-{unique_id()}-{n}" for n in count(1))
 
@@ -103,7 +105,7 @@
 
         Raises:
             NoCapacityError: The cloud has no machine of the source.
-            CloudError: The request failed, or `may_send` returned False right before it was sent.
+            CloudError: The request failed, or was not sent because `may_send` returned False.
         """
         body = wire.rent_body(request_name, *source, min(number, wire.MAX_RENT))
         response = await self._request("POST", wire.MACHINES_PATH, body, may_send)
@@ -115,7 +117,7 @@
         """Return machines to the cloud; they have ended when this returns.
 
         Raises:
-            CloudError: The request failed, or `may_send` returned False right before it was sent.
+            CloudError: The request failed, or was not sent because `may_send` returned False.
         """
         await self._request("POST", wire.RELEASE_PATH, wire.release_body(machines), may_send)
 
@@ -143,8 +145,8 @@
         `may_send` is called right before sending: the delay may have been long, and the process
         may have been suspended during it.
         """
-        while not self._pacer.try_take():
-            await curio.sleep(self._pacer.delay_s())
+        while not self._token_bucket.try_take():
+            await curio.sleep(self._token_bucket.delay_s())
         if not may_send():
             raise NotLeaderError(f"{method} {path}: not sent, this controller is not the leader")
         try:
@@ -152,7 +154,7 @@
         except (ConnectionFailedError, NoResponseError) as exc:
             raise CloudError(str(exc)) from exc
         if status == STATUS_TOO_MANY_REQUESTS:
-            self._pacer.drain()
+            self._token_bucket.drain()
         has_no_capacity = status == STATUS_UNAVAILABLE and NO_CAPACITY_BODY in data
         if status != STATUS_OK and not has_no_capacity:
             raise CloudError(f"{method} {path}: HTTP status {status}", status)
--- a/crossmill/fleet/forecast.py
+++ b/crossmill/fleet/forecast.py
@@ -156,7 +156,7 @@
 
     def is_out_of_capacity(self, spec: JobSpec) -> bool:
         """Return whether the cloud currently has no machine that the job may use."""
-        return self.capacity.is_exhausted_for(spec)
+        return self.capacity.is_out_of_capacity(spec)
 
     def unplaced_demands(self, shard: int, wall_time: float) -> list[TaskDemand]:
         """Return the demand that has waited for a while and has no capacity in the shard.
--- a/crossmill/fleet/pipelines.py
+++ b/crossmill/fleet/pipelines.py
@@ -31,7 +31,7 @@
 REPLICA_S = 1.0
 # keeps throughputs finite for tasks that are expected to take no time
 MIN_TASK_S = 1e-3
-# the option of a stage when none of its allowed types is in the catalog
+# the option of a stage whose tasks can use no machine type of the catalog
 UNKNOWN_TYPE = "unknown"
 
 
@@ -97,11 +97,11 @@
     def _is_late(self, job: Job, plan: _PipelinePlan) -> bool:
         """Return whether the stage is past its budget and the plan is old enough to be replaced."""
         end = plan.stages[job.id].budget_end
-        now = self._clock.wall_time()
+        wall_time = self._clock.wall_time()
         return (
             end is not None
-            and now > end
-            and now - plan.planned_at > self._settings.replan_interval_s
+            and wall_time > end
+            and wall_time - plan.planned_at > self._settings.replan_interval_s
         )
 
     def _single_job_position(self, job: Job) -> QueuePosition:
--- a/crossmill/fleet/provisioner.py
+++ b/crossmill/fleet/provisioner.py
@@ -1,6 +1,6 @@
 """Scales the fleet out and in while this controller leads, and refreshes the catalog.
 
-`FleetProvisioner.run` is one of the controller's tasks. It rents the machines that the demand
+`FleetProvisioner.run` is one of the controller's loops. It rents the machines that the demand
 forecast requests, returns the machines that are marked as retiring, and reconciles the machine
 records with the cloud's list. It keeps in memory which machines it has recently seen in the list or
 released; `MachineRecords` writes the durable state.
@@ -22,7 +22,7 @@
 
 log = logging.getLogger(__name__)
 
-# the state of a listed machine, and the reason for its return
+# the state of a failed machine in the list, and the reason for which it is retired
 FAILED = "failed"
 # the maximum age of the catalog in heartbeat intervals
 MAX_CATALOG_AGE_HEARTBEATS = 30
--- a/crossmill/lazy_imports.py
+++ b/crossmill/lazy_imports.py
@@ -15,8 +15,8 @@
 # Curio uses these for other event loops, for worker processes and for their authentication.
 # `zoneinfo`, which orjson imports, uses `sysconfig` to find time zone files.
 DEFERRED_MODULES = ("asyncio", "hmac", "sysconfig", "tempfile")
-# environment variable with the search path of `zoneinfo`: if it is set, also to an empty path,
-# `zoneinfo` does not use `sysconfig`
+# the environment variable of `zoneinfo`'s search path, and an empty value: if the variable is set,
+# even to an empty path, `zoneinfo` does not use `sysconfig`
 EMPTY_TIME_ZONE_PATH = ("PYTHONTZPATH", "")
 # controllers use plain TCP, and curio works without `ssl` if the import fails
 BLOCKED_MODULES = ("ssl",)
--- a/crossmill/multihost/subcommands.py
+++ b/crossmill/multihost/subcommands.py
@@ -53,7 +53,9 @@
             the environment variable with the server's address, the default address, and a
             description of the server.
     """
-    subcommands = parser.add_subparsers(dest="replica_subcommand", required=True, metavar="VERB")
+    subcommands = parser.add_subparsers(
+        dest="replica_subcommand", required=True, metavar="SUBCOMMAND"
+    )
     for spec in _SUBCOMMANDS:
         subcommand = subcommands.add_parser(spec.name, help=spec.help, description=spec.help)
         for argument in spec.arguments:
--- a/crossmill/planning/fill.py
+++ b/crossmill/planning/fill.py
@@ -1,4 +1,4 @@
-"""The fill order: chooses whole machines for a stage's tasks (algorithm 1 of the Piccolo paper).
+"""The fill order of DESIGN, algorithm 1 of the Piccolo paper: fills whole machines with tasks.
 
 The functions are pure. Capacity planning calls `fill` to choose which machines to rent next.
 """
@@ -37,7 +37,7 @@
         return int((budget_s - self.setup_s) / self.task_s)
 
     def throughput_per_price(self) -> float:
-        """Return the throughput per price."""
+        """Return the tasks per second that one machine runs, divided by its price."""
         return self.slots / (self.price * max(self.task_s, MIN_TASK_S))
 
 
--- a/crossmill/planning/pipelines.py
+++ b/crossmill/planning/pipelines.py
@@ -32,7 +32,11 @@
 
 
 def budget_end(
-    spec: JobSpec, submitted: float, ready_at: float, margin_s: float, default_queue_time_s: float
+    spec: JobSpec,
+    submitted_at: float,
+    ready_at: float,
+    margin_s: float,
+    default_queue_time_s: float,
 ) -> float:
     """Return the wall time at which the budget of a job outside any pipeline ends.
 
@@ -41,7 +45,7 @@
     """
     if spec.deadline_s is None:
         return ready_at + default_queue_time_s
-    return submitted + max(0.0, spec.deadline_s - margin_s)
+    return submitted_at + max(0.0, spec.deadline_s - margin_s)
 
 
 class PipelineStage(NamedTuple):
@@ -99,15 +103,15 @@
     return order
 
 
-def plan_pipeline(stages: Mapping[str, PipelineStage], now: float) -> dict[str, StagePlan]:
-    """Return the plan of every stage, with the latency split as of `now` in wall time."""
+def plan_pipeline(stages: Mapping[str, PipelineStage], wall_time: float) -> dict[str, StagePlan]:
+    """Return the plan of every stage, with the latency split as of `wall_time`."""
     order = topological_order(stages)
     priorities = _inherited_priorities(stages, order)
     ends: dict[str, float] = {}
     for name in order:
         deadline = stages[name].deadline
         if deadline is not None:
-            for stage, end in _budget_ends(stages, order, name, deadline, now).items():
+            for stage, end in _budget_ends(stages, order, name, deadline, wall_time).items():
                 ends[stage] = min(end, ends.get(stage, end))
     return {name: StagePlan(priorities[name], ends.get(name)) for name in order}
 
@@ -141,7 +145,7 @@
     order: Sequence[str],
     last: str,
     deadline: float,
-    now: float,
+    wall_time: float,
 ) -> dict[str, float]:
     """Return when the budgets of `last` and of its dependencies end, in wall time."""
     members = _with_dependencies(stages, last)
@@ -159,9 +163,9 @@
             stage.margin_s + max((margins[position] for position in dependencies), default=0.0)
         )
     # after the deadline the remaining time is negative, which preserves the order of late stages
-    budgets = split(split_stages, deadline - margins[-1] - now)
+    budgets = split(split_stages, deadline - margins[-1] - wall_time)
     ends: list[float] = []
     for split_stage, budget in zip(split_stages, budgets, strict=True):
-        begin = max((ends[position] for position in split_stage.dependencies), default=now)
+        begin = max((ends[position] for position in split_stage.dependencies), default=wall_time)
         ends.append(begin + budget.budget_s)
     return dict(zip(names, ends, strict=True))
--- a/crossmill/recovery/pacing.py
+++ b/crossmill/recovery/pacing.py
@@ -28,14 +28,14 @@
         return worker.available() >= 1 and self._shard.try_take() and worker.try_take()
 
     def _worker(self, machine_id: str) -> TokenBucket:
-        pacer = self._workers.get(machine_id)
-        if pacer is None:
+        bucket = self._workers.get(machine_id)
+        if bucket is None:
             settings = self._settings
-            pacer = TokenBucket(
+            bucket = TokenBucket(
                 self._clock, settings.worker_orders_per_s, settings.orders_per_worker
             )
-            self._workers[machine_id] = pacer
-        return pacer
+            self._workers[machine_id] = bucket
+        return bucket
 
 
 class MachineBatches:
--- a/crossmill/recovery/subcommands.py
+++ b/crossmill/recovery/subcommands.py
@@ -12,7 +12,9 @@
     add_client_options: Callable[[argparse.ArgumentParser, str, str, str], None],
 ) -> None:
     """Add the subcommands of `recovery` to the command line's parser."""
-    subcommands = parser.add_subparsers(dest="recovery_subcommand", required=True, metavar="VERB")
+    subcommands = parser.add_subparsers(
+        dest="recovery_subcommand", required=True, metavar="SUBCOMMAND"
+    )
     show = subcommands.add_parser(
         "show", help="show recovering shards, open circuit breakers and past recoveries"
     )
--- a/crossmill/settings/deployment.py
+++ b/crossmill/settings/deployment.py
@@ -63,7 +63,10 @@
 
     @property
     def segment_tasks(self) -> int:
-        """The number of tasks that fit into a segment, the plan format of raised feature levels."""
+        """The number of tasks that fit into a segment.
+
+        Segments replace chunks as the format of plans once the feature level is raised.
+        """
         tasks = int(self.value_bytes * PLAN_VALUE_SHARE / SEGMENT_ROW_BYTES)
         return max(MIN_CHUNK_TASKS, tasks)
 
@@ -232,7 +235,7 @@
         return tuple(sorted([self.label, *(peer.label for peer in self.peers)]))
 
     def next_controller(self, label: str) -> str:
-        """Return the label of the controller that a worker tries if this one does not respond.
+        """Return the label of the controller that a worker tries if the given one does not respond.
 
         PROTOCOL calls it "the next node": the one with the next label in numeric order.
         """
@@ -252,9 +255,9 @@
 
         None if the class has no such objective.
         """
-        waits = [
+        limits_s = [
             objective.within_s
             for objective in self.objectives
             if objective.kind == START_DELAY_OBJECTIVE and objective.job_class == job_class
         ]
-        return min(waits, default=None)
+        return min(limits_s, default=None)
--- a/crossmill/settings/timing.py
+++ b/crossmill/settings/timing.py
@@ -29,7 +29,7 @@
 
     @property
     def lease_extension_grant_s(self) -> float:
-        """The time for which a peer that granted a lease extension does not acquire the shard."""
+        """The time for which a peer that granted a lease extension does not acquire the shards."""
         return self.controller_lease_ttl_s
 
     @property
@@ -50,7 +50,8 @@
     def partition_keepalive_s(self) -> float:
         """The time for which a controller in a partitioned zone keeps the zone's workers alive.
 
-        It starts when the controller sent the last read that returned the complete durable state.
+        It starts when the controller sent its last valid sync with the state service. A sync is
+        valid if the controller's own record existed during it.
         """
         return 3 * self.worker_lease_s
 
@@ -171,7 +172,7 @@
 
     @property
     def boot_late_factor(self) -> float:
-        """The multiple of the boot time after which a machine not up is not counted as capacity.
+        """The multiple of the boot time after which a booting machine is not counted as capacity.
 
         The time is longer if the previous machines also took longer to boot.
         """
@@ -239,7 +240,7 @@
 
     @property
     def machine_transfer_interval_s(self) -> float:
-        """The interval of checks by a shard's owner whether other shards need its machines."""
+        """The interval between an owner's checks whether other shards need its shard's machines."""
         return self.worker_lease_s / 4
 
     @property
--- a/crossmill/state/writer.py
+++ b/crossmill/state/writer.py
@@ -75,7 +75,7 @@
         self._reduced_limits: StateLimits | None = None
         self._lowest_limits = settings.lowest_state_limits
         share = settings.state_write_rate
-        self._pacer = TokenBucket(clock, share, max(share, 1.0))
+        self._token_bucket = TokenBucket(clock, share, max(share, 1.0))
         # the number of writes by which user requests and leases may exceed this controller's share,
         # using rate that other controllers leave unused
         self._urgent_overdraft = settings.urgent_write_burst
@@ -87,7 +87,7 @@
 
     def set_rate(self, share: float) -> None:
         """Set this controller's share of the write rate, in changes per second."""
-        self._pacer.reset(share, max(share, 1.0))
+        self._token_bucket.reset(share, max(share, 1.0))
 
     @property
     def limits(self) -> StateLimits:
@@ -96,7 +96,7 @@
 
     def writes_within(self, span_s: float) -> int:
         """Return the number of changes that this controller may make in a time span, at least 1."""
-        return max(1, int(self._pacer.rate * span_s))
+        return max(1, int(self._token_bucket.rate * span_s))
 
     @property
     def backlog(self) -> int:
@@ -170,10 +170,10 @@
     def _rate_wait_s(self, batch: WriteBatch, intent: WriteIntent) -> float:
         """Return the delay in seconds that the rate imposes on the batch with the intent added."""
         overdraft = self._urgent_overdraft if intent.rank <= WriteRank.URGENT else 0.0
-        return self._pacer.delay_s(batch.operation_count + intent.operation_count, overdraft)
+        return self._token_bucket.delay_s(batch.operation_count + intent.operation_count, overdraft)
 
     def _dequeue(self, batch: WriteBatch) -> None:
-        self._pacer.force_take(batch.operation_count)
+        self._token_bucket.force_take(batch.operation_count)
         for intent in batch.intents:
             self._queue.remove(intent)
 
@@ -195,7 +195,7 @@
         except RequestRefusedError as exc:
             log.debug("write refused error=%s", exc)
             if exc.is_rate_limited:
-                self._pacer.drain()
+                self._token_bucket.drain()
             await self._retry_later(intents)
         except OutcomeUnknownError as exc:
             # a retry is safe: with the same conditions, only one of the two requests takes effect
--- a/crossmill/wire/cloud.py
+++ b/crossmill/wire/cloud.py
@@ -83,24 +83,30 @@
     )
 
 
-def rent_body(request: str, type_name: str, zone: str, spot: bool, number: int) -> bytes:
+def rent_body(request_name: str, type_name: str, zone: str, spot: bool, number: int) -> bytes:
     """Encode a rental request (POST /hosts).
 
     Args:
-        request: A name that was never used before. If a name is repeated, the cloud repeats its
-            response and rents no machines.
+        request_name: A name that was never used before. If a name is repeated, the cloud repeats
+            its response and rents no machines.
         type_name: The machine type.
         zone: The zone.
         spot: Whether to rent spot machines.
         number: The number of machines, up to MAX_RENT.
     """
     return orjson.dumps(
-        {"hireSlip": request, "frame": type_name, "yard": zone, "loaners": spot, "number": number}
+        {
+            "hireSlip": request_name,
+            "frame": type_name,
+            "yard": zone,
+            "loaners": spot,
+            "number": number,
+        }
     )
 
 
 def parse_rented(data: dict[str, Any]) -> list[str]:
-    """Return the rented machines, which may be fewer than requested (POST /hosts)."""
+    """Return the IDs of the rented machines, which may be fewer than requested (POST /hosts)."""
     return [m for m in data.get("stones") or () if type(m) is str]
 
 
--- a/crossmill/wire/peers.py
+++ b/crossmill/wire/peers.py
@@ -75,7 +75,7 @@
 
 
 def attestation_request_body(machines: list[str]) -> bytes:
-    """Encode a request to attest how long a controller has not responded to these machines."""
+    """Encode a request to a peer to attest how long it has not responded to these machines."""
     return orjson.dumps({"machines": machines})
 
 
@@ -99,7 +99,7 @@
 
 
 def parse_attestations(body: bytes) -> list[float]:
-    """Return, for each requested machine, the seconds for which it got certainly no response.
+    """Return, for each requested machine, the seconds for which it certainly got no response.
 
     Raises:
         MalformedMessageError: The body has no list of time spans.
--- a/crossmill/wire/users.py
+++ b/crossmill/wire/users.py
@@ -25,8 +25,8 @@
     ARRAY = "array"
     # a service: replicas that run until the job is cancelled
     SERVICE = "service"
-    # gang-scheduled tasks, which start together or not at all; they are in the sites' wire tables,
-    # but not in the text of the protocol: see questions.md
+    # gang-scheduled tasks, which start together or not at all; the wire tables list this kind, but
+    # the text of PROTOCOL does not: see docs/questions.md
     GANG = "gang"
 
 
@@ -155,6 +155,6 @@
     return orjson.dumps(body)
 
 
-def error_body(why: str) -> bytes:
+def error_body(reason: str) -> bytes:
     """Encode the reason for which a request was refused."""
-    return orjson.dumps({"error": why})
+    return orjson.dumps({"error": reason})
--- a/crossmill/wire/workers.py
+++ b/crossmill/wire/workers.py
@@ -1,4 +1,4 @@
-"""Messages to and from workers: heartbeats, and commands as their responses or sent on their own.
+"""Messages to and from workers: heartbeats, and commands in responses or in separate requests.
 
 This module maps the names of fields and values on the wire, which PROTOCOL defines, to those used
 in the code. It is stateless.
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -30,7 +30,7 @@
     return ports
 
 
-def _answer_without_waiting(
+def _run_without_waiting(
     service: FakeService, method: str, path: str, body: bytes
 ) -> tuple[int, bytes]:
     """Run the service's coroutine, which must not wait, and return its result."""
@@ -48,19 +48,19 @@
     class Handler(BaseHTTPRequestHandler):
         protocol_version = "HTTP/1.1"
 
-        def _answer(self) -> None:
+        def _respond(self) -> None:
             body = self.rfile.read(int(self.headers.get("content-length", 0)))
             if self.path.startswith("/changes"):
                 time.sleep(WATCH_DELAY_S)
             with lock:
-                status, data = _answer_without_waiting(service, self.command, self.path, body)
+                status, data = _run_without_waiting(service, self.command, self.path, body)
             self.send_response(status)
             self.send_header("content-length", str(len(data)))
             self.end_headers()
             self.wfile.write(data)
 
         # http.server calls the method of this name for each HTTP method
-        do_GET = do_POST = do_DELETE = _answer  # noqa: N815 - named by http.server
+        do_GET = do_POST = do_DELETE = _respond  # noqa: N815 - named by http.server
 
         def log_message(self, format: str, *args: object) -> None:
             """Log nothing."""
--- a/tests/test_capacity_cache.py
+++ b/tests/test_capacity_cache.py
@@ -91,8 +91,8 @@
         changes = (self._change_machine, self._change_job, self._change_plan, self._plan_tasks)
         self.rng.choice(changes)()
         fresh = [
-            self.forecast.capacity.free_capacity(machine, kind)
-            for machine, kind in self._machines()
+            self.forecast.capacity.free_capacity(machine, machine_type)
+            for machine, machine_type in self._machines()
         ]
         assert [_comparable_fields(capacity) for capacity in self.capacities()] == [
             _comparable_fields(c) for c in fresh
--- a/tests/test_controller_outages.py
+++ b/tests/test_controller_outages.py
@@ -246,7 +246,7 @@
         await node.boot()
         leader = node.provisioner
         machine_request = MachineRequest(node.forecast.capacity.sources()[0], 2)
-        leader._cloud._pacer.drain()
+        leader._cloud._token_bucket.drain()
         operation = leader.rent(0, machine_request) if step == "rent" else leader.scale_in()
         task = await curio.spawn(operation, daemon=True)
         await curio.sleep(0.05)
--- a/tests/test_job_records.py
+++ b/tests/test_job_records.py
@@ -149,7 +149,7 @@
         await node.boot()
         await node.membership.step()
         assert set(node.membership.ownerships) == {node.settings.shard_of_team("red")}
-        even_rate = node.writer._pacer.rate
+        even_rate = node.writer._token_bucket.rate
         add_job(state, clock, nameId="wk-000001", crew=team)
         # neither replicas nor jobs with unfinished dependencies have outcomes to write
         add_job(state, clock, nameId="wk-000002", crew="green", cut="service")
@@ -157,8 +157,8 @@
         state.put(keys.job(spec.id), encode_job(spec, clock.wall_time(), ("wk-000001",)))
         await node.sync()
         await node.membership.step()
-        assert (node.writer._pacer.rate > even_rate) is is_raised
-        assert node.writer._pacer.rate != even_rate
+        assert (node.writer._token_bucket.rate > even_rate) is is_raised
+        assert node.writer._token_bucket.rate != even_rate
 
     run_scenario(scenario)
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -59,9 +59,9 @@
     assert plan_pipeline(late, 10.0)["last"].budget_end == pytest.approx(70.0)
 
 
-@pytest.mark.parametrize("now", [130.0, 160.0])
-def test_a_pipeline_past_its_deadline_still_has_budgets(now: float) -> None:
-    assert plan_pipeline(_diamond(), now)["first"].budget_end is not None
+@pytest.mark.parametrize("wall_time", [130.0, 160.0])
+def test_a_pipeline_past_its_deadline_still_has_budgets(wall_time: float) -> None:
+    assert plan_pipeline(_diamond(), wall_time)["first"].budget_end is not None
 
 
 def test_the_budget_of_a_pipeline_past_its_deadline_ends_after_its_planned_end() -> None:
--- a/tests/test_pipelines_under_faults.py
+++ b/tests/test_pipelines_under_faults.py
@@ -69,8 +69,8 @@
 def test_pipelines_are_consistent_under_random_faults(seed_number: int) -> None:
     """No task starts before its dependencies are done, and every job finishes.
 
-    Three teams submit stages and cancel some of them, while controllers end, the state service is
-    unavailable and responses are lost.
+    Three teams submit stages and cancel some of them, while controllers terminate, the state
+    service is unavailable and responses are lost.
     """
 
     async def scenario(region: Region) -> None:
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -45,7 +45,7 @@
 def _link_libraries(checkout: Path) -> None:
     """Link the packages of the tests' environment into the folder of the install command.
 
-    Replaces that command, since tests do not use the network.
+    This replaces that command, since tests do not use the network.
     """
     target = checkout / "target" / "deps"
     target.mkdir(parents=True)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -207,7 +207,7 @@
         node = SteppedController(state, clock, nodes)
         await node.boot()
         node.writer.set_rate(1.0)
-        node.writer._pacer.force_take(100.0)
+        node.writer._token_bucket.force_take(100.0)
         for number in range(3):
             await node.writer.submit(
                 WriteIntent(Txn({}, [Put(f"cm/x/{number}", 0)]), WriteRank.URGENT)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -73,7 +73,7 @@
 
 
 def test_lease_extensions_are_useful_if_cancel_s_is_little_more_than_two_worker_leases() -> None:
-    """State is read at each lease renewal; an extension below a controller lease is useless."""
+    """State is read at each renewal; an extension shorter than a controller lease is useless."""
     table = settings_table()
     workers = table["settings"]["workers"]
     workers["cancel_s"] = 2.1 * workers["lease_s"]
--- a/tests/test_start_compiles_nothing.py
+++ b/tests/test_start_compiles_nothing.py
@@ -81,24 +81,26 @@
     return {**os.environ, "PATH": f"{Path(sys.executable).parent}:{os.environ['PATH']}"}
 
 
-def _deploy(root: Path) -> dict[str, str]:
+def _deploy_file(root: Path) -> dict[str, str]:
     return tomllib.loads((root / "deploy" / "service.toml").read_text())
 
 
 def _build(root: Path) -> None:
-    subprocess.run(_deploy(root)["build"], shell=True, check=True, cwd=root, env=_environment())
+    subprocess.run(
+        _deploy_file(root)["build"], shell=True, check=True, cwd=root, env=_environment()
+    )
 
 
 def _start_recorded(root: Path, record: Path, *arguments: str) -> subprocess.Popen[bytes]:
     """Start the program by the deploy file's command and record the files that it compiles."""
-    command = shlex.split(_deploy(root)["run"])
+    command = shlex.split(_deploy_file(root)["run"])
     program = command.index("run.py")
     script = COMPILE_RECORDER.format(record=str(record), program=str(root / "run.py"))
     command[program : program + 1] = ["-c", script]
     return subprocess.Popen([*command, *arguments], cwd=root, env=_environment())
 
 
-class ControllerEnvironment:
+class LoopbackServices:
     """The settings and fake services of a real controller on loopback."""
 
     def __init__(self) -> None:
@@ -125,10 +127,10 @@
             ("POST", JOBS_PATH, orjson.dumps(job), 201),
             ("GET", f"{JOBS_PATH}/{job['nameId']}", b"", 200),
         ):
-            await _until_answered(client, method, path, body, expected_status)
+            await _request_until_status(client, method, path, body, expected_status)
 
 
-async def _until_answered(
+async def _request_until_status(
     client: Client, method: str, path: str, body: bytes, expected_status: int
 ) -> None:
     deadline = time.monotonic() + TIMEOUT_S
@@ -152,19 +154,17 @@
 def _serve_once(
     root: Path, folder: Path, *arguments: str, subcommand: tuple[str, ...] = ()
 ) -> Served:
-    environment = ControllerEnvironment()
+    services = LoopbackServices()
     config, record = folder / "settings.toml", folder / "compiled"
-    config.write_text(tomli_w.dumps(environment.settings))
+    config.write_text(tomli_w.dumps(services.settings))
     with (
-        serving(environment.state, environment.state_port),
-        serving(environment.cloud, environment.cloud_port),
+        serving(services.state, services.state_port),
+        serving(services.cloud, services.cloud_port),
     ):
         process = _start_recorded(root, record, str(config), *arguments)
         try:
-            curio.run(environment.use_controller)
-            output = (
-                _output_with_shard(root, subcommand, environment.peer_port) if subcommand else ""
-            )
+            curio.run(services.use_controller)
+            output = _output_with_shard(root, subcommand, services.peer_port) if subcommand else ""
         finally:
             process.kill()
             process.wait()
@@ -203,7 +203,7 @@
 
 
 def _run_recorded(root: Path, record: Path, before: str, *arguments: str) -> str:
-    """Run `before` and the program with the recorder; return the program's output."""
+    """Run the code `before`, then the program with the recorder; return its output."""
     script = before + COMPILE_RECORDER.format(record=str(record), program=str(root / "run.py"))
     command = [sys.executable, "-S", "-E", "-c", script, *arguments]
     result = subprocess.run(command, cwd=root, capture_output=True, text=True, timeout=TIMEOUT_S)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -197,7 +197,7 @@
         await node.sync()
         assert node.cluster.limits == StateLimits(100.0, 40.0, 2048, 6)
         await node.membership.step()
-        pacer = node.writer._pacer
-        assert pacer.delay_s(40.0) > 0
+        bucket = node.writer._token_bucket
+        assert bucket.delay_s(40.0) > 0
 
     run_scenario(scenario)
