--- a/crossmill/recovery/pacing.py
+++ b/crossmill/recovery/pacing.py
@@ -1,4 +1,4 @@
-"""How fast differences are resolved: rate limits and batches of growing size."""
+"""Limits on the speed of recovery: rate limits, and batches of growing size."""
 
 from collections.abc import Container, Sequence
 
@@ -8,7 +8,7 @@
 
 
 class OrderRateLimiter:
-    """The rate limits on recovery's orders: one of the shard, and one of each worker."""
+    """The rate limits on recovery's orders: one for the shard, and one for each worker."""
 
     def __init__(self, clock: Clock, settings: RecoverySettings) -> None:
         self._clock = clock
@@ -19,11 +19,11 @@
         self._workers: dict[str, TokenBucket] = {}
 
     def take_for_shard(self) -> bool:
-        """Takes a token of the shard's limit; False if there is none."""
+        """Charge an order to the shard's limit; return False if it exceeds the limit."""
         return self._shard.try_take()
 
     def take_for_worker(self, machine_id: str) -> bool:
-        """Takes a token of the shard's limit and of the worker's; False if either has none."""
+        """Charge an order to the shard's and the worker's limit; return False if it exceeds one."""
         worker = self._worker(machine_id)
         return worker.available() >= 1 and self._shard.try_take() and worker.try_take()
 
@@ -39,11 +39,11 @@
 
 
 class MachineBatches:
-    """Admits machines in batches, each twice as large as the one before.
+    """Selects the machines to resolve in batches, each twice as large as the one before.
 
-    A batch that is not resolved in time is postponed until all other machines have had their turn,
-    and the next batch has the initial size again. So a systematic mistake shows on few machines
-    before many are affected.
+    The machines of a batch that are not resolved in time are postponed until all other machines
+    have been in a batch, and the next batch has the initial size again. So a systematic fault shows
+    on few machines before it affects many.
     """
 
     def __init__(self, clock: Clock, initial_size: int, timeout_s: float) -> None:
@@ -51,40 +51,42 @@
         self._initial_size = initial_size
         self._timeout_s = timeout_s
         self._size = initial_size
-        self._begun_at = clock.now()
+        self._started_at = clock.now()
         self._postponed: set[str] = set()
-        self._begun_count = 0
-        # the machines of the present batch
-        self.admitted: set[str] = set()
+        self._started_count = 0
+        # the machines of the current batch
+        self.current_batch: set[str] = set()
 
-    def is_next_due(self, differing: Container[str]) -> bool:
-        """Whether the next batch may begin: the present one is resolved or has timed out."""
-        return self._has_timed_out() or not any(machine in differing for machine in self.admitted)
+    def is_next_due(self, unresolved_machines: Container[str]) -> bool:
+        """Return whether the next batch may start: the current one is resolved or timed out."""
+        return self._has_timed_out() or not any(
+            machine in unresolved_machines for machine in self.current_batch
+        )
 
     def _has_timed_out(self) -> bool:
-        return self._clock.now() - self._begun_at > self._timeout_s
+        return self._clock.now() - self._started_at > self._timeout_s
 
-    def begin_next(self, differing: Sequence[str]) -> None:
-        """Begins the next batch with the machines that still differ, the most urgent first."""
-        unresolved = self.admitted & set(differing)
-        if unresolved:
-            self._postponed |= unresolved
+    def start_next(self, unresolved_machines: Sequence[str]) -> None:
+        """Start the next batch from the machines with differences, the most urgent first."""
+        timed_out = self.current_batch & set(unresolved_machines)
+        if timed_out:
+            self._postponed |= timed_out
             self._size = self._initial_size
-        elif self._begun_count:
+        elif self._started_count:
             self._size *= 2
-        waiting = [machine for machine in differing if machine not in self._postponed]
-        if not waiting:
-            # only postponed machines are left: they get another turn
+        candidates = [machine for machine in unresolved_machines if machine not in self._postponed]
+        if not candidates:
+            # only postponed machines are left: they may be in a batch again
             self._postponed.clear()
-            waiting = list(differing)
-        self.admitted = set(waiting[: self._size])
-        if self.admitted:
-            self._begun_count += 1
-            self._begun_at = self._clock.now()
+            candidates = list(unresolved_machines)
+        self.current_batch = set(candidates[: self._size])
+        if self.current_batch:
+            self._started_count += 1
+            self._started_at = self._clock.now()
 
 
 def count_batches(machine_count: int, initial_size: int) -> int:
-    """The number of batches that the machines take if each batch is resolved in time."""
+    """Return the number of batches for the machines if each batch is resolved in time."""
     batches, size = 0, initial_size
     while machine_count > 0:
         machine_count -= size
--- a/crossmill/recovery/shard_recovery.py
+++ b/crossmill/recovery/shard_recovery.py
@@ -1,8 +1,8 @@
-"""The recovery of one shard under one ownership: its phases, and which orders may be sent when.
+"""The recovery of one shard under one ownership: its phases and the admission of its orders.
 
-`RecoveryService` creates one for each shard that the controller acquires, passes it the heartbeats
-and advances it. It keeps all of its state in memory: the next owner starts again from the stored
-state and the workers' heartbeats.
+`RecoveryService` creates a recovery for each shard that the controller acquires, passes it the
+heartbeats and advances it. A recovery keeps all of its state in memory: the next owner begins a new
+one from the stored state and the workers' heartbeats.
 """
 
 import logging
@@ -17,7 +17,7 @@
     MACHINE_RULES,
     MachineClass,
     TaskClass,
-    WorkerContact,
+    WorkerLiveness,
     classify_machine,
 )
 from .context import RecoveryContext
@@ -32,10 +32,10 @@
 
 
 class ShardRecovery:
-    """Resolves what differs between plans and heartbeats after a shard was acquired.
+    """Resolves the differences between plans and heartbeats after a shard was acquired.
 
-    It covers only the differences that a machine's first heartbeat under the new token shows,
-    however late that arrives. Later differences are not restricted by recovery.
+    It covers only the differences that a machine's first heartbeat under the new token shows, even
+    if that heartbeat arrives late. Recovery does not restrict orders for later differences.
     """
 
     def __init__(
@@ -45,10 +45,11 @@
         context: RecoveryContext,
         priority_of: Callable[[str], int],
     ) -> None:
-        settings, clock = context.recovery, context.clock
+        settings, clock = context.recovery_settings, context.clock
         self.shard = shard
+        # the fencing token under which the ownership began
         self.term = ownership.term
-        self.begun_at = clock.now()
+        self.started_at = clock.now()
         self.statistics = RecoveryStatistics()
         self._settings = settings
         self._clock = clock
@@ -60,8 +61,9 @@
         self.admission = OrderAdmission(
             context, self._phases, self._differences, self.breaker, self.statistics
         )
+        # machines that have sent a heartbeat under this token
         self._reported: set[str] = set()
-        # machines that may run tasks and have not reported under this token
+        # machines that may run tasks and have not sent a heartbeat under this token
         self._not_reported: set[str] = set()
         self._resolving_timeout_s = 0.0
 
@@ -69,64 +71,66 @@
 
     @property
     def phase(self) -> RecoveryPhase:
-        """The present phase."""
+        """The current phase."""
         return self._phases.current
 
     @property
     def phase_durations_s(self) -> dict[RecoveryPhase, float]:
-        """Seconds spent in each phase that was left."""
+        """The seconds spent in each phase that has ended."""
         return self._phases.durations_s
 
     @property
-    def is_settled(self) -> bool:
-        """Whether the last phase is reached: machines that have reported are not waited for."""
+    def has_reached_steady_phase(self) -> bool:
+        """Whether the recovery is in its last phase, which may begin before all machines report."""
         return self.phase is RecoveryPhase.STEADY
 
     @property
     def has_ended(self) -> bool:
-        """Whether nothing is left to do: all machines have reported or are gone, none differs."""
-        return self.is_settled and not self._not_reported and not self._differences.count
+        """Whether no differences are left and all machines have reported or departed."""
+        return (
+            self.has_reached_steady_phase and not self._not_reported and not self._differences.count
+        )
 
     @property
     def may_place(self) -> bool:
-        """Whether waiting tasks may be placed: only after the machines could report."""
+        """Whether waiting tasks may be placed, which requires that machines had time to report."""
         return self.phase not in PHASES_BEFORE_PLACEMENT
 
     def is_running_unplanned(self, key: TaskKey) -> bool:
-        """Whether a worker of the shard runs the task although no plan contains it."""
+        """Return whether a worker of the shard runs the task although no plan contains it."""
         return self._differences.is_running_unplanned(key)
 
     def waits_for(self) -> str:
-        """Returns what the present phase waits for, as text for an operator."""
+        """Return a text for operators that describes what the current phase waits for."""
         if self.phase is RecoveryPhase.LOADING:
             return "a read of all that earlier owners wrote"
         if self.phase is RecoveryPhase.OBSERVING:
             return f"reports of {len(self._not_reported)} machines"
         if self.breaker.is_open:
             return "reports that resolve it, or an approval"
-        if self.phase is RecoveryPhase.SETTLING:
+        if self.phase is RecoveryPhase.RESOLVING:
             return f"{self._differences.count} differences to be settled"
         return f"{len(self._not_reported)} silent machines" if self._not_reported else "nothing"
 
     def approve(self) -> None:
-        """Permits what the circuit breaker holds back now."""
+        """Permit the actions that the circuit breaker blocks now."""
         self.breaker.approve()
         log.info("recovery approved shard=%d token=%d", self.shard, self.term)
 
     # -- phases ----------------------------------------------------------------------
 
     def advance(self, ownership: ShardOwnership) -> None:
-        """Enters each next phase whose conditions are met."""
-        self._forget_departed_machines()
+        """Enter each next phase whose conditions are met."""
+        self._drop_departed_machines()
         if self.phase is RecoveryPhase.LOADING and ownership.ready:
             self._start_observing()
         if self.phase is RecoveryPhase.OBSERVING and self._is_observing_finished():
             self._enter(RecoveryPhase.CLASSIFYING)
             self._count_machines()
         if self.phase is RecoveryPhase.CLASSIFYING and not self.breaker.is_open:
-            self._enter(RecoveryPhase.SETTLING)
+            self._enter(RecoveryPhase.RESOLVING)
             self._resolving_timeout_s = self._estimate_resolving_s()
-        if self.phase is RecoveryPhase.SETTLING:
+        if self.phase is RecoveryPhase.RESOLVING:
             self._advance_resolving()
 
     def _enter(self, phase: RecoveryPhase) -> None:
@@ -162,8 +166,8 @@
 
     def _class_of(self, machine: Machine) -> MachineClass:
         has_reported = machine.id in self._reported
-        contact = WorkerContact.REPORTING if has_reported else WorkerContact.UNRESPONSIVE
-        return classify_machine(True, None, bool(machine.retirement_reason), contact)
+        liveness = WorkerLiveness.REPORTING if has_reported else WorkerLiveness.UNRESPONSIVE
+        return classify_machine(True, None, bool(machine.retirement_reason), liveness)
 
     def _advance_resolving(self) -> None:
         if self.breaker.is_open:
@@ -171,24 +175,26 @@
         elif not self._differences.count:
             self._enter(RecoveryPhase.STEADY)
         elif self._phases.elapsed_s() > self._resolving_timeout_s:
-            # what remains stays rate limited, but no other machine waits for it any more
+            # the remaining differences stay rate limited, but batches no longer delay any machine
             self._enter(RecoveryPhase.STEADY)
         else:
             self.admission.advance_batches(self._priority_of)
 
     def _estimate_resolving_s(self) -> float:
-        """Seconds in which all differences can be resolved under the rate limits, in batches."""
+        """Return the seconds that suffice to resolve all differences within the limits."""
         machines = self._differences.machines()
         largest = max((len(self._differences.of_machine(m)) for m in machines), default=0)
         batches = count_batches(len(machines), self._settings.first_batch)
         by_shard_rate_s = self._differences.count / self._settings.shard_orders_per_s
         by_worker_rate_s = largest / self._settings.worker_orders_per_s
-        return max(by_shard_rate_s, by_worker_rate_s) + (batches + 1) * self._settings.batch_s
+        return (
+            max(by_shard_rate_s, by_worker_rate_s) + (batches + 1) * self._settings.batch_timeout_s
+        )
 
-    def _forget_departed_machines(self) -> None:
+    def _drop_departed_machines(self) -> None:
         self._reported &= self._cluster.machines.keys()
-        watched = (*self._not_reported, *self._differences.machines())
-        for machine_id in [m for m in watched if self._has_departed(m)]:
+        tracked = (*self._not_reported, *self._differences.machines())
+        for machine_id in [m for m in tracked if self._has_departed(m)]:
             self._not_reported.discard(machine_id)
             self._differences.drop_machine(machine_id)
 
@@ -198,19 +204,19 @@
 
     # -- heartbeats and orders -------------------------------------------------------
 
-    def note_heartbeat(self, machine: Machine, view: WorkerView) -> None:
-        """Takes in a heartbeat with this owner's token.
+    def handle_heartbeat(self, machine: Machine, view: WorkerView) -> None:
+        """Update the differences from a heartbeat with this owner's token.
 
-        A machine's first heartbeat shows what differs, a later one what still does.
+        A machine's first heartbeat shows its differences, and a later one those that remain.
         """
         if machine.id not in self._reported:
-            self._note_first_heartbeat(machine, view)
+            self._handle_first_heartbeat(machine, view)
         elif self._differences.of_machine(machine.id):
             classes = classify_machine_tasks(self._cluster, machine, view)
             found = find_differences(machine, view, classes)
             self._differences.update(machine.id, found, self._clock.now())
 
-    def _note_first_heartbeat(self, machine: Machine, view: WorkerView) -> None:
+    def _handle_first_heartbeat(self, machine: Machine, view: WorkerView) -> None:
         self._reported.add(machine.id)
         self._not_reported.discard(machine.id)
         classes = classify_machine_tasks(self._cluster, machine, view)
@@ -220,7 +226,7 @@
         self._differences.add_all(machine.id, found, self._clock.now())
 
     def admit(self, machine: Machine, command: Command) -> bool:
-        """Decides whether a command may be sent now, and counts it if so.
+        """Return whether a command may be sent now; if so, count it.
 
         A command that does not resolve one of the recovery's differences is always admitted.
         """
@@ -230,11 +236,14 @@
         return difference is None or self.admission.admit(difference, command.op.value)
 
     def admit_release(self, machine: Machine) -> bool:
-        """Decides whether the machine may be marked for return to the cloud, and counts it."""
+        """Return whether the machine may be marked for return to the cloud.
+
+        The release of an unresponsive machine counts as an order.
+        """
         if self.has_ended:
             return True
         if self.phase not in RESOLVING_PHASES:
             return False
-        if not MACHINE_RULES[self._class_of(machine)].needs_breaker:
+        if not MACHINE_RULES[self._class_of(machine)].counts_toward_breaker:
             return True
         return self.admission.admit_release(machine.id)
