--- a/tests/dependency_scenario.py
+++ b/tests/dependency_scenario.py
@@ -19,12 +19,12 @@
 ) -> Response:
     """Submit a job that depends on the given jobs."""
     body = submission(nameId=job, awaits=list(dependencies), **{"sacks": 1, **fields})
-    return await node.ask("POST", "/v1/jobs", orjson.dumps(body))
+    return await node.send_user_request("POST", "/v1/jobs", orjson.dumps(body))
 
 
 async def shown_stage(node: SteppedController, job: str) -> str:
     """Return the stage that the API shows for a job."""
-    response = await node.ask("GET", f"/v1/jobs/{job}")
+    response = await node.send_user_request("GET", f"/v1/jobs/{job}")
     assert response.status == 200, response.status
     return str(load_object(response.body)["stage"])
 
--- a/tests/fake_cloud.py
+++ b/tests/fake_cloud.py
@@ -43,15 +43,15 @@
 
     def __init__(self) -> None:
         self.machines: dict[str, dict[str, Any]] = {}
-        self.requests: dict[str, list[str]] = {}
-        self.script: list[str] = []
-        self.listed: list[dict[str, Any]] = []
+        self.machines_by_request: dict[str, list[str]] = {}
+        self.scripted_faults: list[str] = []
+        self.listed_machines: list[dict[str, Any]] = []
         self.released: list[str] = []
         self.down = False
 
     def list_machines(self) -> None:
         """List all machines that were rented and not released, as running."""
-        self.listed = [
+        self.listed_machines = [
             {
                 "nameId": machine,
                 "address": "127.0.0.1:1",
@@ -78,15 +78,15 @@
             self.released += data["stones"]
             return 200, b"{}"
         if method == "GET":
-            return 200, orjson.dumps({"stones": self.listed, "hasNext": False})
-        action = self.script.pop(0) if self.script else ""
+            return 200, orjson.dumps({"stones": self.listed_machines, "hasNext": False})
+        action = self.scripted_faults.pop(0) if self.scripted_faults else ""
         if action == "none":
             return 503, b'{"error":"no capacity"}'
         name = data["hireSlip"]
-        if name not in self.requests:
+        if name not in self.machines_by_request:
             first = len(self.machines)
-            self.requests[name] = [f"n-{first + i:06d}" for i in range(data["number"])]
-            self.machines.update((m, data) for m in self.requests[name])
+            self.machines_by_request[name] = [f"n-{first + i:06d}" for i in range(data["number"])]
+            self.machines.update((m, data) for m in self.machines_by_request[name])
         if action == "lose":
             raise NoResponseError(path)
-        return 200, orjson.dumps({"stones": self.requests[name]})
+        return 200, orjson.dumps({"stones": self.machines_by_request[name]})
--- a/tests/fake_state_service.py
+++ b/tests/fake_state_service.py
@@ -28,14 +28,14 @@
         self.changes: deque[tuple[int, str, Any]] = deque(maxlen=kept_changes)
         self.page_items = PAGE_ITEMS
         # the revision up to which changes are no longer kept
-        self._compacted = 0
+        self._compacted_revision = 0
         self.down = False
-        self.calls: list[tuple[str, str]] = []
-        self.script: dict[str, list[str]] = {}
-        self.puts = 0
+        self.received_requests: list[tuple[str, str]] = []
+        self.scripted_faults: dict[str, list[str]] = {}
+        self.applied_change_count = 0
         self.limits = StateLimits(100.0, 60.0, 32 * 1024, 20)
         # transactions refused for their size
-        self.too_large = 0
+        self.oversized_transaction_count = 0
 
     def end_lease(self, lease: int) -> None:
         """Expire a lease and delete its keys."""
@@ -50,7 +50,7 @@
 
     def _record(self, key: str, value: Any) -> None:
         if len(self.changes) == self.changes.maxlen:
-            self._compacted = self.changes[0][0]
+            self._compacted_revision = self.changes[0][0]
         self.changes.append((self.revision, key, value))
 
     def delete(self, key: str) -> None:
@@ -60,7 +60,7 @@
 
     def compact(self) -> None:
         """Drop all changes so far; a watch that missed one is answered 410."""
-        self._compacted = self.revision
+        self._compacted_revision = self.revision
         self.changes.clear()
 
     def put(self, key: str, value: Any, lease: int | None = None) -> None:
@@ -77,10 +77,10 @@
     ) -> tuple[int, bytes]:
         """Answer a request at once; raise a connection error where the script says so."""
         parts = urlsplit(path)
-        self.calls.append((method, parts.path))
+        self.received_requests.append((method, parts.path))
         action = ""
-        if self.script.get(parts.path):
-            action = self.script[parts.path].pop(0)
+        if self.scripted_faults.get(parts.path):
+            action = self.scripted_faults[parts.path].pop(0)
         if action == "drop":
             raise NoResponseError(path)
         if action == "refuse":
@@ -107,14 +107,14 @@
 
     def _serve_lease(self, path: str) -> tuple[int, dict[str, Any]]:
         if path == "/holds":
-            lease = len(self.calls)
+            lease = len(self.received_requests)
             self.leases.add(lease)
             return 200, {"tenure": lease}
         lease = int(path.split("/")[2])
         return (200 if lease in self.leases else 404), {"tenure": lease}
 
     def _list_changes(self, after: int, prefix: str) -> tuple[int, dict[str, Any]]:
-        if after < self._compacted:
+        if after < self._compacted_revision:
             return 410, {}
         log = [
             {"delete": k, "stamp": r} if v is None else {"write": k, "data": v, "stamp": r}
@@ -155,14 +155,14 @@
             if change.get("tenure") is not None and change["tenure"] not in self.leases:
                 return 400, {"error": "no such lease"}
         if self._is_too_large(data):
-            self.too_large += 1
+            self.oversized_transaction_count += 1
             return 400, {"error": "too large"}
         failed = [
             c["k"] for c in data["when"] if self.keys.get(c["k"], (None, 0, None))[1] != c["stamp"]
         ]
         if failed:
             return 409, {"failed": failed, "ledgerRev": self.revision}
-        self.puts += len(data["apply"])
+        self.applied_change_count += len(data["apply"])
         self.revision += 1
         for change in data["apply"]:
             if "write" in change:
--- a/tests/fault_injection.py
+++ b/tests/fault_injection.py
@@ -83,13 +83,13 @@
     await curio.sleep(3.0)
     for job, facts in region.checker.jobs.items():
         while facts.done is None and facts.cancelled is None:
-            if await region.show(next(iter(region.nodes)), job) != 200 or not (
+            if await region.query_job(next(iter(region.nodes)), job) != 200 or not (
                 facts.done or facts.cancelled
             ):
                 assert region.clock.now() < end, f"{job} has not ended"
                 await curio.sleep(0.5)
         for label in region.nodes:
-            assert await region.show(label, job) == 200
+            assert await region.query_job(label, job) == 200
 
 
 async def cancel_services_and_wait(region: Region) -> None:
@@ -124,7 +124,7 @@
         region.state_delay_s = rng.choice([0.0, 0.3])
     else:
         for body in worker.sent_heartbeats:
-            region.deliver(body, label)
+            region.deliver_worker_heartbeat(body, label)
 
 
 def clear_faults(region: Region) -> None:
--- a/tests/invariant_checker.py
+++ b/tests/invariant_checker.py
@@ -59,7 +59,7 @@
         """Check the start of a task, given by job and index, on a worker."""
         now, facts = self._region.clock.now(), self.jobs[key[0]]
         self.starts.append((now, *key, worker.machine))
-        self._check_order(key[0])
+        self._check_dependencies_done(key[0])
         for other in self._region.workers.values():
             task = other.tasks.get(key)
             alive = (
@@ -71,7 +71,7 @@
             self.late_starts += 1
         self.check()
 
-    def _check_order(self, job: str) -> None:
+    def _check_dependencies_done(self, job: str) -> None:
         """Check that all jobs that the started job depends on are done."""
         self.check()
         for dependency in self.jobs[job].dependencies():
@@ -90,13 +90,13 @@
                     pending.append(dependency)
         return found
 
-    def _check_orphans(self, job: str, stage: str, asked_at: float) -> None:
+    def _check_cancelled_dependencies(self, job: str, stage: str, requested_at: float) -> None:
         """Check that no job is called queued or running long after a dependency was cancelled."""
         for before in self._all_dependencies(job):
             confirmed = self.jobs[before].cancelled
             late = (
                 confirmed is not None
-                and asked_at - confirmed > self._region.cancellation_deadline_s
+                and requested_at - confirmed > self._region.cancellation_deadline_s
             )
             if late and stage in ("queued", "running"):
                 self.report_violation(f"orphaned {job}: {stage}, {before} is cancelled")
@@ -135,7 +135,7 @@
                 if 0 < team.gpus_max < gpus_used[team.name]:
                     self.report_violation(f"quota {team.name} {gpus_used[team.name]}")
 
-    def _planned(self) -> set[tuple[str, int, int, str]]:
+    def _planned_attempts(self) -> set[tuple[str, int, int, str]]:
         """Return job, task, attempt and machine of every durable planned attempt."""
         return {
             (name[len(keys.PLAN) :].rpartition("/")[0], row[0], row[1], row[2])
@@ -146,17 +146,17 @@
 
     def _check_unplanned(self) -> None:
         """Check that every task that runs is in a durable plan; no controller knows of others."""
-        planned = self._planned()
+        planned = self._planned_attempts()
         for worker in self._live_workers():
             for (job, index), task in worker.tasks.items():
                 attempt = (job, index, task.attempt, worker.machine)
                 if task.state != "exited" and attempt not in planned:
                     self.report_violation(f"orphaned {job}/{index} {worker.machine}: in no plan")
 
-    def check_response(self, job: str, response: Response, asked_at: float) -> None:
+    def check_response(self, job: str, response: Response, requested_at: float) -> None:
         """Compare a response with what users had been told before they sent the request."""
         facts, now = self.jobs[job], self._region.clock.now()
-        if response.status == 404 and facts.accepted is not None and facts.accepted < asked_at:
+        if response.status == 404 and facts.accepted is not None and facts.accepted < requested_at:
             self.report_violation(f"forgotten {job}")
         if response.status in (400, 422) and facts.accepted is not None:
             self.report_violation(f"forgotten {job}: {response.status}")
@@ -164,7 +164,7 @@
             return
         stage = load_object(response.body)["stage"]
         facts.accepted = facts.accepted if facts.accepted is not None else now
-        self._check_orphans(job, stage, asked_at)
+        self._check_cancelled_dependencies(job, stage, requested_at)
         if facts.cancelled is not None and stage != "withdrawn":
             self.report_violation(f"went_back {job}: {stage} after withdrawn")
         if facts.done is not None and stage != "done":
--- a/tests/measure_multihost.py
+++ b/tests/measure_multihost.py
@@ -158,7 +158,7 @@
 
     async def scenario(region: Region) -> None:
         draw = Random(seed)
-        await region.begin(machines=2 * members + 4)
+        await region.start_region(machines=2 * members + 4)
         # one task a machine
         await region.submit("node-0", "wk-000001", sacks=members, cpus=20.0, cards=0.0)
         await region.wait_until(lambda: _running(region) == set(range(members)))
--- a/tests/measure_recovery.py
+++ b/tests/measure_recovery.py
@@ -75,7 +75,7 @@
 
 async def _fill(region: RecoveryRegion, workers: int) -> None:
     """Stores plans for all workers and waits until the controllers have started their tasks."""
-    await region.begin(machines=0)
+    await region.start_region(machines=0)
     for number in range(workers):
         zone = ("north", "south")[number % 2]
         await region.add_worker(f"n-{number:06d}", zone, number % len(region.LABELS))
@@ -144,7 +144,7 @@
         affected = _inject_differences(region, case.scenario, draw)
         unplanned = sum(len(w.tasks) for w in region.workers.values()) - tasks
         ended_at, outage_s = region.clock.now(), draw.uniform(0.5, 3.5)
-        calls, puts = len(region.state.calls), region.state.puts
+        calls, puts = len(region.state.received_requests), region.state.applied_change_count
         await curio.sleep(outage_s)
         await region.start_all(draw.uniform(0.0, 0.5))
         times = await _measure_times(region, ended_at)
@@ -160,8 +160,8 @@
                 sum(len(w.orders) for w in region.workers.values() if w.machine not in affected),
                 max(seconds.values(), default=0),
                 max(0, tasks + unplanned - left),
-                len(region.state.calls) - calls,
-                region.state.puts - puts,
+                len(region.state.received_requests) - calls,
+                region.state.applied_change_count - puts,
             )
         )
 
@@ -192,7 +192,7 @@
             first_worker = passed_s
         if all_workers is None and answered == len(connected):
             all_workers = passed_s
-        if first_user is None and await region.show("node-0", job) == OK:
+        if first_user is None and await region.query_job("node-0", job) == OK:
             first_user = passed_s
     return AnswerTimes(first_worker, all_workers, first_user)
 
--- a/tests/multihost_agents.py
+++ b/tests/multihost_agents.py
@@ -29,7 +29,7 @@
     ping_body,
 )
 
-from .simulated_worker import HOP_S
+from .simulated_worker import MESSAGE_DELAY_S
 
 if TYPE_CHECKING:
     from .multihost_region import MultihostRegion
@@ -232,9 +232,11 @@
         label = labels[self._target]
         body, sent, session = heartbeat_body(self.heartbeat()), self.now(), self.session
         self.sent_heartbeats = [*self.sent_heartbeats[-40:], body]
-        await curio.sleep(HOP_S + self.region.delay_s(self))
+        await curio.sleep(MESSAGE_DELAY_S + self.region.delay_s(self))
         reply = await self.region.deliver_heartbeat(self, label, body)
-        await curio.sleep(HOP_S + self.region.delay_s(self) + self.region.answer_delay_s(self))
+        await curio.sleep(
+            MESSAGE_DELAY_S + self.region.delay_s(self) + self.region.answer_delay_s(self)
+        )
         timeout_s = self.region.multihost.answer_timeout_s
         while self.is_frozen and not self.dead:
             await curio.sleep(0.1)
--- a/tests/multihost_region.py
+++ b/tests/multihost_region.py
@@ -22,7 +22,7 @@
 from .multihost_agents import Agent, heartbeat_request
 from .multihost_invariants import InvariantViolationError, MultihostInvariantChecker
 from .simulated_region import Region
-from .simulated_worker import HOP_S
+from .simulated_worker import MESSAGE_DELAY_S
 from .stepped_controller import SteppedController
 from .virtual_time import run_under_virtual_time
 
@@ -84,7 +84,7 @@
 
     async def begin_pool(self, machines: int, zones: tuple[str, ...] = ("north",)) -> None:
         """Start controllers, and agents, and wait until all have joined the pool."""
-        await self.begin(machines=0)
+        await self.start_region(machines=0)
         for number in range(machines):
             await self.add_agent(f"h-{number:03d}", zones[number % len(zones)])
         await self.wait_until(lambda: self.pool_size() == machines)
@@ -123,14 +123,14 @@
 
     async def deliver_ping(self, source: Agent, address: str, body: bytes) -> bool:
         """Deliver a ping to another machine and return whether its answer confirms the member."""
-        await curio.sleep(HOP_S + self.delay_s(source))
+        await curio.sleep(MESSAGE_DELAY_S + self.delay_s(source))
         target = next((a for a in self.agents.values() if a.address == address), None)
         if target is None or target.dead or target.is_frozen or source.dead:
             return False
         if (source.machine, target.machine) in self.cut_links:
             return False
         answer = target.answer_ping(body)
-        await curio.sleep(HOP_S + self.delay_s(target) + self.ping_answer_delay_s)
+        await curio.sleep(MESSAGE_DELAY_S + self.delay_s(target) + self.ping_answer_delay_s)
         return answer and (target.machine, source.machine) not in self.cut_links
 
     async def operate(self, method: str, path: str, body: Any = None, label: str = "") -> Any:
--- a/tests/recovery_region.py
+++ b/tests/recovery_region.py
@@ -79,7 +79,7 @@
 
     async def begin_with_workers(self, workers: int) -> None:
         """Starts the controllers, and workers in all shards and both zones."""
-        await self.begin(machines=0)
+        await self.start_region(machines=0)
         for number in range(workers):
             zone = ("north", "south")[number % 2]
             await self.add_worker(f"n-{number:03d}", zone, number % 3)
--- a/tests/simulated_links.py
+++ b/tests/simulated_links.py
@@ -15,10 +15,10 @@
 if TYPE_CHECKING:
     from .simulated_region import Region
 
-from .simulated_worker import HOP_S
+from .simulated_worker import MESSAGE_DELAY_S
 
 OUTAGE_RETRY_S = 0.1
-LEAST_WATCH_WAIT_S = 0.05
+MIN_WATCH_WAIT_S = 0.05
 
 
 class TransactionFault(NamedTuple):
@@ -44,7 +44,7 @@
         """Send a request; raise NoResponseError where a fault leaves it unanswered."""
         region = self._region
         until = region.clock.now() + timeout_s
-        await curio.sleep(HOP_S + region.state_delay_s)
+        await curio.sleep(MESSAGE_DELAY_S + region.state_delay_s)
         if self._label in region.cut_from_state:
             await curio.sleep(max(0.0, until - region.clock.now()))
             raise NoResponseError(path)
@@ -63,9 +63,11 @@
         if path.startswith("/changes"):
             return await self._watch(method, path, body)
         status, data = await region.state.request(method, path, body)
-        region.simulated_state.note_lease_request(method, path, body, status, data)
+        region.simulated_state.update_lease_expiry(method, path, body, status, data)
         is_delayed = path == "/txn" and self._label in region.transaction_delay_s
-        await curio.sleep(region.transaction_delay_s[self._label] if is_delayed else HOP_S)
+        await curio.sleep(
+            region.transaction_delay_s[self._label] if is_delayed else MESSAGE_DELAY_S
+        )
         return status, data
 
     def _is_refused(self, method: str, path: str) -> bool:
@@ -89,9 +91,9 @@
             if not self._is_watch_blocked():
                 status, data = await region.state.request(method, path, body)
                 if status != 200 or orjson.loads(data)["log"] or region.clock.now() >= end:
-                    await curio.sleep(HOP_S)
+                    await curio.sleep(MESSAGE_DELAY_S)
                     return status, data
-            wait_s = max(LEAST_WATCH_WAIT_S, end - region.clock.now())
+            wait_s = max(MIN_WATCH_WAIT_S, end - region.clock.now())
             await curio.ignore_after(wait_s, region.simulated_state.changed.wait)
 
     def _is_watch_blocked(self) -> bool:
@@ -114,7 +116,7 @@
     ) -> tuple[int, bytes]:
         """Send a request; raise ConnectionFailedError or NoResponseError where a fault says so."""
         region = self._region
-        await curio.sleep(HOP_S)
+        await curio.sleep(MESSAGE_DELAY_S)
         node = region.nodes.get(self._label)
         if node is None or {self._source, self._label} & region.cut_from_peers:
             raise ConnectionFailedError(self._label)
@@ -122,5 +124,5 @@
             await curio.sleep(timeout_s)
             raise NoResponseError(path)
         response = node.handle_peer_request(Request(method, path, body))
-        await curio.sleep(HOP_S)
+        await curio.sleep(MESSAGE_DELAY_S)
         return response.status, response.body
--- a/tests/simulated_region.py
+++ b/tests/simulated_region.py
@@ -67,7 +67,7 @@
         # controllers whose machine has no power: connections to it hang
         self.powered_off: set[str] = set()
         # which of the cloud's machines come up after they are rented
-        self.comes_up: Callable[[str], bool] = lambda machine: True
+        self.can_boot: Callable[[str], bool] = lambda machine: True
         # the fault of a controller's request to the state service, by label, method and path
         self.transaction_fault: Callable[[str, str, str], TransactionFault | None] = lambda *_: None
         # whether a worker and a controller reach each other
@@ -78,7 +78,7 @@
             self.checker.check()
             await curio.sleep(CHECK_INTERVAL_S)
 
-    async def begin(self, machines: int = 2, zone: str = "north") -> None:
+    async def start_region(self, machines: int = 2, zone: str = "north") -> None:
         """Start all controllers, wait until each shard has an owner, and add workers."""
         seed(self.state, self.clock, machines=0)
         await curio.spawn(self.simulated_state.run, daemon=True)
@@ -111,13 +111,13 @@
             return PeerLink(self, label, peer.label)
 
         self._process_count += 1
-        unique = f"process-{self._process_count}"
+        unique_id = f"process-{self._process_count}"
         node = SteppedController(
-            self.state_links[label], self.clock, self.nodes, label, self.cloud, connect, unique
+            self.state_links[label], self.clock, self.nodes, label, self.cloud, connect, unique_id
         )
         node.watcher._pause_s = 4 / node.settings.state_request_rate
         node.command_sender.connect = lambda endpoint: WorkerLink(self._worker_at(endpoint.port))
-        parts: list[Callable[[], Awaitable[None]]] = [
+        loops: list[Callable[[], Awaitable[None]]] = [
             node.controller_lease.run,
             node.watcher.run,
             node.watcher.run_syncs,
@@ -130,9 +130,9 @@
             *self.extra_loops(node),
         ]
         if self._provisions:
-            parts.append(node.provisioner.run)
+            loops.append(node.provisioner.run)
         self._tasks[label] = [
-            await curio.spawn(self._run_part, label, p, daemon=True) for p in parts
+            await curio.spawn(self._run_loop, label, loop, daemon=True) for loop in loops
         ]
         return node
 
@@ -143,11 +143,11 @@
         """Return loops that a controller runs beside its own; called before any of them runs."""
         return []
 
-    async def _run_part(self, label: str, part: Callable[[], Awaitable[None]]) -> None:
+    async def _run_loop(self, label: str, loop: Callable[[], Awaitable[None]]) -> None:
         def until() -> float:
             return self.frozen_until.get(label, 0.0)
 
-        await run_with_freezes(part(), until, self.clock)  # type: ignore[arg-type]
+        await run_with_freezes(loop(), until, self.clock)  # type: ignore[arg-type]
 
     def is_frozen(self, label: str) -> bool:
         """Whether the controller's process runs nothing now."""
@@ -170,7 +170,7 @@
     async def _boot_rented_machines(self) -> None:
         for machine, data in list(self.cloud.machines.items()):
             is_new = machine not in self.workers and machine not in self.cloud.released
-            if is_new and self.comes_up(machine):
+            if is_new and self.can_boot(machine):
                 await self.add_worker(machine, data["yard"], record=False)
 
     def _stop_released_machines(self) -> None:
@@ -224,7 +224,7 @@
         rows = {k: v for k, v in self.state.keys.items() if k.startswith(keys.SHARD)}
         return {int(k[len(keys.SHARD) :]): v[0]["owner"] for k, v in rows.items()}
 
-    def deliver(self, body: bytes, label: str) -> tuple[int, bytes]:
+    def deliver_worker_heartbeat(self, body: bytes, label: str) -> tuple[int, bytes]:
         """Deliver a heartbeat to a controller and return the response's status and body."""
         answer = self.nodes[label].heartbeats.handle(parse_heartbeat(load_object(body)))
         if answer.status == 200:
--- a/tests/simulated_state.py
+++ b/tests/simulated_state.py
@@ -30,7 +30,7 @@
         self._expiries: dict[int, _LeaseExpiry] = {}
         self.changed = curio.Event()
 
-    def note_lease_request(
+    def update_lease_expiry(
         self, method: str, path: str, body: bytes, status: int, data: bytes
     ) -> None:
         """Take a served request; one that acquires or renews a lease moves its expiry."""
--- a/tests/simulated_users.py
+++ b/tests/simulated_users.py
@@ -17,7 +17,7 @@
 CANCELLATION_RETRY_S = 0.5
 FROZEN_RETRY_S = 0.1
 # each repetition of `show_everywhere` waits so much longer than the one before
-SHOW_INTERVAL_S = 0.003
+QUERY_INTERVAL_S = 0.003
 
 
 class SimulatedUsers:
@@ -46,7 +46,7 @@
         spec = self.expect(job, run_s, **fields)
         return await self._request(label, job, "POST", "/v1/jobs", orjson.dumps(spec))
 
-    async def show(self, label: str, job: str) -> int:
+    async def query_job(self, label: str, job: str) -> int:
         """Ask a controller for the job's state and return the response's status."""
         return await self._request(label, job, "GET", f"/v1/jobs/{job}")
 
@@ -64,13 +64,13 @@
             await curio.sleep(CANCELLATION_RETRY_S)
         return False
 
-    async def show_everywhere(self, job: str, times: int = 3) -> None:
+    async def query_job_everywhere(self, job: str, times: int = 3) -> None:
         """Ask all controllers at once for the job's state, repeatedly within milliseconds."""
         async with curio.TaskGroup() as group:
             for n in range(times):
                 for label in list(self.nodes):
-                    await group.spawn(self.show, label, job)
-                await curio.sleep(SHOW_INTERVAL_S * n)
+                    await group.spawn(self.query_job, label, job)
+                await curio.sleep(QUERY_INTERVAL_S * n)
 
     def is_accepted(self, job: str) -> bool:
         """Whether a controller has confirmed the job's submission."""
@@ -83,9 +83,9 @@
     async def _request(
         self, label: str, job: str, method: str, path: str, body: bytes = b""
     ) -> int:
-        asked_at = self.clock.now()
+        requested_at = self.clock.now()
         while self.is_frozen(label):
             await curio.sleep(FROZEN_RETRY_S)
-        response = await self.nodes[label].ask(method, path, body)
-        self.checker.check_response(job, response, asked_at)
+        response = await self.nodes[label].send_user_request(method, path, body)
+        self.checker.check_response(job, response, requested_at)
         return response.status
--- a/tests/simulated_worker.py
+++ b/tests/simulated_worker.py
@@ -18,12 +18,12 @@
     from .simulated_region import Region
 
 # how long a message takes from one host to another
-HOP_S = 0.002
+MESSAGE_DELAY_S = 0.002
 # after so long a worker gives up waiting for a response
 RESPONSE_TIMEOUT_S = 4.0
 RETRY_S = 1.0
 REDIRECT_S = 0.2
-FROZEN_POLL_S = 0.1
+FROZEN_POLL_INTERVAL_S = 0.1
 KEPT_HEARTBEATS = 40
 FIRST_PORT = 20000
 
@@ -39,14 +39,14 @@
     ) -> tuple[int, bytes]:
         """Deliver commands; raise NoResponseError while the worker is frozen or unreachable."""
         worker = self._worker
-        await curio.sleep(HOP_S)
+        await curio.sleep(MESSAGE_DELAY_S)
         if worker.inbound_lost or worker.is_frozen:
             if worker.is_frozen:
                 # carried out when the worker resumes, if token and session still match
                 worker.delayed_commands.append(load_object(body))
             await curio.sleep(timeout_s)
             raise NoResponseError(path)
-        return worker.command(load_object(body))
+        return worker.handle_commands(load_object(body))
 
 
 @dataclass
@@ -116,14 +116,14 @@
         self.target_index = self.number % len(labels)
         while not self.is_terminated:
             if self.is_frozen:
-                await curio.sleep(FROZEN_POLL_S)
+                await curio.sleep(FROZEN_POLL_INTERVAL_S)
                 continue
             self._advance_tasks()
             while self.delayed_commands:
-                self.command(self.delayed_commands.pop(0))
+                self.handle_commands(self.delayed_commands.pop(0))
             wait_s = self.region.heartbeat_interval_s
             label = labels[self.target_index]
-            answer = await self._call(label)
+            answer = await self._send_heartbeat(label)
             if answer is None or answer[0] != 200:
                 named = str(answer[1].get("foreman")) if answer is not None else ""
                 is_redirected = named in labels and named != label
@@ -133,17 +133,17 @@
                 wait_s = REDIRECT_S if is_redirected else RETRY_S
             await curio.sleep(wait_s)
 
-    async def _call(self, label: str) -> tuple[int, dict[str, Any]] | None:
+    async def _send_heartbeat(self, label: str) -> tuple[int, dict[str, Any]] | None:
         body, sent, session = self._report(), self.region.clock.now(), self.session
         self.sent_heartbeats = [*self.sent_heartbeats[-KEPT_HEARTBEATS:], body]
-        await curio.sleep(HOP_S)
+        await curio.sleep(MESSAGE_DELAY_S)
         if self.region.is_frozen(label) or label in self.region.powered_off:
             await curio.sleep(RESPONSE_TIMEOUT_S)
             return None
         if self.heartbeats_lost or not self.region.can_reach(self, label):
             return None
-        status, data = self.region.deliver(body, label)
-        await curio.sleep(HOP_S)
+        status, data = self.region.deliver_worker_heartbeat(body, label)
+        await curio.sleep(MESSAGE_DELAY_S)
         if self.inbound_lost or self.is_frozen or not self.region.can_reach(self, label):
             await curio.sleep(RESPONSE_TIMEOUT_S)
             return None
@@ -154,7 +154,7 @@
             self._apply_orders(answer["orders"])
         return status, answer
 
-    def command(self, data: dict[str, Any]) -> tuple[int, bytes]:
+    def handle_commands(self, data: dict[str, Any]) -> tuple[int, bytes]:
         """Take commands at the worker's own address; 409 if token or session are outdated."""
         self._advance_tasks()
         if data["warrant"] < self.token or data["shift"] != self.session:
--- a/tests/stepped_controller.py
+++ b/tests/stepped_controller.py
@@ -47,7 +47,7 @@
 from .fake_state_service import StateService
 
 # what a job record may take under the settings' limits of today
-RECORD_BYTES = make_settings().state_limits.record_bytes
+MAX_RECORD_BYTES = make_settings().state_limits.record_bytes
 
 
 class InMemoryPeerLink:
@@ -106,7 +106,7 @@
         label: str = "node-0",
         cloud: CloudService | None = None,
         connect: Callable[[Peer], HttpClient] | None = None,
-        unique: str = "once",
+        unique_id: str = "once",
     ) -> None:
         self.settings = s = make_settings(label)
         self.clock = clock
@@ -121,15 +121,15 @@
         self.writer = Writer(self.client, self.mirror, clock, s, lambda: self.cluster.limits)
         self.controller_lease = ControllerLease(self.client, clock, s)
 
-        def line(peer: Peer) -> HttpClient:
+        def connect_to_peer(peer: Peer) -> HttpClient:
             return connect(peer) if connect is not None else InMemoryPeerLink(nodes, peer.label)
 
         shards = OwnedShards()
-        self.lease_extensions = LeaseExtensions(s, clock, shards, self.client, line)
+        self.lease_extensions = LeaseExtensions(s, clock, shards, self.client, connect_to_peer)
         access = StateAccess(self.cluster, self.watcher, self.writer, self.controller_lease)
         self.membership = Membership(s, clock, access, shards, self.lease_extensions)
         self.feature_level = FeatureLevel(s, clock, access, self.membership)
-        self.partition_protocol = PartitionProtocol(s, clock, access, line)
+        self.partition_protocol = PartitionProtocol(s, clock, access, connect_to_peer)
         self.heartbeats = HeartbeatHandler(
             s,
             clock,
@@ -159,7 +159,7 @@
             clock,
             self.cluster,
             self.forecast,
-            Cloud(s, clock, lambda: unique, self.cloud),
+            Cloud(s, clock, lambda: unique_id, self.cloud),
             MachineRecords(self.cluster, self.membership, self.writer),
         )
         self.jobs = JobApi(
@@ -176,12 +176,14 @@
             s, clock, self.cluster, self.membership, self.client, self.writer
         )
 
-    async def boot(self, waited: bool = True) -> None:
+    async def boot(self, wait_for_grants: bool = True) -> None:
         """Start the controller.
 
-        Unless `waited` is False, the time has passed after which it may take shards without owner.
+        Unless `wait_for_grants` is False, first move the clock past the end of every lease
+        extension that an earlier owner may have been granted: until then, the controller acquires
+        no shard without an owner.
         """
-        if waited:
+        if wait_for_grants:
             self.clock.time += self.settings.lease_extension_grant_s * 1.1
         await curio.spawn(self.writer.run, daemon=True)
         await curio.spawn(self.watcher.run_syncs, daemon=True)
@@ -224,7 +226,7 @@
             return self.partition_protocol.handle(request)
         return self.lease_extensions.handle(request)
 
-    async def ask(self, method: str, path: str, body: bytes = b"") -> Response:
+    async def send_user_request(self, method: str, path: str, body: bytes = b"") -> Response:
         """Send a user's request."""
         return await self.jobs.handle(Request(method, path, body))
 
--- a/tests/stored_records.py
+++ b/tests/stored_records.py
@@ -7,7 +7,7 @@
 from .builders import make_spec
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
-from .stepped_controller import RECORD_BYTES
+from .stepped_controller import MAX_RECORD_BYTES
 
 # the chunk sizes of plans stored before the raise, and of segments written after it
 LEGACY_CHUNK_TASKS = 512
@@ -21,7 +21,7 @@
 
 def store_finished_job(state: StateService, clock: FakeClock, job_id: str) -> None:
     """Store the record of a job that has just finished, replacing any earlier record."""
-    record = encode_end(DONE, make_spec(nameId=job_id), clock.wall_time(), RECORD_BYTES)
+    record = encode_end(DONE, make_spec(nameId=job_id), clock.wall_time(), MAX_RECORD_BYTES)
     state.put(keys.job(job_id), record)
 
 
--- a/tests/test_answer_consistency.py
+++ b/tests/test_answer_consistency.py
@@ -26,7 +26,7 @@
     """
 
     async def scenario(region: Region) -> None:
-        await region.begin(machines=3)
+        await region.start_region(machines=3)
         lose_responses(3, region, 2.0, executes_immediately, 30.0)
         submissions = await curio.spawn(submit_single_task_jobs, region, 24, 0.7)
         if replaces_owner:
@@ -42,7 +42,7 @@
     """No controller responds with older state than any controller has already reported."""
 
     async def scenario(region: Region) -> None:
-        await region.begin(machines=3)
+        await region.start_region(machines=3)
         lose_responses(4, region, 2.0, True, 60.0)
         for n in range(9):
             job, label = f"wk-{200000 + n}", region.LABELS[n % 3]
@@ -55,11 +55,11 @@
                 await region.wait_until(partial(region.is_accepted, job))
                 if n % 2:
                     await group.spawn(region.cancel, other, job)
-                await region.show_everywhere(job, 6)
+                await region.query_job_everywhere(job, 6)
                 await region.submit(other, job, 1.0)
         await curio.sleep(6.0)
         for job in region.checker.jobs:
-            await region.show_everywhere(job)
+            await region.query_job_everywhere(job)
             for label in region.LABELS:
                 await region.submit(label, job, 1.0)
                 await region.cancel(label, job)
@@ -76,12 +76,12 @@
     """
 
     async def scenario(region: Region) -> None:
-        await region.begin(machines=1)
+        await region.start_region(machines=1)
         region.transaction_delay_s["node-1"] = 0.6
         async with curio.TaskGroup() as group:
             await group.spawn(region.submit, "node-1", "wk-000001")
             await curio.sleep(0.1)
-            assert await region.show("node-2", "wk-000001") == 200
+            assert await region.query_job("node-2", "wk-000001") == 200
             assert await region.cancel("node-2", "wk-000001") == 200
 
     simulate(scenario)
@@ -91,7 +91,7 @@
     """A repeat of an accepted job gets neither 400 nor 422; both also hold during an outage."""
 
     async def scenario(region: Region) -> None:
-        await region.begin(machines=1)
+        await region.start_region(machines=1)
         invalid_fields: list[dict[str, Any]] = [
             {"cpus": 500.0},
             {"crew": "nobody"},
--- a/tests/test_attempt_end_proofs.py
+++ b/tests/test_attempt_end_proofs.py
@@ -76,7 +76,7 @@
 def test_a_failed_machine_in_the_clouds_list_is_no_proof_but_its_release_is() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
-        node.cloud.listed = [
+        node.cloud.listed_machines = [
             {
                 "nameId": "n-0",
                 "address": "x:1",
--- a/tests/test_boot_times.py
+++ b/tests/test_boot_times.py
@@ -107,7 +107,7 @@
 @pytest.mark.parametrize("slow", [4.0, 6.0])
 def test_machines_that_all_boot_slowly_join_and_are_not_replaced(slow: float) -> None:
     async def scenario(region: Region) -> None:
-        await region.begin(machines=0)
+        await region.start_region(machines=0)
         await region.run_provisioners()
         rented_at: dict[str, float] = {}
 
@@ -115,7 +115,7 @@
             first_queried_at = rented_at.setdefault(machine, region.clock.now())
             return region.clock.now() - first_queried_at > slow * BOOT_S
 
-        region.comes_up = boots
+        region.can_boot = boots
         assert await region.submit("node-0", "wk-000001", 10.0, crew="blue", sacks=16) == 201
         await region.wait_until(lambda: region.has_finished("wk-000001", 16), 600.0)
         # the machines that were rented first are not released
--- a/tests/test_command_delivery.py
+++ b/tests/test_command_delivery.py
@@ -22,7 +22,7 @@
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await boot_with_waiting_job(state, clock, nodes, machines=1, sacks=1)
         node.report("n-0", 1, 1, node.token())
-        state.script["/txn"] = ["refuse"] * 2
+        state.scripted_faults["/txn"] = ["refuse"] * 2
         task = await curio.spawn(node.round)
         await curio.sleep(0)
         assert node.report("n-0", 1, 2, node.token()).commands == ()
@@ -90,7 +90,7 @@
 def test_tasks_of_a_cancelled_job_are_stopped_and_its_recorded_end_is_kept() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
-        answer = await node.ask("POST", f"/v1/jobs/{JOB}/withdraw")
+        answer = await node.send_user_request("POST", f"/v1/jobs/{JOB}/withdraw")
         assert (answer.status, orjson.loads(answer.body)["stage"]) == (200, "withdrawn")
         running = reported_task(JOB, 0, 1, "running")
         commands = node.report("n-0", 1, 5, node.token(), running).commands
--- a/tests/test_concurrent_cancellations.py
+++ b/tests/test_concurrent_cancellations.py
@@ -56,7 +56,7 @@
 
     async def scenario(region: Region) -> None:
         # the zone's only controller would have to be notified, which would delay the cancellation
-        await region.begin(machines=2, zone="south" if peers == "unreachable" else "north")
+        await region.start_region(machines=2, zone="south" if peers == "unreachable" else "north")
         await region.submit("node-1", "wk-000001", sacks=2)
         await region.wait_until(lambda: len(region.workers_running("wk-000001")) > 0)
         if peers == "unreachable":
@@ -73,7 +73,7 @@
     """
 
     async def scenario(region: Region) -> None:
-        await region.begin(machines=2)
+        await region.start_region(machines=2)
         await region.submit("node-1", "wk-000001", sacks=2)
         await region.wait_until(lambda: len(region.workers_running("wk-000001")) > 0)
         await curio.sleep(4.0)
@@ -88,7 +88,7 @@
         region.transaction_fault = transaction_fault
         cancellation = await curio.spawn(region.cancel, "node-0", "wk-000001")
         await curio.sleep(2.0)
-        await region.show("node-1", "wk-000001")
+        await region.query_job("node-1", "wk-000001")
         assert region.checker.jobs["wk-000001"].cancelled is not None
         await curio.sleep(region.cancellation_deadline_s * 1.5)
         await cancellation.cancel()
@@ -100,16 +100,16 @@
 @pytest.mark.parametrize("offset_s", [-0.3, -0.1, -0.02, 0.0, 0.02, 0.1, 0.4])
 def test_a_cancellation_at_the_end_of_the_last_task_leaves_one_outcome(offset_s: float) -> None:
     async def scenario(region: Region) -> None:
-        await region.begin(machines=1)
+        await region.start_region(machines=1)
         await region.submit("node-2", "wk-000001", run_s=5.0, sacks=1)
         await region.wait_until(lambda: bool(region.workers_running("wk-000001")))
         await curio.sleep(5.0 + offset_s)
         async with curio.TaskGroup() as group:
             await group.spawn(region.cancel, "node-1", "wk-000001")
-            await group.spawn(region.show_everywhere, "wk-000001", 8)
+            await group.spawn(region.query_job_everywhere, "wk-000001", 8)
             await group.spawn(region.submit, "node-2", "wk-000001", 5.0)
         await curio.sleep(4.0)
-        await region.show_everywhere("wk-000001")
+        await region.query_job_everywhere("wk-000001")
         facts = region.checker.jobs["wk-000001"]
         assert (facts.done is None) != (facts.cancelled is None)
 
@@ -123,7 +123,7 @@
     """
 
     async def scenario(region: Region) -> None:
-        await region.begin(machines=6)
+        await region.start_region(machines=6)
         for n in range(4):
             await region.submit("node-1", f"wk-30000{n}", sacks=4)
         await region.wait_until(lambda: len(region.checker.starts) == 16, 30.0)
@@ -150,7 +150,7 @@
     """One job is cancelled every quarter of a second while shards change owners."""
 
     async def scenario(region: Region) -> None:
-        await region.begin(machines=4)
+        await region.start_region(machines=4)
         for n in range(12):
             await region.submit("node-1", f"wk-{500000 + n}", sacks=1)
         await region.wait_until(lambda: len(region.checker.starts) >= 12)
@@ -178,7 +178,7 @@
     """The leader, which users and workers reach, sends nothing stale and ends tasks in time."""
 
     async def scenario(region: Region) -> None:
-        await region.begin(machines=2)
+        await region.start_region(machines=2)
         await region.submit("node-1", "wk-000001", sacks=2)
         await region.wait_until(lambda: len(region.workers_running("wk-000001")) > 0)
         await curio.sleep(2.0)
@@ -186,11 +186,11 @@
         region.can_reach = lambda worker, label: label == "node-0"
         confirmed = await region.cancel_until_confirmed("node-1", "wk-000001", 60.0)
         assert confirmed
-        await region.show_everywhere("wk-000001")
+        await region.query_job_everywhere("wk-000001")
         await curio.sleep(region.cancellation_deadline_s * 1.2)
         region.reconnect()
         await curio.sleep(5.0)
-        await region.show_everywhere("wk-000001")
+        await region.query_job_everywhere("wk-000001")
 
     simulate(scenario)
 
@@ -199,7 +199,7 @@
     """Cancel and read jobs while the state service is slow, refuses a controller, and is down."""
 
     async def scenario(region: Region) -> None:
-        await region.begin(machines=3)
+        await region.start_region(machines=3)
         for n in range(6):
             await region.submit("node-1", f"wk-{600000 + n}", sacks=1)
         await region.wait_until(lambda: len(region.checker.starts) >= 6)
@@ -216,7 +216,7 @@
         await cancels.join()
         await curio.sleep(region.worker_lease_s * 2)
         for job in region.checker.jobs:
-            await region.show_everywhere(job, 2)
+            await region.query_job_everywhere(job, 2)
 
     simulate(scenario)
 
@@ -224,4 +224,4 @@
 async def _cancel_jobs(region: Region) -> None:
     for n in range(6):
         await region.cancel_until_confirmed(f"node-{n % 3}", f"wk-{600000 + n}", 70.0)
-        await region.show_everywhere(f"wk-{600000 + n}", 3)
+        await region.query_job_everywhere(f"wk-{600000 + n}", 3)
--- a/tests/test_contradictory_records.py
+++ b/tests/test_contradictory_records.py
@@ -13,7 +13,7 @@
 from .builders import make_spec, reported_task
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
-from .stepped_controller import RECORD_BYTES, Nodes, SteppedController, run_scenario, seed
+from .stepped_controller import MAX_RECORD_BYTES, Nodes, SteppedController, run_scenario, seed
 from .stored_records import store_finished_jobs_beyond
 
 JOB = "wk-000001"
@@ -25,7 +25,7 @@
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock, machines=1)
         record = encode_end(
-            CANCELLED, make_spec(nameId=JOB, sacks=1), clock.wall_time(), RECORD_BYTES
+            CANCELLED, make_spec(nameId=JOB, sacks=1), clock.wall_time(), MAX_RECORD_BYTES
         )
         state.put(keys.job(JOB), record)
         state.put(keys.plan(JOB, "0"), {"next": 2, "done": "0", "rows": [[0, 1, "n-0", 1]]})
@@ -62,7 +62,9 @@
         response = node.report("n-0", 1, 2, node.token(), running)
         assert [command.op for command in response.commands] == []
         await node.record_repair.step()
-        assert (await node.ask("GET", f"/v1/jobs/{JOB}")).status == (200 if is_archived else 404)
+        assert (await node.send_user_request("GET", f"/v1/jobs/{JOB}")).status == (
+            200 if is_archived else 404
+        )
         response = node.report("n-0", 1, 3, node.token(), running)
         assert [command.op for command in response.commands] == (["stop"] if is_archived else [])
         ended = [reported_task(JOB, 0, 1, "exited", "halted")] if is_archived else [running]
--- a/tests/test_controller_outages.py
+++ b/tests/test_controller_outages.py
@@ -28,7 +28,7 @@
 
 
 async def _start_workers(region: Region, machines: int = 9) -> None:
-    await region.begin(machines=0)
+    await region.start_region(machines=0)
     for number in range(machines):
         await region.add_worker(f"n-{number}", ("north", "south")[number % 2], number % 3)
     await curio.sleep(12.0)
@@ -128,14 +128,14 @@
         for label in ("node-1", "node-2"):
             await region.power_off(label)
         await curio.sleep(20.0)
-        reads = len(region.state.calls)
+        reads = len(region.state.received_requests)
         for _ in range(8 * 10):
             async with curio.TaskGroup() as group:
                 for job in jobs:
-                    await group.spawn(region.show, "node-0", job)
+                    await group.spawn(region.query_job, "node-0", job)
             await curio.sleep(0.125)
         # 4,000 status requests; one read serves all requests that arrived before it
-        assert len(region.state.calls) - reads < 1000
+        assert len(region.state.received_requests) - reads < 1000
         assert await region.submit("node-0", "wk-000100", 5.0, sacks=2, **small) == 201
         await region.wait_until(lambda: region.has_finished("wk-000100", 2), 20.0)
         assert all(region.workers_running(job) for job in jobs)
@@ -145,9 +145,9 @@
 
 def test_machines_that_never_come_up_are_replaced() -> None:
     async def scenario(region: Region) -> None:
-        await region.begin(machines=0)
+        await region.start_region(machines=0)
         await region.run_provisioners()
-        region.comes_up = lambda machine: int(machine[2:]) >= 2
+        region.can_boot = lambda machine: int(machine[2:]) >= 2
         assert await region.submit("node-0", "wk-000001", 10.0, crew="blue", sacks=8) == 201
         await region.wait_until(lambda: region.has_finished("wk-000001", 8), 400.0)
         await region.wait_until(
@@ -253,7 +253,7 @@
         clock.time += 25.0 if is_frozen else 0.5
         await curio.sleep(0.5)
         await task.cancel()
-        assert bool(node.cloud.requests or node.cloud.released) is not is_frozen
+        assert bool(node.cloud.machines_by_request or node.cloud.released) is not is_frozen
 
     run_scenario(scenario)
 
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -21,7 +21,14 @@
 )
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
-from .stepped_controller import RECORD_BYTES, Nodes, SteppedController, add_job, run_scenario, seed
+from .stepped_controller import (
+    MAX_RECORD_BYTES,
+    Nodes,
+    SteppedController,
+    add_job,
+    run_scenario,
+    seed,
+)
 from .stored_records import store_finished_job, store_finished_jobs_beyond
 
 
@@ -72,10 +79,10 @@
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         seed(state, clock)
         first, second = make_spec(nameId=before), make_spec(nameId=after)
-        state.put(keys.job(before), encode_end(CANCELLED, first, 5.0, RECORD_BYTES))
+        state.put(keys.job(before), encode_end(CANCELLED, first, 5.0, MAX_RECORD_BYTES))
         state.put(keys.job(after), encode_job(second, 1.0, (before,)))
         done, dependent = make_spec(nameId=C), make_spec(nameId=D)
-        state.put(keys.job(C), encode_end(DONE, done, 7.0, RECORD_BYTES))
+        state.put(keys.job(C), encode_end(DONE, done, 7.0, MAX_RECORD_BYTES))
         state.put(keys.job(D), encode_job(dependent, 1.0, (C,)))
         node = SteppedController(state, clock, nodes)
         await node.boot()
--- a/tests/test_dependency_cancellation.py
+++ b/tests/test_dependency_cancellation.py
@@ -27,7 +27,7 @@
             state.put(keys.job(name), encode_job(make_spec(nameId=name), clock.wall_time(), (A,)))
         await node.sync()
         assert (await submit_job(node, D, dependents[0], dependents[-1])).status == 201
-        response = await node.ask("POST", f"/v1/jobs/{A}/withdraw")
+        response = await node.send_user_request("POST", f"/v1/jobs/{A}/withdraw")
         assert response.status == 200
         assert b"withdrawn" in response.body
         # even before any further write, and on a controller that does not write
@@ -80,7 +80,7 @@
         node = await start_controller(state, clock, nodes)
         store_finished_job(state, clock, A)
         await submit_job(node, B, A)
-        response = await node.ask("POST", f"/v1/jobs/{A}/withdraw")
+        response = await node.send_user_request("POST", f"/v1/jobs/{A}/withdraw")
         assert b"done" in response.body
         assert await shown_stage(node, B) == "queued"
 
--- a/tests/test_dependency_failovers.py
+++ b/tests/test_dependency_failovers.py
@@ -15,7 +15,7 @@
 
 
 async def _start_with_workers(region: Region) -> None:
-    await region.begin(machines=0)
+    await region.start_region(machines=0)
     for shard in range(3):
         await region.add_worker(f"n-{shard}", shard=shard)
     await region.wait_until(lambda: all(n.cluster.level is not None for n in region.nodes.values()))
@@ -56,7 +56,7 @@
         region.state.down = False
         await curio.sleep(10)
         for job in (A, B, C, D):
-            await region.show_everywhere(job)
+            await region.query_job_everywhere(job)
             assert region.checker.jobs[job].cancelled is not None
         assert not region.workers_running(D)
 
@@ -75,7 +75,7 @@
                 await curio.sleep(0.01)
         for number in range(100, 120):
             name = f"wk-{number:06d}"
-            await region.show_everywhere(name, 1)
+            await region.query_job_everywhere(name, 1)
             assert region.checker.jobs[name].cancelled is not None
 
     simulate(scenario)
--- a/tests/test_dependency_submission.py
+++ b/tests/test_dependency_submission.py
@@ -77,7 +77,7 @@
 ) -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_controller(state, clock, nodes)
-        state.script["/keys/" + key] = [fault]
+        state.scripted_faults["/keys/" + key] = [fault]
         assert (await submit_job(node, B, A)).status == 503
 
     run_scenario(scenario)
@@ -89,7 +89,7 @@
         node = await start_controller(state, clock, nodes)
         add_job(state, clock, nameId=D, sacks=1)
         body = submission(nameId=D, awaits=[dependency])
-        assert (await node.ask("POST", "/v1/jobs", orjson.dumps(body))).status == 200
+        assert (await node.send_user_request("POST", "/v1/jobs", orjson.dumps(body))).status == 200
 
     run_scenario(scenario)
 
@@ -115,6 +115,6 @@
             add_job(state, clock, nameId=name, sacks=1)
         await node.sync()
         assert (await submit_job(node, B, *names)).status == status
-        assert state.too_large == 0
+        assert state.oversized_transaction_count == 0
 
     run_scenario(scenario)
--- a/tests/test_derivation.py
+++ b/tests/test_derivation.py
@@ -24,7 +24,7 @@
 from .builders import make_settings, make_spec
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
-from .stepped_controller import RECORD_BYTES
+from .stepped_controller import MAX_RECORD_BYTES
 
 STEPS = 400
 SEGMENT = 4
@@ -114,7 +114,7 @@
         if end == DONE:
             for name in self._plans(job):
                 self.state.put(name, {"next": 9, "done": "f", "rows": []})
-        record = encode_end(end, spec, 2.0, RECORD_BYTES)
+        record = encode_end(end, spec, 2.0, MAX_RECORD_BYTES)
         self.state.put(keys.job(job), orjson.loads(orjson.dumps(record)))
         if end == CANCELLED:
             self._record_dependents(job)
@@ -123,7 +123,7 @@
         for other in self._unfinished():
             if job in self.dependencies[other]:
                 spec = make_spec(nameId=other, sacks=TASKS)
-                record = encode_end(CANCELLED, spec, 2.0, RECORD_BYTES)
+                record = encode_end(CANCELLED, spec, 2.0, MAX_RECORD_BYTES)
                 record["spec"]["team"] = self._records()[other]["spec"]["team"]
                 self.state.put(keys.job(other), orjson.loads(orjson.dumps(record)))
                 self._record_dependents(other)
--- a/tests/test_feature_level.py
+++ b/tests/test_feature_level.py
@@ -37,7 +37,7 @@
         add_job(state, clock, nameId="wk-000009", sacks=1)
         await node.sync()
         body = orjson.dumps(submission(nameId="wk-000010", awaits=["wk-000009"]))
-        response = await node.ask("POST", "/v1/jobs", body)
+        response = await node.send_user_request("POST", "/v1/jobs", body)
         assert response.status == (201 if len(upgraded) == 2 else 503)
         assert response.retry_after_s is not None or response.status == 201
 
@@ -56,7 +56,7 @@
             return None
 
         region.transaction_fault = transaction_fault
-        await region.begin(machines=0)
+        await region.start_region(machines=0)
         region.state.down = True
         await curio.sleep(3)
         region.state.down = False
--- a/tests/test_job_records.py
+++ b/tests/test_job_records.py
@@ -105,7 +105,7 @@
 def test_polls_and_cancellations_of_archived_jobs_return_their_end(method: str, path: str) -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _boot_with_archive(state, clock, nodes)
-        response = await node.ask(method, path)
+        response = await node.send_user_request(method, path)
         assert orjson.loads(response.body)["stage"] == "withdrawn"
 
     run_scenario(scenario)
@@ -118,7 +118,7 @@
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _boot_with_archive(state, clock, nodes)
         data = orjson.dumps(submission(nameId="wk-000000", **change))
-        response = await node.ask("POST", "/v1/jobs", data)
+        response = await node.send_user_request("POST", "/v1/jobs", data)
         assert (response.status, orjson.loads(response.body)["stage"]) == (200, "withdrawn")
 
     run_scenario(scenario)
@@ -127,7 +127,7 @@
 def test_a_poll_of_a_job_that_was_never_accepted_is_not_found() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await _boot_with_archive(state, clock, nodes)
-        assert (await node.ask("GET", "/v1/jobs/wk-999999")).status == 404
+        assert (await node.send_user_request("GET", "/v1/jobs/wk-999999")).status == 404
 
     run_scenario(scenario)
 
--- a/tests/test_lease_extensions.py
+++ b/tests/test_lease_extensions.py
@@ -136,7 +136,7 @@
         # node-0 relies on lease extensions while its key is deleted; node-1 has just restarted
         other = SteppedController(state, clock, nodes, "node-1")
         first.is_unreachable = True
-        await other.boot(waited=False)
+        await other.boot(wait_for_grants=False)
         assert 0 not in other.membership.ownerships
         assert not other.lease_extensions.is_free_of_prior_grants(0)
         clock.time += other.settings.lease_extension_grant_s * 1.1
--- a/tests/test_lowered_limits.py
+++ b/tests/test_lowered_limits.py
@@ -51,7 +51,7 @@
             await node.writer.submit(intent)
         assert [await i.future.wait() for i in intents] == [WriteResult.OK] * 5
         assert await large.future.wait() == WriteResult.CONFLICT
-        assert state.too_large <= 3
+        assert state.oversized_transaction_count <= 3
         assert node.membership.active_ownership(0) is not None
 
     run_scenario(scenario)
@@ -62,7 +62,7 @@
     lowered_after_s: float,
 ) -> None:
     async def scenario(region: Region) -> None:
-        await region.begin(machines=0)
+        await region.start_region(machines=0)
         for number in range(3):
             await region.add_worker(f"n-{number}", shard=0)
         await region.wait_until(lambda: all(n.cluster.level for n in region.nodes.values()))
@@ -78,7 +78,7 @@
         owner = region.owners()[0]
         await region.restart(owner, 2.0)
         await region.wait_until(lambda: region.has_finished(second, 40), 120)
-        assert region.state.too_large == 0
+        assert region.state.oversized_transaction_count == 0
 
     simulate(scenario)
 
@@ -101,7 +101,7 @@
                 node.report(f"n-{number}", 1, turn + 1, node.token())
             await node.round()
         assert node.cluster.jobs[JOB].planned_task_count() == 40
-        assert state.too_large == 0
+        assert state.oversized_transaction_count == 0
         assert make_settings().lowest_state_limits.conditions == 24
 
     run_scenario(scenario)
@@ -119,7 +119,7 @@
         await node.boot()
         node.report("n-0", 1, 1, node.token())
         if end == "cancelled":
-            response = await node.ask("POST", f"/v1/jobs/{JOB}/withdraw")
+            response = await node.send_user_request("POST", f"/v1/jobs/{JOB}/withdraw")
             assert response.status == 200
         else:
             await node.round()
@@ -127,7 +127,7 @@
             await node.round()
         stored = state.keys[keys.job(JOB)][0]
         assert stored["end"] == end
-        assert state.too_large == 0
+        assert state.oversized_transaction_count == 0
         assert (stored["spec"]["team"], stored["spec"]["gpus"]) == ("red", 1.0)
 
     run_scenario(scenario)
--- a/tests/test_machine_transfer.py
+++ b/tests/test_machine_transfer.py
@@ -99,7 +99,7 @@
         node.scheduling_loop._machine_transfer._planned_transfers["n-0"] = PlannedTransfer(
             1, clock.now() + 9
         )
-        state.script["/txn"] = ["refuse"] * 2
+        state.scripted_faults["/txn"] = ["refuse"] * 2
         task = await curio.spawn(node.round)
         await curio.sleep(0)
         assert node.report("n-0", 1, 2, node.token()).status == 421
@@ -182,7 +182,7 @@
         node = SteppedController(state, clock, nodes)
         other = SteppedController(state, clock, nodes, "node-1")
         await node.boot()
-        await other.boot(waited=False)
+        await other.boot(wait_for_grants=False)
         released_at = 0.0
         for tick in range(1, 200):
             await _step_all(clock, node, other)
--- a/tests/test_missed_watch_events.py
+++ b/tests/test_missed_watch_events.py
@@ -17,7 +17,14 @@
 from .builders import make_spec, reported_task
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
-from .stepped_controller import RECORD_BYTES, Nodes, SteppedController, add_job, run_scenario, seed
+from .stepped_controller import (
+    MAX_RECORD_BYTES,
+    Nodes,
+    SteppedController,
+    add_job,
+    run_scenario,
+    seed,
+)
 
 JOB = "wk-000001"
 
@@ -66,7 +73,7 @@
 
 def _end_job_by_other_owner(state: StateService, clock: FakeClock) -> None:
     """Apply another owner's writes at the job's end: delete the plan, archive the record."""
-    record = encode_end(CANCELLED, make_spec(nameId=JOB), clock.wall_time(), RECORD_BYTES)
+    record = encode_end(CANCELLED, make_spec(nameId=JOB), clock.wall_time(), MAX_RECORD_BYTES)
     state.put(keys.job(JOB), record)
     state.delete(keys.plan(JOB, "0"))
     state.put(keys.archived(JOB), {"end": CANCELLED, "done": 0})
@@ -75,7 +82,7 @@
 
 async def _end_job(state: StateService, clock: FakeClock, node: SteppedController) -> None:
     """Write the regular end of the job and let the controller read it."""
-    record = encode_end(DONE, make_spec(nameId=JOB), clock.wall_time(), RECORD_BYTES)
+    record = encode_end(DONE, make_spec(nameId=JOB), clock.wall_time(), MAX_RECORD_BYTES)
     state.put(keys.job(JOB), record)
     await node.sync()
 
@@ -138,7 +145,7 @@
         attempt = node.cluster.machines["n-0"].attempts[JOB, 0]
         await _run_other_tasks()
         node.worker.sent.clear()
-        record = encode_end(CANCELLED, make_spec(nameId=JOB), clock.wall_time(), RECORD_BYTES)
+        record = encode_end(CANCELLED, make_spec(nameId=JOB), clock.wall_time(), MAX_RECORD_BYTES)
         state.put(keys.job(JOB), record)
         interval_s = node.settings.lease_renewal_interval_s
         for _ in range(int(node.settings.cancellation_deadline_s / interval_s) + 1):
@@ -193,7 +200,7 @@
             return {}
 
         node.partition_protocol.cancellations.announce = announce_slowly  # type: ignore
-        response = await node.ask("POST", f"/v1/jobs/{JOB}/withdraw")
+        response = await node.send_user_request("POST", f"/v1/jobs/{JOB}/withdraw")
         assert state.keys[keys.job(JOB)][0]["end"] == DONE
         assert response.status == 200
         assert load_object(response.body)["stage"] == "done"
@@ -217,7 +224,7 @@
         controllers = [SteppedController(state, clock, nodes, f"node-{n}") for n in range(3)]
         for controller in controllers:
             await controller.boot()
-        response = await controllers[1].ask("POST", f"/v1/jobs/{JOB}/withdraw")
+        response = await controllers[1].send_user_request("POST", f"/v1/jobs/{JOB}/withdraw")
         assert response.status == 200
         assert state.keys[keys.job(JOB)][0]["end"] == CANCELLED
 
--- a/tests/test_multihost_registration.py
+++ b/tests/test_multihost_registration.py
@@ -33,7 +33,7 @@
         await node.boot()
         stored = {k: v for k, v in state.keys.items() if k.startswith(keys.PREFIX)}
         # the cloud has listed it for long: it is neither adopted nor returned
-        node.cloud.listed = [
+        node.cloud.listed_machines = [
             {
                 "nameId": "m-0",
                 "address": "127.0.0.1:1",
--- a/tests/test_owner_selection.py
+++ b/tests/test_owner_selection.py
@@ -76,7 +76,7 @@
     """One controller is powered off for 90 s, and another stalls for 20 s during that time."""
 
     async def scenario(region: Region) -> None:
-        await region.begin(machines=0)
+        await region.start_region(machines=0)
         for number in range(12):
             await region.add_worker(f"n-{number}", shard=number % 3)
         await curio.sleep(15.0)
@@ -124,7 +124,7 @@
     """
 
     async def scenario(region: Region) -> None:
-        await region.begin(machines=0)
+        await region.start_region(machines=0)
         for number in range(36):
             await region.add_worker(f"n-{number}", shard=0)
             await curio.sleep(region.heartbeat_interval_s / 36)
--- a/tests/test_partition_cancellations.py
+++ b/tests/test_partition_cancellations.py
@@ -12,7 +12,7 @@
 from crossmill.wire.workers import Command, CommandKind
 
 from .partition_scenario import PartitionScenario, run_settled
-from .stepped_controller import RECORD_BYTES, SteppedController, add_machine
+from .stepped_controller import MAX_RECORD_BYTES, SteppedController, add_machine
 
 
 def test_a_cancellation_is_confirmed_only_when_no_keepalive_can_outlast_it() -> None:
@@ -20,9 +20,9 @@
         partition.isolate_zone()
         await partition.pass_time(2, partition.zone_controller)
         path = "/v1/jobs/wk-000001"
-        answer = await partition.owner.ask("POST", path + "/withdraw")
+        answer = await partition.owner.send_user_request("POST", path + "/withdraw")
         assert (answer.status, answer.retry_after_s) == (503, 1)
-        assert b"withdrawn" not in (await partition.owner.ask("GET", path)).body
+        assert b"withdrawn" not in (await partition.owner.send_user_request("GET", path)).body
         # once node-0 is certain to have stopped keepalives early enough, it need not be notified
         partition.state.end_lease(partition.zone_controller.controller_lease.lease_id or 0)
         await partition.pass_time(
@@ -30,16 +30,16 @@
             + partition.settings.worker_lease_s
             - partition.settings.cancellation_deadline_s
         )
-        assert (await partition.owner.ask("POST", path + "/withdraw")).status == 503
+        assert (await partition.owner.send_user_request("POST", path + "/withdraw")).status == 503
         await partition.pass_time(3)
-        assert (await partition.owner.ask("POST", path + "/withdraw")).status == 200
+        assert (await partition.owner.send_user_request("POST", path + "/withdraw")).status == 200
 
     run_settled(scenario)
 
 
 def test_keepalive_stops_tasks_of_a_job_whose_cancellation_was_announced() -> None:
     async def scenario(partition: PartitionScenario) -> None:
-        answer = await partition.owner.ask("POST", "/v1/jobs/wk-000001/withdraw")
+        answer = await partition.owner.send_user_request("POST", "/v1/jobs/wk-000001/withdraw")
         assert answer.status == 200
         # the mirror of node-0 does not hold the cancellation yet: node-0 relies on the announcement
         assert partition.zone_controller.cluster.jobs["wk-000001"].end == ""
@@ -60,9 +60,9 @@
         assert preconditions == {"cm/n/node-0": partition.state.keys["cm/n/node-0"][1]}
         # node-0 ends, and its new process does not know of the cancellation
         replacement = SteppedController(partition.state, partition.clock, partition.nodes, "node-0")
-        await replacement.boot(waited=False)
+        await replacement.boot(wait_for_grants=False)
         assert job.spec is not None
-        put = Put("cm/j/wk-000001", encode_end(CANCELLED, job.spec, 0.0, RECORD_BYTES))
+        put = Put("cm/j/wk-000001", encode_end(CANCELLED, job.spec, 0.0, MAX_RECORD_BYTES))
         late = WriteIntent(Txn({"cm/j/wk-000001": job.version, **preconditions}, [put]))
         assert await partition.owner.writer.commit(late) == WriteResult.CONFLICT
 
@@ -75,13 +75,13 @@
     async def scenario(partition: PartitionScenario) -> None:
         partition.nodes["node-0"].is_unreachable = partition.nodes["node-1"].is_unreachable = True
         path = "/v1/jobs/wk-000001/withdraw"
-        assert (await partition.owner.ask("POST", path)).status == 503
-        assert (await partition.owner.ask("POST", path)).status == 503
+        assert (await partition.owner.send_user_request("POST", path)).status == 503
+        assert (await partition.owner.send_user_request("POST", path)).status == 503
         # node-0 reads the note and publishes that; partitioned afterwards, it stops the job's tasks
         await partition.zone_controller.sync()
         await partition.zone_controller.membership.step()
         await partition.zone_controller.partition_protocol.step()
-        assert (await partition.owner.ask("POST", path)).status == 200
+        assert (await partition.owner.send_user_request("POST", path)).status == 200
         partition.isolate_zone()
         await partition.zone_controller.controller_lease.step()
         commands = partition.report_to_zone_controller(900).commands
@@ -114,7 +114,7 @@
             return handle(request)
 
         partition.zone_controller.partition_protocol.handle = handle_after_move  # type: ignore[method-assign]
-        answer = await partition.owner.ask("POST", "/v1/jobs/wk-000001/withdraw")
+        answer = await partition.owner.send_user_request("POST", "/v1/jobs/wk-000001/withdraw")
         assert (
             answer.status == 503
             or "wk-000001" in other.partition_protocol.keepalive.pending_cancellations
--- a/tests/test_partition_keepalive.py
+++ b/tests/test_partition_keepalive.py
@@ -163,7 +163,7 @@
         partition.zone_controller = SteppedController(
             partition.link, partition.clock, partition.nodes, "node-0"
         )
-        await partition.zone_controller.boot(waited=False)
+        await partition.zone_controller.boot(wait_for_grants=False)
         await partition.zone_controller.partition_protocol.step()
         partition.isolate_zone()
         await partition.zone_controller.controller_lease.step()
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -11,7 +11,7 @@
 from .builders import make_spec
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
-from .stepped_controller import RECORD_BYTES, SteppedController, run_scenario, seed
+from .stepped_controller import MAX_RECORD_BYTES, SteppedController, run_scenario, seed
 
 Nodes = dict[str, SteppedController]
 FAST, SLOW = MachineOption("fast", 2.0, 1.0, 10.0), MachineOption("slow", 1.0, 1.0, 20.0)
@@ -160,7 +160,7 @@
         await other.boot()
         assert other.forecast.queue_rank(jobs[first])[1] == pytest.approx(end)
         # cancel the stage from which the priority was inherited
-        state.put(keys.job(last), encode_end(CANCELLED, final, clock.wall_time(), RECORD_BYTES))
+        state.put(keys.job(last), encode_end(CANCELLED, final, clock.wall_time(), MAX_RECORD_BYTES))
         await node.sync()
         assert forecast.queue_rank(jobs[first])[0] == 3
 
@@ -178,7 +178,7 @@
             name = f"wk-00000{number}"
             after = make_spec(nameId=name, dueS=due or None, grindS=0.0)
             state.put(keys.job(name), encode_job(after, at, ("wk-000001",)))
-        state.put(keys.job("wk-000001"), encode_end(DONE, spec, at + 50.0, RECORD_BYTES))
+        state.put(keys.job("wk-000001"), encode_end(DONE, spec, at + 50.0, MAX_RECORD_BYTES))
         node = SteppedController(state, clock, nodes)
         await node.boot()
         ends = [node.forecast.queue_rank(node.cluster.jobs[f"wk-00000{n}"])[1] for n in (2, 3)]
--- a/tests/test_pipelines_under_faults.py
+++ b/tests/test_pipelines_under_faults.py
@@ -61,7 +61,7 @@
     while True:
         known = [job for job in region.checker.jobs if region.is_accepted(job)]
         if known and region.nodes:
-            await region.show(rng.choice(list(region.nodes)), rng.choice(known))
+            await region.query_job(rng.choice(list(region.nodes)), rng.choice(known))
         await curio.sleep(0.2)
 
 
@@ -75,7 +75,7 @@
 
     async def scenario(region: Region) -> None:
         rng = random.Random(seed_number)
-        await region.begin(machines=0)
+        await region.start_region(machines=0)
         for shard in range(3):
             for number in range(2):
                 await region.add_worker(f"n-{shard}{number}", shard=shard)
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -21,7 +21,7 @@
 
     async def scenario(region: Region) -> None:
         rng = random.Random(seed_number)
-        await region.begin(machines=4)
+        await region.start_region(machines=4)
         await region.add_worker("s-0", "south")
         await region.submit("node-1", "wk-000001", sacks=2)
         traffic = await curio.spawn(submit_single_task_jobs, region, 60, 1.2)
@@ -44,7 +44,7 @@
 
     async def scenario(region: Region) -> None:
         rng = random.Random(1000 + seed_number)
-        await region.begin(machines=5)
+        await region.start_region(machines=5)
         for n in range(2):
             await region.add_worker(f"s-{n}", "south")
         users = await curio.spawn(_submit_and_cancel_services, region, random.Random(seed_number))
--- a/tests/test_random_faults_at_limits.py
+++ b/tests/test_random_faults_at_limits.py
@@ -18,18 +18,20 @@
 from .simulated_region import Region, simulate
 
 TEAMS = ("red", "blue", "green")
-ENDED_KEPT = 4
+MAX_ENDED_JOBS = 4
 KEPT_CHANGES = 60
 PAGE_ITEMS = 15
 JOBS = 90
 FAULTS = 14
-PATIENCE = 400
+MAX_ATTEMPTS = 400
 
 
-async def _answered(region: Region, rng: random.Random, job: str, cancel: bool) -> None:
+async def _retry_until_confirmed(
+    region: Region, rng: random.Random, job: str, cancel: bool
+) -> None:
     """Send a user's request to one controller after another until it is confirmed."""
     facts = region.checker.jobs[job]
-    for _ in range(PATIENCE):
+    for _ in range(MAX_ATTEMPTS):
         labels = list(region.nodes)
         if labels:
             label = rng.choice(labels)
@@ -42,17 +44,17 @@
         await curio.sleep(1.0)
 
 
-async def _user(region: Region, rng: random.Random, job: str) -> None:
+async def _run_user(region: Region, rng: random.Random, job: str) -> None:
     facts = region.checker.jobs[job]
     for need in facts.dependencies():
         await region.wait_until(lambda need=need: region.is_accepted(need), 900.0)  # type: ignore[misc]
-    await _answered(region, rng, job, cancel=False)
+    await _retry_until_confirmed(region, rng, job, cancel=False)
     if rng.random() < 0.3:
         await curio.sleep(rng.choice([0.0, 1.0, 4.0, 12.0]))
-        await _answered(region, rng, job, cancel=True)
+        await _retry_until_confirmed(region, rng, job, cancel=True)
 
 
-async def _users(region: Region, rng: random.Random) -> None:
+async def _run_users(region: Region, rng: random.Random) -> None:
     async with curio.TaskGroup() as group:
         names: list[str] = []
         for number in range(JOBS):
@@ -69,7 +71,7 @@
                 awaits=needs,
             )
             names.append(job)
-            await group.spawn(_user, region, rng, job)
+            await group.spawn(_run_user, region, rng, job)
             await curio.sleep(rng.uniform(0.3, 1.6))
 
 
@@ -77,7 +79,7 @@
     while True:
         known = [job for job in region.checker.jobs if region.is_accepted(job)]
         if known and region.nodes:
-            await region.show(rng.choice(list(region.nodes)), rng.choice(known[-30:]))
+            await region.query_job(rng.choice(list(region.nodes)), rng.choice(known[-30:]))
         await curio.sleep(0.2)
 
 
@@ -105,8 +107,8 @@
     """Wait until every accepted job has ended and every controller says so."""
     for job in [job for job in region.checker.jobs if region.is_accepted(job)]:
         for label in list(region.nodes):
-            for _ in range(PATIENCE):
-                status = await region.show(label, job)
+            for _ in range(MAX_ATTEMPTS):
+                status = await region.query_job(label, job)
                 facts = region.checker.jobs[job]
                 if status == 200 and (facts.done or facts.cancelled):
                     break
@@ -117,18 +119,18 @@
 
 def run_random_scenario(seed_number: int, monkeypatch: pytest.MonkeyPatch) -> Region:
     """Run the scenario that the seed draws."""
-    monkeypatch.setattr(Settings, "max_ended_jobs", ENDED_KEPT)
+    monkeypatch.setattr(Settings, "max_ended_jobs", MAX_ENDED_JOBS)
     state = StateService(KEPT_CHANGES)
     state.page_items = PAGE_ITEMS
 
     async def scenario(region: Region) -> None:
         rng = random.Random(seed_number)
-        await region.begin(machines=0)
+        await region.start_region(machines=0)
         for shard in range(3):
             for number in range(2):
                 await region.add_worker(f"n-{shard}{number}", shard=shard)
-        users = await curio.spawn(_users, region, random.Random(seed_number + 1))
-        looks = await curio.spawn(_poll_jobs, region, random.Random(seed_number + 2), daemon=True)
+        users = await curio.spawn(_run_users, region, random.Random(seed_number + 1))
+        poller = await curio.spawn(_poll_jobs, region, random.Random(seed_number + 2), daemon=True)
         for _ in range(FAULTS):
             await curio.sleep(rng.uniform(1.0, 8.0))
             await _inject_fault(region, rng)
@@ -139,7 +141,7 @@
             await region.add_worker(f"n-{shard}9", shard=shard)
         await users.join()
         await _check_all_ended(region)
-        await looks.cancel()
+        await poller.cancel()
         archived = [name for name in region.state.keys if name.startswith(keys.ARCHIVE)]
         assert archived, "nothing was archived"
 
--- a/tests/test_recovery_classification.py
+++ b/tests/test_recovery_classification.py
@@ -27,7 +27,7 @@
 from .builders import make_spec, reported_task
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
-from .stepped_controller import RECORD_BYTES, SteppedController, add_job, run_scenario, seed
+from .stepped_controller import MAX_RECORD_BYTES, SteppedController, add_job, run_scenario, seed
 
 REPORTING = WorkerContact.REPORTING
 UNRESPONSIVE = WorkerContact.UNRESPONSIVE
@@ -163,7 +163,7 @@
     seed(state, clock, machines=2)
     add_job(state, clock, nameId="wk-000001", sacks=TASKS)
     spec = make_spec(nameId="wk-000002", sacks=TASKS)
-    value = encode_end(CANCELLED, spec, clock.wall_time(), RECORD_BYTES)
+    value = encode_end(CANCELLED, spec, clock.wall_time(), MAX_RECORD_BYTES)
     state.put(keys.job("wk-000002"), value)
     for job, planned in drawn.plans.items():
         chunk = PlanChunk(4, 0, {attempt.index: attempt for attempt in planned})
--- a/tests/test_recovery_dry_run.py
+++ b/tests/test_recovery_dry_run.py
@@ -29,7 +29,7 @@
 
 async def _restart_with_differences(region: RecoveryRegion) -> None:
     """Restarts all controllers; meanwhile a fifth of the machines gets unplanned tasks."""
-    await region.begin(machines=0)
+    await region.start_region(machines=0)
     for number in range(20):
         await region.add_worker(f"n-{number:02d}", ("north", "south")[number % 2], number % 3)
     await region.start_services(10)
--- a/tests/test_recovery_restart.py
+++ b/tests/test_recovery_restart.py
@@ -197,7 +197,7 @@
         await region.wait_until(lambda: _is_each_shard_served(region))
         for copy in old:
             for label in region.LABELS:
-                region.deliver(copy, label)
+                region.deliver_worker_heartbeat(copy, label)
         for worker in busy:
             worker.heartbeats_lost = False
         await region.wait_until(region.is_steady, 60.0)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -115,18 +115,18 @@
         stored = len(state.keys)
         node = SteppedController(state, clock, nodes)
         await node.boot()
-        pages = [path for _, path in state.calls if path == "/keys"]
+        pages = [path for _, path in state.received_requests if path == "/keys"]
         assert len(pages) <= stored // 1000 + 1
         # each shard's key and the counter of tokens, this controller's own key and the leader's
-        assert state.puts <= 2 * node.settings.controller_count + 2
+        assert state.applied_change_count <= 2 * node.settings.controller_count + 2
         assert (
             sum(j.planned_task_count() for j in node.cluster.jobs.values())
             == MACHINES * GPUS_PER_MACHINE
         )
-        before = state.puts
+        before = state.applied_change_count
         report_all(node, MACHINES)
         await node.round()
-        assert state.puts == before
+        assert state.applied_change_count == before
 
     run_scenario(scenario)
 
@@ -141,22 +141,22 @@
             await node.controller_lease.step()
             await node.membership.step()
         report_all(node, MACHINES)
-        asked: list[int] = []
+        request_sizes: list[int] = []
 
-        class Line:
+        class RecordingLink:
             async def request(
                 self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
             ) -> tuple[int, bytes]:
-                asked.append(len(body))
+                request_sizes.append(len(body))
                 return 503, b""
 
-        node.partition_protocol.peers._http["node-0"] = Line()
+        node.partition_protocol.peers._http["node-0"] = RecordingLink()
         clock.time += node.settings.heartbeat_timeout_s + 0.1
         await node.controller_lease.step()
         await node.round()
         await node.partition_protocol.step()
-        assert len(asked) == 1
-        assert asked[0] < 64 * 1024
+        assert len(request_sizes) == 1
+        assert request_sizes[0] < 64 * 1024
 
     run_scenario(scenario)
 
@@ -184,15 +184,15 @@
 
 def test_a_round_writes_urgent_chunks_first_and_keeps_to_the_write_rate() -> None:
     # guards against rounds of many seconds: the next stage of a pipeline waits for each
-    def news(number: int, attempts: int, why: str = "done") -> ChunkOutcomes:
+    def outcomes(number: int, attempts: int, why: str = "done") -> ChunkOutcomes:
         attempt = PlannedAttempt(f"wk-{number:06d}", 0, 1, "n-0", 1)
         chunk = PlanChunk(2, 0, {i: attempt for i in range(attempts)})
         return ChunkOutcomes(
             Job(attempt.job), "0", chunk, [AttemptOutcome(attempt, EndReason(why), term=1)]
         )
 
-    many = [news(number, 9) for number in range(20)]
-    last, failed = news(90, 1), news(91, 9, "error")
+    many = [outcomes(number, 9) for number in range(20)]
+    last, failed = outcomes(90, 1), outcomes(91, 9, "error")
     assert select_batches(many[:3], 4) == many[:3]
     assert select_batches([*many, last, failed], 4) == [last, failed, *many[:2]]
     # some progress even where all is urgent
@@ -275,7 +275,7 @@
             1,
             1,
             1,
-            *(reported_task("wk-1", i, 1, "running") for i in mine(machine)),
+            *(reported_task("wk-1", i, 1, "running") for i in task_range(machine)),
         )
         # each worker's head differs: it comes by an address of its own
         target = f"/agent/beat?machine={machine}"
@@ -290,7 +290,7 @@
             heads.add(data, request)
         parse_heartbeat(load_object(body), read)
 
-    def mine(machine: int) -> range:
+    def task_range(machine: int) -> range:
         return range(machine * tasks // machines, (machine + 1) * tasks // machines)
 
     for machine in range(machines):
--- a/tests/test_silent_machines.py
+++ b/tests/test_silent_machines.py
@@ -70,7 +70,7 @@
         assert partition.planned_attempts() == 1
         # while the owner is stalled, node-0 restarts, reads the durable state, and ends again
         replacement = SteppedController(partition.state, partition.clock, partition.nodes, "node-0")
-        await replacement.boot(waited=False)
+        await replacement.boot(wait_for_grants=False)
         await replacement.partition_protocol.step()
         replacement.is_unreachable = True
         partition.state.end_lease(replacement.controller_lease.lease_id or 0)
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -10,7 +10,7 @@
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
 from .production_records import JOB, PRODUCTION_JOB, PRODUCTION_SPEC, read_as_production
-from .stepped_controller import RECORD_BYTES, Nodes, SteppedController, run_scenario, seed
+from .stepped_controller import MAX_RECORD_BYTES, Nodes, SteppedController, run_scenario, seed
 from .stored_records import raise_feature_level
 
 
@@ -22,7 +22,7 @@
 
 def test_the_end_of_a_job_has_no_more_fields_than_production_reads() -> None:
     spec = make_spec(nameId=JOB)
-    assert set(encode_end(DONE, spec, 7.0, RECORD_BYTES)) == {"end", "spec", "ended"}
+    assert set(encode_end(DONE, spec, 7.0, MAX_RECORD_BYTES)) == {"end", "spec", "ended"}
 
 
 def test_an_end_that_production_wrote_has_no_time() -> None:
@@ -44,7 +44,7 @@
         for machine in ("n-0", "n-1"):
             node.report(machine, 1, 1, node.token())
         body = orjson.dumps(submission(nameId="wk-000002", sacks=600, cards=0.0, cpus=0.01))
-        assert (await node.ask("POST", "/v1/jobs", body)).status == 201
+        assert (await node.send_user_request("POST", "/v1/jobs", body)).status == 201
         await node.round()
         read_as_production(state)
         done = [reported_task(JOB, i, 1 + i, "exited", "done") for i in range(2)]
--- a/tests/test_unanswered_requests.py
+++ b/tests/test_unanswered_requests.py
@@ -20,11 +20,11 @@
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = SteppedController(state, clock, nodes)
         await node.boot()
-        state.script["/txn"] = ["lose"]
+        state.scripted_faults["/txn"] = ["lose"]
         mine = WriteIntent(Txn({"cm/x": 0}, [Put("cm/x", {"a": 1.0})]))
         assert await node.writer.commit(mine) == WriteResult.OK
-        assert state.calls.count(("GET", "/keys/cm/x")) == 1
-        state.script["/txn"] = ["drop"]
+        assert state.received_requests.count(("GET", "/keys/cm/x")) == 1
+        state.scripted_faults["/txn"] = ["drop"]
         other = WriteIntent(Txn({"cm/y": 0}, [Put("cm/y", {"a": 1})]))
         state.put("cm/y", {"a": 2})
         assert await node.writer.commit(other) == WriteResult.CONFLICT
@@ -43,7 +43,7 @@
         node = SteppedController(state, clock, nodes)
         await node.boot()
         mine = WriteIntent(Txn({"cm/x": 0}, [Put("cm/x", {"a": 1})]))
-        state.script["/txn"] = ["lose"]
+        state.scripted_faults["/txn"] = ["lose"]
         await node.writer.submit(mine)
         while not state.keys.get("cm/x"):
             await curio.sleep(0)
@@ -65,11 +65,11 @@
             await node.controller_lease.step()
             await node.membership.step()
         assert node.membership.leadership_version() is not None
-        node.cloud.script = ["lose"]
+        node.cloud.scripted_faults = ["lose"]
         await node.provisioner.scale_out()
-        assert len(node.cloud.requests) == 1
+        assert len(node.cloud.machines_by_request) == 1
         assert len(node.cluster.machines) == 1
         await node.provisioner.scale_out()
-        assert len(node.cloud.requests) == 1
+        assert len(node.cloud.machines_by_request) == 1
 
     run_scenario(scenario)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -120,7 +120,7 @@
             assert job.done_task_count() == 2
         assert keys.plan(JOB, "0") not in state.keys
         assert not node.cluster.jobs[JOB].staged
-        assert state.too_large == 0
+        assert state.oversized_transaction_count == 0
         limit = 2048
         assert all(len(orjson.dumps(encode_chunk(c))) < limit for c in job.chunks.values())
         # attempt numbers continue after those of the legacy chunk
--- a/tests/test_worker_faults.py
+++ b/tests/test_worker_faults.py
@@ -15,7 +15,7 @@
     """Copies of heartbeats, some from an earlier session, arrive with the highest token seen."""
 
     async def scenario(region: Region) -> None:
-        await region.begin(machines=2)
+        await region.start_region(machines=2)
         await region.submit("node-1", "wk-000001", sacks=2)
         await region.submit("node-1", "wk-000002", run_s=4.0, sacks=2)
         await region.wait_until(lambda: len(region.checker.jobs["wk-000002"].finished) == 2)
@@ -30,7 +30,7 @@
             await curio.sleep(0.25)
             for label in list(region.nodes):
                 for body in old[::3]:
-                    region.deliver(body, label)
+                    region.deliver_worker_heartbeat(body, label)
         await region.wait_until(lambda: len(region.workers_running("wk-000001")) > 0, 40.0)
         await cancel_services_and_wait(region)
 
@@ -45,7 +45,7 @@
     """
 
     async def scenario(region: Region) -> None:
-        await region.begin(machines=2)
+        await region.start_region(machines=2)
         await region.submit("node-1", "wk-000001", sacks=4, cards=1.0)
         await region.wait_until(lambda: len(region.checker.starts) == 4)
         faulty = region.workers["n-0"]
@@ -74,7 +74,7 @@
     """
 
     async def scenario(region: Region) -> None:
-        await region.begin(machines=2)
+        await region.start_region(machines=2)
         await curio.sleep(4.0)
         for worker in region.workers.values():
             worker.is_frozen = True
@@ -102,7 +102,7 @@
     """The jobs bound to the partitioned zone also lose machines during the partition."""
 
     async def scenario(region: Region) -> None:
-        await region.begin(machines=3)
+        await region.start_region(machines=3)
         for n in range(2):
             await region.add_worker(f"s-{n}", "south")
         await region.submit("node-1", "wk-000001", sacks=2, yard="north")
--- a/tests/trace_adapter.py
+++ b/tests/trace_adapter.py
@@ -89,7 +89,7 @@
 
     async def begin(self) -> None:
         """Start all controllers and wait until each shard has an owner."""
-        await self._region.begin(machines=0)
+        await self._region.start_region(machines=0)
 
     async def begin_leading(self) -> None:
         """Run the leaders' loops too; the cloud's machines come up after they are rented."""
@@ -164,7 +164,7 @@
 
     def no_capacity(self, rentals: int) -> None:
         """Let the next rentals find no machine."""
-        self._region.cloud.script += ["none"] * rentals
+        self._region.cloud.scripted_faults += ["none"] * rentals
 
     def heal(self) -> None:
         """End all faults but those of processes."""
@@ -217,7 +217,7 @@
         """Deliver copies of a worker's earlier heartbeats."""
         if controller in self._region.nodes:
             for body in list(self._region.workers[machine].sent_heartbeats):
-                self._region.deliver(body, controller)
+                self._region.deliver_worker_heartbeat(body, controller)
 
     # -- users -----------------------------------------------------------------------
 
@@ -233,7 +233,7 @@
 
     async def show(self, controller: str, job: str) -> int:
         """Ask for a job's state; the status, 0 if the controller ended."""
-        return await self._answered(self._region.show(controller, job))
+        return await self._answered(self._region.query_job(controller, job))
 
     async def _answered(self, status: Awaitable[int]) -> int:
         try:
--- a/tests/trace_messages.py
+++ b/tests/trace_messages.py
@@ -181,12 +181,12 @@
 
         handler.handle = recorded
 
-    def deliver(self, body: bytes, label: str) -> tuple[int, bytes]:
+    def deliver_worker_heartbeat(self, body: bytes, label: str) -> tuple[int, bytes]:
         """Deliver a heartbeat and record it with its response."""
         machine = orjson.loads(body)["stone"]
         request = Request("POST", "heartbeat", body)
         message = self.log.open(label, RECEIVED, f"heartbeat:{machine}", request)
-        status, answer = super().deliver(body, label)
+        status, answer = super().deliver_worker_heartbeat(body, label)
         self.log.close(message, status, answer)
         return status, answer
 
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -16,7 +16,7 @@
 
 from .fake_clock import FakeClock
 
-LEAST_STEP_S = 1e-7
+MIN_STEP_S = 1e-7
 
 
 class VirtualTime(selectors.BaseSelector):
@@ -52,19 +52,19 @@
         assert timeout is not None, "every task waits without a timeout"
         # a little even when something is ready: a wait too short for the clock to show it would
         # otherwise never end
-        self._clock.time += max(LEAST_STEP_S, timeout)
+        self._clock.time += max(MIN_STEP_S, timeout)
         return []
 
 
 @types.coroutine
 def run_with_freezes(
-    part: Coroutine[Any, Any, None], until: Callable[[], float], clock: FakeClock
+    loop: Coroutine[Any, Any, None], until: Callable[[], float], clock: FakeClock
 ) -> Generator[Any, Any, None]:
     """Run a controller's loop so that it can freeze between any two awaits.
 
     What it waited for arrives and its clock runs on, but it continues only after `until()`.
     """
-    step: Callable[[], Any] = lambda: part.send(None)  # noqa: E731
+    step: Callable[[], Any] = lambda: loop.send(None)  # noqa: E731
     while True:
         try:
             trap = step()
@@ -73,14 +73,14 @@
         try:
             value = yield trap
         except GeneratorExit:
-            part.close()
+            loop.close()
             raise
         except BaseException as exc:
-            step = partial(part.throw, exc)
+            step = partial(loop.throw, exc)
             continue
         while clock.now() < until():
             yield from curio.sleep(until() - clock.now()).__await__()
-        step = partial(part.send, value)
+        step = partial(loop.send, value)
 
 
 class ErrorCollector(logging.Handler):
@@ -88,11 +88,11 @@
 
     def __init__(self) -> None:
         super().__init__(logging.ERROR)
-        self.seen: list[str] = []
+        self.messages: list[str] = []
 
     def emit(self, record: logging.LogRecord) -> None:
         """Keep the record's message."""
-        self.seen.append(record.getMessage())
+        self.messages.append(record.getMessage())
 
 
 def run_under_virtual_time(
@@ -100,12 +100,12 @@
 ) -> None:
     """Run a scenario whose waits cost no real time; an error in any of its tasks fails it."""
     virtual = VirtualTime(clock)
-    kernel_time, crashes = curio.kernel.time, ErrorCollector()
-    logging.getLogger("curio").addHandler(crashes)
+    kernel_time, errors = curio.kernel.time, ErrorCollector()
+    logging.getLogger("curio").addHandler(errors)
     curio.kernel.time = virtual
     try:
         curio.run(scenario, selector=virtual)
     finally:
         curio.kernel.time = kernel_time
-        logging.getLogger("curio").removeHandler(crashes)
-    assert not crashes.seen, crashes.seen[0]
+        logging.getLogger("curio").removeHandler(errors)
+    assert not errors.messages, errors.messages[0]
