--- a/tests/fake_clock.py
+++ b/tests/fake_clock.py
@@ -1,13 +1,13 @@
-"""A clock that only tests move."""
+"""A clock that is advanced only by tests."""
 
 from crossmill.net.clock import Clock
 
-# the time of day at the clock's zero
+# the wall-clock time at monotonic time zero, in seconds
 EPOCH_S = 1e9
 
 
 class FakeClock(Clock):
-    """A clock whose `time` stays until a test or the virtual kernel moves it."""
+    """A clock whose `time` changes only when a test or the virtual kernel advances it."""
 
     def __init__(self) -> None:
         self.time = 1000.0
@@ -17,5 +17,5 @@
         return self.time
 
     def wall_time(self) -> float:
-        """Return the time of day, in seconds since the epoch."""
+        """Return the wall-clock time in seconds since the epoch."""
         return self.time + EPOCH_S
--- a/tests/fake_cloud.py
+++ b/tests/fake_cloud.py
@@ -38,7 +38,8 @@
 class CloudService:
     """The cloud as PROTOCOL describes it.
 
-    `script` holds what the next rentals meet: "none" finds no capacity, "lose" loses the response.
+    `scripted_faults` holds the faults of the next rental requests, in order: "none" responds that
+    there is no capacity, "lose" loses the response.
     """
 
     def __init__(self) -> None:
@@ -50,7 +51,7 @@
         self.down = False
 
     def list_machines(self) -> None:
-        """List all machines that were rented and not released, as running."""
+        """Set the list of machines to all that were rented and not released, as running."""
         self.listed_machines = [
             {
                 "nameId": machine,
@@ -68,7 +69,7 @@
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
-        """Answer a request at once; raise NoResponseError where the script says so."""
+        """Respond without delay; raise NoResponseError for the scripted fault "lose"."""
         if self.down:
             return 503, b'{"error":"trouble"}'
         data = orjson.loads(body) if body else {}
--- a/tests/fake_state_service.py
+++ b/tests/fake_state_service.py
@@ -9,16 +9,17 @@
 from crossmill.net.client import ConnectionFailedError, NoResponseError
 from crossmill.settings import StateLimits
 
-# PROTOCOL: what a list's answer holds at most, and how many changes are kept
+# PROTOCOL: the maximum size of a listing's page, and the number of changes that are kept
 PAGE_ITEMS, PAGE_BYTES, KEPT_CHANGES = 1000, 512 * 1024, 10_000
 
 
 class StateService:
     """The state service as PROTOCOL describes it, in memory.
 
-    Tests may make pages and the history of changes shorter, so that few keys have the effect of
-    thousands. `script` holds, by path, what the next requests meet: "lose" executes one without a
-    response, "drop" does neither, "refuse" fails the connection.
+    Tests may shorten pages and the history of changes, so that a few keys have the effect of
+    thousands. `scripted_faults` holds the faults of the next requests by path, in order: "lose"
+    executes the request and loses the response, "drop" loses the request, "refuse" fails the
+    connection.
     """
 
     def __init__(self, kept_changes: int = KEPT_CHANGES) -> None:
@@ -27,14 +28,14 @@
         self.leases: set[int] = set()
         self.changes: deque[tuple[int, str, Any]] = deque(maxlen=kept_changes)
         self.page_items = PAGE_ITEMS
-        # the revision up to which changes are no longer kept
+        # the last revision whose change is no longer kept
         self._compacted_revision = 0
         self.down = False
         self.received_requests: list[tuple[str, str]] = []
         self.scripted_faults: dict[str, list[str]] = {}
         self.applied_change_count = 0
         self.limits = StateLimits(100.0, 60.0, 32 * 1024, 20)
-        # transactions refused for their size
+        # number of transactions refused because of their size
         self.oversized_transaction_count = 0
 
     def end_lease(self, lease: int) -> None:
@@ -54,17 +55,17 @@
         self.changes.append((self.revision, key, value))
 
     def delete(self, key: str) -> None:
-        """Delete a key, as another client."""
+        """Delete a key, as another client would."""
         self.revision += 1
         self._delete(key)
 
     def compact(self) -> None:
-        """Drop all changes so far; a watch that missed one is answered 410."""
+        """Drop the history of changes; a watch that missed one of them gets the status 410."""
         self._compacted_revision = self.revision
         self.changes.clear()
 
     def put(self, key: str, value: Any, lease: int | None = None) -> None:
-        """Write a key, as another client."""
+        """Write a key, as another client would."""
         self.revision += 1
         self._write(key, value, lease)
 
@@ -75,7 +76,7 @@
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
-        """Answer a request at once; raise a connection error where the script says so."""
+        """Respond without delay; raise a connection error if a scripted fault requires it."""
         parts = urlsplit(path)
         self.received_requests.append((method, parts.path))
         action = ""
--- a/tests/fault_injection.py
+++ b/tests/fault_injection.py
@@ -1,4 +1,4 @@
-"""Faults and traffic that scenarios of several test files inject into a simulated region."""
+"""Faults and users' requests that several test files inject into a simulated region."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -24,19 +24,22 @@
 
 
 def every_request(method: str, path: str) -> bool:
-    """Refuse every request."""
+    """Return True: every request is refused."""
     return True
 
 
 def all_but_leases(method: str, path: str) -> bool:
-    """Refuse all requests but those for leases: nothing is read or written."""
+    """Return whether the request is not for a lease: no key can be read or written."""
     return not path.startswith("/holds")
 
 
 def lose_responses(
     number: int, region: Region, delay_s: float, executes_at_once: bool, for_s: float
 ) -> None:
-    """Leave every `number`th transaction unanswered; it is executed at once or after the delay."""
+    """Withhold the response of every `number`th transaction for the given time.
+
+    The transaction is executed without delay, or after `delay_s` and a few more seconds.
+    """
     end, count = region.clock.now() + for_s, 0
 
     def transaction_fault(label: str, method: str, path: str) -> TransactionFault | None:
@@ -54,7 +57,10 @@
 async def submit_single_task_jobs(
     region: Region, jobs: int, every_s: float, cancelled: int = 4
 ) -> None:
-    """Submit one-task jobs at all controllers in turn; cancel some while they run or wait."""
+    """Submit one-task jobs at one controller after the other.
+
+    Of every `cancelled` jobs, one is cancelled while it runs or waits.
+    """
     async with curio.TaskGroup() as group:
         for n in range(jobs):
             job, label = f"wk-{100000 + n}", list(region.nodes or region.LABELS)[n % 3 - 1]
@@ -77,9 +83,9 @@
 
 
 async def wait_until_all_ended(region: Region, within_s: float = 90.0) -> None:
-    """Wait until every accepted job has ended and every controller says so; fail after the time."""
+    """Wait until all controllers report the end of every accepted job; fail after the timeout."""
     end = region.clock.now() + within_s
-    # a controller that has just started has not read the state yet
+    # a controller that has just started has not loaded the state yet
     await curio.sleep(3.0)
     for job, facts in region.checker.jobs.items():
         while facts.done is None and facts.cancelled is None:
@@ -101,7 +107,7 @@
 
 
 async def inject_random_fault(region: Region, rng: random.Random) -> None:
-    """Inject one fault, or end some; the generator draws which."""
+    """Inject a random fault, or end some of the present faults."""
     label, worker = rng.choice(region.LABELS), rng.choice(list(region.workers.values()))
     kind = rng.choice(RANDOM_FAULTS)
     if kind == "restart":
@@ -128,7 +134,7 @@
 
 
 def clear_faults(region: Region) -> None:
-    """End all faults but frozen and ended controllers."""
+    """End all faults other than frozen and killed controllers."""
     region.state.down = False
     region.state_delay_s = 0.0
     region.reconnect()
--- a/tests/invariant_checker.py
+++ b/tests/invariant_checker.py
@@ -1,7 +1,7 @@
-"""Checks PROTOCOL's rules in a simulated region.
+"""Checks of PROTOCOL's rules in a simulated region.
 
-`Region` runs the checker every half second and on every start of a task; each response to a user
-goes through it. tests/test_invariant_checker.py plants a violation of each rule.
+`Region` runs the checker every half second and at every start of a task; each response to a user
+is passed to it. tests/test_invariant_checker.py plants a violation of each rule.
 """
 
 from collections import Counter
@@ -21,7 +21,7 @@
 
 @dataclass
 class JobFacts:
-    """A job's submission and what users were told of it, with the times of the region's clock."""
+    """A job's submission and what responses to users reported, with times of the region's clock."""
 
     spec: dict[str, Any]
     run_s: float | None
@@ -33,15 +33,16 @@
     finished: set[int] = field(default_factory=set)
 
     def dependencies(self) -> list[str]:
-        """Return the jobs that it depends on directly."""
+        """Return the IDs of the jobs on which this job depends directly."""
         return list(self.spec.get("awaits") or [])
 
 
 class InvariantChecker:
     """Collects violations of PROTOCOL's rules.
 
-    One rule is the checker's own: each task that runs is in a durable plan, since it is started
-    from one, and its planned attempt is removed only when its end is proved.
+    One rule is the checker's own: each running task has a durable planned attempt. A task is
+    started only after its planned attempt is stored, and the planned attempt is removed only when
+    the task is proved to have ended.
     """
 
     def __init__(self, region: "Region") -> None:
@@ -52,11 +53,11 @@
         self.violations: list[str] = []
 
     def report_violation(self, description: str) -> None:
-        """Keep a violation, with its time; the description begins with the rule's name."""
+        """Record a violation with its time; the description begins with the rule's name."""
         self.violations.append(f"{self._region.clock.now():.2f} {description}")
 
     def check_start(self, worker: Worker, key: tuple[str, int]) -> None:
-        """Check the start of a task, given by job and index, on a worker."""
+        """Check the start of a task on a worker; the key is the task's job ID and index."""
         now, facts = self._region.clock.now(), self.jobs[key[0]]
         self.starts.append((now, *key, worker.machine))
         self._check_dependencies_done(key[0])
@@ -72,7 +73,7 @@
         self.check()
 
     def _check_dependencies_done(self, job: str) -> None:
-        """Check that all jobs that the started job depends on are done."""
+        """Check that all jobs on which the started job depends are done."""
         self.check()
         for dependency in self.jobs[job].dependencies():
             facts = self.jobs[dependency]
@@ -80,7 +81,7 @@
                 self.report_violation(f"too_early {job} before {dependency}")
 
     def _all_dependencies(self, job: str) -> set[str]:
-        """Return all jobs that this one depends on, directly or through others."""
+        """Return the IDs of all direct and transitive dependencies of the job."""
         found: set[str] = set()
         pending = [job]
         while pending:
@@ -91,7 +92,7 @@
         return found
 
     def _check_cancelled_dependencies(self, job: str, stage: str, requested_at: float) -> None:
-        """Check that no job is called queued or running long after a dependency was cancelled."""
+        """Check that no job is reported as active long after a dependency was cancelled."""
         for before in self._all_dependencies(job):
             confirmed = self.jobs[before].cancelled
             late = (
@@ -116,7 +117,7 @@
         self._check_quotas(gpus_used)
 
     def _live_workers(self) -> Iterator[Worker]:
-        """Iterate over the workers that have a lease and so may run tasks."""
+        """Iterate over the workers whose lease is valid: only these may run tasks."""
         region, now = self._region, self._region.clock.now()
         for worker in region.workers.values():
             if not worker.is_terminated and worker.lease_renewed_at + region.worker_lease_s >= now:
@@ -136,7 +137,7 @@
                     self.report_violation(f"quota {team.name} {gpus_used[team.name]}")
 
     def _planned_attempts(self) -> set[tuple[str, int, int, str]]:
-        """Return job, task, attempt and machine of every durable planned attempt."""
+        """Return job, task index, attempt and machine of every durable planned attempt."""
         return {
             (name[len(keys.PLAN) :].rpartition("/")[0], row[0], row[1], row[2])
             for name, (value, _, _) in self._region.state.keys.items()
@@ -145,7 +146,10 @@
         }
 
     def _check_unplanned(self) -> None:
-        """Check that every task that runs is in a durable plan; no controller knows of others."""
+        """Check that every running task has a durable planned attempt.
+
+        No controller has a record of any other task.
+        """
         planned = self._planned_attempts()
         for worker in self._live_workers():
             for (job, index), task in worker.tasks.items():
@@ -154,7 +158,7 @@
                     self.report_violation(f"orphaned {job}/{index} {worker.machine}: in no plan")
 
     def check_response(self, job: str, response: Response, requested_at: float) -> None:
-        """Compare a response with what users had been told before they sent the request."""
+        """Compare a response with the responses that users got before they sent the request."""
         facts, now = self.jobs[job], self._region.clock.now()
         if response.status == 404 and facts.accepted is not None and facts.accepted < requested_at:
             self.report_violation(f"forgotten {job}")
@@ -174,7 +178,7 @@
                 self.jobs[x].cancellation_requested for x in (job, *self._all_dependencies(job))
             )
             if not asked:
-                self.report_violation(f"went_back {job}: nobody cancelled it")
+                self.report_violation(f"went_back {job}: no user cancelled it")
             facts.cancelled = facts.cancelled if facts.cancelled is not None else now
         elif stage == "done":
             self.check()
--- a/tests/simulated_links.py
+++ b/tests/simulated_links.py
@@ -1,6 +1,6 @@
 """Links of a controller in a simulated region: to the state service and to other controllers.
 
-The links apply the faults that the region's attributes name.
+The links apply the faults that are set on the attributes of the region.
 """
 
 from typing import TYPE_CHECKING, NamedTuple
@@ -22,9 +22,11 @@
 
 
 class TransactionFault(NamedTuple):
-    """The fault of a request that gets no response.
+    """The fault of a request to the state service that gets no response.
 
-    The state service executes the request at once, or else after the delay.
+    Attributes:
+        delay_s: Time after which the state service executes the request.
+        executes_at_once: Whether the state service executes the request without that delay.
     """
 
     delay_s: float
@@ -32,7 +34,10 @@
 
 
 class StateLink:
-    """A controller's link to the state service, which may be refused, cut, slow or unanswered."""
+    """A controller's link to the state service, with the faults set on the region.
+
+    Requests may be refused, delayed, or left without a response.
+    """
 
     def __init__(self, region: "Region", label: str) -> None:
         self._region = region
@@ -41,7 +46,7 @@
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
-        """Send a request; raise NoResponseError where a fault leaves it unanswered."""
+        """Send a request; raise NoResponseError if a fault withholds the response."""
         region = self._region
         until = region.clock.now() + timeout_s
         await curio.sleep(MESSAGE_DELAY_S + region.state_delay_s)
@@ -106,7 +111,7 @@
 
 
 class PeerLink:
-    """The link from one controller to another, which may be cut or frozen."""
+    """The link from one controller to another, which may be disconnected or frozen."""
 
     def __init__(self, region: "Region", source: str, label: str) -> None:
         self._region, self._source, self._label = region, source, label
@@ -114,7 +119,12 @@
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
-        """Send a request; raise ConnectionFailedError or NoResponseError where a fault says so."""
+        """Deliver a request to the peer.
+
+        Raises:
+            ConnectionFailedError: The peer does not run, or one of the two is disconnected.
+            NoResponseError: The peer's process is frozen.
+        """
         region = self._region
         await curio.sleep(MESSAGE_DELAY_S)
         node = region.nodes.get(self._label)
--- a/tests/simulated_region.py
+++ b/tests/simulated_region.py
@@ -1,8 +1,8 @@
-"""Runs several controllers with their real loops in a region under virtual time.
+"""A region of several controllers that run their real loops under virtual time.
 
 The state service, the cloud, workers and users are simulated (tests/fake_*.py,
-tests/simulated_*.py).
-An invariant checker compares what happens with PROTOCOL's rules. Scenarios run by `simulate`.
+tests/simulated_*.py). An invariant checker checks PROTOCOL's rules while a scenario runs.
+`simulate` runs a scenario in a new region.
 """
 
 from collections.abc import Awaitable, Callable
@@ -34,7 +34,7 @@
 class Region(SimulatedUsers):
     """Controllers, workers, users, a state service and a cloud under virtual time.
 
-    Faults are injected by setting the attributes below; `fault_injection.clear_faults` ends them.
+    Faults are injected by setting the attributes; `fault_injection.clear_faults` ends them.
     """
 
     LABELS = ("node-0", "node-1", "node-2")
@@ -44,7 +44,7 @@
         self.state = state or StateService()
         self.simulated_state = SimulatedState(clock, self.state)
         self.cloud = CloudService()
-        # the controllers that run, by label
+        # running controllers by label
         self.nodes: dict[str, SteppedController] = {}
         self.state_links = {label: StateLink(self, label) for label in self.LABELS}
         self._tasks: dict[str, list[curio.Task]] = {}
@@ -52,25 +52,26 @@
         self.checker = InvariantChecker(self)
         self._provisions = False
         self._process_count = 0
-        # delay of every request to the state service
+        # delay of every request to the state service, in seconds
         self.state_delay_s = 0.0
-        # by label: delay of the responses to a controller's transactions
+        # delay of the responses to a controller's transactions, by label, in seconds
         self.transaction_delay_s: dict[str, float] = {}
-        # by label: which of a controller's requests the state service refuses
+        # predicate on method and path, by label: requests of the controller that the state service
+        # refuses
         self.refused_requests: dict[str, Callable[[str, str], bool]] = {}
-        # controllers that get no response from the state service
+        # labels of controllers that get no response from the state service
         self.cut_from_state: set[str] = set()
-        # controllers that reach no other controller
+        # labels of controllers that reach no other controller
         self.cut_from_peers: set[str] = set()
-        # by label: until when a controller's process runs nothing
+        # time until which a controller's process is frozen, by label
         self.frozen_until: dict[str, float] = {}
-        # controllers whose machine has no power: connections to it hang
+        # labels of controllers whose machine is powered off: connections to it time out
         self.powered_off: set[str] = set()
-        # which of the cloud's machines come up after they are rented
+        # predicate on the machine ID: whether a rented machine boots
         self.can_boot: Callable[[str], bool] = lambda machine: True
-        # the fault of a controller's request to the state service, by label, method and path
+        # returns the fault of a request to the state service, from label, method and path
         self.transaction_fault: Callable[[str, str, str], TransactionFault | None] = lambda *_: None
-        # whether a worker and a controller reach each other
+        # predicate: whether a worker and a controller reach each other
         self.can_reach: Callable[[Worker, str], bool] = lambda worker, label: label in self.nodes
 
     async def _check_invariants(self) -> None:
@@ -95,7 +96,10 @@
     async def add_worker(
         self, machine: str, zone: str = "north", shard: int = 0, record: bool = True
     ) -> Worker:
-        """Start a worker on a new machine, which has a record unless the caller stored one."""
+        """Start a worker on a new machine.
+
+        The machine's record is stored too, unless `record` is False: the caller has stored one.
+        """
         if record:
             value = {"type": "g4", "zone": zone, "spot": False, "shard": shard}
             value |= {"at": self.clock.wall_time(), "retiring": "", "up": False}
@@ -140,7 +144,7 @@
         return next(w for w in self.workers.values() if FIRST_PORT + w.number == port)
 
     def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
-        """Return loops that a controller runs beside its own; called before any of them runs."""
+        """Return additional loops of a controller; called before any of its loops runs."""
         return []
 
     async def _run_loop(self, label: str, loop: Callable[[], Awaitable[None]]) -> None:
@@ -150,11 +154,11 @@
         await run_with_freezes(loop(), until, self.clock)  # type: ignore[arg-type]
 
     def is_frozen(self, label: str) -> bool:
-        """Whether the controller's process runs nothing now."""
+        """Return whether the controller's process is frozen now."""
         return self.clock.now() < self.frozen_until.get(label, 0.0)
 
     async def run_provisioners(self) -> None:
-        """Run the provisioners too; rented machines come up about a second later."""
+        """Start the provisioners; a rented machine boots within about a second."""
         self._provisions = True
         for label, node in self.nodes.items():
             self._tasks[label].append(await curio.spawn(node.provisioner.run, daemon=True))
@@ -180,20 +184,20 @@
                 worker.terminate()
 
     def leader(self) -> str | None:
-        """Return the controller that leads by the stored state, if it runs."""
+        """Return the label of the leader by the stored state; None if it does not run."""
         stored = self.state.keys.get(keys.LEADER)
         if stored is None or stored[0]["owner"] not in self.nodes:
             return None
         return str(stored[0]["owner"])
 
     async def kill(self, label: str) -> None:
-        """End a controller's process at once; its key and lease stay until the lease expires."""
+        """Kill a controller's process; its key and lease stay until the lease expires."""
         self.nodes.pop(label)
         for task in self._tasks.pop(label):
             await task.cancel(blocking=False)
 
     async def power_off(self, label: str) -> None:
-        """End a controller and let connections to its machine hang."""
+        """Kill a controller and let connections to its machine time out."""
         self.powered_off.add(label)
         await self.kill(label)
 
@@ -203,24 +207,24 @@
         await self.start(label)
 
     async def restart(self, label: str, after_s: float) -> None:
-        """End a controller's process and start another after the time."""
+        """Kill a controller's process and start a new one after the given time."""
         await self.kill(label)
         await curio.sleep(after_s)
         await self.start(label)
 
     def isolate(self, label: str) -> None:
-        """Cut a controller from the state service and its peers, but not from workers and users."""
+        """Disconnect a controller from the state service and peers, not from workers and users."""
         self.cut_from_state.add(label)
         self.cut_from_peers.add(label)
 
     def reconnect(self) -> None:
-        """End all cuts and refusals between controllers and the state service."""
+        """End all disconnections of controllers and all refusals by the state service."""
         self.cut_from_state.clear()
         self.cut_from_peers.clear()
         self.refused_requests.clear()
 
     def owners(self) -> dict[int, str]:
-        """Return the owner of each owned shard by the stored state."""
+        """Return the stored owner's label of each owned shard."""
         rows = {k: v for k, v in self.state.keys.items() if k.startswith(keys.SHARD)}
         return {int(k[len(keys.SHARD) :]): v[0]["owner"] for k, v in rows.items()}
 
@@ -232,7 +236,7 @@
         return answer.status, orjson.dumps({"foreman": answer.redirect} if answer.redirect else {})
 
     async def wait_until(self, condition: Callable[[], bool], within_s: float = 60.0) -> None:
-        """Wait until the condition holds; fail if it does not within the time."""
+        """Wait until the condition holds; fail after the timeout."""
         end = self.clock.now() + within_s
         while not condition():
             assert self.clock.now() < end, "the condition did not hold in time"
@@ -252,7 +256,7 @@
 def simulate(
     scenario: Callable[[Region], Awaitable[None]], state: StateService | None = None
 ) -> Region:
-    """Run a scenario in a new region; a failed loop or a violated invariant fails it."""
+    """Run a scenario in a new region; fail if a loop fails or an invariant is violated."""
     clock = FakeClock()
     regions: list[Region] = []
 
--- a/tests/simulated_state.py
+++ b/tests/simulated_state.py
@@ -1,7 +1,8 @@
-"""Leases and watches of a simulated region's state service, which need time to pass.
+"""Lease expiry and watches of a simulated region's state service.
 
-`StateService` answers requests at once; this module expires its leases and wakes the requests that
-wait for changes. `Region` runs it, and `StateLink` reports each lease request to it.
+`StateService` responds without delay and knows no time: `SimulatedState` expires its leases and
+wakes the requests that wait for changes. `Region` runs it, and `StateLink` passes each lease
+request to it.
 """
 
 from typing import NamedTuple
@@ -22,7 +23,7 @@
 
 
 class SimulatedState:
-    """Expires the state service's leases and tells watches of changes."""
+    """Expires the state service's leases and notifies watches of changes."""
 
     def __init__(self, clock: FakeClock, state: StateService) -> None:
         self._clock = clock
@@ -33,7 +34,7 @@
     def update_lease_expiry(
         self, method: str, path: str, body: bytes, status: int, data: bytes
     ) -> None:
-        """Take a served request; one that acquires or renews a lease moves its expiry."""
+        """Update a lease's expiry if the request acquired or renewed the lease."""
         if status != 200:
             return
         if method == "POST" and path == "/holds":
@@ -52,7 +53,7 @@
         self.changed.clear()
 
     async def run(self) -> None:
-        """Expire leases and notify watches; in an outage no lease expires."""
+        """Expire leases and notify watches; during an outage no lease expires."""
         revision = -1
         while True:
             self._expire_leases()
--- a/tests/simulated_users.py
+++ b/tests/simulated_users.py
@@ -1,7 +1,7 @@
 """Users of a simulated region: they submit, read and cancel jobs at its controllers.
 
-`Region` inherits these methods. Each response goes to the region's invariant checker, which keeps
-what users were told.
+`Region` inherits these methods. Each response is passed to the region's invariant checker, which
+keeps what the responses reported.
 """
 
 from typing import Any
@@ -16,19 +16,22 @@
 
 CANCELLATION_RETRY_S = 0.5
 FROZEN_RETRY_S = 0.1
-# each repetition of `show_everywhere` waits so much longer than the one before
+# each repetition of `query_job_everywhere` waits this much longer than the previous one
 QUERY_INTERVAL_S = 0.003
 
 
 class SimulatedUsers:
-    """The users' requests to a region's controllers; what they need of the region is declared."""
+    """The users' requests to a region's controllers.
+
+    The attributes and methods of the region that the requests use are declared here.
+    """
 
     clock: FakeClock
     checker: InvariantChecker
     nodes: dict[str, SteppedController]
 
     def is_frozen(self, label: str) -> bool:
-        """Whether the controller's process runs nothing now."""
+        """Return whether the controller's process is frozen now."""
         raise NotImplementedError
 
     def expect(self, job: str, run_s: float | None = None, **fields: Any) -> dict[str, Any]:
@@ -47,7 +50,7 @@
         return await self._request(label, job, "POST", "/v1/jobs", orjson.dumps(spec))
 
     async def query_job(self, label: str, job: str) -> int:
-        """Ask a controller for the job's state and return the response's status."""
+        """Query the job's state at a controller and return the response's status."""
         return await self._request(label, job, "GET", f"/v1/jobs/{job}")
 
     async def cancel(self, label: str, job: str) -> int:
@@ -56,7 +59,7 @@
         return await self._request(label, job, "POST", f"/v1/jobs/{job}/withdraw")
 
     async def cancel_until_confirmed(self, label: str, job: str, within_s: float) -> bool:
-        """Repeat the cancellation until it is confirmed; False if it is not within the time."""
+        """Repeat the cancellation until it is confirmed; return False after the timeout."""
         end = self.clock.now() + within_s
         while self.clock.now() < end:
             if await self.cancel(label, job) == 200:
@@ -65,7 +68,7 @@
         return False
 
     async def query_job_everywhere(self, job: str, times: int = 3) -> None:
-        """Ask all controllers at once for the job's state, repeatedly within milliseconds."""
+        """Query the job's state at all controllers concurrently, repeatedly within milliseconds."""
         async with curio.TaskGroup() as group:
             for n in range(times):
                 for label in list(self.nodes):
@@ -73,11 +76,11 @@
                 await curio.sleep(QUERY_INTERVAL_S * n)
 
     def is_accepted(self, job: str) -> bool:
-        """Whether a controller has confirmed the job's submission."""
+        """Return whether a controller has confirmed the job's submission."""
         return self.checker.jobs[job].accepted is not None
 
     def has_finished(self, job: str, tasks: int) -> bool:
-        """Whether so many of the job's tasks are done."""
+        """Return whether at least `tasks` tasks of the job are done."""
         return len(self.checker.jobs[job].finished) >= tasks
 
     async def _request(
--- a/tests/simulated_worker.py
+++ b/tests/simulated_worker.py
@@ -1,6 +1,6 @@
-"""Simulates a worker as PROTOCOL describes it, and the link on which controllers reach it.
+"""A simulated worker as PROTOCOL describes it, and the link through which controllers reach it.
 
-A worker belongs to a `Region`, sends heartbeats to its controllers, and follows their commands.
+A worker belongs to a `Region`, sends heartbeats to its controllers, and executes their commands.
 """
 
 from dataclasses import dataclass
@@ -17,9 +17,9 @@
 if TYPE_CHECKING:
     from .simulated_region import Region
 
-# how long a message takes from one host to another
+# one-way delay of a message between two hosts
 MESSAGE_DELAY_S = 0.002
-# after so long a worker gives up waiting for a response
+# time after which a worker stops waiting for a response
 RESPONSE_TIMEOUT_S = 4.0
 RETRY_S = 1.0
 REDIRECT_S = 0.2
@@ -42,7 +42,7 @@
         await curio.sleep(MESSAGE_DELAY_S)
         if worker.inbound_lost or worker.is_frozen:
             if worker.is_frozen:
-                # carried out when the worker resumes, if token and session still match
+                # executed when the worker resumes, if token and session still match
                 worker.delayed_commands.append(load_object(body))
             await curio.sleep(timeout_s)
             raise NoResponseError(path)
@@ -51,7 +51,14 @@
 
 @dataclass
 class Task:
-    """A task on a worker: its attempt, its state and since when, and the cause of its end."""
+    """A task on a worker.
+
+    Attributes:
+        attempt: The number of the attempt.
+        state: The reported state, "running" or "exited".
+        since: The time of the start, in seconds.
+        cause: The cause of the end; empty while the task runs.
+    """
 
     attempt: int
     state: str
@@ -60,26 +67,26 @@
 
 
 class Worker:
-    """A machine's worker; images are loaded at once and tasks run for as long as their job says."""
+    """A machine's worker; images load without delay and tasks run for their job's `run_s`."""
 
     def __init__(self, region: "Region", machine: str, number: int, zone: str) -> None:
         self.region, self.machine, self.number, self.zone = region, machine, number, zone
         self.session, self.seq, self.token = 1, 0, 0
         self.tasks: dict[tuple[str, int], Task] = {}
         self.lease_renewed_at = region.clock.now()
-        # faults: responses and commands to it are lost; its heartbeats are lost; its process runs
-        # nothing, and commands that arrive meanwhile are carried out when it resumes
+        # faults: responses and commands to the worker are lost; its heartbeats are lost; its
+        # process is frozen, and commands that arrive in the meantime are executed when it resumes
         self.inbound_lost: bool = False
         self.heartbeats_lost: bool = False
         self.is_frozen: bool = False
-        # the machine was released
+        # whether the machine was released
         self.is_terminated: bool = False
         self.target_index = 0
         self.sent_heartbeats: list[bytes] = []
         self.delayed_commands: list[dict[str, Any]] = []
-        # in how long the cloud takes the machine away; nothing is placed on it meanwhile
+        # remaining seconds until the cloud reclaims the machine; controllers place nothing on it
         self.notice_s: float | None = None
-        # the commands that it got: when, in which session, what
+        # received commands: time in seconds, session, decoded command
         self.orders: list[tuple[float, int, dict[str, Any]]] = []
 
     def terminate(self) -> None:
@@ -155,7 +162,7 @@
         return status, answer
 
     def handle_commands(self, data: dict[str, Any]) -> tuple[int, bytes]:
-        """Take commands at the worker's own address; 409 if token or session are outdated."""
+        """Execute commands from a controller; respond 409 if token or session is outdated."""
         self._advance_tasks()
         if data["warrant"] < self.token or data["shift"] != self.session:
             return 409, self._report()
--- a/tests/stepped_controller.py
+++ b/tests/stepped_controller.py
@@ -1,6 +1,6 @@
-"""Controllers over the fake services, stepped by hand under a clock that only the test moves.
+"""Controllers on fake services, which tests run step by step under a clock that they advance.
 
-`SteppedController` wires a controller as crossmill/app.py does, without sockets. `run_scenario`
+`SteppedController` assembles a controller as crossmill/app.py does, without sockets. `run_scenario`
 runs a test's coroutine with a new state service and clock.
 """
 
@@ -46,12 +46,12 @@
 from .fake_cloud import CATALOG, CloudService
 from .fake_state_service import StateService
 
-# what a job record may take under the settings' limits of today
+# maximum size of a job record under the limits of `make_settings`, in bytes
 MAX_RECORD_BYTES = make_settings().state_limits.record_bytes
 
 
 class InMemoryPeerLink:
-    """The link to a peer's handler; a peer that is unreachable fails the connection."""
+    """A link to a peer's handler; the connection to an unreachable peer fails."""
 
     def __init__(self, nodes: dict[str, "SteppedController"], label: str) -> None:
         self._nodes = nodes
@@ -60,7 +60,7 @@
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
-        """Let the peer handle the request at once."""
+        """Let the peer handle the request without delay."""
         node = self._nodes.get(self._label)
         if node is None or node.is_unreachable:
             raise ConnectionFailedError(self._label)
@@ -69,10 +69,10 @@
 
 
 class ScriptedWorkerLink:
-    """The link to a worker's own address; its response to commands is scripted.
+    """A link to a worker's own address, with scripted responses to commands.
 
-    `sent` keeps the decoded bodies. `answer` makes the response, or is the error to raise; without
-    it the connection fails.
+    `sent` holds the decoded request bodies. `answer` makes the response from a request body, or is
+    the error to raise; if it is None, the connection fails.
     """
 
     def __init__(self) -> None:
@@ -82,23 +82,23 @@
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
-        """Keep the request's body and answer as scripted."""
+        """Store the request's body and respond as scripted."""
         data = load_object(body)
         self.sent.append(data)
         if isinstance(self.answer, Exception):
             raise self.answer
         if self.answer is None:
-            raise ConnectionFailedError("nobody")
+            raise ConnectionFailedError("the worker is unreachable")
         return self.answer(data)
 
 
 class SteppedController:
-    """A controller whose parts are made as in production and run only as a test steps them.
+    """A controller assembled as in production, whose parts run only when a test calls them.
 
-    `nodes` holds all controllers of the test by label; the new one is added to it.
+    `nodes` holds all controllers of the test by label; the constructor adds the new one.
     """
 
-    def __init__(  # noqa: PLR0913 - each is what some test replaces
+    def __init__(  # noqa: PLR0913 - tests replace each of them
         self,
         state: HttpClient,
         clock: FakeClock,
@@ -116,7 +116,7 @@
         self.mirror = Mirror()
         self.cluster = ClusterState(self.mirror, s)
         self.watcher = StateWatcher(self.client, self.mirror, clock, keys.ROOT, s)
-        # the clock does not move while it waits
+        # the clock does not advance while the watcher waits
         self.watcher._pause_s = 0.0
         self.writer = Writer(self.client, self.mirror, clock, s, lambda: self.cluster.limits)
         self.controller_lease = ControllerLease(self.client, clock, s)
@@ -192,13 +192,13 @@
         await self.membership.step()
 
     async def renew_and_sync(self) -> None:
-        """Renew the lease and read the state, as a running controller does all the time."""
+        """Renew the lease and synchronise the state, as a running controller does continually."""
         await self.controller_lease.step()
         if not self.controller_lease.is_failing:
             await self.watcher.sync(1.0)
 
     async def sync(self) -> None:
-        """Read the state up to now."""
+        """Read all changes that the state service has committed so far."""
         assert await self.watcher.sync(1.0)
 
     async def round(self, shard: int = 0) -> None:
@@ -215,24 +215,24 @@
     def report(
         self, machine: str, session: int, seq: int, token: int, *tasks: Any
     ) -> HeartbeatResponse:
-        """Deliver a worker's heartbeat with status."""
+        """Deliver a heartbeat with the worker's task statuses and return the response."""
         body = load_object(heartbeat_body(machine, session, seq, token, *tasks))
         report = parse_heartbeat(body, self.heartbeats.read_task_status)
         return self.heartbeats.handle(report)
 
     def handle_peer_request(self, request: Request) -> Response:
-        """Answer another controller's request, as the listener for peers routes it."""
+        """Handle another controller's request, as the listener for peers routes it."""
         if request.path in (peers.ATTESTATION_PATH, peers.CANCELLATION_PATH):
             return self.partition_protocol.handle(request)
         return self.lease_extensions.handle(request)
 
     async def send_user_request(self, method: str, path: str, body: bytes = b"") -> Response:
-        """Send a user's request."""
+        """Send a request to the users' interface."""
         return await self.jobs.handle(Request(method, path, body))
 
 
 def seed(state: StateService, clock: FakeClock, machines: int = 2, shard: int = 0) -> None:
-    """Store a catalog and machines that a leader has rented."""
+    """Store a catalog and the records of rented machines."""
     state.put(keys.CATALOG, stored_catalog(parse_catalog(CATALOG)))
     for number in range(machines):
         add_machine(state, clock, f"n-{number}", shard)
@@ -256,7 +256,7 @@
 
 
 def add_job(state: StateService, clock: FakeClock, **changes: Any) -> str:
-    """Store an accepted job's record and return the job's id."""
+    """Store an accepted job's record and return the job's ID."""
     spec = make_spec(**changes)
     value = load_object(orjson.dumps(encode_job(spec, clock.wall_time())))
     state.put(keys.job(spec.id), value)
@@ -266,7 +266,7 @@
 def run_scenario(
     scenario: Callable[[StateService, FakeClock, dict[str, SteppedController]], Awaitable[None]],
 ) -> None:
-    """Run a scenario with a new state service, a new clock and no controllers yet."""
+    """Run a scenario with a new state service, a new clock and no controllers."""
     state, clock = StateService(), FakeClock()
     curio.run(scenario, state, clock, {})
 
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -1,4 +1,4 @@
-"""Random faults from fixed seeds break no rule of the protocol."""
+"""Random faults from fixed seeds violate no rule of the protocol."""
 
 import random
 from typing import Any
@@ -37,9 +37,10 @@
 
 @pytest.mark.parametrize("seed_number", range(4))
 def test_random_faults_with_services_at_the_teams_limit(seed_number: int) -> None:
-    """Services at a team's limit, preemption and bursts of cancellations meet random faults.
+    """Random faults violate no rule while services reach a team's limit.
 
-    Zones are cut off and all controllers end, as drawn from a fixed seed.
+    There are preemptions and bursts of cancellations too. Among the faults, which are drawn from a
+    fixed seed, are partitioned zones and the restart of all controllers.
     """
 
     async def scenario(region: Region) -> None:
@@ -50,15 +51,15 @@
         users = await curio.spawn(_submit_and_cancel_services, region, random.Random(seed_number))
         for _ in range(8):
             await curio.sleep(rng.uniform(2.0, 9.0))
-            kind = rng.choice(["zone", "all", "other", "other", "heal"])
-            if kind == "zone":
+            kind = rng.choice(["partition", "restart all", "other", "other", "clear"])
+            if kind == "partition":
                 north = rng.choice([True, False])
                 for label in ("node-0",) if north else ("node-1", "node-2"):
                     region.isolate(label)
                 region.can_reach = lambda worker, label: (
                     label in region.nodes and (label == "node-0") == (worker.zone == "north")
                 )
-            elif kind == "all":
+            elif kind == "restart all":
                 labels = list(region.nodes)
                 for label in labels:
                     await region.kill(label)
@@ -66,7 +67,7 @@
                 for label in labels:
                     await region.start(label)
                     await curio.sleep(rng.choice([0.1, 1.5]))
-            elif kind == "heal":
+            elif kind == "clear":
                 clear_faults(region)
             else:
                 await inject_random_fault(region, rng)
@@ -108,6 +109,6 @@
             await submit(job, at, fields)
             if rng.random() < 0.6:
                 await curio.sleep(rng.uniform(0.0, 3.0))
-                gone = f"wk-{900000 + rng.randint(max(0, n - 4), n)}"
-                await group.spawn(cancel, gone, at)
+                cancelled = f"wk-{900000 + rng.randint(max(0, n - 4), n)}"
+                await group.spawn(cancel, cancelled, at)
             await curio.sleep(rng.uniform(0.0, 2.5))
--- a/tests/test_random_faults_at_limits.py
+++ b/tests/test_random_faults_at_limits.py
@@ -1,8 +1,7 @@
 """Randomised scenarios with small limits, which have the effects of a large fleet.
 
-Reads take many pages, changes are no longer kept, jobs are archived soon after their end,
-controllers
-freeze, and shards change owner often; there are pipelines and cancellations too.
+Reads take many pages, the history of changes is short, jobs are archived soon after their end,
+controllers freeze, and shards change owner often. There are pipelines and cancellations too.
 """
 
 import random
@@ -46,8 +45,8 @@
 
 async def _run_user(region: Region, rng: random.Random, job: str) -> None:
     facts = region.checker.jobs[job]
-    for need in facts.dependencies():
-        await region.wait_until(lambda need=need: region.is_accepted(need), 900.0)  # type: ignore[misc]
+    for dependency in facts.dependencies():
+        await region.wait_until(lambda name=dependency: region.is_accepted(name), 900.0)  # type: ignore[misc]
     await _retry_until_confirmed(region, rng, job, cancel=False)
     if rng.random() < 0.3:
         await curio.sleep(rng.choice([0.0, 1.0, 4.0, 12.0]))
@@ -62,13 +61,13 @@
             if job in region.checker.jobs:
                 continue
             recent = [name for name in names[-8:] if region.is_accepted(name)]
-            needs = rng.sample(recent, min(len(recent), rng.choice([0, 0, 1, 1, 2])))
+            dependencies = rng.sample(recent, min(len(recent), rng.choice([0, 0, 1, 1, 2])))
             region.expect(
                 job,
                 rng.choice([1.0, 3.0, 8.0, 20.0]),
                 sacks=rng.choice([1, 1, 2, 4]),
                 crew=TEAMS[number % 3],
-                awaits=needs,
+                awaits=dependencies,
             )
             names.append(job)
             await group.spawn(_run_user, region, rng, job)
@@ -84,18 +83,18 @@
 
 
 async def _inject_fault(region: Region, rng: random.Random) -> None:
-    """Inject a fault that keeps a controller from seeing changes, or any other fault."""
+    """Inject a fault that delays a controller's view of changes, or any other fault."""
     label = rng.choice(region.LABELS)
-    kind = rng.choice(["unseen", "still", "compact", "lost", "other", "other"])
-    if kind == "unseen":
+    kind = rng.choice(["refuse state", "freeze", "compact", "cut from state", "other", "other"])
+    if kind == "refuse state":
         region.refused_requests[label] = lambda method, path: True
         await curio.sleep(rng.uniform(4.0, 40.0))
         region.refused_requests.pop(label, None)
-    elif kind == "still":
+    elif kind == "freeze":
         region.frozen_until[label] = region.clock.now() + rng.choice([1.0, 3.0, 8.0, 25.0])
     elif kind == "compact":
         region.state.compact()
-    elif kind == "lost":
+    elif kind == "cut from state":
         region.cut_from_state.add(label)
         await curio.sleep(rng.uniform(2.0, 20.0))
         region.cut_from_state.discard(label)
@@ -104,7 +103,7 @@
 
 
 async def _check_all_ended(region: Region) -> None:
-    """Wait until every accepted job has ended and every controller says so."""
+    """Wait until every controller reports the end of every accepted job."""
     for job in [job for job in region.checker.jobs if region.is_accepted(job)]:
         for label in list(region.nodes):
             for _ in range(MAX_ATTEMPTS):
@@ -114,11 +113,11 @@
                     break
                 await curio.sleep(1.0)
             else:
-                raise AssertionError(f"{job} is not over at {label}")
+                raise AssertionError(f"{job} has not ended at {label}")
 
 
 def run_random_scenario(seed_number: int, monkeypatch: pytest.MonkeyPatch) -> Region:
-    """Run the scenario that the seed draws."""
+    """Run the random scenario of a seed and return its region."""
     monkeypatch.setattr(Settings, "max_ended_jobs", MAX_ENDED_JOBS)
     state = StateService(KEPT_CHANGES)
     state.page_items = PAGE_ITEMS
@@ -136,14 +135,14 @@
             await _inject_fault(region, rng)
         clear_faults(region)
         region.frozen_until.clear()
-        # silent machines were given up meanwhile, and nobody rents any here
+        # machines without heartbeats may have been retired, and no provisioner replaces them
         for shard in range(3):
             await region.add_worker(f"n-{shard}9", shard=shard)
         await users.join()
         await _check_all_ended(region)
         await poller.cancel()
         archived = [name for name in region.state.keys if name.startswith(keys.ARCHIVE)]
-        assert archived, "nothing was archived"
+        assert archived, "no job was archived"
 
     return simulate(scenario, state)
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""Work of a controller with a thousand machines is counted, never timed."""
+"""Cost of a controller's work for a large fleet, checked by counting calls, not by timing."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -39,7 +39,7 @@
 
 @pytest.fixture(autouse=True)
 def _large_team(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The one team is guaranteed all GPUs, and may use more."""
+    """Guarantee all GPUs to the only team, which may use more."""
     teams = (Team("red", 0.0, 0.0, 1.0 * MACHINES * GPUS_PER_MACHINE, 0.0),)
     monkeypatch.setattr(
         stepped_controller,
@@ -49,7 +49,7 @@
 
 
 def _refuse_iteration(index: object) -> Any:
-    raise AssertionError("all were looked at")
+    raise AssertionError("the index was iterated")
 
 
 def _count(monkeypatch: pytest.MonkeyPatch, counts: Counter[str], owner: Any, name: str) -> None:
@@ -65,9 +65,10 @@
 def test_a_round_checks_each_machines_free_capacity_once_for_similar_jobs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Free capacity is not compared with each waiting job by itself.
+    """Free capacity is compared once for similar waiting jobs, not once for each of them.
 
-    That took a fifth of a controller's time, and the team's earlier jobs two fifths.
+    The comparisons for each job took a fifth of a controller's time, and those for the team's
+    earlier jobs two fifths.
     """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
@@ -117,7 +118,7 @@
         await node.boot()
         pages = [path for _, path in state.received_requests if path == "/keys"]
         assert len(pages) <= stored // 1000 + 1
-        # each shard's key and the counter of tokens, this controller's own key and the leader's
+        # each shard's key and the token counter, this controller's own key and the leader key
         assert state.applied_change_count <= 2 * node.settings.controller_count + 2
         assert (
             sum(j.planned_task_count() for j in node.cluster.jobs.values())
@@ -162,7 +163,8 @@
 
 
 def test_a_burst_of_submissions_may_exceed_the_controllers_write_rate() -> None:
-    # guards against a pipeline's stages, submitted one after the other, taking a second each
+    # guards against a delay of a second for each of a pipeline's stages, which are submitted one
+    # after the other
     async def scenario(
         state: StateService, clock: FakeClock, nodes: dict[str, SteppedController]
     ) -> None:
@@ -174,7 +176,7 @@
         for intent in intents:
             await node.writer.submit(intent)
         assert [await i.future.wait(1.0) for i in intents] == [WriteResult.OK] * 5
-        # lesser writes wait until the debt is paid
+        # writes of lower rank wait until the token bucket is no longer overdrawn
         late = WriteIntent(Txn({}, [Put("cm/x/late", 0)]))
         await node.writer.submit(late)
         assert await late.future.wait(0.05) is None
@@ -183,24 +185,25 @@
 
 
 def test_a_round_writes_urgent_chunks_first_and_keeps_to_the_write_rate() -> None:
-    # guards against rounds of many seconds: the next stage of a pipeline waits for each
-    def outcomes(number: int, attempts: int, why: str = "done") -> ChunkOutcomes:
+    # guards against rounds of many seconds: the next stage of a pipeline starts only after a round
+    def outcomes(number: int, attempts: int, reason: str = "done") -> ChunkOutcomes:
         attempt = PlannedAttempt(f"wk-{number:06d}", 0, 1, "n-0", 1)
         chunk = PlanChunk(2, 0, {i: attempt for i in range(attempts)})
         return ChunkOutcomes(
-            Job(attempt.job), "0", chunk, [AttemptOutcome(attempt, EndReason(why), term=1)]
+            Job(attempt.job), "0", chunk, [AttemptOutcome(attempt, EndReason(reason), term=1)]
         )
 
     many = [outcomes(number, 9) for number in range(20)]
     last, failed = outcomes(90, 1), outcomes(91, 9, "error")
     assert select_batches(many[:3], 4) == many[:3]
     assert select_batches([*many, last, failed], 4) == [last, failed, *many[:2]]
-    # some progress even where all is urgent
+    # even if urgent outcomes take the whole limit, one batch of the others is written
     assert select_batches([*many, last, failed], 1) == [last, failed, many[0]]
 
 
 def test_a_shard_release_is_written_before_queued_submissions() -> None:
-    # guards against a shard that nobody acts for while cancellations queue up before its key
+    # guards against a shard without an acting controller while queued cancellations are written
+    # before the shard's key
     async def scenario(
         state: StateService, clock: FakeClock, nodes: dict[str, SteppedController]
     ) -> None:
@@ -228,8 +231,8 @@
 def test_a_round_recomputes_free_capacity_only_for_changed_machines(
     machines: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # guards against recomputing the whole fleet's free capacity in each round: a quarter of its
-    # time
+    # guards against recomputing the whole fleet's free capacity in each round, which took a quarter
+    # of the round's time
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         full_fleet(state, clock, machines)
         add_job(state, clock, nameId="wk-900000", grist="batch")
@@ -243,7 +246,7 @@
         counts.clear()
         await node.round()
         assert counts["free_capacity"] == 0
-        # one task of one job ends: its machine alone is looked at anew
+        # one task of one job ends: only the free capacity of its machine is recomputed
         rows = {
             i: PlannedAttempt("wk-000000", i, i + 1, f"n-{i // GPUS_PER_MACHINE}", 1)
             for i in range(1, 16)
@@ -251,7 +254,7 @@
         state.put(keys.plan("wk-000000", "0"), encode_chunk(PlanChunk(17, 1, rows)))
         await node.sync()
         await node.round()
-        # of what is planned onto it in that round the next one learns
+        # the next round takes account of the attempts that this round plans on the machine
         assert counts["free_capacity"] == 1
 
     run_scenario(scenario)
@@ -260,8 +263,8 @@
 def test_repeated_heartbeats_of_four_thousand_machines_are_served_from_caches(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # guards against bounds of kept requests and tasks below the largest fleet: each pass over it
-    # would then drop what the next one needs
+    # guards against caches of request heads and task statuses that are smaller than the largest
+    # fleet: each pass over the machines would evict the entries that the next pass needs
     machines, tasks = 4000, 10_000
     settings = make_settings()
     heads = RequestHeadCache(settings.max_cached_request_heads)
@@ -277,7 +280,7 @@
             1,
             *(reported_task("wk-1", i, 1, "running") for i in task_range(machine)),
         )
-        # each worker's head differs: it comes by an address of its own
+        # each worker's request head differs: its target names the machine
         target = f"/agent/beat?machine={machine}"
         request = h11.Request(
             method="POST",
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -1,7 +1,7 @@
-"""Runs coroutines under virtual time, so that nothing waits in real time.
+"""Virtual time for coroutines, so that a wait takes no real time.
 
-When every task sleeps, the clock jumps to the next wake-up; a scenario has the same result on every
-machine.
+When all tasks sleep, the clock advances to the next wake-up. A scenario has the same result on
+every machine.
 """
 
 import logging
@@ -20,7 +20,7 @@
 
 
 class VirtualTime(selectors.BaseSelector):
-    """A clock and selector for curio's kernel; waiting moves the clock."""
+    """A clock and selector for curio's kernel; a wait advances the clock."""
 
     def __init__(self, clock: FakeClock) -> None:
         self._clock = clock
@@ -31,12 +31,12 @@
         return self._clock.time
 
     def register(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
-        """Keep the file; it never becomes ready."""
+        """Register a file; it never becomes ready."""
         self._files[fileobj] = selectors.SelectorKey(fileobj, 0, events, data)
         return self._files[fileobj]
 
     def unregister(self, fileobj: Any) -> selectors.SelectorKey:
-        """Drop the file."""
+        """Unregister a file."""
         return self._files.pop(fileobj)
 
     def get_key(self, fileobj: Any) -> selectors.SelectorKey:
@@ -48,10 +48,10 @@
         return self._files
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        """Move the clock by the timeout; no file is ever ready."""
+        """Advance the clock by the timeout; no file is ever ready."""
         assert timeout is not None, "every task waits without a timeout"
-        # a little even when something is ready: a wait too short for the clock to show it would
-        # otherwise never end
+        # the clock advances by a minimum step even if a task is ready: a wait shorter than the
+        # resolution of the clock's float would otherwise never end
         self._clock.time += max(MIN_STEP_S, timeout)
         return []
 
@@ -60,9 +60,10 @@
 def run_with_freezes(
     loop: Coroutine[Any, Any, None], until: Callable[[], float], clock: FakeClock
 ) -> Generator[Any, Any, None]:
-    """Run a controller's loop so that it can freeze between any two awaits.
+    """Run a controller's loop that can be frozen at any await.
 
-    What it waited for arrives and its clock runs on, but it continues only after `until()`.
+    While the loop is frozen, its pending operation completes and the clock advances, but the loop
+    continues only at the time that `until` returns.
     """
     step: Callable[[], Any] = lambda: loop.send(None)  # noqa: E731
     while True:
@@ -84,21 +85,21 @@
 
 
 class ErrorCollector(logging.Handler):
-    """Collects errors that curio only logs, as when a daemon task fails."""
+    """Collects errors that curio only logs, such as the failure of a daemon task."""
 
     def __init__(self) -> None:
         super().__init__(logging.ERROR)
         self.messages: list[str] = []
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Keep the record's message."""
+        """Store the record's message."""
         self.messages.append(record.getMessage())
 
 
 def run_under_virtual_time(
     clock: FakeClock, scenario: Callable[[], Coroutine[Any, Any, None]]
 ) -> None:
-    """Run a scenario whose waits cost no real time; an error in any of its tasks fails it."""
+    """Run a scenario under virtual time; fail if any of its tasks fails."""
     virtual = VirtualTime(clock)
     kernel_time, errors = curio.kernel.time, ErrorCollector()
     logging.getLogger("curio").addHandler(errors)
