--- a/tests/fake_cloud.py
+++ b/tests/fake_cloud.py
@@ -43,9 +43,12 @@
     """
 
     def __init__(self) -> None:
+        # the rental request of each machine, by machine ID
         self.machines: dict[str, dict[str, Any]] = {}
+        # machine IDs by the name of the rental request
         self.machines_by_request: dict[str, list[str]] = {}
         self.scripted_faults: list[str] = []
+        # the machines in the response to a listing
         self.listed_machines: list[dict[str, Any]] = []
         self.released: list[str] = []
         self.down = False
--- a/tests/fake_state_service.py
+++ b/tests/fake_state_service.py
@@ -24,15 +24,19 @@
 
     def __init__(self, kept_changes: int = KEPT_CHANGES) -> None:
         self.revision = 0
+        # value, version and lease ID by key
         self.keys: dict[str, tuple[Any, int, int | None]] = {}
         self.leases: set[int] = set()
+        # revision, key and new value of each kept change; None as value is a deletion
         self.changes: deque[tuple[int, str, Any]] = deque(maxlen=kept_changes)
         self.page_items = PAGE_ITEMS
         # the last revision whose change is no longer kept
         self._compacted_revision = 0
         self.down = False
+        # method and path of each request
         self.received_requests: list[tuple[str, str]] = []
         self.scripted_faults: dict[str, list[str]] = {}
+        # number of keys written or deleted by transactions
         self.applied_change_count = 0
         self.limits = StateLimits(100.0, 60.0, 32 * 1024, 20)
         # number of transactions refused because of their size
--- a/tests/fault_injection.py
+++ b/tests/fault_injection.py
@@ -38,7 +38,7 @@
 ) -> None:
     """Withhold the response of every `number`th transaction for the given time.
 
-    The transaction is executed without delay, or after `delay_s` and a few more seconds.
+    The transaction is executed without delay, or `delay_s` and up to four seconds later.
     """
     end, count = region.clock.now() + for_s, 0
 
@@ -69,17 +69,17 @@
 
 
 async def _submit_single_task_job(region: Region, label: str, job: str, cancel: bool) -> None:
-    async def anywhere(call: Callable[[str], Awaitable[int]]) -> None:
+    async def retry_anywhere(call: Callable[[str], Awaitable[int]]) -> None:
         for n in range(60):
             labels = list(region.nodes)
             if labels and await call(labels[n % len(labels)]) in (200, 201):
                 return
             await curio.sleep(1.0)
 
-    await anywhere(lambda at: region.submit(at, job, run_s=3.0, sacks=1, cards=1.0))
+    await retry_anywhere(lambda at: region.submit(at, job, run_s=3.0, sacks=1, cards=1.0))
     if cancel:
         await curio.sleep(1.5)
-        await anywhere(lambda at: region.cancel(at, job))
+        await retry_anywhere(lambda at: region.cancel(at, job))
 
 
 async def wait_until_all_ended(region: Region, within_s: float = 90.0) -> None:
--- a/tests/invariant_checker.py
+++ b/tests/invariant_checker.py
@@ -48,7 +48,9 @@
     def __init__(self, region: "Region") -> None:
         self._region = region
         self.jobs: dict[str, JobFacts] = {}
+        # starts of tasks: time in seconds, job ID, task index, machine
         self.starts: list[tuple[float, str, int, str]] = []
+        # number of starts after the job's cancellation was confirmed
         self.late_starts = 0
         self.violations: list[str] = []
 
@@ -63,10 +65,10 @@
         self._check_dependencies_done(key[0])
         for other in self._region.workers.values():
             task = other.tasks.get(key)
-            alive = (
+            is_alive = (
                 other is not worker and other.lease_renewed_at + self._region.worker_lease_s >= now
             )
-            if alive and task is not None and task.state != "exited":
+            if is_alive and task is not None and task.state != "exited":
                 self.report_violation(f"ran_twice {key} {worker.machine} {other.machine}")
         if facts.cancelled is not None:
             self.late_starts += 1
@@ -93,14 +95,14 @@
 
     def _check_cancelled_dependencies(self, job: str, stage: str, requested_at: float) -> None:
         """Check that no job is reported as active long after a dependency was cancelled."""
-        for before in self._all_dependencies(job):
-            confirmed = self.jobs[before].cancelled
-            late = (
+        for dependency in self._all_dependencies(job):
+            confirmed = self.jobs[dependency].cancelled
+            is_overdue = (
                 confirmed is not None
                 and requested_at - confirmed > self._region.cancellation_deadline_s
             )
-            if late and stage in ("queued", "running"):
-                self.report_violation(f"orphaned {job}: {stage}, {before} is cancelled")
+            if is_overdue and stage in ("queued", "running"):
+                self.report_violation(f"orphaned {job}: {stage}, {dependency} is cancelled")
 
     def check(self) -> None:
         """Check the tasks on all workers and the teams' quotas."""
@@ -148,7 +150,7 @@
     def _check_unplanned(self) -> None:
         """Check that every running task has a durable planned attempt.
 
-        No controller has a record of any other task.
+        Controllers do not know of a running task without one.
         """
         planned = self._planned_attempts()
         for worker in self._live_workers():
@@ -174,10 +176,10 @@
         if facts.done is not None and stage != "done":
             self.report_violation(f"went_back {job}: {stage} after done")
         if stage == "withdrawn":
-            asked = any(
+            is_requested = any(
                 self.jobs[x].cancellation_requested for x in (job, *self._all_dependencies(job))
             )
-            if not asked:
+            if not is_requested:
                 self.report_violation(f"went_back {job}: no user cancelled it")
             facts.cancelled = facts.cancelled if facts.cancelled is not None else now
         elif stage == "done":
--- a/tests/measure_recovery.py
+++ b/tests/measure_recovery.py
@@ -96,7 +96,7 @@
 
 def _put_job(region: RecoveryRegion, job: str, team: str, workers: list[Worker]) -> None:
     fields = {"crew": team, "sacks": len(workers), "cards": 0.0, "cpus": 1.0, "ramGb": 1.0}
-    spec = parse_spec(region.expect(job, None, **fields))
+    spec = parse_spec(region.register_job(job, None, **fields))
     region.checker.jobs[job].accepted = region.clock.now()
     layout = region.nodes["node-0"].cluster.layout
     by_chunk: dict[str, dict[int, PlannedAttempt]] = {}
@@ -148,7 +148,9 @@
         await curio.sleep(outage_s)
         await region.start_all(draw.uniform(0.0, 0.5))
         times = await _measure_times(region, ended_at)
-        orders = [(at, o["verb"]) for w in region.workers.values() for at, _, o in w.orders]
+        orders = [
+            (at, o["verb"]) for w in region.workers.values() for at, _, o in w.received_commands
+        ]
         seconds = Counter(int(at) for at, _ in orders)
         left = sum(len(worker.tasks) for worker in region.workers.values())
         results.append(
@@ -157,7 +159,11 @@
                 round(outage_s, 2),
                 *times,
                 dict(Counter(verb for _, verb in orders)),
-                sum(len(w.orders) for w in region.workers.values() if w.machine not in affected),
+                sum(
+                    len(w.received_commands)
+                    for w in region.workers.values()
+                    if w.machine not in affected
+                ),
                 max(seconds.values(), default=0),
                 max(0, tasks + unplanned - left),
                 len(region.state.received_requests) - calls,
--- a/tests/recovery_region.py
+++ b/tests/recovery_region.py
@@ -165,19 +165,23 @@
     def orders(self, workers: Iterable[Worker] | None = None) -> dict[str, list[str]]:
         """Returns the verbs of the orders by worker; workers without orders are left out."""
         chosen = self.workers.values() if workers is None else workers
-        return {w.machine: [o[2]["verb"] for o in w.orders] for w in chosen if w.orders}
+        return {
+            w.machine: [o[2]["verb"] for o in w.received_commands]
+            for w in chosen
+            if w.received_commands
+        }
 
     def clear_orders(self) -> None:
         """Forgets the orders that workers got so far."""
         for worker in self.workers.values():
-            worker.orders.clear()
+            worker.received_commands.clear()
 
     def stop_times(self, since: float) -> list[float]:
         """Returns when workers got orders to stop tasks."""
         return [
             at
             for worker in self.workers.values()
-            for at, _, order in worker.orders
+            for at, _, order in worker.received_commands
             if order["verb"] == "kill" and at >= since
         ]
 
--- a/tests/simulated_region.py
+++ b/tests/simulated_region.py
@@ -50,7 +50,7 @@
         self._tasks: dict[str, list[curio.Task]] = {}
         self.workers: dict[str, Worker] = {}
         self.checker = InvariantChecker(self)
-        self._provisions = False
+        self._runs_provisioners = False
         self._process_count = 0
         # delay of every request to the state service, in seconds
         self.state_delay_s = 0.0
@@ -133,7 +133,7 @@
             node.record_repair.run,
             *self.extra_loops(node),
         ]
-        if self._provisions:
+        if self._runs_provisioners:
             loops.append(node.provisioner.run)
         self._tasks[label] = [
             await curio.spawn(self._run_loop, label, loop, daemon=True) for loop in loops
@@ -159,7 +159,7 @@
 
     async def run_provisioners(self) -> None:
         """Start the provisioners; a rented machine boots within about a second."""
-        self._provisions = True
+        self._runs_provisioners = True
         for label, node in self.nodes.items():
             self._tasks[label].append(await curio.spawn(node.provisioner.run, daemon=True))
         await curio.spawn(self._run_cloud, daemon=True)
--- a/tests/simulated_users.py
+++ b/tests/simulated_users.py
@@ -34,7 +34,7 @@
         """Return whether the controller's process is frozen now."""
         raise NotImplementedError
 
-    def expect(self, job: str, run_s: float | None = None, **fields: Any) -> dict[str, Any]:
+    def register_job(self, job: str, run_s: float | None = None, **fields: Any) -> dict[str, Any]:
         """Register a job with the invariant checker and return its submission.
 
         A job without `run_s` is a service, which runs until it is cancelled.
@@ -46,7 +46,7 @@
 
     async def submit(self, label: str, job: str, run_s: float | None = None, **fields: Any) -> int:
         """Submit a job at a controller and return the response's status."""
-        spec = self.expect(job, run_s, **fields)
+        spec = self.register_job(job, run_s, **fields)
         return await self._request(label, job, "POST", "/v1/jobs", orjson.dumps(spec))
 
     async def query_job(self, label: str, job: str) -> int:
--- a/tests/simulated_worker.py
+++ b/tests/simulated_worker.py
@@ -87,7 +87,7 @@
         # remaining seconds until the cloud reclaims the machine; controllers place nothing on it
         self.notice_s: float | None = None
         # received commands: time in seconds, session, decoded command
-        self.orders: list[tuple[float, int, dict[str, Any]]] = []
+        self.received_commands: list[tuple[float, int, dict[str, Any]]] = []
 
     def terminate(self) -> None:
         """End the machine and all tasks on it."""
@@ -158,7 +158,7 @@
         self._advance_tasks()
         if status == 200 and session == self.session and answer["warrant"] >= self.token:
             self.token, self.lease_renewed_at = answer["warrant"], sent
-            self._apply_orders(answer["orders"])
+            self._execute_commands(answer["orders"])
         return status, answer
 
     def handle_commands(self, data: dict[str, Any]) -> tuple[int, bytes]:
@@ -167,21 +167,21 @@
         if data["warrant"] < self.token or data["shift"] != self.session:
             return 409, self._report()
         self.token = data["warrant"]
-        self._apply_orders(data["orders"])
+        self._execute_commands(data["orders"])
         return 200, self._report()
 
-    def _apply_orders(self, orders: list[dict[str, Any]]) -> None:
-        for order in orders:
-            self.orders.append((self.region.clock.now(), self.session, order))
-            job, _, index = order["sack"].rpartition("/")
-            key, attempt = (job, int(index)), order["turn"]
+    def _execute_commands(self, commands: list[dict[str, Any]]) -> None:
+        for command in commands:
+            self.received_commands.append((self.region.clock.now(), self.session, command))
+            job, _, index = command["sack"].rpartition("/")
+            key, attempt = (job, int(index)), command["turn"]
             task = self.tasks.get(key)
-            if order["verb"] == "start":
+            if command["verb"] == "start":
                 if task is None:
                     self.tasks[key] = Task(attempt, "running", self.region.clock.now())
                     self.region.checker.check_start(self, key)
             elif task is not None and task.attempt == attempt:
-                if order["verb"] == "reap" and task.state == "exited":
+                if command["verb"] == "reap" and task.state == "exited":
                     del self.tasks[key]
-                elif order["verb"] == "kill" and task.state == "running":
+                elif command["verb"] == "kill" and task.state == "running":
                     task.state, task.cause = "exited", "halted"
--- a/tests/stepped_controller.py
+++ b/tests/stepped_controller.py
@@ -192,7 +192,7 @@
         await self.membership.step()
 
     async def renew_and_sync(self) -> None:
-        """Renew the lease and synchronise the state, as a running controller does continually."""
+        """Renew the lease and read the state's changes, as a running controller does."""
         await self.controller_lease.step()
         if not self.controller_lease.is_failing:
             await self.watcher.sync(1.0)
--- a/tests/test_random_faults_at_limits.py
+++ b/tests/test_random_faults_at_limits.py
@@ -62,7 +62,7 @@
                 continue
             recent = [name for name in names[-8:] if region.is_accepted(name)]
             dependencies = rng.sample(recent, min(len(recent), rng.choice([0, 0, 1, 1, 2])))
-            region.expect(
+            region.register_job(
                 job,
                 rng.choice([1.0, 3.0, 8.0, 20.0]),
                 sacks=rng.choice([1, 1, 2, 4]),
--- a/tests/test_recovery_dry_run.py
+++ b/tests/test_recovery_dry_run.py
@@ -47,9 +47,9 @@
     """Returns the times and verbs of the orders by worker."""
     region = simulate_recovery(_restart_with_differences, recovery, is_unplanned)
     return {
-        worker.machine: [(round(at, 1), order["verb"]) for at, _, order in worker.orders]
+        worker.machine: [(round(at, 1), order["verb"]) for at, _, order in worker.received_commands]
         for worker in region.workers.values()
-        if worker.orders
+        if worker.received_commands
     }
 
 
--- a/tests/test_recovery_unplanned_tasks.py
+++ b/tests/test_recovery_unplanned_tasks.py
@@ -53,7 +53,7 @@
             await curio.sleep(3.0)
             reconnect([affected])
             await curio.sleep(3.0)
-        stop_times = [at for at, _, order in affected.orders if order["verb"] == "kill"]
+        stop_times = [at for at, _, order in affected.received_commands if order["verb"] == "kill"]
         assert len(stop_times) > 0
         rate, burst = settings.worker_orders_per_s, settings.orders_per_worker
         assert rate_violations(stop_times, rate, burst) == []
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -67,8 +67,8 @@
 ) -> None:
     """Free capacity is compared once for similar waiting jobs, not once for each of them.
 
-    The comparisons for each job took a fifth of a controller's time, and those for the team's
-    earlier jobs two fifths.
+    Comparing it with each job took a fifth of a controller's time, and going through the team's
+    earlier jobs took two fifths.
     """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
--- a/tests/trace_adapter.py
+++ b/tests/trace_adapter.py
@@ -245,7 +245,7 @@
     def orders(self) -> Counter[str]:
         """How many orders the workers got, by verb."""
         workers = self._region.workers.values()
-        return Counter(order[2]["verb"] for worker in workers for order in worker.orders)
+        return Counter(order[2]["verb"] for worker in workers for order in worker.received_commands)
 
     def violations(self) -> list[str]:
         """Return the violations that the region's invariant checker reported."""
