--- a/tests/simulated_state.py
+++ b/tests/simulated_state.py
@@ -1,6 +1,6 @@
 """Lease expiry and watches of a simulated region's state service.
 
-`StateService` responds without delay and knows no time: `SimulatedState` expires its leases and
+`StateService` responds without delay and has no clock: `SimulatedState` expires its leases and
 wakes the requests that wait for changes. `Region` runs it, and `StateLink` passes each lease
 request to it.
 """
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -52,7 +52,9 @@
     raise AssertionError("the index was iterated")
 
 
-def _count(monkeypatch: pytest.MonkeyPatch, counts: Counter[str], owner: Any, name: str) -> None:
+def _count_calls(
+    monkeypatch: pytest.MonkeyPatch, counts: Counter[str], owner: Any, name: str
+) -> None:
     real: Callable[..., Any] = getattr(owner, name)
 
     def counted(*args: Any, **kwargs: Any) -> Any:
@@ -79,8 +81,8 @@
         await node.boot()
         report_all(node, MACHINES)
         counts: Counter[str] = Counter()
-        _count(monkeypatch, counts, FreeCapacity, "count_fitting")
-        _count(monkeypatch, counts, Job, "done_task_count")
+        _count_calls(monkeypatch, counts, FreeCapacity, "count_fitting")
+        _count_calls(monkeypatch, counts, Job, "done_task_count")
         await node.round()
         jobs = MACHINES * GPUS_PER_MACHINE // 16 + 300
         assert MACHINES <= counts["count_fitting"] <= 2 * MACHINES
@@ -237,7 +239,7 @@
         full_fleet(state, clock, machines)
         add_job(state, clock, nameId="wk-900000", grist="batch")
         counts: Counter[str] = Counter()
-        _count(monkeypatch, counts, FleetCapacity, "free_capacity")
+        _count_calls(monkeypatch, counts, FleetCapacity, "free_capacity")
         node = SteppedController(state, clock, nodes)
         await node.boot()
         report_all(node, machines)
@@ -270,7 +272,7 @@
     heads = RequestHeadCache(settings.max_cached_request_heads)
     read = cached_task_status_reader(settings.max_cached_task_statuses)
     counts: Counter[str] = Counter()
-    _count(monkeypatch, counts, checks, "one_of")
+    _count_calls(monkeypatch, counts, checks, "one_of")
 
     def report(machine: int) -> None:
         body = heartbeat_body(
@@ -312,7 +314,7 @@
         await node.boot()
         report_all(node, 40, 1)
         counts: Counter[str] = Counter()
-        _count(monkeypatch, counts, checks, "one_of")
+        _count_calls(monkeypatch, counts, checks, "one_of")
         report_all(node, 40, 2)
         assert counts["one_of"] == 0
 
