--- a/crossmill/cli.py
+++ b/crossmill/cli.py
@@ -1,11 +1,11 @@
-"""The command line: parses the arguments and runs the verb that they name."""
+"""The command line: parses the arguments and runs the subcommand."""
 
 import logging
 import os
 import sys
 from typing import TYPE_CHECKING, NamedTuple
 
-from .lazy_imports import defer_unused
+from .lazy_imports import defer_unused_imports
 from .settings import Settings, SettingsError, load
 
 if TYPE_CHECKING:
@@ -14,45 +14,45 @@
     from .multihost.settings import MultihostSettings
     from .recovery.settings import RecoverySettings
 
-FAILED = 1
-BAD_USAGE = 2
+EXIT_FAILURE = 1
+EXIT_USAGE_ERROR = 2
 SERVE_OPTIONS = frozenset({"--config", "--multihost", "--recovery"})
-LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
+LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
 def _configure_logging() -> str | None:
-    """Sets logging up as LOG_LEVEL says; returns its value if it names no level."""
+    """Configure logging from LOG_LEVEL; return the variable's value if it is invalid, else None."""
     name = os.environ.get("LOG_LEVEL", "info").lower()
     logging.basicConfig(
-        level=LEVELS.get(name, logging.INFO),
+        level=LOG_LEVELS.get(name, logging.INFO),
         format="%(asctime)s %(levelname)s %(name)s %(message)s",
         stream=sys.stderr,
     )
     logging.getLogger("curio").setLevel(logging.ERROR)
-    return None if name in LEVELS else name
+    return None if name in LOG_LEVELS else name
 
 
 def _add_label_to_log_lines(label: str) -> None:
-    """Puts the controller's label into every line, so that several logs can be read together."""
+    """Add the controller's label to every log line, so that logs can be merged."""
     for handler in logging.getLogger().handlers:
         line = f"%(asctime)s {label.replace('%', '%%')} %(levelname)s %(name)s %(message)s"
         handler.setFormatter(logging.Formatter(line))
 
 
 class ServiceArguments(NamedTuple):
-    """The arguments of `serve` and `check`: the verb, and paths of settings files."""
+    """The arguments of `serve` and `check`: the subcommand and the paths of the settings files."""
 
-    verb: str
+    subcommand: str
     config: str
     multihost: str | None = None
     recovery: str | None = None
 
 
 def _plain_serve_arguments(argv: list[str]) -> ServiceArguments | None:
-    """The arguments of `serve` as options with a value each; None for any other form.
+    """Parse `serve` followed by pairs of option and value; return None for any other form.
 
-    The parser of the standard library takes longer to load and to build than all settings take
-    to be read, and on a small share of a processor that delays every restart.
+    Importing argparse and building its parser takes longer than reading all settings, which delays
+    every restart of a controller that has only a small share of a processor.
     """
     if argv[:1] != ["serve"]:
         return None
@@ -72,7 +72,7 @@
 
 
 class _LoadedSettings(NamedTuple):
-    """The settings of a controller and of the subsystems that are on."""
+    """The settings of a controller and of its enabled subsystems."""
 
     settings: Settings
     multihost: "MultihostSettings | None"
@@ -80,9 +80,12 @@
 
 
 def _load(args: ServiceArguments) -> _LoadedSettings:
-    """Reads all settings files that the arguments name; raises SettingsError.
+    """Read the settings files given in the arguments.
 
-    A subsystem's modules are loaded only if its file is named.
+    A subsystem's modules are imported only if its file is given.
+
+    Raises:
+        SettingsError: A file can't be read, or a field is invalid.
     """
     settings = load(args.config)
     multihost, recovery = None, None
@@ -98,7 +101,7 @@
 
 
 def _check(loaded: _LoadedSettings) -> None:
-    """Prints what follows from the settings."""
+    """Print the values derived from the settings."""
     settings, multihost, recovery = loaded
     print(f"{settings.label}: {settings.controller_count} controllers, {len(settings.teams)} teams")
     _print_derived(
@@ -125,20 +128,20 @@
 
 def _serve(loaded: _LoadedSettings) -> None:
     _add_label_to_log_lines(loaded.settings.label)
-    defer_unused()
+    defer_unused_imports()
     from .app import serve
 
     serve(*loaded)
 
 
 def _run_with_settings(args: ServiceArguments) -> int:
-    """Runs `serve` or `check`; with bad settings one line says why."""
+    """Run `serve` or `check`; if the settings are invalid, print one line with the reason."""
     try:
         loaded = _load(args)
     except SettingsError as exc:
         print(f"crossmill: {exc}", file=sys.stderr)
-        return BAD_USAGE
-    if args.verb == "serve":
+        return EXIT_USAGE_ERROR
+    if args.subcommand == "serve":
         _serve(loaded)
     else:
         _check(loaded)
@@ -146,53 +149,55 @@
 
 
 def _compile() -> int:
-    """Writes the bytecode cache; returns the exit code."""
-    from .bytecode import CacheNotWrittenError, fill
+    """Write the bytecode cache and return the exit code."""
+    from .bytecode import CacheNotWrittenError, write_bytecode
 
     try:
-        print(f"bytecode of {fill()} modules in {sys.pycache_prefix or 'their own folders'}")
+        print(
+            f"bytecode of {write_bytecode()} modules in {sys.pycache_prefix or 'their own folders'}"
+        )
     except CacheNotWrittenError as exc:
-        print(f"crossmill: bytecode was not written: {exc}", file=sys.stderr)
-        return FAILED
+        print(f"crossmill: bytecode cache not written: {exc}", file=sys.stderr)
+        return EXIT_FAILURE
     return 0
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Runs the command that the arguments name; returns its exit code."""
+    """Run the subcommand given in the arguments and return its exit code."""
     argv = sys.argv[1:] if argv is None else argv
     serve_arguments = _plain_serve_arguments(argv)
     if serve_arguments is not None:
-        return _report_bad_level() or _run_with_settings(serve_arguments)
+        return _initialize_logging() or _run_with_settings(serve_arguments)
     from .arguments import parse
 
     args = parse(argv)
-    return _report_bad_level() or _run(args)
+    return _initialize_logging() or _run(args)
 
 
 def _run(args: "Namespace") -> int:
-    """Runs any verb from the parser's result; a verb's modules are loaded only for it."""
-    if args.verb in ("serve", "check"):
-        paths = ServiceArguments(args.verb, args.config, args.multihost, args.recovery)
+    """Run a subcommand, importing only the modules that it needs, and return its exit code."""
+    if args.subcommand in ("serve", "check"):
+        paths = ServiceArguments(args.subcommand, args.config, args.multihost, args.recovery)
         return _run_with_settings(paths)
-    if args.verb == "compile":
+    if args.subcommand == "compile":
         return _compile()
-    if args.verb == "replicas":
-        from .multihost.verbs import run as run_replicas
+    if args.subcommand == "replicas":
+        from .multihost.subcommands import run as run_replicas
 
         return run_replicas(args)
-    if args.verb == "recovery":
-        from .recovery.verbs import run as run_recovery
+    if args.subcommand == "recovery":
+        from .recovery.subcommands import run as run_recovery
 
         return run_recovery(args)
-    from .verbs import run
+    from .client_subcommands import run
 
     return run(args)
 
 
-def _report_bad_level() -> int:
-    """Sets logging up; prints a line and returns `BAD_USAGE` if LOG_LEVEL names no level."""
-    bad_level = _configure_logging()
-    if bad_level is None:
+def _initialize_logging() -> int:
+    """Configure logging; if LOG_LEVEL is invalid, print an error and return EXIT_USAGE_ERROR."""
+    invalid_level = _configure_logging()
+    if invalid_level is None:
         return 0
-    print(f"LOG_LEVEL: {bad_level!r} is none of {', '.join(LEVELS)}", file=sys.stderr)
-    return BAD_USAGE
+    print(f"LOG_LEVEL: {invalid_level!r} is not one of {', '.join(LOG_LEVELS)}", file=sys.stderr)
+    return EXIT_USAGE_ERROR
--- a/crossmill/fleet/provisioner.py
+++ b/crossmill/fleet/provisioner.py
@@ -15,7 +15,7 @@
 from ..net.clock import Clock
 from ..planning.demand import MachineRequest, MachineSourceKey
 from ..settings import Settings
-from ..wire.cloud import MAX_RELEASE, Listed
+from ..wire.cloud import MAX_RELEASE, ListedMachine
 from .cloud import Cloud, CloudError, NoCapacityError, NotLeaderError
 from .forecast import DemandForecast
 from .machine_records import MachineRecords
@@ -160,7 +160,7 @@
 
     async def reconcile_with_list(self) -> None:
         """Retire machines that the cloud lists as failed, and adopt those without a record."""
-        unknown_machines: list[Listed] = []
+        unknown_machines: list[ListedMachine] = []
         for listed_machine in await self._cloud.list_machines():
             machine = self._cluster.machines.get(listed_machine.id)
             if machine is not None:
@@ -172,7 +172,7 @@
         if unknown_machines:
             await self._adopt(unknown_machines)
 
-    def _is_to_be_adopted(self, listed_machine: Listed) -> bool:
+    def _is_to_be_adopted(self, listed_machine: ListedMachine) -> bool:
         """Count that a machine without a record was listed; return whether to adopt it.
 
         The list is delayed and may return to an older state. A machine is adopted only if it has
@@ -184,7 +184,7 @@
         self._times_listed[listed_machine.id] = self._times_listed.get(listed_machine.id, 0) + 1
         return self._times_listed[listed_machine.id] >= ADOPTION_LISTINGS
 
-    async def _adopt(self, machines: list[Listed]) -> None:
+    async def _adopt(self, machines: list[ListedMachine]) -> None:
         """Write records for unknown machines; unneeded ones are returned like idle machines."""
         shard = max(
             range(self._settings.shard_count),
--- a/crossmill/jobs/preemption.py
+++ b/crossmill/jobs/preemption.py
@@ -111,7 +111,7 @@
     def has_failed_claim(self, job: Job) -> bool:
         """Return whether a claim of the job expired recently while the job still waits."""
         since = self._clock.now() - self._claims.get(job.id, -inf)
-        return 0 <= since < self._settings.default_queue_wait_s
+        return 0 <= since < self._settings.default_queue_time_s
 
     def start_round(self) -> None:
         """Start a round: drop cached results, claims of jobs that no longer wait, and reservations.
--- a/tests/stepped_controller.py
+++ b/tests/stepped_controller.py
@@ -47,7 +47,7 @@
 from .fake_state_service import StateService
 
 # maximum size of a job record under the limits of `make_settings`, in bytes
-MAX_RECORD_BYTES = make_settings().state_limits.record_bytes
+MAX_RECORD_BYTES = make_settings().state_limits.max_record_bytes
 
 
 class InMemoryPeerLink:
--- a/tests/trace_messages.py
+++ b/tests/trace_messages.py
@@ -1,4 +1,4 @@
-"""Records the messages of a region's controllers where they are bytes of the protocol."""
+"""Recording of the messages that a simulated region's controllers send and receive, as bytes."""
 
 from collections import Counter
 from collections.abc import Awaitable, Callable
@@ -21,14 +21,12 @@
 from .stepped_controller import SteppedController
 
 SENT, RECEIVED = "sent", "received"
-
-
-NO_ANSWER, NOT_REACHED = b"no answer", b"not reached"
+NO_RESPONSE, NOT_REACHED = b"no answer", b"not reached"
 
 
 @dataclass
 class Message:
-    """A request that a controller sent or received, and its answer. Status 0 is no answer."""
+    """A request that a controller sent or received, and its response; status 0 if there is none."""
 
     time: float
     direction: str
@@ -37,25 +35,27 @@
     path: str
     body: bytes
     status: int = 0
-    answer: bytes = b""
-    answered_at: float | None = None
+    response: bytes = b""
+    responded_at: float | None = None
 
 
 class Recorder(Protocol):
-    """What messages are given to, in the order of their requests."""
+    """Receives all messages, in the order of their requests."""
 
     def add(self, controller: str, message: Message) -> None:
-        """Take a message; its answer is filled in later."""
+        """Add a message; its response is filled in later."""
 
 
 class MessageLog:
-    """Records a controller's messages with the times of a region's clock."""
+    """Records the controllers' messages with the times of the region's clock."""
 
     def __init__(self, recorder: Recorder, clock: FakeClock, counts: Counter[str]) -> None:
         self.recorder, self.clock, self.counts = recorder, clock, counts
 
-    def open(self, controller: str, direction: str, counterpart: str, request: Request) -> Message:
-        """Record a request whose answer is still to come."""
+    def record_request(
+        self, controller: str, direction: str, counterpart: str, request: Request
+    ) -> Message:
+        """Record a request that has no response yet."""
         method, path, body = request.method, request.path, request.body
         now = self.clock.now()
         message = Message(now, direction, counterpart, method, path, body)
@@ -63,14 +63,14 @@
         self.counts[f"messages {direction}, {counterpart.partition(':')[0]}"] += 1
         return message
 
-    def close(self, message: Message, status: int, answer: bytes) -> None:
-        """Fill in the answer."""
-        message.status, message.answer = status, answer
-        message.answered_at = self.clock.now()
+    def record_response(self, message: Message, status: int, response: bytes) -> None:
+        """Add the response to a recorded message."""
+        message.status, message.response = status, response
+        message.responded_at = self.clock.now()
 
 
 class RecordedLink:
-    """A link of a controller, whose requests are recorded."""
+    """A controller's HTTP link that records each request."""
 
     def __init__(
         self, link: HttpClient, log: MessageLog, controller: str, counterpart: str
@@ -83,21 +83,21 @@
     ) -> tuple[int, bytes]:
         """Send a request and record it with its response."""
         request = Request(method, path, body)
-        message = self._log.open(self._controller, SENT, self._counterpart, request)
+        message = self._log.record_request(self._controller, SENT, self._counterpart, request)
         try:
-            status, answer = await self._link.request(method, path, body, timeout_s)
+            status, response = await self._link.request(method, path, body, timeout_s)
         except ConnectionFailedError:
-            self._log.close(message, 0, NOT_REACHED)
+            self._log.record_response(message, 0, NOT_REACHED)
             raise
         except NoResponseError:
-            self._log.close(message, 0, NO_ANSWER)
+            self._log.record_response(message, 0, NO_RESPONSE)
             raise
-        self._log.close(message, status, answer)
-        return status, answer
+        self._log.record_response(message, status, response)
+        return status, response
 
 
 class RecordedCloud(CloudService):
-    """The region's cloud as one controller reaches it."""
+    """The region's cloud with one controller's requests recorded."""
 
     def __init__(self, cloud: CloudService, log: MessageLog, controller: str) -> None:
         self._link = RecordedLink(cloud, log, controller, "cloud")
@@ -110,12 +110,12 @@
 
 
 class RecordedRegion(Region):
-    """A region whose controllers' messages are recorded."""
+    """A simulated region that records the messages of its controllers."""
 
     log: MessageLog
 
-    def attach(self, log: MessageLog) -> None:
-        """Record from now on; called before any controller starts."""
+    def attach_log(self, log: MessageLog) -> None:
+        """Record messages from now on; call it before any controller starts."""
         self.log = log
         self._shared_cloud = self.cloud
         links = {
@@ -125,22 +125,22 @@
         self.state_links = links  # type: ignore[assignment]
 
     async def start(self, label: str) -> SteppedController:
-        """Start a controller whose requests to the cloud are recorded."""
-        # the region hands its cloud to the controller before anything else can run
+        """Start a controller and record its requests to the cloud."""
+        # `start` passes the region's cloud to the controller before any other task can run
         self.cloud = RecordedCloud(self._shared_cloud, self.log, label)
         return await super().start(label)
 
     def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
-        """Record the new controller's links and handlers before any loop runs."""
+        """Set up recording of the new controller's links and handlers before any loop runs."""
         self.cloud = self._shared_cloud
-        parts = super().extra_loops(node)
+        loops = super().extra_loops(node)
         label = node.settings.label
         self._record_direct_commands(node, label)
-        self._count_preemptions(node)
+        self._count_stop_requests(node)
         for peer_handler in (node.lease_extensions, node.partition_protocol):
             self._record_handler(peer_handler, "peer", label)
         self._record_async_handler(node.jobs, "user", label)
-        return parts
+        return loops
 
     def _record_direct_commands(self, node: SteppedController, label: str) -> None:
         connect = node.command_sender.connect
@@ -150,7 +150,7 @@
 
         node.command_sender.connect = recorded
 
-    def _count_preemptions(self, node: SteppedController) -> None:
+    def _count_stop_requests(self, node: SteppedController) -> None:
         request_stop = node.heartbeats.request_stop
 
         def counted(attempt: PlannedAttempt, reason: StopReason) -> None:
@@ -163,9 +163,9 @@
         handle: Callable[[Request], Response] = handler.handle
 
         def recorded(request: Request) -> Response:
-            message = self.log.open(label, RECEIVED, counterpart, request)
+            message = self.log.record_request(label, RECEIVED, counterpart, request)
             response = handle(request)
-            self.log.close(message, response.status, response.body)
+            self.log.record_response(message, response.status, response.body)
             return response
 
         handler.handle = recorded
@@ -174,9 +174,9 @@
         handle: Callable[[Request], Awaitable[Response]] = handler.handle
 
         async def recorded(request: Request) -> Response:
-            message = self.log.open(label, RECEIVED, counterpart, request)
+            message = self.log.record_request(label, RECEIVED, counterpart, request)
             response = await handle(request)
-            self.log.close(message, response.status, response.body)
+            self.log.record_response(message, response.status, response.body)
             return response
 
         handler.handle = recorded
@@ -185,36 +185,36 @@
         """Deliver a heartbeat and record it with its response."""
         machine = orjson.loads(body)["stone"]
         request = Request("POST", "heartbeat", body)
-        message = self.log.open(label, RECEIVED, f"heartbeat:{machine}", request)
-        status, answer = super().deliver_worker_heartbeat(body, label)
-        self.log.close(message, status, answer)
-        return status, answer
+        message = self.log.record_request(label, RECEIVED, f"heartbeat:{machine}", request)
+        status, response = super().deliver_worker_heartbeat(body, label)
+        self.log.record_response(message, status, response)
+        return status, response
 
 
 class RecordedMultihostRegion(RecordedRegion, MultihostRegion):
-    """A region with multi-machine replicas, recorded."""
+    """A region with multi-machine replicas that records the messages of its controllers."""
 
     def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
-        """Record the new controller's links and handlers before any loop runs."""
-        parts = super().extra_loops(node)
+        """Set up recording of the new controller's links and handlers before any loop runs."""
+        loops = super().extra_loops(node)
         label = node.settings.label
         self._record_async_handler(self.services[label], "multihost", label)
-        return parts
+        return loops
 
 
 class RecordedRecoveryRegion(RecordedRegion, RecoveryRegion):
-    """A region with recovery on, recorded."""
+    """A region with recovery enabled that records the messages of its controllers."""
 
     def extra_loops(self, node: SteppedController) -> list[Callable[[], Awaitable[None]]]:
-        """Record the new controller's links and handlers before any loop runs."""
-        parts = super().extra_loops(node)
+        """Set up recording of the new controller's links and handlers before any loop runs."""
+        loops = super().extra_loops(node)
         label = node.settings.label
         self._record_async_handler(self.apis[label], "recovery operator", label)
-        return parts
+        return loops
 
 
 class RecordedPeerLink(PeerLink):
-    """The line from one controller to another, whose requests are recorded at the sender."""
+    """The link from one controller to another; records each request as sent by the source."""
 
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
@@ -222,6 +222,6 @@
         """Send a request and record it with its response."""
         region = self._region
         assert isinstance(region, RecordedRegion)
-        line = PeerLink(region, self._source, self._label)
-        link = RecordedLink(line, region.log, self._source, f"peer:{self._label}")
+        peer_link = PeerLink(region, self._source, self._label)
+        link = RecordedLink(peer_link, region.log, self._source, f"peer:{self._label}")
         return await link.request(method, path, body, timeout_s)
