--- a/crossmill/multihost/replica_reconciler.py
+++ b/crossmill/multihost/replica_reconciler.py
@@ -1,7 +1,8 @@
-"""Reconciles replicas: observes each one that has changed or is due, and carries decisions out.
+"""Reconciles replicas: decides on each one that has changed or is due, and plans the writes.
 
-`ReplicaReconciler` is called by the coordinator in each pass. It owns the due times of replicas and
-the suspected members of replicas under repair; both end with the ownership of the pool.
+The coordinator calls `ReplicaReconciler` in each pass. The reconciler keeps the due times of
+replicas and the suspected members of replicas under repair; both are discarded when the ownership
+of the pool ends.
 """
 
 import logging
@@ -21,7 +22,7 @@
     decide,
     recent_restarts,
 )
-from .member_status import DecisionTime, MemberStatus, first_contact_s
+from .member_status import DecisionTime, MemberStatus, first_contact_timeout_s
 from .model import Replica, ReplicaId, ReplicaSet
 from .observations import ReplicaObserver
 from .phases import ReplicaPhase
@@ -30,11 +31,12 @@
 
 log = logging.getLogger(__name__)
 
-# an agent's first heartbeat may come right at the end of the time for it: this part of a heartbeat
-# interval is added
+# this fraction (1/20) of a heartbeat interval is added to the time allowed for an agent's first
+# heartbeat, which may arrive right at its end
 FIRST_CONTACT_MARGIN_DIVISOR = 20
 
-PHASE_AFTER = {
+# the phase that each action moves a replica to; the other actions keep the phase
+PHASE_AFTER_ACTION = {
     ReplicaAction.CONFIRM: ReplicaPhase.READY,
     ReplicaAction.REPAIR: ReplicaPhase.REPAIRING,
     ReplicaAction.RELEASE: ReplicaPhase.PENDING,
@@ -45,7 +47,7 @@
 }
 
 
-class _Pass(NamedTuple):
+class _ReconcilePass(NamedTuple):
     """One pass over replicas, under one ownership of the pool."""
 
     ownership: ShardOwnership
@@ -53,21 +55,21 @@
 
 
 class RecordDeletion(NamedTuple):
-    """A replica whose members' records are to be deleted, and perhaps its own."""
+    """The deletion of the records of a replica's members and, optionally, of its own record."""
 
     replica: Replica
     includes_replica: bool
 
 
 class ReplicaChanges(NamedTuple):
-    """What the replicas of a pass need: the writes, then the deletions, in order."""
+    """The changes from a pass over replicas: the writes, then the deletions, in order."""
 
     intents: list[WriteIntent]
     deletions: list[RecordDeletion]
 
 
 class ReplicaReconciler:
-    """Takes each replica its next step."""
+    """Plans the next step of each replica."""
 
     def __init__(
         self, context: PoolContext, queue: PlacementQueue, failures: FailureScores
@@ -80,23 +82,23 @@
             context.settings, context.pool, context.agents, context.leases
         )
         self._due = DueTimes()
-        # ranks whose machines are avoided when their replica is repaired
+        # ranks whose machines are avoided when the replica is repaired, by replica ID
         self._suspects: dict[ReplicaId, frozenset[int]] = {}
-        # how many times a replica was examined, since the start of the program
-        self.examined = 0
+        # number of times that a replica was examined since the process started
+        self.examined_count = 0
 
     def clear(self) -> None:
-        """Forget everything, when the ownership of the pool ends."""
+        """Discard all state; called when the ownership of the pool ends."""
         self._observer.clear()
         self._due.clear()
         self._suspects.clear()
 
     def next_due_at(self) -> float | None:
-        """Return a steady time before which no replica is due; None if none is due at all."""
+        """Return a steady time before which no replica is due; None if no due time is set."""
         return self._due.next_at()
 
     def pop_due(self, now: float) -> set[ReplicaId]:
-        """Remove and return the replicas that are due by now."""
+        """Remove and return the replicas that are due."""
         return self._due.pop_due(now)
 
     def suspects_of(self, replica_id: ReplicaId) -> frozenset[int]:
@@ -110,31 +112,35 @@
         replica_ids: Iterable[ReplicaId],
         may_stop: set[ReplicaId],
     ) -> ReplicaChanges:
-        """Return what these replicas need.
+        """Return the changes that these replicas need.
 
         Args:
             ownership: The ownership of the pool.
             time: The time of the decisions.
             replica_ids: The replicas that have changed or are due.
-            may_stop: The replicas that their sets' disruption budgets let stop now.
+            may_stop: The replicas whose stop their sets' disruption budgets allow now.
         """
         changes = ReplicaChanges([], [])
         for replica_id in sorted(replica_ids):
             replica = self._pool.replicas.get(replica_id)
             if replica is not None:
-                current = _Pass(ownership, time)
-                self._reconcile_one(current, replica, replica_id in may_stop, changes)
+                reconcile_pass = _ReconcilePass(ownership, time)
+                self._reconcile_one(reconcile_pass, replica, replica_id in may_stop, changes)
         return changes
 
     def _reconcile_one(
-        self, current: _Pass, replica: Replica, may_stop: bool, changes: ReplicaChanges
+        self,
+        reconcile_pass: _ReconcilePass,
+        replica: Replica,
+        may_stop: bool,
+        changes: ReplicaChanges,
     ) -> None:
-        self.examined += 1
+        self.examined_count += 1
         stored = self._pool.sets.get(replica.id.set_name)
         if replica.version == 0 or stored is None:
-            # its own record, or that of its set, was deleted or hasn't been read yet
+            # the record of the replica or of its set was deleted or has not been read yet
             return
-        time = current.time
+        time = reconcile_pass.time
         observation = self._observer.observe(replica, stored, time, may_stop)
         settings = self._context.settings
         decision = decide(DecisionInput(replica, stored.spec, observation, time, settings))
@@ -152,7 +158,7 @@
                 self._forget(replica.id)
                 changes.deletions.append(RecordDeletion(replica, includes_replica=True))
             case _:
-                changes.intents.append(self._transition(current, replica, stored, decision))
+                changes.intents.append(self._transition(reconcile_pass, replica, stored, decision))
 
     def _note_due(
         self,
@@ -161,12 +167,12 @@
         observation: ReplicaObservation,
         time: DecisionTime,
     ) -> None:
-        """Note when the replica is to be examined again if nothing changes."""
+        """Schedule the next examination of the replica, for the case that nothing changes."""
         if decision.recheck_at is not None:
             self._due.add(replica_id, decision.recheck_at)
         if MemberStatus.UNKNOWN in observation.statuses.values():
             settings = self._context.settings
-            first_contact_at = time.owned_since + first_contact_s(settings)
+            first_contact_at = time.owned_since + first_contact_timeout_s(settings)
             margin_s = settings.heartbeat_interval_s / FIRST_CONTACT_MARGIN_DIVISOR
             self._due.add(replica_id, first_contact_at + margin_s)
 
@@ -175,14 +181,20 @@
         self._suspects.pop(replica_id, None)
 
     def _transition(
-        self, current: _Pass, replica: Replica, stored: ReplicaSet, decision: ReplicaDecision
+        self,
+        reconcile_pass: _ReconcilePass,
+        replica: Replica,
+        stored: ReplicaSet,
+        decision: ReplicaDecision,
     ) -> WriteIntent:
-        """Return the write of the phase that follows from the decision."""
-        wall = current.time.wall
-        after = after_transition(replica, PHASE_AFTER[decision.action], wall, decision.reason)
+        """Return the write of the phase transition that the decision requires."""
+        wall = reconcile_pass.time.wall
+        after = after_transition(
+            replica, PHASE_AFTER_ACTION[decision.action], wall, decision.reason
+        )
         if decision.action is ReplicaAction.REPAIR:
             after.restarts = (*recent_restarts(replica, stored.spec, wall), wall)
-        self._note_suspects(replica, decision, current.time.now)
+        self._note_suspects(replica, decision, reconcile_pass.time.now)
         log.info(
             "replica phase replica=%s from=%s to=%s generation=%d reason=%s",
             replica.id,
@@ -191,14 +203,17 @@
             after.generation,
             decision.reason,
         )
-        return self._context.writer.transition(current.ownership, replica, after)
+        return self._context.writer.transition(reconcile_pass.ownership, replica, after)
 
     def _note_suspects(self, replica: Replica, decision: ReplicaDecision, now: float) -> None:
-        """Count the failures of suspected machines; a confirmed generation has no suspects."""
+        """Record suspected members and count their machines' failures.
+
+        A replica that becomes ready has no suspects any more.
+        """
         if decision.suspects:
             self._suspects[replica.id] = decision.suspects
             for member in replica.members():
                 if member.rank in decision.suspects:
-                    self._failures.note_failure(member.machine, now)
+                    self._failures.record_failure(member.machine, now)
         elif decision.action is ReplicaAction.CONFIRM:
             self._suspects.pop(replica.id, None)
--- a/tests/test_multihost_serving_safety.py
+++ b/tests/test_multihost_serving_safety.py
@@ -1,4 +1,4 @@
-"""No replica serves while incomplete; two planted faults in counting leases are found."""
+"""No replica serves while incomplete; the invariant checker finds injected lease faults."""
 
 from typing import Any
 
@@ -11,11 +11,14 @@
 
 from .multihost_region import SETTINGS, MultihostRegion, simulate_multihost
 
-DEATHS_S = (0.0, 0.2, 0.4, 0.6, 0.8)
+DEATH_DELAYS_S = (0.0, 0.2, 0.4, 0.6, 0.8)
 
 
-def _dies_after(death_s: float, lease_from_receipt: bool) -> list[str]:
-    """A member dies so long after its heartbeat; answers to the front member are slow."""
+def _violations_after_death(death_delay_s: float, lease_from_receipt: bool) -> list[str]:
+    """Return the violations when a member dies the given time after its heartbeat.
+
+    Responses to the front member and to its pings are slow.
+    """
 
     async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(4)
@@ -28,7 +31,7 @@
         await curio.sleep(10.0)
         sent = victim.sequence
         await region.wait_until(lambda: victim.sequence > sent)
-        await curio.sleep(death_s)
+        await curio.sleep(death_delay_s)
         victim.dead = True
         await curio.sleep(SETTINGS.serving_lease_s + 3.0)
 
@@ -36,19 +39,23 @@
 
 
 def test_an_agent_that_counts_its_lease_from_the_receipt_violates_an_invariant() -> None:
-    # planted fault in the agents: the front member then answers beyond the bound
-    caught = [entry for death_s in DEATHS_S for entry in _dies_after(death_s, True)]
-    assert caught
-    assert all("incomplete" in entry for entry in caught)
+    # injected fault in the agent: the front member serves past the end of its lease
+    violations = [
+        entry
+        for death_delay_s in DEATH_DELAYS_S
+        for entry in _violations_after_death(death_delay_s, True)
+    ]
+    assert violations
+    assert all("incomplete" in entry for entry in violations)
 
 
-@pytest.mark.parametrize("death_s", DEATHS_S)
-def test_slow_messages_do_not_lengthen_the_serving_lease(death_s: float) -> None:
-    assert not _dies_after(death_s, False)
+@pytest.mark.parametrize("death_delay_s", DEATH_DELAYS_S)
+def test_slow_messages_do_not_lengthen_the_serving_lease(death_delay_s: float) -> None:
+    assert not _violations_after_death(death_delay_s, False)
 
 
-def _zone_cut(delay_s: float) -> MultihostRegion:
-    """All members of a replica are cut off from controllers, not from one another."""
+def _simulate_zone_partition(delay_s: float) -> MultihostRegion:
+    """Run a replica whose members can reach one another but no controller."""
 
     async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(8, ("north", "south"))
@@ -66,30 +73,30 @@
 
 @pytest.fixture
 def _long_lease(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A lease so long that only the fence is between the two generations."""
+    """Make the serving lease so long that only the fencing delay separates two generations."""
     monkeypatch.setattr(MultihostSettings, "serving_lease_s", property(lambda _: 9.9))
 
 
 @pytest.mark.usefixtures("_long_lease")
 def test_a_replica_in_a_partitioned_zone_stops_before_its_successor_serves() -> None:
-    region = _zone_cut(0.0)
+    region = _simulate_zone_partition(0.0)
     assert not region.checker.violations
     assert region.generation("chat/0") == 2
     assert len(region.serving("chat/0")) == 1
 
 
 @pytest.mark.usefixtures("_long_lease")
-def test_an_owner_that_does_not_wait_for_the_fence_violates_an_invariant(
+def test_an_owner_that_skips_the_fencing_delay_violates_an_invariant(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(serving.ServingLeases, "fenced_at", lambda *_: 0.0)
-    assert any("two_serving" in entry for entry in _zone_cut(0.0).checker.violations)
+    assert any("two_serving" in entry for entry in _simulate_zone_partition(0.0).checker.violations)
 
 
 def test_a_controller_that_counts_liveness_from_the_receipt_violates_an_invariant(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # planted fault in the controllers: the receipt of a heartbeat is taken for a proof of liveness
+    # injected fault in the controller: the receipt of a heartbeat counts as a proof of liveness
     real = agents.Agents.apply_heartbeat
 
     def apply_with_fault(
@@ -107,7 +114,7 @@
         await region.until_serving("chat/0")
         await curio.sleep(10.0)
         front, victim, _ = region.agents_of("chat/0")
-        # the front member's own leases on its peers are made to last, so that grants alone count
+        # extend the front member's leases on its peers, so that only the grants matter
         for peer in front.members["chat/0"].peers:
             front.members["chat/0"].peer_alive_at[peer.rank] = front.now() + 1000.0
         delayed = [victim.heartbeat() for _ in range(4)]
@@ -127,6 +134,6 @@
 
 
 def _deliver_after_death(region: MultihostRegion, heartbeat: AgentHeartbeat) -> None:
-    """A heartbeat sent before its machine died arrives after it."""
+    """Deliver a heartbeat that was sent before its machine died."""
     for service in region.services.values():
         service.heartbeats.handle(heartbeat)
