--- a/crossmill/cluster/partition_keepalive.py
+++ b/crossmill/cluster/partition_keepalive.py
@@ -159,15 +159,16 @@
         return self._partition.is_partitioned()
 
     def _is_sync_recent(self) -> bool:
-        read_at = self._state_sync.sent_at
+        synced_at = self._state_sync.sent_at
         keepalive_s = self._settings.partition_keepalive_s * (1 - self._settings.clock_drift)
-        return read_at is not None and self._clock.now() <= read_at + keepalive_s
+        return synced_at is not None and self._clock.now() <= synced_at + keepalive_s
 
     def _known_token(self, machine: Machine) -> int:
         owner = self._cluster.shard_owners.get(machine.shard)
         return max(machine.token, owner.token if owner is not None else 0)
 
     def _has_ended(self, job_id: str) -> bool:
+        """Return whether the job has ended or is about to be cancelled."""
         if job_id in self.pending_cancellations or job_id in self._cluster.cancellation_notes:
             return True
         job = self._cluster.jobs.get(job_id)
--- a/crossmill/recovery/service.py
+++ b/crossmill/recovery/service.py
@@ -80,7 +80,7 @@
         recovery = self._recoveries.get(shard)
         return recovery is None or recovery.may_place or self._recovery_settings.dry_run
 
-    def is_claimed(self, job: str, index: int) -> bool:
+    def is_running_unplanned(self, job: str, index: int) -> bool:
         """Return whether a worker runs the task although no plan contains it."""
         if self._recovery_settings.dry_run:
             return False
