--- a/tests/fake_state_service.py
+++ b/tests/fake_state_service.py
@@ -9,33 +9,38 @@
 from crossmill.net.client import ConnectionFailedError, NoResponseError
 from crossmill.settings import StateLimits
 
-# PROTOCOL: what a list's answer holds at most, and how many changes are kept
+# PROTOCOL: the maximum size of a listing's page, and the number of changes that are kept
 PAGE_ITEMS, PAGE_BYTES, KEPT_CHANGES = 1000, 512 * 1024, 10_000
 
 
 class StateService:
     """The state service as PROTOCOL describes it, in memory.
 
-    Tests may make pages and the history of changes shorter, so that few keys have the effect of
-    thousands. `script` holds, by path, what the next requests meet: "lose" executes one without a
-    response, "drop" does neither, "refuse" fails the connection.
+    Tests may shorten pages and the history of changes, so that a few keys have the effect of
+    thousands. `scripted_faults` holds the faults of the next requests by path, in order: "lose"
+    executes the request and loses the response, "drop" loses the request, "refuse" fails the
+    connection.
     """
 
     def __init__(self, kept_changes: int = KEPT_CHANGES) -> None:
         self.revision = 0
+        # value, version and lease ID by key
         self.keys: dict[str, tuple[Any, int, int | None]] = {}
         self.leases: set[int] = set()
+        # revision, key and new value of each kept change; None as value is a deletion
         self.changes: deque[tuple[int, str, Any]] = deque(maxlen=kept_changes)
         self.page_items = PAGE_ITEMS
-        # the revision up to which changes are no longer kept
-        self._compacted = 0
+        # the last revision whose change is no longer kept
+        self._compacted_revision = 0
         self.down = False
-        self.calls: list[tuple[str, str]] = []
-        self.script: dict[str, list[str]] = {}
-        self.puts = 0
+        # method and path of each request
+        self.received_requests: list[tuple[str, str]] = []
+        self.scripted_faults: dict[str, list[str]] = {}
+        # number of keys written or deleted by transactions
+        self.applied_change_count = 0
         self.limits = StateLimits(100.0, 60.0, 32 * 1024, 20)
-        # transactions refused for their size
-        self.too_large = 0
+        # number of transactions refused because of their size
+        self.oversized_transaction_count = 0
 
     def end_lease(self, lease: int) -> None:
         """Expire a lease and delete its keys."""
@@ -50,21 +55,21 @@
 
     def _record(self, key: str, value: Any) -> None:
         if len(self.changes) == self.changes.maxlen:
-            self._compacted = self.changes[0][0]
+            self._compacted_revision = self.changes[0][0]
         self.changes.append((self.revision, key, value))
 
     def delete(self, key: str) -> None:
-        """Delete a key, as another client."""
+        """Delete a key, as another client would."""
         self.revision += 1
         self._delete(key)
 
     def compact(self) -> None:
-        """Drop all changes so far; a watch that missed one is answered 410."""
-        self._compacted = self.revision
+        """Drop the history of changes; a watch that missed one of them gets the status 410."""
+        self._compacted_revision = self.revision
         self.changes.clear()
 
     def put(self, key: str, value: Any, lease: int | None = None) -> None:
-        """Write a key, as another client."""
+        """Write a key, as another client would."""
         self.revision += 1
         self._write(key, value, lease)
 
@@ -75,12 +80,12 @@
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
-        """Answer a request at once; raise a connection error where the script says so."""
+        """Respond without delay; raise a connection error if a scripted fault requires it."""
         parts = urlsplit(path)
-        self.calls.append((method, parts.path))
+        self.received_requests.append((method, parts.path))
         action = ""
-        if self.script.get(parts.path):
-            action = self.script[parts.path].pop(0)
+        if self.scripted_faults.get(parts.path):
+            action = self.scripted_faults[parts.path].pop(0)
         if action == "drop":
             raise NoResponseError(path)
         if action == "refuse":
@@ -107,14 +112,14 @@
 
     def _serve_lease(self, path: str) -> tuple[int, dict[str, Any]]:
         if path == "/holds":
-            lease = len(self.calls)
+            lease = len(self.received_requests)
             self.leases.add(lease)
             return 200, {"tenure": lease}
         lease = int(path.split("/")[2])
         return (200 if lease in self.leases else 404), {"tenure": lease}
 
     def _list_changes(self, after: int, prefix: str) -> tuple[int, dict[str, Any]]:
-        if after < self._compacted:
+        if after < self._compacted_revision:
             return 410, {}
         log = [
             {"delete": k, "stamp": r} if v is None else {"write": k, "data": v, "stamp": r}
@@ -155,14 +160,14 @@
             if change.get("tenure") is not None and change["tenure"] not in self.leases:
                 return 400, {"error": "no such lease"}
         if self._is_too_large(data):
-            self.too_large += 1
+            self.oversized_transaction_count += 1
             return 400, {"error": "too large"}
         failed = [
             c["k"] for c in data["when"] if self.keys.get(c["k"], (None, 0, None))[1] != c["stamp"]
         ]
         if failed:
             return 409, {"failed": failed, "ledgerRev": self.revision}
-        self.puts += len(data["apply"])
+        self.applied_change_count += len(data["apply"])
         self.revision += 1
         for change in data["apply"]:
             if "write" in change:
--- a/tests/fault_injection.py
+++ b/tests/fault_injection.py
@@ -1,4 +1,4 @@
-"""Faults and traffic that scenarios of several test files inject into a simulated region."""
+"""Faults and users' requests that several test files inject into a simulated region."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -24,19 +24,22 @@
 
 
 def every_request(method: str, path: str) -> bool:
-    """Refuse every request."""
+    """Return True: every request is refused."""
     return True
 
 
 def all_but_leases(method: str, path: str) -> bool:
-    """Refuse all requests but those for leases: nothing is read or written."""
+    """Return whether the request is not for a lease: no key can be read or written."""
     return not path.startswith("/holds")
 
 
 def lose_responses(
     number: int, region: Region, delay_s: float, executes_at_once: bool, for_s: float
 ) -> None:
-    """Leave every `number`th transaction unanswered; it is executed at once or after the delay."""
+    """Withhold the response of every `number`th transaction for the given time.
+
+    The transaction is executed without delay, or `delay_s` and up to four seconds later.
+    """
     end, count = region.clock.now() + for_s, 0
 
     def transaction_fault(label: str, method: str, path: str) -> TransactionFault | None:
@@ -54,7 +57,10 @@
 async def submit_single_task_jobs(
     region: Region, jobs: int, every_s: float, cancelled: int = 4
 ) -> None:
-    """Submit one-task jobs at all controllers in turn; cancel some while they run or wait."""
+    """Submit one-task jobs at one controller after the other.
+
+    Of every `cancelled` jobs, one is cancelled while it runs or waits.
+    """
     async with curio.TaskGroup() as group:
         for n in range(jobs):
             job, label = f"wk-{100000 + n}", list(region.nodes or region.LABELS)[n % 3 - 1]
@@ -63,33 +69,33 @@
 
 
 async def _submit_single_task_job(region: Region, label: str, job: str, cancel: bool) -> None:
-    async def anywhere(call: Callable[[str], Awaitable[int]]) -> None:
+    async def retry_anywhere(call: Callable[[str], Awaitable[int]]) -> None:
         for n in range(60):
             labels = list(region.nodes)
             if labels and await call(labels[n % len(labels)]) in (200, 201):
                 return
             await curio.sleep(1.0)
 
-    await anywhere(lambda at: region.submit(at, job, run_s=3.0, sacks=1, cards=1.0))
+    await retry_anywhere(lambda at: region.submit(at, job, run_s=3.0, sacks=1, cards=1.0))
     if cancel:
         await curio.sleep(1.5)
-        await anywhere(lambda at: region.cancel(at, job))
+        await retry_anywhere(lambda at: region.cancel(at, job))
 
 
 async def wait_until_all_ended(region: Region, within_s: float = 90.0) -> None:
-    """Wait until every accepted job has ended and every controller says so; fail after the time."""
+    """Wait until all controllers report the end of every accepted job; fail after the timeout."""
     end = region.clock.now() + within_s
-    # a controller that has just started has not read the state yet
+    # a controller that has just started has not loaded the state yet
     await curio.sleep(3.0)
     for job, facts in region.checker.jobs.items():
         while facts.done is None and facts.cancelled is None:
-            if await region.show(next(iter(region.nodes)), job) != 200 or not (
+            if await region.query_job(next(iter(region.nodes)), job) != 200 or not (
                 facts.done or facts.cancelled
             ):
                 assert region.clock.now() < end, f"{job} has not ended"
                 await curio.sleep(0.5)
         for label in region.nodes:
-            assert await region.show(label, job) == 200
+            assert await region.query_job(label, job) == 200
 
 
 async def cancel_services_and_wait(region: Region) -> None:
@@ -101,7 +107,7 @@
 
 
 async def inject_random_fault(region: Region, rng: random.Random) -> None:
-    """Inject one fault, or end some; the generator draws which."""
+    """Inject a random fault, or end some of the present faults."""
     label, worker = rng.choice(region.LABELS), rng.choice(list(region.workers.values()))
     kind = rng.choice(RANDOM_FAULTS)
     if kind == "restart":
@@ -124,11 +130,11 @@
         region.state_delay_s = rng.choice([0.0, 0.3])
     else:
         for body in worker.sent_heartbeats:
-            region.deliver(body, label)
+            region.deliver_worker_heartbeat(body, label)
 
 
 def clear_faults(region: Region) -> None:
-    """End all faults but frozen and ended controllers."""
+    """End all faults other than frozen and killed controllers."""
     region.state.down = False
     region.state_delay_s = 0.0
     region.reconnect()
--- a/tests/measure_multihost.py
+++ b/tests/measure_multihost.py
@@ -191,7 +191,7 @@
 
     async def scenario(region: Region) -> None:
         rng = Random(seed)
-        await region.begin(machines=2 * members + 4)
+        await region.start_region(machines=2 * members + 4)
         # the request for processors allows only one task per machine
         await region.submit("node-0", "wk-000001", sacks=members, cpus=20.0, cards=0.0)
         await region.wait_until(lambda: _running_tasks(region) == set(range(members)))
--- a/tests/measure_recovery.py
+++ b/tests/measure_recovery.py
@@ -75,7 +75,7 @@
 
 async def _fill(region: RecoveryRegion, workers: int) -> None:
     """Store plans for all workers and wait until the controllers have started their tasks."""
-    await region.begin(machines=0)
+    await region.start_region(machines=0)
     for number in range(workers):
         zone = ("north", "south")[number % 2]
         await region.add_worker(f"n-{number:06d}", zone, number % len(region.LABELS))
@@ -98,7 +98,7 @@
 
 def _put_job(region: RecoveryRegion, job: str, team: str, workers: list[Worker]) -> None:
     fields = {"crew": team, "sacks": len(workers), "cards": 0.0, "cpus": 1.0, "ramGb": 1.0}
-    spec = parse_spec(region.expect(job, None, **fields))
+    spec = parse_spec(region.register_job(job, None, **fields))
     region.checker.jobs[job].accepted = region.clock.now()
     layout = region.nodes["node-0"].cluster.layout
     by_chunk: dict[str, dict[int, PlannedAttempt]] = {}
@@ -146,11 +146,13 @@
         affected = _inject_differences(region, case.scenario, rng)
         unplanned = sum(len(w.tasks) for w in region.workers.values()) - tasks
         ended_at, outage_s = region.clock.now(), rng.uniform(0.5, 3.5)
-        calls, puts = len(region.state.calls), region.state.puts
+        calls, puts = len(region.state.received_requests), region.state.applied_change_count
         await curio.sleep(outage_s)
         await region.start_all(rng.uniform(0.0, 0.5))
         times = await _measure_times(region, ended_at)
-        orders = [(at, o["verb"]) for w in region.workers.values() for at, _, o in w.orders]
+        orders = [
+            (at, o["verb"]) for w in region.workers.values() for at, _, o in w.received_commands
+        ]
         orders_by_second = Counter(int(at) for at, _ in orders)
         tasks_left = sum(len(worker.tasks) for worker in region.workers.values())
         results.append(
@@ -159,11 +161,15 @@
                 round(outage_s, 2),
                 *times,
                 dict(Counter(verb for _, verb in orders)),
-                sum(len(w.orders) for w in region.workers.values() if w.machine not in affected),
+                sum(
+                    len(w.received_commands)
+                    for w in region.workers.values()
+                    if w.machine not in affected
+                ),
                 max(orders_by_second.values(), default=0),
                 max(0, tasks + unplanned - tasks_left),
-                len(region.state.calls) - calls,
-                region.state.puts - puts,
+                len(region.state.received_requests) - calls,
+                region.state.applied_change_count - puts,
             )
         )
 
@@ -194,7 +200,7 @@
             first_worker = elapsed_s
         if all_workers is None and answered == len(connected):
             all_workers = elapsed_s
-        if first_user is None and await region.show("node-0", job) == OK:
+        if first_user is None and await region.query_job("node-0", job) == OK:
             first_user = elapsed_s
     return FirstResponseTimes(first_worker, all_workers, first_user)
 
--- a/tests/recovery_region.py
+++ b/tests/recovery_region.py
@@ -79,7 +79,7 @@
 
     async def begin_with_workers(self, workers: int) -> None:
         """Start the controllers, and workers in all shards and both zones."""
-        await self.begin(machines=0)
+        await self.start_region(machines=0)
         for number in range(workers):
             zone = ("north", "south")[number % 2]
             await self.add_worker(f"n-{number:03d}", zone, number % 3)
@@ -165,19 +165,23 @@
     def orders(self, workers: Iterable[Worker] | None = None) -> dict[str, list[str]]:
         """Return the verbs of the orders by worker; workers without orders are omitted."""
         chosen = self.workers.values() if workers is None else workers
-        return {w.machine: [o[2]["verb"] for o in w.orders] for w in chosen if w.orders}
+        return {
+            w.machine: [o[2]["verb"] for o in w.received_commands]
+            for w in chosen
+            if w.received_commands
+        }
 
     def clear_orders(self) -> None:
         """Clear the list of the orders that workers have received."""
         for worker in self.workers.values():
-            worker.orders.clear()
+            worker.received_commands.clear()
 
     def stop_times(self, since: float) -> list[float]:
         """Return the times at which workers received orders to stop tasks."""
         return [
             at
             for worker in self.workers.values()
-            for at, _, order in worker.orders
+            for at, _, order in worker.received_commands
             if order["verb"] == "kill" and at >= since
         ]
 
--- a/tests/simulated_links.py
+++ b/tests/simulated_links.py
@@ -1,6 +1,6 @@
 """Links of a controller in a simulated region: to the state service and to other controllers.
 
-The links apply the faults that the region's attributes name.
+The links apply the faults that are set on the attributes of the region.
 """
 
 from typing import TYPE_CHECKING, NamedTuple
@@ -15,16 +15,18 @@
 if TYPE_CHECKING:
     from .simulated_region import Region
 
-from .simulated_worker import HOP_S
+from .simulated_worker import MESSAGE_DELAY_S
 
 OUTAGE_RETRY_S = 0.1
-LEAST_WATCH_WAIT_S = 0.05
+MIN_WATCH_WAIT_S = 0.05
 
 
 class TransactionFault(NamedTuple):
-    """The fault of a request that gets no response.
+    """The fault of a request to the state service that gets no response.
 
-    The state service executes the request at once, or else after the delay.
+    Attributes:
+        delay_s: Time after which the state service executes the request.
+        executes_at_once: Whether the state service executes the request without that delay.
     """
 
     delay_s: float
@@ -32,7 +34,10 @@
 
 
 class StateLink:
-    """A controller's link to the state service, which may be refused, cut, slow or unanswered."""
+    """A controller's link to the state service, with the faults set on the region.
+
+    Requests may be refused, delayed, or left without a response.
+    """
 
     def __init__(self, region: "Region", label: str) -> None:
         self._region = region
@@ -41,10 +46,10 @@
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
-        """Send a request; raise NoResponseError where a fault leaves it unanswered."""
+        """Send a request; raise NoResponseError if a fault withholds the response."""
         region = self._region
         until = region.clock.now() + timeout_s
-        await curio.sleep(HOP_S + region.state_delay_s)
+        await curio.sleep(MESSAGE_DELAY_S + region.state_delay_s)
         if self._label in region.cut_from_state:
             await curio.sleep(max(0.0, until - region.clock.now()))
             raise NoResponseError(path)
@@ -63,9 +68,11 @@
         if path.startswith("/changes"):
             return await self._watch(method, path, body)
         status, data = await region.state.request(method, path, body)
-        region.simulated_state.note_lease_request(method, path, body, status, data)
+        region.simulated_state.update_lease_expiry(method, path, body, status, data)
         is_delayed = path == "/txn" and self._label in region.transaction_delay_s
-        await curio.sleep(region.transaction_delay_s[self._label] if is_delayed else HOP_S)
+        await curio.sleep(
+            region.transaction_delay_s[self._label] if is_delayed else MESSAGE_DELAY_S
+        )
         return status, data
 
     def _is_refused(self, method: str, path: str) -> bool:
@@ -89,9 +96,9 @@
             if not self._is_watch_blocked():
                 status, data = await region.state.request(method, path, body)
                 if status != 200 or orjson.loads(data)["log"] or region.clock.now() >= end:
-                    await curio.sleep(HOP_S)
+                    await curio.sleep(MESSAGE_DELAY_S)
                     return status, data
-            wait_s = max(LEAST_WATCH_WAIT_S, end - region.clock.now())
+            wait_s = max(MIN_WATCH_WAIT_S, end - region.clock.now())
             await curio.ignore_after(wait_s, region.simulated_state.changed.wait)
 
     def _is_watch_blocked(self) -> bool:
@@ -104,7 +111,7 @@
 
 
 class PeerLink:
-    """The link from one controller to another, which may be cut or frozen."""
+    """The link from one controller to another, which may be disconnected or frozen."""
 
     def __init__(self, region: "Region", source: str, label: str) -> None:
         self._region, self._source, self._label = region, source, label
@@ -112,9 +119,14 @@
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
-        """Send a request; raise ConnectionFailedError or NoResponseError where a fault says so."""
+        """Deliver a request to the peer.
+
+        Raises:
+            ConnectionFailedError: The peer does not run, or one of the two is disconnected.
+            NoResponseError: The peer's process is frozen.
+        """
         region = self._region
-        await curio.sleep(HOP_S)
+        await curio.sleep(MESSAGE_DELAY_S)
         node = region.nodes.get(self._label)
         if node is None or {self._source, self._label} & region.cut_from_peers:
             raise ConnectionFailedError(self._label)
@@ -122,5 +134,5 @@
             await curio.sleep(timeout_s)
             raise NoResponseError(path)
         response = node.handle_peer_request(Request(method, path, body))
-        await curio.sleep(HOP_S)
+        await curio.sleep(MESSAGE_DELAY_S)
         return response.status, response.body
--- a/tests/simulated_worker.py
+++ b/tests/simulated_worker.py
@@ -1,6 +1,6 @@
-"""Simulates a worker as PROTOCOL describes it, and the link on which controllers reach it.
+"""A simulated worker as PROTOCOL describes it, and the link through which controllers reach it.
 
-A worker belongs to a `Region`, sends heartbeats to its controllers, and follows their commands.
+A worker belongs to a `Region`, sends heartbeats to its controllers, and executes their commands.
 """
 
 from dataclasses import dataclass
@@ -17,13 +17,13 @@
 if TYPE_CHECKING:
     from .simulated_region import Region
 
-# how long a message takes from one host to another
-HOP_S = 0.002
-# after so long a worker gives up waiting for a response
+# one-way delay of a message between two hosts
+MESSAGE_DELAY_S = 0.002
+# time after which a worker stops waiting for a response
 RESPONSE_TIMEOUT_S = 4.0
 RETRY_S = 1.0
 REDIRECT_S = 0.2
-FROZEN_POLL_S = 0.1
+FROZEN_POLL_INTERVAL_S = 0.1
 KEPT_HEARTBEATS = 40
 FIRST_PORT = 20000
 
@@ -39,19 +39,26 @@
     ) -> tuple[int, bytes]:
         """Deliver commands; raise NoResponseError while the worker is frozen or unreachable."""
         worker = self._worker
-        await curio.sleep(HOP_S)
+        await curio.sleep(MESSAGE_DELAY_S)
         if worker.inbound_lost or worker.is_frozen:
             if worker.is_frozen:
-                # carried out when the worker resumes, if token and session still match
+                # executed when the worker resumes, if token and session still match
                 worker.delayed_commands.append(load_object(body))
             await curio.sleep(timeout_s)
             raise NoResponseError(path)
-        return worker.command(load_object(body))
+        return worker.handle_commands(load_object(body))
 
 
 @dataclass
 class Task:
-    """A task on a worker: its attempt, its state and since when, and the cause of its end."""
+    """A task on a worker.
+
+    Attributes:
+        attempt: The number of the attempt.
+        state: The reported state, "running" or "exited".
+        since: The time of the start, in seconds.
+        cause: The cause of the end; empty while the task runs.
+    """
 
     attempt: int
     state: str
@@ -60,27 +67,27 @@
 
 
 class Worker:
-    """A machine's worker; images are loaded at once and tasks run for as long as their job says."""
+    """A machine's worker; images load without delay and tasks run for their job's `run_s`."""
 
     def __init__(self, region: "Region", machine: str, number: int, zone: str) -> None:
         self.region, self.machine, self.number, self.zone = region, machine, number, zone
         self.session, self.seq, self.token = 1, 0, 0
         self.tasks: dict[tuple[str, int], Task] = {}
         self.lease_renewed_at = region.clock.now()
-        # faults: responses and commands to it are lost; its heartbeats are lost; its process runs
-        # nothing, and commands that arrive meanwhile are carried out when it resumes
+        # faults: responses and commands to the worker are lost; its heartbeats are lost; its
+        # process is frozen, and commands that arrive in the meantime are executed when it resumes
         self.inbound_lost: bool = False
         self.heartbeats_lost: bool = False
         self.is_frozen: bool = False
-        # the machine was released
+        # whether the machine was released
         self.is_terminated: bool = False
         self.target_index = 0
         self.sent_heartbeats: list[bytes] = []
         self.delayed_commands: list[dict[str, Any]] = []
-        # in how long the cloud takes the machine away; nothing is placed on it meanwhile
+        # remaining seconds until the cloud reclaims the machine; controllers place nothing on it
         self.notice_s: float | None = None
-        # the commands that it got: when, in which session, what
-        self.orders: list[tuple[float, int, dict[str, Any]]] = []
+        # received commands: time in seconds, session, decoded command
+        self.received_commands: list[tuple[float, int, dict[str, Any]]] = []
 
     def terminate(self) -> None:
         """End the machine and all tasks on it."""
@@ -116,14 +123,14 @@
         self.target_index = self.number % len(labels)
         while not self.is_terminated:
             if self.is_frozen:
-                await curio.sleep(FROZEN_POLL_S)
+                await curio.sleep(FROZEN_POLL_INTERVAL_S)
                 continue
             self._advance_tasks()
             while self.delayed_commands:
-                self.command(self.delayed_commands.pop(0))
+                self.handle_commands(self.delayed_commands.pop(0))
             wait_s = self.region.heartbeat_interval_s
             label = labels[self.target_index]
-            answer = await self._call(label)
+            answer = await self._send_heartbeat(label)
             if answer is None or answer[0] != 200:
                 named = str(answer[1].get("foreman")) if answer is not None else ""
                 is_redirected = named in labels and named != label
@@ -133,17 +140,17 @@
                 wait_s = REDIRECT_S if is_redirected else RETRY_S
             await curio.sleep(wait_s)
 
-    async def _call(self, label: str) -> tuple[int, dict[str, Any]] | None:
+    async def _send_heartbeat(self, label: str) -> tuple[int, dict[str, Any]] | None:
         body, sent, session = self._report(), self.region.clock.now(), self.session
         self.sent_heartbeats = [*self.sent_heartbeats[-KEPT_HEARTBEATS:], body]
-        await curio.sleep(HOP_S)
+        await curio.sleep(MESSAGE_DELAY_S)
         if self.region.is_frozen(label) or label in self.region.powered_off:
             await curio.sleep(RESPONSE_TIMEOUT_S)
             return None
         if self.heartbeats_lost or not self.region.can_reach(self, label):
             return None
-        status, data = self.region.deliver(body, label)
-        await curio.sleep(HOP_S)
+        status, data = self.region.deliver_worker_heartbeat(body, label)
+        await curio.sleep(MESSAGE_DELAY_S)
         if self.inbound_lost or self.is_frozen or not self.region.can_reach(self, label):
             await curio.sleep(RESPONSE_TIMEOUT_S)
             return None
@@ -151,30 +158,30 @@
         self._advance_tasks()
         if status == 200 and session == self.session and answer["warrant"] >= self.token:
             self.token, self.lease_renewed_at = answer["warrant"], sent
-            self._apply_orders(answer["orders"])
+            self._execute_commands(answer["orders"])
         return status, answer
 
-    def command(self, data: dict[str, Any]) -> tuple[int, bytes]:
-        """Take commands at the worker's own address; 409 if token or session are outdated."""
+    def handle_commands(self, data: dict[str, Any]) -> tuple[int, bytes]:
+        """Execute commands from a controller; respond 409 if token or session is outdated."""
         self._advance_tasks()
         if data["warrant"] < self.token or data["shift"] != self.session:
             return 409, self._report()
         self.token = data["warrant"]
-        self._apply_orders(data["orders"])
+        self._execute_commands(data["orders"])
         return 200, self._report()
 
-    def _apply_orders(self, orders: list[dict[str, Any]]) -> None:
-        for order in orders:
-            self.orders.append((self.region.clock.now(), self.session, order))
-            job, _, index = order["sack"].rpartition("/")
-            key, attempt = (job, int(index)), order["turn"]
+    def _execute_commands(self, commands: list[dict[str, Any]]) -> None:
+        for command in commands:
+            self.received_commands.append((self.region.clock.now(), self.session, command))
+            job, _, index = command["sack"].rpartition("/")
+            key, attempt = (job, int(index)), command["turn"]
             task = self.tasks.get(key)
-            if order["verb"] == "start":
+            if command["verb"] == "start":
                 if task is None:
                     self.tasks[key] = Task(attempt, "running", self.region.clock.now())
                     self.region.checker.check_start(self, key)
             elif task is not None and task.attempt == attempt:
-                if order["verb"] == "reap" and task.state == "exited":
+                if command["verb"] == "reap" and task.state == "exited":
                     del self.tasks[key]
-                elif order["verb"] == "kill" and task.state == "running":
+                elif command["verb"] == "kill" and task.state == "running":
                     task.state, task.cause = "exited", "halted"
--- a/tests/test_recovery_dry_run.py
+++ b/tests/test_recovery_dry_run.py
@@ -29,7 +29,7 @@
 
 async def _restart_with_differences(region: RecoveryRegion) -> None:
     """Restart all controllers; during the outage a fifth of the machines gets unplanned tasks."""
-    await region.begin(machines=0)
+    await region.start_region(machines=0)
     for number in range(20):
         await region.add_worker(f"n-{number:02d}", ("north", "south")[number % 2], number % 3)
     await region.start_services(10)
@@ -47,9 +47,9 @@
     """Return the times and verbs of the orders by worker."""
     region = simulate_recovery(_restart_with_differences, recovery, is_unplanned_task_violation)
     return {
-        worker.machine: [(round(at, 1), order["verb"]) for at, _, order in worker.orders]
+        worker.machine: [(round(at, 1), order["verb"]) for at, _, order in worker.received_commands]
         for worker in region.workers.values()
-        if worker.orders
+        if worker.received_commands
     }
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""Work of a controller with a thousand machines is counted, never timed."""
+"""Cost of a controller's work for a large fleet, checked by counting calls, not by timing."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -39,7 +39,7 @@
 
 @pytest.fixture(autouse=True)
 def _large_team(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The one team is guaranteed all GPUs, and may use more."""
+    """Guarantee all GPUs to the only team, which may use more."""
     teams = (Team("red", 0.0, 0.0, 1.0 * MACHINES * GPUS_PER_MACHINE, 0.0),)
     monkeypatch.setattr(
         stepped_controller,
@@ -49,10 +49,12 @@
 
 
 def _refuse_iteration(index: object) -> Any:
-    raise AssertionError("all were looked at")
+    raise AssertionError("the index was iterated")
 
 
-def _count(monkeypatch: pytest.MonkeyPatch, counts: Counter[str], owner: Any, name: str) -> None:
+def _count_calls(
+    monkeypatch: pytest.MonkeyPatch, counts: Counter[str], owner: Any, name: str
+) -> None:
     real: Callable[..., Any] = getattr(owner, name)
 
     def counted(*args: Any, **kwargs: Any) -> Any:
@@ -65,9 +67,10 @@
 def test_a_round_checks_each_machines_free_capacity_once_for_similar_jobs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Free capacity is not compared with each waiting job by itself.
+    """Free capacity is compared once for similar waiting jobs, not once for each of them.
 
-    That took a fifth of a controller's time, and the team's earlier jobs two fifths.
+    Comparing it with each job took a fifth of a controller's time, and going through the team's
+    earlier jobs took two fifths.
     """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
@@ -78,8 +81,8 @@
         await node.boot()
         report_all(node, MACHINES)
         counts: Counter[str] = Counter()
-        _count(monkeypatch, counts, FreeCapacity, "count_fitting")
-        _count(monkeypatch, counts, Job, "done_task_count")
+        _count_calls(monkeypatch, counts, FreeCapacity, "count_fitting")
+        _count_calls(monkeypatch, counts, Job, "done_task_count")
         await node.round()
         jobs = MACHINES * GPUS_PER_MACHINE // 16 + 300
         assert MACHINES <= counts["count_fitting"] <= 2 * MACHINES
@@ -115,18 +118,18 @@
         stored = len(state.keys)
         node = SteppedController(state, clock, nodes)
         await node.boot()
-        pages = [path for _, path in state.calls if path == "/keys"]
+        pages = [path for _, path in state.received_requests if path == "/keys"]
         assert len(pages) <= stored // 1000 + 1
-        # each shard's key and the counter of tokens, this controller's own key and the leader's
-        assert state.puts <= 2 * node.settings.controller_count + 2
+        # each shard's key and the token counter, this controller's own key and the leader key
+        assert state.applied_change_count <= 2 * node.settings.controller_count + 2
         assert (
             sum(j.planned_task_count() for j in node.cluster.jobs.values())
             == MACHINES * GPUS_PER_MACHINE
         )
-        before = state.puts
+        before = state.applied_change_count
         report_all(node, MACHINES)
         await node.round()
-        assert state.puts == before
+        assert state.applied_change_count == before
 
     run_scenario(scenario)
 
@@ -141,28 +144,29 @@
             await node.controller_lease.step()
             await node.membership.step()
         report_all(node, MACHINES)
-        asked: list[int] = []
+        request_sizes: list[int] = []
 
-        class Line:
+        class RecordingLink:
             async def request(
                 self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
             ) -> tuple[int, bytes]:
-                asked.append(len(body))
+                request_sizes.append(len(body))
                 return 503, b""
 
-        node.partition_protocol.peers._http["node-0"] = Line()
+        node.partition_protocol.peers._http["node-0"] = RecordingLink()
         clock.time += node.settings.heartbeat_timeout_s + 0.1
         await node.controller_lease.step()
         await node.round()
         await node.partition_protocol.step()
-        assert len(asked) == 1
-        assert asked[0] < 64 * 1024
+        assert len(request_sizes) == 1
+        assert request_sizes[0] < 64 * 1024
 
     run_scenario(scenario)
 
 
 def test_a_burst_of_submissions_may_exceed_the_controllers_write_rate() -> None:
-    # guards against a pipeline's stages, submitted one after the other, taking a second each
+    # guards against a delay of a second for each of a pipeline's stages, which are submitted one
+    # after the other
     async def scenario(
         state: StateService, clock: FakeClock, nodes: dict[str, SteppedController]
     ) -> None:
@@ -174,7 +178,7 @@
         for intent in intents:
             await node.writer.submit(intent)
         assert [await i.future.wait(1.0) for i in intents] == [WriteResult.OK] * 5
-        # lesser writes wait until the debt is paid
+        # writes of lower rank wait until the token bucket is no longer overdrawn
         late = WriteIntent(Txn({}, [Put("cm/x/late", 0)]))
         await node.writer.submit(late)
         assert await late.future.wait(0.05) is None
@@ -183,24 +187,25 @@
 
 
 def test_a_round_writes_urgent_chunks_first_and_keeps_to_the_write_rate() -> None:
-    # guards against rounds of many seconds: the next stage of a pipeline waits for each
-    def news(number: int, attempts: int, why: str = "done") -> ChunkOutcomes:
+    # guards against rounds of many seconds: the next stage of a pipeline starts only after a round
+    def outcomes(number: int, attempts: int, reason: str = "done") -> ChunkOutcomes:
         attempt = PlannedAttempt(f"wk-{number:06d}", 0, 1, "n-0", 1)
         chunk = PlanChunk(2, 0, {i: attempt for i in range(attempts)})
         return ChunkOutcomes(
-            Job(attempt.job), "0", chunk, [AttemptOutcome(attempt, EndReason(why), term=1)]
+            Job(attempt.job), "0", chunk, [AttemptOutcome(attempt, EndReason(reason), term=1)]
         )
 
-    many = [news(number, 9) for number in range(20)]
-    last, failed = news(90, 1), news(91, 9, "error")
+    many = [outcomes(number, 9) for number in range(20)]
+    last, failed = outcomes(90, 1), outcomes(91, 9, "error")
     assert select_batches(many[:3], 4) == many[:3]
     assert select_batches([*many, last, failed], 4) == [last, failed, *many[:2]]
-    # some progress even where all is urgent
+    # even if urgent outcomes take the whole limit, one batch of the others is written
     assert select_batches([*many, last, failed], 1) == [last, failed, many[0]]
 
 
 def test_a_shard_release_is_written_before_queued_submissions() -> None:
-    # guards against a shard that nobody acts for while cancellations queue up before its key
+    # guards against a shard without an acting controller while queued cancellations are written
+    # before the shard's key
     async def scenario(
         state: StateService, clock: FakeClock, nodes: dict[str, SteppedController]
     ) -> None:
@@ -228,13 +233,13 @@
 def test_a_round_recomputes_free_capacity_only_for_changed_machines(
     machines: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # guards against recomputing the whole fleet's free capacity in each round: a quarter of its
-    # time
+    # guards against recomputing the whole fleet's free capacity in each round, which took a quarter
+    # of the round's time
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         full_fleet(state, clock, machines)
         add_job(state, clock, nameId="wk-900000", grist="batch")
         counts: Counter[str] = Counter()
-        _count(monkeypatch, counts, FleetCapacity, "free_capacity")
+        _count_calls(monkeypatch, counts, FleetCapacity, "free_capacity")
         node = SteppedController(state, clock, nodes)
         await node.boot()
         report_all(node, machines)
@@ -243,7 +248,7 @@
         counts.clear()
         await node.round()
         assert counts["free_capacity"] == 0
-        # one task of one job ends: its machine alone is looked at anew
+        # one task of one job ends: only the free capacity of its machine is recomputed
         rows = {
             i: PlannedAttempt("wk-000000", i, i + 1, f"n-{i // GPUS_PER_MACHINE}", 1)
             for i in range(1, 16)
@@ -251,7 +256,7 @@
         state.put(keys.plan("wk-000000", "0"), encode_chunk(PlanChunk(17, 1, rows)))
         await node.sync()
         await node.round()
-        # of what is planned onto it in that round the next one learns
+        # the next round takes account of the attempts that this round plans on the machine
         assert counts["free_capacity"] == 1
 
     run_scenario(scenario)
@@ -260,14 +265,14 @@
 def test_repeated_heartbeats_of_four_thousand_machines_are_served_from_caches(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # guards against bounds of kept requests and tasks below the largest fleet: each pass over it
-    # would then drop what the next one needs
+    # guards against caches of request heads and task statuses that are smaller than the largest
+    # fleet: each pass over the machines would evict the entries that the next pass needs
     machines, tasks = 4000, 10_000
     settings = make_settings()
     heads = RequestHeadCache(settings.max_cached_request_heads)
     read = cached_task_status_reader(settings.max_cached_task_statuses)
     counts: Counter[str] = Counter()
-    _count(monkeypatch, counts, checks, "one_of")
+    _count_calls(monkeypatch, counts, checks, "one_of")
 
     def report(machine: int) -> None:
         body = heartbeat_body(
@@ -275,9 +280,9 @@
             1,
             1,
             1,
-            *(reported_task("wk-1", i, 1, "running") for i in mine(machine)),
+            *(reported_task("wk-1", i, 1, "running") for i in task_range(machine)),
         )
-        # each worker's head differs: it comes by an address of its own
+        # each worker's request head differs: its target names the machine
         target = f"/agent/beat?machine={machine}"
         request = h11.Request(
             method="POST",
@@ -290,7 +295,7 @@
             heads.add(data, request)
         parse_heartbeat(load_object(body), read)
 
-    def mine(machine: int) -> range:
+    def task_range(machine: int) -> range:
         return range(machine * tasks // machines, (machine + 1) * tasks // machines)
 
     for machine in range(machines):
@@ -309,7 +314,7 @@
         await node.boot()
         report_all(node, 40, 1)
         counts: Counter[str] = Counter()
-        _count(monkeypatch, counts, checks, "one_of")
+        _count_calls(monkeypatch, counts, checks, "one_of")
         report_all(node, 40, 2)
         assert counts["one_of"] == 0
 
--- a/tests/trace_adapter.py
+++ b/tests/trace_adapter.py
@@ -90,7 +90,7 @@
 
     async def start_controllers(self) -> None:
         """Start all controllers and wait until each shard has an owner."""
-        await self._region.begin(machines=0)
+        await self._region.start_region(machines=0)
 
     async def start_provisioning(self) -> None:
         """Start the provisioners as well, so that the leader rents machines from the cloud."""
@@ -165,7 +165,7 @@
 
     def fail_rentals(self, rentals: int) -> None:
         """Make the next rentals fail for lack of capacity."""
-        self._region.cloud.script += ["none"] * rentals
+        self._region.cloud.scripted_faults += ["none"] * rentals
 
     def heal(self) -> None:
         """End all disconnections, outages, delays, freezes and losses of messages.
@@ -221,7 +221,7 @@
         """Deliver copies of a worker's earlier heartbeats to a controller."""
         if controller in self._region.nodes:
             for body in list(self._region.workers[machine].sent_heartbeats):
-                self._region.deliver(body, controller)
+                self._region.deliver_worker_heartbeat(body, controller)
 
     # -- users -----------------------------------------------------------------------
 
@@ -237,7 +237,7 @@
 
     async def show(self, controller: str, job: str) -> int:
         """Request a job's state and return the status, 0 if the controller was killed."""
-        return await self._status_of(self._region.show(controller, job))
+        return await self._status_of(self._region.query_job(controller, job))
 
     async def _status_of(self, status: Awaitable[int]) -> int:
         try:
@@ -249,7 +249,7 @@
     def orders(self) -> Counter[str]:
         """Return the number of orders that the workers received, by verb."""
         workers = self._region.workers.values()
-        return Counter(order[2]["verb"] for worker in workers for order in worker.orders)
+        return Counter(order[2]["verb"] for worker in workers for order in worker.received_commands)
 
     def violations(self) -> list[str]:
         """Return the violations that the region's invariant checker reported."""
