--- a/crossmill/multihost/agents.py
+++ b/crossmill/multihost/agents.py
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True, eq=False)
 class AgentView:
-    """A machine according to its newest verified heartbeat; times are of the steady clock."""
+    """A machine according to its newest verified heartbeat; times are of the monotonic clock."""
 
     machine: str
     last_heartbeat_at: float = 0.0
@@ -46,14 +46,18 @@
     rejected_reports: int = 0
 
     def runs_no_member_of(self, replica: str) -> bool:
-        """Return whether no member of the replica runs or has a pending start order here."""
+        """Return whether the agent neither runs a member of the replica nor can still start one.
+
+        It can start one as long as it may still carry out an order to do so. Nothing is known about
+        an agent that is not verified.
+        """
         if replica in self.members or self.alive_at is None:
             return False
         return self.alive_at >= self.start_sent_at.get(replica, self.alive_at)
 
     @property
     def is_idle(self) -> bool:
-        """Whether the machine runs no member and has no pending start order."""
+        """Whether the agent is verified, runs no member and has no pending start order."""
         return self.is_verified and not self.members and not self.start_sent_at
 
     @property
@@ -119,7 +123,7 @@
             now: The time at which the heartbeat was received.
 
         Returns:
-            NEW if the heartbeat was accepted. Otherwise it has not changed what the view holds.
+            NEW if the heartbeat was accepted. Otherwise an existing view has not changed.
         """
         view = self._views.get(heartbeat.machine)
         if view is None:
--- a/crossmill/multihost/api.py
+++ b/crossmill/multihost/api.py
@@ -147,10 +147,10 @@
         return Response(200, orjson.dumps({"replica_sets": sets}))
 
     async def _show_set(self, name: str) -> Response:
-        stored = self._pool.sets.get(name)
-        if stored is None:
+        replica_set = self._pool.sets.get(name)
+        if replica_set is None:
             return NO_SUCH_SET
-        return Response(200, orjson.dumps(describe_set(self._pool, stored)))
+        return Response(200, orjson.dumps(describe_set(self._pool, replica_set)))
 
     async def _list_replicas(self) -> Response:
         wall_time = self._clock.wall_time()
@@ -180,27 +180,29 @@
             return Response(400, error_body(str(exc), exc.field))
         except UnplaceableError as exc:
             return Response(422, error_body(str(exc), "members"))
-        return await self._update_set(name, lambda stored: self._after_declaration(spec, stored))
+        return await self._update_set(
+            name, lambda replica_set: self._after_declaration(spec, replica_set)
+        )
 
     @staticmethod
     def _after_declaration(
-        spec: ReplicaSetSpec, stored: ReplicaSet | None
+        spec: ReplicaSetSpec, replica_set: ReplicaSet | None
     ) -> ReplicaSet | Response:
-        if stored is None:
+        if replica_set is None:
             return ReplicaSet(spec)
-        if stored.is_removed:
+        if replica_set.is_removed:
             return Response(409, error_body("a set of this name is being removed"), RETRY_AFTER_S)
         changes = {field: getattr(spec, field) for field in MUTABLE_FIELDS}
-        if stored.spec._replace(**changes) != spec:
+        if replica_set.spec._replace(**changes) != spec:
             allowed = ", ".join(MUTABLE_FIELDS)
             return Response(409, error_body(f"of a declared set only these change: {allowed}"))
-        return ReplicaSet(spec, False, stored.next_index)
+        return ReplicaSet(spec, False, replica_set.next_number)
 
     async def _remove(self, name: str) -> Response:
-        def removed(stored: ReplicaSet | None) -> ReplicaSet | Response:
-            if stored is None:
+        def removed(replica_set: ReplicaSet | None) -> ReplicaSet | Response:
+            if replica_set is None:
                 return NO_SUCH_SET
-            return ReplicaSet(stored.spec, True, stored.next_index)
+            return ReplicaSet(replica_set.spec, True, replica_set.next_number)
 
         return await self._update_set(name, removed)
 
@@ -214,14 +216,16 @@
             change: Returns the set after the change, or an error response if it can't be changed.
         """
         for _ in range(MAX_WRITE_ATTEMPTS):
-            stored = self._pool.sets.get(name)
-            after = change(stored)
+            replica_set = self._pool.sets.get(name)
+            after = change(replica_set)
             if isinstance(after, Response):
                 return after
             key = keys.replica_set(name)
-            version = stored.version if stored is not None else 0
+            version = replica_set.version if replica_set is not None else 0
             if await self._write(Txn({key: version}, [Put(key, encode_set(after))])):
-                return Response(201 if stored is None else 200, orjson.dumps(encode_set(after)))
+                return Response(
+                    201 if replica_set is None else 200, orjson.dumps(encode_set(after))
+                )
             if not await self._watcher.sync(self._settings.submission_timeout_s):
                 break
         return UNAVAILABLE
@@ -276,5 +280,5 @@
         after = replace(machine, drain_reason=reason, is_released=is_released)
         if not await self._write(Txn({key: machine.version}, [Put(key, encode_machine(after))])):
             return UNAVAILABLE
-        stored = self._pool.machines[machine_id]
-        return Response(200, orjson.dumps(describe_machine(self._pool, stored)))
+        updated = self._pool.machines[machine_id]
+        return Response(200, orjson.dumps(describe_machine(self._pool, updated)))
--- a/crossmill/multihost/coordinator.py
+++ b/crossmill/multihost/coordinator.py
@@ -28,7 +28,8 @@
 
 # maximum number of passes in a heartbeat interval
 MAX_PASSES_PER_HEARTBEAT = 20
-# minimum number while agents report, so that an overdue heartbeat is detected in time
+# minimum number of passes in a heartbeat interval while agents report, so that an overdue heartbeat
+# is detected in time
 MIN_PASSES_PER_HEARTBEAT = 2
 
 
@@ -55,8 +56,8 @@
             context.pool, context.writer, self._queue, scheduler, self._sets
         )
         self._wake = curio.Event()
-        # the term (the fencing token) of the ownership under which passes run; None until its
-        # first pass and after its end
+        # the term of the ownership under which passes run (the fencing token with which it began);
+        # None until the first pass under an ownership, and after its end
         self._term: int | None = None
         context.ownership.on_lost(self._on_ownership_lost)
 
@@ -73,7 +74,7 @@
             await self._wake.set()
 
     async def run(self) -> None:
-        """Run passes while this controller owns the pool, as soon as there is something to do."""
+        """Run passes while this controller owns the pool: after changes, and when one is due."""
         while True:
             ownership = self._ownership.command_ownership()
             if ownership is not None:
--- a/crossmill/multihost/due_times.py
+++ b/crossmill/multihost/due_times.py
@@ -16,7 +16,7 @@
 
 
 class DueTimes:
-    """The earliest due time of each replica, by the controller's steady clock.
+    """The earliest due time of each replica, by the controller's monotonic clock.
 
     The replica reconciler owns the due times and clears them when it loses the pool.
     """
--- a/crossmill/multihost/failure_scores.py
+++ b/crossmill/multihost/failure_scores.py
@@ -13,10 +13,10 @@
 
 
 class FailureScores:
-    """A score for each machine: it grows by one per failure and decays exponentially.
+    """A score for each machine: it grows by one per failure and halves in each half-life.
 
     The scores are kept only in the memory of the pool's owner, so that a new owner starts without
-    any. Times are of the controller's steady clock.
+    any. Times are of the controller's monotonic clock.
     """
 
     def __init__(self, half_life_s: float) -> None:
--- a/crossmill/multihost/heartbeats.py
+++ b/crossmill/multihost/heartbeats.py
@@ -57,7 +57,7 @@
 
     @property
     def rejected_reports(self) -> int:
-        """The number of reports that contradicted the plan, since the start of the program."""
+        """The number of reports about members rejected since the process started."""
         return self._reports.rejected_reports
 
     def handle(self, heartbeat: AgentHeartbeat) -> HeartbeatReply:
--- a/crossmill/multihost/lifecycle.py
+++ b/crossmill/multihost/lifecycle.py
@@ -58,7 +58,7 @@
     Attributes:
         action: The next step.
         reason: The reason as shown to operators.
-        recheck_at: The steady time at which to decide again if nothing changes; None if only a
+        recheck_at: The monotonic time at which to decide again if nothing changes; None if only a
             change makes another decision necessary.
         suspects: The ranks whose machines are avoided for the next generation.
     """
@@ -77,7 +77,7 @@
         unreachable: The ranks that the front member can't reach.
         is_rendezvous_complete: Whether every member was alive in this generation after the last of
             them had confirmed it.
-        fenced_at: The steady time from which no serving lease of an earlier generation is valid.
+        fenced_at: The monotonic time from which no serving lease of an earlier generation is valid.
         start_limit_s: The time in seconds after which a start counts as failed.
         may_stop: Whether the disruption budget allows the replica to be stopped now.
         all_stopped: Whether no member of any generation can still run.
@@ -103,13 +103,13 @@
 
     @property
     def phase_entered_at(self) -> float:
-        """The steady time at which the replica entered its phase."""
-        return self.time.to_steady(self.replica.since)
+        """The monotonic time at which the replica entered its phase."""
+        return self.time.to_monotonic(self.replica.since)
 
     @property
     def restart_count(self) -> int:
         """The number of restarts that count against the set's restart budget."""
-        return len(recent_restarts(self.replica, self.spec, self.time.wall))
+        return len(recent_restarts(self.replica, self.spec, self.time.wall_time))
 
 
 class _Suspicion(NamedTuple):
--- a/crossmill/multihost/member_reports.py
+++ b/crossmill/multihost/member_reports.py
@@ -35,7 +35,7 @@
 
     def __init__(self, pool: PoolState) -> None:
         self._pool = pool
-        # the number of rejected reports since the start of the program
+        # the number of rejected reports since the process started
         self.rejected_reports = 0
 
     def apply(self, heartbeat: AgentHeartbeat, view: AgentView) -> None:
@@ -96,7 +96,10 @@
     def _planning_problem(
         self, machine_id: str, replica_id: ReplicaId, rank: int
     ) -> ReportProblem | None:
-        """Return how a member of the current generation contradicts the plan, if it does."""
+        """Return the contradiction between a report of the current generation and the plan.
+
+        None if there is none.
+        """
         member = self._pool.machines[machine_id].planned.get(replica_id)
         if member is None:
             return ReportProblem.NOT_PLANNED
--- a/crossmill/multihost/member_status.py
+++ b/crossmill/multihost/member_status.py
@@ -30,18 +30,18 @@
     """The time of a decision, and the start of this controller's ownership of the pool.
 
     Attributes:
-        now: The time by the controller's steady clock, in seconds.
-        wall: The time by the wall clock, in seconds; stored times are wall times.
-        owned_since: The steady time at which the ownership began.
+        now: The time by the controller's monotonic clock, in seconds.
+        wall_time: The time by the wall clock, in seconds; stored times are wall times.
+        owned_since: The monotonic time at which the ownership began.
     """
 
     now: float
-    wall: float
+    wall_time: float
     owned_since: float
 
-    def to_steady(self, wall: float) -> float:
-        """Return the steady time that corresponds to a wall time."""
-        return self.now + (wall - self.wall)
+    def to_monotonic(self, wall_time: float) -> float:
+        """Return the monotonic time that corresponds to a wall time."""
+        return self.now + (wall_time - self.wall_time)
 
 
 _STATUS_OF_STATE = {
--- a/crossmill/multihost/model.py
+++ b/crossmill/multihost/model.py
@@ -96,8 +96,8 @@
 
     spec: ReplicaSetSpec
     is_removed: bool = False
-    # the number that the next new replica gets
-    next_index: int = 0
+    # the number of the next replica to be created
+    next_number: int = 0
     version: int = 0
 
 
@@ -142,8 +142,8 @@
     chunk_count: int = 0
     since: float = 0.0
     reason: str = ""
-    # if not empty, the reason to stop it, as soon as a replacement serves or the disruption budget
-    # allows it
+    # if not empty, the replica is to be stopped for this reason, as soon as a replacement serves or
+    # the disruption budget allows it
     stop_reason: str = ""
     # wall times of the restarts that count against the restart budget
     restarts: tuple[float, ...] = ()
@@ -171,8 +171,9 @@
     fetch_gb_per_s: float
     # if not empty, the reason to replace the replicas that have a member here
     drain_reason: str = ""
-    # whether it is to leave the pool once it runs no member, and whether it has left
+    # whether the machine is to leave the pool once it runs no member
     is_released: bool = False
+    # whether the machine has left the pool
     has_left: bool = False
     version: int = 0
     planned: dict[ReplicaId, Member] = field(default_factory=dict)
--- a/crossmill/multihost/observations.py
+++ b/crossmill/multihost/observations.py
@@ -16,7 +16,8 @@
 from .serving import ServingLeases
 from .settings import MultihostSettings
 
-# covers the drift of the agent's clock and responses that were still in transit to it
+# factor on the agent lease that covers the drift of the agent's clock and responses that were still
+# in transit to it
 AGENT_LEASE_MARGIN = 1.1
 # assumed while no member's machine is known
 DEFAULT_FETCH_GB_PER_S = 1.0
@@ -43,13 +44,13 @@
         self._rendezvous.clear()
 
     def observe(
-        self, replica: Replica, stored: ReplicaSet, time: DecisionTime, may_stop: bool
+        self, replica: Replica, replica_set: ReplicaSet, time: DecisionTime, may_stop: bool
     ) -> ReplicaObservation:
         """Return the observation of a replica.
 
         Args:
             replica: The replica.
-            stored: The set that it belongs to.
+            replica_set: The set that it belongs to.
             time: The time of the decision.
             may_stop: Whether the set's disruption budget allows the replica to be stopped.
         """
@@ -61,7 +62,7 @@
             is_rendezvous_complete=self._is_rendezvous_complete(replica, members, statuses, time),
             fenced_at=self._leases.fenced_at(replica, time.owned_since, self._grantee(replica)),
             start_limit_s=start_limit_s(
-                stored.spec, self._slowest_fetch_gb_per_s(members), self._settings
+                replica_set.spec, self._slowest_fetch_gb_per_s(members), self._settings
             ),
             may_stop=may_stop,
             all_stopped=self._is_all_stopped(replica, time),
@@ -78,7 +79,7 @@
         return frozenset(view.members[str(replica.id)].unreachable) & statuses.keys()
 
     def _grantee(self, replica: Replica) -> AgentView | None:
-        """Return the view of the machine that holds the replica's last granted serving lease."""
+        """Return the view of the machine to which the replica's last serving lease was granted."""
         machine = self._leases.granted_machine(replica.id)
         return self._agents.get(machine) if machine is not None else None
 
@@ -113,7 +114,7 @@
         return all(self._has_stopped(machine, replica, time) for machine in machines)
 
     def _has_stopped(self, machine: str, replica: Replica, time: DecisionTime) -> bool:
-        """Return whether the machine's agent runs no member, or its lease must have expired."""
+        """Return whether the agent runs no member of the replica or its lease must have expired."""
         view = self._agents.get(machine)
         last_contact_at = time.owned_since
         if view is not None and view.is_verified:
--- a/crossmill/multihost/orders.py
+++ b/crossmill/multihost/orders.py
@@ -84,11 +84,11 @@
 
     def _start(self, replica: Replica, member: Member) -> Order | None:
         """Return the order to start a member; None while a member's address is unknown."""
-        stored = self._pool.sets.get(replica.id.set_name)
+        replica_set = self._pool.sets.get(replica.id.set_name)
         peers = self._peer_addresses(replica)
-        if stored is None or peers is None:
+        if replica_set is None or peers is None:
             return None
-        return self._start_order(stored.spec, replica, member, peers)
+        return self._start_order(replica_set.spec, replica, member, peers)
 
     def _peer_addresses(self, replica: Replica) -> tuple[PeerAddress, ...] | None:
         """Return the addresses of a replica's members; None while one of them is unknown."""
@@ -172,7 +172,7 @@
 
 
 def _runs(view: AgentView, replica: Replica, member: Member) -> bool:
-    """Return whether the machine runs the current generation of the member, weights loaded."""
+    """Return whether the machine runs the member in the current generation, weights loaded."""
     report = view.members.get(str(replica.id))
     return (
         report is not None
--- a/crossmill/multihost/phases.py
+++ b/crossmill/multihost/phases.py
@@ -25,7 +25,8 @@
     # the members are being stopped permanently
     DRAINING = "draining"
     STOPPED = "stopped"
-    # the restart budget is used up; an operator's restart or the end of the restart window retries
+    # the restart budget is used up; the replica is retried after the restart window, or when an
+    # operator restarts it
     FAILED = "failed"
 
 
--- a/crossmill/multihost/placement.py
+++ b/crossmill/multihost/placement.py
@@ -102,7 +102,7 @@
 
 
 def max_replicas_per_zone(spec: ReplicaSetSpec) -> int:
-    """Return the maximum number of a set's replicas in one zone: half of them if it is spread."""
+    """Return the maximum number of replicas per zone: half, rounded up, if the set is spread."""
     return (spec.replicas + 1) // 2 if spec.spread else spec.replicas
 
 
@@ -179,22 +179,22 @@
     return ReplicaPlacement(members, load_s, len(kept))
 
 
-def machines_to_keep_idle(
+def machines_to_keep_free(
     spec: ReplicaSetSpec,
     candidates: Iterable[Candidate],
     replicas_by_zone: Mapping[str, int],
     max_machines: int,
 ) -> frozenset[str]:
-    """Return free machines to keep idle for a replica that has too few machines to be placed.
+    """Return machines to keep free for a replica that has too few machines to be placed.
 
     The machines are in the zone with the most free ones. Replicas that are later in the queue are
-    not placed on them, so that they can't delay the replica indefinitely.
+    not placed on them.
 
     Args:
         spec: The declaration of the replica's set.
         candidates: The machines that can run more members.
         replicas_by_zone: The number of other replicas of the set in each zone.
-        max_machines: The maximum number of machines to keep idle.
+        max_machines: The maximum number of machines to keep free.
     """
     by_zone: dict[str, list[Candidate]] = {}
     for candidate in candidates:
--- a/crossmill/multihost/placement_executor.py
+++ b/crossmill/multihost/placement_executor.py
@@ -82,7 +82,7 @@
         replica = self._pool.replicas.get(choice.replica_id)
         if replica is None or self._must_wait_for_open_reservation(replica):
             return
-        reservation = Reservation(ownership, replica, placement, time.wall, choice.reason)
+        reservation = Reservation(ownership, replica, placement, time.wall_time, choice.reason)
         if await self._reservations.reserve(reservation):
             self._queue.remove(choice.replica_id)
             log.info(
--- a/crossmill/multihost/placement_queue.py
+++ b/crossmill/multihost/placement_queue.py
@@ -19,7 +19,7 @@
 
 
 class _QueueEntry:
-    """A replica in the queue. Times are read from the controller's steady clock."""
+    """A replica in the queue. Times are read from the controller's monotonic clock."""
 
     __slots__ = ("unplaced_since", "waiting_since")
 
@@ -68,11 +68,11 @@
         """Remove a replica that has its machines or no longer needs any."""
         self._entries.pop(replica_id, None)
 
-    def note_placed(self, replica_id: ReplicaId) -> None:
+    def mark_placed(self, replica_id: ReplicaId) -> None:
         """Record that the scheduler has found machines for a replica."""
         self._entries[replica_id].unplaced_since = None
 
-    def note_unplaced(self, replica_id: ReplicaId, now: float) -> None:
+    def mark_unplaced(self, replica_id: ReplicaId, now: float) -> None:
         """Record that the scheduler has found too few machines for a replica."""
         entry = self._entries[replica_id]
         if entry.unplaced_since is None:
--- a/crossmill/multihost/pool.py
+++ b/crossmill/multihost/pool.py
@@ -30,7 +30,7 @@
 
 
 class PoolChanges:
-    """The sets, replicas and machines that have changed since the last pass, by ID."""
+    """The sets, replicas and machines whose records or reports have changed since the last pass."""
 
     __slots__ = ("machines", "replicas", "sets")
 
@@ -61,8 +61,8 @@
 
     def member_resources(self, replica_id: ReplicaId) -> Resources:
         """Return the resources that a member requires; zero if the replica's set is unknown."""
-        stored = self.sets.get(replica_id.set_name)
-        return stored.spec.resources if stored is not None else NO_RESOURCES
+        replica_set = self.sets.get(replica_id.set_name)
+        return replica_set.spec.resources if replica_set is not None else NO_RESOURCES
 
     def free(self, machine: PoolMachine) -> Resources:
         """Return the machine's capacity minus the resources of its planned members."""
--- a/crossmill/multihost/preemption.py
+++ b/crossmill/multihost/preemption.py
@@ -116,8 +116,8 @@
     def _lower_priority_replicas(self, spec: ReplicaSetSpec) -> Iterator[Replica]:
         """Iterate over the replicas of lower priority that have machines."""
         for name, replicas in self._pool.replicas_of.items():
-            stored = self._pool.sets.get(name)
-            if stored is None or stored.spec.priority >= spec.priority:
+            replica_set = self._pool.sets.get(name)
+            if replica_set is None or replica_set.spec.priority >= spec.priority:
                 continue
             yield from (r for r in replicas.values() if r.all_members())
 
@@ -127,27 +127,27 @@
         # number of ready replicas that may still be stopped, by set name
         budgets: dict[str, int] = {}
         for replica in self._lower_priority_replicas(spec):
-            stored = self._pool.sets[replica.id.set_name]
-            name = stored.spec.name
+            replica_set = self._pool.sets[replica.id.set_name]
+            name = replica_set.spec.name
             if replica.phase is ReplicaPhase.READY:
-                budget = budgets.setdefault(name, self._disruption_budget(stored))
+                budget = budgets.setdefault(name, self._disruption_budget(replica_set))
                 if budget <= 0:
                     continue
                 budgets[name] = budget - 1
-            victims.append(_victim(replica, stored))
+            victims.append(_victim(replica, replica_set))
         return victims
 
-    def _disruption_budget(self, stored: ReplicaSet) -> int:
+    def _disruption_budget(self, replica_set: ReplicaSet) -> int:
         """Return the number of ready replicas of the set that may be stopped."""
-        replicas = self._pool.replicas_of[stored.spec.name].values()
-        return sum(r.phase is ReplicaPhase.READY for r in replicas) - stored.spec.min_ready
+        replicas = self._pool.replicas_of[replica_set.spec.name].values()
+        return sum(r.phase is ReplicaPhase.READY for r in replicas) - replica_set.spec.min_ready
 
 
-def _victim(replica: Replica, stored: ReplicaSet) -> Victim:
+def _victim(replica: Replica, replica_set: ReplicaSet) -> Victim:
     return Victim(
         str(replica.id),
-        stored.spec.priority,
+        replica_set.spec.priority,
         replica.since,
         tuple(m.machine for m in replica.all_members()),
-        stored.spec.resources,
+        replica_set.spec.resources,
     )
--- a/crossmill/multihost/records.py
+++ b/crossmill/multihost/records.py
@@ -30,9 +30,9 @@
 RESERVED_TYPE_PREFIX = "multihost/"
 
 
-def encode_set(stored: ReplicaSet) -> dict[str, Any]:
+def encode_set(replica_set: ReplicaSet) -> dict[str, Any]:
     """Return the record of a declaration."""
-    spec = stored.spec
+    spec = replica_set.spec
     return {
         "name": spec.name,
         "members": spec.members,
@@ -48,8 +48,8 @@
         "restart_budget": spec.restart_budget,
         "restart_window_s": spec.restart_window_s,
         "hold_s": spec.hold_s,
-        "removed": stored.is_removed,
-        "next": stored.next_index,
+        "removed": replica_set.is_removed,
+        "next": replica_set.next_number,
     }
 
 
@@ -154,7 +154,7 @@
 
 
 def reservation_record(
-    machine_type: str, zone: str, spot: bool, shard: int, rented: float
+    machine_type: str, zone: str, spot: bool, shard: int, rented_at: float
 ) -> dict[str, Any]:
     """Return the ordinary record of a pool machine, in the format that every version reads.
 
@@ -168,7 +168,7 @@
         "spot": spot,
         "shard": shard,
         "token": 0,
-        "at": rented,
+        "at": rented_at,
         "retiring": "",
         "up": False,
     }
--- a/crossmill/multihost/registration.py
+++ b/crossmill/multihost/registration.py
@@ -77,9 +77,9 @@
         txn.puts.append(Put(pooled, encode_machine(machine)))
         known = self._cluster.machines.get(machine_id)
         if known is None or not is_reserved_type(known.type):
-            rented = self._clock.wall_time() if known is None else known.rented_at
+            rented_at = self._clock.wall_time() if known is None else known.rented_at
             record = reservation_record(
-                offer.type, offer.zone, offer.spot, self._ownership.shard, rented
+                offer.type, offer.zone, offer.spot, self._ownership.shard, rented_at
             )
             txn.puts.append(Put(ordinary, record))
         log.info("machine joins the pool machine=%s zone=%s", machine_id, offer.zone)
--- a/crossmill/multihost/rendezvous.py
+++ b/crossmill/multihost/rendezvous.py
@@ -14,7 +14,10 @@
 
 
 class _Confirmation(NamedTuple):
-    """The steady time at which all members of a generation were first seen to have confirmed it."""
+    """A generation that all members have confirmed.
+
+    `at` is the monotonic time at which this was first observed.
+    """
 
     generation: int
     at: float
--- a/crossmill/multihost/replica_reconciler.py
+++ b/crossmill/multihost/replica_reconciler.py
@@ -94,7 +94,7 @@
         self._suspects.clear()
 
     def next_due_at(self) -> float | None:
-        """Return a steady time before which no replica is due; None if no due time is set."""
+        """Return a monotonic time before which no replica is due; None if no due time is set."""
         return self._due.next_at()
 
     def pop_due(self, now: float) -> set[ReplicaId]:
@@ -136,15 +136,15 @@
         changes: ReplicaChanges,
     ) -> None:
         self.examined_count += 1
-        stored = self._pool.sets.get(replica.id.set_name)
-        if replica.version == 0 or stored is None:
+        replica_set = self._pool.sets.get(replica.id.set_name)
+        if replica.version == 0 or replica_set is None:
             # the record of the replica or of its set was deleted or has not been read yet
             return
         time = reconcile_pass.time
-        observation = self._observer.observe(replica, stored, time, may_stop)
+        observation = self._observer.observe(replica, replica_set, time, may_stop)
         settings = self._context.settings
-        decision = decide(DecisionInput(replica, stored.spec, observation, time, settings))
-        self._note_due(replica.id, decision, observation, time)
+        decision = decide(DecisionInput(replica, replica_set.spec, observation, time, settings))
+        self._schedule_recheck(replica.id, decision, observation, time)
         if decision.action is ReplicaAction.PLACE:
             self._queue.add(replica.id, time.now)
             return
@@ -158,9 +158,11 @@
                 self._forget(replica.id)
                 changes.deletions.append(RecordDeletion(replica, includes_replica=True))
             case _:
-                changes.intents.append(self._transition(reconcile_pass, replica, stored, decision))
+                changes.intents.append(
+                    self._transition(reconcile_pass, replica, replica_set, decision)
+                )
 
-    def _note_due(
+    def _schedule_recheck(
         self,
         replica_id: ReplicaId,
         decision: ReplicaDecision,
@@ -184,17 +186,17 @@
         self,
         reconcile_pass: _ReconcilePass,
         replica: Replica,
-        stored: ReplicaSet,
+        replica_set: ReplicaSet,
         decision: ReplicaDecision,
     ) -> WriteIntent:
         """Return the write of the phase transition that the decision requires."""
-        wall = reconcile_pass.time.wall
+        wall_time = reconcile_pass.time.wall_time
         after = after_transition(
-            replica, PHASE_AFTER_ACTION[decision.action], wall, decision.reason
+            replica, PHASE_AFTER_ACTION[decision.action], wall_time, decision.reason
         )
         if decision.action is ReplicaAction.REPAIR:
-            after.restarts = (*recent_restarts(replica, stored.spec, wall), wall)
-        self._note_suspects(replica, decision, reconcile_pass.time.now)
+            after.restarts = (*recent_restarts(replica, replica_set.spec, wall_time), wall_time)
+        self._record_suspects(replica, decision, reconcile_pass.time.now)
         log.info(
             "replica phase replica=%s from=%s to=%s generation=%d reason=%s",
             replica.id,
@@ -205,7 +207,7 @@
         )
         return self._context.writer.transition(reconcile_pass.ownership, replica, after)
 
-    def _note_suspects(self, replica: Replica, decision: ReplicaDecision, now: float) -> None:
+    def _record_suspects(self, replica: Replica, decision: ReplicaDecision, now: float) -> None:
         """Record suspected members and count their machines' failures.
 
         A replica that becomes ready has no suspects any more.
--- a/crossmill/multihost/representations.py
+++ b/crossmill/multihost/representations.py
@@ -14,11 +14,11 @@
 TIME_DECIMALS = 3
 
 
-def describe_set(pool: PoolState, stored: ReplicaSet) -> dict[str, Any]:
+def describe_set(pool: PoolState, replica_set: ReplicaSet) -> dict[str, Any]:
     """Describe a set with its declaration and the number of its replicas."""
-    replicas = pool.replicas_of.get(stored.spec.name, {})
-    data = encode_set(stored)
-    data["resources"] = stored.spec.resources._asdict()
+    replicas = pool.replicas_of.get(replica_set.spec.name, {})
+    data = encode_set(replica_set)
+    data["resources"] = replica_set.spec.resources._asdict()
     data["ready"] = sum(r.phase is ReplicaPhase.READY for r in replicas.values())
     data["known"] = len(replicas)
     return data
--- a/crossmill/multihost/reservations.py
+++ b/crossmill/multihost/reservations.py
@@ -44,7 +44,7 @@
         self._pool = pool
 
     def members_per_chunk(self) -> int:
-        """Return how many members one transaction can reserve, with a condition per machine."""
+        """Return the maximum number of members per transaction, with a condition per machine."""
         members_in_a_record = self._writer.max_record_bytes // MAX_MEMBER_RECORD_BYTES
         return max(1, min(self._writer.max_machines, members_in_a_record))
 
@@ -129,8 +129,8 @@
     ) -> Txn:
         """Return the transaction that reserves the machines of one chunk.
 
-        The transaction fails if a machine's record in the cluster (not that of the pool) has
-        changed, since the machine may be about to be returned to its provider.
+        The transaction fails if the ordinary record of a machine has changed, since the machine may
+        be about to be returned to the cloud.
         """
         key = keys.members(replica.id, number)
         stored_chunk = replica.chunks.get(number)
--- a/crossmill/multihost/scheduling.py
+++ b/crossmill/multihost/scheduling.py
@@ -1,7 +1,7 @@
 """Decides which waiting replicas are placed on which machines.
 
 The placement executor calls `Scheduler` in each pass of the coordinator. A replica gets all of its
-machines or none. For the first replica that can't be placed, free machines are kept idle, up to a
+machines or none. For the first replica that can't be placed, machines are kept free, up to a
 configured share of the pool, so that replicas later in the queue don't occupy them. The scheduler
 keeps no state between passes.
 """
@@ -14,7 +14,7 @@
 from .member_status import DecisionTime
 from .model import Member, Replica, ReplicaId, ReplicaSetSpec
 from .phases import RESERVING_PHASES, ReplicaPhase
-from .placement import Candidate, ReplicaPlacement, choose_placement, machines_to_keep_idle
+from .placement import Candidate, ReplicaPlacement, choose_placement, machines_to_keep_free
 from .placement_queue import PlacementQueue
 from .pool import PoolState
 from .preemption import PreemptionPlanner
@@ -38,8 +38,8 @@
 
     time: DecisionTime
     candidates: dict[str, Candidate]
-    # machines kept idle for the first replica that could not be placed
-    kept_idle: set[str]
+    # machines kept free for the first replica that could not be placed
+    kept_free: set[str]
 
 
 class _PlacementRequest(NamedTuple):
@@ -109,14 +109,14 @@
         request = self._build_request(replica_id, suspects, scheduling_pass)
         placement = _choose_machines(request, scheduling_pass)
         if placement is not None:
-            self._queue.note_placed(replica_id)
+            self._queue.mark_placed(replica_id)
             _subtract_placement(request, placement, scheduling_pass)
             is_repair = request.replica.phase is ReplicaPhase.REPAIRING
             return PlacementChoice(
                 replica_id, REPAIRED_REASON if is_repair else PLACED_REASON, placement
             )
-        self._queue.note_unplaced(replica_id, scheduling_pass.time.now)
-        self._keep_machines_idle(request, scheduling_pass)
+        self._queue.mark_unplaced(replica_id, scheduling_pass.time.now)
+        self._keep_machines_free(request, scheduling_pass)
         if not self._queue.is_overdue(replica_id, scheduling_pass.time.now):
             return None
         victims = self._preemption.choose(
@@ -155,14 +155,14 @@
                 by_zone[machine.zone] = by_zone.get(machine.zone, 0) + 1
         return by_zone
 
-    def _keep_machines_idle(
+    def _keep_machines_free(
         self, request: _PlacementRequest, scheduling_pass: _SchedulingPass
     ) -> None:
-        """Keep free machines idle for the first replica of the pass that can't be placed.
+        """Keep machines free for the first replica of the pass that can't be placed.
 
         No machines are kept if the candidates could not hold the replica even if all were idle.
         """
-        if scheduling_pass.kept_idle:
+        if scheduling_pass.kept_free:
             return
         machines = (self._pool.machines[m] for m in scheduling_pass.candidates)
         try:
@@ -170,13 +170,13 @@
         except UnplaceableError:
             return
         max_machines = int(self._settings.idle_ratio * len(scheduling_pass.candidates))
-        kept_idle = machines_to_keep_idle(
+        kept_free = machines_to_keep_free(
             request.spec,
             scheduling_pass.candidates.values(),
             request.replicas_by_zone,
             max_machines,
         )
-        scheduling_pass.kept_idle.update(kept_idle)
+        scheduling_pass.kept_free.update(kept_free)
 
 
 def _choose_machines(
@@ -193,10 +193,10 @@
             excluded,
         )
 
-    placement = choose_without(request.suspects | scheduling_pass.kept_idle)
-    has_other_suspects = not request.suspects <= scheduling_pass.kept_idle
+    placement = choose_without(request.suspects | scheduling_pass.kept_free)
+    has_other_suspects = not request.suspects <= scheduling_pass.kept_free
     if placement is None and has_other_suspects:
-        placement = choose_without(scheduling_pass.kept_idle)
+        placement = choose_without(scheduling_pass.kept_free)
     return placement
 
 
--- a/crossmill/multihost/serving.py
+++ b/crossmill/multihost/serving.py
@@ -18,7 +18,7 @@
 
 
 class ServingGrant(NamedTuple):
-    """The last grant of a replica's serving lease; `expires_at` is a steady time."""
+    """The last grant of a replica's serving lease; `expires_at` is a monotonic time."""
 
     machine: str
     session: int
@@ -32,7 +32,7 @@
     A proof counts only if the machine's agent is still in the session that the member belongs to.
 
     Returns:
-        The moment in the controller's steady time; None if there is no proof for a member.
+        The moment in the controller's monotonic time; None if there is no proof for a member.
     """
     moments: list[float] = []
     for member, view in zip(members, views, strict=True):
@@ -67,8 +67,8 @@
         Args:
             replica: The replica that is allowed to serve.
             front: Its front member.
-            alive_at: The steady time at which all members were proved alive.
-            now: The controller's steady time.
+            alive_at: The monotonic time at which all members were proved alive.
+            now: The controller's monotonic time.
 
         Returns:
             The length of the lease; 0 if `alive_at` is too long ago.
@@ -93,7 +93,7 @@
 
         Args:
             replica: The replica in its current generation.
-            owned_since: The steady time at which the ownership of the pool began.
+            owned_since: The monotonic time at which the ownership of the pool began.
             grantee: The view of the machine that was granted the last lease.
         """
         earliest = owned_since + self._settings.fencing_delay_s
--- a/crossmill/multihost/set_reconciler.py
+++ b/crossmill/multihost/set_reconciler.py
@@ -25,7 +25,7 @@
 
     Attributes:
         intents: The writes, in the order in which they are submitted.
-        may_stop: The replicas marked as stopping whose stop the disruption budget allows now.
+        may_stop: The ready replicas marked as stopping that may stop within the disruption budget.
     """
 
     intents: list[WriteIntent]
@@ -53,21 +53,23 @@
     def _reconcile_set(
         self, ownership: ShardOwnership, time: DecisionTime, name: str, changes: SetChanges
     ) -> None:
-        stored = self._pool.sets.get(name)
-        if stored is None:
+        replica_set = self._pool.sets.get(name)
+        if replica_set is None:
             return
         replicas = self._pool.replicas_of.get(name, {})
         is_overdue = self._queue.has_overdue_replica(name, time.now)
-        plan = plan_set(stored, replicas, self._evacuated(replicas.values()), is_overdue)
+        plan = plan_set(
+            replica_set, replicas, self._evacuation_reasons(replicas.values()), is_overdue
+        )
         changes.may_stop.update(plan.may_stop)
         for replica_id, reason in plan.stop_reasons.items():
             changes.intents.append(self.mark_stopping(ownership, replica_id, reason))
         if plan.create_count:
             changes.intents.append(
-                self._writer.creation(ownership, stored, plan.create_count, time.wall)
+                self._writer.creation(ownership, replica_set, plan.create_count, time.wall_time)
             )
         if plan.delete_set:
-            changes.intents.append(self._writer.deletion_of_set(ownership, stored))
+            changes.intents.append(self._writer.deletion_of_set(ownership, replica_set))
 
     def mark_stopping(
         self, ownership: ShardOwnership, replica_id: ReplicaId, reason: str
@@ -77,18 +79,18 @@
         log.info("replica leaves replica=%s reason=%s", replica_id, reason)
         return self._writer.transition(ownership, replica, replace(replica, stop_reason=reason))
 
-    def _evacuated(self, replicas: Iterable[Replica]) -> dict[ReplicaId, str]:
-        """Return the reasons of replicas with a member on a machine to evacuate, by replica ID."""
-        evacuated: dict[ReplicaId, str] = {}
+    def _evacuation_reasons(self, replicas: Iterable[Replica]) -> dict[ReplicaId, str]:
+        """Return the stop reasons of replicas on machines to be evacuated, by replica ID."""
+        evacuation_reasons: dict[ReplicaId, str] = {}
         for replica in replicas:
             for member in replica.all_members():
                 reason = self._evacuation_reason(member.machine)
                 if reason:
-                    evacuated[replica.id] = reason
-        return evacuated
+                    evacuation_reasons[replica.id] = reason
+        return evacuation_reasons
 
     def _evacuation_reason(self, machine_id: str) -> str:
-        """Return why the machine must be evacuated; empty if it need not be."""
+        """Return the reason to evacuate the machine; empty if there is none."""
         machine = self._pool.machines.get(machine_id)
         view = self._agents.get(machine_id)
         if machine is not None and machine.drain_reason:
--- a/crossmill/multihost/sets.py
+++ b/crossmill/multihost/sets.py
@@ -22,7 +22,7 @@
     Attributes:
         create_count: The number of replicas to create.
         stop_reasons: The reasons of the replicas to mark as stopping, by replica ID.
-        may_stop: The replicas marked as stopping whose stop the disruption budget allows now.
+        may_stop: The ready replicas marked as stopping that may stop within the disruption budget.
         delete_set: Whether to delete the set's own record.
     """
 
@@ -40,33 +40,37 @@
 
 
 def plan_set(
-    stored: ReplicaSet,
+    replica_set: ReplicaSet,
     replicas: Mapping[int, Replica],
-    evacuated: Mapping[ReplicaId, str],
+    evacuation_reasons: Mapping[ReplicaId, str],
     is_placement_overdue: bool,
 ) -> SetPlan:
     """Return the changes that the set needs now.
 
     Args:
-        stored: The set's record.
+        replica_set: The stored set.
         replicas: The set's replicas, by number.
-        evacuated: The reasons of replicas with a member on a machine to evacuate, by replica ID.
+        evacuation_reasons: The stop reasons of replicas on machines to be evacuated, by replica ID.
         is_placement_overdue: Whether a replica of the set has waited too long for machines.
     """
     alive = [r for r in replicas.values() if r.version and r.phase not in ENDED_PHASES]
-    stop_reasons = {r.id: evacuated[r.id] for r in alive if not r.stop_reason and r.id in evacuated}
-    if stored.is_removed:
+    stop_reasons = {
+        r.id: evacuation_reasons[r.id]
+        for r in alive
+        if not r.stop_reason and r.id in evacuation_reasons
+    }
+    if replica_set.is_removed:
         stop_reasons = {r.id: REMOVED_REASON for r in alive if not r.stop_reason}
     remaining = [r for r in alive if not r.stop_reason and r.id not in stop_reasons]
-    desired = 0 if stored.is_removed else stored.spec.replicas
+    desired = 0 if replica_set.is_removed else replica_set.spec.replicas
     for replica in _surplus_replicas(remaining, desired):
         stop_reasons[replica.id] = SURPLUS_REASON
         remaining.remove(replica)
     return SetPlan(
         create_count=max(0, desired - len(remaining)),
         stop_reasons=stop_reasons,
-        may_stop=_may_stop(stored, alive, stop_reasons, is_placement_overdue),
-        delete_set=stored.is_removed and not replicas,
+        may_stop=_may_stop(replica_set, alive, stop_reasons, is_placement_overdue),
+        delete_set=replica_set.is_removed and not replicas,
     )
 
 
@@ -80,26 +84,26 @@
 
 
 def _may_stop(
-    stored: ReplicaSet,
+    replica_set: ReplicaSet,
     alive: list[Replica],
     stop_reasons: Mapping[ReplicaId, str],
     is_placement_overdue: bool,
 ) -> frozenset[ReplicaId]:
-    """Return the stopping replicas that may stop without violating the disruption budget.
+    """Return the ready replicas marked as stopping that may stop within the disruption budget.
 
     A replica stops only once its replacement is ready, unless it is preempted or a replica of the
     set has waited too long for machines. All replicas of a removed set may stop.
     """
     ready = [r for r in alive if r.phase is ReplicaPhase.READY]
     stopping = [r for r in ready if r.stop_reason or r.id in stop_reasons]
-    if stored.is_removed:
+    if replica_set.is_removed:
         return frozenset(r.id for r in stopping)
-    desired = stored.spec.replicas
+    desired = replica_set.spec.replicas
     is_replaced = len(ready) - len(stopping) >= desired
     allowed: list[ReplicaId] = []
     for replica in sorted(stopping, key=lambda r: r.id):
         ready_after_stop = len(ready) - len(allowed) - 1
-        if ready_after_stop < stored.spec.min_ready:
+        if ready_after_stop < replica_set.spec.min_ready:
             continue
         reason = replica.stop_reason or stop_reasons[replica.id]
         needs_no_replacement = is_placement_overdue or reason.startswith(PREEMPTED_REASON_PREFIX)
--- a/crossmill/multihost/settings.py
+++ b/crossmill/multihost/settings.py
@@ -10,7 +10,7 @@
 from ..settings.loader import read_toml
 from ..settings.table import Table
 
-# PROTOCOL's bound on the drift between two steady clocks, doubled as a safety margin
+# PROTOCOL's bound on the drift between two monotonic clocks, doubled as a safety margin
 CLOCK_DRIFT = 0.002
 
 
@@ -26,9 +26,9 @@
     All time spans follow from the interval of the agents' heartbeats.
 
     Attributes:
-        listen: Where agents and operators reach the controller.
+        listen: The endpoint at which agents and operators reach the controller.
         pool_shard: The shard whose owner owns the pool.
-        heartbeat_interval_s: How often an agent sends a heartbeat.
+        heartbeat_interval_s: The interval between an agent's heartbeats, in seconds.
         idle_ratio: The fraction of the pool that may be kept free for the first waiting replica.
     """
 
@@ -54,7 +54,7 @@
 
     @property
     def agent_lease_s(self) -> float:
-        """The time without any controller's response after which an agent stops its members."""
+        """The time without any controller's response after which an agent stops all members."""
         return 10 * self.heartbeat_interval_s
 
     @property
--- a/crossmill/multihost/writes.py
+++ b/crossmill/multihost/writes.py
@@ -30,18 +30,20 @@
 NOT_URGENT_PHASES = frozenset({ReplicaPhase.PENDING, ReplicaPhase.STOPPED})
 
 
-def after_transition(replica: Replica, phase: ReplicaPhase, wall: float, reason: str) -> Replica:
+def after_transition(
+    replica: Replica, phase: ReplicaPhase, wall_time: float, reason: str
+) -> Replica:
     """Return a copy of the replica after a transition at the given wall time.
 
     Raises:
         IllegalPhaseTransitionError: The replica can't enter the phase from its current one.
     """
-    change = PhaseChange(phase, wall, reason)
+    change = PhaseChange(phase, wall_time, reason)
     return replace(
         replica,
         phase=phase,
         generation=next_generation(replica.generation, replica.phase, phase),
-        since=wall,
+        since=wall_time,
         reason=reason,
         history=(*replica.history, change)[-HISTORY_LENGTH:],
     )
@@ -54,7 +56,7 @@
         self._ownership = ownership
         self._writer = writer
         self._pool = pool
-        # the number of transactions since the start of the program
+        # the number of transactions since the process started
         self.transactions = 0
 
     @property
@@ -131,29 +133,33 @@
     # -- sets ------------------------------------------------------------------------
 
     def creation(
-        self, ownership: ShardOwnership, stored: ReplicaSet, count: int, wall: float
+        self, ownership: ShardOwnership, replica_set: ReplicaSet, count: int, wall_time: float
     ) -> WriteIntent:
         """Return the write that creates new replicas of a set and advances its counter.
 
         The size of a transaction is limited; later passes create the remaining replicas.
         """
         count = min(count, self.max_operations)
-        set_key = keys.replica_set(stored.spec.name)
-        after = ReplicaSet(stored.spec, stored.is_removed, stored.next_index + count)
-        txn = Txn({set_key: stored.version}, [Put(set_key, encode_set(after))])
-        for index in range(stored.next_index, after.next_index):
-            replica_id = ReplicaId(stored.spec.name, index)
-            history = (PhaseChange(ReplicaPhase.PENDING, wall, CREATION_REASON),)
-            replica = Replica(replica_id, since=wall, reason=CREATION_REASON, history=history)
+        set_key = keys.replica_set(replica_set.spec.name)
+        after = ReplicaSet(
+            replica_set.spec, replica_set.is_removed, replica_set.next_number + count
+        )
+        txn = Txn({set_key: replica_set.version}, [Put(set_key, encode_set(after))])
+        for number in range(replica_set.next_number, after.next_number):
+            replica_id = ReplicaId(replica_set.spec.name, number)
+            history = (PhaseChange(ReplicaPhase.PENDING, wall_time, CREATION_REASON),)
+            replica = Replica(replica_id, since=wall_time, reason=CREATION_REASON, history=history)
             key = keys.replica(replica_id)
             txn.conditions[key] = 0
             txn.puts.append(Put(key, encode_replica(replica)))
         return self._intent(ownership, WriteRank.PLACEMENT, txn)
 
-    def deletion_of_set(self, ownership: ShardOwnership, stored: ReplicaSet) -> WriteIntent:
+    def deletion_of_set(self, ownership: ShardOwnership, replica_set: ReplicaSet) -> WriteIntent:
         """Return the write that deletes the record of a removed set that has no replicas left."""
-        key = keys.replica_set(stored.spec.name)
-        return self._intent(ownership, WriteRank.PLACEMENT, Txn({key: stored.version}, [], [key]))
+        key = keys.replica_set(replica_set.spec.name)
+        return self._intent(
+            ownership, WriteRank.PLACEMENT, Txn({key: replica_set.version}, [], [key])
+        )
 
     # -- machines --------------------------------------------------------------------
 
--- a/crossmill/wire/multihost.py
+++ b/crossmill/wire/multihost.py
@@ -56,7 +56,7 @@
 
     Attributes:
         process: The process that sent the response.
-        sent: The time at which it was sent, by that process's steady clock.
+        sent: The time at which it was sent, by that process's monotonic clock.
     """
 
     process: str
--- a/tests/multihost_agents.py
+++ b/tests/multihost_agents.py
@@ -1,6 +1,6 @@
 """Simulated agents of the multihost protocol, one per machine, under virtual time.
 
-Each agent has its own steady clock, which drifts.
+Each agent has its own monotonic clock, which drifts.
 """
 
 from dataclasses import dataclass, field
@@ -34,7 +34,7 @@
 if TYPE_CHECKING:
     from .multihost_region import MultihostRegion
 
-# PROTOCOL: the maximum drift rate of a steady clock
+# PROTOCOL: the maximum drift rate of a monotonic clock
 CLOCK_DRIFT = 0.0005
 # the shortest time between two heartbeats
 MIN_HEARTBEAT_GAP_S = 0.2
@@ -75,12 +75,12 @@
         self.members: dict[str, AgentMember] = {}
         self.highest_generations: dict[str, int] = {}
         self.images: dict[str, float] = {}
-        self.answered_at = self.now()
+        self.lease_renewed_at = self.now()
         self.dead, self.has_left = False, False
         self.is_frozen = False
         self.notice_s: float | None = None
         # one-way cuts: heartbeats don't reach controllers, or responses don't reach the agent
-        self.drops_heartbeats, self.drops_answers = False, False
+        self.drops_heartbeats, self.drops_responses = False, False
         self.lease_from_receipt = False
         self.sent_heartbeats: list[bytes] = []
         self.orders: list[tuple[float, Order]] = []
@@ -89,7 +89,7 @@
         self._target = 0
 
     def now(self) -> float:
-        """Return this machine's steady time."""
+        """Return this machine's monotonic time."""
         return self.region.clock.now() * self._rate
 
     # -- members ---------------------------------------------------------------------
@@ -137,20 +137,20 @@
         self.session += 1
         self.members.clear()
         self.highest_generations.clear()
-        self.proof, self.answered_at = None, self.now()
+        self.proof, self.lease_renewed_at = None, self.now()
 
     def _is_lease_expired(self) -> bool:
-        return self.now() - self.answered_at > self.region.multihost.agent_lease_s
+        return self.now() - self.lease_renewed_at > self.region.multihost.agent_lease_s
 
     def _end_session_if_lease_expired(self) -> None:
         if self._is_lease_expired():
             self.session += 1
             self.members.clear()
-            self.proof, self.answered_at = None, self.now()
+            self.proof, self.lease_renewed_at = None, self.now()
 
-    def apply_answer(self, answer: AgentHeartbeatResponse, sent: float) -> None:
+    def apply_response(self, response: AgentHeartbeatResponse, sent: float) -> None:
         """Carry out the orders of a heartbeat response."""
-        for order in answer.orders:
+        for order in response.orders:
             self.orders.append((self.region.clock.now(), order))
             self.region.checker.check_order(order)
             match order.op:
@@ -236,11 +236,11 @@
         self.sent_heartbeats = [*self.sent_heartbeats[-40:], body]
         await curio.sleep(HOP_S + self.region.delay_s(self))
         reply = await self.region.deliver_heartbeat(self, label, body)
-        await curio.sleep(HOP_S + self.region.delay_s(self) + self.region.answer_delay_s(self))
+        await curio.sleep(HOP_S + self.region.delay_s(self) + self.region.response_delay_s(self))
         timeout_s = self.region.multihost.response_timeout_s
         while self.is_frozen and not self.dead:
             await curio.sleep(0.1)
-        if reply is None or self.drops_answers or self.now() - sent > timeout_s:
+        if reply is None or self.drops_responses or self.now() - sent > timeout_s:
             self._target = (self._target + 1) % len(labels)
             return max(0.2, timeout_s - (self.now() - sent))
         status, data = reply
@@ -252,14 +252,14 @@
             next_target = (self._target + 1) % len(labels)
             self._target = labels.index(str(owner)) if is_redirected else next_target
             return 0.2 if is_redirected else 0.5
-        answer = parse_heartbeat_response(data)
-        if session == self.session and answer.token >= self.token and not self.dead:
-            self.token, self.proof, self.answered_at = answer.token, answer.proof, sent
-            self.apply_answer(answer, sent)
+        response = parse_heartbeat_response(data)
+        if session == self.session and response.token >= self.token and not self.dead:
+            self.token, self.proof, self.lease_renewed_at = response.token, response.proof, sent
+            self.apply_response(response, sent)
         return self._next_heartbeat_s()
 
     def _next_heartbeat_s(self) -> float:
-        """Return the time until the next heartbeat; it is sent early if a member has loaded."""
+        """Return the time until the next heartbeat; it is early when a member finishes loading."""
         remaining_load_s = [m.loaded_at - self.now() for m in self.members.values()]
         early_heartbeats_s = [
             max(MIN_HEARTBEAT_GAP_S, s + 0.01) for s in remaining_load_s if s > -MIN_HEARTBEAT_GAP_S
@@ -287,7 +287,7 @@
             previous = member.peer_alive_at.get(peer.rank, alive_at)
             member.peer_alive_at[peer.rank] = max(previous, alive_at)
 
-    def answer_ping(self, body: bytes) -> bool:
+    def confirms_ping(self, body: bytes) -> bool:
         """Return whether this machine runs the pinged member in exactly that generation."""
         ping = parse_ping(body)
         member = self.members.get(ping.replica)
--- a/tests/multihost_fault_injection.py
+++ b/tests/multihost_fault_injection.py
@@ -62,7 +62,7 @@
         )
 
     async def run(self, span_s: float) -> None:
-        """Inject faults for this time."""
+        """Inject faults for the given time."""
         end = self.region.clock.now() + span_s
         while self.region.clock.now() < end:
             await self._inject_one()
@@ -123,11 +123,11 @@
         if self.random.random() < LOST_HEARTBEATS_PROBABILITY:
             agent.drops_heartbeats = True
         else:
-            agent.drops_answers = True
+            agent.drops_responses = True
 
         async def recover() -> None:
             await self._sleep_between(1.0, 20.0)
-            agent.drops_heartbeats = agent.drops_answers = False
+            agent.drops_heartbeats = agent.drops_responses = False
 
         await curio.spawn(recover, daemon=True)
 
@@ -208,6 +208,6 @@
         region.delay_s = lambda _: 0.0
         region.cut_links.clear()
         for machine, agent in list(region.agents.items()):
-            agent.is_frozen = agent.drops_heartbeats = agent.drops_answers = False
+            agent.is_frozen = agent.drops_heartbeats = agent.drops_responses = False
             if agent.dead:
                 await region.revive(machine)
--- a/tests/multihost_invariants.py
+++ b/tests/multihost_invariants.py
@@ -35,11 +35,11 @@
 
     Attributes:
         complete_at: The latest time at which all members ran; None if they never did.
-        answers: The number of checks in which the front member could serve.
+        serving_check_count: The number of checks in which the front member could serve.
     """
 
     complete_at: float | None = None
-    answers: int = 0
+    serving_check_count: int = 0
 
 
 @dataclass
@@ -74,9 +74,9 @@
         if replica_id is None:
             self.report_violation(f"order for {order.replica}, which names no replica")
             return
-        stored = self.region.state.keys.get(keys.replica(replica_id))
+        entry = self.region.state.keys.get(keys.replica(replica_id))
         if order.op is OrderKind.START and (
-            stored is None or stored[0]["generation"] < order.generation
+            entry is None or entry[0]["generation"] < order.generation
         ):
             self.report_violation(f"ordered_early {order.replica} generation {order.generation}")
 
@@ -106,16 +106,17 @@
     def _check_serving(self, name: str, generation: int) -> None:
         now = self.region.clock.now()
         observation = self.observations.setdefault((name, generation), ServingObservation())
-        observation.answers += 1
+        observation.serving_check_count += 1
         if observation.complete_at is None:
             self.report_violation(f"incomplete {name}: generation {generation} never was complete")
         elif observation.complete_at < now:
             self.max_stale_serving_s = max(self.max_stale_serving_s, now - observation.complete_at)
             lease_s = self.region.multihost.serving_lease_s
             if now - observation.complete_at > lease_s + self.region.tolerance_s:
-                late = now - observation.complete_at
+                incomplete_s = now - observation.complete_at
                 self.report_violation(
-                    f"incomplete {name}: generation {generation} answers {late:.2f} s late"
+                    f"incomplete {name}: generation {generation} serves {incomplete_s:.2f} s "
+                    "after it was last complete"
                 )
 
     def is_complete(self, name: str, generation: int) -> bool:
@@ -126,8 +127,8 @@
             if agent.runs(name, generation)
         }
         set_name = name.rpartition("/")[0]
-        stored = self.region.state.keys.get(keys.replica_set(set_name))
-        return stored is not None and ranks == set(range(stored[0]["members"]))
+        entry = self.region.state.keys.get(keys.replica_set(set_name))
+        return entry is not None and ranks == set(range(entry[0]["members"]))
 
     def _check_records(self) -> None:
         """Check the records for capacity and disruption budget violations."""
@@ -149,22 +150,22 @@
     def _check_capacity(self) -> None:
         """Check that the members planned on a machine don't exceed its capacity."""
         for machine, amounts in self.planned_use().items():
-            stored = self.region.state.keys.get(keys.machine(machine))
-            if stored is not None and any(
+            entry = self.region.state.keys.get(keys.machine(machine))
+            if entry is not None and any(
                 used > capacity + ROUNDING_ERROR
-                for used, capacity in zip(amounts, stored[0]["capacity"], strict=True)
+                for used, capacity in zip(amounts, entry[0]["capacity"], strict=True)
             ):
                 self.report_violation(f"over_committed {machine}: {amounts}")
 
     def _check_budget(self, name: str, ready: int) -> None:
         """Check that a voluntary stop has left enough ready replicas of the set."""
-        stored = self.region.state.keys.get(keys.replica_set(name.rpartition("/")[0]))
-        if stored is None or stored[0]["removed"]:
+        entry = self.region.state.keys.get(keys.replica_set(name.rpartition("/")[0]))
+        if entry is None or entry[0]["removed"]:
             return
         reason = self.region.state.keys[keys.REPLICA + name][0]["reason"]
         # the stop of a replica that has lost a member is not voluntary; its reason contains "; "
         is_voluntary = "; " not in reason
-        if is_voluntary and ready < stored[0]["min_ready"]:
+        if is_voluntary and ready < entry[0]["min_ready"]:
             self.report_violation(f"below_minimum {name} stopped, {ready} ready")
 
     def planned_use(self) -> dict[str, list[float]]:
@@ -177,12 +178,12 @@
         return used
 
     def _add_use(self, used: dict[str, list[float]], replica_id: ReplicaId, value: Any) -> None:
-        stored = self.region.state.keys.get(keys.replica_set(replica_id.set_name))
-        if stored is None:
+        entry = self.region.state.keys.get(keys.replica_set(replica_id.set_name))
+        if entry is None:
             return
         for member in value["members"]:
             amounts = used.setdefault(member[1], [0.0, 0.0, 0.0])
-            for i, amount in enumerate(stored[0]["resources"]):
+            for i, amount in enumerate(entry[0]["resources"]):
                 amounts[i] += amount
 
     def check_end(self) -> None:
@@ -193,11 +194,11 @@
             if not key.startswith(keys.MEMBERS):
                 continue
             replica_id, _ = keys.parse_members(key[len(keys.MEMBERS) :])
-            stored = state.get(keys.replica(replica_id))
-            if stored is None:
+            entry = state.get(keys.replica(replica_id))
+            if entry is None:
                 self.report_violation(f"leaked {key}: its replica has no record")
                 continue
-            replica = decode_replica(replica_id, stored[0], version)
+            replica = decode_replica(replica_id, entry[0], version)
             chunk = decode_chunk(value, version)
             if replica.phase.value not in ("ready", "starting", "repairing", "reserving"):
                 self.report_violation(f"leaked {key}: its replica is {replica.phase}")
--- a/tests/multihost_region.py
+++ b/tests/multihost_region.py
@@ -30,13 +30,13 @@
 SETTINGS = MultihostSettings(Endpoint("127.0.0.1", 1), 0, 1.0, 0.25)
 
 
-class UnexpectedAnswerError(Exception):
-    """A controller has answered an operator's request with an unexpected status."""
+class UnexpectedResponseError(Exception):
+    """A controller has responded to an operator's request with an unexpected status."""
 
-    def __init__(self, status: int, answer: Any) -> None:
-        super().__init__(f"{status}: {answer}")
+    def __init__(self, status: int, response: Any) -> None:
+        super().__init__(f"{status}: {response}")
         self.status = status
-        self.answer = answer
+        self.response = response
 
 
 class MultihostRegion(Region):
@@ -53,8 +53,8 @@
         # pairs of machines where pings of the first don't reach the second
         self.cut_links: set[tuple[str, str]] = set()
         self.delay_s: Callable[[Agent], float] = lambda _: 0.0
-        self.answer_delay_s: Callable[[Agent], float] = lambda _: 0.0
-        self.ping_answer_delay_s = 0.0
+        self.response_delay_s: Callable[[Agent], float] = lambda _: 0.0
+        self.ping_response_delay_s = 0.0
         # maximum delay between an event and the check that detects it
         self.tolerance_s = 2 * CHECK_INTERVAL_S
         self._processes = 0
@@ -105,7 +105,7 @@
         return agent
 
     def pool_size(self) -> int:
-        """Return how many machines have joined the pool."""
+        """Return the number of machines that have joined the pool."""
         return sum(k.startswith(keys.MACHINE) for k in self.state.keys)
 
     # -- messages --------------------------------------------------------------------
@@ -129,9 +129,9 @@
             return False
         if (source.machine, target.machine) in self.cut_links:
             return False
-        answer = target.answer_ping(body)
-        await curio.sleep(HOP_S + self.delay_s(target) + self.ping_answer_delay_s)
-        return answer and (target.machine, source.machine) not in self.cut_links
+        is_confirmed = target.confirms_ping(body)
+        await curio.sleep(HOP_S + self.delay_s(target) + self.ping_response_delay_s)
+        return is_confirmed and (target.machine, source.machine) not in self.cut_links
 
     async def operate(self, method: str, path: str, body: Any = None, label: str = "") -> Any:
         """Send an operator's request; return the status and the decoded body."""
@@ -151,22 +151,22 @@
             "image": "weights-1",
             "image_gb": 5.0,
         }
-        status, answer = await self.operate("PUT", f"replica-sets/{name}", data | changes)
+        status, response = await self.operate("PUT", f"replica-sets/{name}", data | changes)
         if status not in (200, 201):
-            raise UnexpectedAnswerError(status, answer)
-        return answer
+            raise UnexpectedResponseError(status, response)
+        return response
 
     # -- observations ----------------------------------------------------------------
 
     def phase(self, name: str) -> str:
         """Return the stored phase of a replica; empty if it has no record."""
-        stored = self.state.keys.get(keys.REPLICA + name)
-        return "" if stored is None else str(stored[0]["phase"])
+        entry = self.state.keys.get(keys.REPLICA + name)
+        return "" if entry is None else str(entry[0]["phase"])
 
     def generation(self, name: str) -> int:
         """Return the stored generation of a replica; 0 if it has no record."""
-        stored = self.state.keys.get(keys.REPLICA + name)
-        return 0 if stored is None else int(stored[0]["generation"])
+        entry = self.state.keys.get(keys.REPLICA + name)
+        return 0 if entry is None else int(entry[0]["generation"])
 
     def serving(self, name: str) -> list[Agent]:
         """Return the agents whose front member of the replica can serve requests now."""
@@ -187,7 +187,7 @@
         return self.owners()[self.multihost.pool_shard]
 
     async def until_serving(self, name: str, within_s: float = 60.0) -> float:
-        """Wait until exactly one front member serves; return how long it took, in seconds."""
+        """Wait until exactly one front member serves; return the time it took, in seconds."""
         begun = self.clock.now()
         await self.wait_until(lambda: len(self.serving(name)) == 1, within_s)
         return self.clock.now() - begun
@@ -215,14 +215,14 @@
     clock = FakeClock()
     regions: list[MultihostRegion] = []
 
-    async def play() -> None:
+    async def run() -> None:
         region = MultihostRegion(clock)
         regions.append(region)
         await curio.spawn(region.run_checks, daemon=True)
         await scenario(region)
         region.checker.check()
 
-    run_under_virtual_time(clock, play)
+    run_under_virtual_time(clock, run)
     if check_invariants and regions[0].checker.violations:
         raise InvariantViolationError(regions[0].checker.violations)
     return regions[0]
--- a/tests/test_multihost_invariants.py
+++ b/tests/test_multihost_invariants.py
@@ -18,17 +18,17 @@
     other.members["chat/0"] = front.members["chat/0"]
 
 
-def _answers_incomplete(region: MultihostRegion) -> None:
+def _serves_incomplete(region: MultihostRegion) -> None:
     front, member, _ = region.agents_of("chat/0")
-    member.dead = front.drops_heartbeats = front.drops_answers = True
+    member.dead = front.drops_heartbeats = front.drops_responses = True
     front.members["chat/0"].serve_until = front.now() + 1000.0
     for peer in front.members["chat/0"].peers:
         front.members["chat/0"].peer_alive_at[peer.rank] = front.now() + 1000.0
 
 
 def _reserves_twice(region: MultihostRegion) -> None:
-    stored = region.state.keys[f"{keys.MEMBERS}chat/0/0"][0]
-    region.state.put(f"{keys.MEMBERS}chat/8/0", stored)
+    record = region.state.keys[f"{keys.MEMBERS}chat/0/0"][0]
+    region.state.put(f"{keys.MEMBERS}chat/8/0", record)
 
 
 def _leaks_reservation(region: MultihostRegion) -> None:
@@ -49,7 +49,7 @@
     ("violation", "expected"),
     [
         (_two_serve, "two_serving"),
-        (_answers_incomplete, "incomplete"),
+        (_serves_incomplete, "incomplete"),
         (_reserves_twice, "over_committed"),
         (_leaks_reservation, "leaked"),
         (_goes_below_the_minimum, "below_minimum"),
--- a/tests/test_multihost_loopback.py
+++ b/tests/test_multihost_loopback.py
@@ -28,7 +28,7 @@
     """The clock of the machine that runs the test, instead of virtual time."""
 
     def now(self) -> float:
-        """Return the steady time in seconds."""
+        """Return the monotonic time in seconds."""
         return time.monotonic()
 
     def wall_time(self) -> float:
@@ -53,16 +53,16 @@
         return [*parts, self.services[node.settings.label].server.run]
 
     async def add_agent(self, machine: str, zone: str) -> Agent:
-        """Add a machine whose agent answers pings on a socket."""
+        """Add a machine whose agent responds to pings on a socket."""
         agent = await super().add_agent(machine, zone)
         endpoint = Endpoint("127.0.0.1", next(self._ports))
         agent.address = f"{endpoint.host}:{endpoint.port}"
 
-        async def answer(request: Request) -> Response:
-            is_confirmed = request.path == PING_PATH and agent.answer_ping(request.body)
+        async def respond(request: Request) -> Response:
+            is_confirmed = request.path == PING_PATH and agent.confirms_ping(request.body)
             return Response(200 if is_confirmed else 409)
 
-        await curio.spawn(Server(endpoint, answer, 32, 60.0, max_cached_heads=8).run, daemon=True)
+        await curio.spawn(Server(endpoint, respond, 32, 60.0, max_cached_heads=8).run, daemon=True)
         return agent
 
     async def _post(self, endpoint: Endpoint, path: str, body: bytes) -> tuple[int, bytes] | None:
@@ -82,7 +82,7 @@
         return await self._post(service.settings.listen, HEARTBEAT_PATH, body)
 
     async def deliver_ping(self, source: Agent, address: str, body: bytes) -> bool:
-        """Send a ping over HTTP and return whether the answer confirms the member."""
+        """Send a ping over HTTP and return whether the response confirms the member."""
         host, _, port = address.rpartition(":")
         target = next(a for a in self.agents.values() if a.address == address)
         if source.dead or target.dead or target.is_frozen:
--- a/tests/test_multihost_member_failures.py
+++ b/tests/test_multihost_member_failures.py
@@ -81,10 +81,10 @@
     simulate_multihost(scenario)
 
 
-@pytest.mark.parametrize("hang_s", [2.0, 4.0, 7.0, 9.0, 15.0])
+@pytest.mark.parametrize("frozen_s", [2.0, 4.0, 7.0, 9.0, 15.0])
 @pytest.mark.parametrize("rank", [0, 2])
 def test_a_frozen_member_that_resumes_with_its_old_generation_violates_no_invariant(
-    hang_s: float, rank: int
+    frozen_s: float, rank: int
 ) -> None:
     async def scenario(region: MultihostRegion) -> None:
         await region.begin_pool(6)
@@ -92,7 +92,7 @@
         await region.until_serving("chat/0")
         agent = region.agents_of("chat/0")[rank]
         agent.is_frozen = True
-        await curio.sleep(hang_s)
+        await curio.sleep(frozen_s)
         agent.is_frozen = False
         await curio.sleep(1.0)
         await region.until_serving("chat/0", REPAIR_BOUND_S + 1.0)
@@ -118,7 +118,7 @@
         assert generation > start_order.generation
         # the late order is applied directly, without the agent's checks of a response, and the late
         # heartbeat is delivered to the owner
-        agent.apply_answer(
+        agent.apply_response(
             AgentHeartbeatResponse(agent.token, LivenessProof("late", 0.0), (start_order,)),
             agent.now(),
         )
--- a/tests/test_multihost_operator_api.py
+++ b/tests/test_multihost_operator_api.py
@@ -53,8 +53,8 @@
 
 
 async def _put(region: MultihostRegion, name: str, body: Any) -> tuple[int, Any]:
-    answer: tuple[int, Any] = await region.operate("PUT", f"replica-sets/{name}", body)
-    return answer
+    response: tuple[int, Any] = await region.operate("PUT", f"replica-sets/{name}", body)
+    return response
 
 
 @pytest.mark.parametrize(
@@ -79,9 +79,9 @@
 
 def test_a_declaration_that_exceeds_the_pool_is_rejected() -> None:
     async def scenario(region: MultihostRegion) -> None:
-        status, answer = await _put(region, "chat", DECLARED | {"members": 5})
+        status, response = await _put(region, "chat", DECLARED | {"members": 5})
         assert status == 422
-        assert "the pool has 4" in answer["error"]
+        assert "the pool has 4" in response["error"]
 
     _run_with_pool(scenario)
 
@@ -90,9 +90,9 @@
     async def scenario(region: MultihostRegion) -> None:
         assert (await _put(region, "chat", DECLARED))[0] == 201
         assert (await _put(region, "chat", DECLARED | {"min_ready": 1}))[0] == 200
-        status, answer = await _put(region, "chat", DECLARED | {"image": "other"})
+        status, response = await _put(region, "chat", DECLARED | {"image": "other"})
         assert status == 409
-        assert "min_ready" in answer["error"]
+        assert "min_ready" in response["error"]
 
     _run_with_pool(scenario)
 
@@ -101,9 +101,9 @@
     async def scenario(region: MultihostRegion) -> None:
         assert (await _put(region, "chat", DECLARED))[0] == 201
         await region.until_serving("chat/0")
-        status, answer = await region.operate("GET", "replicas/chat/0")
-        assert (status, answer["phase"], len(answer["members"])) == (200, "ready", 2)
-        assert [h["phase"] for h in answer["history"]] == ["pending", "starting", "ready"]
+        status, response = await region.operate("GET", "replicas/chat/0")
+        assert (status, response["phase"], len(response["members"])) == (200, "ready", 2)
+        assert [h["phase"] for h in response["history"]] == ["pending", "starting", "ready"]
 
     _run_with_pool(scenario)
 
@@ -164,7 +164,7 @@
     simulate_multihost(scenario)
 
 
-def test_command_line_verbs_reach_a_controller_over_a_socket() -> None:
+def test_subcommands_reach_a_controller_over_a_socket() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node, service = await booted_pool(state, clock, nodes, machines=4)
         async with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as free:
--- a/tests/test_multihost_partitions.py
+++ b/tests/test_multihost_partitions.py
@@ -34,6 +34,9 @@
     drops_heartbeats: bool,
 ) -> None:
     async def fault(_region: MultihostRegion, agents: list[Agent]) -> None:
-        agents[0].drops_heartbeats, agents[0].drops_answers = drops_heartbeats, not drops_heartbeats
+        agents[0].drops_heartbeats, agents[0].drops_responses = (
+            drops_heartbeats,
+            not drops_heartbeats,
+        )
 
     assert time_to_repair(fault) <= REPAIR_BOUND_S
--- a/tests/test_multihost_placement.py
+++ b/tests/test_multihost_placement.py
@@ -7,7 +7,7 @@
 from crossmill.multihost.model import (
     ReplicaSetSpec,
 )
-from crossmill.multihost.placement import Candidate, choose_placement, machines_to_keep_idle
+from crossmill.multihost.placement import Candidate, choose_placement, machines_to_keep_free
 from crossmill.multihost.settings import MultihostSettings
 from crossmill.settings import Endpoint
 
@@ -108,13 +108,13 @@
         pytest.param(SPEC._replace(zones=("west",)), 5, 0, id="none outside the allowed zones"),
     ],
 )
-def test_free_machines_are_kept_idle_for_the_first_unplaceable_replica(
+def test_machines_are_kept_free_for_the_first_unplaceable_replica(
     spec: ReplicaSetSpec, max_machines: int, count: int
 ) -> None:
     candidates = make_candidates("north", 2) + make_candidates("south", 1)
-    kept_idle = machines_to_keep_idle(spec, candidates, {}, max_machines)
-    assert len(kept_idle) == count
-    assert kept_idle <= {"north-0", "north-1"}
+    kept_free = machines_to_keep_free(spec, candidates, {}, max_machines)
+    assert len(kept_free) == count
+    assert kept_free <= {"north-0", "north-1"}
 
 
 def test_the_failure_score_of_a_machine_decays() -> None:
--- a/tests/test_multihost_records.py
+++ b/tests/test_multihost_records.py
@@ -34,9 +34,9 @@
 
 
 def test_a_set_is_decoded_as_it_was_stored() -> None:
-    stored = ReplicaSet(SPEC._replace(zones=("north",), spread=True), True, 4, 9)
-    decoded = decode_set(_stored(encode_set(stored)), 9)
-    assert (decoded.spec, decoded.is_removed, decoded.next_index) == (stored.spec, True, 4)
+    replica_set = ReplicaSet(SPEC._replace(zones=("north",), spread=True), True, 4, 9)
+    decoded = decode_set(_stored(encode_set(replica_set)), 9)
+    assert (decoded.spec, decoded.is_removed, decoded.next_number) == (replica_set.spec, True, 4)
 
 
 def test_a_replica_is_decoded_as_it_was_stored() -> None:
--- a/tests/test_multihost_registration.py
+++ b/tests/test_multihost_registration.py
@@ -51,8 +51,8 @@
             await node.membership.step()
             node.report("n-0", 1, sequence, node.token())
             # an ordinary worker that runs on the machine gets no commands
-            answer = node.report("m-0", 1, sequence, node.token())
-            assert answer.commands == ()
+            response = node.report("m-0", 1, sequence, node.token())
+            assert response.commands == ()
             await node.round()
             if node.membership.leadership_version() is not None:
                 await node.provisioner.run_once()
--- a/tests/test_multihost_restart_budget.py
+++ b/tests/test_multihost_restart_budget.py
@@ -29,8 +29,8 @@
     async def scenario(region: MultihostRegion) -> None:
         await _fail_until_budget_is_used_up(region)
         owner = region.owner()
-        status, answer = await region.operate("POST", "replicas/chat/0/restart", label=owner)
-        assert (status, answer["phase"]) == (200, "pending")
+        status, response = await region.operate("POST", "replicas/chat/0/restart", label=owner)
+        assert (status, response["phase"]) == (200, "pending")
         await region.until_serving("chat/0")
 
     simulate_multihost(scenario)
@@ -41,7 +41,7 @@
         await _fail_until_budget_is_used_up(region)
         owner = region.owner()
         other = next(label for label in region.services if label != owner)
-        status, answer = await region.operate("POST", "replicas/chat/0/restart", label=other)
-        assert (status, answer["owner"]) == (421, owner)
+        status, response = await region.operate("POST", "replicas/chat/0/restart", label=other)
+        assert (status, response["owner"]) == (421, owner)
 
     simulate_multihost(scenario)
--- a/tests/test_multihost_serving_safety.py
+++ b/tests/test_multihost_serving_safety.py
@@ -26,8 +26,8 @@
         await region.until_serving("chat/0")
         front, victim, _ = region.agents_of("chat/0")
         front.lease_from_receipt = lease_from_receipt
-        region.answer_delay_s = lambda agent: 1.8 if agent is front else 0.0
-        region.ping_answer_delay_s = 1.8
+        region.response_delay_s = lambda agent: 1.8 if agent is front else 0.0
+        region.ping_response_delay_s = 1.8
         await curio.sleep(10.0)
         sent = victim.sequence
         await region.wait_until(lambda: victim.sequence > sent)
--- a/tests/test_multihost_sets.py
+++ b/tests/test_multihost_sets.py
@@ -26,8 +26,8 @@
 def _plan(
     min_ready: int, *replicas: Replica, removed: bool = False, is_placement_overdue: bool = False
 ) -> Any:
-    stored = ReplicaSet(SPEC._replace(min_ready=min_ready), removed)
-    return plan_set(stored, {r.id.number: r for r in replicas}, {}, is_placement_overdue)
+    replica_set = ReplicaSet(SPEC._replace(min_ready=min_ready), removed)
+    return plan_set(replica_set, {r.id.number: r for r in replicas}, {}, is_placement_overdue)
 
 
 @pytest.mark.parametrize(
