--- a/crossmill/multihost/coordinator.py
+++ b/crossmill/multihost/coordinator.py
@@ -74,7 +74,7 @@
             await self._wake.set()
 
     async def run(self) -> None:
-        """Run passes while this controller owns the pool: after changes, and when one is due."""
+        """Run passes while this controller owns the pool: after changes and when one is due."""
         while True:
             ownership = self._ownership.command_ownership()
             if ownership is not None:
--- a/crossmill/multihost/records.py
+++ b/crossmill/multihost/records.py
@@ -159,7 +159,7 @@
     """Return the ordinary record of a pool machine, in the format that every version reads.
 
     The reserved type excludes the machine from single-machine tasks and from the return of idle
-    machines. The record never counts the machine as up, because a pool machine need not send
+    machines. The record does not count the machine as up, because a pool machine need not send
     heartbeats to the ordinary interface, and missing ones must not indicate a failure of its zone.
     """
     return {
--- a/tests/test_multihost_registration.py
+++ b/tests/test_multihost_registration.py
@@ -1,4 +1,4 @@
-"""Admission of machines to the pool, with ordinary machines and other versions around."""
+"""Admission of machines to the pool, next to ordinary machines and other program versions."""
 
 from crossmill.cluster import keys as cluster_keys
 from crossmill.multihost import keys
