--- a/tests/test_controller_outages.py
+++ b/tests/test_controller_outages.py
@@ -114,7 +114,7 @@
 def test_simultaneous_status_requests_share_reads() -> None:
     """Simultaneous status requests share one read of the state service.
 
-    While each of fifty jobs receives eight status requests per second, the controller answers
+    While eight status requests per second arrive for each of fifty jobs, the controller answers
     workers and starts new tasks.
     """
 
@@ -246,7 +246,7 @@
         await node.boot()
         leader = node.provisioner
         machine_request = MachineRequest(node.forecast.capacity.sources()[0], 2)
-        leader._cloud._pacer.drain()
+        leader._cloud._token_bucket.drain()
         operation = leader.rent(0, machine_request) if step == "rent" else leader.scale_in()
         task = await curio.spawn(operation, daemon=True)
         await curio.sleep(0.05)
