--- a/tests/fake_cloud.py
+++ b/tests/fake_cloud.py
@@ -53,8 +53,8 @@
         self.released: list[str] = []
         self.down = False
 
-    def list_machines(self) -> None:
-        """Set the list of machines to all that were rented and not released, as running."""
+    def refresh_listing(self) -> None:
+        """List all machines that were rented and not released, as running, from now on."""
         self.listed_machines = [
             {
                 "nameId": machine,
@@ -83,14 +83,14 @@
             return 200, b"{}"
         if method == "GET":
             return 200, orjson.dumps({"stones": self.listed_machines, "hasNext": False})
-        action = self.scripted_faults.pop(0) if self.scripted_faults else ""
-        if action == "none":
+        fault = self.scripted_faults.pop(0) if self.scripted_faults else ""
+        if fault == "none":
             return 503, b'{"error":"no capacity"}'
         name = data["hireSlip"]
         if name not in self.machines_by_request:
             first = len(self.machines)
             self.machines_by_request[name] = [f"n-{first + i:06d}" for i in range(data["number"])]
             self.machines.update((m, data) for m in self.machines_by_request[name])
-        if action == "lose":
+        if fault == "lose":
             raise NoResponseError(path)
         return 200, orjson.dumps({"stones": self.machines_by_request[name]})
--- a/tests/fake_state_service.py
+++ b/tests/fake_state_service.py
@@ -45,7 +45,7 @@
     def end_lease(self, lease: int) -> None:
         """Expire a lease and delete its keys."""
         self.leases.discard(lease)
-        for key in [k for k, (_, _, held) in self.keys.items() if held == lease]:
+        for key in [k for k, (_, _, key_lease) in self.keys.items() if key_lease == lease]:
             self.revision += 1
             self._delete(key)
 
@@ -83,19 +83,19 @@
         """Respond without delay; raise a connection error if a scripted fault requires it."""
         parts = urlsplit(path)
         self.received_requests.append((method, parts.path))
-        action = ""
+        fault = ""
         if self.scripted_faults.get(parts.path):
-            action = self.scripted_faults[parts.path].pop(0)
-        if action == "drop":
+            fault = self.scripted_faults[parts.path].pop(0)
+        if fault == "drop":
             raise NoResponseError(path)
-        if action == "refuse":
+        if fault == "refuse":
             raise ConnectionFailedError(path)
         if self.down:
             return 503, b"{}"
-        status, answer = self._serve(parts.path, parse_qs(parts.query), body)
-        if action == "lose":
+        status, response = self._serve(parts.path, parse_qs(parts.query), body)
+        if fault == "lose":
             raise NoResponseError(path)
-        return status, orjson.dumps(answer)
+        return status, orjson.dumps(response)
 
     def _serve(
         self, path: str, query: dict[str, list[str]], body: bytes
--- a/tests/fault_injection.py
+++ b/tests/fault_injection.py
@@ -55,16 +55,16 @@
 
 
 async def submit_single_task_jobs(
-    region: Region, jobs: int, every_s: float, cancelled: int = 4
+    region: Region, jobs: int, every_s: float, cancel_every: int = 4
 ) -> None:
     """Submit one-task jobs at one controller after the other.
 
-    Of every `cancelled` jobs, one is cancelled while it runs or waits.
+    One of every `cancel_every` jobs is cancelled while it runs or waits.
     """
     async with curio.TaskGroup() as group:
         for n in range(jobs):
             job, label = f"wk-{100000 + n}", list(region.nodes or region.LABELS)[n % 3 - 1]
-            await group.spawn(_submit_single_task_job, region, label, job, n % cancelled == 1)
+            await group.spawn(_submit_single_task_job, region, label, job, n % cancel_every == 1)
             await curio.sleep(every_s)
 
 
@@ -83,7 +83,7 @@
 
 
 async def wait_until_all_ended(region: Region, within_s: float = 90.0) -> None:
-    """Wait until all controllers report the end of every accepted job; fail after the timeout."""
+    """Wait until all controllers report the end of every submitted job; fail after the timeout."""
     end = region.clock.now() + within_s
     # a controller that has just started has not loaded the state yet
     await curio.sleep(3.0)
@@ -134,7 +134,11 @@
 
 
 def clear_faults(region: Region) -> None:
-    """End all faults other than frozen and killed controllers."""
+    """End the faults of the state service, of the controllers' links and of the workers.
+
+    Killed, frozen and powered off controllers, `Region.transaction_delay_s` and faults of the cloud
+    do not end.
+    """
     region.state.down = False
     region.state_delay_s = 0.0
     region.reconnect()
--- a/tests/invariant_checker.py
+++ b/tests/invariant_checker.py
@@ -21,7 +21,18 @@
 
 @dataclass
 class JobFacts:
-    """A job's submission and what responses to users reported, with times of the region's clock."""
+    """A job's submission and what responses to users reported, with times of the region's clock.
+
+    Attributes:
+        spec: The fields of the submission's body.
+        run_s: How long each task runs, in seconds; None for a service.
+        submitted: When the job was registered.
+        accepted: When a response first confirmed the submission or reported the job's state.
+        cancellation_requested: Whether a user requested the cancellation.
+        cancelled: When a response first reported the job as cancelled.
+        done: When a response first reported the job as done.
+        finished: The indexes of the tasks that are done.
+    """
 
     spec: dict[str, Any]
     run_s: float | None
@@ -94,7 +105,7 @@
         return found
 
     def _check_cancelled_dependencies(self, job: str, stage: str, requested_at: float) -> None:
-        """Check that no job is reported as active long after a dependency was cancelled."""
+        """Check that no job is shown as queued or running long after a dependency was cancelled."""
         for dependency in self._all_dependencies(job):
             confirmed = self.jobs[dependency].cancelled
             is_overdue = (
--- a/tests/measure_multihost.py
+++ b/tests/measure_multihost.py
@@ -37,7 +37,8 @@
 REPLICA_SIZES = (2, 4, 8)
 POOL_SIZES = (100, 1000, 4000)
 MAX_RECOVERY_S = 120.0
-# in `measure_waiting`, a large replica waits in a pool of this many machines and small sets
+# in `measure_waiting`: the pool's machines, and the small replica sets that share it with a large
+# replica
 WAITING_POOL_SIZE = 16
 SMALL_SETS = 8
 MAX_WAITING_S = 600.0
@@ -182,9 +183,9 @@
 def measure_baseline(job: tuple[str, int, int]) -> Sample:
     """Measure the same failures of a service whose tasks stand for the members.
 
-    Task 0 is the front member and serves whenever it runs itself. Images need no time to load.
-    Idle machines are kept for the whole run, so that there are as many spare machines as in the
-    pool of `measure_failure`.
+    Task 0 stands for the front member and counts as serving whenever it runs itself. Images need no
+    time to load. Idle machines are kept for the whole run, so that there are as many spare machines
+    as in the pool of `measure_failure`.
     """
     failure, members, seed = job
     result: list[Sample] = []
@@ -286,7 +287,11 @@
 
 
 def measure_pool(machines: int) -> dict[str, float]:
-    """Measure the work for one heartbeat and for one idle round in a pool of this size."""
+    """Measure the cost of a heartbeat and of a round without changes in a pool of this size.
+
+    The processor times are of one heartbeat and one round; the numbers of replicas and candidate
+    machines examined are of 20 rounds.
+    """
     result: dict[str, float] = {"machines": machines}
 
     async def scenario(
--- a/tests/profile_controller.py
+++ b/tests/profile_controller.py
@@ -1,10 +1,10 @@
 """Profile a controller's processor time and memory: `python -m tests.profile_controller`.
 
 Runs one whole controller against the fake services, with the given number of machines, in phases:
-startup, reports, scheduling rounds without changes, a burst of jobs, and HTTP over loopback. Prints
-the processor time of each phase by module, the most expensive functions of each phase, and the
-memory in use after startup by file. The test command does not run it, because times differ between
-machines.
+startup, reports, scheduling rounds without changes, a burst of jobs, a demand forecast, and HTTP
+over loopback. Prints the processor time of each phase by module, the most expensive functions of
+each phase, and the memory in use after startup by file. The test command does not run it, because
+times differ between machines.
 """
 
 import argparse
--- a/tests/simulated_links.py
+++ b/tests/simulated_links.py
@@ -25,7 +25,7 @@
     """The fault of a request to the state service that gets no response.
 
     Attributes:
-        delay_s: Time after which the state service executes the request.
+        delay_s: The time in seconds after which the state service executes the request.
         executes_at_once: Whether the state service executes the request without that delay.
     """
 
--- a/tests/simulated_region.py
+++ b/tests/simulated_region.py
@@ -34,7 +34,7 @@
 class Region(SimulatedUsers):
     """Controllers, workers, users, a state service and a cloud under virtual time.
 
-    Faults are injected by setting the attributes; `fault_injection.clear_faults` ends them.
+    Faults are injected by setting the attributes; `fault_injection.clear_faults` ends most of them.
     """
 
     LABELS = ("node-0", "node-1", "node-2")
@@ -65,13 +65,14 @@
         self.cut_from_peers: set[str] = set()
         # time until which a controller's process is frozen, by label
         self.frozen_until: dict[str, float] = {}
-        # labels of controllers whose machine is powered off: connections to it time out
+        # labels of controllers whose machine is powered off: workers' connections to it time out
         self.powered_off: set[str] = set()
         # predicate on the machine ID: whether a rented machine boots
         self.can_boot: Callable[[str], bool] = lambda machine: True
-        # returns the fault of a request to the state service, from label, method and path
+        # returns the fault of a request to the state service, if any, from the controller's label,
+        # the method and the path
         self.transaction_fault: Callable[[str, str, str], TransactionFault | None] = lambda *_: None
-        # predicate: whether a worker and a controller reach each other
+        # predicate on worker and controller label: whether they reach each other
         self.can_reach: Callable[[Worker, str], bool] = lambda worker, label: label in self.nodes
 
     async def _check_invariants(self) -> None:
@@ -169,7 +170,7 @@
             await curio.sleep(CLOUD_INTERVAL_S)
             await self._boot_rented_machines()
             self._stop_released_machines()
-            self.cloud.list_machines()
+            self.cloud.refresh_listing()
 
     async def _boot_rented_machines(self) -> None:
         for machine, data in list(self.cloud.machines.items()):
@@ -197,7 +198,7 @@
             await task.cancel(blocking=False)
 
     async def power_off(self, label: str) -> None:
-        """Kill a controller and let connections to its machine time out."""
+        """Kill a controller and let workers' connections to its machine time out."""
         self.powered_off.add(label)
         await self.kill(label)
 
@@ -230,10 +231,12 @@
 
     def deliver_worker_heartbeat(self, body: bytes, label: str) -> tuple[int, bytes]:
         """Deliver a heartbeat to a controller and return the response's status and body."""
-        answer = self.nodes[label].heartbeats.handle(parse_heartbeat(load_object(body)))
-        if answer.status == 200:
-            return 200, heartbeat_response_body(answer.token, list(answer.commands))
-        return answer.status, orjson.dumps({"foreman": answer.redirect} if answer.redirect else {})
+        response = self.nodes[label].heartbeats.handle(parse_heartbeat(load_object(body)))
+        if response.status == 200:
+            return 200, heartbeat_response_body(response.token, list(response.commands))
+        return response.status, orjson.dumps(
+            {"foreman": response.redirect} if response.redirect else {}
+        )
 
     async def wait_until(self, condition: Callable[[], bool], within_s: float = 60.0) -> None:
         """Wait until the condition holds; fail after the timeout."""
@@ -260,12 +263,12 @@
     clock = FakeClock()
     regions: list[Region] = []
 
-    async def begin() -> None:
+    async def run() -> None:
         region = Region(clock, state)
         regions.append(region)
         await scenario(region)
         region.checker.check()
 
-    run_under_virtual_time(clock, begin)
+    run_under_virtual_time(clock, run)
     assert not regions[0].checker.violations, regions[0].checker.violations[:5]
     return regions[0]
--- a/tests/simulated_state.py
+++ b/tests/simulated_state.py
@@ -14,10 +14,12 @@
 from .fake_clock import FakeClock
 from .fake_state_service import StateService
 
-STEP_S = 0.02
+POLL_INTERVAL_S = 0.02
 
 
 class _LeaseExpiry(NamedTuple):
+    """A lease's expiry time by the region's clock and its time to live, in seconds."""
+
     at: float
     ttl_s: float
 
@@ -60,7 +62,7 @@
             if self._state.revision != revision and not self._state.down:
                 revision = self._state.revision
                 await self.notify_watches()
-            await curio.sleep(STEP_S)
+            await curio.sleep(POLL_INTERVAL_S)
 
     def _expire_leases(self) -> None:
         now = self._clock.now()
--- a/tests/simulated_worker.py
+++ b/tests/simulated_worker.py
@@ -21,8 +21,8 @@
 MESSAGE_DELAY_S = 0.002
 # time after which a worker stops waiting for a response
 RESPONSE_TIMEOUT_S = 4.0
-RETRY_S = 1.0
-REDIRECT_S = 0.2
+RETRY_DELAY_S = 1.0
+REDIRECT_DELAY_S = 0.2
 FROZEN_POLL_INTERVAL_S = 0.1
 KEPT_HEARTBEATS = 40
 FIRST_PORT = 20000
@@ -79,12 +79,13 @@
         self.inbound_lost: bool = False
         self.heartbeats_lost: bool = False
         self.is_frozen: bool = False
-        # whether the machine was released
+        # whether the machine was terminated, for example because it was released
         self.is_terminated: bool = False
         self.target_index = 0
         self.sent_heartbeats: list[bytes] = []
         self.delayed_commands: list[dict[str, Any]] = []
-        # remaining seconds until the cloud reclaims the machine; controllers place nothing on it
+        # seconds until the cloud reclaims the machine, as reported to controllers, which then place
+        # nothing on it; None without a notice
         self.notice_s: float | None = None
         # received commands: time in seconds, session, decoded command
         self.received_commands: list[tuple[float, int, dict[str, Any]]] = []
@@ -107,6 +108,7 @@
         return orjson.dumps(report)
 
     def _advance_tasks(self) -> None:
+        """End tasks whose run time is over; after the lease expired, drop all in a new session."""
         now, checker = self.region.clock.now(), self.region.checker
         if now - self.lease_renewed_at > self.region.worker_lease_s:
             self.session += 1
@@ -130,14 +132,16 @@
                 self.handle_commands(self.delayed_commands.pop(0))
             wait_s = self.region.heartbeat_interval_s
             label = labels[self.target_index]
-            answer = await self._send_heartbeat(label)
-            if answer is None or answer[0] != 200:
-                named = str(answer[1].get("foreman")) if answer is not None else ""
-                is_redirected = named in labels and named != label
+            response = await self._send_heartbeat(label)
+            if response is None or response[0] != 200:
+                redirect = str(response[1].get("foreman")) if response is not None else ""
+                is_redirected = redirect in labels and redirect != label
                 self.target_index = (
-                    labels.index(named) if is_redirected else (self.target_index + 1) % len(labels)
+                    labels.index(redirect)
+                    if is_redirected
+                    else (self.target_index + 1) % len(labels)
                 )
-                wait_s = REDIRECT_S if is_redirected else RETRY_S
+                wait_s = REDIRECT_DELAY_S if is_redirected else RETRY_DELAY_S
             await curio.sleep(wait_s)
 
     async def _send_heartbeat(self, label: str) -> tuple[int, dict[str, Any]] | None:
@@ -154,12 +158,12 @@
         if self.inbound_lost or self.is_frozen or not self.region.can_reach(self, label):
             await curio.sleep(RESPONSE_TIMEOUT_S)
             return None
-        answer = load_object(data)
+        response = load_object(data)
         self._advance_tasks()
-        if status == 200 and session == self.session and answer["warrant"] >= self.token:
-            self.token, self.lease_renewed_at = answer["warrant"], sent
-            self._execute_commands(answer["orders"])
-        return status, answer
+        if status == 200 and session == self.session and response["warrant"] >= self.token:
+            self.token, self.lease_renewed_at = response["warrant"], sent
+            self._execute_commands(response["orders"])
+        return status, response
 
     def handle_commands(self, data: dict[str, Any]) -> tuple[int, bytes]:
         """Execute commands from a controller; respond 409 if token or session is outdated."""
--- a/tests/stepped_controller.py
+++ b/tests/stepped_controller.py
@@ -71,13 +71,15 @@
 class ScriptedWorkerLink:
     """A link to a worker's own address, with scripted responses to commands.
 
-    `sent` holds the decoded request bodies. `answer` makes the response from a request body, or is
-    the error to raise; if it is None, the connection fails.
+    `sent` holds the decoded request bodies. `scripted_response` makes the response from a request
+    body, or is the error to raise; if it is None, the connection fails.
     """
 
     def __init__(self) -> None:
         self.sent: list[dict[str, Any]] = []
-        self.answer: Callable[[dict[str, Any]], tuple[int, bytes]] | Exception | None = None
+        self.scripted_response: Callable[[dict[str, Any]], tuple[int, bytes]] | Exception | None = (
+            None
+        )
 
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
@@ -85,11 +87,11 @@
         """Store the request's body and respond as scripted."""
         data = load_object(body)
         self.sent.append(data)
-        if isinstance(self.answer, Exception):
-            raise self.answer
-        if self.answer is None:
+        if isinstance(self.scripted_response, Exception):
+            raise self.scripted_response
+        if self.scripted_response is None:
             raise ConnectionFailedError("the worker is unreachable")
-        return self.answer(data)
+        return self.scripted_response(data)
 
 
 class SteppedController:
--- a/tests/test_command_delivery.py
+++ b/tests/test_command_delivery.py
@@ -35,7 +35,7 @@
 def test_an_unanswered_start_command_may_still_arrive_until_a_higher_token() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await boot_with_waiting_job(state, clock, nodes, machines=1, sacks=1)
-        node.worker.answer = NoResponseError("held back")
+        node.worker.scripted_response = NoResponseError("held back")
         token = node.token()
         node.report("n-0", 1, 1, token)
         await node.round()
@@ -139,7 +139,7 @@
         token = node.token()
         node.report("n-0", 1, 1, 0)
         node.report("n-0", 1, 2, token)
-        node.worker.answer = lambda data: (200, heartbeat_body("n-0", 1, 90, token))
+        node.worker.scripted_response = lambda data: (200, heartbeat_body("n-0", 1, 90, token))
         attempt = PlannedAttempt(JOB, 0, 1, "n-0", 1)
         plan = {"next": 2, "done": "0", "rows": [[0, 1, "n-0", 1]]}
         state.put(keys.plan(JOB, "0"), plan)
--- a/tests/test_invariant_checker.py
+++ b/tests/test_invariant_checker.py
@@ -68,7 +68,7 @@
     region.checker.check()
 
 
-async def _answer_job_unknown(region: Region) -> None:
+async def _report_unknown_job(region: Region) -> None:
     await curio.sleep(1.0)
     region.checker.check_response(JOB, _job_response("", 404), region.clock.now())
 
@@ -101,7 +101,7 @@
         (_remove_planned_attempt, "orphaned"),
         (_exceed_quota, "quota"),
         (_run_in_wrong_zone, "wrong_place"),
-        (_answer_job_unknown, "forgotten"),
+        (_report_unknown_job, "forgotten"),
         (_reject_accepted_job, "forgotten"),
         (_report_done_too_early, "not_done"),
         (_report_running_after_cancelled, "went_back"),
--- a/tests/trace_adapter.py
+++ b/tests/trace_adapter.py
@@ -139,9 +139,9 @@
 
         self._region.can_reach = reaches
 
-    def set_state_outage(self, is_out: bool) -> None:
+    def set_state_outage(self, is_down: bool) -> None:
         """Start or end an outage in which the state service refuses all requests."""
-        self._region.state.down = is_out
+        self._region.state.down = is_down
 
     def refuse_controller(self, controller: str) -> None:
         """Make the state service refuse all requests of one controller."""
@@ -159,15 +159,15 @@
         """Compact the state service's history of changes."""
         self._region.state.compact()
 
-    def set_cloud_outage(self, is_out: bool) -> None:
+    def set_cloud_outage(self, is_down: bool) -> None:
         """Start or end an outage in which the cloud refuses all requests."""
-        self._region.cloud.down = is_out
+        self._region.cloud.down = is_down
 
     def fail_rentals(self, rentals: int) -> None:
         """Make the next rentals fail for lack of capacity."""
         self._region.cloud.scripted_faults += ["none"] * rentals
 
-    def heal(self) -> None:
+    def clear_faults(self) -> None:
         """End all disconnections, outages, delays, freezes and losses of messages.
 
         Killed controllers and terminated machines are not restarted.
@@ -179,7 +179,7 @@
     # -- workers ---------------------------------------------------------------------
 
     async def add_worker(self, machine: str, zone: str, shard: int, spot: bool = False) -> None:
-        """Add a worker on a machine whose record says that a leader rented it earlier."""
+        """Add a worker on a machine that, by its record, a leader rented earlier."""
         value = {"type": MACHINE_TYPE, "zone": zone, "spot": spot, "shard": shard}
         value |= {"at": self._region.clock.wall_time(), "retiring": "", "up": False}
         self._region.state.put(keys.machine(machine), value)
@@ -235,8 +235,8 @@
         """Cancel a job and return the status, 0 if the controller was killed."""
         return await self._status_of(self._region.cancel(controller, job))
 
-    async def show(self, controller: str, job: str) -> int:
-        """Request a job's state and return the status, 0 if the controller was killed."""
+    async def query_job(self, controller: str, job: str) -> int:
+        """Query a job's state and return the status, 0 if the controller was killed."""
         return await self._status_of(self._region.query_job(controller, job))
 
     async def _status_of(self, status: Awaitable[int]) -> int:
@@ -246,10 +246,10 @@
             # the controller was killed while the request waited for it to leave a freeze
             return 0
 
-    def orders(self) -> Counter[str]:
-        """Return the number of orders that the workers received, by verb."""
+    def command_counts(self) -> Counter[str]:
+        """Return the number of commands that the workers received, by verb."""
         workers = self._region.workers.values()
-        return Counter(order[2]["verb"] for worker in workers for order in worker.received_commands)
+        return Counter(entry[2]["verb"] for worker in workers for entry in worker.received_commands)
 
     def violations(self) -> list[str]:
         """Return the violations that the region's invariant checker reported."""
@@ -321,8 +321,8 @@
             if agent.zone == zone:
                 agent.drops_heartbeats = is_lost
 
-    async def mend(self) -> None:
-        """End the faults and revive machines that died."""
+    async def end_all_faults(self) -> None:
+        """End all faults and revive machines that died."""
         await self._faults.end_all_faults()
 
     def total_generations(self) -> int:
@@ -383,10 +383,10 @@
     clock = FakeClock()
     region = RecordedRegion(clock)
 
-    async def begin() -> None:
+    async def run() -> None:
         await scenario(SimulatedRegion(region, counts))
 
-    _play(region, MessageLog(recorder, clock, counts), begin)
+    _play(region, MessageLog(recorder, clock, counts), run)
 
 
 def play_multihost(
@@ -398,11 +398,11 @@
     clock = FakeClock()
     region = RecordedMultihostRegion(clock)
 
-    async def begin() -> None:
+    async def run() -> None:
         await curio.spawn(region.run_checks, daemon=True)
         await scenario(SimulatedMultihostRegion(region, counts))
 
-    _play(region, MessageLog(recorder, clock, counts), begin)
+    _play(region, MessageLog(recorder, clock, counts), run)
 
 
 def play_recovery(
@@ -416,10 +416,10 @@
         clock, recovery_settings(brake_least=BRAKE_LEAST, brake_share=BRAKE_SHARE)
     )
 
-    async def begin() -> None:
+    async def run() -> None:
         await scenario(SimulatedRecoveryRegion(region, counts))
 
-    _play(region, MessageLog(recorder, clock, counts), begin)
+    _play(region, MessageLog(recorder, clock, counts), run)
 
 
 @contextmanager
--- a/tests/trace_faults.py
+++ b/tests/trace_faults.py
@@ -31,7 +31,7 @@
             "history compacted": self._history_compacted,
             "worker mute": self._worker_heartbeats_lost,
             "worker deaf": self._worker_inbound_lost,
-            "worker hung": self._worker_hung,
+            "worker hung": self._worker_frozen,
             "heartbeats repeated": self._heartbeats_repeated,
             "spot notice": self._spot_notice,
             "cloud outage": self._cloud_outage,
@@ -71,17 +71,17 @@
     async def _controller_isolated(self) -> None:
         self.region.isolate_controller(self._random_controller())
         await self._pause(2.0, 15.0)
-        self.region.heal()
+        self.region.clear_faults()
 
     async def _zone_isolated(self) -> None:
         self.region.isolate_zone(self.rng.choice(ZONES))
         await self._pause(4.0, 15.0)
-        self.region.heal()
+        self.region.clear_faults()
 
     async def _state_refuses_controller(self) -> None:
         self.region.refuse_controller(self._random_controller())
         await self._pause(2.0, 15.0)
-        self.region.heal()
+        self.region.clear_faults()
 
     async def _responses_lost(self) -> None:
         self.region.lose_responses(self.rng.choice([2, 3, 5]), True, 10.0)
@@ -111,7 +111,7 @@
         await self._pause(2.0, 20.0)
         self.region.lose_inbound(machine, False)
 
-    async def _worker_hung(self) -> None:
+    async def _worker_frozen(self) -> None:
         machine = self._random_worker()
         self.region.freeze_worker(machine, True)
         await self._pause(2.0, 20.0)
--- a/tests/trace_messages.py
+++ b/tests/trace_messages.py
@@ -26,7 +26,19 @@
 
 @dataclass
 class Message:
-    """A request that a controller sent or received, and its response; status 0 if there is none."""
+    """A request that a controller sent or received, and its response.
+
+    Attributes:
+        time: The time of the request, in seconds of virtual time.
+        direction: `SENT` or `RECEIVED`, as seen by the controller.
+        counterpart: The other party, such as "state", "peer:node-1" or "heartbeat:n-0".
+        method: The HTTP method.
+        path: The path with its query.
+        body: The request's body.
+        status: The response's status; 0 if there is no response.
+        response: The response's body; without a response, `NO_RESPONSE`, `NOT_REACHED` or empty.
+        responded_at: The time of the response or of the failure; None before either.
+    """
 
     time: float
     direction: str
--- a/tests/trace_scenarios.py
+++ b/tests/trace_scenarios.py
@@ -38,13 +38,13 @@
     users_task = await curio.spawn(users.run)
     await FaultSequence(region, random.Random(seed)).run()
     await users_task.join()
-    region.heal()
+    region.clear_faults()
     await curio.sleep(SETTLE_S)
     _count_results(region)
 
 
 def _count_results(region: SimulatedRegion) -> None:
-    for verb, number in region.orders().items():
+    for verb, number in region.command_counts().items():
         region.counts[f"orders to workers: {verb}"] += number
     region.counts["invariant violations"] += len(region.violations())
 
@@ -106,7 +106,7 @@
             else:
                 await _inject_replica_fault(region, rng, name)
             await curio.sleep(rng.uniform(0.0, 6.0))
-        await region.mend()
+        await region.end_all_faults()
         await curio.sleep(SETTLE_S)
         counts["replica generations at the end"] += region.total_generations()
         counts["invariant violations"] += len(region.violations())
@@ -166,7 +166,7 @@
         await _approve_until_steady(region)
         region.lose_heartbeats(silent, False)
         await users_task.join()
-        region.heal()
+        region.clear_faults()
         await curio.sleep(SETTLE_S)
         _count_results(region)
 
--- a/tests/trace_users.py
+++ b/tests/trace_users.py
@@ -90,5 +90,5 @@
             controllers = self.region.running_controllers()
             if controllers and self.accepted:
                 job = self.rng.choice(self.accepted[-30:])
-                await self.region.show(self.rng.choice(controllers), job)
+                await self.region.query_job(self.rng.choice(controllers), job)
             await curio.sleep(0.5)
