--- a/crossmill/recovery/subcommands.py
+++ b/crossmill/recovery/subcommands.py
@@ -12,12 +12,14 @@
     add_client_options: Callable[[argparse.ArgumentParser, str, str, str], None],
 ) -> None:
     """Add the subcommands of `recovery` to the command line's parser."""
-    subcommands = parser.add_subparsers(dest="recovery_subcommand", required=True, metavar="VERB")
+    subcommands = parser.add_subparsers(
+        dest="recovery_subcommand", required=True, metavar="SUBCOMMAND"
+    )
     show = subcommands.add_parser(
         "show", help="show recovering shards, open circuit breakers and past recoveries"
     )
     approve = subcommands.add_parser(
-        "approve", help="approve the actions that an open circuit breaker holds back"
+        "approve", help="approve the actions that an open circuit breaker blocks"
     )
     approve.add_argument("shard", type=int, help="the shard's number")
     approve.add_argument("digest", help="the digest of these actions, as printed by `show`")
--- a/tests/test_recovery_service.py
+++ b/tests/test_recovery_service.py
@@ -38,7 +38,7 @@
 ) -> None:
     assert main(["check", "--config", config, "--recovery", str(DEPLOY)]) == 0
     printed = capsys.readouterr().out
-    assert "brake at 0.2" in printed
+    assert "circuit breaker at 0.2" in printed
     assert "observe_s = 2.000" in printed
 
 
@@ -89,7 +89,7 @@
 @pytest.mark.parametrize(
     "arguments", [["approve", "-1", "ab"], ["approve", "x", "ab"], ["approve", "0"], []]
 )
-def test_invalid_arguments_of_the_verbs_are_rejected(arguments: list[str]) -> None:
+def test_invalid_arguments_of_the_subcommands_are_rejected(arguments: list[str]) -> None:
     try:
         code: object = main(["recovery", *arguments])
     except SystemExit as exc:
