--- a/crossmill/cluster/cancellation_announcement.py
+++ b/crossmill/cluster/cancellation_announcement.py
@@ -48,8 +48,8 @@
             return {}
         zones = set(zones)
         if self._settings.zone in zones:
-            # if the zone is partitioned before the write is answered, this process has no other
-            # way to learn of the cancellation
+            # if the zone is partitioned before the response to the write arrives, this process has
+            # no other way to learn of the cancellation
             self._pending.add(job_id)
         labels = [label for zone in zones for label in self._peers.labels_in_zone(zone)]
         preconditions: dict[str, int] = {}
--- a/crossmill/cluster/lease_expiry_proof.py
+++ b/crossmill/cluster/lease_expiry_proof.py
@@ -3,8 +3,8 @@
 While a zone is partitioned, the zone's own controllers may keep its workers alive
 (cluster/partition_keepalive.py). The owner of a machine therefore can't conclude from missing
 heartbeats alone that the worker's lease has expired. Each other controller of the machine's zone
-must attest that it has not answered the worker and will not do so, or must have been absent for
-long enough.
+must attest that it has not responded to the worker and will not do so, or must have been absent
+for long enough.
 """
 
 import logging
@@ -116,7 +116,7 @@
             if attestation is None or not _is_valid(attestation, now, key_version):
                 self._requested[machine.id] = machine.zone
 
-    def preconditions(self, machine: Machine, answered_at: float) -> dict[str, int] | None:
+    def preconditions(self, machine: Machine, last_response_at: float) -> dict[str, int] | None:
         """Return the conditions of a write that assumes that the worker's lease has expired.
 
         An attestation holds for one process. The process that replaces it writes the controller's
@@ -124,7 +124,7 @@
 
         Args:
             machine: The worker's machine.
-            answered_at: When this controller last answered the worker.
+            last_response_at: When this controller last responded to the worker.
 
         Returns:
             The required key versions by key, or None if the lease may not have expired.
@@ -136,9 +136,9 @@
             kept_alive_until = self._latest_keepalive(label, machine, now, key_version)
             if kept_alive_until is None:
                 return None
-            answered_at = max(answered_at, kept_alive_until)
+            last_response_at = max(last_response_at, kept_alive_until)
             preconditions[keys.controller(label)] = key_version
-        has_expired = now - answered_at > self._settings.worker_lease_expiry_s
+        has_expired = now - last_response_at > self._settings.worker_lease_expiry_s
         return preconditions if has_expired else None
 
     def _latest_keepalive(
--- a/crossmill/cluster/lease_extensions.py
+++ b/crossmill/cluster/lease_extensions.py
@@ -1,8 +1,8 @@
-"""Extensions of the authority to answer heartbeats while the state service is unavailable.
+"""Extensions of the authority to respond to heartbeats while the state service is unavailable.
 
-A controller whose lease can't be renewed may continue to answer its workers' heartbeats, and do
-nothing else, while every peer has granted it an extension. A grant is a promise not to acquire the
-controller's shards, which only a peer could do. It is kept in memory, so a replacement of the
+A controller whose lease can't be renewed may continue to respond to its workers' heartbeats, and
+do nothing else, while every peer has granted it an extension. A grant is a promise not to acquire
+the controller's shards, which only a peer could do. It is kept in memory, so a replacement of the
 process that gave it does not know of it. A controller that has just started therefore acquires a
 shard without an owner only once all peers report that they don't act for it, or once the longest
 extension that the previous process can have granted has expired.
@@ -72,7 +72,7 @@
     # -- extensions granted to peers -------------------------------------------------
 
     def handle(self, request: Request) -> Response:
-        """Answer a peer's request for an extension or for the list of shards owned here."""
+        """Respond to a peer's request for an extension or for the list of shards owned here."""
         own_shards = self._shards.owned_or_acquiring()
         if request.path == wire.OWNED_SHARDS_PATH and request.method == "GET":
             return Response(200, wire.owned_shards_body(sorted(own_shards)))
@@ -153,7 +153,7 @@
         now = self._clock.now()
         if self._failing_since is None:
             self._failing_since = now
-        # once this controller no longer answers workers, a grant would only prevent peers from
+        # once this controller no longer responds to workers, a grant would only prevent peers from
         # taking over
         is_too_late = now - self._failing_since > self._settings.max_lease_extension_s
         if not shards or is_too_late or self.is_isolated:
--- a/crossmill/cluster/membership.py
+++ b/crossmill/cluster/membership.py
@@ -124,7 +124,7 @@
         return ownership if is_current else None
 
     def heartbeat_authority(self, shard: int) -> HeartbeatAuthority | None:
-        """Return the authority to answer heartbeats of the shard's workers, or None.
+        """Return the authority to respond to heartbeats of the shard's workers, or None.
 
         The authority requires the controller lease or extensions granted by all peers. In both
         cases it ends `max_lease_extension_s` after the mirrored state was last known to be current.
@@ -222,7 +222,7 @@
 
         The controller first publishes in its record that it is unreachable by workers. Until a new
         owner acts for the shards, the other controllers then continue to redirect workers here;
-        without any controller to answer them, the workers' leases would expire.
+        without any controller to respond, the workers' leases would expire.
         """
         ownerships = dict(self.ownerships)
         if not self._has_reachable_peer():
--- a/crossmill/cluster/model.py
+++ b/crossmill/cluster/model.py
@@ -91,7 +91,7 @@
     # IDs of the dependencies that were not done at acceptance, and of those that are still not done
     dependencies: tuple[str, ...] = ()
     unmet_dependencies: set[str] = field(default_factory=set)
-    # wall time at which the last dependency was done, or at which the job was submitted
+    # wall-clock time at which the last dependency was done, or at which the job was submitted
     ready_at: float = 0.0
     chunks: dict[str, PlanChunk] = field(default_factory=dict)
     # segments copied from a legacy chunk, by name; they take effect when that chunk is deleted
@@ -149,7 +149,7 @@
 class Machine:
     """A rented machine: its stored record, the attempts planned onto it and their usage.
 
-    `rented_at` is in wall time. `retirement_reason` is the reason why the machine is to be
+    `rented_at` is in wall-clock time. `retirement_reason` is the reason why the machine is to be
     released, or empty. `is_up` is set once the machine has sent a heartbeat.
     """
 
@@ -212,7 +212,7 @@
 
 
 class CancellationNote(NamedTuple):
-    """The note that a job is to be cancelled: the version of its key and its wall time."""
+    """The note that a job is to be cancelled: the version of its key and its wall-clock time."""
 
     version: int
     written_at: float
--- a/crossmill/cluster/owner_selection.py
+++ b/crossmill/cluster/owner_selection.py
@@ -1,7 +1,7 @@
 """Selection of each shard's owner, and the rules for acquiring keys without an owner.
 
 Each shard has a preferred owner, which owns it while all controllers run. If a worker's controller
-stops answering, the worker waits for one request timeout and then tries the next controller in its
+stops responding, the worker waits for one request timeout and then tries the next controller in its
 order. If that controller is down as well, the worker's lease expires before it reaches the third.
 A controller is therefore called *exposed* while the controller after it is absent. As long as some
 controller is not exposed, the shard should be owned by one that is not.
--- a/crossmill/cluster/ownership.py
+++ b/crossmill/cluster/ownership.py
@@ -1,4 +1,4 @@
-"""The shards that this controller owns, and the authority to answer their workers.
+"""The shards that this controller owns, and the authority to respond to their workers.
 
 `ShardAcquisition` modifies the ownerships, `Membership` makes them available to code that acts for
 a shard, and `LeaseExtensions` reports the owned shards to peers.
@@ -37,7 +37,7 @@
 
 
 class HeartbeatAuthority(NamedTuple):
-    """The authority to answer heartbeats of a shard's workers.
+    """The authority to respond to heartbeats of a shard's workers.
 
     Without `may_command` the controller only renews the workers' leases: it starts no tasks, and
     stops only tasks of jobs that have ended.
--- a/crossmill/cluster/partition_keepalive.py
+++ b/crossmill/cluster/partition_keepalive.py
@@ -1,6 +1,6 @@
 """Keepalives for a zone's workers while the zone is partitioned from everything else.
 
-A controller in a partitioned zone answers the zone's workers with the fencing token that they
+A controller in a partitioned zone responds to the zone's workers with the fencing token that they
 report. It sends no commands except to stop tasks of ended jobs, so running tasks continue until the
 owner is reachable again. It does not own the workers' shards (docs/safety.md, "Keepalive in a
 partitioned zone"). The heartbeat handler calls `PartitionKeepalive` for machines over which this
@@ -113,7 +113,7 @@
 class PartitionKeepalive:
     """Responder to the workers of this controller's zone while the zone is partitioned.
 
-    The permission to answer ends `partition_keepalive_s` after the last valid sync with the state
+    The permission to respond ends `partition_keepalive_s` after the last valid sync with the state
     service was sent.
     """
 
@@ -138,7 +138,7 @@
         self.pending_cancellations = PendingCancellations(settings, clock)
 
     def keep_alive(self, machine: Machine, heartbeat: WorkerHeartbeat) -> list[Command] | None:
-        """Return the commands that answer the worker's heartbeat, or None without permission."""
+        """Return the commands of the response to a heartbeat, or None without permission."""
         if not self._may_keep_alive(machine, heartbeat):
             return None
         self._kept_alive_at[machine.id] = self._clock.now()
--- a/crossmill/cluster/partition_protocol.py
+++ b/crossmill/cluster/partition_protocol.py
@@ -1,7 +1,7 @@
 """The protocol between controllers for partitioned zones, and the loop that runs it.
 
-`keepalive` answers workers of this controller's own zone, `expiry_proof` collects attestations for
-the machines that this controller owns, and `cancellations` announces cancellations to other
+`keepalive` responds to workers of this controller's own zone, `expiry_proof` collects attestations
+for the machines that this controller owns, and `cancellations` announces cancellations to other
 controllers. The heartbeat handler, the scheduling loop and the job API use these components
 directly.
 """
@@ -51,7 +51,7 @@
         )
 
     def handle(self, request: Request) -> Response:
-        """Answer a peer's request for attestations or its announcement of cancellations."""
+        """Respond to a peer's request for attestations or its announcement of cancellations."""
         try:
             if request.path == wire.ATTESTATION_PATH:
                 spans_s = self.keepalive.suspend(wire.parse_attestation_request(request.body))
--- a/crossmill/cluster/reachability.py
+++ b/crossmill/cluster/reachability.py
@@ -29,7 +29,7 @@
         self._backoff_s = settings.unreachable_backoff_s
 
     def record_heartbeat(self) -> None:
-        """Record that a heartbeat arrived, whichever controller has to answer it."""
+        """Record that a heartbeat arrived, whichever controller has to respond to it."""
         self._last_heartbeat_at = self._clock.now()
         self._checks_without_heartbeat = 0
 
--- a/crossmill/fleet/arrivals.py
+++ b/crossmill/fleet/arrivals.py
@@ -20,7 +20,7 @@
 
 
 class _Arrival:
-    """A submission: its wall time, number of tasks and their total estimated run time."""
+    """A submission: its wall-clock time, number of tasks and their total estimated run time."""
 
     __slots__ = ("submitted_at", "tasks", "work_s")
 
--- a/crossmill/fleet/boot_times.py
+++ b/crossmill/fleet/boot_times.py
@@ -30,7 +30,7 @@
 
 
 class _Boot(NamedTuple):
-    """A completed boot: the wall time of the rental and the duration of the boot."""
+    """A completed boot: the wall-clock time of the rental and the duration of the boot."""
 
     rented_at: float
     duration_s: float
@@ -42,7 +42,7 @@
     def __init__(self, settings: Settings, mirror: Mirror) -> None:
         self._settings = settings
         self._boots: dict[str, deque[_Boot]] = {}
-        # rental wall times of the booting machines, by type and machine ID
+        # rental wall-clock times of the booting machines, by type and machine ID
         self._booting: dict[str, dict[str, float]] = {}
         self._type_by_machine: dict[str, str] = {}
         # machines whose boot is recorded; it must count once, although the machine record is
@@ -72,7 +72,7 @@
             self._booting[type_name].pop(machine, None)
 
     def is_expected(self, machine: Machine, machine_type: MachineType, wall_time: float) -> bool:
-        """Return whether a booting machine counts as capacity at the given wall time.
+        """Return whether a booting machine counts as capacity at the given wall-clock time.
 
         If several machines are late together, every other one counts, so that half of them are
         replaced.
--- a/crossmill/fleet/machine_records.py
+++ b/crossmill/fleet/machine_records.py
@@ -43,7 +43,7 @@
     async def add(
         self, machine_ids: list[str], source: MachineSourceKey, shard: int, rented_at: float
     ) -> None:
-        """Create the records of rented machines; `rented_at` is a wall time in seconds."""
+        """Create the records of rented machines; `rented_at` is a wall-clock time in seconds."""
         version = self._membership.leadership_version()
         if version is None:
             return
--- a/crossmill/fleet/pipelines.py
+++ b/crossmill/fleet/pipelines.py
@@ -44,7 +44,7 @@
 
 
 class _PipelinePlan(NamedTuple):
-    """The plans of a pipeline's stages by job ID, and the wall time at which they were made."""
+    """The plans of a pipeline's stages by job ID, and the wall-clock time of planning."""
 
     stages: dict[str, StagePlan]
     planned_at: float
--- a/crossmill/jobs/machine_maintenance.py
+++ b/crossmill/jobs/machine_maintenance.py
@@ -190,7 +190,7 @@
         if view is None or machine_type is None:
             return None
         if not view.has_confirmed_token:
-            if now - view.answered_at <= timeout_s:
+            if now - view.last_response_at <= timeout_s:
                 return None
             return self._reason_without_heartbeat(machine, view, machine_type)
         if not view.is_fresh(now, timeout_s):
@@ -203,7 +203,7 @@
         self, machine: Machine, view: WorkerView, machine_type: MachineType
     ) -> RetireReason | None:
         """Return the reason to retire a machine that sent this owner no trusted heartbeat."""
-        if machine.is_up or view.has_been_answered:
+        if machine.is_up or view.has_been_sent_response:
             # this or an earlier owner has received its heartbeats. Without this check, a controller
             # that took over a shard while its zone was partitioned classified half of the fleet as
             # never booted
--- a/crossmill/multihost/lifecycle.py
+++ b/crossmill/multihost/lifecycle.py
@@ -120,7 +120,7 @@
 
 
 def recent_restarts(replica: Replica, spec: ReplicaSetSpec, wall_time: float) -> tuple[float, ...]:
-    """Return the wall times of the restarts that still count against the set's restart budget."""
+    """Return the wall-clock times of the restarts that count against the set's restart budget."""
     return tuple(at for at in replica.restarts if wall_time - at <= spec.restart_window_s)
 
 
--- a/crossmill/multihost/member_status.py
+++ b/crossmill/multihost/member_status.py
@@ -31,7 +31,7 @@
 
     Attributes:
         now: The time by the controller's monotonic clock, in seconds.
-        wall_time: The time by the wall clock, in seconds; stored times are wall times.
+        wall_time: The time by the wall clock, in seconds; stored times are wall-clock times.
         owned_since: The monotonic time at which the ownership began.
     """
 
@@ -40,7 +40,7 @@
     owned_since: float
 
     def to_monotonic(self, wall_time: float) -> float:
-        """Return the monotonic time that corresponds to a wall time."""
+        """Return the monotonic time that corresponds to a wall-clock time."""
         return self.now + (wall_time - self.wall_time)
 
 
--- a/crossmill/multihost/model.py
+++ b/crossmill/multihost/model.py
@@ -116,7 +116,7 @@
 
 
 class PhaseChange(NamedTuple):
-    """A phase transition in a replica's history; `at` is its wall time."""
+    """A phase transition in a replica's history; `at` is its wall-clock time."""
 
     phase: ReplicaPhase
     at: float
@@ -134,7 +134,7 @@
 
 @dataclass(slots=True, eq=False)
 class Replica:
-    """A replica as stored; `since` is the wall time at which it entered its phase."""
+    """A replica as stored; `since` is the wall-clock time at which it entered its phase."""
 
     id: ReplicaId
     phase: ReplicaPhase = ReplicaPhase.PENDING
@@ -145,7 +145,7 @@
     # if not empty, the replica is to be stopped for this reason, as soon as a replacement serves or
     # the disruption budget allows it
     stop_reason: str = ""
-    # wall times of the restarts that count against the restart budget
+    # wall-clock times of the restarts that count against the restart budget
     restarts: tuple[float, ...] = ()
     history: tuple[PhaseChange, ...] = ()
     chunks: dict[int, MemberChunk] = field(default_factory=dict)
--- a/crossmill/multihost/preemption.py
+++ b/crossmill/multihost/preemption.py
@@ -19,7 +19,7 @@
 
     name: str
     priority: int
-    # wall time at which the replica entered its phase: the latest loses the least work
+    # wall-clock time at which the replica entered its phase: the latest loses the least work
     phase_entered_at: float
     machines: tuple[str, ...]
     resources: Resources
--- a/crossmill/multihost/representations.py
+++ b/crossmill/multihost/representations.py
@@ -25,7 +25,7 @@
 
 
 def describe_replica(replica: Replica, wall_time: float) -> dict[str, Any]:
-    """Describe a replica with its members and its history, as of this wall time."""
+    """Describe a replica with its members and its history, as of this wall-clock time."""
     return {
         "replica": str(replica.id),
         "phase": replica.phase.value,
--- a/crossmill/multihost/reservations.py
+++ b/crossmill/multihost/reservations.py
@@ -31,7 +31,7 @@
     ownership: ShardOwnership
     replica: Replica
     placement: ReplicaPlacement
-    # wall time of the decision, in seconds
+    # wall-clock time of the decision, in seconds
     decided_at: float
     reason: str
 
--- a/crossmill/multihost/serving.py
+++ b/crossmill/multihost/serving.py
@@ -60,9 +60,9 @@
     def grant(self, replica: Replica, front: Member, alive_at: float, now: float) -> float:
         """Grant the front member a lease and return its length in seconds.
 
-        The agent counts the lease from the time at which it sent the heartbeat that is being
-        answered. That time is before `now`, so for the agent the lease expires no later than for
-        the controller.
+        The agent counts the lease from the time at which it sent the heartbeat that this grant
+        responds to. That time is before `now`, so for the agent the lease expires no later than
+        for the controller.
 
         Args:
             replica: The replica that is allowed to serve.
--- a/crossmill/multihost/writes.py
+++ b/crossmill/multihost/writes.py
@@ -33,7 +33,7 @@
 def after_transition(
     replica: Replica, phase: ReplicaPhase, wall_time: float, reason: str
 ) -> Replica:
-    """Return a copy of the replica after a transition at the given wall time.
+    """Return a copy of the replica after a transition at the given wall-clock time.
 
     Raises:
         IllegalPhaseTransitionError: The replica can't enter the phase from its current one.
--- a/crossmill/planning/pipelines.py
+++ b/crossmill/planning/pipelines.py
@@ -18,7 +18,8 @@
 class QueuePosition(NamedTuple):
     """A job's position in the queue, ordered by priority (0 is the highest), then by budget end.
 
-    `budget_end` is a wall time in seconds. Without a deadline it only determines the queue order.
+    `budget_end` is a wall-clock time in seconds. Without a deadline it only determines the queue
+    order.
     """
 
     priority: int
@@ -38,7 +39,7 @@
     margin_s: float,
     default_queue_time_s: float,
 ) -> float:
-    """Return the wall time at which the budget of a job outside any pipeline ends.
+    """Return the wall-clock time at which the budget of a job outside any pipeline ends.
 
     The job gets all the time until its deadline, which counts from submission, minus the margin.
     Without a deadline the budget is a fixed waiting time from when the job became ready.
@@ -58,7 +59,7 @@
         options: The machine types that it may use.
         margin_s: Safety margin in seconds for the error of its run time estimate.
         dependencies: IDs of the unfinished jobs that it depends on.
-        deadline: Wall time by which it has to be done; None if its user gave no deadline.
+        deadline: Wall-clock time by which it has to be done; None if its user gave no deadline.
     """
 
     id: str
@@ -75,8 +76,8 @@
 
     Attributes:
         priority: The highest priority among the stage and all stages that depend on it.
-        budget_end: Wall time at which its budget ends; None if neither it nor a stage that depends
-            on it has a deadline.
+        budget_end: Wall-clock time at which its budget ends; None if neither it nor a stage that
+            depends on it has a deadline.
     """
 
     priority: int
@@ -147,7 +148,7 @@
     deadline: float,
     wall_time: float,
 ) -> dict[str, float]:
-    """Return when the budgets of `last` and of its dependencies end, in wall time."""
+    """Return when the budgets of `last` and of its dependencies end, in wall-clock time."""
     members = _with_dependencies(stages, last)
     names = [name for name in order if name in members]
     positions = {name: position for position, name in enumerate(names)}
--- a/crossmill/recovery/records.py
+++ b/crossmill/recovery/records.py
@@ -23,7 +23,7 @@
     Attributes:
         token: The fencing token under which the shard's recovery began.
         digest: The identifier of the approved actions.
-        until: The wall clock time in seconds until which the approval is valid.
+        until: The wall-clock time in seconds until which the approval is valid.
     """
 
     token: int
@@ -53,7 +53,7 @@
     Args:
         recovery: the finished recovery
         controller: the label of the controller that carried out the recovery
-        finished_at: the wall clock time of its end, in seconds
+        finished_at: the wall-clock time of its end, in seconds
         dry_run: whether it was a dry run, whose `let_through` counts the orders that a regular
             recovery would have delayed
     """
--- a/crossmill/settings/timing.py
+++ b/crossmill/settings/timing.py
@@ -112,7 +112,7 @@
 
     @property
     def submission_timeout_s(self) -> float:
-        """The time after which a submission that is not yet durable is answered with status 503."""
+        """The time after which a submission that is not yet durable receives status 503."""
         return self.controller_lease_ttl_s / 3
 
     # -- scheduling ------------------------------------------------------------------
--- a/crossmill/wire/multihost.py
+++ b/crossmill/wire/multihost.py
@@ -70,7 +70,7 @@
     rank: int
     generation: int
     state: MemberState
-    # ranks that have not answered the front member's pings for the length of a serving lease
+    # ranks that have not responded to the front member's pings for the length of a serving lease
     unreachable: tuple[int, ...] = ()
 
 
--- a/crossmill/wire/peers.py
+++ b/crossmill/wire/peers.py
@@ -88,14 +88,14 @@
     return tuple(checks.list_of(checks.load_object(body), "machines", str, "names"))
 
 
-def attestations_body(unanswered_s: list[float]) -> bytes:
+def attestations_body(without_response_s: list[float]) -> bytes:
     """Encode the attestations.
 
     Args:
-        unanswered_s: For each requested machine, the seconds for which the controller has certainly
-            not responded to it.
+        without_response_s: For each requested machine, the seconds for which the controller has
+            certainly not responded to it.
     """
-    return orjson.dumps({"quietS": unanswered_s})
+    return orjson.dumps({"quietS": without_response_s})
 
 
 def parse_attestations(body: bytes) -> list[float]:
--- a/crossmill/workers/heartbeat_handler.py
+++ b/crossmill/workers/heartbeat_handler.py
@@ -158,8 +158,8 @@
         verdict = view.apply_heartbeat(heartbeat, token, self._clock.now())
         if verdict is HeartbeatVerdict.STALE:
             return HeartbeatResponse(HttpStatus.OK, token)
-        view.answered_at = self._clock.now()
-        view.has_been_answered = True
+        view.last_response_at = self._clock.now()
+        view.has_been_sent_response = True
         if verdict is HeartbeatVerdict.UNCONFIRMED_TOKEN:
             return HeartbeatResponse(HttpStatus.OK, token)
         commands = self.reconciler.apply_heartbeat(machine, view, ownership, heartbeat)
@@ -199,7 +199,7 @@
         # keeps a worker alive for its zone may regain its authority under the same lease.
         view = self._views.get(machine.id)
         if view is not None:
-            view.answered_at = self._clock.now()
+            view.last_response_at = self._clock.now()
         return HeartbeatResponse(HttpStatus.OK, heartbeat.token, tuple(commands[:MAX_COMMANDS]))
 
     def _respond_to_newer_token(
--- a/crossmill/workers/lease_expiry.py
+++ b/crossmill/workers/lease_expiry.py
@@ -37,8 +37,8 @@
         """
         if not machine.attempts:
             return
-        unanswered_s = self._clock.now() - view.lease_renewed_at
-        if unanswered_s <= self._settings.heartbeat_timeout_s:
+        without_response_s = self._clock.now() - view.lease_renewed_at
+        if without_response_s <= self._settings.heartbeat_timeout_s:
             return
         self._expiry_proof.request_attestation(machine)
         preconditions = self._expiry_proof.preconditions(machine, view.lease_renewed_at)
--- a/crossmill/workers/views.py
+++ b/crossmill/workers/views.py
@@ -31,18 +31,18 @@
 class WorkerView:
     """The newest status of one worker, and bounds on its lease.
 
-    `answered_at` and `session_seen_at` bound the worker's lease: no controller can have responded
-    to the worker later than `answered_at`, and its session cannot have begun later than it was
-    first seen. A status is accepted only if it reports this owner's token, which proves that it was
-    created after the ownership began. All times are monotonic times of this controller's clock, in
-    seconds.
+    `last_response_at` and `session_seen_at` bound the worker's lease: no controller can have
+    responded to the worker later than `last_response_at`, and its session cannot have begun later
+    than it was first seen. A status is accepted only if it reports this owner's token, which proves
+    that it was created after the ownership began. All times are monotonic times of this
+    controller's clock, in seconds.
 
     Attributes:
         machine: The machine's ID.
         machine_token: The machine's own token when this view was created. A different token means
             that the machine was transferred away and has returned, so a new view is needed.
-        answered_at: The latest time at which any controller may have responded to the worker.
-        has_been_answered: Whether this controller itself has responded to the worker.
+        last_response_at: The latest time at which any controller may have responded to the worker.
+        has_been_sent_response: Whether this controller itself has responded to the worker.
         session: The worker's newest session (its incarnation).
         session_seen_at: The time at which that session was first seen.
         seq: The sequence number of the newest status within the session.
@@ -61,12 +61,12 @@
 
     __slots__ = (
         "address",
-        "answered_at",
-        "has_been_answered",
+        "has_been_sent_response",
         "has_confirmed_token",
         "idle_since",
         "last_heartbeat_at",
         "last_heartbeat_number",
+        "last_response_at",
         "machine",
         "machine_token",
         "running_since",
@@ -77,11 +77,11 @@
         "termination_at",
     )
 
-    def __init__(self, machine: str, machine_token: int, answered_at: float) -> None:
+    def __init__(self, machine: str, machine_token: int, last_response_at: float) -> None:
         self.machine = machine
         self.machine_token = machine_token
-        self.answered_at = answered_at
-        self.has_been_answered = False
+        self.last_response_at = last_response_at
+        self.has_been_sent_response = False
         self.session = 0
         self.session_seen_at = 0.0
         self.seq = -1
@@ -155,7 +155,7 @@
     @property
     def lease_renewed_at(self) -> float:
         """The latest time at which the worker's lease can have been renewed or begun."""
-        return max(self.answered_at, self.session_seen_at)
+        return max(self.last_response_at, self.session_seen_at)
 
     def is_fresh(self, now: float, within_s: float) -> bool:
         """Return whether a heartbeat with this owner's token arrived in the last `within_s`."""
--- a/tests/measure_recovery.py
+++ b/tests/measure_recovery.py
@@ -195,10 +195,12 @@
         await curio.sleep(POLL_INTERVAL_S)
         elapsed_s = round(region.clock.now() - ended_at, 2)
         connected = [w for w in region.workers.values() if not w.heartbeats_lost]
-        answered = sum(worker.lease_renewed_at > ended_at + POLL_INTERVAL_S for worker in connected)
-        if first_worker is None and answered:
+        responded = sum(
+            worker.lease_renewed_at > ended_at + POLL_INTERVAL_S for worker in connected
+        )
+        if first_worker is None and responded:
             first_worker = elapsed_s
-        if all_workers is None and answered == len(connected):
+        if all_workers is None and responded == len(connected):
             all_workers = elapsed_s
         if first_user is None and await region.query_job("node-0", job) == OK:
             first_user = elapsed_s
--- a/tests/multihost_agents.py
+++ b/tests/multihost_agents.py
@@ -52,7 +52,7 @@
     loaded_at: float
     refused: bool = False
     serve_until: float = 0.0
-    # time at which the last answered ping was sent, by rank
+    # time at which the last ping that received a response was sent, by rank
     peer_alive_at: dict[int, float] = field(default_factory=dict)
 
 
--- a/tests/test_attempt_end_proofs.py
+++ b/tests/test_attempt_end_proofs.py
@@ -34,10 +34,10 @@
         clock.time += node.settings.heartbeat_timeout_s + 0.1
         view = node.heartbeats.find_view("n-0")
         assert view is not None
-        before = view.answered_at
+        before = view.last_response_at
         assert node.report("n-0", 1, 3, node.token()).commands == ()
         assert not view.is_fresh(clock.now(), node.settings.heartbeat_timeout_s)
-        assert view.answered_at == before
+        assert view.last_response_at == before
 
     run_scenario(scenario)
 
@@ -112,17 +112,17 @@
         node = await start_placed_task(state, clock, nodes)
         view = node.heartbeats.find_view("n-0")
         assert view is not None
-        before = view.answered_at
+        before = view.last_response_at
         clock.time += 3
         data = orjson.loads(
             heartbeat_body("n-0", 1, 9, node.token(), reported_task("wk-000001", 0, 1, "running"))
         )
         node.command_sender._apply_response("n-0", 200, orjson.dumps(data))
         assert view.seq == 9
-        assert view.answered_at == before
+        assert view.last_response_at == before
         # a heartbeat that was in transit has an older status, but its response renews the lease
         node.report("n-0", 1, 8, node.token(), reported_task("wk-000001", 0, 1, "running"))
-        assert view.answered_at == clock.now()
+        assert view.last_response_at == clock.now()
 
     run_scenario(scenario)
 
@@ -131,8 +131,8 @@
     """Guards against starting attempts that still run on other machines.
 
     A worker whose heartbeats are lost begins a new session. The lease of the attempts placed in
-    that session was counted from the last heartbeat that had been answered, long before, so they
-    were considered ended.
+    that session was counted from the response to the last heartbeat, long before, so they were
+    considered ended.
     """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
--- a/tests/test_command_delivery.py
+++ b/tests/test_command_delivery.py
@@ -119,7 +119,7 @@
         node.heartbeats.stop_requests[AttemptId(JOB, 0, 1)] = StopReason.PREEMPTED
         node.command_sender._apply_response("n-0", 200, heartbeat_body("n-0", 1, 4, token))
         assert not node.heartbeats.outcomes
-        # a worker sends a heartbeat only after the previous one was answered or has timed out
+        # a worker sends a heartbeat only after the response to the previous one, or its timeout
         node.report("n-0", 1, 5, token)
         assert [outcome.reason for outcome in node.heartbeats.outcomes.values()] == ["not started"]
 
--- a/tests/test_controller_outages.py
+++ b/tests/test_controller_outages.py
@@ -114,8 +114,8 @@
 def test_simultaneous_status_requests_share_reads() -> None:
     """Simultaneous status requests share one read of the state service.
 
-    While eight status requests per second arrive for each of fifty jobs, the controller answers
-    workers and starts new tasks.
+    While eight status requests per second arrive for each of fifty jobs, the controller responds
+    to workers and starts new tasks.
     """
 
     async def scenario(region: Region) -> None:
--- a/tests/test_lease_extensions.py
+++ b/tests/test_lease_extensions.py
@@ -31,7 +31,7 @@
     await _request_extensions(node)
 
 
-def test_workers_are_kept_alive_only_while_a_quorum_extends_the_lease() -> None:
+def test_workers_are_kept_alive_only_while_all_peers_extend_the_lease() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
         await _boot_peers(state, clock, nodes)
@@ -98,7 +98,7 @@
             ):
                 break
         assert not node.lease_extensions.is_isolated
-        # once node no longer answers workers, its extensions don't prevent peers from taking over
+        # once node no longer responds to workers, its extensions don't block acquisitions
         assert not peers[0].lease_extensions.is_granted_to_peer(0)
 
     run_scenario(scenario)
--- a/tests/test_multihost_loopback.py
+++ b/tests/test_multihost_loopback.py
@@ -32,7 +32,7 @@
         return time.monotonic()
 
     def wall_time(self) -> float:
-        """Return the wall time in seconds."""
+        """Return the wall-clock time in seconds."""
         return time.time()
 
 
--- a/tests/test_owner_selection.py
+++ b/tests/test_owner_selection.py
@@ -116,7 +116,7 @@
 
 
 def test_workers_are_answered_soon_after_a_release_past_an_absent_controller() -> None:
-    """Workers are answered within three heartbeat intervals while their shard changes owner.
+    """Workers receive responses within three heartbeat intervals while their shard changes owner.
 
     Guards against workers that have to find the new owner themselves. Between the release by the
     old owner and the acquisition by the new one, they tried the next controllers in order, of
@@ -131,11 +131,11 @@
         await curio.sleep(15.0)
         await region.power_off("node-1")
         await region.wait_until(lambda: region.owners().get(0) != "node-0")
-        unanswered_s = 0.0
+        without_response_s = 0.0
         for _ in range(80):
             await curio.sleep(0.1)
             oldest = min(worker.lease_renewed_at for worker in region.workers.values())
-            unanswered_s = max(unanswered_s, region.clock.now() - oldest)
-        assert unanswered_s < 3 * region.heartbeat_interval_s
+            without_response_s = max(without_response_s, region.clock.now() - oldest)
+        assert without_response_s < 3 * region.heartbeat_interval_s
 
     simulate(scenario)
--- a/tests/test_partition_keepalive.py
+++ b/tests/test_partition_keepalive.py
@@ -27,7 +27,7 @@
         await partition.pass_time(2 * partition.settings.worker_lease_s, partition.zone_controller)
         assert partition.planned_attempts() == 1
         assert not partition.owner.cluster.machines["n-0"].retirement_reason
-        # the partition ends: node-0 attests that it answered the machine just now
+        # the partition ends: node-0 attests that it responded to the machine just now
         partition.end_partition()
         await partition.pass_time(0.9 * partition.settings.worker_lease_s)
         assert partition.planned_attempts() == 1
@@ -104,14 +104,14 @@
 
 
 async def _isolate_except_from_south(partition: PartitionScenario) -> None:
-    """Separate node-0 from the state service while node-1 answers its probes."""
+    """Separate node-0 from the state service while node-1 responds to its probes."""
     partition.isolate_zone()
     partition.nodes["node-1"].is_unreachable = False
     await partition.zone_controller.controller_lease.step()
     await partition.zone_controller.partition_protocol.step()
 
 
-def test_no_keepalive_while_another_zone_answers() -> None:
+def test_no_keepalive_while_another_zone_responds() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         partition = await _begin_unsettled(state, clock, nodes)
         await _announce_and_settle(partition)
@@ -153,7 +153,7 @@
 
 def test_an_attestation_is_void_once_its_process_has_been_replaced() -> None:
     async def scenario(partition: PartitionScenario) -> None:
-        # the machine stops sending heartbeats; node-0 attests that it has not answered the machine
+        # the machine stops sending heartbeats; node-0 attests that it has not responded to it
         partition.clock.time += partition.settings.heartbeat_timeout_s + 0.5
         await partition.owner.controller_lease.step()
         await partition.owner.round()
@@ -179,14 +179,16 @@
         )
         assert view
         assert partition.owner.partition_protocol.expiry_proof.preconditions(
-            machine, view.answered_at
+            machine, view.last_response_at
         )
         await partition.owner.round()
         assert partition.planned_attempts() == 1
         # once the owner has read the new key, it no longer assumes that the lease has expired
         await partition.owner.sync()
         assert (
-            partition.owner.partition_protocol.expiry_proof.preconditions(machine, view.answered_at)
+            partition.owner.partition_protocol.expiry_proof.preconditions(
+                machine, view.last_response_at
+            )
             is None
         )
 
@@ -194,10 +196,10 @@
 
 
 def test_an_owner_counts_the_worker_lease_from_its_last_keepalive() -> None:
-    """A worker's lease counts from the last answer, including answers without owner authority.
+    """A worker's lease counts from the last response, including those without owner authority.
 
     Guards against a second placement of a running task: the owner's authority had ended but its
-    lease outlasted the outage, and it counted the worker's lease from its last answer as owner.
+    lease outlasted the outage, and it counted the worker's lease from its last response as owner.
     Found by random faults with seed 2060.
     """
 
@@ -222,7 +224,7 @@
         assert owner.membership.heartbeat_authority(owner.cluster.machines["s-0"].shard) is None
         assert (
             owner.report("s-0", 1, 50, partition.token).status == 200
-        ), "worker was not answered after its owner's authority ended"
-        assert view.answered_at == clock.now()
+        ), "no response to the worker after its owner's authority ended"
+        assert view.last_response_at == clock.now()
 
     run_scenario(scenario)
--- a/tests/test_unanswered_requests.py
+++ b/tests/test_unanswered_requests.py
@@ -36,7 +36,7 @@
     """Guards against an outdated owner after a machine transfer.
 
     The new owner's record was read while the outcome of the transfer's write was unknown, and was
-    then discarded, so that the former owner continued to answer the machine's worker.
+    then discarded, so that the former owner continued to respond to the machine's worker.
     """
 
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
--- a/tests/test_worker_faults.py
+++ b/tests/test_worker_faults.py
@@ -97,7 +97,7 @@
     simulate(scenario)
 
 
-@pytest.mark.parametrize("mode", ["cancel", "answer lost"])
+@pytest.mark.parametrize("mode", ["cancel", "response lost"])
 def test_a_zone_partition_that_outlasts_the_worker_lease(mode: str) -> None:
     """The jobs bound to the partitioned zone also lose machines during the partition."""
 
@@ -114,7 +114,7 @@
         region.can_reach = lambda worker, label: (
             label in region.nodes and (label in south) == (worker.zone == "south")
         )
-        if mode == "answer lost":
+        if mode == "response lost":
             region.transaction_fault = (
                 lambda label, method, path: TransactionFault(0.5, True) if path == "/txn" else None
             )
