--- a/crossmill/app.py
+++ b/crossmill/app.py
@@ -106,7 +106,7 @@
     def _build_recovery(self, recovery: "RecoverySettings") -> "RecoveryApi":
         """Create the recovery subsystem.
 
-        After a shard is acquired, it holds back actions on tasks and machines whose stored state
+        After a shard is acquired, it delays actions on tasks and machines whose stored state
         and heartbeats differ, so it must exist before the first heartbeat is handled.
         """
         from .recovery.api import RecoveryApi
--- a/crossmill/cluster/dependencies.py
+++ b/crossmill/cluster/dependencies.py
@@ -70,10 +70,10 @@
         self._changed.discard(job.id)
 
     def _remove_edge(self, dependency: str, job: Job) -> None:
-        known = self._dependents.get(dependency)
-        if known is not None:
-            known.pop(job.id, None)
-            if not known:
+        dependents = self._dependents.get(dependency)
+        if dependents is not None:
+            dependents.pop(job.id, None)
+            if not dependents:
                 del self._dependents[dependency]
 
     def take_changed(self) -> set[str]:
--- a/crossmill/cluster/membership.py
+++ b/crossmill/cluster/membership.py
@@ -155,7 +155,7 @@
 
     def _ready_ownership(self, shard: int) -> ShardOwnership | None:
         ownership = self.ownerships.get(shard)
-        if ownership is None or not ownership.ready:
+        if ownership is None or not ownership.is_ready:
             return None
         return ownership if ownership.epoch == self._controller_lease.epoch else None
 
@@ -268,8 +268,8 @@
     async def _mark_ready(self) -> None:
         """Mark new ownerships as ready once all writes of earlier owners have been read."""
         for shard, ownership in list(self.ownerships.items()):
-            if not ownership.ready and await self.ownership_writer.sync():
-                ownership.ready = True
+            if not ownership.is_ready and await self.ownership_writer.sync():
+                ownership.is_ready = True
                 log.info("shard ready shard=%d token=%d", shard, ownership.token)
 
     async def _release_misplaced(self) -> None:
--- a/crossmill/cluster/ownership.py
+++ b/crossmill/cluster/ownership.py
@@ -25,7 +25,7 @@
         epoch: The lease epoch in which the shard was acquired.
         term: The token under which the ownership began. It does not change when the token is
             raised. Results obtained under another term are invalid.
-        ready: Whether all writes of earlier owners have been read.
+        is_ready: Whether all writes of earlier owners have been read.
     """
 
     token: int
@@ -33,7 +33,7 @@
     acquired_at: float
     epoch: int
     term: int
-    ready: bool = False
+    is_ready: bool = False
 
 
 class HeartbeatAuthority(NamedTuple):
--- a/crossmill/cluster/shard_acquisition.py
+++ b/crossmill/cluster/shard_acquisition.py
@@ -51,13 +51,13 @@
         return True
 
     def _loss_reason(self, shard: int, ownership: ShardOwnership) -> str | None:
-        known = self._cluster.shard_owners.get(shard)
+        shard_owner = self._cluster.shard_owners.get(shard)
         if ownership.epoch != self._writer.epoch:
             return "lease ended"
-        if known is None:
+        if shard_owner is None:
             return "key deleted"
-        if known.version > ownership.version:
-            return f"acquired by {known.owner}"
+        if shard_owner.version > ownership.version:
+            return f"acquired by {shard_owner.owner}"
         return None
 
     async def acquire(self, shard: int, above: int = 0) -> bool:
@@ -71,11 +71,14 @@
             return await self._acquire(shard, above)
 
     async def _acquire(self, shard: int, above: int) -> bool:
-        known = self._cluster.shard_owners.get(shard)
+        shard_owner = self._cluster.shard_owners.get(shard)
         next_token = self.next_token(above)
         token, epoch, key = next_token.token, self._writer.epoch, keys.shard(shard)
         txn = Txn(
-            {key: known.version if known else 0, keys.TOKEN: next_token.counter_version},
+            {
+                key: shard_owner.version if shard_owner else 0,
+                keys.TOKEN: next_token.counter_version,
+            },
             [
                 Put(key, {"owner": self._writer.label, "token": token}, self._writer.lease_id),
                 Put(keys.TOKEN, {"n": token}),
@@ -95,7 +98,7 @@
             return ShardOwnership(token, version, self._clock.now(), epoch, token)
         # only the token is raised: no other controller owned the shard in between
         return ShardOwnership(
-            token, version, before.acquired_at, epoch, before.term, ready=before.ready
+            token, version, before.acquired_at, epoch, before.term, is_ready=before.is_ready
         )
 
     async def release(self, shard: int, ownership: ShardOwnership, reason: str) -> None:
--- a/crossmill/fleet/arrivals.py
+++ b/crossmill/fleet/arrivals.py
@@ -122,6 +122,6 @@
                 # that the cheapest machines are kept
                 generic = replace(spec, image="", image_gb=0.0, one_zone=False, tasks=number)
                 demand = TaskDemand(generic, number, ZoneAllowance(generic, {}))
-                demand.spot_only = True
+                demand.is_spot_only = True
                 demands.append(demand)
         return demands
--- a/crossmill/fleet/cloud.py
+++ b/crossmill/fleet/cloud.py
@@ -127,9 +127,9 @@
         after = ""
         while True:
             response = await self._request("GET", wire.list_path(after))
-            page, has_more = wire.parse_list(load_object(response.body))
+            page, has_next = wire.parse_list(load_object(response.body))
             machines.extend(page)
-            if not has_more or not page:
+            if not has_next or not page:
                 return machines
             after = page[-1].id
 
--- a/crossmill/jobs/failures.py
+++ b/crossmill/jobs/failures.py
@@ -23,20 +23,20 @@
 class JobFailures:
     """Failures of the tasks of one job."""
 
-    __slots__ = ("failure_count", "machines", "not_before", "succeeded")
+    __slots__ = ("failure_count", "has_succeeded", "machines", "not_before")
 
     def __init__(self) -> None:
         # IDs of the machines on which tasks of the job failed
         self.machines: set[str] = set()
         self.failure_count = 0
-        self.succeeded = False
+        self.has_succeeded = False
         # the earliest time for placing the job's next task, in seconds on the controller's clock
         self.not_before = 0.0
 
     @property
     def is_suspect(self) -> bool:
         """Whether the job itself may be the cause, so that one task is tried at a time."""
-        return len(self.machines) >= SUSPECT_MACHINES and not self.succeeded
+        return len(self.machines) >= SUSPECT_MACHINES and not self.has_succeeded
 
 
 class TaskFailures:
@@ -63,7 +63,7 @@
         entry = self._by_job.setdefault(job.id, JobFailures())
         machine = outcome.attempt.machine
         if outcome.reason == EndReason.DONE:
-            entry.succeeded = True
+            entry.has_succeeded = True
             self._by_machine.pop(machine, None)
         elif outcome.reason in (EndReason.ERROR, EndReason.TASK_UNKNOWN):
             self._record_failure(job, entry, outcome)
@@ -76,7 +76,7 @@
         # exponential backoff, and its failures don't count against the machines
         if len(entry.machines) >= SUSPECT_MACHINES or outcome.reason == EndReason.TASK_UNKNOWN:
             entry.not_before = self._clock.now() + self._backoff_s(entry)
-        if len(entry.machines) < JOB_AT_FAULT_MACHINES or entry.succeeded:
+        if len(entry.machines) < JOB_AT_FAULT_MACHINES or entry.has_succeeded:
             self._by_machine.setdefault(machine, set()).add(job.id)
         else:
             for suspected in entry.machines:
--- a/crossmill/jobs/preemption.py
+++ b/crossmill/jobs/preemption.py
@@ -260,9 +260,9 @@
         priority = self._forecast.priority(job)
         team = spec.team if is_within_quota else None
         preemptor = _PreemptorKey(job.shard, priority, team, may_stop_replicas)
-        known = self._stoppable.get(preemptor)
-        if known is not None:
-            return known
+        stoppable = self._stoppable.get(preemptor)
+        if stoppable is not None:
+            return stoppable
         result = self._stoppable[preemptor] = {}
         for other in self._cluster.jobs.active[job.shard].values():
             victim = other.spec
--- a/crossmill/jobs/submission.py
+++ b/crossmill/jobs/submission.py
@@ -191,7 +191,7 @@
         reported the job's end to users.
         """
         took_s = self._clock.now() - submitted_at
-        return intent.outcome_unknown or took_s > self._settings.lease_renewal_interval_s / 4
+        return intent.is_outcome_unknown or took_s > self._settings.lease_renewal_interval_s / 4
 
     def _add_preconditions(
         self, dependencies: Dependencies, archivings_version: int, txn: Txn
--- a/crossmill/multihost/due_times.py
+++ b/crossmill/multihost/due_times.py
@@ -28,8 +28,8 @@
 
     def add(self, replica_id: ReplicaId, at: float) -> None:
         """Make the replica due at this time, unless it is already due earlier."""
-        known = self._due_at.get(replica_id)
-        if known is None or at < known:
+        due_at = self._due_at.get(replica_id)
+        if due_at is None or at < due_at:
             self._due_at[replica_id] = at
             heapq.heappush(self._heap, _DueEntry(at, next(self._sequences), replica_id))
 
--- a/crossmill/multihost/failure_scores.py
+++ b/crossmill/multihost/failure_scores.py
@@ -25,10 +25,10 @@
 
     def score(self, machine: str, now: float) -> float:
         """Return the machine's score at the given time."""
-        known = self._scores.get(machine)
-        if known is None:
+        stored_score = self._scores.get(machine)
+        if stored_score is None:
             return 0.0
-        value = float(known.value * 0.5 ** ((now - known.at) / self._half_life_s))
+        value = float(stored_score.value * 0.5 ** ((now - stored_score.at) / self._half_life_s))
         if value < NEGLIGIBLE_SCORE:
             del self._scores[machine]
             return 0.0
--- a/crossmill/multihost/heartbeats.py
+++ b/crossmill/multihost/heartbeats.py
@@ -88,8 +88,8 @@
 
         If `may_order` is false, the response extends leases, but no member is started or stopped.
         """
-        known = self._agents.get(heartbeat.machine)
-        had_notice = known is not None and known.reclaim_at is not None
+        earlier_view = self._agents.get(heartbeat.machine)
+        had_notice = earlier_view is not None and earlier_view.reclaim_at is not None
         freshness = self._agents.apply_heartbeat(heartbeat, ownership.token, now)
         if freshness is not Freshness.NEW:
             return []
--- a/crossmill/multihost/lifecycle.py
+++ b/crossmill/multihost/lifecycle.py
@@ -80,7 +80,7 @@
         fenced_at: The monotonic time from which no serving lease of an earlier generation is valid.
         start_limit_s: The time in seconds after which a start counts as failed.
         may_stop: Whether the disruption budget allows the replica to be stopped now.
-        all_stopped: Whether no member of any generation can still run.
+        is_all_stopped: Whether no member of any generation can still run.
     """
 
     statuses: Mapping[int, MemberStatus]
@@ -89,7 +89,7 @@
     fenced_at: float
     start_limit_s: float
     may_stop: bool
-    all_stopped: bool
+    is_all_stopped: bool
 
 
 class DecisionInput(NamedTuple):
@@ -210,7 +210,7 @@
 
 
 def _decide_draining(inputs: DecisionInput) -> ReplicaDecision:
-    if inputs.observation.all_stopped:
+    if inputs.observation.is_all_stopped:
         return ReplicaDecision(ReplicaAction.STOP, inputs.replica.reason)
     recheck_at = inputs.time.now + inputs.settings.failure_detection_s
     return ReplicaDecision(ReplicaAction.WAIT, recheck_at=recheck_at)
--- a/crossmill/multihost/observations.py
+++ b/crossmill/multihost/observations.py
@@ -65,7 +65,7 @@
                 replica_set.spec, self._slowest_fetch_gb_per_s(members), self._settings
             ),
             may_stop=may_stop,
-            all_stopped=self._is_all_stopped(replica, time),
+            is_all_stopped=self._is_all_stopped(replica, time),
         )
 
     def _unreachable(
--- a/crossmill/multihost/pool_ownership.py
+++ b/crossmill/multihost/pool_ownership.py
@@ -49,8 +49,8 @@
 
     def owner(self) -> str | None:
         """Return the label of the pool's owner, possibly this controller; None if unknown."""
-        known = self._cluster.shard_owners.get(self.shard)
-        return None if known is None else known.owner
+        shard_owner = self._cluster.shard_owners.get(self.shard)
+        return None if shard_owner is None else shard_owner.owner
 
     def other_owner(self) -> str | None:
         """Return the label of the pool's owner; None if it is this controller or unknown."""
--- a/crossmill/multihost/registration.py
+++ b/crossmill/multihost/registration.py
@@ -75,9 +75,11 @@
         ordinary, pooled = cluster_keys.machine(machine_id), keys.machine(machine_id)
         txn = Txn({pooled: 0, ordinary: self._pool.record_version(machine_id)})
         txn.puts.append(Put(pooled, encode_machine(machine)))
-        known = self._cluster.machines.get(machine_id)
-        if known is None or not is_reserved_type(known.type):
-            rented_at = self._clock.wall_time() if known is None else known.rented_at
+        fleet_machine = self._cluster.machines.get(machine_id)
+        if fleet_machine is None or not is_reserved_type(fleet_machine.type):
+            rented_at = (
+                self._clock.wall_time() if fleet_machine is None else fleet_machine.rented_at
+            )
             record = reservation_record(
                 offer.type, offer.zone, offer.spot, self._ownership.shard, rented_at
             )
@@ -86,10 +88,10 @@
         return self._ownership.write_intent(ownership, WriteRank.PLACEMENT, txn)
 
     def _can_join(self, machine_id: str) -> bool:
-        known = self._cluster.machines.get(machine_id)
-        if known is None:
+        machine = self._cluster.machines.get(machine_id)
+        if machine is None:
             return True
-        if known.retirement_reason or known.attempts or known.shard != self._ownership.shard:
+        if machine.retirement_reason or machine.attempts or machine.shard != self._ownership.shard:
             log.debug("machine not yet admitted to the pool machine=%s", machine_id)
             return False
         return True
--- a/crossmill/multihost/rendezvous.py
+++ b/crossmill/multihost/rendezvous.py
@@ -49,8 +49,8 @@
         Call this only if every member has confirmed the replica's generation; the first call for a
         generation records the time.
         """
-        known = self._confirmations.get(replica.id)
-        if known is None or known.generation != replica.generation:
-            known = self._confirmations[replica.id] = _Confirmation(replica.generation, now)
+        confirmation = self._confirmations.get(replica.id)
+        if confirmation is None or confirmation.generation != replica.generation:
+            confirmation = self._confirmations[replica.id] = _Confirmation(replica.generation, now)
         alive_at = all_alive_at(members, views)
-        return alive_at is not None and alive_at >= known.at
+        return alive_at is not None and alive_at >= confirmation.at
--- a/crossmill/multihost/serving.py
+++ b/crossmill/multihost/serving.py
@@ -77,9 +77,9 @@
         lease_s = (expires_at - now) * (1 - CLOCK_DRIFT)
         if lease_s <= 0:
             return 0.0
-        known = self._grants.get(replica.id)
-        if known is not None and known.generation == replica.generation:
-            expires_at = max(expires_at, known.expires_at)
+        earlier_grant = self._grants.get(replica.id)
+        if earlier_grant is not None and earlier_grant.generation == replica.generation:
+            expires_at = max(expires_at, earlier_grant.expires_at)
         self._grants[replica.id] = ServingGrant(
             front.machine, front.session, replica.generation, expires_at
         )
--- a/crossmill/planning/demand.py
+++ b/crossmill/planning/demand.py
@@ -42,14 +42,14 @@
         budget_s: Seconds until the job's budget ends; infinite without a deadline.
         task_s: Expected run time of a task in seconds; 0 if it does not affect the plan.
         covered_by_running: Number of the tasks that can use slots that running tasks free in time.
-        spot_only: Whether only spot machines are requested for the tasks.
+        is_spot_only: Whether only spot machines are requested for the tasks.
     """
 
     __slots__ = (
         "budget_s",
         "covered_by_running",
+        "is_spot_only",
         "spec",
-        "spot_only",
         "task_s",
         "tasks",
         "zones",
@@ -69,7 +69,7 @@
         self.budget_s = budget_s
         self.task_s = task_s
         self.covered_by_running = 0
-        self.spot_only = False
+        self.is_spot_only = False
 
 
 class MachineSourceKey(NamedTuple):
@@ -286,7 +286,7 @@
         """Return the source as a candidate for the demand; None if it is not usable."""
         spec = demand.spec
         zone_limit = demand.zones.remaining(source.zone)
-        if demand.spot_only and not source.spot:
+        if demand.is_spot_only and not source.spot:
             return None
         if zone_limit <= 0 or not is_allowed(spec, source.type.name, source.zone, source.spot):
             return None
--- a/crossmill/planning/pipelines.py
+++ b/crossmill/planning/pipelines.py
@@ -167,6 +167,8 @@
     budgets = split(split_stages, deadline - margins[-1] - wall_time)
     ends: list[float] = []
     for split_stage, budget in zip(split_stages, budgets, strict=True):
-        begin = max((ends[position] for position in split_stage.dependencies), default=wall_time)
-        ends.append(begin + budget.budget_s)
+        starts_at = max(
+            (ends[position] for position in split_stage.dependencies), default=wall_time
+        )
+        ends.append(starts_at + budget.budget_s)
     return dict(zip(names, ends, strict=True))
--- a/crossmill/recovery/shard_recovery.py
+++ b/crossmill/recovery/shard_recovery.py
@@ -122,7 +122,7 @@
     def advance(self, ownership: ShardOwnership) -> None:
         """Enter each next phase whose conditions are met."""
         self._drop_departed_machines()
-        if self.phase is RecoveryPhase.LOADING and ownership.ready:
+        if self.phase is RecoveryPhase.LOADING and ownership.is_ready:
             self._start_observing()
         if self.phase is RecoveryPhase.OBSERVING and self._is_observing_finished():
             self._enter(RecoveryPhase.CLASSIFYING)
--- a/crossmill/state/client.py
+++ b/crossmill/state/client.py
@@ -177,11 +177,11 @@
             status, data = await self._call("GET", wire.list_path(prefix, after))
             if status != HttpStatus.OK:
                 raise RequestRefusedError(f"list request failed: status {status}", status)
-            page, has_more, revision = wire.parse_list(orjson.loads(data))
+            page, has_next, revision = wire.parse_list(orjson.loads(data))
             rows.extend(page)
             if first_revision is None:
                 first_revision = revision
-            if not has_more:
+            if not has_next:
                 return FullRead(rows, first_revision)
             after = page[-1].key
 
--- a/crossmill/state/watcher.py
+++ b/crossmill/state/watcher.py
@@ -32,8 +32,8 @@
     """
     by_key = {row.key: row for row in rows}
     for event in events:
-        known = by_key.get(event.key)
-        if known is not None and known.version > event.version:
+        listed_row = by_key.get(event.key)
+        if listed_row is not None and listed_row.version > event.version:
             continue
         if event.deleted:
             by_key.pop(event.key, None)
--- a/crossmill/state/write_intent.py
+++ b/crossmill/state/write_intent.py
@@ -66,7 +66,7 @@
             unlimited.
         authority: Callback that is checked before each send; None if the intent may always be
             sent.
-        outcome_unknown: Whether a request with the intent got no response, so that the changes
+        is_outcome_unknown: Whether a request with the intent got no response, so that the changes
             may have been applied.
         is_sent_alone: Whether the intent is sent without others, because it was part of a batch
             that was too large.
@@ -78,7 +78,7 @@
     rank: WriteRank = WriteRank.BACKGROUND
     send_deadline: float | None = None
     authority: Callable[[], Authority] | None = None
-    outcome_unknown: bool = False
+    is_outcome_unknown: bool = False
     is_sent_alone: bool = False
     failed_keys: list[str] = field(default_factory=list)
     future: Future = field(default_factory=Future)
--- a/crossmill/state/writer.py
+++ b/crossmill/state/writer.py
@@ -201,7 +201,7 @@
             # a retry is safe: with the same conditions, only one of the two requests takes effect
             log.info("write outcome unknown error=%s", exc)
             for intent in intents:
-                intent.outcome_unknown = True
+                intent.is_outcome_unknown = True
             await self._retry_later(intents)
         except TransactionTooLargeError as exc:
             await self._split(intents, exc)
@@ -249,7 +249,7 @@
             intent.failed_keys = [key for key in intent.txn.conditions if key in failed]
             if not intent.failed_keys:
                 to_retry.append(intent)
-            elif intent.outcome_unknown and await self._was_applied(intent):
+            elif intent.is_outcome_unknown and await self._was_applied(intent):
                 log.info("unanswered write confirmed keys=%s", _logged_keys(intent))
                 await intent.future.settle(WriteResult.OK)
             else:
--- a/crossmill/workers/attempt_outcomes.py
+++ b/crossmill/workers/attempt_outcomes.py
@@ -97,8 +97,8 @@
         """Record the end of an attempt; an earlier outcome of the task in the same term is kept."""
         attempt = outcome.attempt
         key = (attempt.job, attempt.index)
-        known = self.get(key)
-        if known is None or known.term != outcome.term:
+        earlier_outcome = self.get(key)
+        if earlier_outcome is None or earlier_outcome.term != outcome.term:
             self[key] = outcome
         self._ended.add(attempt.id)
         if len(self._ended) > self._trim_above:
--- a/crossmill/workers/heartbeat_handler.py
+++ b/crossmill/workers/heartbeat_handler.py
@@ -167,7 +167,7 @@
             commands = self._stops_of_ended_jobs(commands)
         if self.gate is not None:
             commands = self.gate.filter_commands(machine, view, ownership, commands)
-        # truncate after the gate: commands that it withholds must not displace urgent commands
+        # truncate after the gate: commands that it blocks must not displace urgent commands
         commands = commands[:MAX_COMMANDS]
         self._log_unplanned_stops(machine, commands)
         return HeartbeatResponse(HttpStatus.OK, token, tuple(commands))
--- a/tests/fake_cloud.py
+++ b/tests/fake_cloud.py
@@ -51,7 +51,7 @@
         # the machines in the response to a listing
         self.listed_machines: list[dict[str, Any]] = []
         self.released: list[str] = []
-        self.down = False
+        self.is_down = False
 
     def refresh_listing(self) -> None:
         """List all machines that were rented and not released, as running, from now on."""
@@ -73,7 +73,7 @@
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
         """Respond without delay; raise NoResponseError for the scripted fault "lose"."""
-        if self.down:
+        if self.is_down:
             return 503, b'{"error":"trouble"}'
         data = orjson.loads(body) if body else {}
         if path == "/catalog":
--- a/tests/fake_state_service.py
+++ b/tests/fake_state_service.py
@@ -32,7 +32,7 @@
         self.page_items = PAGE_ITEMS
         # the last revision whose change is no longer kept
         self._compacted_revision = 0
-        self.down = False
+        self.is_down = False
         # method and path of each request
         self.received_requests: list[tuple[str, str]] = []
         self.scripted_faults: dict[str, list[str]] = {}
@@ -90,7 +90,7 @@
             raise NoResponseError(path)
         if fault == "refuse":
             raise ConnectionFailedError(path)
-        if self.down:
+        if self.is_down:
             return 503, b"{}"
         status, response = self._serve(parts.path, parse_qs(parts.query), body)
         if fault == "lose":
--- a/tests/fault_injection.py
+++ b/tests/fault_injection.py
@@ -34,9 +34,9 @@
 
 
 def lose_responses(
-    number: int, region: Region, delay_s: float, executes_at_once: bool, for_s: float
+    number: int, region: Region, delay_s: float, executes_immediately: bool, for_s: float
 ) -> None:
-    """Withhold the response of every `number`th transaction for the given time.
+    """Drop the response to every `number`th transaction for the given time.
 
     The transaction is executed without delay, or `delay_s` and up to four seconds later.
     """
@@ -49,7 +49,7 @@
         count += 1
         if count % number:
             return None
-        return TransactionFault(delay_s + count % 5, executes_at_once)
+        return TransactionFault(delay_s + count % 5, executes_immediately)
 
     region.transaction_fault = transaction_fault
 
@@ -117,7 +117,7 @@
     elif kind == "refuse":
         region.refused_requests[label] = every_request
     elif kind == "outage":
-        region.state.down = not region.state.down
+        region.state.is_down = not region.state.is_down
     elif kind in ("late transactions", "lost responses"):
         lose_responses(rng.choice([2, 3, 5]), region, 2.0, kind == "lost responses", 10.0)
     elif kind == "worker":
@@ -125,7 +125,7 @@
         setattr(worker, fault, not getattr(worker, fault))
     elif kind == "reconnect":
         region.reconnect()
-        region.state.down = False
+        region.state.is_down = False
     elif kind == "slow state":
         region.state_delay_s = rng.choice([0.0, 0.3])
     else:
@@ -139,7 +139,7 @@
     Killed, frozen and powered off controllers, `Region.transaction_delay_s` and faults of the cloud
     do not end.
     """
-    region.state.down = False
+    region.state.is_down = False
     region.state_delay_s = 0.0
     region.reconnect()
     region.transaction_fault = lambda *_: None
--- a/tests/invariant_checker.py
+++ b/tests/invariant_checker.py
@@ -28,7 +28,7 @@
         run_s: How long each task runs, in seconds; None for a service.
         submitted: When the job was registered.
         accepted: When a response first confirmed the submission or reported the job's state.
-        cancellation_requested: Whether a user requested the cancellation.
+        is_cancellation_requested: Whether a user requested the cancellation.
         cancelled: When a response first reported the job as cancelled.
         done: When a response first reported the job as done.
         finished: The indexes of the tasks that are done.
@@ -38,7 +38,7 @@
     run_s: float | None
     submitted: float
     accepted: float | None = None
-    cancellation_requested: bool = False
+    is_cancellation_requested: bool = False
     cancelled: float | None = None
     done: float | None = None
     finished: set[int] = field(default_factory=set)
@@ -188,7 +188,7 @@
             self.report_violation(f"went_back {job}: {stage} after done")
         if stage == "withdrawn":
             is_requested = any(
-                self.jobs[x].cancellation_requested for x in (job, *self._all_dependencies(job))
+                self.jobs[x].is_cancellation_requested for x in (job, *self._all_dependencies(job))
             )
             if not is_requested:
                 self.report_violation(f"went_back {job}: no user cancelled it")
--- a/tests/measure_multihost.py
+++ b/tests/measure_multihost.py
@@ -78,23 +78,23 @@
 
 
 async def _kill_member(region: MultihostRegion, rng: Random) -> None:
-    rng.choice(region.agents_of("chat/0")[1:]).dead = True
+    rng.choice(region.agents_of("chat/0")[1:]).is_dead = True
 
 
 async def _kill_front_member(region: MultihostRegion, _rng: Random) -> None:
-    region.agents_of("chat/0")[0].dead = True
+    region.agents_of("chat/0")[0].is_dead = True
 
 
 async def _kill_two_members(region: MultihostRegion, rng: Random) -> None:
     members = region.agents_of("chat/0")
-    members[-1].dead = True
+    members[-1].is_dead = True
     await curio.sleep(rng.uniform(0.1, 1.0))
-    members[0].dead = True
+    members[0].is_dead = True
 
 
 async def _kill_all_members(region: MultihostRegion, _rng: Random) -> None:
     for agent in region.agents_of("chat/0"):
-        agent.dead = True
+        agent.is_dead = True
 
 
 async def _restart_agent(region: MultihostRegion, rng: Random) -> None:
@@ -338,7 +338,7 @@
         await region.until_serving("chat/0")
         result["start"] = service.writer.transactions - before
         before = service.writer.transactions
-        region.agents_of("chat/0")[1].dead = True
+        region.agents_of("chat/0")[1].is_dead = True
         await region.wait_until(
             lambda: any(
                 a.serves("chat/0") == GENERATION_AFTER_REPAIR for a in region.agents.values()
--- a/tests/multihost_agents.py
+++ b/tests/multihost_agents.py
@@ -50,7 +50,7 @@
     peers: tuple[PeerAddress, ...]
     peer_lease_s: float
     loaded_at: float
-    refused: bool = False
+    is_refused: bool = False
     serve_until: float = 0.0
     # time at which the last ping that received a response was sent, by rank
     peer_alive_at: dict[int, float] = field(default_factory=dict)
@@ -59,8 +59,8 @@
 class Agent:
     """A machine's agent.
 
-    `lease_from_receipt` injects a protocol violation: leases are counted from the receipt of a
-    response instead of from the sending of its heartbeat.
+    `counts_lease_from_receipt` injects a protocol violation: leases are counted from the receipt of
+    a response instead of from the sending of its heartbeat.
     """
 
     def __init__(self, region: "MultihostRegion", machine: str, number: int, zone: str) -> None:
@@ -76,12 +76,12 @@
         self.highest_generations: dict[str, int] = {}
         self.images: dict[str, float] = {}
         self.lease_renewed_at = self.now()
-        self.dead, self.has_left = False, False
+        self.is_dead, self.has_left = False, False
         self.is_frozen = False
         self.notice_s: float | None = None
         # one-way cuts: heartbeats don't reach controllers, or responses don't reach the agent
         self.drops_heartbeats, self.drops_responses = False, False
-        self.lease_from_receipt = False
+        self.counts_lease_from_receipt = False
         self.sent_heartbeats: list[bytes] = []
         self.orders: list[tuple[float, Order]] = []
         # reports sent instead of those of the running members, unless empty
@@ -96,21 +96,21 @@
 
     def state(self, member: AgentMember) -> MemberState:
         """Return the state that the agent reports of the member."""
-        if member.refused:
+        if member.is_refused:
             return MemberState.REFUSED
         return MemberState.LOADED if self.now() >= member.loaded_at else MemberState.LOADING
 
     def runs(self, replica: str, generation: int) -> bool:
         """Return whether a member of this generation runs and has loaded its weights."""
         member = self.members.get(replica)
-        if self.dead or self.is_frozen or member is None or member.generation != generation:
+        if self.is_dead or self.is_frozen or member is None or member.generation != generation:
             return False
         return self.state(member) is MemberState.LOADED
 
     def serves(self, replica: str) -> int | None:
         """Return the generation in which the front member can serve requests now; None if none."""
         member = self.members.get(replica)
-        if self.dead or self.is_frozen or member is None or member.rank != 0:
+        if self.is_dead or self.is_frozen or member is None or member.rank != 0:
             return None
         now = self.now()
         if self._is_lease_expired() or now >= member.serve_until:
@@ -161,14 +161,18 @@
                 case OrderKind.SERVE:
                     member = self.members.get(order.replica)
                     if member is not None and member.generation == order.generation:
-                        begin = self.now() if self.lease_from_receipt else sent
-                        member.serve_until = max(member.serve_until, begin + order.lease_s)
+                        lease_start = self.now() if self.counts_lease_from_receipt else sent
+                        member.serve_until = max(member.serve_until, lease_start + order.lease_s)
 
     def _start(self, order: Order) -> None:
         running = self.members.get(order.replica)
         if order.generation < self.highest_generations.get(order.replica, 0):
             return
-        if running is not None and not running.refused and running.generation == order.generation:
+        if (
+            running is not None
+            and not running.is_refused
+            and running.generation == order.generation
+        ):
             return
         self.highest_generations[order.replica] = order.generation
         others = [m.resources for r, m in self.members.items() if r != order.replica]
@@ -183,7 +187,7 @@
             order.peers,
             order.lease_s,
             self.now() + load_s,
-            refused=not fits,
+            is_refused=not fits,
         )
 
     def _stop(self, order: Order) -> None:
@@ -221,7 +225,7 @@
         await curio.spawn(self._run_pings, daemon=True)
         labels = list(self.region.state_links)
         self._target = self.number % len(labels)
-        while not self.dead and not self.has_left:
+        while not self.is_dead and not self.has_left:
             if self.is_frozen:
                 await curio.sleep(0.1)
                 continue
@@ -240,7 +244,7 @@
             MESSAGE_DELAY_S + self.region.delay_s(self) + self.region.response_delay_s(self)
         )
         timeout_s = self.region.multihost.response_timeout_s
-        while self.is_frozen and not self.dead:
+        while self.is_frozen and not self.is_dead:
             await curio.sleep(0.1)
         if reply is None or self.drops_responses or self.now() - sent > timeout_s:
             self._target = (self._target + 1) % len(labels)
@@ -255,7 +259,7 @@
             self._target = labels.index(str(owner)) if is_redirected else next_target
             return 0.2 if is_redirected else 0.5
         response = parse_heartbeat_response(data)
-        if session == self.session and response.token >= self.token and not self.dead:
+        if session == self.session and response.token >= self.token and not self.is_dead:
             self.token, self.proof, self.lease_renewed_at = response.token, response.proof, sent
             self.apply_response(response, sent)
         return self._next_heartbeat_s()
@@ -273,7 +277,7 @@
         )
 
     async def _run_pings(self) -> None:
-        while not self.dead:
+        while not self.is_dead:
             await curio.sleep(self.region.multihost.heartbeat_interval_s / 2)
             for name, member in list(self.members.items()):
                 if member.rank == 0 and not self.is_frozen:
@@ -285,7 +289,7 @@
         sent = self.now()
         body = ping_body(Ping(name, peer.rank, member.generation))
         if await self.region.deliver_ping(self, peer.address, body) and not self.is_frozen:
-            alive_at = self.now() if self.lease_from_receipt else sent
+            alive_at = self.now() if self.counts_lease_from_receipt else sent
             previous = member.peer_alive_at.get(peer.rank, alive_at)
             member.peer_alive_at[peer.rank] = max(previous, alive_at)
 
--- a/tests/multihost_fault_injection.py
+++ b/tests/multihost_fault_injection.py
@@ -37,17 +37,17 @@
 
     async def begin(self) -> None:
         """Set up a pool in two zones, and sets that don't all fit when machines fail."""
-        draw = self.random
-        await self.region.begin_pool(draw.randint(12, 18), ZONES)
+        rng = self.random
+        await self.region.begin_pool(rng.randint(12, 18), ZONES)
         budget = {"restart_budget": 1000, "restart_window_s": 60.0}
-        await self.region.declare("chat", members=draw.randint(2, 4), min_ready=1, **budget)
+        await self.region.declare("chat", members=rng.randint(2, 4), min_ready=1, **budget)
         await self.region.declare(
             "large",
-            members=draw.randint(3, 5),
-            priority=draw.randint(0, 2),
+            members=rng.randint(3, 5),
+            priority=rng.randint(0, 2),
             image="weights-2",
-            image_gb=draw.uniform(0.0, 8.0),
-            hold_s=draw.uniform(5.0, 20.0),
+            image_gb=rng.uniform(0.0, 8.0),
+            hold_s=rng.uniform(5.0, 20.0),
             **budget,
         )
         await self.region.declare(
@@ -93,11 +93,11 @@
     async def crash_machine(self) -> None:
         """Crash a machine and revive it after a while."""
         machine = self._random_machine()
-        self.region.agents[machine].dead = True
+        self.region.agents[machine].is_dead = True
 
         async def recover() -> None:
             await self._sleep_between(2.0, 40.0)
-            if self.region.agents[machine].dead:
+            if self.region.agents[machine].is_dead:
                 await self.region.revive(machine)
 
         await curio.spawn(recover, daemon=True)
@@ -167,11 +167,11 @@
 
     async def stop_state_service(self) -> None:
         """Make the state service unavailable for a while."""
-        self.region.state.down = True
+        self.region.state.is_down = True
 
         async def recover() -> None:
             await self._sleep_between(0.5, 12.0)
-            self.region.state.down = False
+            self.region.state.is_down = False
 
         await curio.spawn(recover, daemon=True)
 
@@ -204,10 +204,10 @@
         """End all faults and revive dead machines."""
         await curio.sleep(45.0)
         region = self.region
-        region.state.down = False
+        region.state.is_down = False
         region.delay_s = lambda _: 0.0
         region.cut_links.clear()
         for machine, agent in list(region.agents.items()):
             agent.is_frozen = agent.drops_heartbeats = agent.drops_responses = False
-            if agent.dead:
+            if agent.is_dead:
                 await region.revive(machine)
--- a/tests/multihost_invariants.py
+++ b/tests/multihost_invariants.py
@@ -206,5 +206,5 @@
                 planned.setdefault(member.machine, set()).add(str(replica_id))
         for agent in self.region.agents.values():
             extra = set(agent.members) - planned.get(agent.machine, set())
-            if extra and not agent.dead and not agent.is_frozen:
+            if extra and not agent.is_dead and not agent.is_frozen:
                 self.report_violation(f"leaked {agent.machine} runs {extra}")
--- a/tests/multihost_region.py
+++ b/tests/multihost_region.py
@@ -98,7 +98,7 @@
     async def revive(self, machine: str) -> Agent:
         """Revive a dead machine with a new agent that keeps only the session number."""
         old = self.agents[machine]
-        old.dead = True
+        old.is_dead = True
         agent = self.agents[machine] = Agent(self, machine, old.number, old.zone)
         agent.session = old.session + 1
         await curio.spawn(agent.run, daemon=True)
@@ -115,7 +115,7 @@
     ) -> tuple[int, bytes] | None:
         """Deliver a heartbeat to a controller; return the status and body, None if it is lost."""
         service = self.services.get(label)
-        is_lost = agent.drops_heartbeats or agent.dead
+        is_lost = agent.drops_heartbeats or agent.is_dead
         if service is None or is_lost or self.is_frozen(label):
             return None
         response = await service.handle(heartbeat_request(body))
@@ -125,7 +125,7 @@
         """Deliver a ping to another machine; return whether the response confirms the member."""
         await curio.sleep(MESSAGE_DELAY_S + self.delay_s(source))
         target = next((a for a in self.agents.values() if a.address == address), None)
-        if target is None or target.dead or target.is_frozen or source.dead:
+        if target is None or target.is_dead or target.is_frozen or source.is_dead:
             return False
         if (source.machine, target.machine) in self.cut_links:
             return False
--- a/tests/production_records.py
+++ b/tests/production_records.py
@@ -52,5 +52,5 @@
         elif key.startswith(keys.SHARD):
             int(key[len(keys.SHARD) :])
         else:
-            known = (*PRODUCTION_PREFIXES, keys.FEATURE_NOTE, keys.ARCHIVE)
-            assert key.startswith(known) or key in (keys.LEADER, keys.TOKEN, keys.CATALOG)
+            known_prefixes = (*PRODUCTION_PREFIXES, keys.FEATURE_NOTE, keys.ARCHIVE)
+            assert key.startswith(known_prefixes) or key in (keys.LEADER, keys.TOKEN, keys.CATALOG)
--- a/tests/simulated_links.py
+++ b/tests/simulated_links.py
@@ -26,11 +26,11 @@
 
     Attributes:
         delay_s: The time in seconds after which the state service executes the request.
-        executes_at_once: Whether the state service executes the request without that delay.
+        executes_immediately: Whether the state service executes the request without that delay.
     """
 
     delay_s: float
-    executes_at_once: bool
+    executes_immediately: bool
 
 
 class StateLink:
@@ -46,7 +46,7 @@
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
-        """Send a request; raise NoResponseError if a fault withholds the response."""
+        """Send a request; raise NoResponseError if a fault drops the response."""
         region = self._region
         until = region.clock.now() + timeout_s
         await curio.sleep(MESSAGE_DELAY_S + region.state_delay_s)
@@ -57,7 +57,7 @@
             return 503, b"{}"
         fault = region.transaction_fault(self._label, method, path)
         if fault is not None:
-            if fault.executes_at_once:
+            if fault.executes_immediately:
                 await region.state.request(method, path, body)
             else:
                 await curio.spawn(
@@ -76,14 +76,14 @@
         return status, data
 
     def _is_refused(self, method: str, path: str) -> bool:
-        if self._region.state.down:
+        if self._region.state.is_down:
             return True
         refuses = self._region.refused_requests.get(self._label)
         return refuses is not None and refuses(method, path)
 
     async def _execute_late(self, delay_s: float, method: str, path: str, body: bytes) -> None:
         await curio.sleep(delay_s)
-        while self._region.state.down:
+        while self._region.state.is_down:
             await curio.sleep(OUTAGE_RETRY_S)
         await self._region.state.request(method, path, body)
         await self._region.simulated_state.notify_watches()
@@ -104,7 +104,7 @@
     def _is_watch_blocked(self) -> bool:
         region = self._region
         return (
-            region.state.down
+            region.state.is_down
             or self._label in region.refused_requests
             or self._label in region.cut_from_state
         )
--- a/tests/simulated_state.py
+++ b/tests/simulated_state.py
@@ -59,7 +59,7 @@
         revision = -1
         while True:
             self._expire_leases()
-            if self._state.revision != revision and not self._state.down:
+            if self._state.revision != revision and not self._state.is_down:
                 revision = self._state.revision
                 await self.notify_watches()
             await curio.sleep(POLL_INTERVAL_S)
@@ -67,7 +67,7 @@
     def _expire_leases(self) -> None:
         now = self._clock.now()
         for lease, expiry in list(self._expiries.items()):
-            if self._state.down:
+            if self._state.is_down:
                 self._extend(lease, expiry.ttl_s)
             elif now > expiry.at:
                 del self._expiries[lease]
--- a/tests/simulated_users.py
+++ b/tests/simulated_users.py
@@ -55,7 +55,7 @@
 
     async def cancel(self, label: str, job: str) -> int:
         """Cancel the job at a controller and return the response's status."""
-        self.checker.jobs[job].cancellation_requested = True
+        self.checker.jobs[job].is_cancellation_requested = True
         return await self._request(label, job, "POST", f"/v1/jobs/{job}/withdraw")
 
     async def cancel_until_confirmed(self, label: str, job: str, within_s: float) -> bool:
--- a/tests/test_answer_consistency.py
+++ b/tests/test_answer_consistency.py
@@ -104,13 +104,13 @@
         ]
         await region.submit("node-1", "wk-000001", run_s=2.0)
         for down in (False, True):
-            region.state.down = down
+            region.state.is_down = down
             for n, fields in enumerate(invalid_fields):
                 status = await region.submit("node-2", f"wk-70000{n}", **fields)
                 assert status in ((503,) if down else (400, 422)), fields
                 assert await region.submit("node-2", "wk-000001", run_s=2.0, **fields) in (
                     (200, 503) if down else (200,)
                 )
-        region.state.down = False
+        region.state.is_down = False
 
     simulate(scenario)
--- a/tests/test_capacity_cache.py
+++ b/tests/test_capacity_cache.py
@@ -90,12 +90,12 @@
     def step(self) -> None:
         changes = (self._change_machine, self._change_job, self._change_plan, self._plan_tasks)
         self.rng.choice(changes)()
-        fresh = [
+        recomputed = [
             self.forecast.capacity.free_capacity(machine, machine_type)
             for machine, machine_type in self._machines()
         ]
         assert [_comparable_fields(capacity) for capacity in self.capacities()] == [
-            _comparable_fields(c) for c in fresh
+            _comparable_fields(c) for c in recomputed
         ]
 
 
--- a/tests/test_command_delivery.py
+++ b/tests/test_command_delivery.py
@@ -35,7 +35,7 @@
 def test_an_unanswered_start_command_may_still_arrive_until_a_higher_token() -> None:
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await boot_with_waiting_job(state, clock, nodes, machines=1, sacks=1)
-        node.worker.scripted_response = NoResponseError("held back")
+        node.worker.scripted_response = NoResponseError("no response")
         token = node.token()
         node.report("n-0", 1, 1, token)
         await node.round()
--- a/tests/test_concurrent_cancellations.py
+++ b/tests/test_concurrent_cancellations.py
@@ -32,11 +32,11 @@
         "node-1", "wk-000001", max(0.1, refusal_s - 0.3)
     )
     await curio.sleep(max(0.0, refused_at + refusal_s - region.clock.now()))
-    region.state.down = True
+    region.state.is_down = True
     await curio.sleep(4.0)
     region.refused_requests.clear()
     await curio.sleep(region.cancellation_deadline_s * 1.4)
-    region.state.down = False
+    region.state.is_down = False
     await curio.sleep(10.0)
     assert confirmed, "the cancellation was not confirmed"
     assert not region.workers_running("wk-000001")
@@ -208,9 +208,9 @@
         await curio.sleep(4.0)
         region.refused_requests[region.owners()[0]] = every_request
         await curio.sleep(1.0)
-        region.state.down = True
+        region.state.is_down = True
         await curio.sleep(region.cancellation_deadline_s * 1.2)
-        region.state.down = False
+        region.state.is_down = False
         region.state_delay_s = 0.0
         region.reconnect()
         await cancels.join()
--- a/tests/test_controller_failovers.py
+++ b/tests/test_controller_failovers.py
@@ -44,9 +44,9 @@
         for n in range(10):
             await curio.sleep(7.0)
             if outage and n in (3, 7):
-                region.state.down = True
+                region.state.is_down = True
             await region.restart(region.owners().get(0, "node-0"), 0.2 if n % 2 else 4.0)
-            region.state.down = False
+            region.state.is_down = False
         await traffic.join()
         await cancel_services_and_wait(region)
 
--- a/tests/test_dependency_cancellation.py
+++ b/tests/test_dependency_cancellation.py
@@ -35,9 +35,9 @@
             assert await shown_stage(other, name) == "withdrawn"
         assert state.keys[keys.job(dependents[0])][0]["end"] == ACTIVE
         # during an outage a final state is still reported
-        state.down = True
+        state.is_down = True
         assert await shown_stage(other, D) == "withdrawn"
-        state.down = False
+        state.is_down = False
         for _ in range(40):
             clock.time += 1
             await node.renew_and_sync()
--- a/tests/test_dependency_failovers.py
+++ b/tests/test_dependency_failovers.py
@@ -46,14 +46,14 @@
         await _start_with_workers(region)
         await _submit_diamond(region)
         assert await region.cancel_until_confirmed("node-1", A, 20)
-        region.state.down = outage_s > 0
+        region.state.is_down = outage_s > 0
         for label in Region.LABELS:
             await region.kill(label)
         await curio.sleep(1)
         for label in Region.LABELS:
             await region.start(label)
         await curio.sleep(outage_s)
-        region.state.down = False
+        region.state.is_down = False
         await curio.sleep(10)
         for job in (A, B, C, D):
             await region.query_job_everywhere(job)
--- a/tests/test_feature_level.py
+++ b/tests/test_feature_level.py
@@ -52,14 +52,14 @@
             # every controller's first transactions are executed but get no response
             if path == "/txn" and lost.count(label) < 6:
                 lost.append(label)
-                return TransactionFault(0.0, executes_at_once=True)
+                return TransactionFault(0.0, executes_immediately=True)
             return None
 
         region.transaction_fault = transaction_fault
         await region.start_region(machines=0)
-        region.state.down = True
+        region.state.is_down = True
         await curio.sleep(3)
-        region.state.down = False
+        region.state.is_down = False
         await region.restart("node-1", 1.0)
         await region.wait_until(lambda: all(n.cluster.level for n in region.nodes.values()), 90)
         assert region.state.keys[keys.LEVEL][0]["level"] == 1
--- a/tests/test_invariant_checker.py
+++ b/tests/test_invariant_checker.py
@@ -83,7 +83,7 @@
 
 async def _report_running_after_cancelled(region: Region) -> None:
     region.checker.jobs[JOB].cancelled = region.clock.now()
-    region.checker.jobs[JOB].cancellation_requested = True
+    region.checker.jobs[JOB].is_cancellation_requested = True
     region.checker.check_response(JOB, _job_response("running"), region.clock.now())
 
 
--- a/tests/test_job_api.py
+++ b/tests/test_job_api.py
@@ -26,7 +26,7 @@
         state.put(keys.job("wk-000002"), state.keys[keys.job(job)][0])
         assert (await node.send_user_request("GET", "/v1/jobs/wk-000002")).status == 200
         assert (await node.send_user_request("GET", "/v1/jobs/wk-000009")).status == 404
-        state.down = True
+        state.is_down = True
         assert (await node.send_user_request("GET", "/v1/jobs/wk-000009")).status == 503
         # a final state is reported without a read
         assert (await node.send_user_request("GET", f"/v1/jobs/{job}")).status == 200
@@ -92,7 +92,7 @@
         seed(state, clock)
         node = SteppedController(state, clock, nodes)
         await node.boot()
-        state.down = True
+        state.is_down = True
         refused = await node.send_user_request(
             "POST", "/v1/jobs", orjson.dumps(submission(nameId="wk-000008"))
         )
--- a/tests/test_lease_extensions.py
+++ b/tests/test_lease_extensions.py
@@ -37,7 +37,7 @@
         await _boot_peers(state, clock, nodes)
         running = reported_task("wk-000001", 0, 1, "running")
         await node.renew_and_sync()
-        state.down = True
+        state.is_down = True
         seq = 4
         until = clock.now() + node.settings.max_lease_extension_s - 1
         while clock.now() < until:
@@ -70,9 +70,9 @@
             clock.time += node.settings.lease_renewal_interval_s / 2
             for peer in peers:
                 await peer.controller_lease.step()
-            state.down = True
+            state.is_down = True
             await node.controller_lease.step()
-            state.down = False
+            state.is_down = False
             await _request_extensions(node)
         assert node.lease_extensions.is_isolated
         clock.time += node.settings.lease_extension_grant_s * 1.1
@@ -87,7 +87,7 @@
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
         peers = await _boot_peers(state, clock, nodes)
-        state.down = True
+        state.is_down = True
         while not node.lease_extensions.is_isolated and clock.now() < 2000:
             await _fail_to_renew(clock, node, peers)
             failing_since = node.lease_extensions._failing_since
@@ -113,10 +113,10 @@
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = await start_placed_task(state, clock, nodes)
         peers = await _boot_peers(state, clock, nodes)
-        state.down = True
+        state.is_down = True
         for _ in range(3):
             await _fail_to_renew(clock, node, peers)
-        state.down = False
+        state.is_down = False
         await peers[0].controller_lease.step()
         clock.time += 0.1
         await _request_extensions(node)
--- a/tests/test_multihost_failover.py
+++ b/tests/test_multihost_failover.py
@@ -24,11 +24,11 @@
         await region.declare("chat", image_gb=LOAD_S)
         if phase == "repairing":
             await region.until_serving("chat/0")
-            region.agents_of("chat/0")[2].dead = True
+            region.agents_of("chat/0")[2].is_dead = True
         await region.wait_until(lambda: region.phase("chat/0") == phase)
         # the record has just been written, and no order has been sent to an agent yet
         if member_fails and region.agents_of("chat/0"):
-            region.agents_of("chat/0")[1].dead = True
+            region.agents_of("chat/0")[1].is_dead = True
         await region.kill(region.owner())
         takeover_s = 3 * 10.0 * 0.32
         await curio.sleep(SETTINGS.serving_lease_s + 0.5)
@@ -81,12 +81,12 @@
         await region.begin_pool(8)
         await region.declare("chat", image_gb=LOAD_S)
         await region.until_serving("chat/0")
-        region.agents_of("chat/0")[1].dead = True
+        region.agents_of("chat/0")[1].is_dead = True
         await region.wait_until(lambda: region.phase("chat/0") == "repairing")
-        region.state.down = True
+        region.state.is_down = True
         await curio.sleep(15.0)
         assert not region.serving("chat/0")
-        region.state.down = False
+        region.state.is_down = False
         await region.until_serving("chat/0", 2 * REPAIR_BOUND_S + SETTINGS.agent_lease_s)
         await curio.sleep(SETTINGS.agent_lease_s * 2)
         region.checker.check_end()
@@ -100,11 +100,11 @@
         await region.declare("chat", image_gb=LOAD_S)
         await region.until_serving("chat/0")
         await curio.sleep(5.0)
-        region.state.down = True
+        region.state.is_down = True
         for _ in range(50):
             await curio.sleep(0.1)
             assert len(region.serving("chat/0")) == 1
-        region.state.down = False
+        region.state.is_down = False
         await curio.sleep(20.0)
         assert region.generation("chat/0") == 1
 
--- a/tests/test_multihost_invariants.py
+++ b/tests/test_multihost_invariants.py
@@ -20,7 +20,7 @@
 
 def _serves_incomplete(region: MultihostRegion) -> None:
     front, member, _ = region.agents_of("chat/0")
-    member.dead = front.drops_heartbeats = front.drops_responses = True
+    member.is_dead = front.drops_heartbeats = front.drops_responses = True
     front.members["chat/0"].serve_until = front.now() + 1000.0
     for peer in front.members["chat/0"].peers:
         front.members["chat/0"].peer_alive_at[peer.rank] = front.now() + 1000.0
--- a/tests/test_multihost_loopback.py
+++ b/tests/test_multihost_loopback.py
@@ -77,7 +77,7 @@
     ) -> tuple[int, bytes] | None:
         """Send a heartbeat over HTTP."""
         service: MultihostService | None = self.services.get(label)
-        if service is None or agent.drops_heartbeats or agent.dead:
+        if service is None or agent.drops_heartbeats or agent.is_dead:
             return None
         return await self._post(service.settings.listen, HEARTBEAT_PATH, body)
 
@@ -85,7 +85,7 @@
         """Send a ping over HTTP and return whether the response confirms the member."""
         host, _, port = address.rpartition(":")
         target = next(a for a in self.agents.values() if a.address == address)
-        if source.dead or target.dead or target.is_frozen:
+        if source.is_dead or target.is_dead or target.is_frozen:
             return False
         reply = await self._post(Endpoint(host, int(port)), PING_PATH, body)
         return reply is not None and reply[0] == 200
@@ -100,13 +100,13 @@
         await region.begin_pool(8)
         await region.declare("chat", members=4, image_gb=LOAD_S)
         await region.until_serving("chat/0", SLACK_S)
-        region.agents_of("chat/0")[2].dead = True
+        region.agents_of("chat/0")[2].is_dead = True
         await region.wait_until(lambda: not region.serving("chat/0"), FAST.serving_lease_s + 1.0)
         repair_s = await region.until_serving("chat/0", SLACK_S)
         print(f"serving again after {repair_s:.1f} s, bound {bound_s:.1f} s")
         assert region.generation("chat/0") == 2
         # the owner and the front member's machine fail at the same time
-        region.agents_of("chat/0")[0].dead = True
+        region.agents_of("chat/0")[0].is_dead = True
         await region.kill(region.owner())
         await curio.sleep(FAST.serving_lease_s + 0.5)
         await region.until_serving("chat/0", 2 * SLACK_S)
--- a/tests/test_multihost_member_failures.py
+++ b/tests/test_multihost_member_failures.py
@@ -16,7 +16,7 @@
 
 def test_a_replica_stops_serving_when_a_member_dies_until_it_is_complete_again() -> None:
     async def fault(region: MultihostRegion, agents: list[Agent]) -> None:
-        agents[2].dead = True
+        agents[2].is_dead = True
         started_at = region.clock.now()
         await region.wait_until(
             lambda: not region.serving("chat/0"), SETTINGS.serving_lease_s + 0.1
@@ -28,7 +28,7 @@
 
 def test_a_replica_is_repaired_when_its_front_machine_dies() -> None:
     async def fault(_region: MultihostRegion, agents: list[Agent]) -> None:
-        agents[0].dead = True
+        agents[0].is_dead = True
 
     assert time_to_repair(fault) <= REPAIR_BOUND_S
 
@@ -36,7 +36,7 @@
 def test_a_replica_is_repaired_when_all_its_machines_die() -> None:
     async def fault(_region: MultihostRegion, agents: list[Agent]) -> None:
         for agent in agents:
-            agent.dead = True
+            agent.is_dead = True
 
     assert time_to_repair(fault) <= REPAIR_BOUND_S
 
@@ -51,13 +51,13 @@
 @pytest.mark.parametrize("after_s", [0.05, 1.0, 3.5, 4.2, 6.0, 9.0])
 def test_members_that_die_during_a_repair_are_replaced_as_well(after_s: float) -> None:
     async def fault(region: MultihostRegion, agents: list[Agent]) -> None:
-        agents[1].dead = True
+        agents[1].is_dead = True
         await curio.sleep(after_s)
         # a surviving member, then the replacement of the first if the repair has placed it
         current = region.agents_of("chat/0")
-        current[3].dead = True
+        current[3].is_dead = True
         await curio.sleep(0.3)
-        region.agents_of("chat/0")[1].dead = True
+        region.agents_of("chat/0")[1].is_dead = True
 
     # the last repair may be delayed by two back-off delays
     assert time_to_repair(fault, machines=14) <= 2 * REPAIR_BOUND_S
@@ -72,7 +72,7 @@
         await region.declare("chat", image_gb=LOAD_S)
         await region.wait_until(lambda: region.phase("chat/0") == "starting")
         await curio.sleep(after_s)
-        region.agents_of("chat/0")[2].dead = True
+        region.agents_of("chat/0")[2].is_dead = True
         await curio.sleep(SETTINGS.serving_lease_s + 0.5)
         await region.until_serving("chat/0", REPAIR_BOUND_S)
         await curio.sleep(SETTINGS.agent_lease_s * 2)
@@ -138,7 +138,7 @@
         await region.declare("small", members=2, priority=0, image_gb=1.0)
         dead = region.agents_of("chat/0")[1:3]
         for agent in dead:
-            agent.dead = True
+            agent.is_dead = True
         await region.wait_until(lambda: region.phase("chat/0") == "repairing")
         await curio.sleep(10.0 + 2 * SETTINGS.heartbeat_interval_s)
         assert region.phase("chat/0") == "pending"
--- a/tests/test_multihost_operator_api.py
+++ b/tests/test_multihost_operator_api.py
@@ -147,7 +147,7 @@
     async def scenario(region: MultihostRegion) -> None:
         assert (await _put(region, "chat", DECLARED))[0] == 201
         await region.until_serving("chat/0")
-        region.state.down = True
+        region.state.is_down = True
         assert (await region.operate(method, path, DECLARED))[0] == 503
 
     _run_with_pool(scenario)
--- a/tests/test_multihost_reservations.py
+++ b/tests/test_multihost_reservations.py
@@ -17,7 +17,7 @@
         await region.until_serving("large/0")
         service = region.services[region.owner()]
         assert ReservationWriter(service.writer, service.pool).members_per_chunk() < 40
-        region.agents_of("large/0")[33].dead = True
+        region.agents_of("large/0")[33].is_dead = True
         await region.wait_until(lambda: region.generation("large/0") == 2)
         await region.until_serving("large/0", REPAIR_BOUND_S + 5.0)
 
@@ -48,7 +48,7 @@
         # too few machines remain, so the next owner has to wait until hold_s has passed
         await region.kill(region.owner())
         for agent in list(region.agents.values())[:25]:
-            agent.dead = True
+            agent.is_dead = True
         body: dict[str, Any] = {"members": 22, "replicas": 1, "image": "weights", "image_gb": 1}
         body |= {"cpus": 1, "gpus": 0, "memory_gb": 1, "priority": 9}
         assert (await region.operate("PUT", "replica-sets/second", body))[0] == 201
@@ -70,7 +70,7 @@
         await region.wait_until(lambda: len(region.agents_of("large/0")) > 0)
         await region.kill(region.owner())
         for agent in list(region.agents.values())[-5:]:
-            agent.dead = True
+            agent.is_dead = True
         await region.wait_until(lambda: region.phase("large/0") == "pending", 40.0)
         await curio.sleep(5.0)
         assert not region.agents_of("large/0")
--- a/tests/test_multihost_serving_safety.py
+++ b/tests/test_multihost_serving_safety.py
@@ -14,7 +14,7 @@
 DEATH_DELAYS_S = (0.0, 0.2, 0.4, 0.6, 0.8)
 
 
-def _violations_after_death(death_delay_s: float, lease_from_receipt: bool) -> list[str]:
+def _violations_after_death(death_delay_s: float, counts_lease_from_receipt: bool) -> list[str]:
     """Return the violations when a member dies the given time after its heartbeat.
 
     Responses to the front member and to its pings are slow.
@@ -25,14 +25,14 @@
         await region.declare("chat", members=3, image_gb=0.0)
         await region.until_serving("chat/0")
         front, victim, _ = region.agents_of("chat/0")
-        front.lease_from_receipt = lease_from_receipt
+        front.counts_lease_from_receipt = counts_lease_from_receipt
         region.response_delay_s = lambda agent: 1.8 if agent is front else 0.0
         region.ping_response_delay_s = 1.8
         await curio.sleep(10.0)
         sent = victim.sequence
         await region.wait_until(lambda: victim.sequence > sent)
         await curio.sleep(death_delay_s)
-        victim.dead = True
+        victim.is_dead = True
         await curio.sleep(SETTINGS.serving_lease_s + 3.0)
 
     return simulate_multihost(scenario, check_invariants=False).checker.violations
@@ -118,7 +118,7 @@
         for peer in front.members["chat/0"].peers:
             front.members["chat/0"].peer_alive_at[peer.rank] = front.now() + 1000.0
         delayed = [victim.heartbeat() for _ in range(4)]
-        victim.dead = True
+        victim.is_dead = True
         for heartbeat in delayed:
             await curio.sleep(1.5)
             _deliver_after_death(region, heartbeat)
--- a/tests/test_partition_keepalive.py
+++ b/tests/test_partition_keepalive.py
@@ -215,7 +215,7 @@
         view = owner.heartbeats.find_view("s-0")
         assert view is not None
         partition.isolate_zone()
-        state.down = True
+        state.is_down = True
         for seq in range(3, 50):
             clock.time += 0.5
             await owner.controller_lease.step()
--- a/tests/test_pipelines_under_faults.py
+++ b/tests/test_pipelines_under_faults.py
@@ -59,9 +59,9 @@
 
 async def _poll_random_jobs(region: Region, rng: random.Random) -> None:
     while True:
-        known = [job for job in region.checker.jobs if region.is_accepted(job)]
-        if known and region.nodes:
-            await region.query_job(rng.choice(list(region.nodes)), rng.choice(known))
+        accepted_jobs = [job for job in region.checker.jobs if region.is_accepted(job)]
+        if accepted_jobs and region.nodes:
+            await region.query_job(rng.choice(list(region.nodes)), rng.choice(accepted_jobs))
         await curio.sleep(0.2)
 
 
--- a/tests/test_random_faults_at_limits.py
+++ b/tests/test_random_faults_at_limits.py
@@ -76,9 +76,9 @@
 
 async def _poll_jobs(region: Region, rng: random.Random) -> None:
     while True:
-        known = [job for job in region.checker.jobs if region.is_accepted(job)]
-        if known and region.nodes:
-            await region.query_job(rng.choice(list(region.nodes)), rng.choice(known[-30:]))
+        accepted_jobs = [job for job in region.checker.jobs if region.is_accepted(job)]
+        if accepted_jobs and region.nodes:
+            await region.query_job(rng.choice(list(region.nodes)), rng.choice(accepted_jobs[-30:]))
         await curio.sleep(0.2)
 
 
--- a/tests/test_recovery_failures.py
+++ b/tests/test_recovery_failures.py
@@ -50,7 +50,7 @@
 
 
 def _make_unavailable(region: RecoveryRegion) -> None:
-    region.state.down = True
+    region.state.is_down = True
 
 
 def _make_slow(region: RecoveryRegion) -> None:
@@ -63,7 +63,7 @@
 
 
 def _repair(region: RecoveryRegion) -> None:
-    region.state.down = False
+    region.state.is_down = False
     region.state_delay_s = 0.0
     region.reconnect()
 
--- a/tests/test_recovery_service.py
+++ b/tests/test_recovery_service.py
@@ -144,7 +144,7 @@
         state: StateService, clock: FakeClock, nodes: dict[str, SteppedController]
     ) -> None:
         api = await _api(state, clock, nodes)
-        state.down = True
+        state.is_down = True
         response = await api.handle(Request(method, path, body))
         assert response.status == 503
         assert response.retry_after_s is not None
--- a/tests/test_request_heads.py
+++ b/tests/test_request_heads.py
@@ -27,12 +27,12 @@
 def test_a_cached_head_matches_complete_requests_only() -> None:
     heads = RequestHeadCache(max_heads=8)
     heads.add(POST, _parsed(POST))
-    known = RequestHead("POST", "/agent/beat", len(BODY))
+    expected = RequestHead("POST", "/agent/beat", len(BODY))
     other = POST[:-7] + b'{"b":2}'
-    assert heads.find(POST) == known
-    assert known.body_in(POST) == BODY
-    assert heads.find(other) == known
-    assert known.body_in(other) == b'{"b":2}'
+    assert heads.find(POST) == expected
+    assert expected.body_in(POST) == BODY
+    assert heads.find(other) == expected
+    assert expected.body_in(other) == b'{"b":2}'
     # a body cut short, a second request behind the first, and another head
     assert heads.find(POST[:-1]) is None
     assert heads.find(POST + POST) is None
--- a/tests/test_unanswered_requests.py
+++ b/tests/test_unanswered_requests.py
@@ -21,8 +21,8 @@
         node = SteppedController(state, clock, nodes)
         await node.boot()
         state.scripted_faults["/txn"] = ["lose"]
-        mine = WriteIntent(Txn({"cm/x": 0}, [Put("cm/x", {"a": 1.0})]))
-        assert await node.writer.commit(mine) == WriteResult.OK
+        intent = WriteIntent(Txn({"cm/x": 0}, [Put("cm/x", {"a": 1.0})]))
+        assert await node.writer.commit(intent) == WriteResult.OK
         assert state.received_requests.count(("GET", "/keys/cm/x")) == 1
         state.scripted_faults["/txn"] = ["drop"]
         other = WriteIntent(Txn({"cm/y": 0}, [Put("cm/y", {"a": 1})]))
@@ -42,13 +42,13 @@
     async def scenario(state: StateService, clock: FakeClock, nodes: Nodes) -> None:
         node = SteppedController(state, clock, nodes)
         await node.boot()
-        mine = WriteIntent(Txn({"cm/x": 0}, [Put("cm/x", {"a": 1})]))
+        intent = WriteIntent(Txn({"cm/x": 0}, [Put("cm/x", {"a": 1})]))
         state.scripted_faults["/txn"] = ["lose"]
-        await node.writer.submit(mine)
+        await node.writer.submit(intent)
         while not state.keys.get("cm/x"):
             await curio.sleep(0)
         state.put("cm/x", {"a": 2})
-        await mine.future.wait()
+        await intent.future.wait()
         assert node.mirror.value("cm/x") == {"a": 2}
 
     run_scenario(scenario)
--- a/tests/trace_adapter.py
+++ b/tests/trace_adapter.py
@@ -141,15 +141,15 @@
 
     def set_state_outage(self, is_down: bool) -> None:
         """Start or end an outage in which the state service refuses all requests."""
-        self._region.state.down = is_down
+        self._region.state.is_down = is_down
 
     def refuse_controller(self, controller: str) -> None:
         """Make the state service refuse all requests of one controller."""
         self._region.refused_requests[controller] = every_request
 
-    def lose_responses(self, number: int, executes_at_once: bool, for_s: float) -> None:
+    def lose_responses(self, number: int, executes_immediately: bool, for_s: float) -> None:
         """Leave every `number`th transaction unanswered; it is executed immediately or late."""
-        lose_responses(number, self._region, 2.0, executes_at_once, for_s)
+        lose_responses(number, self._region, 2.0, executes_immediately, for_s)
 
     def delay_state(self, delay_s: float) -> None:
         """Delay all requests to the state service."""
@@ -161,7 +161,7 @@
 
     def set_cloud_outage(self, is_down: bool) -> None:
         """Start or end an outage in which the cloud refuses all requests."""
-        self._region.cloud.down = is_down
+        self._region.cloud.is_down = is_down
 
     def fail_rentals(self, rentals: int) -> None:
         """Make the next rentals fail for lack of capacity."""
@@ -174,7 +174,7 @@
         """
         clear_faults(self._region)
         self._region.frozen_until.clear()
-        self._region.cloud.down = False
+        self._region.cloud.is_down = False
 
     # -- workers ---------------------------------------------------------------------
 
@@ -349,7 +349,7 @@
         return self._region.is_steady()
 
     async def approve_all(self, controller: str) -> int:
-        """Approve, as an operator, all changes that open circuit breakers hold back.
+        """Approve, as an operator, all changes that open circuit breakers block.
 
         Returns:
             The number of approvals.
