--- a/crossmill/app.py
+++ b/crossmill/app.py
@@ -106,8 +106,8 @@
     def _build_recovery(self, recovery: "RecoverySettings") -> "RecoveryApi":
         """Create the recovery subsystem.
 
-        After a shard is acquired, it delays actions on tasks and machines whose stored state
-        and heartbeats differ, so it must exist before the first heartbeat is handled.
+        After a shard is acquired, recovery delays actions on tasks and machines whose stored state
+        and heartbeats differ. It must therefore exist before the first heartbeat is handled.
         """
         from .recovery.api import RecoveryApi
         from .recovery.context import RecoveryContext
--- a/crossmill/cluster/cancellation_announcement.py
+++ b/crossmill/cluster/cancellation_announcement.py
@@ -75,7 +75,7 @@
         return preconditions if len(notified) == len(labels) else None
 
     def _is_announcement_unneeded(self) -> bool:
-        """Return whether tasks end in time even if workers are kept alive as long as possible."""
+        """Return whether tasks end by the deadline even with the longest possible keepalive."""
         return self._max_run_after_sync_s() <= self._settings.cancellation_deadline_s
 
     def _max_run_after_sync_s(self) -> float:
@@ -91,7 +91,7 @@
         )
 
     def has_been_absent_long_enough(self, label: str) -> bool:
-        """Return whether all tasks that the controller may have kept alive end in time.
+        """Return whether all tasks that the controller may have kept alive end by the deadline.
 
         This is the case once the controller has been absent for so long that they end within the
         cancellation deadline without a command.
--- a/crossmill/cluster/lease_expiry_proof.py
+++ b/crossmill/cluster/lease_expiry_proof.py
@@ -124,7 +124,7 @@
 
         Args:
             machine: The worker's machine.
-            last_response_at: When this controller last responded to the worker.
+            last_response_at: The time at which this controller last responded to the worker.
 
         Returns:
             The required key versions by key, or None if the lease may not have expired.
--- a/crossmill/cluster/lease_extensions.py
+++ b/crossmill/cluster/lease_extensions.py
@@ -141,7 +141,7 @@
 
         This controller does not learn of jobs that are cancelled through other controllers during
         the outage. Extensions are therefore used for at most `max_lease_extension_s`, so that the
-        tasks of such jobs still end in time (`cancel_s` in PROTOCOL).
+        tasks of such jobs still end within the cancellation deadline (`cancel_s` in PROTOCOL).
         """
         since, now = self._failing_since, self._clock.now()
         if since is None or now - since > self._settings.max_lease_extension_s:
--- a/crossmill/cluster/membership.py
+++ b/crossmill/cluster/membership.py
@@ -89,7 +89,7 @@
         self._controller_lease = state.controller_lease
         self._shards = shards
         self._lease_extensions = lease_extensions
-        # owned shards by number, including those that this controller may not act for now
+        # owned shards by number, including those that this controller currently may not act for
         self.ownerships = shards.ownerships
         self.reachability = WorkerReachability(settings, clock, self._cluster)
         self.owner_selection = OwnerSelection(settings, clock, self._cluster)
@@ -129,7 +129,7 @@
         The authority requires the controller lease or extensions granted by all peers. In both
         cases it ends `max_lease_extension_s` after the mirrored state was last known to be current.
         If a job's cancellation is confirmed right after that moment, the workers' leases expire
-        early enough for the job's tasks to end in time.
+        early enough for the job's tasks to end within the cancellation deadline.
         """
         ownership = self._ready_ownership(shard)
         if ownership is None:
--- a/crossmill/cluster/ownership.py
+++ b/crossmill/cluster/ownership.py
@@ -21,7 +21,7 @@
     Attributes:
         token: The current fencing token.
         version: The version of the shard's key.
-        acquired_at: When the ownership began, on the monotonic clock.
+        acquired_at: The monotonic time at which the ownership began.
         epoch: The lease epoch in which the shard was acquired.
         term: The token under which the ownership began. It does not change when the token is
             raised. Results obtained under another term are invalid.
--- a/crossmill/fleet/forecast.py
+++ b/crossmill/fleet/forecast.py
@@ -161,7 +161,7 @@
     def unplaced_demands(self, shard: int, wall_time: float) -> list[TaskDemand]:
         """Return the demand that has waited for a while and has no capacity in the shard.
 
-        Booting machines and slots that running tasks will free in time count as capacity.
+        Booting machines and slots that running tasks will free early enough count as capacity.
         """
         ready_before = wall_time - self._settings.machine_transfer_interval_s
         active = self._cluster.jobs.active[shard].values()
--- a/crossmill/fleet/provisioner.py
+++ b/crossmill/fleet/provisioner.py
@@ -2,8 +2,8 @@
 
 `FleetProvisioner.run` is one of the controller's loops. It rents the machines that the demand
 forecast requests, returns the machines that are marked as retiring, and reconciles the machine
-records with the cloud's list. It keeps in memory which machines it has recently seen in the list or
-released; `MachineRecords` writes the durable state.
+records with the cloud's list. It keeps the machines recently listed or released in memory;
+`MachineRecords` writes the durable state.
 """
 
 import logging
@@ -30,7 +30,7 @@
 RELEASED_MEMORY_LEASES = 60
 # a machine without a record is adopted after it was listed this many times
 ADOPTION_LISTINGS = 2
-# and its age must exceed a worker lease plus this many times the list's lag
+# a machine's age at its adoption must exceed a worker lease plus this many times the list's lag
 ADOPTION_LIST_LAGS = 3
 
 
--- a/crossmill/jobs/placement.py
+++ b/crossmill/jobs/placement.py
@@ -105,8 +105,6 @@
         start = next((i for i, job in enumerate(queue) if job.id == resume_at), 0)
         return queue[start:] + queue[:start]
 
-    # -- machines --------------------------------------------------------------------
-
     def _is_schedulable(self, machine: Machine, now: float) -> bool:
         """Return whether tasks may be placed on the machine."""
         view = self._heartbeats.find_view(machine.id)
@@ -131,8 +129,6 @@
         ]
         return self._forecast.capacity.cached_capacities(self._capacity_cache, schedulable)
 
-    # -- jobs ------------------------------------------------------------------------
-
     def _place_job(
         self, job: Job, spec: JobSpec, capacities: list[FreeCapacity], edits: PlanEdits
     ) -> None:
@@ -177,8 +173,6 @@
                 tasks = min(tasks, int((limit - used + LIMIT_TOLERANCE) / per_task))
         return max(0, tasks)
 
-    # -- tasks -----------------------------------------------------------------------
-
     def _waiting_tasks(self, job: Job, spec: JobSpec) -> list[int]:
         """Return a bounded list of the lowest indexes of tasks without an attempt or a result."""
         layout = self._cluster.layout
--- a/crossmill/jobs/scheduling_loop.py
+++ b/crossmill/jobs/scheduling_loop.py
@@ -100,8 +100,8 @@
     async def run(self) -> None:
         """Run rounds for all shards that this controller owns, until cancelled.
 
-        The next rounds begin when something has changed or half a heartbeat interval has passed,
-        and without waiting for either if a round exceeded its time budget.
+        The next rounds begin when something has changed or half a heartbeat interval has passed. If
+        a round exceeded its time budget, they begin without waiting for either.
         """
         while True:
             if not self._placement.has_unfinished_round:
@@ -149,8 +149,8 @@
     ) -> list[PlannedAttempt]:
         """Add starts to `edits`, and return the attempts to be stopped.
 
-        Machines for other shards are chosen before tasks are placed: a start planned on such a
-        machine in the same round would move with it to a shard that does not know the job.
+        Machines to transfer to other shards are chosen before tasks are placed: a start planned on
+        such a machine in the same round would move with it to a shard that does not know the job.
         """
         gate = self._heartbeats.gate
         if gate is not None and not gate.may_place(shard):
@@ -203,7 +203,8 @@
     async def _clean_up(self, shard: int, ownership: ShardOwnership) -> bool:
         """Submit the due writes for ended jobs, once all earlier ones are settled.
 
-        Returns whether there was anything to write.
+        Returns:
+            Whether there was anything to write.
         """
         if not all(intent.future.is_settled for intent in self._cleanup_writes.get(shard, ())):
             return False
--- a/crossmill/multihost/api.py
+++ b/crossmill/multihost/api.py
@@ -1,8 +1,8 @@
 """The operators' API: declares replica sets, shows replicas, drains and releases machines.
 
-The service calls `OperatorApi`, which has no state of its own. Any controller serves reads and
-accepts declarations. To requests that only the pool's owner can serve, the other controllers
-respond with 421 and the owner's label.
+The service calls `OperatorApi`, which is stateless. Any controller serves reads and accepts
+declarations. To requests that only the pool's owner can serve, the other controllers respond with
+421 and the owner's label.
 """
 
 from collections.abc import Awaitable, Callable
--- a/crossmill/multihost/candidates.py
+++ b/crossmill/multihost/candidates.py
@@ -1,7 +1,7 @@
 """Finds the machines of the pool that can run more members, and the free resources of each.
 
 The scheduler calls `CandidateFinder` once per pass while a replica waits for machines. The finder
-has no state of its own.
+is stateless.
 """
 
 from collections.abc import Iterator
--- a/crossmill/multihost/coordinator.py
+++ b/crossmill/multihost/coordinator.py
@@ -29,7 +29,7 @@
 # maximum number of passes in a heartbeat interval
 MAX_PASSES_PER_HEARTBEAT = 20
 # minimum number of passes in a heartbeat interval while agents report, so that an overdue heartbeat
-# is detected in time
+# is detected soon
 MIN_PASSES_PER_HEARTBEAT = 2
 
 
@@ -66,8 +66,6 @@
         """The number of times that a replica was examined since the process started."""
         return self._replicas.examined_count
 
-    # -- the loop --------------------------------------------------------------------
-
     async def wake_if_changed(self) -> None:
         """Start the next pass early if something has changed."""
         if self._pool.has_changes:
@@ -98,8 +96,6 @@
             return longest_s
         return max(0.0, min(longest_s, due_at - self._clock.now()))
 
-    # -- the ownership ---------------------------------------------------------------
-
     def _on_ownership_lost(self) -> None:
         """Discard all state of agents and replicas that is not in their records."""
         self._term = None
@@ -125,8 +121,6 @@
             len(self._pool.replicas),
         )
 
-    # -- one pass --------------------------------------------------------------------
-
     async def reconcile(self, ownership: ShardOwnership) -> None:
         """Run one pass: carry out the next step of everything that has changed or is due."""
         if self._term != ownership.term:
--- a/crossmill/multihost/heartbeats.py
+++ b/crossmill/multihost/heartbeats.py
@@ -1,7 +1,7 @@
 """Handles agents' heartbeats on the controller that owns the pool.
 
 The service calls `AgentHeartbeatHandler` for each heartbeat. The handler applies the heartbeat to
-the agents' views and responds with orders and a proof of liveness. It has no state of its own.
+the agents' views and responds with orders and a proof of liveness. The handler is stateless.
 """
 
 from typing import NamedTuple
--- a/crossmill/multihost/orders.py
+++ b/crossmill/multihost/orders.py
@@ -1,7 +1,7 @@
 """Plans orders to agents by comparing their reports with the durable plan.
 
-The heartbeat handler calls `OrderPlanner`, which has no state of its own. Orders are idempotent and
-are sent only in responses to heartbeats; an agent drops a response that arrives late.
+The heartbeat handler calls `OrderPlanner`, which is stateless. Orders are idempotent and are sent
+only in responses to heartbeats; an agent drops a response that arrives late.
 """
 
 from typing import NamedTuple
@@ -56,8 +56,6 @@
         self._agents = context.agents
         self._leases = context.leases
 
-    # -- starting and stopping -------------------------------------------------------
-
     def member_orders(self, heartbeat: AgentHeartbeat, view: AgentView) -> list[Order]:
         """Return the orders that stop and start members so that the machine matches the plan."""
         planned = self._planned(heartbeat.machine)
@@ -120,8 +118,6 @@
             lease_s=self._settings.serving_lease_s,
         )
 
-    # -- serving ---------------------------------------------------------------------
-
     def serving_orders(self, view: AgentView, now: float) -> list[Order]:
         """Grant leases to the machine's front members and return the orders that contain them."""
         orders: list[Order] = []
--- a/crossmill/multihost/placement_executor.py
+++ b/crossmill/multihost/placement_executor.py
@@ -1,7 +1,7 @@
 """Carries out the scheduler's choices: reserves machines and marks preempted replicas.
 
 The coordinator calls `PlacementExecutor` at the end of each pass. Choices are carried out one after
-the other, in the order of the queue. The executor has no state of its own.
+the other, in the order of the queue. The executor is stateless.
 """
 
 import logging
--- a/crossmill/multihost/pool_ownership.py
+++ b/crossmill/multihost/pool_ownership.py
@@ -1,6 +1,6 @@
 """Ownership of the pool: the owner of the pool's shard manages all multi-machine replicas.
 
-`PoolOwnership` applies the controllers' membership to this one shard. It has no state of its own.
+`PoolOwnership` applies the controllers' membership to this one shard. It is stateless.
 """
 
 from collections.abc import Callable
--- a/crossmill/multihost/set_reconciler.py
+++ b/crossmill/multihost/set_reconciler.py
@@ -1,7 +1,7 @@
 """Reconciles replica sets: creates replicas and marks others as stopping.
 
 The coordinator calls `SetReconciler` in each pass, the placement executor calls it for preemption.
-The reconciler has no state of its own.
+The reconciler is stateless.
 """
 
 import logging
--- a/crossmill/multihost/writes.py
+++ b/crossmill/multihost/writes.py
@@ -88,8 +88,6 @@
         self.transactions += 1
         return self._ownership.write_intent(ownership, rank, txn)
 
-    # -- replicas --------------------------------------------------------------------
-
     def transition(
         self, ownership: ShardOwnership, replica: Replica, after: Replica
     ) -> WriteIntent:
@@ -130,8 +128,6 @@
                 return False
         return True
 
-    # -- sets ------------------------------------------------------------------------
-
     def creation(
         self, ownership: ShardOwnership, replica_set: ReplicaSet, count: int, wall_time: float
     ) -> WriteIntent:
@@ -161,8 +157,6 @@
             ownership, WriteRank.PLACEMENT, Txn({key: replica_set.version}, [], [key])
         )
 
-    # -- machines --------------------------------------------------------------------
-
     def deletion_of_machine(self, ownership: ShardOwnership, machine_id: str) -> WriteIntent:
         """Return the write that deletes the pool record of a machine returned to the cloud.
 
--- a/crossmill/planning/demand.py
+++ b/crossmill/planning/demand.py
@@ -41,7 +41,8 @@
         zones: Number of these tasks that each zone may get.
         budget_s: Seconds until the job's budget ends; infinite without a deadline.
         task_s: Expected run time of a task in seconds; 0 if it does not affect the plan.
-        covered_by_running: Number of the tasks that can use slots that running tasks free in time.
+        covered_by_running: Number of the tasks that can use slots that running tasks free early
+            enough.
         is_spot_only: Whether only spot machines are requested for the tasks.
     """
 
--- a/crossmill/recovery/api.py
+++ b/crossmill/recovery/api.py
@@ -50,7 +50,7 @@
         return Response(404, error_body("no such path"))
 
     async def _sync_state(self) -> bool:
-        """Synchronize with the state service; return False if it does not respond in time."""
+        """Synchronize with the state service; return False after a timeout."""
         return await self._watcher.sync(self._settings.submission_timeout_s)
 
     async def _show(self) -> Response:
--- a/crossmill/recovery/pacing.py
+++ b/crossmill/recovery/pacing.py
@@ -41,9 +41,9 @@
 class MachineBatches:
     """Divides the machines with differences into batches, each twice as large as the one before.
 
-    The machines of a batch that are not resolved in time are postponed until all other machines
-    have been in a batch, and the next batch has the initial size again. So a systematic fault shows
-    on few machines before it affects many.
+    The machines of a batch that are not resolved before the timeout are postponed until all other
+    machines have been in a batch, and the next batch has the initial size again. So a systematic
+    fault shows on few machines before it affects many.
     """
 
     def __init__(self, clock: Clock, initial_size: int, timeout_s: float) -> None:
@@ -86,7 +86,7 @@
 
 
 def count_batches(machine_count: int, initial_size: int) -> int:
-    """Return the number of batches for the machines if each batch is resolved in time."""
+    """Return the number of batches for the machines if no batch times out."""
     batches, size = 0, initial_size
     while machine_count > 0:
         machine_count -= size
--- a/crossmill/recovery/service.py
+++ b/crossmill/recovery/service.py
@@ -161,7 +161,7 @@
         )
 
     async def _store_breaker(self, recovery: ShardRecovery, ownership: ShardOwnership) -> None:
-        """Store an open breaker's report, which any controller can show; delete it when closed."""
+        """Store an open breaker's report, which any controller can show; delete a closed one's."""
         shard = recovery.shard
         key = keys.breaker(shard)
         stored = self._mirror.value(key)
--- a/crossmill/recovery/unresolved_differences.py
+++ b/crossmill/recovery/unresolved_differences.py
@@ -111,8 +111,6 @@
             self._counted.discard(difference)
             self._actions[difference.rule.action] -= 1
 
-    # -- evidence --------------------------------------------------------------------
-
     def needs_read(self, last_read_sent_at: float | None) -> bool:
         """Return whether an order waits for a read sent after its difference was first reported."""
         return any(
@@ -131,8 +129,6 @@
         """Return whether any machine runs the task although no plan contains it."""
         return self._running_unplanned[key] > 0
 
-    # -- circuit breaker -------------------------------------------------------------
-
     def mark_ordered(self, difference: Difference) -> None:
         """Record that an order was sent, so that the breaker keeps counting the difference."""
         self._ordered.add(difference)
--- a/crossmill/settings/timing.py
+++ b/crossmill/settings/timing.py
@@ -36,8 +36,9 @@
     def max_lease_extension_s(self) -> float:
         """The maximum time a controller responds to workers under lease extensions alone.
 
-        A cancellation that the controller can't read must still stop the job's tasks in time, at
-        the latest when the workers' leases expire. 10% of the deadline is a reserve.
+        A cancellation that the controller can't read must still stop the job's tasks within the
+        cancellation deadline, at the latest when the workers' leases expire. 10% of the deadline is
+        a reserve.
         """
         return max(
             0.0,
--- a/crossmill/workers/command_sender.py
+++ b/crossmill/workers/command_sender.py
@@ -74,8 +74,8 @@
         """Send the starts of durable plans, and stops, without waiting for the responses.
 
         Above the limit of connections nothing is sent: the response to the worker's next heartbeat
-        contains the same commands. Stops are not recorded, as a late stop only ends an attempt that
-        is to be stopped anyway.
+        contains the same commands. Stops are not recorded, as a late stop can only end an
+        attempt that is to be stopped in any case.
         """
         by_machine: dict[str, MachineCommands] = {}
         for attempt in starts:
--- a/crossmill/workers/heartbeat_handler.py
+++ b/crossmill/workers/heartbeat_handler.py
@@ -1,9 +1,10 @@
 """The handling of workers' heartbeats: authority, responses and commands.
 
-The owner of the machine's shard responds to a heartbeat with commands. A controller of a
+The owner of the machine's shard responds to a heartbeat with commands. A controller in a
 partitioned zone may only keep the worker alive. Any other controller redirects the worker. The
-commands result from the reconciliation of the worker's status with the plan. They are sent only in
-responses (and by `CommandSender`): the worker discards a late response.
+commands result from the reconciliation of the worker's status with the plan. The handler sends them
+only in responses, since the worker discards a late response. `CommandSender` also sends starts and
+stops directly.
 
 The handler owns the views of all workers that have sent a heartbeat to this controller. The
 application calls it for each heartbeat. The scheduling loop and the machine maintenance read the
@@ -114,7 +115,7 @@
         """Return the view of a machine, creating it if the machine is new or has returned.
 
         An earlier owner may have responded to the worker until this controller took over, so a new
-        view takes the current time as the time of the last response.
+        view has the current time as that of the last response.
         """
         view = self._views.get(machine.id)
         if view is None or view.machine_token != machine.token:
@@ -196,7 +197,7 @@
                 return self._redirect()
             return self._redirect(shard_owner.owner)
         # This response renews the worker's lease. The view must record it, because an owner that
-        # keeps a worker alive for its zone may regain its authority under the same lease.
+        # keeps a worker alive in a partitioned zone may regain its authority under the same lease.
         view = self._views.get(machine.id)
         if view is not None:
             view.last_response_at = self._clock.now()
--- a/tests/invariant_checker.py
+++ b/tests/invariant_checker.py
@@ -25,12 +25,13 @@
 
     Attributes:
         spec: The fields of the submission's body.
-        run_s: How long each task runs, in seconds; None for a service.
-        submitted: When the job was registered.
-        accepted: When a response first confirmed the submission or reported the job's state.
+        run_s: The run time of each task, in seconds; None for a service.
+        submitted: The time at which the job was registered.
+        accepted: The time at which a response first confirmed the submission or reported the job's
+            state.
         is_cancellation_requested: Whether a user requested the cancellation.
-        cancelled: When a response first reported the job as cancelled.
-        done: When a response first reported the job as done.
+        cancelled: The time at which a response first reported the job as cancelled.
+        done: The time at which a response first reported the job as done.
         finished: The indexes of the tasks that are done.
     """
 
--- a/tests/measure_multihost.py
+++ b/tests/measure_multihost.py
@@ -55,12 +55,13 @@
         failure: The kind of failure, a key of `FAILURES`.
         members: The number of the replica's members.
         seed: The seed of the random choices.
-        last_answer_s: When the front member of the old generation last served; 0 if it did not.
-        noticed_s: When the replica's next generation began.
-        placed_s: When the new generation was placed.
-        ready_s: When the new generation was ready.
-        serving_s: When the replica served again with all its members.
-        wrong_s: How long the front member served while another member was missing.
+        last_answer_s: The time at which the front member of the old generation last served; 0 if it
+            did not.
+        noticed_s: The time at which the replica's next generation began.
+        placed_s: The time at which the new generation was placed.
+        ready_s: The time at which the new generation was ready.
+        serving_s: The time at which the replica served again with all its members.
+        wrong_s: The time for which the front member served while another member was missing.
     """
 
     failure: str
--- a/tests/measure_recovery.py
+++ b/tests/measure_recovery.py
@@ -207,8 +207,6 @@
     return FirstResponseTimes(first_worker, all_workers, first_user)
 
 
-# -- report ----------------------------------------------------------------------------
-
 TIMES = ("first_worker_s", "all_workers_s", "first_user_s")
 COUNTS = ("orders_to_healthy", "peak_orders_per_s", "tasks_lost", "state_reads", "state_writes")
 
--- a/tests/test_concurrent_cancellations.py
+++ b/tests/test_concurrent_cancellations.py
@@ -48,7 +48,7 @@
 def test_a_cancellation_in_an_outage_after_a_refusal_of_one_controller(
     refuses: object, refusal_s: float, peers: str
 ) -> None:
-    """A controller that is the only one refused still ends cancelled tasks in time.
+    """A controller that is the only one refused still ends cancelled tasks by the deadline.
 
     It does not learn of cancellations that other controllers confirm. While it relied on its lease
     alone, it kept the tasks indefinitely if lease renewals succeeded and reads failed.
@@ -175,7 +175,7 @@
 
 
 def test_an_isolated_leader_answers_nothing_stale_while_others_cancel() -> None:
-    """The leader, which users and workers reach, sends nothing stale and ends tasks in time."""
+    """The leader, still reached by users and workers, sends nothing stale and meets the deadline."""
 
     async def scenario(region: Region) -> None:
         await region.start_region(machines=2)
--- a/tests/test_job_records.py
+++ b/tests/test_job_records.py
@@ -70,9 +70,6 @@
     run_scenario(scenario)
 
 
-# -- archive -------------------------------------------------------------------------
-
-
 async def _boot_with_archive(
     state: StateService, clock: FakeClock, nodes: Nodes
 ) -> SteppedController:
@@ -132,9 +129,6 @@
     run_scenario(scenario)
 
 
-# -- write rate ----------------------------------------------------------------------
-
-
 @pytest.mark.parametrize(("team", "is_raised"), [("red", True), ("blue", False)])
 def test_the_owner_of_a_shard_with_running_arrays_gets_a_larger_share_of_the_write_rate(
     team: str, is_raised: bool
--- a/tests/test_worker_faults.py
+++ b/tests/test_worker_faults.py
@@ -41,7 +41,7 @@
 def test_jobs_move_away_from_a_worker_with_lost_messages(fault: str) -> None:
     """Jobs that another machine can run do not wait for a faulty machine.
 
-    Tasks on the faulty machine whose job is cancelled during the fault end in time.
+    Tasks on the faulty machine whose job is cancelled during the fault end by the deadline.
     """
 
     async def scenario(region: Region) -> None:
