--- a/tests/test_concurrent_cancellations.py
+++ b/tests/test_concurrent_cancellations.py
@@ -175,7 +175,7 @@
 
 
 def test_an_isolated_leader_answers_nothing_stale_while_others_cancel() -> None:
-    """The leader, still reached by users and workers, sends nothing stale and meets the deadline."""
+    """The leader, reached by users and workers, sends nothing stale; tasks end by the deadline."""
 
     async def scenario(region: Region) -> None:
         await region.start_region(machines=2)
