--- a/crossmill/cluster/machine_index.py
+++ b/crossmill/cluster/machine_index.py
@@ -37,19 +37,21 @@
 
     def apply(self, machine_id: str, value: Any, version: int) -> None:
         """Apply a change of a machine's record; a value of None means deleted."""
-        old = self.pop(machine_id, None)
-        if old is not None:
-            self.by_shard[old.shard].pop(machine_id, None)
+        old_machine = self.pop(machine_id, None)
+        if old_machine is not None:
+            self.by_shard[old_machine.shard].pop(machine_id, None)
         if value is None:
-            if old is not None and old.attempts:
-                self._orphaned[machine_id] = old.attempts
+            if old_machine is not None and old_machine.attempts:
+                self._orphaned[machine_id] = old_machine.attempts
             return
         machine = decode_machine(machine_id, value, version)
-        if old is not None:
-            machine.images = old.images
+        if old_machine is not None:
+            machine.images = old_machine.images
         self[machine_id] = machine
         self.by_shard[machine.shard][machine_id] = machine
-        machine.attempts = old.attempts if old else self._orphaned.pop(machine_id, {})
+        machine.attempts = (
+            old_machine.attempts if old_machine else self._orphaned.pop(machine_id, {})
+        )
         for attempt in machine.attempts.values():
             self.add_usage(self._jobs.get_or_add(attempt.job), attempt, 1)
 
--- a/crossmill/cluster/plan_index.py
+++ b/crossmill/cluster/plan_index.py
@@ -44,11 +44,11 @@
         self._jobs.update_sets(job)
         self._jobs.drop_if_empty(job)
 
-    def move_plan(self, old: Job, new: Job) -> None:
+    def move_plan(self, old_job: Job, new_job: Job) -> None:
         """Point the legacy chunks of a replaced job object to its replacement."""
-        for name in old.chunks:
-            if (old.id, name) in self.legacy_chunks:
-                self.legacy_chunks[old.id, name] = new
+        for name in old_job.chunks:
+            if (old_job.id, name) in self.legacy_chunks:
+                self.legacy_chunks[old_job.id, name] = new_job
 
     def _stage(self, job: Job, name: str, chunk: PlanChunk | None) -> None:
         """Set or remove a staged segment, which takes effect when its legacy chunk is deleted."""
@@ -69,12 +69,12 @@
             del job.staged[name]
             self._replace_chunk(job, name, chunk)
 
-    def _replace_chunk(self, job: Job, name: str, new: PlanChunk | None) -> None:
-        old = job.chunks.get(name)
-        old_attempts = old.attempts if old else {}
-        new_attempts = new.attempts if new else {}
+    def _replace_chunk(self, job: Job, name: str, new_chunk: PlanChunk | None) -> None:
+        old_chunk = job.chunks.get(name)
+        old_attempts = old_chunk.attempts if old_chunk else {}
+        new_attempts = new_chunk.attempts if new_chunk else {}
         job.planned_tasks += len(new_attempts) - len(old_attempts)
-        job.done_tasks += _done_count(new) - _done_count(old)
+        job.done_tasks += _done_count(new_chunk) - _done_count(old_chunk)
         for task, attempt in old_attempts.items():
             if new_attempts.get(task) != attempt:
                 self._machines.add_usage(job, attempt, -1)
@@ -83,10 +83,10 @@
             if old_attempts.get(task) != attempt:
                 self._machines.add_attempt(attempt)
                 self._machines.add_usage(job, attempt, 1)
-        if new is None:
+        if new_chunk is None:
             job.chunks.pop(name, None)
         else:
-            job.chunks[name] = new
+            job.chunks[name] = new_chunk
 
 
 def _done_count(chunk: PlanChunk | None) -> int:
--- a/crossmill/jobs/plan_writer.py
+++ b/crossmill/jobs/plan_writer.py
@@ -87,25 +87,27 @@
             # the chunk may exceed the new size limit; the next heartbeats prove the outcomes again,
             # and a later round places the tasks again
             return None
-        old = edit.base
+        old_chunk = edit.base
         chunk_range = self._cluster.layout.parse(edit.chunk_name)
-        new = (
-            PlanChunk(old.next_attempt_number, old.done_bitmap, dict(old.attempts))
-            if old
+        new_chunk = (
+            PlanChunk(
+                old_chunk.next_attempt_number, old_chunk.done_bitmap, dict(old_chunk.attempts)
+            )
+            if old_chunk
             else PlanChunk()
         )
         key = keys.plan(job.id, edit.chunk_name)
-        txn = Txn({key: old.version if old else 0})
-        if old is None:
+        txn = Txn({key: old_chunk.version if old_chunk else 0})
+        if old_chunk is None:
             txn.conditions.update(self._layout_conditions(job, chunk_range))
         if edit.starts:
             txn.conditions.update(self._start_conditions(edit))
-        self._apply_outcomes(edit, chunk_range, ownership, new, txn)
+        self._apply_outcomes(edit, chunk_range, ownership, new_chunk, txn)
         for attempt in edit.starts:
-            new.attempts[attempt.index] = attempt
-            new.next_attempt_number = attempt.number + 1
-        txn.puts.append(Put(key, encode_chunk(new)))
-        is_finished = spec is not None and self._is_finished(edit, spec, new)
+            new_chunk.attempts[attempt.index] = attempt
+            new_chunk.next_attempt_number = attempt.number + 1
+        txn.puts.append(Put(key, encode_chunk(new_chunk)))
+        is_finished = spec is not None and self._is_finished(edit, spec, new_chunk)
         if spec is not None and is_finished:
             txn.conditions[keys.job(job.id)] = edit.job_version
             txn.puts.append(Put(keys.job(job.id), self._encode_done(spec)))
@@ -152,7 +154,7 @@
         edit: PlanEdit,
         chunk_range: ChunkRange,
         ownership: ShardOwnership,
-        new: PlanChunk,
+        new_chunk: PlanChunk,
         txn: Txn,
     ) -> None:
         """Remove the attempts that have ended from the new chunk.
@@ -164,15 +166,17 @@
         for outcome in edit.outcomes:
             conditions = {**txn.conditions, **outcome.preconditions}
             index = outcome.attempt.index
-            is_stale = outcome.term != ownership.term or new.attempts.get(index) != outcome.attempt
+            is_stale = (
+                outcome.term != ownership.term or new_chunk.attempts.get(index) != outcome.attempt
+            )
             if is_stale or (outcome.preconditions and len(conditions) > max_conditions):
                 continue
             txn.conditions = conditions
-            del new.attempts[index]
+            del new_chunk.attempts[index]
             if outcome.reason == EndReason.DONE:
-                new.done_bitmap |= 1 << (index - chunk_range.first)
+                new_chunk.done_bitmap |= 1 << (index - chunk_range.first)
 
-    def _is_finished(self, edit: PlanEdit, spec: JobSpec, new: PlanChunk) -> bool:
+    def _is_finished(self, edit: PlanEdit, spec: JobSpec, new_chunk: PlanChunk) -> bool:
         """Return whether the new chunk completes the job's last tasks; a service never finishes."""
         job = edit.job
         if not job.is_active or spec.is_service:
@@ -182,7 +186,7 @@
             for name, chunk in job.chunks.items()
             if name != edit.chunk_name
         )
-        return new.done_bitmap.bit_count() + done_elsewhere == spec.tasks
+        return new_chunk.done_bitmap.bit_count() + done_elsewhere == spec.tasks
 
     def _encode_done(self, spec: JobSpec) -> dict[str, Any]:
         max_bytes = self._cluster.limits.max_record_bytes
--- a/crossmill/multihost/pool.py
+++ b/crossmill/multihost/pool.py
@@ -148,8 +148,8 @@
     def _on_replica(self, replica_id: ReplicaId, value: Any, version: int) -> None:
         self._changes.replicas.add(replica_id)
         self._changes.sets.add(replica_id.set_name)
-        old = self.replicas.get(replica_id)
-        chunks = old.chunks if old is not None else {}
+        old_replica = self.replicas.get(replica_id)
+        chunks = old_replica.chunks if old_replica is not None else {}
         if value is None:
             # its members' records may be deleted later: until then the members stay planned
             self._store(Replica(replica_id, chunks=chunks))
@@ -173,9 +173,9 @@
     def _on_members(self, replica_id: ReplicaId, chunk: int, value: Any, version: int) -> None:
         self._changes.replicas.add(replica_id)
         replica = self.replicas.get(replica_id) or Replica(replica_id)
-        old = replica.chunks.pop(chunk, None)
-        if old is not None:
-            self._unplan(replica_id, old)
+        old_chunk = replica.chunks.pop(chunk, None)
+        if old_chunk is not None:
+            self._unplan(replica_id, old_chunk)
         if value is not None:
             replica.chunks[chunk] = decode_chunk(value, version)
         self._store(replica)
@@ -204,13 +204,15 @@
 
     def _on_machine(self, machine_id: str, value: Any, version: int) -> None:
         self._changes.machines.add(machine_id)
-        old = self.machines.pop(machine_id, None)
+        old_machine = self.machines.pop(machine_id, None)
         if value is None:
-            if old is not None and old.planned:
-                self._members_without_machine[machine_id] = old.planned
+            if old_machine is not None and old_machine.planned:
+                self._members_without_machine[machine_id] = old_machine.planned
             return
         machine = decode_machine(machine_id, value, version)
         machine.planned = (
-            old.planned if old is not None else self._members_without_machine.pop(machine_id, {})
+            old_machine.planned
+            if old_machine is not None
+            else self._members_without_machine.pop(machine_id, {})
         )
         self.machines[machine_id] = machine
--- a/crossmill/multihost/reservations.py
+++ b/crossmill/multihost/reservations.py
@@ -148,7 +148,11 @@
     previous = {m.rank: m for m in replica.all_members()}
     members = []
     for rank, machine, session in placement.members:
-        old = previous.get(rank)
-        attempt = 1 if old is None else old.attempt + (old.machine != machine)
+        previous_member = previous.get(rank)
+        attempt = (
+            1
+            if previous_member is None
+            else previous_member.attempt + (previous_member.machine != machine)
+        )
         members.append(Member(rank, machine, session, attempt))
     return members
