--- a/crossmill/cluster/cancellation_announcement.py
+++ b/crossmill/cluster/cancellation_announcement.py
@@ -48,8 +48,8 @@
             return {}
         zones = set(zones)
         if self._settings.zone in zones:
-            # if the zone is partitioned before the write is answered, this process has no other
-            # way to learn of the cancellation
+            # if the zone is partitioned before the response to the write arrives, this process has
+            # no other way to learn of the cancellation
             self._pending.add(job_id)
         labels = [label for zone in zones for label in self._peers.labels_in_zone(zone)]
         preconditions: dict[str, int] = {}
@@ -75,7 +75,7 @@
         return preconditions if len(notified) == len(labels) else None
 
     def _is_announcement_unneeded(self) -> bool:
-        """Return whether tasks end in time even if workers are kept alive as long as possible."""
+        """Return whether tasks end by the deadline even with the longest possible keepalive."""
         return self._max_run_after_sync_s() <= self._settings.cancellation_deadline_s
 
     def _max_run_after_sync_s(self) -> float:
@@ -91,7 +91,7 @@
         )
 
     def has_been_absent_long_enough(self, label: str) -> bool:
-        """Return whether all tasks that the controller may have kept alive end in time.
+        """Return whether all tasks that the controller may have kept alive end by the deadline.
 
         This is the case once the controller has been absent for so long that they end within the
         cancellation deadline without a command.
--- a/crossmill/cluster/membership.py
+++ b/crossmill/cluster/membership.py
@@ -89,7 +89,7 @@
         self._controller_lease = state.controller_lease
         self._shards = shards
         self._lease_extensions = lease_extensions
-        # owned shards by number, including those that this controller may not act for now
+        # owned shards by number, including those that this controller currently may not act for
         self.ownerships = shards.ownerships
         self.reachability = WorkerReachability(settings, clock, self._cluster)
         self.owner_selection = OwnerSelection(settings, clock, self._cluster)
@@ -124,12 +124,12 @@
         return ownership if is_current else None
 
     def heartbeat_authority(self, shard: int) -> HeartbeatAuthority | None:
-        """Return the authority to answer heartbeats of the shard's workers, or None.
+        """Return the authority to respond to heartbeats of the shard's workers, or None.
 
         The authority requires the controller lease or extensions granted by all peers. In both
         cases it ends `max_lease_extension_s` after the mirrored state was last known to be current.
         If a job's cancellation is confirmed right after that moment, the workers' leases expire
-        early enough for the job's tasks to end in time.
+        early enough for the job's tasks to end within the cancellation deadline.
         """
         ownership = self._ready_ownership(shard)
         if ownership is None:
@@ -155,7 +155,7 @@
 
     def _ready_ownership(self, shard: int) -> ShardOwnership | None:
         ownership = self.ownerships.get(shard)
-        if ownership is None or not ownership.ready:
+        if ownership is None or not ownership.is_ready:
             return None
         return ownership if ownership.epoch == self._controller_lease.epoch else None
 
@@ -222,7 +222,7 @@
 
         The controller first publishes in its record that it is unreachable by workers. Until a new
         owner acts for the shards, the other controllers then continue to redirect workers here;
-        without any controller to answer them, the workers' leases would expire.
+        without any controller to respond, the workers' leases would expire.
         """
         ownerships = dict(self.ownerships)
         if not self._has_reachable_peer():
@@ -268,8 +268,8 @@
     async def _mark_ready(self) -> None:
         """Mark new ownerships as ready once all writes of earlier owners have been read."""
         for shard, ownership in list(self.ownerships.items()):
-            if not ownership.ready and await self.ownership_writer.sync():
-                ownership.ready = True
+            if not ownership.is_ready and await self.ownership_writer.sync():
+                ownership.is_ready = True
                 log.info("shard ready shard=%d token=%d", shard, ownership.token)
 
     async def _release_misplaced(self) -> None:
--- a/crossmill/cluster/ownership.py
+++ b/crossmill/cluster/ownership.py
@@ -1,4 +1,4 @@
-"""The shards that this controller owns, and the authority to answer their workers.
+"""The shards that this controller owns, and the authority to respond to their workers.
 
 `ShardAcquisition` modifies the ownerships, `Membership` makes them available to code that acts for
 a shard, and `LeaseExtensions` reports the owned shards to peers.
@@ -21,11 +21,11 @@
     Attributes:
         token: The current fencing token.
         version: The version of the shard's key.
-        acquired_at: When the ownership began, on the monotonic clock.
+        acquired_at: The monotonic time at which the ownership began.
         epoch: The lease epoch in which the shard was acquired.
         term: The token under which the ownership began. It does not change when the token is
             raised. Results obtained under another term are invalid.
-        ready: Whether all writes of earlier owners have been read.
+        is_ready: Whether all writes of earlier owners have been read.
     """
 
     token: int
@@ -33,11 +33,11 @@
     acquired_at: float
     epoch: int
     term: int
-    ready: bool = False
+    is_ready: bool = False
 
 
 class HeartbeatAuthority(NamedTuple):
-    """The authority to answer heartbeats of a shard's workers.
+    """The authority to respond to heartbeats of a shard's workers.
 
     Without `may_command` the controller only renews the workers' leases: it starts no tasks, and
     stops only tasks of jobs that have ended.
--- a/crossmill/fleet/arrivals.py
+++ b/crossmill/fleet/arrivals.py
@@ -20,7 +20,7 @@
 
 
 class _Arrival:
-    """A submission: its wall time, number of tasks and their total estimated run time."""
+    """A submission: its wall-clock time, number of tasks and their total estimated run time."""
 
     __slots__ = ("submitted_at", "tasks", "work_s")
 
@@ -122,6 +122,6 @@
                 # that the cheapest machines are kept
                 generic = replace(spec, image="", image_gb=0.0, one_zone=False, tasks=number)
                 demand = TaskDemand(generic, number, ZoneAllowance(generic, {}))
-                demand.spot_only = True
+                demand.is_spot_only = True
                 demands.append(demand)
         return demands
--- a/crossmill/workers/heartbeat_handler.py
+++ b/crossmill/workers/heartbeat_handler.py
@@ -1,9 +1,10 @@
 """The handling of workers' heartbeats: authority, responses and commands.
 
-The owner of the machine's shard responds to a heartbeat with commands. A controller of a
+The owner of the machine's shard responds to a heartbeat with commands. A controller in a
 partitioned zone may only keep the worker alive. Any other controller redirects the worker. The
-commands result from the reconciliation of the worker's status with the plan. They are sent only in
-responses (and by `CommandSender`): the worker discards a late response.
+commands result from the reconciliation of the worker's status with the plan. The handler sends them
+only in responses, since the worker discards a late response. `CommandSender` also sends starts and
+stops directly.
 
 The handler owns the views of all workers that have sent a heartbeat to this controller. The
 application calls it for each heartbeat. The scheduling loop and the machine maintenance read the
@@ -114,7 +115,7 @@
         """Return the view of a machine, creating it if the machine is new or has returned.
 
         An earlier owner may have responded to the worker until this controller took over, so a new
-        view takes the current time as the time of the last response.
+        view has the current time as that of the last response.
         """
         view = self._views.get(machine.id)
         if view is None or view.machine_token != machine.token:
@@ -158,8 +159,8 @@
         verdict = view.apply_heartbeat(heartbeat, token, self._clock.now())
         if verdict is HeartbeatVerdict.STALE:
             return HeartbeatResponse(HttpStatus.OK, token)
-        view.answered_at = self._clock.now()
-        view.has_been_answered = True
+        view.last_response_at = self._clock.now()
+        view.has_been_sent_response = True
         if verdict is HeartbeatVerdict.UNCONFIRMED_TOKEN:
             return HeartbeatResponse(HttpStatus.OK, token)
         commands = self.reconciler.apply_heartbeat(machine, view, ownership, heartbeat)
@@ -167,7 +168,7 @@
             commands = self._stops_of_ended_jobs(commands)
         if self.gate is not None:
             commands = self.gate.filter_commands(machine, view, ownership, commands)
-        # truncate after the gate: commands that it withholds must not displace urgent commands
+        # truncate after the gate: commands that it blocks must not displace urgent commands
         commands = commands[:MAX_COMMANDS]
         self._log_unplanned_stops(machine, commands)
         return HeartbeatResponse(HttpStatus.OK, token, tuple(commands))
@@ -196,10 +197,10 @@
                 return self._redirect()
             return self._redirect(shard_owner.owner)
         # This response renews the worker's lease. The view must record it, because an owner that
-        # keeps a worker alive for its zone may regain its authority under the same lease.
+        # keeps a worker alive in a partitioned zone may regain its authority under the same lease.
         view = self._views.get(machine.id)
         if view is not None:
-            view.answered_at = self._clock.now()
+            view.last_response_at = self._clock.now()
         return HeartbeatResponse(HttpStatus.OK, heartbeat.token, tuple(commands[:MAX_COMMANDS]))
 
     def _respond_to_newer_token(
--- a/tests/measure_multihost.py
+++ b/tests/measure_multihost.py
@@ -55,12 +55,13 @@
         failure: The kind of failure, a key of `FAILURES`.
         members: The number of the replica's members.
         seed: The seed of the random choices.
-        last_answer_s: When the front member of the old generation last served; 0 if it did not.
-        noticed_s: When the replica's next generation began.
-        placed_s: When the new generation was placed.
-        ready_s: When the new generation was ready.
-        serving_s: When the replica served again with all its members.
-        wrong_s: How long the front member served while another member was missing.
+        last_answer_s: The time at which the front member of the old generation last served; 0 if it
+            did not.
+        noticed_s: The time at which the replica's next generation began.
+        placed_s: The time at which the new generation was placed.
+        ready_s: The time at which the new generation was ready.
+        serving_s: The time at which the replica served again with all its members.
+        wrong_s: The time for which the front member served while another member was missing.
     """
 
     failure: str
@@ -78,23 +79,23 @@
 
 
 async def _kill_member(region: MultihostRegion, rng: Random) -> None:
-    rng.choice(region.agents_of("chat/0")[1:]).dead = True
+    rng.choice(region.agents_of("chat/0")[1:]).is_dead = True
 
 
 async def _kill_front_member(region: MultihostRegion, _rng: Random) -> None:
-    region.agents_of("chat/0")[0].dead = True
+    region.agents_of("chat/0")[0].is_dead = True
 
 
 async def _kill_two_members(region: MultihostRegion, rng: Random) -> None:
     members = region.agents_of("chat/0")
-    members[-1].dead = True
+    members[-1].is_dead = True
     await curio.sleep(rng.uniform(0.1, 1.0))
-    members[0].dead = True
+    members[0].is_dead = True
 
 
 async def _kill_all_members(region: MultihostRegion, _rng: Random) -> None:
     for agent in region.agents_of("chat/0"):
-        agent.dead = True
+        agent.is_dead = True
 
 
 async def _restart_agent(region: MultihostRegion, rng: Random) -> None:
@@ -338,7 +339,7 @@
         await region.until_serving("chat/0")
         result["start"] = service.writer.transactions - before
         before = service.writer.transactions
-        region.agents_of("chat/0")[1].dead = True
+        region.agents_of("chat/0")[1].is_dead = True
         await region.wait_until(
             lambda: any(
                 a.serves("chat/0") == GENERATION_AFTER_REPAIR for a in region.agents.values()
