--- a/crossmill/multihost/heartbeats.py
+++ b/crossmill/multihost/heartbeats.py
@@ -1,7 +1,7 @@
 """Handles agents' heartbeats on the controller that owns the pool.
 
 The service calls `AgentHeartbeatHandler` for each heartbeat. The handler applies the heartbeat to
-the agents' views and responds with orders and a proof of liveness. It has no state of its own.
+the agents' views and responds with orders and a proof of liveness. The handler is stateless.
 """
 
 from typing import NamedTuple
@@ -88,8 +88,8 @@
 
         If `may_order` is false, the response extends leases, but no member is started or stopped.
         """
-        known = self._agents.get(heartbeat.machine)
-        had_notice = known is not None and known.reclaim_at is not None
+        earlier_view = self._agents.get(heartbeat.machine)
+        had_notice = earlier_view is not None and earlier_view.reclaim_at is not None
         freshness = self._agents.apply_heartbeat(heartbeat, ownership.token, now)
         if freshness is not Freshness.NEW:
             return []
--- a/crossmill/multihost/pool_ownership.py
+++ b/crossmill/multihost/pool_ownership.py
@@ -1,6 +1,6 @@
 """Ownership of the pool: the owner of the pool's shard manages all multi-machine replicas.
 
-`PoolOwnership` applies the controllers' membership to this one shard. It has no state of its own.
+`PoolOwnership` applies the controllers' membership to this one shard. It is stateless.
 """
 
 from collections.abc import Callable
@@ -49,8 +49,8 @@
 
     def owner(self) -> str | None:
         """Return the label of the pool's owner, possibly this controller; None if unknown."""
-        known = self._cluster.shard_owners.get(self.shard)
-        return None if known is None else known.owner
+        shard_owner = self._cluster.shard_owners.get(self.shard)
+        return None if shard_owner is None else shard_owner.owner
 
     def other_owner(self) -> str | None:
         """Return the label of the pool's owner; None if it is this controller or unknown."""
--- a/crossmill/multihost/writes.py
+++ b/crossmill/multihost/writes.py
@@ -33,7 +33,7 @@
 def after_transition(
     replica: Replica, phase: ReplicaPhase, wall_time: float, reason: str
 ) -> Replica:
-    """Return a copy of the replica after a transition at the given wall time.
+    """Return a copy of the replica after a transition at the given wall-clock time.
 
     Raises:
         IllegalPhaseTransitionError: The replica can't enter the phase from its current one.
@@ -88,8 +88,6 @@
         self.transactions += 1
         return self._ownership.write_intent(ownership, rank, txn)
 
-    # -- replicas --------------------------------------------------------------------
-
     def transition(
         self, ownership: ShardOwnership, replica: Replica, after: Replica
     ) -> WriteIntent:
@@ -130,8 +128,6 @@
                 return False
         return True
 
-    # -- sets ------------------------------------------------------------------------
-
     def creation(
         self, ownership: ShardOwnership, replica_set: ReplicaSet, count: int, wall_time: float
     ) -> WriteIntent:
@@ -161,8 +157,6 @@
             ownership, WriteRank.PLACEMENT, Txn({key: replica_set.version}, [], [key])
         )
 
-    # -- machines --------------------------------------------------------------------
-
     def deletion_of_machine(self, ownership: ShardOwnership, machine_id: str) -> WriteIntent:
         """Return the write that deletes the pool record of a machine returned to the cloud.
 
--- a/crossmill/settings/timing.py
+++ b/crossmill/settings/timing.py
@@ -36,8 +36,9 @@
     def max_lease_extension_s(self) -> float:
         """The maximum time a controller responds to workers under lease extensions alone.
 
-        A cancellation that the controller can't read must still stop the job's tasks in time, at
-        the latest when the workers' leases expire. 10% of the deadline is a reserve.
+        A cancellation that the controller can't read must still stop the job's tasks within the
+        cancellation deadline, at the latest when the workers' leases expire. 10% of the deadline is
+        a reserve.
         """
         return max(
             0.0,
@@ -112,7 +113,7 @@
 
     @property
     def submission_timeout_s(self) -> float:
-        """The time after which a submission that is not yet durable is answered with status 503."""
+        """The time after which a submission that is not yet durable receives status 503."""
         return self.controller_lease_ttl_s / 3
 
     # -- scheduling ------------------------------------------------------------------
--- a/tests/fake_cloud.py
+++ b/tests/fake_cloud.py
@@ -51,10 +51,10 @@
         # the machines in the response to a listing
         self.listed_machines: list[dict[str, Any]] = []
         self.released: list[str] = []
-        self.down = False
+        self.is_down = False
 
-    def list_machines(self) -> None:
-        """Set the list of machines to all that were rented and not released, as running."""
+    def refresh_listing(self) -> None:
+        """List all machines that were rented and not released, as running, from now on."""
         self.listed_machines = [
             {
                 "nameId": machine,
@@ -73,7 +73,7 @@
         self, method: str, path: str, body: bytes = b"", timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
         """Respond without delay; raise NoResponseError for the scripted fault "lose"."""
-        if self.down:
+        if self.is_down:
             return 503, b'{"error":"trouble"}'
         data = orjson.loads(body) if body else {}
         if path == "/catalog":
@@ -83,14 +83,14 @@
             return 200, b"{}"
         if method == "GET":
             return 200, orjson.dumps({"stones": self.listed_machines, "hasNext": False})
-        action = self.scripted_faults.pop(0) if self.scripted_faults else ""
-        if action == "none":
+        fault = self.scripted_faults.pop(0) if self.scripted_faults else ""
+        if fault == "none":
             return 503, b'{"error":"no capacity"}'
         name = data["hireSlip"]
         if name not in self.machines_by_request:
             first = len(self.machines)
             self.machines_by_request[name] = [f"n-{first + i:06d}" for i in range(data["number"])]
             self.machines.update((m, data) for m in self.machines_by_request[name])
-        if action == "lose":
+        if fault == "lose":
             raise NoResponseError(path)
         return 200, orjson.dumps({"stones": self.machines_by_request[name]})
--- a/tests/fault_injection.py
+++ b/tests/fault_injection.py
@@ -34,9 +34,9 @@
 
 
 def lose_responses(
-    number: int, region: Region, delay_s: float, executes_at_once: bool, for_s: float
+    number: int, region: Region, delay_s: float, executes_immediately: bool, for_s: float
 ) -> None:
-    """Withhold the response of every `number`th transaction for the given time.
+    """Drop the response to every `number`th transaction for the given time.
 
     The transaction is executed without delay, or `delay_s` and up to four seconds later.
     """
@@ -49,22 +49,22 @@
         count += 1
         if count % number:
             return None
-        return TransactionFault(delay_s + count % 5, executes_at_once)
+        return TransactionFault(delay_s + count % 5, executes_immediately)
 
     region.transaction_fault = transaction_fault
 
 
 async def submit_single_task_jobs(
-    region: Region, jobs: int, every_s: float, cancelled: int = 4
+    region: Region, jobs: int, every_s: float, cancel_every: int = 4
 ) -> None:
     """Submit one-task jobs at one controller after the other.
 
-    Of every `cancelled` jobs, one is cancelled while it runs or waits.
+    One of every `cancel_every` jobs is cancelled while it runs or waits.
     """
     async with curio.TaskGroup() as group:
         for n in range(jobs):
             job, label = f"wk-{100000 + n}", list(region.nodes or region.LABELS)[n % 3 - 1]
-            await group.spawn(_submit_single_task_job, region, label, job, n % cancelled == 1)
+            await group.spawn(_submit_single_task_job, region, label, job, n % cancel_every == 1)
             await curio.sleep(every_s)
 
 
@@ -83,7 +83,7 @@
 
 
 async def wait_until_all_ended(region: Region, within_s: float = 90.0) -> None:
-    """Wait until all controllers report the end of every accepted job; fail after the timeout."""
+    """Wait until all controllers report the end of every submitted job; fail after the timeout."""
     end = region.clock.now() + within_s
     # a controller that has just started has not loaded the state yet
     await curio.sleep(3.0)
@@ -117,7 +117,7 @@
     elif kind == "refuse":
         region.refused_requests[label] = every_request
     elif kind == "outage":
-        region.state.down = not region.state.down
+        region.state.is_down = not region.state.is_down
     elif kind in ("late transactions", "lost responses"):
         lose_responses(rng.choice([2, 3, 5]), region, 2.0, kind == "lost responses", 10.0)
     elif kind == "worker":
@@ -125,7 +125,7 @@
         setattr(worker, fault, not getattr(worker, fault))
     elif kind == "reconnect":
         region.reconnect()
-        region.state.down = False
+        region.state.is_down = False
     elif kind == "slow state":
         region.state_delay_s = rng.choice([0.0, 0.3])
     else:
@@ -134,8 +134,12 @@
 
 
 def clear_faults(region: Region) -> None:
-    """End all faults other than frozen and killed controllers."""
-    region.state.down = False
+    """End the faults of the state service, of the controllers' links and of the workers.
+
+    Killed, frozen and powered off controllers, `Region.transaction_delay_s` and faults of the cloud
+    do not end.
+    """
+    region.state.is_down = False
     region.state_delay_s = 0.0
     region.reconnect()
     region.transaction_fault = lambda *_: None
--- a/tests/invariant_checker.py
+++ b/tests/invariant_checker.py
@@ -21,13 +21,25 @@
 
 @dataclass
 class JobFacts:
-    """A job's submission and what responses to users reported, with times of the region's clock."""
+    """A job's submission and what responses to users reported, with times of the region's clock.
+
+    Attributes:
+        spec: The fields of the submission's body.
+        run_s: The run time of each task, in seconds; None for a service.
+        submitted: The time at which the job was registered.
+        accepted: The time at which a response first confirmed the submission or reported the job's
+            state.
+        is_cancellation_requested: Whether a user requested the cancellation.
+        cancelled: The time at which a response first reported the job as cancelled.
+        done: The time at which a response first reported the job as done.
+        finished: The indexes of the tasks that are done.
+    """
 
     spec: dict[str, Any]
     run_s: float | None
     submitted: float
     accepted: float | None = None
-    cancellation_requested: bool = False
+    is_cancellation_requested: bool = False
     cancelled: float | None = None
     done: float | None = None
     finished: set[int] = field(default_factory=set)
@@ -94,7 +106,7 @@
         return found
 
     def _check_cancelled_dependencies(self, job: str, stage: str, requested_at: float) -> None:
-        """Check that no job is reported as active long after a dependency was cancelled."""
+        """Check that no job is shown as queued or running long after a dependency was cancelled."""
         for dependency in self._all_dependencies(job):
             confirmed = self.jobs[dependency].cancelled
             is_overdue = (
@@ -177,7 +189,7 @@
             self.report_violation(f"went_back {job}: {stage} after done")
         if stage == "withdrawn":
             is_requested = any(
-                self.jobs[x].cancellation_requested for x in (job, *self._all_dependencies(job))
+                self.jobs[x].is_cancellation_requested for x in (job, *self._all_dependencies(job))
             )
             if not is_requested:
                 self.report_violation(f"went_back {job}: no user cancelled it")
--- a/tests/measure_multihost.py
+++ b/tests/measure_multihost.py
@@ -37,7 +37,8 @@
 REPLICA_SIZES = (2, 4, 8)
 POOL_SIZES = (100, 1000, 4000)
 MAX_RECOVERY_S = 120.0
-# in `measure_waiting`, a large replica waits in a pool of this many machines and small sets
+# in `measure_waiting`: the pool's machines, and the small replica sets that share it with a large
+# replica
 WAITING_POOL_SIZE = 16
 SMALL_SETS = 8
 MAX_WAITING_S = 600.0
@@ -54,12 +55,13 @@
         failure: The kind of failure, a key of `FAILURES`.
         members: The number of the replica's members.
         seed: The seed of the random choices.
-        last_answer_s: When the front member of the old generation last served; 0 if it did not.
-        noticed_s: When the replica's next generation began.
-        placed_s: When the new generation was placed.
-        ready_s: When the new generation was ready.
-        serving_s: When the replica served again with all its members.
-        wrong_s: How long the front member served while another member was missing.
+        last_answer_s: The time at which the front member of the old generation last served; 0 if it
+            did not.
+        noticed_s: The time at which the replica's next generation began.
+        placed_s: The time at which the new generation was placed.
+        ready_s: The time at which the new generation was ready.
+        serving_s: The time at which the replica served again with all its members.
+        wrong_s: The time for which the front member served while another member was missing.
     """
 
     failure: str
@@ -77,23 +79,23 @@
 
 
 async def _kill_member(region: MultihostRegion, rng: Random) -> None:
-    rng.choice(region.agents_of("chat/0")[1:]).dead = True
+    rng.choice(region.agents_of("chat/0")[1:]).is_dead = True
 
 
 async def _kill_front_member(region: MultihostRegion, _rng: Random) -> None:
-    region.agents_of("chat/0")[0].dead = True
+    region.agents_of("chat/0")[0].is_dead = True
 
 
 async def _kill_two_members(region: MultihostRegion, rng: Random) -> None:
     members = region.agents_of("chat/0")
-    members[-1].dead = True
+    members[-1].is_dead = True
     await curio.sleep(rng.uniform(0.1, 1.0))
-    members[0].dead = True
+    members[0].is_dead = True
 
 
 async def _kill_all_members(region: MultihostRegion, _rng: Random) -> None:
     for agent in region.agents_of("chat/0"):
-        agent.dead = True
+        agent.is_dead = True
 
 
 async def _restart_agent(region: MultihostRegion, rng: Random) -> None:
@@ -182,9 +184,9 @@
 def measure_baseline(job: tuple[str, int, int]) -> Sample:
     """Measure the same failures of a service whose tasks stand for the members.
 
-    Task 0 is the front member and serves whenever it runs itself. Images need no time to load.
-    Idle machines are kept for the whole run, so that there are as many spare machines as in the
-    pool of `measure_failure`.
+    Task 0 stands for the front member and counts as serving whenever it runs itself. Images need no
+    time to load. Idle machines are kept for the whole run, so that there are as many spare machines
+    as in the pool of `measure_failure`.
     """
     failure, members, seed = job
     result: list[Sample] = []
@@ -286,7 +288,11 @@
 
 
 def measure_pool(machines: int) -> dict[str, float]:
-    """Measure the work for one heartbeat and for one idle round in a pool of this size."""
+    """Measure the cost of a heartbeat and of a round without changes in a pool of this size.
+
+    The processor times are of one heartbeat and one round; the numbers of replicas and candidate
+    machines examined are of 20 rounds.
+    """
     result: dict[str, float] = {"machines": machines}
 
     async def scenario(
@@ -333,7 +339,7 @@
         await region.until_serving("chat/0")
         result["start"] = service.writer.transactions - before
         before = service.writer.transactions
-        region.agents_of("chat/0")[1].dead = True
+        region.agents_of("chat/0")[1].is_dead = True
         await region.wait_until(
             lambda: any(
                 a.serves("chat/0") == GENERATION_AFTER_REPAIR for a in region.agents.values()
