--- a/tests/test_multihost_settings.py
+++ b/tests/test_multihost_settings.py
@@ -6,11 +6,13 @@
 from typing import Any
 
 import pytest
+import tomli_w
 
+from crossmill.cli import main
 from crossmill.multihost.settings import load, parse
 from crossmill.settings import SettingsError
 
-from .builders import make_settings
+from .builders import make_settings, settings_table
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -50,3 +52,13 @@
     loaded = result.stdout.split()
     assert "crossmill.app" in loaded, result.stderr
     assert not [name for name in loaded if "multihost" in name]
+
+
+def test_check_prints_the_limits_that_follow_from_the_file(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
+    config = tmp_path / "settings.toml"
+    config.write_text(tomli_w.dumps(settings_table()))
+    multihost = str(ROOT / "deploy" / "multihost.toml")
+    assert main(["check", "--config", str(config), "--multihost", multihost]) == 0
+    assert "serving_lease_s = " in capsys.readouterr().out
